--- a/decisions/src/main/java/topazvalve/decisions/Alarms.java
+++ b/decisions/src/main/java/topazvalve/decisions/Alarms.java
@@ -29,7 +29,7 @@
         }
     }
 
-    /** Danger: a coarse host clock may ring early; told by its time, the one timer would be lost. */
+    /** Matched by token, not by time: a coarse host clock may ring early. */
     void ring(long now, long token) {
         if (token == timerToken) {
             timerAt = Long.MAX_VALUE;
--- a/decisions/src/main/java/topazvalve/decisions/Rules.java
+++ b/decisions/src/main/java/topazvalve/decisions/Rules.java
@@ -12,14 +12,7 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/**
- * Every decision of one sidecar. Interface, settings, events and actions are in {@code Balancer.java}.
- *
- * <p>The ordinary path is {@link Pattern#pick}: a randomly drawn fixed order over all ready servers, the less
- * busy of the pointed entry and the next by this sidecar's own in-flight counts. All else either narrows who
- * may take a request now (gates in {@link Roster}, {@link Health}, {@link Admission}) or keeps the
- * books ({@link Ledger}). Each departure from that path says beside it which danger it meets.
- */
+/** Every decision of one sidecar; {@code docs/design/policy.md} gives the reason for each rule. */
 public final class Rules implements Balancer {
     private static final long NEWS_TIME = 6_000_000_000L;  // fits two calls' waits of 2 s and a back-off
     private Settings settings;
@@ -33,7 +26,6 @@
     private final Reports reports;
     private final Alarms alarms;
 
-    /** One instance a sidecar: the seed is its only source of chance. */
     public Rules(Settings settings, long seed, Actions actions) {
         this.settings = settings;
         this.actions = actions;
@@ -162,7 +154,6 @@
         private final List<Server> order = new ArrayList<>();
         private int pointer;
 
-        /** Draws a uniform permutation of all ready servers; the list comes sorted by id. */
         void redraw(List<Server> ready) {
             order.clear();
             order.addAll(ready);
@@ -170,11 +161,7 @@
             pointer = 0;
         }
 
-        /**
-         * The less busy of the pointed entry and the next, a tie going to the pointed one; entries whose
-         * gates are shut to this request are passed over. Only first attempts turn the pointer: a walk for
-         * a further attempt sees few entries and would make the turns uneven. Null if all gates are shut.
-         */
+        /** The less busy of the pointed entry and the next; null if no endpoint may take the request. */
         Server pick(long now, Call call, boolean ignoreHealth) {
             if (!call.attempts.isEmpty() && !ledger.mayTryAgain(now, call)) {
                 return null;
@@ -203,7 +190,6 @@
             return pointed != null ? pointed : passedOver;
         }
 
-        /** The next entries that could take this request, from the pointed one on. */
         List<Server> ahead(long now, Call call, int most) {
             List<Server> open = new ArrayList<>(most);
             for (int i = 0; i < order.size() && open.size() < most; i++) {
@@ -215,7 +201,6 @@
             return open;
         }
 
-        /** A slow entry saves up for its turns and is passed over in between. */
         private boolean takesTurn(Server server, Call call) {
             server.credit += health.turnShare(server, call);
             if (server.credit < 1) {
@@ -226,7 +211,6 @@
         }
     }
 
-    /** All gates, cheapest first. */
     private boolean mayTake(long now, Server server, Call call, boolean ignoreHealth) {
         return ledger.mayGoTo(call, server)
                 && server.inFlight < Math.max(1, (int) server.limit)
@@ -238,7 +222,6 @@
     private static final class Server {
         Upstream entry;
         int inFlight;
-        /** Streams that are open: they tell nothing more of its pace, but they are there. */
         int streams;
         long coldUntil;
         double credit;
@@ -336,10 +319,7 @@
             aimAt = Long.MAX_VALUE;
         }
 
-        /**
-         * Held for longer, half of such requests would be late. Danger: a class that is expected to be late,
-         * and so is never sent, teaches nobody that it would be in time by now.
-         */
+        /** Queued for longer, half of such requests would be late. */
         long hopelessAt() {
             return aimAt - (long) (1.5 * Math.min(expected, aim / 2.0));
         }
@@ -357,7 +337,6 @@
         Call open(long now, Request request, boolean arriving) {
             Call call = new Call(request, settings.classes().get(request.requestClass()),
                     settings.allowed().tryLimit(), now, admission.elapsed(request));
-            // Danger: answers of no time would bring alarms an expected time apart to a stand.
             call.expected = Math.max(call.aim / 1000.0,
                     health.usual.get(request.requestClass()).expected(request.costHint()));
             call.arriving = arriving;
@@ -400,7 +379,6 @@
             health.loaded(now, attempt.server, call);
         }
 
-        /** What an attempt tells of its server, once: as its answer begins, or as it ends without one. */
         void settle(long now, Attempt attempt, Outcome outcome, Call call) {
             if (attempt.settled) {
                 return;
@@ -476,8 +454,7 @@
             } else {
                 takeOff(now, attempt, call);
             }
-            // Danger: work past its aim keeps a core from work that can still be in time. It is given up only
-            // where looks show what an upstream holds; elsewhere given-up work would run on unseen.
+            // Work past its objective is given up only where load probes show what an endpoint has in hand.
             boolean worthless = reports.looks() && call.kind.lateShare() == 0 && call.aimAt > now;
             actions.send(call.request.id(), server.entry.id(), worthless ? call.aimAt - now : 0);
         }
@@ -499,7 +476,6 @@
             if (call.arriving) {
                 startClock(now, call);
             }
-            // Danger: held for a further attempt with every server tried, it would wait in vain.
             if (mayTryAgain(now, call) && roster.ready.stream().anyMatch(next -> mayGoTo(call, next))
                     && admission.worthRetry(now, call)) {
                 admission.admit(now, call);
@@ -616,21 +592,14 @@
             return fresh || wasReady != (entry.state() == State.READY);
         }
 
-        /**
-         * Danger: a cold server falls over and stays down when all sidecars together overfill it. What is
-         * ASKED OF THIS SIDECAR, spread over the capacity that is there now, is its part: the parts of all
-         * sum up to the load of a warm server times what a cold one can do at the least. What is served tells
-         * less: it takes a ramp to count up after a start, and falls when the warm ones are overfull.
-         */
+        /** A token bucket: this sidecar's fraction of what a warming endpoint can do now. */
         boolean coldRoom(long now, Server server, Call call) {
             if (now >= server.coldUntil) {
                 return true;
             }
             double rate = forEach(now) * capacity(now, server);
             if (!server.coldMet) {
-                // Danger: a first request free of charge comes from hundreds of sidecars together. Each
-                // starts somewhere within the debt of one request, so that their sum keeps to the rate. Where
-                // all are cold there is nobody else to take it.
+                // A random debt: free first requests of many sidecars would come together.
                 server.coldMet = true;
                 server.coldTokens = ready.stream().allMatch(other -> now < other.coldUntil) ? 0
                         : -random.nextDouble() * work(call);
@@ -721,14 +690,7 @@
             return paces.computeIfAbsent(server.entry.kind(), kind -> new Pace());
         }
 
-        /**
-         * The part of its turns that a server takes. Danger: even turns give a slow machine as much work as a
-         * fast one, and with the fleet three quarters busy the slow one has more than it can ever do; what
-         * other sidecars have there shows in no own count. All turns while it answers well within the aim;
-         * else as the fastest kind's time is to its own, and fewer: at the same use, those who wait on a slow
-         * machine wait longer. Its own answers count beside two for granted at its kind's pace. Trials have
-         * bounds of their own.
-         */
+        /** The fraction of its turns that an endpoint takes: fewer where its machine kind is slow. */
         double turnShare(Server server, Call call) {
             double pace = (server.exposure + 2 * pace(server).mean) / (server.heard + 2);
             return server.nextTrial > 0 || pace * call.expected < EASY * call.aim ? 1
@@ -809,10 +771,7 @@
             return now >= server.nextTrial && vouched(server);
         }
 
-        /**
-         * Danger: a request that tries a silent server is lost, and from every sidecar of a large fleet these
-         * are many. Where probes are allowed one goes first, and a request only to a server that answered it.
-         */
+        /** Where health checks are allowed, one goes ahead of the request that tries an ejected endpoint. */
         private boolean vouched(Server server) {
             if (!settings.allowed().probes() || server.vouched) {
                 return true;
@@ -871,8 +830,7 @@
                     }
                 }
                 case ERROR, RESET -> {
-                    // Danger: fast errors empty the in-flight count and win turns. One is as bad as an answer
-                    // at twice the aim: a stray one shuts nothing, two in a row do.
+                    // As bad as an answer at twice the objective: two in a row eject, one does not.
                     heard(server, server.nextTrial > 0 ? 0.5 : 0.9);
                     server.exposure += 2 * call.aim / call.expected;
                 }
@@ -891,10 +849,7 @@
 
     /** One tenant's held work and what it has had lately of its quota. */
     private static final class Share {
-        /**
-         * Newest first. Danger: first-in first-out under overload lets all wait until every answer is late,
-         * and stays so after the overload has gone; this way some wait in vain and the rest are in time.
-         */
+        /** Newest first: under overload some wait in vain and the rest are in time. */
         private final ArrayDeque<Call> held = new ArrayDeque<>();
         private final double quota;
         private final FadingSum spent;
@@ -958,11 +913,7 @@
             List.of(wanted, times, answers).forEach(sum -> sum.window(now, LATELY * health.firstBackoff));
         }
 
-        /**
-         * Time the client has spent on earlier tries. A first try has a fixed part of the deadline left, the
-         * same each time; a last one has what remains of the whole. The commonest value marks the first tries
-         * (it loses its place once half of them differ) and any other tells the time spent.
-         */
+        /** Time the client has spent on earlier tries: the commonest time left marks the first ones. */
         long elapsed(Request request) {
             int kind = request.requestClass();
             long left = request.timeLeft();
@@ -1011,12 +962,7 @@
             });
         }
 
-        /**
-         * The part of new requests to shed. Danger: where many sidecars keep one in flight each, no limit per
-         * upstream binds; once work is answered too late, upstreams work for nobody until much less is sent.
-         * Nothing is shed while four in five of those not withdrawn early were in time; below, the cube lets
-         * a jam drain where a share would feed it. What is shed comes again: marked retries go more readily.
-         */
+        /** The fraction of new requests to shed: none while four in five attempts were in time. */
         private double shedding(long now) {
             double borne = Math.min(1, ENOUGH * (inTime.value(now) + 1) / (tried.value(now) + 1));
             return 1 - borne * borne * borne;
@@ -1026,13 +972,7 @@
             return shares[Math.min(call.request.tenant(), shares.length - 1)];
         }
 
-        /**
-         * Whether as much is in flight in all as requests that come like these lately have out while each is
-         * answered in good time (Little's law), and a spread; fewer as answers take longer. Danger: where
-         * many sidecars keep a request or two at each of many servers, no limit for one server binds and all
-         * together choke them. What is out for longer than an aim waits at silent servers: it takes no room.
-         * The last part of it is for the dearest classes: where not all can be served, the others go first.
-         */
+        /** Whether the limit on all in-flight requests, by Little's law, is reached. */
         private boolean full(long now, Call call) {
             double slower = (times.value(now) + 1) / (answers.value(now) + 1);
             double room = wanted.rate(now) / Math.max(1, slower);
@@ -1082,7 +1022,7 @@
                 return false;
             }
             Server server = pattern.pick(now, call, false);
-            // Danger: a trouble common to all would empty the pattern. Gates that all shut do not count.
+            // A fault common to all endpoints ejects none.
             if (server == null && roster.ready.stream().noneMatch(any -> health.open(now, any, call))) {
                 server = pattern.pick(now, call, true);
             }
@@ -1152,13 +1092,7 @@
         }
     }
 
-    /**
-     * Looking before a send, where upstreams tell what they hold and a probe is all but free. Danger: with
-     * hundreds of sidecars all of an upstream's work is other sidecars', which own in-flight counts never
-     * show, and the cycle feeds a busy upstream as readily as an idle one. So the next few entries are asked,
-     * and those that hold more than is usual, or do not answer, are shut to this request. Who of the others
-     * takes it is the pattern's choice; what was told counts for one request's look and no longer.
-     */
+    /** Load probes before a send, where probes are cheap and report the requests in hand. */
     private final class Reports {
         /** So many that most of them are seldom all busy. */
         private static final int ASKED = 5;
