--- a/capacity/src/main/java/topazvalve/capacity/fit/Fit.java
+++ b/capacity/src/main/java/topazvalve/capacity/fit/Fit.java
@@ -23,21 +23,28 @@
     private static final double DIFFER = 0.3;
 
     /** Two lines that meet at the size {@code above}. */
-    public record Bend(double above, Line lower, Line upper) { }
+    public record Bend(double above, Line lower, Line upper) {}
 
     /** Fits a line; three points are needed, since any two lie on one. */
     public static Fit of(List<Point> measured) {
         if (measured.size() < 3) {
             throw new IllegalArgumentException("a line with a residual needs three points: " + measured);
         }
-        List<Point> points = measured.stream().sorted(Comparator.comparingDouble(Point::x)).toList();
+        List<Point> points =
+                measured.stream().sorted(Comparator.comparingDouble(Point::x)).toList();
         Line line = Line.through(points);
-        double largest = points.stream().mapToDouble(each -> Math.abs(each.y())).max().orElseThrow();
-        double worst = points.stream().mapToDouble(each -> Math.abs(each.y() - line.at(each.x()))).max()
+        double largest =
+                points.stream().mapToDouble(each -> Math.abs(each.y())).max().orElseThrow();
+        double worst = points.stream()
+                .mapToDouble(each -> Math.abs(each.y() - line.at(each.x())))
+                .max()
                 .orElseThrow();
         double percent = largest == 0 ? 0 : 100 * worst / largest;
-        return new Fit(points, line, percent, percent > MISS_PERCENT && points.size() >= POINTS_FOR_BEND
-                ? bend(points, line) : Optional.empty());
+        return new Fit(
+                points,
+                line,
+                percent,
+                percent > MISS_PERCENT && points.size() >= POINTS_FOR_BEND ? bend(points, line) : Optional.empty());
     }
 
     private static Optional<Bend> bend(List<Point> points, Line one) {
@@ -58,7 +65,9 @@
 
     /** The value at this size: by the line, or by the part of the bend that the size falls into. */
     public double at(double x) {
-        return bend.map(each -> x > each.above() ? each.upper() : each.lower()).orElse(line).at(x);
+        return bend.map(each -> x > each.above() ? each.upper() : each.lower())
+                .orElse(line)
+                .at(x);
     }
 
     /** Whether the size lies within those measured. */
--- a/capacity/src/main/java/topazvalve/capacity/fit/Line.java
+++ b/capacity/src/main/java/topazvalve/capacity/fit/Line.java
@@ -20,7 +20,10 @@
             throw new IllegalArgumentException("a line needs two sizes: " + points);
         }
         double determination = regression.getRSquare();
-        return new Line(regression.getIntercept(), slope, Double.isNaN(determination) ? 1 : determination,
+        return new Line(
+                regression.getIntercept(),
+                slope,
+                Double.isNaN(determination) ? 1 : determination,
                 Math.max(0, regression.getSumSquaredErrors()));
     }
 
--- a/capacity/src/main/java/topazvalve/capacity/measure/CallMeasurement.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/CallMeasurement.java
@@ -37,8 +37,7 @@
     private final boolean quick;
     private final Points points;
     private final EventLoopGroup servers = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final MultiThreadIoEventLoopGroup clients =
-            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup clients = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private int streams;
 
     CallMeasurement(Plan plan, Path home, Path folder, boolean quick, Points points) {
@@ -57,13 +56,18 @@
         for (int i = 0; i < SERVERS; i++) {
             EchoServer made = new EchoServer(servers);
             echoes.add(made);
-            targets.addObject().put("uid", "s-" + i).put("endpoint", "127.0.0.1:" + made.port())
-                    .put("az", "a").put("model", "m").put("pod_group", 0).put("state", "SERVING")
-                    .put("capacity_hint", 1.0).put("boot_ms", 0);
+            targets.addObject()
+                    .put("uid", "s-" + i)
+                    .put("endpoint", "127.0.0.1:" + made.port())
+                    .put("az", "a")
+                    .put("model", "m")
+                    .put("pod_group", 0)
+                    .put("state", "SERVING")
+                    .put("capacity_hint", 1.0)
+                    .put("boot_ms", 0);
         }
         double calls = plan.callsPerSidecar();
-        try (MeasuredSidecar sidecar = MeasuredSidecar.knowing(home, folder, known,
-                List.of("taskset", "-c", CORE))) {
+        try (MeasuredSidecar sidecar = MeasuredSidecar.knowing(home, folder, known, List.of("taskset", "-c", CORE))) {
             sidecar.awaitReady(15_000);
             at(3 * calls, 1_000, sidecar, echoes.get(0).port(), false);
             at(calls, quick ? 1_500 : 12_000, sidecar, echoes.get(0).port(), true);
@@ -93,14 +97,24 @@
         if (!counts) {
             return;
         }
-        points.say(String.format(Locale.ROOT, "  %.0f calls a second, %d each way, %d not served: direct p50 "
-                + "%.2f p99 %.2f p99.9 %.2f ms, through p50 %.2f p99 %.2f p99.9 %.2f ms", rate,
-                through.getTotalCount(), bad, at(direct, 50), at(direct, 99), at(direct, 99.9),
-                at(through, 50), at(through, 99), at(through, 99.9)));
+        points.say(String.format(
+                Locale.ROOT,
+                "  %.0f calls a second, %d each way, %d not served: direct p50 "
+                        + "%.2f p99 %.2f p99.9 %.2f ms, through p50 %.2f p99 %.2f p99.9 %.2f ms",
+                rate,
+                through.getTotalCount(),
+                bad,
+                at(direct, 50),
+                at(direct, 99),
+                at(direct, 99.9),
+                at(through, 50),
+                at(through, 99),
+                at(through, 99.9)));
         points.add(Quantity.CALL_CPU, rate, 100.0 * cpu / (TURNS * (ms + AFTER_MS) * MS));
         points.add(Quantity.CALL_ADDED_P50, rate, at(through, 50) - at(direct, 50));
         if (at(direct, 99) > plan.budget().addedP99() / MS) {
-            points.say("  the direct way's p99 alone is over the plan's " + plan.budget().addedP99() / MS
+            points.say("  the direct way's p99 alone is over the plan's "
+                    + plan.budget().addedP99() / MS
                     + " ms: this machine is too busy to tell what p99 and p99.9 the sidecar adds");
             return;
         }
--- a/capacity/src/main/java/topazvalve/capacity/measure/CapacityMeasurement.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/CapacityMeasurement.java
@@ -14,7 +14,7 @@
 
 /** Measures all slopes and puts the plan's sizes into them. */
 public final class CapacityMeasurement {
-    private CapacityMeasurement() { }
+    private CapacityMeasurement() {}
 
     /**
      * Measures on this machine and returns the table; each line of what is found is said as it comes.
@@ -44,20 +44,37 @@
     }
 
     private static String machine(boolean quick) {
-        return String.format(Locale.ROOT, "%d cores, load %.1f, Java %s%s",
+        return String.format(
+                Locale.ROOT,
+                "%d cores, load %.1f, Java %s%s",
                 Runtime.getRuntime().availableProcessors(),
                 ManagementFactory.getOperatingSystemMXBean().getSystemLoadAverage(),
-                Runtime.version().feature(), quick ? ", quick: fewer sizes, shorter" : "");
+                Runtime.version().feature(),
+                quick ? ", quick: fewer sizes, shorter" : "");
     }
 
     private static String line(Quantity quantity, Fit fit) {
-        String bend = fit.bend().map(each -> String.format(Locale.ROOT,
-                "bends above %.4g: %.3g for each below, %.3g above", each.above(), each.lower().slope(),
-                each.upper().slope())).orElse("none");
-        return String.format(Locale.ROOT,
+        String bend = fit.bend()
+                .map(each -> String.format(
+                        Locale.ROOT,
+                        "bends above %.4g: %.3g for each below, %.3g above",
+                        each.above(),
+                        each.lower().slope(),
+                        each.upper().slope()))
+                .orElse("none");
+        return String.format(
+                Locale.ROOT,
                 "| %s | %s | %.4g %s | %.3g | %.3f | %.0f%% | %d, %.4g to %.4g | %s |",
-                quantity.label(), quantity.per(), fit.line().intercept(), quantity.unit(), fit.line().slope(),
-                fit.line().determination(), fit.worstPercent(), fit.points().size(),
-                fit.points().get(0).x(), fit.largest(), bend);
+                quantity.label(),
+                quantity.per(),
+                fit.line().intercept(),
+                quantity.unit(),
+                fit.line().slope(),
+                fit.line().determination(),
+                fit.worstPercent(),
+                fit.points().size(),
+                fit.points().get(0).x(),
+                fit.largest(),
+                bend);
     }
 }
--- a/capacity/src/main/java/topazvalve/capacity/measure/ConnectionMeasurement.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/ConnectionMeasurement.java
@@ -19,7 +19,7 @@
     private static final long SEED = 5;
     private static final double[] PAIRS = {0.0234, 0.0667, 0.267, 1, 3};
 
-    private ConnectionMeasurement() { }
+    private ConnectionMeasurement() {}
 
     static void run(Path file, boolean quick, Points points) throws IOException {
         points.part("virtual time, " + file.getFileName());
@@ -32,12 +32,33 @@
     /** New connections for each attempt at this many calls a second of each pair. */
     static double perCall(Scenario scenario, double callsOfPair) {
         Load load = scenario.load();
-        Scenario loaded = new Scenario(scenario.name(), scenario.about(), scenario.length(),
-                scenario.settle(), scenario.fleet(), new Load(callsOfPair * scenario.fleet().servers(), 0,
-                load.shape(), load.swing(), load.period(), load.instanceSpread(), load.keys(), load.zipf()),
-                scenario.network(), scenario.news(), scenario.limits(), scenario.machines(),
-                scenario.classes(), scenario.clients(), scenario.faults(), scenario.chaos());
-        Tally.Sums sums = new VirtualWorld(loaded, Arm.of(Policy.MODULE), SEED).play().tally().sums();
+        Scenario loaded = new Scenario(
+                scenario.name(),
+                scenario.about(),
+                scenario.length(),
+                scenario.settle(),
+                scenario.fleet(),
+                new Load(
+                        callsOfPair * scenario.fleet().servers(),
+                        0,
+                        load.shape(),
+                        load.swing(),
+                        load.period(),
+                        load.instanceSpread(),
+                        load.keys(),
+                        load.zipf()),
+                scenario.network(),
+                scenario.news(),
+                scenario.limits(),
+                scenario.machines(),
+                scenario.classes(),
+                scenario.clients(),
+                scenario.faults(),
+                scenario.chaos());
+        Tally.Sums sums = new VirtualWorld(loaded, Arm.of(Policy.MODULE), SEED)
+                .play()
+                .tally()
+                .sums();
         return (double) sums.connections() / Math.max(1, sums.attempts());
     }
 }
--- a/capacity/src/main/java/topazvalve/capacity/measure/Fetchers.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/Fetchers.java
@@ -48,20 +48,23 @@
             all.ask(FIRST_MS);
         }
         if (!all.open.await(limitS, TimeUnit.SECONDS)) {
-            throw new IOException(all.open.getCount() + " of " + count + " have no list after " + limitS
-                    + " s");
+            throw new IOException(all.open.getCount() + " of " + count + " have no list after " + limitS + " s");
         }
         return (all.last - begun) / 1e9;
     }
 
     private void ask(int backOffMs) {
-        new Bootstrap().group(group).channel(NioSocketChannel.class)
+        new Bootstrap()
+                .group(group)
+                .channel(NioSocketChannel.class)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel made) {
                         made.pipeline().addLast(new HttpClientCodec(), new Reader(backOffMs));
                     }
-                }).connect("127.0.0.1", port).addListener((ChannelFuture done) -> {
+                })
+                .connect("127.0.0.1", port)
+                .addListener((ChannelFuture done) -> {
                     if (done.isSuccess()) {
                         Watchers.ask(done.channel(), "/discovery/hosts");
                     } else {
--- a/capacity/src/main/java/topazvalve/capacity/measure/ListMeasurement.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/ListMeasurement.java
@@ -37,7 +37,8 @@
     /** Lists up to the plan's size, and one beyond it in full form. */
     void run() throws IOException, InterruptedException {
         int most = plan.fleet().servers();
-        int[] sizes = quick ? new int[] {most / 57, most / 4, most}
+        int[] sizes = quick
+                ? new int[] {most / 57, most / 4, most}
                 : new int[] {most / 57, most / 12, most / 4, most / 2, most};
         for (int size : sizes) {
             try {
@@ -51,14 +52,14 @@
 
     private void at(int servers) throws IOException, InterruptedException {
         points.part("packaged sidecar, " + servers + " servers listed");
-        points.add(Quantity.LIST_BYTES, servers, ListText.whole(1, servers, false).length());
+        points.add(
+                Quantity.LIST_BYTES, servers, ListText.whole(1, servers, false).length());
         long emptyMs = plan.source().emptyLineEvery() / 1_000_000;
         List<Double> starts = new ArrayList<>();
         List<Double> cpus = new ArrayList<>();
         for (int i = quick ? 1 : 3; i > 0; i--) {
             try (Server source = Server.source(servers, 0, 1000, emptyMs);
-                    MeasuredSidecar sidecar = MeasuredSidecar.following(home, folder, source.port(),
-                            List.of())) {
+                    MeasuredSidecar sidecar = MeasuredSidecar.following(home, folder, source.port(), List.of())) {
                 sidecar.awaitListed(servers, START_LIMIT_MS, 10);
                 starts.add(sidecar.age() / 1e9);
                 cpus.add(ProcessFigures.cpuNanos(sidecar.handle()) / 1e9);
@@ -71,8 +72,7 @@
         }
     }
 
-    private void running(int servers, Server source, MeasuredSidecar sidecar)
-            throws IOException, InterruptedException {
+    private void running(int servers, Server source, MeasuredSidecar sidecar) throws IOException, InterruptedException {
         sidecar.awaitReady(START_LIMIT_MS);
         Thread.sleep(500);
         double rest = cpuPercent(sidecar, quick ? REST_MS : 3 * REST_MS);
@@ -85,8 +85,7 @@
         points.add(Quantity.SIDECAR_HEAP, servers, ProcessFigures.liveHeapMib(sidecar.pid()));
     }
 
-    private static double cpuPercent(MeasuredSidecar sidecar, int ms)
-            throws IOException, InterruptedException {
+    private static double cpuPercent(MeasuredSidecar sidecar, int ms) throws IOException, InterruptedException {
         Map<String, Long> cpu = ProcessFigures.cpu(sidecar.pid());
         long begun = System.nanoTime();
         Thread.sleep(ms);
@@ -95,23 +94,27 @@
 
     private void changes(int servers, Server source, MeasuredSidecar sidecar, double rest)
             throws IOException, InterruptedException {
-        points.add(Quantity.CHANGE_TIME, servers, time(servers, 1, sidecar, quick ? 6 : 30,
-                () -> source.change(1)));
-        points.add(Quantity.CHANGE_CPU, servers, cpu(servers, sidecar, rest, quick ? 40 : 200, 10,
-                () -> source.change(1)));
+        points.add(Quantity.CHANGE_TIME, servers, time(servers, 1, sidecar, quick ? 6 : 30, () -> source.change(1)));
+        points.add(
+                Quantity.CHANGE_CPU,
+                servers,
+                cpu(servers, sidecar, rest, quick ? 40 : 200, 10, () -> source.change(1)));
         points.add(Quantity.LIST_TIME, servers, time(servers, 1, sidecar, quick ? 4 : 10, source::whole));
-        points.add(Quantity.LIST_CPU, servers, cpu(servers, sidecar, rest, quick ? 4 : 20, 100,
-                source::whole));
+        points.add(Quantity.LIST_CPU, servers, cpu(servers, sidecar, rest, quick ? 4 : 20, 100, source::whole));
     }
 
     /** One line may tell of many servers: what each of them adds. */
     private void lines(int servers, Server source, MeasuredSidecar sidecar, double rest)
             throws IOException, InterruptedException {
         for (int entries : lineSizes()) {
-            points.add(Quantity.LINE_TIME, entries, time(servers, entries, sidecar, quick ? 2 : 10,
-                    () -> source.change(entries)));
-            points.add(Quantity.LINE_CPU, entries, cpu(servers, sidecar, rest, quick ? 10 : 40, 25,
-                    () -> source.change(entries)));
+            points.add(
+                    Quantity.LINE_TIME,
+                    entries,
+                    time(servers, entries, sidecar, quick ? 2 : 10, () -> source.change(entries)));
+            points.add(
+                    Quantity.LINE_CPU,
+                    entries,
+                    cpu(servers, sidecar, rest, quick ? 10 : 40, 25, () -> source.change(entries)));
         }
     }
 
@@ -125,8 +128,8 @@
     }
 
     /** From the telling until it is in force, in milliseconds, the one in the middle. */
-    private static double time(int servers, int entries, MeasuredSidecar sidecar, int times,
-            Telling telling) throws IOException, InterruptedException {
+    private static double time(int servers, int entries, MeasuredSidecar sidecar, int times, Telling telling)
+            throws IOException, InterruptedException {
         List<Double> found = new ArrayList<>();
         for (int i = 0; i < times; i++) {
             Server.Told told = telling.tell();
@@ -137,8 +140,9 @@
     }
 
     /** CPU of one, in milliseconds, without what the sidecar takes at rest. */
-    private static double cpu(int servers, MeasuredSidecar sidecar, double rest, int times, int pauseMs,
-            Telling telling) throws IOException, InterruptedException {
+    private static double cpu(
+            int servers, MeasuredSidecar sidecar, double rest, int times, int pauseMs, Telling telling)
+            throws IOException, InterruptedException {
         Map<String, Long> cpu = ProcessFigures.cpu(sidecar.pid());
         long begun = System.nanoTime();
         for (int i = 0; i < times; i++) {
--- a/capacity/src/main/java/topazvalve/capacity/measure/MeasuredSidecar.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/MeasuredSidecar.java
@@ -35,14 +35,12 @@
     }
 
     /** One that follows the source at this port; {@code before} are words such as those that pin it. */
-    static MeasuredSidecar following(Path home, Path folder, int sourcePort, List<String> before)
-            throws IOException {
+    static MeasuredSidecar following(Path home, Path folder, int sourcePort, List<String> before) throws IOException {
         return start(home, folder, config(sourcePort, "subscribe"), before);
     }
 
     /** One with these servers known from the start, and no source. */
-    static MeasuredSidecar knowing(Path home, Path folder, ObjectNode known, List<String> before)
-            throws IOException {
+    static MeasuredSidecar knowing(Path home, Path folder, ObjectNode known, List<String> before) throws IOException {
         ObjectNode config = config(1, "automatic");
         config.set("known", known);
         return start(home, folder, config, before);
@@ -54,29 +52,46 @@
         int adminPort = RunLine.freePort();
         Path file = folder.resolve("capacity-" + port + ".json");
         Path log = folder.resolve("capacity-" + port + ".log");
-        Files.writeString(file, config.put("listen", "127.0.0.1:" + port)
-                .put("admin", "127.0.0.1:" + adminPort).toString());
+        Files.writeString(
+                file,
+                config.put("listen", "127.0.0.1:" + port)
+                        .put("admin", "127.0.0.1:" + adminPort)
+                        .toString());
         File out = log.toFile();
-        return new MeasuredSidecar(RunLine.of(home, file, before).redirectOutput(out).start(), port,
-                adminPort, log);
+        return new MeasuredSidecar(
+                RunLine.of(home, file, before).redirectOutput(out).start(), port, adminPort, log);
     }
 
     private static ObjectNode config(int sourcePort, String discovery) {
-        ObjectNode root = JSON.createObjectNode().put("name", "c0").put("seed", "7")
-                .put("discovery", "127.0.0.1:" + sourcePort);
+        ObjectNode root =
+                JSON.createObjectNode().put("name", "c0").put("seed", "7").put("discovery", "127.0.0.1:" + sourcePort);
         root.putObject("limits").put("cores", 1.0).put("memory_mb", 96).put("sockets", 1024);
-        ObjectNode settings = root.putObject("settings").put("discovery", discovery).put("quantum", 0);
+        ObjectNode settings =
+                root.putObject("settings").put("discovery", discovery).put("quantum", 0);
         settings.putArray("zones").add("a");
         settings.putArray("kinds").add("m");
         settings.putObject("report").put("how", "silent").putArray("fields");
-        settings.putObject("caps").put("mayCancel", true).put("tryLimit", 3)
-                .put("connectTimeout", 500_000_000L).put("connIdle", 10_000_000_000L).put("retryAfter", true)
+        settings.putObject("caps")
+                .put("mayCancel", true)
+                .put("tryLimit", 3)
+                .put("connectTimeout", 500_000_000L)
+                .put("connIdle", 10_000_000_000L)
+                .put("retryAfter", true)
                 .put("maxRetryAfter", 1_000_000_000L);
-        settings.putObject("rules").put("answerSlack", 20_000_000).put("stopSendingWithin", 500_000_000)
-                .put("coldShare", 0.4).put("rampTime", 7_000_000_000L).put("overloadFactor", 4.0)
-                .put("tipAfter", 1_500_000_000).put("askWithin", 10_000_000_000L);
-        settings.putArray("profiles").addObject().put("name", "look-up").put("slo", 1_000_000_000)
-                .put("deadline", 5_000_000_000L).put("semantics", "repeatable");
+        settings.putObject("rules")
+                .put("answerSlack", 20_000_000)
+                .put("stopSendingWithin", 500_000_000)
+                .put("coldShare", 0.4)
+                .put("rampTime", 7_000_000_000L)
+                .put("overloadFactor", 4.0)
+                .put("tipAfter", 1_500_000_000)
+                .put("askWithin", 10_000_000_000L);
+        settings.putArray("profiles")
+                .addObject()
+                .put("name", "look-up")
+                .put("slo", 1_000_000_000)
+                .put("deadline", 5_000_000_000L)
+                .put("semantics", "repeatable");
         return root;
     }
 
@@ -106,8 +121,8 @@
     private String ask(String path) {
         try (Socket call = new Socket(InetAddress.getLoopbackAddress(), adminPort)) {
             call.setSoTimeout(TIMEOUT_MS);
-            call.getOutputStream().write(("GET " + path + " HTTP/1.1\r\nhost: a\r\n\r\n")
-                    .getBytes(StandardCharsets.US_ASCII));
+            call.getOutputStream()
+                    .write(("GET " + path + " HTTP/1.1\r\nhost: a\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
             return new String(call.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
             return "";
--- a/capacity/src/main/java/topazvalve/capacity/measure/Points.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/Points.java
@@ -32,8 +32,14 @@
 
     void add(Quantity quantity, double size, double value) {
         points.computeIfAbsent(quantity, each -> new ArrayList<>()).add(new Point(size, value));
-        say.accept(String.format(Locale.ROOT, "  %-44s %8.5g %s: %.4g %s", quantity.label(), size,
-                quantity.per(), value, quantity.unit()));
+        say.accept(String.format(
+                Locale.ROOT,
+                "  %-44s %8.5g %s: %.4g %s",
+                quantity.label(),
+                size,
+                quantity.per(),
+                value,
+                quantity.unit()));
     }
 
     /** Fits what has three points or more. */
--- a/capacity/src/main/java/topazvalve/capacity/measure/ProcessFigures.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/ProcessFigures.java
@@ -15,7 +15,7 @@
 final class ProcessFigures {
     private static final double KIB_PER_MIB = 1024;
 
-    private ProcessFigures() { }
+    private ProcessFigures() {}
 
     /** CPU that each of its live threads has had, in nanoseconds. */
     static Map<String, Long> cpu(long pid) throws IOException {
@@ -23,8 +23,10 @@
         try (DirectoryStream<Path> tasks = Files.newDirectoryStream(Path.of("/proc/" + pid + "/task"))) {
             for (Path task : tasks) {
                 try {
-                    had.put(task.getFileName().toString(),
-                            Long.parseLong(Files.readString(task.resolve("schedstat")).split(" ")[0]));
+                    had.put(
+                            task.getFileName().toString(),
+                            Long.parseLong(
+                                    Files.readString(task.resolve("schedstat")).split(" ")[0]));
                 } catch (NoSuchFileException e) {
                     // The thread has just ended.
                     continue;
@@ -40,7 +42,8 @@
      */
     static long cpuSince(Map<String, Long> before, long pid) throws IOException {
         return cpu(pid).entrySet().stream()
-                .mapToLong(each -> each.getValue() - before.getOrDefault(each.getKey(), 0L)).sum();
+                .mapToLong(each -> each.getValue() - before.getOrDefault(each.getKey(), 0L))
+                .sum();
     }
 
     /** CPU of the whole process since it began, in nanoseconds, to a tick of the system (10 ms). */
@@ -51,15 +54,20 @@
     /** Memory that is resident now, in MiB. */
     static double residentMib(long pid) throws IOException {
         return Files.readAllLines(Path.of("/proc/" + pid + "/status")).stream()
-                .filter(each -> each.startsWith("VmRSS:")).findFirst()
+                .filter(each -> each.startsWith("VmRSS:"))
+                .findFirst()
                 .map(each -> Long.parseLong(each.replaceAll("[^0-9]", "")) / KIB_PER_MIB)
                 .orElseThrow(() -> new IOException("no VmRSS for process " + pid));
     }
 
     /** Live heap after a full collection, in MiB, by the JDK's own {@code jcmd}. */
     static double liveHeapMib(long pid) throws IOException, InterruptedException {
-        Process jcmd = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin/jcmd").toString(),
-                Long.toString(pid), "GC.class_histogram").redirectErrorStream(true).start();
+        Process jcmd = new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin/jcmd").toString(),
+                        Long.toString(pid),
+                        "GC.class_histogram")
+                .redirectErrorStream(true)
+                .start();
         double found = -1;
         try (BufferedReader lines = jcmd.inputReader()) {
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
--- a/capacity/src/main/java/topazvalve/capacity/measure/RelayProcess.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/RelayProcess.java
@@ -14,12 +14,22 @@
     RelayProcess(Path jar, Path folder, int sourcePort) throws IOException {
         port = RunLine.freePort();
         Path file = folder.resolve("relay-" + port + ".toml");
-        Files.writeString(file, "name = \"r0\"\nlisten = \"127.0.0.1:" + port + "\"\n[[source]]\n"
-                + "name = \"s\"\naddresses = [\"127.0.0.1:" + sourcePort + "\"]\n");
-        process = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin/java").toString(),
-                "-XX:+UseSerialGC", "-Xmx1g", "-XX:-UsePerfData", "-Djava.net.preferIPv4Stack=true", "-jar",
-                jar.toString(), file.toString()).redirectErrorStream(true)
-                .redirectOutput(folder.resolve("relay-" + port + ".log").toFile()).start();
+        Files.writeString(
+                file,
+                "name = \"r0\"\nlisten = \"127.0.0.1:" + port + "\"\n[[source]]\n"
+                        + "name = \"s\"\naddresses = [\"127.0.0.1:" + sourcePort + "\"]\n");
+        process = new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin/java").toString(),
+                        "-XX:+UseSerialGC",
+                        "-Xmx1g",
+                        "-XX:-UsePerfData",
+                        "-Djava.net.preferIPv4Stack=true",
+                        "-jar",
+                        jar.toString(),
+                        file.toString())
+                .redirectErrorStream(true)
+                .redirectOutput(folder.resolve("relay-" + port + ".log").toFile())
+                .start();
     }
 
     int port() {
--- a/capacity/src/main/java/topazvalve/capacity/measure/Server.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/Server.java
@@ -32,16 +32,21 @@
     }
 
     /** A stand-in source of so many servers; {@code callsPerSecond} 0 is no bound. */
-    static Server source(int servers, double callsPerSecond, long timeoutMs, long emptyMs)
-            throws IOException {
+    static Server source(int servers, double callsPerSecond, long timeoutMs, long emptyMs) throws IOException {
         List<String> command = new ArrayList<>(List.of(
-                Path.of(System.getProperty("java.home"), "bin/java").toString(), "-XX:+UseSerialGC", "-Xmx1g",
-                "-XX:-UsePerfData", "-cp", System.getProperty("java.class.path"),
+                Path.of(System.getProperty("java.home"), "bin/java").toString(),
+                "-XX:+UseSerialGC",
+                "-Xmx1g",
+                "-XX:-UsePerfData",
+                "-cp",
+                System.getProperty("java.class.path"),
                 StandInSource.class.getName()));
         for (Object each : new Object[] {servers, callsPerSecond, timeoutMs, emptyMs}) {
             command.add(each.toString());
         }
-        return new Server(new ProcessBuilder(command).redirectError(ProcessBuilder.Redirect.DISCARD).start());
+        return new Server(new ProcessBuilder(command)
+                .redirectError(ProcessBuilder.Redirect.DISCARD)
+                .start());
     }
 
     private long[] answer(String word) throws IOException {
--- a/capacity/src/main/java/topazvalve/capacity/measure/ServingMeasurement.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/ServingMeasurement.java
@@ -56,15 +56,35 @@
     }
 
     /** Who serves: the source itself, or a relay that follows it. */
-    private record Role(String name, Quantity heap, Quantity memory, Quantity restCpu, Quantity restBytes,
-            Quantity changeTime, Quantity changeCpu, Quantity listsTime, Quantity listsCpu) {
-        static final Role SOURCE = new Role("stand-in source without a bound", Quantity.SOURCE_HEAP,
-                Quantity.SOURCE_MEMORY, Quantity.SOURCE_REST_CPU, Quantity.SOURCE_REST_BYTES,
-                Quantity.SOURCE_CHANGE_TIME, Quantity.SOURCE_CHANGE_CPU, Quantity.SOURCE_LISTS_TIME,
+    private record Role(
+            String name,
+            Quantity heap,
+            Quantity memory,
+            Quantity restCpu,
+            Quantity restBytes,
+            Quantity changeTime,
+            Quantity changeCpu,
+            Quantity listsTime,
+            Quantity listsCpu) {
+        static final Role SOURCE = new Role(
+                "stand-in source without a bound",
+                Quantity.SOURCE_HEAP,
+                Quantity.SOURCE_MEMORY,
+                Quantity.SOURCE_REST_CPU,
+                Quantity.SOURCE_REST_BYTES,
+                Quantity.SOURCE_CHANGE_TIME,
+                Quantity.SOURCE_CHANGE_CPU,
+                Quantity.SOURCE_LISTS_TIME,
                 Quantity.SOURCE_LISTS_CPU);
-        static final Role RELAY = new Role("relay that follows a stand-in source", Quantity.RELAY_HEAP,
-                Quantity.RELAY_MEMORY, Quantity.RELAY_REST_CPU, Quantity.RELAY_REST_BYTES,
-                Quantity.RELAY_CHANGE_TIME, Quantity.RELAY_CHANGE_CPU, Quantity.RELAY_LISTS_TIME,
+        static final Role RELAY = new Role(
+                "relay that follows a stand-in source",
+                Quantity.RELAY_HEAP,
+                Quantity.RELAY_MEMORY,
+                Quantity.RELAY_REST_CPU,
+                Quantity.RELAY_REST_BYTES,
+                Quantity.RELAY_CHANGE_TIME,
+                Quantity.RELAY_CHANGE_CPU,
+                Quantity.RELAY_LISTS_TIME,
                 Quantity.RELAY_LISTS_CPU);
     }
 
@@ -83,11 +103,10 @@
         }
     }
 
-    private void watches(Role role, Server source, int port, long pid)
-            throws IOException, InterruptedException {
+    private void watches(Role role, Server source, int port, long pid) throws IOException, InterruptedException {
         int each = plan.watchesPerMachine();
-        int[] sizes = quick ? new int[] {each / 4, each, 6 * each}
-                : new int[] {each / 4, each, 2 * each, 4 * each, 8 * each};
+        int[] sizes =
+                quick ? new int[] {each / 4, each, 6 * each} : new int[] {each / 4, each, 2 * each, 4 * each, 8 * each};
         points.part(role.name() + ", " + plan.fleet().servers() + " servers listed, watches held");
         try (Watchers watchers = new Watchers(group, port)) {
             watchers.open(sizes[0], 1);
@@ -131,8 +150,7 @@
         return rev;
     }
 
-    private static Server.Told tell(Server source, Watchers watchers)
-            throws IOException, InterruptedException {
+    private static Server.Told tell(Server source, Watchers watchers) throws IOException, InterruptedException {
         watchers.expect();
         Server.Told told = source.change(1);
         return told.until(watchers.awaitLast());
@@ -140,8 +158,8 @@
 
     private void lists(Role role, int port, long pid) throws IOException, InterruptedException {
         int each = plan.watchesPerMachine();
-        int[] sizes = quick ? new int[] {each / 8, each / 2, each}
-                : new int[] {each / 8, each / 4, each / 2, each, 2 * each};
+        int[] sizes =
+                quick ? new int[] {each / 8, each / 2, each} : new int[] {each / 8, each / 4, each / 2, each, 2 * each};
         points.part(role.name() + ", " + plan.fleet().servers() + " servers listed, whole lists at once");
         Fetchers.run(group, port, each / 8, SEED, 30);
         for (int size : sizes) {
@@ -152,14 +170,15 @@
     }
 
     private void bound() throws IOException, InterruptedException {
-        double rate = (plan.source().callsPerSecond().low() + plan.source().callsPerSecond().high()) / 2;
+        double rate = (plan.source().callsPerSecond().low()
+                        + plan.source().callsPerSecond().high())
+                / 2;
         int[] sizes = quick ? new int[] {2, 4, 8} : new int[] {6, 12, 24, 48};
         points.part("stand-in source that answers " + rate + " calls a second, whole lists at once");
-        try (Server source = Server.source(plan.fleet().servers(), rate,
-                plan.source().timeout() / 1_000_000, emptyMs)) {
+        try (Server source =
+                Server.source(plan.fleet().servers(), rate, plan.source().timeout() / 1_000_000, emptyMs)) {
             for (int size : sizes) {
-                points.add(Quantity.BOUND_LISTS_TIME, size, Fetchers.run(group, source.port(), size, SEED,
-                        120));
+                points.add(Quantity.BOUND_LISTS_TIME, size, Fetchers.run(group, source.port(), size, SEED, 120));
                 points.add(Quantity.BOUND_LISTS_CALLS, size, source.calls());
             }
         }
--- a/capacity/src/main/java/topazvalve/capacity/measure/StandInSource.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/StandInSource.java
@@ -70,20 +70,28 @@
     /** Servers listed, calls a second (0: no bound), a call's longest wait, time between empty lines. */
     public static void main(String[] args) throws IOException, InterruptedException {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        StandInSource source = new StandInSource(group.next(), Integer.parseInt(args[0]),
-                Double.parseDouble(args[1]), Long.parseLong(args[2]), Long.parseLong(args[3]));
-        Channel listening = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG).childOption(ChannelOption.TCP_NODELAY, true)
+        StandInSource source = new StandInSource(
+                group.next(),
+                Integer.parseInt(args[0]),
+                Double.parseDouble(args[1]),
+                Long.parseLong(args[2]),
+                Long.parseLong(args[3]));
+        Channel listening = new ServerBootstrap()
+                .group(group)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel made) {
-                        made.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(LARGEST),
-                                source);
+                        made.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(LARGEST), source);
                     }
-                }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).sync().channel();
+                })
+                .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+                .sync()
+                .channel();
         System.out.println("port " + ((InetSocketAddress) listening.localAddress()).getPort());
-        BufferedReader commands = new BufferedReader(new InputStreamReader(System.in,
-                StandardCharsets.UTF_8));
+        BufferedReader commands = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
         for (String line = commands.readLine(); line != null; line = commands.readLine()) {
             String[] words = line.split(" ");
             source.loop.execute(() -> source.command(words));
@@ -99,8 +107,8 @@
         }
         come = !come;
         rev++;
-        ByteBuf line = words[0].equals("whole") ? current()
-                : bytes(ListText.change(rev, Integer.parseInt(words[1]), come));
+        ByteBuf line =
+                words[0].equals("whole") ? current() : bytes(ListText.change(rev, Integer.parseInt(words[1]), come));
         long now = System.nanoTime();
         tell(line);
         System.out.println("told " + now + " " + rev);
@@ -118,7 +126,8 @@
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
         QueryStringDecoder uri = new QueryStringDecoder(request.uri());
         boolean watching = uri.parameters().containsKey("watch");
-        long from = Long.parseLong(uri.parameters().getOrDefault("from", List.of("0")).get(0));
+        long from = Long.parseLong(
+                uri.parameters().getOrDefault("from", List.of("0")).get(0));
         long now = System.nanoTime();
         calls++;
         if (nanosPerCall == 0) {
@@ -135,16 +144,16 @@
     }
 
     private static void refuse(Channel channel) {
-        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                HttpResponseStatus.SERVICE_UNAVAILABLE);
+        FullHttpResponse response =
+                new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.SERVICE_UNAVAILABLE);
         HttpUtil.setContentLength(response, 0);
         channel.writeAndFlush(response);
     }
 
     private void answer(Channel channel, boolean watching, long from) {
         if (!watching) {
-            FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                    HttpResponseStatus.OK, whole.duplicate());
+            FullHttpResponse response =
+                    new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, whole.duplicate());
             HttpUtil.setContentLength(response, whole.readableBytes());
             channel.writeAndFlush(response);
             return;
@@ -152,8 +161,8 @@
         HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         HttpUtil.setTransferEncodingChunked(head, true);
         channel.write(head);
-        channel.writeAndFlush(new DefaultHttpContent(from == rev ? bytes("\n")
-                : rev == 1 ? whole.duplicate() : current()));
+        channel.writeAndFlush(
+                new DefaultHttpContent(from == rev ? bytes("\n") : rev == 1 ? whole.duplicate() : current()));
         watches.add(channel);
         channel.closeFuture().addListener(closed -> watches.remove(channel));
     }
--- a/capacity/src/main/java/topazvalve/capacity/measure/Watchers.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/Watchers.java
@@ -53,24 +53,26 @@
     }
 
     private void open(long from, CountDownLatch answered) {
-        new Bootstrap().group(group).channel(NioSocketChannel.class)
+        new Bootstrap()
+                .group(group)
+                .channel(NioSocketChannel.class)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel made) {
                         made.pipeline().addLast(new Counter(), new HttpClientCodec(), new Reader(answered));
                         channels.add(made);
                     }
-                }).connect("127.0.0.1", port).addListener(done -> {
+                })
+                .connect("127.0.0.1", port)
+                .addListener(done -> {
                     if (done.isSuccess()) {
-                        ask(((io.netty.channel.ChannelFuture) done).channel(),
-                                "/discovery/hosts?watch=1&from=" + from);
+                        ask(((io.netty.channel.ChannelFuture) done).channel(), "/discovery/hosts?watch=1&from=" + from);
                     }
                 });
     }
 
     static void ask(Channel channel, String path) {
-        DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
-                path);
+        DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path);
         request.headers().set(HttpHeaderNames.HOST, "a");
         channel.writeAndFlush(request);
     }
--- a/capacity/src/main/java/topazvalve/capacity/need/Event.java
+++ b/capacity/src/main/java/topazvalve/capacity/need/Event.java
@@ -16,8 +16,16 @@
  * @param relayCalls calls that control machines in their turn make to the source
  * @param before whether it can happen where sidecars call the source themselves
  */
-record Event(String name, int lists, int resumes, double missed, int changes, int machines, int watchesEach,
-        int relayCalls, boolean before) {
+record Event(
+        String name,
+        int lists,
+        int resumes,
+        double missed,
+        int changes,
+        int machines,
+        int watchesEach,
+        int relayCalls,
+        boolean before) {
     private static final double NANOS = 1e9;
 
     /** Calls in all. */
@@ -36,18 +44,41 @@
         double missed = plan.changesPerSecond() * plan.failure().regionCutOff() / NANOS;
         List<Event> events = new ArrayList<>();
         int together = plan.failure().restartedTogether();
-        events.add(new Event("restart of " + together, together, 0, 0, together * perRestart, all, each, 0,
+        events.add(new Event("restart of " + together, together, 0, 0, together * perRestart, all, each, 0, true));
+        events.add(new Event(
+                "a rack of " + plan.fleet().rack() + ", lost and back",
+                plan.fleet().rack(),
+                0,
+                0,
+                plan.fleet().rack() * perRestart,
+                all,
+                each,
+                0,
                 true));
-        events.add(new Event("a rack of " + plan.fleet().rack() + ", lost and back", plan.fleet().rack(), 0,
-                0, plan.fleet().rack() * perRestart, all, each, 0, true));
         events.add(new Event("a zone of " + zone + " lost", 0, 0, 0, zone, all, each, 0, true));
         events.add(new Event("a zone of " + zone + " back", zone, 0, 0, zone, all, each, 0, true));
-        events.add(new Event("a region back after " + (long) (plan.failure().regionCutOff() / NANOS) + " s",
-                0, region, missed, 0, regional, each, regional, true));
-        events.add(new Event("all that serve lists back at once", plan.fleet().servers(), 0, 0, 0, all, each,
-                all, true));
-        events.add(new Event(lost + " of " + all + " control machines gone", 0, lost * each, 1, 0, all - lost,
-                -Math.floorDiv(-plan.fleet().servers(), all - lost), 0, false));
+        events.add(new Event(
+                "a region back after " + (long) (plan.failure().regionCutOff() / NANOS) + " s",
+                0,
+                region,
+                missed,
+                0,
+                regional,
+                each,
+                regional,
+                true));
+        events.add(
+                new Event("all that serve lists back at once", plan.fleet().servers(), 0, 0, 0, all, each, all, true));
+        events.add(new Event(
+                lost + " of " + all + " control machines gone",
+                0,
+                lost * each,
+                1,
+                0,
+                all - lost,
+                -Math.floorDiv(-plan.fleet().servers(), all - lost),
+                0,
+                false));
         return events;
     }
 }
--- a/capacity/src/main/java/topazvalve/capacity/need/NeedTable.java
+++ b/capacity/src/main/java/topazvalve/capacity/need/NeedTable.java
@@ -13,7 +13,9 @@
 
     /** Those over their budget, the furthest first. */
     public List<Need> over() {
-        return needs.stream().filter(Need::over).sorted(Comparator.comparingDouble(Need::ratio).reversed())
+        return needs.stream()
+                .filter(Need::over)
+                .sorted(Comparator.comparingDouble(Need::ratio).reversed())
                 .toList();
     }
 
@@ -34,24 +36,42 @@
 
     /** As Markdown, one line for each need of a tier. */
     public List<String> lines(Need.Tier tier) {
-        List<String> body = needs.stream().filter(each -> each.tier() == tier).map(NeedTable::line).toList();
-        return java.util.stream.Stream.concat(List.of(
-                "| role | when | what | need | allowed | ratio | how | from |",
-                "| --- | --- | --- | --- | --- | --- | --- | --- |").stream(), body.stream()).toList();
+        List<String> body = needs.stream()
+                .filter(each -> each.tier() == tier)
+                .map(NeedTable::line)
+                .toList();
+        return java.util.stream.Stream.concat(
+                        List.of(
+                                "| role | when | what | need | allowed | ratio | how | from |",
+                                "| --- | --- | --- | --- | --- | --- | --- | --- |")
+                                .stream(),
+                        body.stream())
+                .toList();
     }
 
     private static String line(Need need) {
-        return "| " + String.join(" | ", need.role(), need.when(), need.what(),
-                text(need.need().value()) + " " + need.unit(), text(need.allowed()) + " " + need.unit(),
-                (need.over() ? "**" : "") + text(need.ratio()) + (need.over() ? "**" : ""),
-                need.need().origin().word(), need.need().from()) + " |";
+        return "| "
+                + String.join(
+                        " | ",
+                        need.role(),
+                        need.when(),
+                        need.what(),
+                        text(need.need().value()) + " " + need.unit(),
+                        text(need.allowed()) + " " + need.unit(),
+                        (need.over() ? "**" : "") + text(need.ratio()) + (need.over() ? "**" : ""),
+                        need.need().origin().word(),
+                        need.need().from())
+                + " |";
     }
 
     /** Three figures that count, or whole numbers with separators from a thousand on. */
     static String text(double value) {
         double size = Math.abs(value);
-        String form = size >= 1000 ? "%,.0f" : size >= 100 ? "%.0f" : size >= 10 ? "%.1f" : size >= 1 ? "%.2f"
-                : size >= 0.0005 || size == 0 ? "%.3f" : "%.1e";
+        String form = size >= 1000
+                ? "%,.0f"
+                : size >= 100
+                        ? "%.0f"
+                        : size >= 10 ? "%.1f" : size >= 1 ? "%.2f" : size >= 0.0005 || size == 0 ? "%.3f" : "%.1e";
         return String.format(Locale.ROOT, form, value);
     }
 }
--- a/capacity/src/main/java/topazvalve/capacity/need/Needs.java
+++ b/capacity/src/main/java/topazvalve/capacity/need/Needs.java
@@ -49,8 +49,7 @@
         return new NeedTable(made.needs);
     }
 
-    private void add(Tier tier, String role, String when, String what, String unit, Figure need,
-            double allowed) {
+    private void add(Tier tier, String role, String when, String what, String unit, Figure need, double allowed) {
         needs.add(new Need(tier, role, when, what, unit, need, allowed));
     }
 
@@ -81,23 +80,34 @@
     private void ordinaryDay(Tier tier) {
         double changes = plan.changesPerSecond();
         Plan.Sidecar allowed = plan.budget().sidecar();
-        add(tier, SIDECAR, DAY, CPU, CORE, at(Quantity.SIDECAR_REST_CPU, servers)
-                .plus(at(Quantity.CHANGE_CPU, servers).times(changes * PERCENT / MS)), allowed.corePercent());
+        add(
+                tier,
+                SIDECAR,
+                DAY,
+                CPU,
+                CORE,
+                at(Quantity.SIDECAR_REST_CPU, servers)
+                        .plus(at(Quantity.CHANGE_CPU, servers).times(changes * PERCENT / MS)),
+                allowed.corePercent());
         add(tier, SIDECAR, DAY, "memory", "MiB", at(Quantity.SIDECAR_RESIDENT, servers), allowed.memoryMib());
-        add(tier, SIDECAR, DAY, "bytes", RATE, emptyLines().plus(changeBytes(changes)),
-                allowed.bytesPerSecond());
+        add(tier, SIDECAR, DAY, "bytes", RATE, emptyLines().plus(changeBytes(changes)), allowed.bytesPerSecond());
         if (tier == Tier.BEFORE && slopes.has(Quantity.CALL_ADDED_P99)) {
             double calls = plan.callsPerSidecar();
             double limit = plan.budget().addedP99() / 1e6;
             add(tier, SIDECAR, DAY, "delay added, p99", "ms", at(Quantity.CALL_ADDED_P99, calls), limit);
-            add(tier, SIDECAR, "ten times the calls", "delay added, p99", "ms",
-                    at(Quantity.CALL_ADDED_P99, 10 * calls), limit);
+            add(
+                    tier,
+                    SIDECAR,
+                    "ten times the calls",
+                    "delay added, p99",
+                    "ms",
+                    at(Quantity.CALL_ADDED_P99, 10 * calls),
+                    limit);
         }
         serving(tier, DAY, watches(tier), Figure.reckoned(0), Figure.reckoned(0), changes);
         add(tier, TAKES, DAY, "a change, to the last", "s", changeInForce(tier, watches(tier)), window);
         Plan.Load load = plan.load();
-        double dailyCalls = tier == Tier.BEFORE
-                ? (load.failuresPerDay() + load.restartsPerDay()) / 86_400 : 0;
+        double dailyCalls = tier == Tier.BEFORE ? (load.failuresPerDay() + load.restartsPerDay()) / 86_400 : 0;
         add(tier, SOURCE, DAY, "calls", "1/s", Figure.reckoned(dailyCalls), sourceCalls());
     }
 
@@ -106,28 +116,46 @@
     }
 
     /** Memory, CPU and bytes of one that serves. */
-    private void serving(Tier tier, String when, int watches, Figure listBytes, Figure listCpu,
-            double changesPerSecond) {
+    private void serving(
+            Tier tier, String when, int watches, Figure listBytes, Figure listCpu, double changesPerSecond) {
         Plan.Control allowed = plan.budget().control();
         Figure changeCpu = served(tier, Quantity.SOURCE_CHANGE_CPU, Quantity.RELAY_CHANGE_CPU, watches);
-        add(tier, SERVES, when, CPU, CORE,
+        add(
+                tier,
+                SERVES,
+                when,
+                CPU,
+                CORE,
                 served(tier, Quantity.SOURCE_REST_CPU, Quantity.RELAY_REST_CPU, watches)
-                .plus(changeCpu.times(changesPerSecond * PERCENT / MS)).plus(listCpu),
+                        .plus(changeCpu.times(changesPerSecond * PERCENT / MS))
+                        .plus(listCpu),
                 allowed.coresPerMachine() * PERCENT);
         if (when.equals(DAY) || watches > watches(tier)) {
-            add(tier, SERVES, when, "memory", "MiB",
+            add(
+                    tier,
+                    SERVES,
+                    when,
+                    "memory",
+                    "MiB",
                     served(tier, Quantity.SOURCE_MEMORY, Quantity.RELAY_MEMORY, watches),
                     allowed.memoryMibPerMachine());
         }
-        add(tier, SERVES, when, "bytes", RATE, emptyLines().plus(changeBytes(changesPerSecond)).times(watches)
-                .plus(listBytes), allowed.bytesPerSecondPerMachine());
+        add(
+                tier,
+                SERVES,
+                when,
+                "bytes",
+                RATE,
+                emptyLines().plus(changeBytes(changesPerSecond)).times(watches).plus(listBytes),
+                allowed.bytesPerSecondPerMachine());
     }
 
     /** From the source's telling until the last sidecar has it in force, in seconds. */
     private Figure changeInForce(Tier tier, int watches) {
         Figure last = served(tier, Quantity.SOURCE_CHANGE_TIME, Quantity.RELAY_CHANGE_TIME, watches);
         // A relay's own time begins at its source's telling.
-        Figure hop = tier == Tier.BEFORE || slopes.has(Quantity.RELAY_CHANGE_TIME) ? Figure.reckoned(0)
+        Figure hop = tier == Tier.BEFORE || slopes.has(Quantity.RELAY_CHANGE_TIME)
+                ? Figure.reckoned(0)
                 : at(Quantity.SOURCE_CHANGE_TIME, plan.budget().control().machines());
         return hop.plus(last).plus(at(Quantity.CHANGE_TIME, servers)).per(MS);
     }
@@ -139,22 +167,31 @@
         int watches = before ? servers : event.watchesEach();
         int listsEach = -Math.floorDiv(-event.lists(), machines);
         int resumesEach = -Math.floorDiv(-event.resumes(), machines);
-        Figure listCpu = listsEach == 0 ? Figure.reckoned(0)
+        Figure listCpu = listsEach == 0
+                ? Figure.reckoned(0)
                 : served(tier, Quantity.SOURCE_LISTS_CPU, Quantity.RELAY_LISTS_CPU, listsEach)
                         .times(PERCENT / window);
-        Figure out = at(Quantity.LIST_BYTES, servers).times(listsEach / window)
+        Figure out = at(Quantity.LIST_BYTES, servers)
+                .times(listsEach / window)
                 .plus(changeBytes(event.missed() * resumesEach / window));
         serving(tier, event.name(), watches, out, listCpu, event.changes() / window);
-        add(tier, event.calls() == 0 ? TAKES : SERVES, event.name(), "until the last has it", "s",
-                untilLast(tier, event, listsEach, watches), window);
+        add(
+                tier,
+                event.calls() == 0 ? TAKES : SERVES,
+                event.name(),
+                "until the last has it",
+                "s",
+                untilLast(tier, event, listsEach, watches),
+                window);
         double calls = before ? event.calls() : event.relayCalls();
         add(tier, SOURCE, event.name(), "calls", "1/s", Figure.reckoned(calls / window), sourceCalls());
     }
 
     private void sidecarIn(Tier tier, Event event) {
         Figure bytes = emptyLines().plus(changeBytes((event.changes() + event.missed()) / window));
-        Figure cpu = at(Quantity.SIDECAR_REST_CPU, servers).plus(at(Quantity.CHANGE_CPU, servers)
-                .times((event.changes() + event.missed()) * PERCENT / MS / window));
+        Figure cpu = at(Quantity.SIDECAR_REST_CPU, servers)
+                .plus(at(Quantity.CHANGE_CPU, servers)
+                        .times((event.changes() + event.missed()) * PERCENT / MS / window));
         if (event.lists() > 0) {
             bytes = bytes.plus(at(Quantity.LIST_BYTES, servers).times(1 / window));
             cpu = cpu.plus(at(Quantity.LIST_CPU, servers).times(PERCENT / MS / window));
@@ -169,12 +206,13 @@
      * other by who serves while sidecars take them one after the other: what takes longer counts.
      */
     private Figure untilLast(Tier tier, Event event, int listsEach, int watches) {
-        Figure time = Figure.reckoned((tier == Tier.BEFORE ? event.calls() : event.relayCalls())
-                / sourceCalls());
+        Figure time = Figure.reckoned((tier == Tier.BEFORE ? event.calls() : event.relayCalls()) / sourceCalls());
         if (event.lists() > 0) {
-            time = time.plus(tier == Tier.BEFORE ? at(Quantity.LIST_TIME, servers).per(MS)
-                    : served(tier, Quantity.SOURCE_LISTS_TIME, Quantity.RELAY_LISTS_TIME, listsEach)
-                            .plus(at(Quantity.LIST_TIME, servers).per(MS)));
+            time = time.plus(
+                    tier == Tier.BEFORE
+                            ? at(Quantity.LIST_TIME, servers).per(MS)
+                            : served(tier, Quantity.SOURCE_LISTS_TIME, Quantity.RELAY_LISTS_TIME, listsEach)
+                                    .plus(at(Quantity.LIST_TIME, servers).per(MS)));
         } else if (event.resumes() > 0) {
             time = time.plus(changeInForce(tier, watches));
         }
--- a/capacity/src/main/java/topazvalve/capacity/need/Slopes.java
+++ b/capacity/src/main/java/topazvalve/capacity/need/Slopes.java
@@ -31,9 +31,10 @@
 
     /** The value at a size; {@link IllegalStateException} if it was not measured. */
     Figure at(Quantity quantity, double size) {
-        Fit fit = fit(quantity).orElseThrow(() -> new IllegalStateException("not measured: "
-                + quantity.label()));
-        return new Figure(Math.max(0, fit.at(size)), fit.covers(size) ? Origin.MEASURED : Origin.EXTENDED,
+        Fit fit = fit(quantity).orElseThrow(() -> new IllegalStateException("not measured: " + quantity.label()));
+        return new Figure(
+                Math.max(0, fit.at(size)),
+                fit.covers(size) ? Origin.MEASURED : Origin.EXTENDED,
                 quantity.name().toLowerCase(java.util.Locale.ROOT));
     }
 }
--- a/capacity/src/main/java/topazvalve/capacity/plan/Plan.java
+++ b/capacity/src/main/java/topazvalve/capacity/plan/Plan.java
@@ -15,8 +15,15 @@
      * @param deepestChain calls under one another, at most
      * @param callersOfServer sidecars that call one server
      */
-    public record Fleet(int servers, int services, int regions, int zones, int largestZone, int rack,
-            int deepestChain, int callersOfServer) { }
+    public record Fleet(
+            int servers,
+            int services,
+            int regions,
+            int zones,
+            int largestZone,
+            int rack,
+            int deepestChain,
+            int callersOfServer) {}
 
     /**
      * What happens on an ordinary day.
@@ -25,8 +32,12 @@
      * @param failuresPerDay machines that fail; {@code restartsPerDay} are restarted or replaced
      * @param changesPerRestart entries of the list that are told for one restart
      */
-    public record Load(double callsPerSecond, double changesPerDay, double failuresPerDay,
-            double restartsPerDay, int changesPerRestart) { }
+    public record Load(
+            double callsPerSecond,
+            double changesPerDay,
+            double failuresPerDay,
+            double restartsPerDay,
+            int changesPerRestart) {}
 
     /**
      * What goes wrong at once.
@@ -34,7 +45,7 @@
      * @param regionCutOff how long a region is without the others
      * @param controlMachinesLost of the control machines
      */
-    public record Failure(int restartedTogether, long regionCutOff, int controlMachinesLost) { }
+    public record Failure(int restartedTogether, long regionCutOff, int controlMachinesLost) {}
 
     /**
      * What may be taken.
@@ -42,14 +53,14 @@
      * @param inForceWithin a change, everywhere
      * @param addedP99 to a call by its sidecar, for 99 in 100
      */
-    public record Budget(long inForceWithin, long addedP99, Sidecar sidecar, Control control) { }
+    public record Budget(long inForceWithin, long addedP99, Sidecar sidecar, Control control) {}
 
     /** What one sidecar may take for control; a core's per cent, mebibytes, bytes a second. */
-    public record Sidecar(double corePercent, double memoryMib, double bytesPerSecond) { }
+    public record Sidecar(double corePercent, double memoryMib, double bytesPerSecond) {}
 
     /** The machines set aside for control, and what each has. */
-    public record Control(int machines, int coresPerMachine, double memoryMibPerMachine,
-            double bytesPerSecondPerMachine) { }
+    public record Control(
+            int machines, int coresPerMachine, double memoryMibPerMachine, double bytesPerSecondPerMachine) {}
 
     /**
      * What serves lists today.
@@ -58,12 +69,12 @@
      * @param timeout a call that has waited so long for its turn fails
      * @param emptyLineEvery on a watch with no changes
      */
-    public record Source(Range callsPerSecond, long timeout, long emptyLineEvery) { }
+    public record Source(Range callsPerSecond, long timeout, long emptyLineEvery) {}
 
     /** Changes of the list and of configuration on an ordinary day, a second. */
     public double changesPerSecond() {
-        return (load.changesPerDay() + (load.failuresPerDay() + load.restartsPerDay())
-                * load.changesPerRestart()) / SECONDS_PER_DAY;
+        return (load.changesPerDay() + (load.failuresPerDay() + load.restartsPerDay()) * load.changesPerRestart())
+                / SECONDS_PER_DAY;
     }
 
     /** Calls that a mean sidecar carries, a second. */
--- a/capacity/src/test/java/topazvalve/capacity/WallsTest.java
+++ b/capacity/src/test/java/topazvalve/capacity/WallsTest.java
@@ -11,15 +11,22 @@
 /** Plan, fit and table are arithmetic: they know neither clock nor socket nor process. */
 class WallsTest {
     private static final JavaClasses CAPACITY = new ClassFileImporter()
-            .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("topazvalve.capacity");
+            .withImportOption(new ImportOption.DoNotIncludeTests())
+            .importPackages("topazvalve.capacity");
 
     @Test
     void arithmeticMeasuresNothing() {
-        noClasses().that().resideInAnyPackage("..capacity.plan..", "..capacity.fit..", "..capacity.need..")
-                .should().dependOnClassesThat()
+        noClasses()
+                .that()
+                .resideInAnyPackage("..capacity.plan..", "..capacity.fit..", "..capacity.need..")
+                .should()
+                .dependOnClassesThat()
                 .resideInAnyPackage("io.netty..", "java.net..", "..capacity.measure..")
-                .orShould().callMethod(System.class, "nanoTime")
-                .orShould().callMethod(System.class, "currentTimeMillis").check(CAPACITY);
+                .orShould()
+                .callMethod(System.class, "nanoTime")
+                .orShould()
+                .callMethod(System.class, "currentTimeMillis")
+                .check(CAPACITY);
     }
 
     @Test
--- a/capacity/src/test/java/topazvalve/capacity/fit/FitTest.java
+++ b/capacity/src/test/java/topazvalve/capacity/fit/FitTest.java
@@ -61,8 +61,11 @@
 
     @Test
     void ofThreePointsNoBendIsSaidSinceTwoLinesAlwaysFitThem() {
-        assertTrue(Fit.of(List.of(new Point(1, 1), new Point(2, 1), new Point(3, 9))).bend().isEmpty());
-        assertTrue(Fit.of(List.of(new Point(1, 1), new Point(2, 1), new Point(3, 1), new Point(4, 9))).bend()
+        assertTrue(Fit.of(List.of(new Point(1, 1), new Point(2, 1), new Point(3, 9)))
+                .bend()
+                .isEmpty());
+        assertTrue(Fit.of(List.of(new Point(1, 1), new Point(2, 1), new Point(3, 1), new Point(4, 9)))
+                .bend()
                 .isPresent());
     }
 
@@ -93,7 +96,8 @@
     @Test
     void twoPointsOrOneSizeAreNoLine() {
         assertThrows(IllegalArgumentException.class, () -> Fit.of(List.of(new Point(1, 1), new Point(2, 2))));
-        assertThrows(IllegalArgumentException.class,
+        assertThrows(
+                IllegalArgumentException.class,
                 () -> Fit.of(List.of(new Point(1, 1), new Point(1, 2), new Point(1, 3))));
     }
 }
--- a/capacity/src/test/java/topazvalve/capacity/need/NeedsTest.java
+++ b/capacity/src/test/java/topazvalve/capacity/need/NeedsTest.java
@@ -46,8 +46,11 @@
     }
 
     private Need find(Tier tier, String role, String when, String what) {
-        List<Need> found = Needs.of(plan, slopes).needs().stream().filter(each -> each.tier() == tier
-                && each.role().equals(role) && each.when().startsWith(when) && each.what().equals(what))
+        List<Need> found = Needs.of(plan, slopes).needs().stream()
+                .filter(each -> each.tier() == tier
+                        && each.role().equals(role)
+                        && each.when().startsWith(when)
+                        && each.what().equals(what))
                 .toList();
         assertEquals(1, found.size(), found.toString());
         return found.get(0);
@@ -65,9 +68,13 @@
 
     @Test
     void beyondTheSizesMeasuredItIsSaidToBeExtended() {
-        assertEquals(Origin.EXTENDED, find(Tier.BEFORE, "serves lists", "ordinary", "memory").need()
-                .origin());
-        assertEquals(50 + 570, find(Tier.BEFORE, "serves lists", "ordinary", "memory").need().value(), 1e-9);
+        assertEquals(
+                Origin.EXTENDED,
+                find(Tier.BEFORE, "serves lists", "ordinary", "memory").need().origin());
+        assertEquals(
+                50 + 570,
+                find(Tier.BEFORE, "serves lists", "ordinary", "memory").need().value(),
+                1e-9);
     }
 
     @Test
@@ -101,16 +108,20 @@
         assertEquals(3 + (1_050 * 200 + 5_700 * 150) / 9.0, need.need().value(), 1e-6);
         assertEquals(6_000, need.allowed());
         assertTrue(need.over());
-        assertEquals(3 + 440 * 200 / 9.0, find(Tier.AFTER, "sidecar", "a zone of 440 lost", "bytes").need()
-                .value(), 1e-6);
+        assertEquals(
+                3 + 440 * 200 / 9.0,
+                find(Tier.AFTER, "sidecar", "a zone of 440 lost", "bytes")
+                        .need()
+                        .value(),
+                1e-6);
     }
 
     @Test
     void halfOfTheControlMachinesLeaveTheirWatchesToTheOthers() {
         Need need = find(Tier.AFTER, "serves lists", "8 of 16", "memory");
         assertEquals(50 + 71.3, need.need().value(), 1e-9);
-        assertTrue(Needs.of(plan, slopes).needs().stream().noneMatch(each -> each.tier() == Tier.BEFORE
-                && each.when().startsWith("8 of 16")));
+        assertTrue(Needs.of(plan, slopes).needs().stream()
+                .noneMatch(each -> each.tier() == Tier.BEFORE && each.when().startsWith("8 of 16")));
     }
 
     @Test
@@ -133,10 +144,13 @@
             assertTrue(over.get(i - 1).ratio() >= over.get(i).ratio());
         }
         List<String> lines = Needs.of(plan, slopes).lines(Tier.BEFORE);
-        assertTrue(lines.stream().anyMatch(each -> each.equals("| sidecar | ordinary day | memory | 157 MiB "
-                + "| 256 MiB | 0.613 | measured | sidecar_resident |")), String.join("\n", lines));
-        assertTrue(lines.stream().anyMatch(each -> each.contains("1,900 s | 9.00 s | **211**")),
+        assertTrue(
+                lines.stream()
+                        .anyMatch(each -> each.equals("| sidecar | ordinary day | memory | 157 MiB "
+                                + "| 256 MiB | 0.613 | measured | sidecar_resident |")),
                 String.join("\n", lines));
+        assertTrue(
+                lines.stream().anyMatch(each -> each.contains("1,900 s | 9.00 s | **211**")), String.join("\n", lines));
     }
 
     @Test
@@ -152,13 +166,15 @@
     }
 
     private long delays(Slopes measured) {
-        return Needs.of(plan, measured).needs().stream().filter(each -> each.what().startsWith("delay"))
+        return Needs.of(plan, measured).needs().stream()
+                .filter(each -> each.what().startsWith("delay"))
                 .count();
     }
 
     @Test
     void whatWasNotMeasuredIsNotGuessed() {
-        assertTrue(assertThrows(IllegalStateException.class, () -> Needs.of(plan, new Slopes())).getMessage()
+        assertTrue(assertThrows(IllegalStateException.class, () -> Needs.of(plan, new Slopes()))
+                .getMessage()
                 .startsWith("not measured: "));
     }
 }
--- a/capacity/src/test/java/topazvalve/capacity/plan/PlanFileTest.java
+++ b/capacity/src/test/java/topazvalve/capacity/plan/PlanFileTest.java
@@ -26,12 +26,18 @@
     }
 
     private static int line(String text, String start) {
-        return text.lines().toList().indexOf(text.lines().filter(each -> each.startsWith(start)).findFirst()
-                .orElseThrow()) + 1;
+        return text.lines()
+                        .toList()
+                        .indexOf(text.lines()
+                                .filter(each -> each.startsWith(start))
+                                .findFirst()
+                                .orElseThrow())
+                + 1;
     }
 
     private static List<Problem> problems(String text) {
-        return assertThrows(BadFile.class, () -> PlanFile.parse("plan.toml", text)).problems();
+        return assertThrows(BadFile.class, () -> PlanFile.parse("plan.toml", text))
+                .problems();
     }
 
     @Test
@@ -65,7 +71,10 @@
         String text = text().replace("\nservers = 5700", "\nserver = 5700");
         List<Problem> problems = problems(text);
         int line = line(text, "server = ");
-        Problem found = problems.stream().filter(each -> each.line() == line).findFirst().orElseThrow();
+        Problem found = problems.stream()
+                .filter(each -> each.line() == line)
+                .findFirst()
+                .orElseThrow();
         assertTrue(found.toString().startsWith("plan.toml:" + line), found.toString());
         assertTrue(found.toString().contains("fleet.server"), found.toString());
         assertTrue(found.toString().contains("was \"servers\" meant?"), found.toString());
@@ -87,8 +96,11 @@
                 String key = lines[i].substring(0, lines[i].indexOf(' '));
                 List<String> rest = new ArrayList<>(List.of(lines));
                 rest.remove(i);
-                assertTrue(problems(String.join("\n", rest)).stream().map(Problem::toString)
-                        .anyMatch(each -> each.contains(key) && each.contains("missing")), key);
+                assertTrue(
+                        problems(String.join("\n", rest)).stream()
+                                .map(Problem::toString)
+                                .anyMatch(each -> each.contains(key) && each.contains("missing")),
+                        key);
             }
         }
     }
@@ -96,7 +108,8 @@
     @Test
     void figuresThatContradictEachOtherAreTold() {
         String text = text().replace("control_machines_lost = 8", "control_machines_lost = 16")
-                .replace("largest_zone = 440", "largest_zone = 5800").replace("zones = 13", "zones = 3");
+                .replace("largest_zone = 440", "largest_zone = 5800")
+                .replace("zones = 13", "zones = 3");
         List<String> told = problems(text).stream().map(Problem::toString).toList();
         assertEquals(3, told.size(), told.toString());
         assertTrue(told.get(0).contains("fleet.zones"), told.toString());
@@ -106,8 +119,8 @@
 
     @Test
     void allFaultsAreToldAtOnce() {
-        String text = text().replace("memory_mib = 256", "memory_mib = \"much\"").replace("rack = 40",
-                "rack = 0");
+        String text =
+                text().replace("memory_mib = 256", "memory_mib = \"much\"").replace("rack = 40", "rack = 0");
         assertEquals(2, problems(text).size());
     }
 }
--- a/command/src/main/java/topazvalve/command/Capacity.java
+++ b/command/src/main/java/topazvalve/command/Capacity.java
@@ -19,16 +19,20 @@
 import topazvalve.capacity.plan.Plan;
 
 /** What the planned size needs of each role, beside what it is allowed. */
-@Command(name = "capacity",
-        description = {"Measures what servers, watches, changes and calls cost on this machine, fits lines,",
+@Command(
+        name = "capacity",
+        description = {
+            "Measures what servers, watches, changes and calls cost on this machine, fits lines,",
             "and prints what each role needs at the plan's size beside what it is allowed.",
-            "Exit code 1 says that a budget is not kept."})
+            "Exit code 1 says that a budget is not kept."
+        })
 final class Capacity implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
-    @Parameters(arity = "0..1", paramLabel = "PLAN",
-            description = "the plan's file (world/capacity/plan.toml)")
+
+    @Parameters(arity = "0..1", paramLabel = "PLAN", description = "the plan's file (world/capacity/plan.toml)")
     private Path file;
+
     @Option(names = "--quick", description = "fewer sizes, and shorter: under a minute")
     private boolean quick;
 
@@ -51,15 +55,22 @@
     static int print(NeedTable table, Plan plan, PrintWriter out) {
         for (Tier tier : table.tiers()) {
             out.println();
-            out.println(tier == Tier.BEFORE ? "Every sidecar calls the one source:"
-                    : plan.budget().control().machines() + " relays between, " + plan.watchesPerMachine()
-                            + " watches each:");
+            out.println(
+                    tier == Tier.BEFORE
+                            ? "Every sidecar calls the one source:"
+                            : plan.budget().control().machines() + " relays between, " + plan.watchesPerMachine()
+                                    + " watches each:");
             table.lines(tier).forEach(out::println);
         }
         out.println();
         List<Need> over = table.over();
-        over.forEach(each -> out.printf(Locale.ROOT, "over its budget, %s: %s, %s, %s: %.2f times%n",
-                each.tier().name().toLowerCase(Locale.ROOT), each.role(), each.when(), each.what(),
+        over.forEach(each -> out.printf(
+                Locale.ROOT,
+                "over its budget, %s: %s, %s, %s: %.2f times%n",
+                each.tier().name().toLowerCase(Locale.ROOT),
+                each.role(),
+                each.when(),
+                each.what(),
                 each.ratio()));
         out.println(over.isEmpty() ? "every budget is kept" : over.size() + " budgets are not kept");
         out.flush();
--- a/command/src/main/java/topazvalve/command/Check.java
+++ b/command/src/main/java/topazvalve/command/Check.java
@@ -15,40 +15,54 @@
 import topazvalve.toml.BadFile;
 
 /** Reads a file as the program that takes it would, and starts nothing. */
-@Command(name = "check", description = {
-    "Checks a sidecar's configuration (.json), an operator's file or a scenario "
-    + "(.toml), and starts nothing."})
+@Command(
+        name = "check",
+        description = {
+            "Checks a sidecar's configuration (.json), an operator's file or a scenario "
+                    + "(.toml), and starts nothing."
+        })
 final class Check implements Callable<Integer> {
     /** What only an operator's file has. */
-    private static final Pattern OPERATOR =
-            Pattern.compile("(?m)^\\s*(\\[\\[\\s*listener\\s*]]|\\[\\s*relays\\s*])");
+    private static final Pattern OPERATOR = Pattern.compile("(?m)^\\s*(\\[\\[\\s*listener\\s*]]|\\[\\s*relays\\s*])");
+
     @Spec
     private CommandSpec spec;
+
     @Parameters(paramLabel = "FILE", description = "the file to check")
     private Path file;
 
     @Override
     public Integer call() throws IOException {
         Input.requireFile(file);
-        if (file.toString().endsWith(".toml") && OPERATOR.matcher(Files.readString(file)).find()) {
+        if (file.toString().endsWith(".toml")
+                && OPERATOR.matcher(Files.readString(file)).find()) {
             try {
                 OperatorFile read = OperatorFile.read(file);
-                spec.commandLine().getOut().println(file + ": good; listeners "
-                        + read.listeners().stream().map(TcpSettings::name).toList()
-                        + (read.relays().isEmpty() ? "" : ", relays " + read.relays().size()));
+                spec.commandLine()
+                        .getOut()
+                        .println(file + ": good; listeners "
+                                + read.listeners().stream()
+                                        .map(TcpSettings::name)
+                                        .toList()
+                                + (read.relays().isEmpty()
+                                        ? ""
+                                        : ", relays " + read.relays().size()));
                 return ExitCode.DONE;
             } catch (BadFile e) {
                 throw new BadInput(e.getMessage(), e);
             }
         }
         if (file.toString().endsWith(".toml")) {
-            spec.commandLine().getOut().println(file + ": good; scenario " + Input.scenario(file).name());
+            spec.commandLine()
+                    .getOut()
+                    .println(file + ": good; scenario " + Input.scenario(file).name());
             return ExitCode.DONE;
         }
         try {
             Config config = Config.read(file);
-            spec.commandLine().getOut().println(file + ": good; classes "
-                    + config.options().names("profiles"));
+            spec.commandLine()
+                    .getOut()
+                    .println(file + ": good; classes " + config.options().names("profiles"));
         } catch (IllegalArgumentException e) {
             throw new BadInput(file + ": " + e.getMessage(), e);
         }
--- a/command/src/main/java/topazvalve/command/ExitCode.java
+++ b/command/src/main/java/topazvalve/command/ExitCode.java
@@ -6,5 +6,5 @@
     static final int FAILED = 1;
     static final int BAD_INPUT = 2;
 
-    private ExitCode() { }
+    private ExitCode() {}
 }
--- a/command/src/main/java/topazvalve/command/Experiments.java
+++ b/command/src/main/java/topazvalve/command/Experiments.java
@@ -15,19 +15,21 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
+import topazvalve.toml.BadFile;
 import topazvalve.world.experiment.Comparison;
 import topazvalve.world.experiment.Plan;
 import topazvalve.world.experiment.Report;
 import topazvalve.world.experiment.Result;
 import topazvalve.world.experiment.Results;
 import topazvalve.world.experiment.Runner;
-import topazvalve.toml.BadFile;
 import topazvalve.world.scenario.ExperimentFile;
 import topazvalve.world.scenario.Scenario;
 import topazvalve.world.virtual.Arm;
 
 /** Arms by scenarios by seeds, and what differs between them. */
-@Command(name = "experiment", description = "Runs arms on scenarios with many seeds, and compares them.",
+@Command(
+        name = "experiment",
+        description = "Runs arms on scenarios with many seeds, and compares them.",
         synopsisSubcommandLabel = "run|compare",
         subcommands = {Experiments.Run.class, Experiments.Compare.class})
 final class Experiments implements Runnable {
@@ -44,20 +46,28 @@
     }
 
     /** Runs an experiment. */
-    @Command(name = "run",
-            description = {"Runs an experiment in virtual time; results go to DIR as JSON lines, "
-        + "with one HTML report.", "Ctrl-C leaves what is finished readable; --resume goes on from there."})
+    @Command(
+            name = "run",
+            description = {
+                "Runs an experiment in virtual time; results go to DIR as JSON lines, " + "with one HTML report.",
+                "Ctrl-C leaves what is finished readable; --resume goes on from there."
+            })
     static final class Run implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
+
         @Parameters(paramLabel = "FILE", description = "the experiment (.toml)")
         private Path file;
+
         @Option(names = "--seeds", paramLabel = "A..B", description = "in place of the file's")
         private String seeds;
+
         @Option(names = "--jobs", paramLabel = "N", description = "runs at once (one for each core)")
         private Integer jobs;
+
         @Option(names = "--out", paramLabel = "DIR", description = "where results go (found/NAME)")
         private Path out;
+
         @Option(names = "--resume", description = "keeps the results that DIR has already")
         private boolean resume;
 
@@ -70,8 +80,7 @@
                 throw new BadInput("--jobs: " + threads + " is not a whole number above 0", null);
             }
             if (!resume && !Results.read(folder).isEmpty()) {
-                throw new BadInput(folder
-                        + ": has results already; go on with --resume, or name another --out", null);
+                throw new BadInput(folder + ": has results already; go on with --resume, or name another --out", null);
             }
             Runner runner = new Runner(plan, folder, threads);
             CountDownLatch told = new CountDownLatch(1);
@@ -91,41 +100,61 @@
             }
         }
 
-        private int run(Plan plan, Runner runner, Path folder, Thread hook)
-                throws IOException, InterruptedException {
+        private int run(Plan plan, Runner runner, Path folder, Thread hook) throws IOException, InterruptedException {
             PrintWriter console = spec.commandLine().getOut();
-            List<Result> results = runner.run(resume, each -> console.printf(Locale.ROOT,
-                    "%d of %d runs, %d with a broken rule, about %.0f s left%n", each.done(), each.all(),
-                    each.broken(), each.leftS()));
+            List<Result> results = runner.run(
+                    resume,
+                    each -> console.printf(
+                            Locale.ROOT,
+                            "%d of %d runs, %d with a broken rule, about %.0f s left%n",
+                            each.done(),
+                            each.all(),
+                            each.broken(),
+                            each.leftS()));
             if (!results.isEmpty()) {
                 Report.write(folder.resolve("report.html"), plan.name(), results);
             }
             boolean whole = results.size() == plan.cells().size();
             print(console, plan, results);
-            console.println((whole ? "" : "stopped early: ") + results.size()
-                    + " results and report.html are in "
-                    + folder);
+            console.println(
+                    (whole ? "" : "stopped early: ") + results.size() + " results and report.html are in " + folder);
             console.flush();
             if (!whole) {
                 return INTERRUPTED;
             }
             Runtime.getRuntime().removeShutdownHook(hook);
-            return results.stream().allMatch(each -> each.broken().isEmpty())
-                    ? ExitCode.DONE : ExitCode.FAILED;
+            return results.stream().allMatch(each -> each.broken().isEmpty()) ? ExitCode.DONE : ExitCode.FAILED;
         }
 
         private static void print(PrintWriter console, Plan plan, List<Result> results) {
             for (Plan.Setting setting : plan.scenarios()) {
                 for (Arm arm : plan.arms()) {
-                    List<Result> runs = results.stream().filter(each -> each.arm().equals(arm.name())
-                            && each.scenario().equals(setting.scenario().name())).toList();
+                    List<Result> runs = results.stream()
+                            .filter(each -> each.arm().equals(arm.name())
+                                    && each.scenario().equals(setting.scenario().name()))
+                            .toList();
                     if (!runs.isEmpty()) {
-                        console.printf(Locale.ROOT, "%-16s %-16s goal %.4f  service %.4f  worst 10 s %.4f  "
-                                + "broken in %d of %d%n", setting.scenario().name(), arm.name(),
-                                runs.stream().mapToDouble(Result::goal).average().orElse(0),
-                                runs.stream().mapToDouble(Result::service).average().orElse(0),
-                                runs.stream().mapToDouble(Result::worstWindow).average().orElse(0),
-                                runs.stream().filter(each -> !each.broken().isEmpty()).count(), runs.size());
+                        console.printf(
+                                Locale.ROOT,
+                                "%-16s %-16s goal %.4f  service %.4f  worst 10 s %.4f  " + "broken in %d of %d%n",
+                                setting.scenario().name(),
+                                arm.name(),
+                                runs.stream()
+                                        .mapToDouble(Result::goal)
+                                        .average()
+                                        .orElse(0),
+                                runs.stream()
+                                        .mapToDouble(Result::service)
+                                        .average()
+                                        .orElse(0),
+                                runs.stream()
+                                        .mapToDouble(Result::worstWindow)
+                                        .average()
+                                        .orElse(0),
+                                runs.stream()
+                                        .filter(each -> !each.broken().isEmpty())
+                                        .count(),
+                                runs.size());
                     }
                 }
             }
@@ -145,8 +174,10 @@
             Scenario scenario = Input.scenario(each);
             scenarios.add(new Plan.Setting(each, scenario));
         }
-        List<Arm> arms = read.arms().stream().map(each -> new Arm(each.name(), each.policy(), each.attempts(),
-                each.cancel(), each.probes(), each.retryAfter())).toList();
+        List<Arm> arms = read.arms().stream()
+                .map(each -> new Arm(
+                        each.name(), each.policy(), each.attempts(), each.cancel(), each.probes(), each.retryAfter()))
+                .toList();
         Plan plan = new Plan(read.name(), scenarios, arms, read.firstSeed(), read.lastSeed());
         if (seeds == null) {
             return plan;
@@ -159,15 +190,22 @@
     }
 
     /** Compares two arms. */
-    @Command(name = "compare", description = {"Compares two arms seed by seed, with 95%% intervals.",
-        "An arm is named ARM, or DIR:ARM where its results are elsewhere than in --out."})
+    @Command(
+            name = "compare",
+            description = {
+                "Compares two arms seed by seed, with 95%% intervals.",
+                "An arm is named ARM, or DIR:ARM where its results are elsewhere than in --out."
+            })
     static final class Compare implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
+
         @Parameters(index = "0", paramLabel = "A", description = "one arm")
         private String first;
+
         @Parameters(index = "1", paramLabel = "B", description = "the other")
         private String second;
+
         @Option(names = "--out", paramLabel = "DIR", description = "the folder of the results")
         private Path out;
 
@@ -179,12 +217,19 @@
             }
             PrintWriter console = spec.commandLine().getOut();
             for (Comparison each : all) {
-                console.printf(Locale.ROOT,
-                        "%-16s %-24s %9.4f against %9.4f: %+.4f, 95%% from %+.4f to %+.4f "
-                        + "(%d seeds): %s%n", each.scenario(), each.figure(), each.first(), each.second(),
-                                each.mean(),
-                        each.mean() - each.half(), each.mean() + each.half(), each.pairs(),
-                        each.differs() ? first + (each.mean() > 0 ? " has more" : " has less")
+                console.printf(
+                        Locale.ROOT,
+                        "%-16s %-24s %9.4f against %9.4f: %+.4f, 95%% from %+.4f to %+.4f " + "(%d seeds): %s%n",
+                        each.scenario(),
+                        each.figure(),
+                        each.first(),
+                        each.second(),
+                        each.mean(),
+                        each.mean() - each.half(),
+                        each.mean() + each.half(),
+                        each.pairs(),
+                        each.differs()
+                                ? first + (each.mean() > 0 ? " has more" : " has less")
                                 : "no difference can be told");
             }
             return ExitCode.DONE;
@@ -197,8 +242,9 @@
             if (folder == null || !Files.isDirectory(folder)) {
                 throw new BadInput(named + ": no such folder of results; say --out DIR, or DIR:ARM", null);
             }
-            List<Result> found = Results.read(folder).stream().filter(each ->
-                    each.arm().equals(arm)).toList();
+            List<Result> found = Results.read(folder).stream()
+                    .filter(each -> each.arm().equals(arm))
+                    .toList();
             if (found.isEmpty()) {
                 throw new BadInput(folder + ": has no results of an arm " + arm, null);
             }
--- a/command/src/main/java/topazvalve/command/Fleet.java
+++ b/command/src/main/java/topazvalve/command/Fleet.java
@@ -21,25 +21,35 @@
 import topazvalve.toml.BadFile;
 
 /** Plays a fleet of hollow sidecars and their sources of lists on loopback. */
-@Command(name = "fleet", description = {
-    "Plays a fleet's control plane on loopback: thousands of hollow sidecars that follow lists,",
-    "the sources of these lists, and what happens to both; an oracle watches."})
+@Command(
+        name = "fleet",
+        description = {
+            "Plays a fleet's control plane on loopback: thousands of hollow sidecars that follow lists,",
+            "the sources of these lists, and what happens to both; an oracle watches."
+        })
 final class Fleet implements Callable<Integer> {
     /** Thousands of sidecars say the same of every failure; kept, or the level would be forgotten. */
-    private static final List<Logger> TALKERS = List.of(Logger.getLogger("discovery"),
-            Logger.getLogger("source"), Logger.getLogger("relay"));
+    private static final List<Logger> TALKERS =
+            List.of(Logger.getLogger("discovery"), Logger.getLogger("source"), Logger.getLogger("relay"));
+
     @Spec
     private CommandSpec spec;
-    @Parameters(paramLabel = "TIMELINE", arity = "0..1",
+
+    @Parameters(
+            paramLabel = "TIMELINE",
+            arity = "0..1",
             description = "what happens (.toml); world/fleets/plan.toml, or quick.toml there for --quick")
     private Path file;
+
     @Option(names = "--quick", description = "the short form: some hundred sidecars, under a minute")
     private boolean quick;
-    @Option(names = "--seed", defaultValue = "1",
-            description = "what all chance is drawn from (${DEFAULT-VALUE})")
+
+    @Option(names = "--seed", defaultValue = "1", description = "what all chance is drawn from (${DEFAULT-VALUE})")
     private long seed;
 
-    @Option(names = "--packaged", defaultValue = "0",
+    @Option(
+            names = "--packaged",
+            defaultValue = "0",
             description = "packaged sidecars that follow the first source beside them (${DEFAULT-VALUE})")
     private int packaged;
 
@@ -62,8 +72,8 @@
     }
 
     private Timeline timeline() throws IOException {
-        Path named = file != null ? file : Real.home().resolve(quick ? "world/fleets/quick.toml"
-                : "world/fleets/plan.toml");
+        Path named =
+                file != null ? file : Real.home().resolve(quick ? "world/fleets/quick.toml" : "world/fleets/plan.toml");
         Input.requireFile(named);
         try {
             return TimelineFile.read(named);
--- a/command/src/main/java/topazvalve/command/Input.java
+++ b/command/src/main/java/topazvalve/command/Input.java
@@ -11,7 +11,7 @@
 
 /** Reads what the caller names; whatever is wrong with it is a {@link BadInput}. */
 final class Input {
-    private Input() { }
+    private Input() {}
 
     static void requireFile(Path file) {
         if (!Files.isRegularFile(file) || !Files.isReadable(file)) {
--- a/command/src/main/java/topazvalve/command/Main.java
+++ b/command/src/main/java/topazvalve/command/Main.java
@@ -6,21 +6,37 @@
 import topazvalve.logging.Logging;
 
 /** Entry point of the command. Every error is one line on standard error; none shows a stack trace. */
-@Command(name = "topazvalve", mixinStandardHelpOptions = true, versionProvider = Version.class,
-        synopsisSubcommandLabel = "VERB", scope = CommandLine.ScopeType.INHERIT,
+@Command(
+        name = "topazvalve",
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class,
+        synopsisSubcommandLabel = "VERB",
+        scope = CommandLine.ScopeType.INHERIT,
         description = "A load-balancing sidecar, and a world to try it in.",
-        subcommands = {Demo.class, Serve.class, RelayVerb.class, Check.class, World.class, Experiments.class,
-            Fleet.class, Measure.class, SimHost.class, Version.class},
+        subcommands = {
+            Demo.class,
+            Serve.class,
+            RelayVerb.class,
+            Check.class,
+            World.class,
+            Experiments.class,
+            Fleet.class,
+            Measure.class,
+            SimHost.class,
+            Version.class
+        },
         exitCodeListHeading = "%nExit codes:%n",
-        exitCodeList = {"0:done, and nothing was found wrong",
+        exitCodeList = {
+            "0:done, and nothing was found wrong",
             "1:a rule was broken, or the run could not be finished",
             "2:the arguments or a file are at fault; the line says where and what was meant",
-            "130:ended by Ctrl-C; what was finished can be read"})
+            "130:ended by Ctrl-C; what was finished can be read"
+        })
 public final class Main implements Runnable {
     private static final Logger LOG = Logging.of("topazvalve");
     private CommandLine self;
 
-    private Main() { }
+    private Main() {}
 
     /** Ends the process with the verb's exit code, once no other thread keeps it. */
     public static void main(String[] args) {
@@ -33,8 +49,10 @@
         main.self.setCaseInsensitiveEnumValuesAllowed(true);
         main.self.setExecutionExceptionHandler(Main::failed);
         main.self.setParameterExceptionHandler((fault, given) -> {
-            fault.getCommandLine().getErr().println("topazvalve: " + oneLine(fault.getMessage())
-                    + " (see: " + fault.getCommandLine().getCommandSpec().qualifiedName() + " --help)");
+            fault.getCommandLine()
+                    .getErr()
+                    .println("topazvalve: " + oneLine(fault.getMessage()) + " (see: "
+                            + fault.getCommandLine().getCommandSpec().qualifiedName() + " --help)");
             return ExitCode.BAD_INPUT;
         });
         return main.self.execute(args);
--- a/command/src/main/java/topazvalve/command/Serve.java
+++ b/command/src/main/java/topazvalve/command/Serve.java
@@ -8,8 +8,12 @@
  * {@code deploy/balancer.toml}, in a JVM of its own with the platform's flags; only a call of the jar itself
  * comes here, and gets the same sidecar in this JVM.
  */
-@Command(name = "serve", description = {"Runs one sidecar by the run line of deploy/balancer.toml.",
-    "It reads the file named by $$PROXY_CONFIG; SIGHUP reads it again, SIGTERM ends in order."})
+@Command(
+        name = "serve",
+        description = {
+            "Runs one sidecar by the run line of deploy/balancer.toml.",
+            "It reads the file named by $$PROXY_CONFIG; SIGHUP reads it again, SIGTERM ends in order."
+        })
 final class Serve implements Callable<Integer> {
     @Override
     public Integer call() throws InterruptedException {
--- a/command/src/main/java/topazvalve/command/SimHost.java
+++ b/command/src/main/java/topazvalve/command/SimHost.java
@@ -13,14 +13,18 @@
 /** Any policy on the simulator's wire, so that both worlds can be asked how they rank them. */
 @Command(name = "simhost", description = "Hosts any policy on the simulator's wire, on standard streams.")
 final class SimHost implements Callable<Integer> {
-    @Option(names = "--policy", defaultValue = "module",
+    @Option(
+            names = "--policy",
+            defaultValue = "module",
             description = "who decides: ${COMPLETION-CANDIDATES} (${DEFAULT-VALUE})")
     private Policy policy;
 
     @Override
     public Integer call() throws IOException {
-        topazvalve.simhost.Main.run(new BufferedInputStream(new FileInputStream(FileDescriptor.in), 1 << 16),
-                new FileOutputStream(FileDescriptor.out), policy::make);
+        topazvalve.simhost.Main.run(
+                new BufferedInputStream(new FileInputStream(FileDescriptor.in), 1 << 16),
+                new FileOutputStream(FileDescriptor.out),
+                policy::make);
         return ExitCode.DONE;
     }
 }
--- a/command/src/main/java/topazvalve/command/Version.java
+++ b/command/src/main/java/topazvalve/command/Version.java
@@ -27,7 +27,8 @@
         try (InputStream in = Version.class.getResourceAsStream("build.properties")) {
             build.load(in);
         }
-        return new String[] {"topazvalve " + build.getProperty("version") + " (Java "
-                + System.getProperty("java.version") + ")"};
+        return new String[] {
+            "topazvalve " + build.getProperty("version") + " (Java " + System.getProperty("java.version") + ")"
+        };
     }
 }
--- a/command/src/main/java/topazvalve/command/World.java
+++ b/command/src/main/java/topazvalve/command/World.java
@@ -10,36 +10,45 @@
 import picocli.CommandLine.Spec;
 import topazvalve.world.policy.Policy;
 import topazvalve.world.scenario.Scenario;
-import topazvalve.world.virtual.Arm;
 import topazvalve.world.tally.Run;
+import topazvalve.world.virtual.Arm;
 import topazvalve.world.virtual.VirtualWorld;
 
 /** Plays one scenario once, on either clock. */
-@Command(name = "world",
+@Command(
+        name = "world",
         description = "Plays one scenario, in virtual time or on real sockets, and says what came of it.")
 final class World implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
+
     @Parameters(paramLabel = "FILE", description = "the scenario (.toml)")
     private Path file;
-    @Option(names = "--seed", defaultValue = "1",
-            description = "what all chance is drawn from (${DEFAULT-VALUE})")
+
+    @Option(names = "--seed", defaultValue = "1", description = "what all chance is drawn from (${DEFAULT-VALUE})")
     private long seed;
-    @Option(names = "--policy", defaultValue = "module",
+
+    @Option(
+            names = "--policy",
+            defaultValue = "module",
             description = "who decides: ${COMPLETION-CANDIDATES} (${DEFAULT-VALUE})")
     private Policy policy;
+
     @Option(names = "--real", description = "on real sockets, in real time, with the packaged sidecar")
     private boolean real;
-    @Option(names = "--out", defaultValue = "found/world",
-            description = "for --real: where report and logs go "
-            + "(${DEFAULT-VALUE})")
+
+    @Option(
+            names = "--out",
+            defaultValue = "found/world",
+            description = "for --real: where report and logs go " + "(${DEFAULT-VALUE})")
     private Path out;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
         Scenario scenario = Input.scenario(file);
         if (real) {
-            return Real.play(scenario, seed, out, spec.commandLine().getOut()).clean() ? ExitCode.DONE
+            return Real.play(scenario, seed, out, spec.commandLine().getOut()).clean()
+                    ? ExitCode.DONE
                     : ExitCode.FAILED;
         }
         Run run = new VirtualWorld(scenario, Arm.of(policy), seed).play();
--- a/command/src/test/java/topazvalve/command/CapacityTest.java
+++ b/command/src/test/java/topazvalve/command/CapacityTest.java
@@ -24,8 +24,14 @@
     private static final Path PLAN = Path.of("../world/capacity/plan.toml");
 
     private static Need need(Tier tier, double value) {
-        return new Need(tier, "sidecar", "ordinary day", "memory", "MiB",
-                new Figure(value, Origin.MEASURED, "sidecar_resident"), 256);
+        return new Need(
+                tier,
+                "sidecar",
+                "ordinary day",
+                "memory",
+                "MiB",
+                new Figure(value, Origin.MEASURED, "sidecar_resident"),
+                256);
     }
 
     private static int print(StringWriter out, Need... needs) throws IOException {
@@ -45,8 +51,7 @@
     void oneBudgetOverEndsWithOneAndIsNamed() throws IOException {
         StringWriter out = new StringWriter();
         assertEquals(1, print(out, need(Tier.BEFORE, 100), need(Tier.AFTER, 257)));
-        assertTrue(out.toString().contains("after: sidecar, ordinary day, memory: 1.00 times"),
-                out.toString());
+        assertTrue(out.toString().contains("after: sidecar, ordinary day, memory: 1.00 times"), out.toString());
         assertTrue(out.toString().contains("1 budgets are not kept"), out.toString());
     }
 
@@ -55,6 +60,7 @@
         Path file = folder.resolve("plan.toml");
         Files.writeString(file, Files.readString(PLAN).replace("restarted_together", "restart_together"));
         assertEquals(2, Main.run("measure", "capacity", file.toString()));
-        assertEquals(2, Main.run("measure", "capacity", folder.resolve("none.toml").toString()));
+        assertEquals(
+                2, Main.run("measure", "capacity", folder.resolve("none.toml").toString()));
     }
 }
--- a/core/src/main/java/topazvalve/core/classes/ClassTable.java
+++ b/core/src/main/java/topazvalve/core/classes/ClassTable.java
@@ -15,7 +15,7 @@
  */
 public final class ClassTable {
     /** A class as requests name it. */
-    public record Entry(int number, String name, RequestClass rules) { }
+    public record Entry(int number, String name, RequestClass rules) {}
 
     /** What a request does and where it may be repeated; aims, deadlines and worth may change without it. */
     private record Identity(String name, Semantics semantics, Scope scope, long keyTtl, boolean stream) {
@@ -31,9 +31,12 @@
 
         @Override
         public boolean equals(Object other) {
-            return other instanceof Identity identity && name.equals(identity.name)
-                    && semantics == identity.semantics && scope == identity.scope
-                    && keyTtl == identity.keyTtl && stream == identity.stream;
+            return other instanceof Identity identity
+                    && name.equals(identity.name)
+                    && semantics == identity.semantics
+                    && scope == identity.scope
+                    && keyTtl == identity.keyTtl
+                    && stream == identity.stream;
         }
     }
 
--- a/core/src/main/java/topazvalve/core/exchange/Exchange.java
+++ b/core/src/main/java/topazvalve/core/exchange/Exchange.java
@@ -22,6 +22,7 @@
     private int answering = -1;
     /** When the client gives up; never, until its body is whole. */
     private long deadline = Long.MAX_VALUE;
+
     private Time.Alarm giveUp;
 
     Exchange(long id, Job<Q> job, Client<A> client, ClassCounts counts, int tryLimit) {
@@ -58,8 +59,10 @@
 
     /** Whether an attempt that is ordered now may set out. */
     boolean maySend(long now) {
-        return (phase == Phase.WAITING || phase == Phase.OUT) && now < deadline
-                && attempts.size() < tryLimit && job.body().repeatable();
+        return (phase == Phase.WAITING || phase == Phase.OUT)
+                && now < deadline
+                && attempts.size() < tryLimit
+                && job.body().repeatable();
     }
 
     /** An attempt is ordered; returns its number. What becomes of it is said by {@link #sent}. */
--- a/core/src/main/java/topazvalve/core/exchange/Exchanges.java
+++ b/core/src/main/java/topazvalve/core/exchange/Exchanges.java
@@ -32,8 +32,7 @@
  * out what it orders. Whatever the module and the back do, an exchange gets one final answer and an attempt
  * one outcome.
  */
-public final class Exchanges<Q, A>
-        implements Intake<Q, A>, Balancer.Actions, Metrics.Gauges, ServerList.Listener {
+public final class Exchanges<Q, A> implements Intake<Q, A>, Balancer.Actions, Metrics.Gauges, ServerList.Listener {
     private static final Logger MODULE = LoggerFactory.getLogger("module");
     /** What of a client's wait is kept for the answer's way back; the module does not know of it. */
     private static final long ANSWER_ROOM = 10_000_000;
@@ -57,8 +56,14 @@
     private long lastId;
 
     /** Holds at most {@code mostOpen} exchanges; more are refused at once. */
-    public Exchanges(Time time, Options options, ModuleMaker maker, Back<Q, A> back, int mostOpen,
-            Metrics metrics, ClassTable classes) {
+    public Exchanges(
+            Time time,
+            Options options,
+            ModuleMaker maker,
+            Back<Q, A> back,
+            int mostOpen,
+            Metrics metrics,
+            ClassTable classes) {
         this.time = time;
         this.events = new EventQueue(time);
         this.back = back;
@@ -145,15 +150,22 @@
         Exchange<Q, A> exchange = new Exchange<>(id, job, client, counts, tryLimit);
         exchanges.put(id, exchange);
         job.body().onProgress(() -> whole(exchange), () -> tell(now -> module.unrepeatable(now, id)));
-        Request request = new Request(id, job.requestClass().number(), job.tenant(), job.key(),
-                wait(exchange), job.costHint(), job.clientRetry(), job.write());
+        Request request = new Request(
+                id,
+                job.requestClass().number(),
+                job.tenant(),
+                job.key(),
+                wait(exchange),
+                job.costHint(),
+                job.clientRetry(),
+                job.write());
         boolean whole = job.body().whole();
         if (whole) {
             startClock(exchange);
         }
         tell(now -> {
             if (!exchange.open()) {
-                return;  // over before the module has heard of it
+                return; // over before the module has heard of it
             }
             exchange.told();
             if (whole) {
@@ -189,7 +201,7 @@
     public void hangup(long id) {
         Exchange<Q, A> exchange = exchanges.get(id);
         if (exchange != null && exchange.open()) {
-            answer(exchange, () -> { });
+            answer(exchange, () -> {});
             giveUp(exchange);
             if (exchange.answering() != null) {
                 exchange.answering().cancel();
@@ -212,7 +224,9 @@
 
     @Override
     public long active() {
-        return exchanges.values().stream().filter(each -> each.open() && each.job.body().whole()).count();
+        return exchanges.values().stream()
+                .filter(each -> each.open() && each.job.body().whole())
+                .count();
     }
 
     @Override
@@ -270,8 +284,14 @@
             return;
         }
         long wait = Math.min(wait(exchange), exchange.left(now));
-        exchange.sent(number, back.send(server, exchange.job.message(), exchange.job.body(),
-                timeout > 0 ? Math.min(wait, timeout) : wait, out));
+        exchange.sent(
+                number,
+                back.send(
+                        server,
+                        exchange.job.message(),
+                        exchange.job.body(),
+                        timeout > 0 ? Math.min(wait, timeout) : wait,
+                        out));
     }
 
     /** An attempt that is out, and what becomes of it. */
@@ -315,8 +335,7 @@
             events.handle(now -> pass(outcome, answer));
             tell(now -> {
                 exchange.ended();
-                module.outcome(now, exchange.id, number, server, outcome, now - sentAt,
-                        !exchange.open(), load);
+                module.outcome(now, exchange.id, number, server, outcome, now - sentAt, !exchange.open(), load);
                 forget(exchange);
             });
         }
@@ -370,7 +389,8 @@
     @Override
     public void cancel(long request, int attempt) {
         Exchange<Q, A> exchange = exchanges.get(request);
-        if (exchange != null && attempt < exchange.attempts().size()
+        if (exchange != null
+                && attempt < exchange.attempts().size()
                 && exchange.attempts().get(attempt) != null) {
             exchange.attempts().get(attempt).cancel();
         }
@@ -384,8 +404,9 @@
     @Override
     public void probe(long server) {
         long sentAt = time.now();
-        back.probe(server, (outcome, answer, load) -> tell(now ->
-                module.probeResult(now, server, outcome, now - sentAt, load)));
+        back.probe(
+                server,
+                (outcome, answer, load) -> tell(now -> module.probeResult(now, server, outcome, now - sentAt, load)));
     }
 
     @Override
--- a/core/src/main/java/topazvalve/core/exchange/Job.java
+++ b/core/src/main/java/topazvalve/core/exchange/Job.java
@@ -13,12 +13,21 @@
  * @param write it may change something
  * @param message what is asked, in its protocol's terms; the core hands it on unseen
  */
-public record Job<Q>(ClassTable.Entry requestClass, int tenant, long key, long waitMs, long costHint,
-        boolean clientRetry, boolean write, Q message, RequestBody body) {
+public record Job<Q>(
+        ClassTable.Entry requestClass,
+        int tenant,
+        long key,
+        long waitMs,
+        long costHint,
+        boolean clientRetry,
+        boolean write,
+        Q message,
+        RequestBody body) {
     /** The same, whose client waits for so many nanoseconds at the most. */
     public Job<Q> within(long nanoseconds) {
         long most = Math.floorDiv(nanoseconds, 1_000_000L);
-        return most >= waitMs ? this : new Job<>(requestClass, tenant, key, most, costHint, clientRetry,
-                write, message, body);
+        return most >= waitMs
+                ? this
+                : new Job<>(requestClass, tenant, key, most, costHint, clientRetry, write, message, body);
     }
 }
--- a/core/src/main/java/topazvalve/core/exchange/Phase.java
+++ b/core/src/main/java/topazvalve/core/exchange/Phase.java
@@ -20,10 +20,22 @@
  * </pre>
  */
 enum Phase {
-    TAKEN, WAITING, OUT, ANSWERING, ANSWERED, FORGOTTEN;
+    TAKEN,
+    WAITING,
+    OUT,
+    ANSWERING,
+    ANSWERED,
+    FORGOTTEN;
 
     /** What happens to an exchange. */
-    enum Step { TOLD, SENT, ENDED, BEGUN, ANSWERED, SETTLED }
+    enum Step {
+        TOLD,
+        SENT,
+        ENDED,
+        BEGUN,
+        ANSWERED,
+        SETTLED
+    }
 
     /** Whether the client is still owed an answer, or the rest of one. */
     boolean open() {
@@ -35,23 +47,26 @@
         Phase next = switch (this) {
             case TAKEN -> step == Step.TOLD ? WAITING : step == Step.ANSWERED ? ANSWERED : null;
             case WAITING -> step == Step.SENT ? OUT : step == Step.ANSWERED ? ANSWERED : null;
-            case OUT -> switch (step) {
-                case SENT -> OUT;
-                case ENDED -> out == 0 ? WAITING : OUT;
-                case BEGUN -> ANSWERING;
-                case ANSWERED -> ANSWERED;
-                default -> null;
-            };
-            case ANSWERING -> switch (step) {
-                case SENT, ENDED -> ANSWERING;
-                case ANSWERED -> ANSWERED;
-                default -> null;
-            };
-            case ANSWERED -> switch (step) {
-                case TOLD, SENT, ENDED -> ANSWERED;
-                case SETTLED -> out == 0 ? FORGOTTEN : null;
-                default -> null;
-            };
+            case OUT ->
+                switch (step) {
+                    case SENT -> OUT;
+                    case ENDED -> out == 0 ? WAITING : OUT;
+                    case BEGUN -> ANSWERING;
+                    case ANSWERED -> ANSWERED;
+                    default -> null;
+                };
+            case ANSWERING ->
+                switch (step) {
+                    case SENT, ENDED -> ANSWERING;
+                    case ANSWERED -> ANSWERED;
+                    default -> null;
+                };
+            case ANSWERED ->
+                switch (step) {
+                    case TOLD, SENT, ENDED -> ANSWERED;
+                    case SETTLED -> out == 0 ? FORGOTTEN : null;
+                    default -> null;
+                };
             case FORGOTTEN -> null;
         };
         if (next == null) {
--- a/core/src/main/java/topazvalve/core/exchange/ServerNumbers.java
+++ b/core/src/main/java/topazvalve/core/exchange/ServerNumbers.java
@@ -30,7 +30,13 @@
     /** A server as the module knows it. */
     Upstream upstream(Target target) {
         long id = servers.computeIfAbsent(target.uid(), uid -> servers.size() + 1L);
-        return new Upstream(id, number(zones, target.zone()), number(kinds, target.kind()), target.cell(),
-                target.state(), target.weight(), target.startedMs() * 1_000_000);
+        return new Upstream(
+                id,
+                number(zones, target.zone()),
+                number(kinds, target.kind()),
+                target.cell(),
+                target.state(),
+                target.weight(),
+                target.startedMs() * 1_000_000);
     }
 }
--- a/core/src/main/java/topazvalve/core/metrics/ClassCounts.java
+++ b/core/src/main/java/topazvalve/core/metrics/ClassCounts.java
@@ -7,7 +7,7 @@
     private long errors;
     private long tries;
 
-    ClassCounts() { }
+    ClassCounts() {}
 
     /** A request was served. */
     public void served() {
--- a/core/src/main/java/topazvalve/core/pool/Attempt.java
+++ b/core/src/main/java/topazvalve/core/pool/Attempt.java
@@ -17,7 +17,13 @@
     /** The end of an attempt that brought no report of its server's load. */
     public static final float[] NO_LOAD = {};
 
-    private enum State { WAITING, WRITING, HANDED, WRITTEN, OVER }
+    private enum State {
+        WAITING,
+        WRITING,
+        HANDED,
+        WRITTEN,
+        OVER
+    }
 
     private final Time time;
     private final Consumer<Attempt<Q, A>> notUnwritten;
@@ -27,7 +33,7 @@
     private final AttemptListener<Q, A> listener;
     private State state = State.WAITING;
     private boolean ran;
-    private Runnable breakOff = () -> { };
+    private Runnable breakOff = () -> {};
     private Time.Alarm alarm;
 
     /**
@@ -35,7 +41,12 @@
      *
      * @param unwrittenNoMore called once it is written or over, perhaps twice
      */
-    public Attempt(Time time, Q message, RequestBody body, long wait, AttemptListener<Q, A> listener,
+    public Attempt(
+            Time time,
+            Q message,
+            RequestBody body,
+            long wait,
+            AttemptListener<Q, A> listener,
             Consumer<Attempt<Q, A>> unwrittenNoMore) {
         this.time = time;
         this.message = message;
--- a/core/src/main/java/topazvalve/core/pool/AttemptListener.java
+++ b/core/src/main/java/topazvalve/core/pool/AttemptListener.java
@@ -7,10 +7,10 @@
 /** What becomes of an attempt. */
 public interface AttemptListener<Q, A> {
     /** Its last byte has been written: from now on it may have run. */
-    default void written() { }
+    default void written() {}
 
     /** Its answer is too large to be held: the first part, more to come, and then the end. */
-    default void begun(Attempt<Q, A> attempt, A first, long length, Source rest) { }
+    default void begun(Attempt<Q, A> attempt, A first, long length, Source rest) {}
 
     /** More of an answer that was begun; takes over the buffer. */
     default void more(ByteBuf bytes) {
--- a/core/src/main/java/topazvalve/core/pool/Carrier.java
+++ b/core/src/main/java/topazvalve/core/pool/Carrier.java
@@ -14,7 +14,7 @@
     boolean spoilt();
 
     /** Its server takes nothing new; what is under way may go on, for as long as the protocol says. */
-    default void draining() { }
+    default void draining() {}
 
     /** The connection closes, for whatever reason: lets go of what was held for it. */
     void closing();
--- a/core/src/main/java/topazvalve/core/pool/Codec.java
+++ b/core/src/main/java/topazvalve/core/pool/Codec.java
@@ -11,7 +11,7 @@
     Probe<Q> probe();
 
     /** A question to a server about itself. */
-    record Probe<Q>(Q message, long patience) { }
+    record Probe<Q>(Q message, long patience) {}
 
     /** How many nanoseconds an idle connection rests before it is lent again. */
     long rest();
--- a/core/src/main/java/topazvalve/core/pool/Pool.java
+++ b/core/src/main/java/topazvalve/core/pool/Pool.java
@@ -13,9 +13,11 @@
     private final ArrayDeque<PooledConnection<Q, A>> idle = new ArrayDeque<>();
     /** Idle ones that an attempt waits for while they rest. */
     private final Set<PooledConnection<Q, A>> reserved = new LinkedHashSet<>();
+
     private final Set<Attempt<Q, A>> unwritten = new LinkedHashSet<>();
     /** Every connection that is not closed. */
     private final Set<PooledConnection<Q, A>> all = new LinkedHashSet<>();
+
     private InetSocketAddress address;
     private long startedMs;
     private boolean ready;
--- a/core/src/main/java/topazvalve/core/pool/PooledConnection.java
+++ b/core/src/main/java/topazvalve/core/pool/PooledConnection.java
@@ -18,10 +18,14 @@
  * and CLOSED from any of these.
  */
 public final class PooledConnection<Q, A> {
-    private enum State { CONNECTING, LEASED, IDLE, CLOSED }
+    private enum State {
+        CONNECTING,
+        LEASED,
+        IDLE,
+        CLOSED
+    }
 
-    private static final RecvByteBufAllocator READS =
-            new AdaptiveRecvByteBufAllocator(64, 2048, ByteBudget.LEAST);
+    private static final RecvByteBufAllocator READS = new AdaptiveRecvByteBufAllocator(64, 2048, ByteBudget.LEAST);
 
     private final Pools<Q, A> owner;
     private final EventLoop loop;
@@ -44,7 +48,9 @@
     void open(Attempt<Q, A> first, int connectTimeoutMs) {
         first.carried(this::close);
         pool.opens(this);
-        new Bootstrap().group(loop).channel(NioSocketChannel.class)
+        new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMs)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.RECVBUF_ALLOCATOR, READS)
--- a/core/src/main/java/topazvalve/core/pool/Pools.java
+++ b/core/src/main/java/topazvalve/core/pool/Pools.java
@@ -23,6 +23,7 @@
     private final Map<Long, Pool<Q, A>> pools = new HashMap<>();
     /** Stands for every server that is not listed. */
     private final Pool<Q, A> nobody = new Pool<>();
+
     private final Future<?> retirement;
     private int connectTimeoutMs;
     private long keepIdle;
@@ -61,8 +62,7 @@
     }
 
     @Override
-    public Attempt<Q, A> send(long server, Q message, RequestBody body, long wait,
-            AttemptListener<Q, A> listener) {
+    public Attempt<Q, A> send(long server, Q message, RequestBody body, long wait, AttemptListener<Q, A> listener) {
         Pool<Q, A> pool = pools.getOrDefault(server, nobody);
         Attempt<Q, A> attempt = new Attempt<>(time, message, body, wait, listener, pool::noMore);
         if (body.whole()) {
--- a/core/src/main/java/topazvalve/core/servers/ServerList.java
+++ b/core/src/main/java/topazvalve/core/servers/ServerList.java
@@ -39,7 +39,7 @@
             }
 
             @Override
-            public void close() { }
+            public void close() {}
         };
     }
 }
--- a/core/src/main/java/topazvalve/core/servers/Target.java
+++ b/core/src/main/java/topazvalve/core/servers/Target.java
@@ -10,5 +10,12 @@
  * @param endpoint may be null for one that is gone
  * @param startedMs when it last started, milliseconds since 1970; 0 for long ago
  */
-public record Target(String uid, InetSocketAddress endpoint, String zone, String kind, int cell, State state,
-        float weight, long startedMs) { }
+public record Target(
+        String uid,
+        InetSocketAddress endpoint,
+        String zone,
+        String kind,
+        int cell,
+        State state,
+        float weight,
+        long startedMs) {}
--- a/core/src/main/java/topazvalve/core/stream/RequestBody.java
+++ b/core/src/main/java/topazvalve/core/stream/RequestBody.java
@@ -13,7 +13,8 @@
 public final class RequestBody {
     /** What an attempt writes at once. */
     private static final int PIECE = 16 << 10;
-    private static final Runnable NOTHING = () -> { };
+
+    private static final Runnable NOTHING = () -> {};
 
     private final ByteBudget budget;
     private final long length;
@@ -144,14 +145,17 @@
 
     /** Whether all has been read. */
     public boolean drained() {
-        return whole && (held.isEmpty() || segment == held.size() - 1
-                && offset == held.get(segment).readableBytes());
+        return whole
+                && (held.isEmpty()
+                        || segment == held.size() - 1
+                                && offset == held.get(segment).readableBytes());
     }
 
     /** Lets go of what has been read, once the share is full; that may have grown meanwhile. */
     private void makeRoom() {
         boolean dropped = false;
-        while (heldBytes >= budget.share() && (segment > 0 || offset == held.get(0).readableBytes())) {
+        while (heldBytes >= budget.share()
+                && (segment > 0 || offset == held.get(0).readableBytes())) {
             if (segment > 0) {
                 segment--;
             } else {
--- a/core/src/main/java/topazvalve/core/time/LoopTime.java
+++ b/core/src/main/java/topazvalve/core/time/LoopTime.java
@@ -12,6 +12,7 @@
 public final class LoopTime implements Time {
     /** A stall that is not noticed is shorter than both together: less than the 0.1 s that a close has. */
     private static final long BEAT = 50_000_000;
+
     private static final long LATE = 25_000_000;
     private final long offset = System.currentTimeMillis() * 1_000_000 - System.nanoTime();
     private final EventLoop loop;
--- a/core/src/test/java/topazvalve/core/exchange/ExchangeModelTest.java
+++ b/core/src/test/java/topazvalve/core/exchange/ExchangeModelTest.java
@@ -30,8 +30,8 @@
                 explore(semantics, whole, rogue, new ArrayList<>());
             }
         }
-        System.out.printf("model %s: %,d orders, %,d different states, depth %d%n", semantics, played,
-                states.size(), DEPTH);
+        System.out.printf(
+                "model %s: %,d orders, %,d different states, depth %d%n", semantics, played, states.size(), DEPTH);
         assertTrue(states.size() > 100, "something happens");
     }
 
@@ -61,8 +61,8 @@
             scene.settle();
             played++;
         } catch (AssertionError | RuntimeException e) {
-            throw new AssertionError(semantics + (whole ? " whole " : " arriving ") + (rogue ? "rogue "
-                    : "") + path, e);
+            throw new AssertionError(
+                    semantics + (whole ? " whole " : " arriving ") + (rogue ? "rogue " : "") + path, e);
         }
         if (path.size() < DEPTH) {
             for (String event : next) {
--- a/core/src/test/java/topazvalve/core/exchange/PlayBack.java
+++ b/core/src/test/java/topazvalve/core/exchange/PlayBack.java
@@ -24,8 +24,7 @@
         final boolean withoutBody;
         boolean begun;
 
-        Sent(long server, Attempt<String, String> attempt, boolean readyThen, boolean afterDoubt,
-                boolean withoutBody) {
+        Sent(long server, Attempt<String, String> attempt, boolean readyThen, boolean afterDoubt, boolean withoutBody) {
             this.server = server;
             this.attempt = attempt;
             this.readyThen = readyThen;
@@ -44,12 +43,11 @@
     }
 
     @Override
-    public Attempt<String, String> send(long server, String message, RequestBody body, long wait,
-            AttemptListener<String, String> listener) {
+    public Attempt<String, String> send(
+            long server, String message, RequestBody body, long wait, AttemptListener<String, String> listener) {
         boolean doubt = sent.stream().anyMatch(each -> each.attempt.written());
-        Attempt<String, String> attempt = new Attempt<>(time, message, body, wait, listener, over -> { });
-        sent.add(new Sent(server, attempt, ready.getOrDefault(server, false), doubt,
-                !body.repeatable()));
+        Attempt<String, String> attempt = new Attempt<>(time, message, body, wait, listener, over -> {});
+        sent.add(new Sent(server, attempt, ready.getOrDefault(server, false), doubt, !body.repeatable()));
         if (body.whole()) {
             attempt.limit(wait);
         }
@@ -77,10 +75,10 @@
     }
 
     @Override
-    public void closeIdle(long server) { }
+    public void closeIdle(long server) {}
 
     @Override
-    public void retune(Options options) { }
+    public void retune(Options options) {}
 
     @Override
     public void close() {
--- a/core/src/test/java/topazvalve/core/exchange/Scene.java
+++ b/core/src/test/java/topazvalve/core/exchange/Scene.java
@@ -86,39 +86,35 @@
         body = whole ? RequestBody.of(new byte[8]) : new RequestBody(budget, -1);
         Options options = options(TRIES);
         exchanges = new Exchanges<>(time, options, this::module, back, 2, new Metrics(), classes);
-        exchanges.start(ServerList.named(List::of, (kind, targets) -> { }),
+        exchanges.start(
+                ServerList.named(List::of, (kind, targets) -> {}),
                 List.of(target(1, State.READY), target(2, State.READY)));
         if (stalled) {
             time.stall();
         }
-        id = exchanges.submit(new Job<>(classes.named("one"), 0, 0, 400, 0, false, true, "ask", body),
-                new Taker());
+        id = exchanges.submit(new Job<>(classes.named("one"), 0, 0, 400, 0, false, true, "ask", body), new Taker());
     }
 
     private Options options(int tries) {
-        return new Options(SETTINGS.formatted(!rogue, tries, semantics.name().toLowerCase(
-                java.util.Locale.ROOT)));
+        return new Options(SETTINGS.formatted(!rogue, tries, semantics.name().toLowerCase(java.util.Locale.ROOT)));
     }
 
     private static Target target(int number, State state) {
-        return new Target("s" + number, new InetSocketAddress("127.0.0.1", number), "z", "k", number, state,
-                1,
-                0);
+        return new Target("s" + number, new InetSocketAddress("127.0.0.1", number), "z", "k", number, state, 1, 0);
     }
 
     /** The real module, between two ears. */
     private Balancer module(Balancer.Settings settings, Balancer.Actions actions) {
-        Balancer.Actions heard = (Balancer.Actions) Proxy.newProxyInstance(Scene.class.getClassLoader(),
-                new Class<?>[] {Balancer.Actions.class}, (proxy, method, arguments) -> {
+        Balancer.Actions heard = (Balancer.Actions) Proxy.newProxyInstance(
+                Scene.class.getClassLoader(), new Class<?>[] {Balancer.Actions.class}, (proxy, method, arguments) -> {
                     if (method.getName().equals("send")) {
                         orders++;
                     }
                     return call(actions, method, arguments);
                 });
         Balancer rules = new Rules(settings, 7, heard);
-        return (Balancer) Proxy.newProxyInstance(Scene.class.getClassLoader(),
-                new Class<?>[] {Balancer.class},
-                (proxy, method, arguments) -> {
+        return (Balancer) Proxy.newProxyInstance(
+                Scene.class.getClassLoader(), new Class<?>[] {Balancer.class}, (proxy, method, arguments) -> {
                     if (method.getName().equals("outcome")) {
                         outcomes.merge((Integer) arguments[2], 1, Integer::sum);
                     }
@@ -126,8 +122,7 @@
                 });
     }
 
-    private static Object call(Object on, java.lang.reflect.Method method, Object[] arguments)
-            throws Throwable {
+    private static Object call(Object on, java.lang.reflect.Method method, Object[] arguments) throws Throwable {
         try {
             return method.invoke(on, arguments);
         } catch (InvocationTargetException e) {
@@ -157,7 +152,8 @@
         @Override
         public void finished() {
             assertTrue(begun, "finished what never began");
-            assertTrue(back.sent.stream().allMatch(each -> !each.begun || each.attempt.over()),
+            assertTrue(
+                    back.sent.stream().allMatch(each -> !each.begun || each.attempt.over()),
                     "finished by another's end");
             ends("finished");
         }
@@ -242,7 +238,8 @@
         time.pass(1_000_000);
         String[] words = event.split(" ");
         PlayBack.Sent sent = words.length == 2 && Character.isDigit(words[1].charAt(0))
-                ? back.sent.get(Integer.parseInt(words[1])) : null;
+                ? back.sent.get(Integer.parseInt(words[1]))
+                : null;
         // What was due meanwhile may have ended it.
         if (sent != null && sent.attempt.over()) {
             return;
@@ -262,10 +259,10 @@
                 sent.begun = true;
                 sent.attempt.begin("first", -1, new Source() {
                     @Override
-                    public void pause() { }
+                    public void pause() {}
 
                     @Override
-                    public void resume() { }
+                    public void resume() {}
                 });
             }
             case "more" -> {
@@ -336,7 +333,8 @@
             assertTrue(each.readyThen, "sent to a drained server");
             assertTrue(rogue || semantics != Semantics.ONCE || !each.afterDoubt, "ran twice");
             assertTrue(!left || !each.begun || each.attempt.over(), "answers who has left");
-            assertTrue(!left || each.attempt.written() || each.attempt.over(),
+            assertTrue(
+                    !left || each.attempt.written() || each.attempt.over(),
                     "waits to be sent on though its client has left");
         }
         assertTrue(back.sent.stream().noneMatch(each -> each.withoutBody), "sent again without its body");
@@ -365,12 +363,20 @@
 
     /** Where things stand, for counting how many different states were seen. */
     String state() {
-        StringBuilder text = new StringBuilder().append(exchanges.phases()).append(finals).append(begun)
-                .append(left).append(dropped).append(retuned).append(stopped).append(body.whole())
-                .append(drainedAt.keySet()).append(time.stalled());
+        StringBuilder text = new StringBuilder()
+                .append(exchanges.phases())
+                .append(finals)
+                .append(begun)
+                .append(left)
+                .append(dropped)
+                .append(retuned)
+                .append(stopped)
+                .append(body.whole())
+                .append(drainedAt.keySet())
+                .append(time.stalled());
         for (PlayBack.Sent each : back.sent) {
-            text.append(each.server).append(each.attempt.over() ? 'o' : each.begun ? 'b'
-                    : each.attempt.written() ? 'w' : 'n');
+            text.append(each.server)
+                    .append(each.attempt.over() ? 'o' : each.begun ? 'b' : each.attempt.written() ? 'w' : 'n');
         }
         return text.toString();
     }
--- a/core/src/test/java/topazvalve/core/stream/RequestBodyTest.java
+++ b/core/src/test/java/topazvalve/core/stream/RequestBodyTest.java
@@ -22,7 +22,7 @@
 
     private RequestBody body(long budget) {
         RequestBody body = new RequestBody(new ByteBudget(budget), -1);
-        body.onProgress(() -> { }, () -> dropped++);
+        body.onProgress(() -> {}, () -> dropped++);
         body.onRoom(() -> rooms++);
         return body;
     }
@@ -45,14 +45,14 @@
         RequestBody body = body(1 << 20);
         byte[] bytes = bytes(50_000);
         body.add(Unpooled.wrappedBuffer(bytes, 0, 20_000));
-        body.read(() -> { });
+        body.read(() -> {});
         readAll(body);
         assertFalse(body.drained(), "more is to come");
         body.add(Unpooled.wrappedBuffer(bytes, 20_000, 30_000));
         body.end();
         for (int attempt = 0; attempt < 3; attempt++) {
             read.reset();
-            body.read(() -> { });
+            body.read(() -> {});
             readAll(body);
             assertTrue(body.drained());
             assertArrayEquals(bytes, read.toByteArray());
@@ -73,7 +73,7 @@
             if (body.full()) {
                 if (!reading) {
                     assertTrue(body.repeatable(), "all is there until somebody reads");
-                    body.read(() -> { });
+                    body.read(() -> {});
                     reading = true;
                 }
                 int before = rooms;
@@ -111,7 +111,7 @@
         }
         assertFalse(body.full());
         rooms = 0;
-        body.read(() -> { });
+        body.read(() -> {});
         readAll(body);
         assertTrue(rooms > 0);
         assertTrue(body.repeatable(), "there was no need to let go of anything");
--- a/decisions/src/main/java/topazvalve/decisions/Alarms.java
+++ b/decisions/src/main/java/topazvalve/decisions/Alarms.java
@@ -5,10 +5,10 @@
 
 /** Alarms of the module behind one timer of the host. A queue of times: it decides nothing. */
 final class Alarms {
-    private record Alarm(long at, long serial, LongConsumer what) { }
+    private record Alarm(long at, long serial, LongConsumer what) {}
 
-    private final PriorityQueue<Alarm> queue = new PriorityQueue<>((a, b) ->
-            a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.serial, b.serial));
+    private final PriorityQueue<Alarm> queue =
+            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.serial, b.serial));
     private long serials;
     private long timerAt = Long.MAX_VALUE;
     private long timerToken;
--- a/decisions/src/main/java/topazvalve/decisions/Balancer.java
+++ b/decisions/src/main/java/topazvalve/decisions/Balancer.java
@@ -60,25 +60,50 @@
     }
 
     /** What a class of request allows after an attempt that may have run. */
-    enum Semantics { REPEATABLE, BY_KEY, ONCE }
+    enum Semantics {
+        REPEATABLE,
+        BY_KEY,
+        ONCE
+    }
 
     /** Which upstreams drop a repeat of a keyed request: all, those of one zone, those of one cell. */
-    enum Scope { ALL, ZONE, CELL }
+    enum Scope {
+        ALL,
+        ZONE,
+        CELL
+    }
 
     /** State of an upstream in a list. */
-    enum State { GONE, READY, DRAINING }
+    enum State {
+        GONE,
+        READY,
+        DRAINING
+    }
 
     /**
      * Kind of a list event: changes only, everything, the last list known before a start, or a failed
      * call.
      */
-    enum ListKind { DELTA, FULL, CACHED, FAILED }
+    enum ListKind {
+        DELTA,
+        FULL,
+        CACHED,
+        FAILED
+    }
 
     /** Whether the list comes by itself or must be subscribed to. */
-    enum Discovery { AUTOMATIC, SUBSCRIBE }
+    enum Discovery {
+        AUTOMATIC,
+        SUBSCRIBE
+    }
 
     /** What {@link Upstream#weight()} holds; LIVE changes with the load, SILENT is always 1. */
-    enum Weights { SILENT, NOMINAL, ROUGH, LIVE }
+    enum Weights {
+        SILENT,
+        NOMINAL,
+        ROUGH,
+        LIVE
+    }
 
     /**
      * A class of request; times in nanoseconds.
@@ -91,8 +116,16 @@
      * @param stream the answer streams: {@link Balancer#firstByte} tells of its start, and its attempt counts
      *     as in flight until its outcome
      */
-    record RequestClass(long aim, double aimStretch, long deadline, double worth, double lateShare,
-            Semantics semantics, Scope scope, long keyTtl, boolean stream) {
+    record RequestClass(
+            long aim,
+            double aimStretch,
+            long deadline,
+            double worth,
+            double lateShare,
+            Semantics semantics,
+            Scope scope,
+            long keyTtl,
+            boolean stream) {
         public RequestClass {
             require(aim > 0, "class aim");
             require(deadline >= aim, "class deadline");
@@ -115,8 +148,15 @@
      * What the host allows; a disallowed action is never asked for. {@link Rules} makes no use of
      * peers or parallel tries so far.
      */
-    record Allowed(boolean cancel, boolean probes, boolean peers, boolean parallelTries, boolean retryAfter,
-            int tryLimit, long maxRetryAfter, long connectTimeout) {
+    record Allowed(
+            boolean cancel,
+            boolean probes,
+            boolean peers,
+            boolean parallelTries,
+            boolean retryAfter,
+            int tryLimit,
+            long maxRetryAfter,
+            long connectTimeout) {
         public Allowed {
             require(tryLimit >= 1, "try limit");
             require(maxRetryAfter >= 0 && connectTimeout >= 0, "retry-after and connect time-out");
@@ -134,8 +174,14 @@
     }
 
     /** The numbers behind the four rules; times in nanoseconds. */
-    record Limits(long answerSlack, long askWithin, long drainGrace, double coldShare, long rampTime,
-            double overloadFactor, long tipAfter) {
+    record Limits(
+            long answerSlack,
+            long askWithin,
+            long drainGrace,
+            double coldShare,
+            long rampTime,
+            double overloadFactor,
+            long tipAfter) {
         public Limits {
             require(answerSlack >= 0 && askWithin >= 0 && drainGrace >= 0, "rule times");
             require(coldShare > 0 && coldShare <= 1, "cold share");
@@ -154,9 +200,21 @@
      * @param valueByWork worth counts per unit of work, not per request
      * @param overShareWorth what a request beyond its tenant's quota is worth, as a part of its class's worth
      */
-    record Settings(int rank, int replicas, int zone, long quantum, Discovery discovery, Weights weights,
-            List<RequestClass> classes, List<Tenant> tenants, Allowed allowed, Limits limits,
-            List<String> reportFields, Charges charges, boolean valueByWork, double overShareWorth) {
+    record Settings(
+            int rank,
+            int replicas,
+            int zone,
+            long quantum,
+            Discovery discovery,
+            Weights weights,
+            List<RequestClass> classes,
+            List<Tenant> tenants,
+            Allowed allowed,
+            Limits limits,
+            List<String> reportFields,
+            Charges charges,
+            boolean valueByWork,
+            double overShareWorth) {
         public Settings {
             require(replicas >= 1 && rank >= 0, "rank and replicas");
             require(quantum >= 0, "quantum");
@@ -169,8 +227,21 @@
 
         /** The same settings with other classes. */
         public Settings with(List<RequestClass> others) {
-            return new Settings(rank, replicas, zone, quantum, discovery, weights, others, tenants, allowed,
-                    limits, reportFields, charges, valueByWork, overShareWorth);
+            return new Settings(
+                    rank,
+                    replicas,
+                    zone,
+                    quantum,
+                    discovery,
+                    weights,
+                    others,
+                    tenants,
+                    allowed,
+                    limits,
+                    reportFields,
+                    charges,
+                    valueByWork,
+                    overShareWorth);
         }
     }
 
@@ -194,8 +265,15 @@
      * @param costHint rough work to expect in nanoseconds; 0 where unknown
      * @param clientRetry the client marked it as a repeat
      */
-    record Request(long id, int requestClass, int tenant, long key, long timeLeft, long costHint,
-            boolean clientRetry, boolean write) { }
+    record Request(
+            long id,
+            int requestClass,
+            int tenant,
+            long key,
+            long timeLeft,
+            long costHint,
+            boolean clientRetry,
+            boolean write) {}
 
     /** What an instance orders. The host carries each out at the time of the event being handled. */
     interface Actions {
@@ -261,8 +339,15 @@
     void firstByte(long now, long request, int attempt, long upstream, long elapsed);
 
     /** An attempt has ended; {@code ended} says that the request has, by this outcome or before. */
-    void outcome(long now, long request, int attempt, long upstream, Outcome outcome, long elapsed,
-            boolean ended, float[] load);
+    void outcome(
+            long now,
+            long request,
+            int attempt,
+            long upstream,
+            Outcome outcome,
+            long elapsed,
+            boolean ended,
+            float[] load);
 
     /** The client has left. */
     void hangup(long now, long request);
@@ -271,7 +356,7 @@
     void timer(long now, long token);
 
     /** A probe's result. */
-    default void probeResult(long now, long upstream, Outcome outcome, long elapsed, float[] load) { }
+    default void probeResult(long now, long upstream, Outcome outcome, long elapsed, float[] load) {}
 
     /**
      * New settings hold from now on. A class keeps its number and its effect for ever, and new ones come
@@ -284,7 +369,7 @@
     int avoided(long now);
 
     /** A message from another sidecar of this tier. */
-    default void peerMessage(long now, int from, byte[] message) { }
+    default void peerMessage(long now, int from, byte[] message) {}
 
     private static void require(boolean holds, String setting) {
         if (!holds) {
--- a/decisions/src/main/java/topazvalve/decisions/Options.java
+++ b/decisions/src/main/java/topazvalve/decisions/Options.java
@@ -29,7 +29,9 @@
         for (String line : text.split("\n")) {
             int equals = line.indexOf('=');
             if (equals > 0) {
-                values.put(line.substring(0, equals).trim(), line.substring(equals + 1).trim());
+                values.put(
+                        line.substring(0, equals).trim(),
+                        line.substring(equals + 1).trim());
             }
         }
     }
@@ -47,32 +49,57 @@
             String path = "parties." + i + ".";
             tenants.add(new Tenant(number(path + "portion", 0), number(path + "quotaRps", 0)));
         }
-        return new Settings((int) number("rank", 0), (int) number("replicasOfMe", 1), (int) number("zone", 0),
-                (long) number("quantum", 0), choice(Discovery.class, "discovery", Discovery.AUTOMATIC),
-                choice(Weights.class, "weights", Weights.SILENT), classes, tenants,
-                allowed(), limits(), list("report.fields"),
+        return new Settings(
+                (int) number("rank", 0),
+                (int) number("replicasOfMe", 1),
+                (int) number("zone", 0),
+                (long) number("quantum", 0),
+                choice(Discovery.class, "discovery", Discovery.AUTOMATIC),
+                choice(Weights.class, "weights", Weights.SILENT),
+                classes,
+                tenants,
+                allowed(),
+                limits(),
+                list("report.fields"),
                 new Charges(number("charges.probe", 0), number("charges.peer", 0)),
-                "work".equals(values.get("valueBy")), number("overShareWorth", 1));
+                "work".equals(values.get("valueBy")),
+                number("overShareWorth", 1));
     }
 
     private RequestClass requestClass(String path) {
         Semantics semantics = choice(Semantics.class, path + "semantics", null);
-        return new RequestClass((long) required(path + "slo"), number(path + "aimStretch", 0),
-                (long) required(path + "deadline"), number(path + "worth", 1), number(path + "lateShare", 0),
-                semantics, choice(Scope.class, path + "keyScope", Scope.CELL),
-                (long) number(path + "keyTtl", 0), flag(path + "stream"));
+        return new RequestClass(
+                (long) required(path + "slo"),
+                number(path + "aimStretch", 0),
+                (long) required(path + "deadline"),
+                number(path + "worth", 1),
+                number(path + "lateShare", 0),
+                semantics,
+                choice(Scope.class, path + "keyScope", Scope.CELL),
+                (long) number(path + "keyTtl", 0),
+                flag(path + "stream"));
     }
 
     private Allowed allowed() {
-        return new Allowed(flag("caps.mayCancel"), flag("caps.mayProbe"), flag("caps.peers"),
-                flag("caps.parallelTries"), flag("caps.retryAfter"), (int) number("caps.tryLimit", 1),
-                (long) number("caps.maxRetryAfter", 0), (long) number("caps.connectTimeout", 0));
+        return new Allowed(
+                flag("caps.mayCancel"),
+                flag("caps.mayProbe"),
+                flag("caps.peers"),
+                flag("caps.parallelTries"),
+                flag("caps.retryAfter"),
+                (int) number("caps.tryLimit", 1),
+                (long) number("caps.maxRetryAfter", 0),
+                (long) number("caps.connectTimeout", 0));
     }
 
     private Limits limits() {
-        return new Limits((long) required("rules.answerSlack"), (long) number("rules.askWithin", 0),
-                (long) required("rules.stopSendingWithin"), required("rules.coldShare"),
-                (long) required("rules.rampTime"), required("rules.overloadFactor"),
+        return new Limits(
+                (long) required("rules.answerSlack"),
+                (long) number("rules.askWithin", 0),
+                (long) required("rules.stopSendingWithin"),
+                required("rules.coldShare"),
+                (long) required("rules.rampTime"),
+                required("rules.overloadFactor"),
                 (long) required("rules.tipAfter"));
     }
 
--- a/decisions/src/main/java/topazvalve/decisions/Rules.java
+++ b/decisions/src/main/java/topazvalve/decisions/Rules.java
@@ -14,7 +14,7 @@
 
 /** Every decision of one sidecar; {@code docs/design/policy.md} gives the reason for each rule. */
 public final class Rules implements Balancer {
-    private static final long NEWS_TIME = 6_000_000_000L;  // fits two calls' waits of 2 s and a back-off
+    private static final long NEWS_TIME = 6_000_000_000L; // fits two calls' waits of 2 s and a back-off
     private Settings settings;
     private final Actions actions;
     private final Random random;
@@ -100,8 +100,15 @@
     }
 
     @Override
-    public void outcome(long now, long request, int attempt, long upstream, Outcome outcome, long elapsed,
-            boolean ended, float[] load) {
+    public void outcome(
+            long now,
+            long request,
+            int attempt,
+            long upstream,
+            Outcome outcome,
+            long elapsed,
+            boolean ended,
+            float[] load) {
         ledger.outcome(now, request, attempt, outcome, ended);
         admission.drain(now);
         alarms.flush();
@@ -146,7 +153,9 @@
 
     @Override
     public int avoided(long now) {
-        return (int) roster.ready.stream().filter(server -> health.shutToAll(now, server)).count();
+        return (int) roster.ready.stream()
+                .filter(server -> health.shutToAll(now, server))
+                .count();
     }
 
     /** The order, the pointer and the pick. */
@@ -237,6 +246,7 @@
         long backoff;
         /** A probe is out; the last one was answered, and no request has followed it. */
         boolean asked;
+
         boolean vouched;
         int unanswered;
         double limit = Admission.FIRST_LIMIT;
@@ -261,11 +271,13 @@
         final double found;
         /** When the upstream had the whole request, and how much it had before; from then it is in flight. */
         long wholeAt;
+
         int crowd;
         boolean inFlight;
         boolean settled;
         /** Among what is in flight in all. */
         boolean counted;
+
         boolean stream;
         boolean out = true;
         boolean mayHaveRun = true;
@@ -335,10 +347,14 @@
         private final Map<Long, Call> calls = new HashMap<>();
 
         Call open(long now, Request request, boolean arriving) {
-            Call call = new Call(request, settings.classes().get(request.requestClass()),
-                    settings.allowed().tryLimit(), now, admission.elapsed(request));
-            call.expected = Math.max(call.aim / 1000.0,
-                    health.usual.get(request.requestClass()).expected(request.costHint()));
+            Call call = new Call(
+                    request,
+                    settings.classes().get(request.requestClass()),
+                    settings.allowed().tryLimit(),
+                    now,
+                    admission.elapsed(request));
+            call.expected = Math.max(
+                    call.aim / 1000.0, health.usual.get(request.requestClass()).expected(request.costHint()));
             call.arriving = arriving;
             calls.put(request.id(), call);
             endAtDeadline(call);
@@ -408,17 +424,22 @@
 
         /** Whether some further attempt is allowed now, whichever server it goes to. */
         boolean mayTryAgain(long now, Call call) {
-            if (call.closed || call.streaming || call.unrepeatable || now >= call.deadline
-                    || call.waiting() || call.attempts.size() >= call.tryLimit) {
+            if (call.closed
+                    || call.streaming
+                    || call.unrepeatable
+                    || now >= call.deadline
+                    || call.waiting()
+                    || call.attempts.size() >= call.tryLimit) {
                 return false;
             }
             Attempt doubt = firstDoubt(call);
-            return doubt == null || switch (call.kind.semantics()) {
-                case REPEATABLE -> true;
-                case ONCE -> false;
-                // One quantum is kept back: the send takes effect at the end of this batch.
-                case BY_KEY -> now + settings.quantum() < doubt.sentAt + call.kind.keyTtl();
-            };
+            return doubt == null
+                    || switch (call.kind.semantics()) {
+                        case REPEATABLE -> true;
+                        case ONCE -> false;
+                        // One quantum is kept back: the send takes effect at the end of this batch.
+                        case BY_KEY -> now + settings.quantum() < doubt.sentAt + call.kind.keyTtl();
+                    };
         }
 
         /** Whether the next attempt, if there may be one, may go to this server. */
@@ -476,7 +497,8 @@
             if (call.arriving) {
                 startClock(now, call);
             }
-            if (mayTryAgain(now, call) && roster.ready.stream().anyMatch(next -> mayGoTo(call, next))
+            if (mayTryAgain(now, call)
+                    && roster.ready.stream().anyMatch(next -> mayGoTo(call, next))
                     && admission.worthRetry(now, call)) {
                 admission.admit(now, call);
             } else {
@@ -489,7 +511,8 @@
             if (call.closed) {
                 return;
             }
-            boolean harmless = firstDoubt(call) == null || call.kind.semantics() == Semantics.REPEATABLE
+            boolean harmless = firstDoubt(call) == null
+                    || call.kind.semantics() == Semantics.REPEATABLE
                     || call.kind.semantics() == Semantics.BY_KEY && call.kind.scope() == Scope.ALL;
             if (harmless) {
                 actions.refuse(call.request.id(), admission.stayAway(call));
@@ -501,7 +524,10 @@
 
         /** Nothing is sent for a closed request; its outstanding attempt still counts as in flight. */
         void close(Call call) {
-            if (!call.closed && call.waiting() && !call.streaming && settings.allowed().cancel()) {
+            if (!call.closed
+                    && call.waiting()
+                    && !call.streaming
+                    && settings.allowed().cancel()) {
                 actions.cancel(call.request.id(), call.attempts.size() - 1);
             }
             call.closed = true;
@@ -519,11 +545,12 @@
         private boolean listed;
         /** Work of the requests that came, whatever became of them. */
         private final FadingSum offered = new FadingSum(settings.limits().tipAfter(), 0);
-        private long retryWait;  // with jitter: the calls of many sidecars fail together
+
+        private long retryWait; // with jitter: the calls of many sidecars fail together
         private long asked;
 
         void retuned(long now) {
-            retryWait = 0;  // may name another discovery, whose news counts as told within seconds
+            retryWait = 0; // may name another discovery, whose news counts as told within seconds
             offered.window(now, settings.limits().tipAfter());
         }
 
@@ -568,7 +595,9 @@
             }
             listed = true;
             if (changed) {
-                ready = servers.values().stream().filter(s -> s.entry.state() == State.READY).toList();
+                ready = servers.values().stream()
+                        .filter(s -> s.entry.state() == State.READY)
+                        .toList();
                 pattern.redraw(ready);
             }
         }
@@ -601,8 +630,8 @@
             if (!server.coldMet) {
                 // A random debt: free first requests of many sidecars would come together.
                 server.coldMet = true;
-                server.coldTokens = ready.stream().allMatch(other -> now < other.coldUntil) ? 0
-                        : -random.nextDouble() * work(call);
+                server.coldTokens =
+                        ready.stream().allMatch(other -> now < other.coldUntil) ? 0 : -random.nextDouble() * work(call);
             }
             double depth = rate * settings.limits().tipAfter() / 2;
             server.coldTokens = Math.min(depth, server.coldTokens + rate * (now - server.coldAt));
@@ -615,14 +644,16 @@
             if (now >= server.coldUntil) {
                 return 1;
             }
-            double warm = 1 - (server.coldUntil - now) / (double) settings.limits().rampTime();
+            double warm =
+                    1 - (server.coldUntil - now) / (double) settings.limits().rampTime();
             double cold = settings.limits().coldShare();
             return cold + (1 - cold) * Math.max(0, Math.min(1, warm));
         }
 
         /** Work a nanosecond that is asked of this sidecar for each warm server's worth of capacity. */
         private double forEach(long now) {
-            double capacity = ready.stream().mapToDouble(server -> capacity(now, server)).sum();
+            double capacity =
+                    ready.stream().mapToDouble(server -> capacity(now, server)).sum();
             return capacity == 0 ? 0 : offered.rate(now) / capacity;
         }
 
@@ -635,6 +666,7 @@
     private static final class Usual {
         /** About the last 50 answers. */
         private static final double NEW = 0.02;
+
         double mean;
         private long seen;
         private double cost;
@@ -680,9 +712,11 @@
     private final class Health {
         /** Part of the aim: a kind that takes no more is far from its limit and takes every turn. */
         private static final double EASY = 0.25;
+
         private static final double STEEP = 4;
         /** So that what is held against a server is looked at again. */
         private static final double LEAST = 0.1;
+
         private final Map<Integer, Pace> paces = new TreeMap<>();
         private double fastest = 1;
 
@@ -693,13 +727,15 @@
         /** The fraction of its turns that an endpoint takes: fewer where its machine kind is slow. */
         double turnShare(Server server, Call call) {
             double pace = (server.exposure + 2 * pace(server).mean) / (server.heard + 2);
-            return server.nextTrial > 0 || pace * call.expected < EASY * call.aim ? 1
+            return server.nextTrial > 0 || pace * call.expected < EASY * call.aim
+                    ? 1
                     : Math.max(LEAST, Math.min(1, Math.pow(fastest / pace, STEEP)));
         }
 
         private void learnPace(Server server, double ratio) {
             pace(server).learn(ratio);
-            fastest = paces.values().stream().mapToDouble(pace -> pace.mean).min().orElse(1);
+            fastest =
+                    paces.values().stream().mapToDouble(pace -> pace.mean).min().orElse(1);
         }
 
         /** A part of the aim: a server expected to take longer is of no use to the class. */
@@ -708,6 +744,7 @@
         private static final double SLOW = 2;
         /** Of each class, over all servers, starting from a tenth of its aim. */
         private final List<Usual> usual = new ArrayList<>();
+
         private long firstBackoff;
 
         Health() {
@@ -719,7 +756,10 @@
             for (int i = usual.size(); i < settings.classes().size(); i++) {
                 usual.add(new Usual(settings.classes().get(i).aim() / 10.0));
             }
-            firstBackoff = settings.classes().stream().mapToLong(RequestClass::aim).min().orElse(1);
+            firstBackoff = settings.classes().stream()
+                    .mapToLong(RequestClass::aim)
+                    .min()
+                    .orElse(1);
         }
 
         private void integrate(long now, Server server) {
@@ -835,7 +875,7 @@
                     server.exposure += 2 * call.aim / call.expected;
                 }
                 case CONNECT_FAILED -> server.connectFailures++;
-                default -> { }
+                default -> {}
             }
         }
 
@@ -851,6 +891,7 @@
     private static final class Share {
         /** Newest first: under overload some wait in vain and the rest are in time. */
         private final ArrayDeque<Call> held = new ArrayDeque<>();
+
         private final double quota;
         private final FadingSum spent;
         private long skippedAt;
@@ -875,6 +916,7 @@
         private static final int MANY_VOTES = 100;
         /** Four in five in time is sound enough: the rest is chance and single faults. */
         private static final double ENOUGH = 1.25;
+
         private final Share[] shares = new Share[Math.max(1, settings.tenants().size())];
         private int held;
         private long drains;
@@ -886,22 +928,28 @@
         private static final double GOOD = 0.3;
         /** Part of the room that every class may use. */
         private static final double UNRESERVED = 0.6;
+
         private static final double NEARLY = 1.5;
         private static final double LATELY = 2;
         /** In the order of their start; {@code out} counts them until they end, or are out for an aim. */
         private final ArrayDeque<Attempt> flying = new ArrayDeque<>();
+
         private int out;
         /** Good times of the requests that came; times of the answers, in good times; and their number. */
         private final FadingSum wanted = new FadingSum(LATELY * health.firstBackoff, 0);
+
         private final FadingSum times = new FadingSum(LATELY * health.firstBackoff, 0);
         private final FadingSum answers = new FadingSum(LATELY * health.firstBackoff, 0);
         private final FadingSum inTime = new FadingSum(8.0 * health.firstBackoff, 1);
 
         Admission() {
             for (int i = 0; i < shares.length; i++) {
-                double quota = settings.tenants().isEmpty() ? 1 : settings.tenants().get(i).quotaPerSecond();
+                double quota = settings.tenants().isEmpty()
+                        ? 1
+                        : settings.tenants().get(i).quotaPerSecond();
                 // Four aims: long against answers, short against a burst of some seconds.
-                shares[i] = new Share(quota > 0 ? quota : 1, 4.0 * settings.classes().get(0).aim());
+                shares[i] = new Share(
+                        quota > 0 ? quota : 1, 4.0 * settings.classes().get(0).aim());
             }
         }
 
@@ -944,7 +992,7 @@
                 return;
             }
             if (call.attempts.isEmpty() && now + Math.min(call.expected, call.aim) / 2 >= call.aimAt) {
-                ledger.answer(call);  // a client's later try that can hardly be in time
+                ledger.answer(call); // a client's later try that can hardly be in time
             } else if (held > 0 || !place(now, call)) {
                 call.held = true;
                 share(call).held.push(call);
@@ -976,8 +1024,7 @@
         private boolean full(long now, Call call) {
             double slower = (times.value(now) + 1) / (answers.value(now) + 1);
             double room = wanted.rate(now) / Math.max(1, slower);
-            while (!flying.isEmpty() && (flying.peek().settled
-                    || now - flying.peek().wholeAt > health.firstBackoff)) {
+            while (!flying.isEmpty() && (flying.peek().settled || now - flying.peek().wholeAt > health.firstBackoff)) {
                 landed(flying.poll());
             }
             return out >= (1 + room + Math.sqrt(room)) * (dear(call) ? 1 : UNRESERVED);
@@ -1002,7 +1049,8 @@
         /** The newest that is held or, where there is no room for such, the newest that is dear. */
         private Call next(long now, Share share) {
             Call newest = share.held.peek();
-            return !newest.held || !full(now, newest) ? newest
+            return !newest.held || !full(now, newest)
+                    ? newest
                     : share.held.stream().filter(this::dear).findFirst().orElse(newest);
         }
 
@@ -1040,7 +1088,8 @@
             while (held > 0) {
                 Share poorest = null;
                 for (Share share : shares) {
-                    if (!share.held.isEmpty() && share.skippedAt != drains
+                    if (!share.held.isEmpty()
+                            && share.skippedAt != drains
                             && (poorest == null || share.used(now) < poorest.used(now))) {
                         poorest = share;
                     }
@@ -1077,7 +1126,7 @@
                     server.lastCut = now;
                 }
             } else if (outcome == Outcome.OK && attempt.crowd + 1 >= server.limit / 2) {
-                server.limit += Math.min(0.2 * server.limit, 1 / server.limit);  // one a round trip
+                server.limit += Math.min(0.2 * server.limit, 1 / server.limit); // one a round trip
             }
         }
 
@@ -1087,8 +1136,7 @@
         }
 
         long stayAway(Call call) {
-            return settings.allowed().retryAfter()
-                    ? Math.min(settings.allowed().maxRetryAfter(), call.aim / 2) : 0;
+            return settings.allowed().retryAfter() ? Math.min(settings.allowed().maxRetryAfter(), call.aim / 2) : 0;
         }
     }
 
@@ -1100,10 +1148,12 @@
         private static final double CHEAP = 0.01;
         /** Part of the aim that a look may take; a healthy upstream answers beside its queue at once. */
         private static final int PATIENCE = 20;
+
         private int field;
         private boolean pays;
         /** Part of the aim that an upstream's work in hand may take up; the rest is for its spread. */
         private static final double FULL = 0.6;
+
         private double usual;
         private double turnTime;
 
@@ -1113,7 +1163,8 @@
 
         void retuned() {
             field = settings.reportFields().indexOf("rif");
-            pays = field >= 0 && settings.allowed().probes()
+            pays = field >= 0
+                    && settings.allowed().probes()
                     && settings.charges().probe() * ASKED <= CHEAP;
         }
 
@@ -1154,8 +1205,8 @@
             if (call.pending == 0 || (call.pending -= answers) > 0 || call.closed) {
                 return;
             }
-            double least = call.looked.stream().mapToDouble(each -> each.holds).min()
-                    .orElse(Double.MAX_VALUE);
+            double least =
+                    call.looked.stream().mapToDouble(each -> each.holds).min().orElse(Double.MAX_VALUE);
             double full = FULL * call.aim / Math.max(1, turnTime) - 1;
             if (least == Double.MAX_VALUE) {
                 call.looked = List.of();
--- a/decisions/src/test/java/topazvalve/decisions/EmbeddingExampleTest.java
+++ b/decisions/src/test/java/topazvalve/decisions/EmbeddingExampleTest.java
@@ -21,8 +21,10 @@
         Balancer balancer = host.rules;
         long now = host.now;
 
-        balancer.listChanged(now, ListKind.CACHED, List.of(
-                new Upstream(1, 0, 0, 0, State.READY, 1, 0), new Upstream(2, 0, 0, 0, State.READY, 1, 0)));
+        balancer.listChanged(
+                now,
+                ListKind.CACHED,
+                List.of(new Upstream(1, 0, 0, 0, State.READY, 1, 0), new Upstream(2, 0, 0, 0, State.READY, 1, 0)));
         balancer.request(now, new Request(100, 0, 0, 0, 1_000_000_000L, 0, false, false));
         Recorder.Sent sent = host.last();
         assertEquals(100, sent.request());
--- a/decisions/src/test/java/topazvalve/decisions/FleetRulesTest.java
+++ b/decisions/src/test/java/topazvalve/decisions/FleetRulesTest.java
@@ -58,7 +58,7 @@
         private final long downUntil;
         private long free;
 
-        private record Call(int sidecar, long endsAt, boolean answered) { }
+        private record Call(int sidecar, long endsAt, boolean answered) {}
 
         /** While it is {@code down} a call takes {@code hang} to fail, 0 for one that is refused. */
         Discovery(int sidecars, int aSecond, long down, long hang, long seed) {
@@ -87,12 +87,14 @@
                     }
                 }
                 long until = now;
-                List<Call> ended = waiting.stream().filter(call -> call.endsAt <= until).toList();
+                List<Call> ended =
+                        waiting.stream().filter(call -> call.endsAt <= until).toList();
                 waiting.removeAll(ended);
                 for (Call call : ended) {
                     heard.set(call.sidecar, call.answered ? now - downUntil : heard.get(call.sidecar));
-                    fleet.get(call.sidecar).rules.listChanged(now,
-                            call.answered ? ListKind.DELTA : ListKind.FAILED, List.of());
+                    fleet.get(call.sidecar)
+                            .rules
+                            .listChanged(now, call.answered ? ListKind.DELTA : ListKind.FAILED, List.of());
                 }
                 now += STEP;
             }
@@ -121,8 +123,7 @@
     void newsIsHeardWithinSixSecondsOfDiscoverysReturn(long downMs, long hangMs, int seconds) {
         for (int seed = 0; seed < 20; seed++) {
             for (int aSecond : new int[] {3, 5}) {
-                List<Double> heard =
-                        new Discovery(seconds * aSecond, aSecond, downMs * MS, hangMs * MS, seed).play();
+                List<Double> heard = new Discovery(seconds * aSecond, aSecond, downMs * MS, hangMs * MS, seed).play();
                 assertTrue(heard.get(heard.size() - 1) <= 6, aSecond + "/s, seed " + seed + ": " + heard);
             }
         }
@@ -149,7 +150,7 @@
         private long nextId;
         private int mostOut;
 
-        private record Due(long at, Recorder.Sent sent, Outcome outcome) { }
+        private record Due(long at, Recorder.Sent sent, Outcome outcome) {}
 
         Load(Recorder host) {
             this.host = host;
@@ -176,14 +177,18 @@
             while (seen < host.sends.size()) {
                 Recorder.Sent sent = host.sends.get(seen++);
                 long wait = took.applyAsLong(sent.upstream());
-                due.add(wait < 0 ? new Due(sent.at() + 1_000 * MS, sent, Outcome.TIMEOUT)
-                        : new Due(sent.at() + wait, sent, Outcome.OK));
+                due.add(
+                        wait < 0
+                                ? new Due(sent.at() + 1_000 * MS, sent, Outcome.TIMEOUT)
+                                : new Due(sent.at() + wait, sent, Outcome.OK));
             }
             mostOut = Math.max(mostOut, due.size());
         }
 
         long refused() {
-            return host.answers.stream().filter(answer -> answer.startsWith("refuse")).count();
+            return host.answers.stream()
+                    .filter(answer -> answer.startsWith("refuse"))
+                    .count();
         }
     }
 
@@ -193,10 +198,23 @@
 
     private static Recorder probing(long seed, Balancer.RequestClass requestClass) {
         Balancer.Settings base = settings(requestClass);
-        return new Recorder(new Balancer.Settings(0, SIDECARS, 0, 5 * MS, Balancer.Discovery.AUTOMATIC,
-                Balancer.Weights.SILENT, base.classes(), List.of(),
-                new Balancer.Allowed(true, true, false, true, true, 3, 1_000 * MS, 250 * MS), base.limits(),
-                List.of(), Balancer.Charges.NONE, false, 1), seed);
+        return new Recorder(
+                new Balancer.Settings(
+                        0,
+                        SIDECARS,
+                        0,
+                        5 * MS,
+                        Balancer.Discovery.AUTOMATIC,
+                        Balancer.Weights.SILENT,
+                        base.classes(),
+                        List.of(),
+                        new Balancer.Allowed(true, true, false, true, true, 3, 1_000 * MS, 250 * MS),
+                        base.limits(),
+                        List.of(),
+                        Balancer.Charges.NONE,
+                        false,
+                        1),
+                seed);
     }
 
     /** Where all servers grow slow at once, each sidecar holds back long before each server has its two. */
@@ -304,8 +322,7 @@
             host.advance(16 * MS);
             while (!due.isEmpty() && due.peek().at() <= host.now) {
                 Recorder.Sent done = due.poll();
-                host.rules.outcome(host.now, done.request(), 0, done.upstream(), Outcome.OK, 0, true,
-                        new float[0]);
+                host.rules.outcome(host.now, done.request(), 0, done.upstream(), Outcome.OK, 0, true, new float[0]);
                 served[(int) (done.request() % 2)]++;
             }
         }
@@ -323,17 +340,18 @@
     }
 
     private static Balancer.RequestClass aimed(long ms) {
-        return new Balancer.RequestClass(ms * MS, 0, 1_000 * MS, 1, 0, ONCE.semantics(), ONCE.scope(), 0,
-                false);
+        return new Balancer.RequestClass(ms * MS, 0, 1_000 * MS, 1, 0, ONCE.semantics(), ONCE.scope(), 0, false);
     }
 
     private static Balancer.RequestClass worth(double worth) {
-        return new Balancer.RequestClass(500 * MS, 0, 1_000 * MS, worth, 0, ONCE.semantics(), ONCE.scope(),
-                0, false);
+        return new Balancer.RequestClass(500 * MS, 0, 1_000 * MS, worth, 0, ONCE.semantics(), ONCE.scope(), 0, false);
     }
 
     private static long toCold(Recorder host, int since) {
-        return host.sends.stream().skip(since).filter(sent -> sent.upstream() >= 100).count();
+        return host.sends.stream()
+                .skip(since)
+                .filter(sent -> sent.upstream() >= 100)
+                .count();
     }
 
     @Test
--- a/decisions/src/test/java/topazvalve/decisions/RandomEventsTest.java
+++ b/decisions/src/test/java/topazvalve/decisions/RandomEventsTest.java
@@ -25,8 +25,12 @@
 class RandomEventsTest {
     private static final long DEADLINE = 1_000 * MS;
     private static final long SLACK = 20 * MS;
-    private static final List<RequestClass> CLASSES = List.of(Recorder.REPEATABLE, Recorder.ONCE,
-            Recorder.BY_CELL, Recorder.BY_ANY, Recorder.requestClass(Semantics.BY_KEY, Scope.ZONE));
+    private static final List<RequestClass> CLASSES = List.of(
+            Recorder.REPEATABLE,
+            Recorder.ONCE,
+            Recorder.BY_CELL,
+            Recorder.BY_ANY,
+            Recorder.requestClass(Semantics.BY_KEY, Scope.ZONE));
 
     private static final class Book {
         final RequestClass kind;
@@ -70,7 +74,7 @@
                     probes++;
                 }
                 case "refuse", "fail" -> judgeAnswer(action[0], Long.parseLong(action[1]));
-                default -> { }
+                default -> {}
             }
         }
     }
@@ -95,7 +99,7 @@
                 switch (book.kind.scope()) {
                     case ZONE -> assertEquals(a % 2, b % 2, "zone: " + sent);
                     case CELL -> assertEquals(a / 3, b / 3, "cell: " + sent);
-                    default -> { }
+                    default -> {}
                 }
             }
         }
@@ -107,7 +111,8 @@
         assertEquals(1, ++book.answers, "answered twice: " + id);
         assertTrue(host.now <= book.deadline + SLACK, "late answer: " + id);
         boolean doubt = book.sent.stream().anyMatch(s -> book.mayHaveRun(s.attempt()));
-        boolean harmless = !doubt || book.kind.semantics() == Semantics.REPEATABLE
+        boolean harmless = !doubt
+                || book.kind.semantics() == Semantics.REPEATABLE
                 || book.kind.semantics() == Semantics.BY_KEY && book.kind.scope() == Scope.ALL;
         assertTrue(answer.equals("fail") || harmless, "refused though it may have run: " + id);
     }
@@ -211,8 +216,15 @@
         if (outcome == Outcome.OK && !already) {
             book.answers++;
         }
-        host.rules.outcome(host.now, sent.request(), sent.attempt(), sent.upstream(), outcome,
-                host.now - sent.at(), already || outcome == Outcome.OK, new float[0]);
+        host.rules.outcome(
+                host.now,
+                sent.request(),
+                sent.attempt(),
+                sent.upstream(),
+                outcome,
+                host.now - sent.at(),
+                already || outcome == Outcome.OK,
+                new float[0]);
         judge();
     }
 
--- a/decisions/src/test/java/topazvalve/decisions/Recorder.java
+++ b/decisions/src/test/java/topazvalve/decisions/Recorder.java
@@ -27,9 +27,9 @@
     static final RequestClass BY_CELL = requestClass(Semantics.BY_KEY, Scope.CELL);
     static final RequestClass BY_ANY = requestClass(Semantics.BY_KEY, Scope.ALL);
 
-    record Sent(long request, int attempt, long upstream, long at) { }
+    record Sent(long request, int attempt, long upstream, long at) {}
 
-    record Timer(long at, long token) { }
+    record Timer(long at, long token) {}
 
     final List<String> log = new ArrayList<>();
     final List<Sent> sends = new ArrayList<>();
@@ -53,18 +53,41 @@
     }
 
     static Settings settings(Discovery discovery, RequestClass... classes) {
-        return new Settings(0, 3, 0, 5 * MS, discovery, Weights.SILENT, List.of(classes),
-                List.<Tenant>of(), new Allowed(true, false, false, true, true, 3, 1_000 * MS, 250 * MS),
+        return new Settings(
+                0,
+                3,
+                0,
+                5 * MS,
+                discovery,
+                Weights.SILENT,
+                List.of(classes),
+                List.<Tenant>of(),
+                new Allowed(true, false, false, true, true, 3, 1_000 * MS, 250 * MS),
                 new Limits(20 * MS, 10_000 * MS, 250 * MS, 0.3, 8_000 * MS, 3, 1_500 * MS),
-                List.of(), Balancer.Charges.NONE, false, 1);
+                List.of(),
+                Balancer.Charges.NONE,
+                false,
+                1);
     }
 
     /** Where probes are all but free, reports tell what is held, and attempts may not overlap. */
     static Settings lookingSettings(int replicas, RequestClass... classes) {
         Settings base = settings(classes);
-        return new Settings(0, replicas, 0, MS, Discovery.AUTOMATIC, Weights.SILENT, base.classes(),
-                List.of(), new Allowed(true, true, false, false, true, 3, 1_000 * MS, 250 * MS),
-                base.limits(), List.of("q", "rif"), new Balancer.Charges(0.002, 0), false, 1);
+        return new Settings(
+                0,
+                replicas,
+                0,
+                MS,
+                Discovery.AUTOMATIC,
+                Weights.SILENT,
+                base.classes(),
+                List.of(),
+                new Allowed(true, true, false, false, true, 3, 1_000 * MS, 250 * MS),
+                base.limits(),
+                List.of("q", "rif"),
+                new Balancer.Charges(0.002, 0),
+                false,
+                1);
     }
 
     static Upstream upstream(long id) {
@@ -94,8 +117,15 @@
     }
 
     void outcome(Sent sent, Outcome outcome) {
-        rules.outcome(now, sent.request, sent.attempt, sent.upstream, outcome, now - sent.at,
-                outcome == Outcome.OK, new float[0]);
+        rules.outcome(
+                now,
+                sent.request,
+                sent.attempt,
+                sent.upstream,
+                outcome,
+                now - sent.at,
+                outcome == Outcome.OK,
+                new float[0]);
     }
 
     /** Moves the clock, ringing every timer on its way. */
--- a/decisions/src/test/java/topazvalve/decisions/RulesTest.java
+++ b/decisions/src/test/java/topazvalve/decisions/RulesTest.java
@@ -87,8 +87,8 @@
     /** An open stream tells nothing more of its server's pace, but it is there, until its outcome. */
     @Test
     void openStreamsCountAsInFlightUntilTheyEnd() {
-        Balancer.RequestClass stream = new Balancer.RequestClass(ONCE.aim(), 0, ONCE.deadline(), 1, 0,
-                ONCE.semantics(), ONCE.scope(), 0, true);
+        Balancer.RequestClass stream = new Balancer.RequestClass(
+                ONCE.aim(), 0, ONCE.deadline(), 1, 0, ONCE.semantics(), ONCE.scope(), 0, true);
         Recorder host = host(stream).withUpstreams(2);
         Map<Long, List<Recorder.Sent>> open = new HashMap<>();
         for (int i = 0; i < 12; i++) {
@@ -150,9 +150,12 @@
     /** Turns of a slow and a fast upstream of two kinds, by what each takes. */
     private static List<Long> turnsOfTwoKinds(long fast, long slow) {
         Recorder host = host(REPEATABLE);
-        host.rules.listChanged(host.now, ListKind.CACHED, List.of(
-                new Balancer.Upstream(0, 0, 0, 0, State.READY, 1, 0),
-                new Balancer.Upstream(1, 0, 1, 0, State.READY, 1, 0)));
+        host.rules.listChanged(
+                host.now,
+                ListKind.CACHED,
+                List.of(
+                        new Balancer.Upstream(0, 0, 0, 0, State.READY, 1, 0),
+                        new Balancer.Upstream(1, 0, 1, 0, State.READY, 1, 0)));
         for (int i = 0; i < 200; i++) {
             host.request(i, 0);
             host.advance(host.last().upstream() == 0 ? fast : slow);
@@ -430,13 +433,14 @@
 
     /** Answers every probe so far: so many in hand at each upstream, the last of them at {@code idle}. */
     private static void tell(Recorder host, float inHand, int idle) {
-        List<Long> asked = host.log.stream().filter(line -> line.startsWith("probe "))
-                .map(line -> Long.parseLong(line.substring(6))).toList();
+        List<Long> asked = host.log.stream()
+                .filter(line -> line.startsWith("probe "))
+                .map(line -> Long.parseLong(line.substring(6)))
+                .toList();
         host.log.clear();
         host.now += MS;
         for (int i = 0; i < asked.size(); i++) {
-            host.rules.probeResult(host.now, asked.get(i), Outcome.OK, MS,
-                    new float[] {0, i == idle ? 0 : inHand});
+            host.rules.probeResult(host.now, asked.get(i), Outcome.OK, MS, new float[] {0, i == idle ? 0 : inHand});
         }
     }
 
@@ -445,7 +449,8 @@
         Recorder host = lookingHost(100);
         host.request(1, 0);
         assertTrue(host.sends.isEmpty(), "it looks first");
-        List<String> asked = host.log.stream().filter(line -> line.startsWith("probe ")).toList();
+        List<String> asked =
+                host.log.stream().filter(line -> line.startsWith("probe ")).toList();
         assertEquals(5, asked.size());
         tell(host, 3, 2);
         assertEquals(asked.get(2), "probe " + host.last().upstream());
@@ -478,7 +483,8 @@
         Recorder host = lookingHost(100);
         host.request(1, 0);
         tell(host, 0, 0);
-        assertEquals(List.of("send 1 " + host.last().upstream() + " " + 499 * MS),
+        assertEquals(
+                List.of("send 1 " + host.last().upstream() + " " + 499 * MS),
                 host.log.stream().filter(line -> line.startsWith("send")).toList());
         host = lookingHost(3);
         host.request(1, 0);
@@ -507,8 +513,7 @@
                 host.outcome(last, Outcome.OK);
             }
             int before = host.sends.size();
-            host.rules.request(host.now, new Balancer.Request(100, 0, 0, 0, 1_000 * MS, 0,
-                    seed % 2 == 1, false));
+            host.rules.request(host.now, new Balancer.Request(100, 0, 0, 0, 1_000 * MS, 0, seed % 2 == 1, false));
             sent[seed % 2] += host.sends.size() - before;
         }
         assertTrue(sent[0] > 15 && sent[1] < sent[0] / 2, "first tries " + sent[0] + ", retries " + sent[1]);
@@ -528,7 +533,8 @@
         assertTrue(host.sends.size() - before < 8, "nothing came in time: " + (host.sends.size() - before));
         host.advance(30_000 * MS);
         host.serve(200, 300, 0, 20 * MS);
-        assertEquals(100, host.sends.stream().filter(sent -> sent.request() >= 200).count());
+        assertEquals(
+                100, host.sends.stream().filter(sent -> sent.request() >= 200).count());
     }
 
     /** Half of the clients leave soon, whom nobody kept waiting: the others are served as before. */
@@ -631,11 +637,23 @@
     @Test
     void tenantThatHadLeastOfItsQuotaGoesFirst() {
         Balancer.Settings base = settings(ONCE);
-        Recorder host = new Recorder(new Balancer.Settings(0, 1, 0, 5 * MS, Discovery.AUTOMATIC,
-                Balancer.Weights.SILENT, base.classes(), List.of(new Balancer.Tenant(0.5, 10),
-                new Balancer.Tenant(0.5, 10)), base.allowed(), base.limits(), List.of(),
-                Balancer.Charges.NONE,
-                false, 0.1), 7)
+        Recorder host = new Recorder(
+                        new Balancer.Settings(
+                                0,
+                                1,
+                                0,
+                                5 * MS,
+                                Discovery.AUTOMATIC,
+                                Balancer.Weights.SILENT,
+                                base.classes(),
+                                List.of(new Balancer.Tenant(0.5, 10), new Balancer.Tenant(0.5, 10)),
+                                base.allowed(),
+                                base.limits(),
+                                List.of(),
+                                Balancer.Charges.NONE,
+                                false,
+                                0.1),
+                        7)
                 .withUpstreams(1);
         for (int i = 0; i < 4; i++) {
             host.rules.request(host.now, new Balancer.Request(i, 0, 0, 0, 1_000 * MS, 0, false, false));
@@ -658,16 +676,18 @@
             host.advance(20 * MS);
             host.outcome(sent, sent.upstream() == 1 && i < 200 ? Outcome.ERROR : Outcome.OK);
         }
-        assertTrue(host.sends.subList(host.sends.size() - 20, host.sends.size()).stream()
-                .anyMatch(s -> s.upstream() == 1), "it came back");
+        assertTrue(
+                host.sends.subList(host.sends.size() - 20, host.sends.size()).stream()
+                        .anyMatch(s -> s.upstream() == 1),
+                "it came back");
     }
 
     // ---------------------------------------------------------------- settings and size
 
     @Test
     void senselessSettingsAreNamed() {
-        IllegalArgumentException e = assertThrows(IllegalArgumentException.class,
-                () -> new Balancer.Limits(0, 0, 0, 1.5, 0, 3, 0));
+        IllegalArgumentException e =
+                assertThrows(IllegalArgumentException.class, () -> new Balancer.Limits(0, 0, 0, 1.5, 0, 3, 0));
         assertTrue(e.getMessage().contains("cold share"));
         assertThrows(IllegalArgumentException.class, () -> settings());
     }
@@ -696,8 +716,23 @@
         host.outcome(host.last(), Outcome.OK);
         Settings base = settings(REPEATABLE, ONCE);
         Balancer.Allowed few = new Balancer.Allowed(true, false, false, true, true, 1, 1_000 * MS, 250 * MS);
-        host.rules.retuned(host.now, new Settings(0, 3, 0, 5 * MS, base.discovery(), base.weights(),
-                base.classes(), List.of(), few, base.limits(), List.of(), base.charges(), false, 1));
+        host.rules.retuned(
+                host.now,
+                new Settings(
+                        0,
+                        3,
+                        0,
+                        5 * MS,
+                        base.discovery(),
+                        base.weights(),
+                        base.classes(),
+                        List.of(),
+                        few,
+                        base.limits(),
+                        List.of(),
+                        base.charges(),
+                        false,
+                        1));
         assertEquals(1, host.rules.avoided(host.now));
         host.request(3, 0);
         assertNotEquals(first.upstream(), host.last().upstream(), "what is in flight still counts");
--- a/decisions/src/test/java/topazvalve/decisions/SettingsUnlikeTest.java
+++ b/decisions/src/test/java/topazvalve/decisions/SettingsUnlikeTest.java
@@ -25,8 +25,23 @@
     private static Recorder bare(int tryLimit, RequestClass... classes) {
         Allowed allowed = new Allowed(false, false, false, false, false, tryLimit, 0, 0);
         Limits limits = new Limits(20 * MS, 10_000 * MS, 250 * MS, 1, 0, 1, 0);
-        return new Recorder(new Settings(0, 1, 0, 0, Discovery.AUTOMATIC, Weights.SILENT, List.of(classes),
-                List.of(), allowed, limits, List.of(), Balancer.Charges.NONE, true, 0), 5);
+        return new Recorder(
+                new Settings(
+                        0,
+                        1,
+                        0,
+                        0,
+                        Discovery.AUTOMATIC,
+                        Weights.SILENT,
+                        List.of(classes),
+                        List.of(),
+                        allowed,
+                        limits,
+                        List.of(),
+                        Balancer.Charges.NONE,
+                        true,
+                        0),
+                5);
     }
 
     @Test
@@ -46,7 +61,12 @@
     void manyServersAllGetTheirTurn() {
         Recorder host = bare(3, Recorder.REPEATABLE).withUpstreams(500);
         host.serve(0, 500, 0, MS);
-        assertEquals(500, host.sends.stream().mapToLong(Recorder.Sent::upstream).distinct().count());
+        assertEquals(
+                500,
+                host.sends.stream()
+                        .mapToLong(Recorder.Sent::upstream)
+                        .distinct()
+                        .count());
     }
 
     @Test
@@ -102,8 +122,7 @@
 
     @Test
     void aStreamThatHasBegunIsNeitherSentAgainNorCutAtTheDeadline() {
-        RequestClass stream =
-                new RequestClass(500 * MS, 0, 1_000 * MS, 1, 0, Semantics.REPEATABLE, Scope.ALL, 0, true);
+        RequestClass stream = new RequestClass(500 * MS, 0, 1_000 * MS, 1, 0, Semantics.REPEATABLE, Scope.ALL, 0, true);
         Recorder host = new Recorder(Recorder.settings(stream), 3).withUpstreams(3);
         host.request(1, 0);
         Recorder.Sent sent = host.last();
@@ -129,8 +148,10 @@
     @Test
     void drainingEverywhereStopsAllNewWork() {
         Recorder host = bare(3, Recorder.REPEATABLE).withUpstreams(2);
-        host.rules.listChanged(host.now, ListKind.DELTA, List.of(
-                Recorder.upstream(0, State.DRAINING, 0), Recorder.upstream(1, State.DRAINING, 0)));
+        host.rules.listChanged(
+                host.now,
+                ListKind.DELTA,
+                List.of(Recorder.upstream(0, State.DRAINING, 0), Recorder.upstream(1, State.DRAINING, 0)));
         host.request(1, 0);
         assertEquals(0, host.sends.size());
         assertEquals(List.of("refuse 1"), host.answers);
--- a/fleet/src/main/java/topazvalve/fleet/hollow/Figures.java
+++ b/fleet/src/main/java/topazvalve/fleet/hollow/Figures.java
@@ -15,6 +15,7 @@
     final Histogram answers = new Histogram(LONGEST_MICROS, DIGITS);
     /** From a start from nothing to the whole list. */
     final Histogram lists = new Histogram(LONGEST_MICROS, DIGITS);
+
     long bytes;
     long busiestSecond;
     long busiestWindow;
--- a/fleet/src/main/java/topazvalve/fleet/hollow/Held.java
+++ b/fleet/src/main/java/topazvalve/fleet/hollow/Held.java
@@ -44,7 +44,8 @@
         present = 0;
         for (int server = 0; server < entries.length; server++) {
             int change = known.change(server);
-            entries[server] = change == 0 ? 0 : change << STATE_BITS | truth.state(change).ordinal();
+            entries[server] =
+                    change == 0 ? 0 : change << STATE_BITS | truth.state(change).ordinal();
             present += state(server) == State.GONE ? 0 : 1;
         }
     }
@@ -68,8 +69,7 @@
             }
         }
         if (named != null) {
-            for (int server = named.nextClearBit(0); server < entries.length;
-                    server = named.nextClearBit(server + 1)) {
+            for (int server = named.nextClearBit(0); server < entries.length; server = named.nextClearBit(server + 1)) {
                 gone(server, watcher);
             }
         }
--- a/fleet/src/main/java/topazvalve/fleet/hollow/Hollow.java
+++ b/fleet/src/main/java/topazvalve/fleet/hollow/Hollow.java
@@ -62,8 +62,16 @@
     }
 
     /** One that is not alive yet; {@code targets} is who serves it lists. */
-    Hollow(int number, int zone, int source, EventLoop loop, Targets targets, Options options,
-            LongSupplier clock, Truth truth, Observer observer) {
+    Hollow(
+            int number,
+            int zone,
+            int source,
+            EventLoop loop,
+            Targets targets,
+            Options options,
+            LongSupplier clock,
+            Truth truth,
+            Observer observer) {
         this.number = number;
         this.zone = zone;
         this.source = source;
@@ -102,10 +110,21 @@
                     });
                 }
             };
-            exchanges = new Exchanges<>(time, options, (settings, actions) -> new Rules(settings, seed,
-                    actions), new NoBack(), 1, new Metrics(), new ClassTable());
-            discovery = new Discovery(tapped, targets.source(), new Listing(known.rev(), true, known.shown(),
-                    known.versions()), null, Relays.of("hollow-" + number, targets.relays(), seed), this);
+            exchanges = new Exchanges<>(
+                    time,
+                    options,
+                    (settings, actions) -> new Rules(settings, seed, actions),
+                    new NoBack(),
+                    1,
+                    new Metrics(),
+                    new ClassTable());
+            discovery = new Discovery(
+                    tapped,
+                    targets.source(),
+                    new Listing(known.rev(), true, known.shown(), known.versions()),
+                    null,
+                    Relays.of("hollow-" + number, targets.relays(), seed),
+                    this);
         }
 
         void start(Known known) {
@@ -123,18 +142,25 @@
                 return;
             }
             if (kind != ListKind.FAILED) {
-                held.take(kind, targets, (server, before, had, now, has) ->
-                        observer.replaced(Hollow.this, server, before, had, now, has));
+                held.take(
+                        kind,
+                        targets,
+                        (server, before, had, now, has) ->
+                                observer.replaced(Hollow.this, server, before, had, now, has));
                 boolean first = !answered;
                 answered = true;
                 boolean filled = empty && kind == ListKind.FULL;
                 empty &= !filled;
                 observer.listed(Hollow.this, first, filled);
             }
-            exchanges.listed(kind, targets.stream().filter(each -> {
-                int server = Names.number(each.uid());
-                return server >= 0 && server < SHOWN;
-            }).toList());
+            exchanges.listed(
+                    kind,
+                    targets.stream()
+                            .filter(each -> {
+                                int server = Names.number(each.uid());
+                                return server >= 0 && server < SHOWN;
+                            })
+                            .toList());
         }
 
         @Override
