--- a/fleet/src/main/java/topazvalve/fleet/hollow/HollowFleet.java
+++ b/fleet/src/main/java/topazvalve/fleet/hollow/HollowFleet.java
@@ -22,12 +22,25 @@
  * each has the work done on the loops and waits for it.
  */
 public final class HollowFleet {
-    private static final Options OPTIONS = new Options(String.join("\n", "discovery=subscribe",
-            "quantum=5000000", "caps.tryLimit=4", "caps.connectTimeout=200000000", "caps.connIdle=5000000000",
-            "rules.answerSlack=20000000", "rules.stopSendingWithin=500000000", "rules.coldShare=0.39",
-            "rules.rampTime=7400000000", "rules.overloadFactor=4.0", "rules.tipAfter=3000000000",
-            "rules.askWithin=10000000000", "profiles.count=1", "profiles.0.name=hollow",
-            "profiles.0.slo=400000000", "profiles.0.deadline=1000000000", "profiles.0.semantics=repeatable"));
+    private static final Options OPTIONS = new Options(String.join(
+            "\n",
+            "discovery=subscribe",
+            "quantum=5000000",
+            "caps.tryLimit=4",
+            "caps.connectTimeout=200000000",
+            "caps.connIdle=5000000000",
+            "rules.answerSlack=20000000",
+            "rules.stopSendingWithin=500000000",
+            "rules.coldShare=0.39",
+            "rules.rampTime=7400000000",
+            "rules.overloadFactor=4.0",
+            "rules.tipAfter=3000000000",
+            "rules.askWithin=10000000000",
+            "profiles.count=1",
+            "profiles.0.name=hollow",
+            "profiles.0.slo=400000000",
+            "profiles.0.deadline=1000000000",
+            "profiles.0.semantics=repeatable"));
 
     private final List<LoopSide> sides = new ArrayList<>();
     private final List<Hollow> instances = new ArrayList<>();
@@ -36,15 +49,22 @@
     private long starts;
 
     /** Who serves an instance, and which source's servers it is owed. */
-    public record Place(int zone, int source, Targets targets) { }
+    public record Place(int zone, int source, Targets targets) {}
 
     /**
      * Makes {@code count} instances, none of them alive.
      *
      * @param lists how many lists there are: an instance is owed every so-manyth server, by its source
      */
-    public HollowFleet(List<EventLoop> loops, int count, IntFunction<Place> places, Truth truth,
-            FleetOracle oracle, LongSupplier clock, int lists, long seed) {
+    public HollowFleet(
+            List<EventLoop> loops,
+            int count,
+            IntFunction<Place> places,
+            Truth truth,
+            FleetOracle oracle,
+            LongSupplier clock,
+            int lists,
+            long seed) {
         this.seed = seed;
         for (EventLoop loop : loops) {
             LoopSide side = new LoopSide(loop, truth, oracle, clock, lists, truth.count());
@@ -54,8 +74,8 @@
         for (int i = 0; i < count; i++) {
             LoopSide side = sides.get(i % sides.size());
             Place place = places.apply(i);
-            Hollow made = new Hollow(i, place.zone, place.source, side.loop(), place.targets, OPTIONS, clock,
-                    truth, side.observer());
+            Hollow made = new Hollow(
+                    i, place.zone, place.source, side.loop(), place.targets, OPTIONS, clock, truth, side.observer());
             side.add(made);
             instances.add(made);
         }
@@ -114,8 +134,7 @@
     /** Notes for the instances of some zones whether who serves them can be reached. */
     public void reachable(Predicate<Integer> zones, boolean now) {
         onLoops(side -> {
-            side.instances().stream().filter(each -> zones.test(each.zone())).forEach(each ->
-                    each.reachable(now));
+            side.instances().stream().filter(each -> zones.test(each.zone())).forEach(each -> each.reachable(now));
             return null;
         });
     }
@@ -139,8 +158,9 @@
 
     /** CPU of the loops since they began, nanoseconds; what the collector took is not in it. */
     public long cpu() {
-        return threads.stream().mapToLong(each ->
-                ManagementFactory.getThreadMXBean().getThreadCpuTime(each)).sum();
+        return threads.stream()
+                .mapToLong(each -> ManagementFactory.getThreadMXBean().getThreadCpuTime(each))
+                .sum();
     }
 
     /** Ends all. */
--- a/fleet/src/main/java/topazvalve/fleet/hollow/Known.java
+++ b/fleet/src/main/java/topazvalve/fleet/hollow/Known.java
@@ -13,6 +13,7 @@
 public final class Known {
     /** Nothing is known. */
     public static final Known NOTHING = new Known(0, new int[0], List.of(), Versions.NONE);
+
     private static final int HTTP_PORT = 8080;
 
     private final long rev;
@@ -40,8 +41,15 @@
         for (int server = list; server < changes.length; server += lists) {
             changes[server] = truth.latest(server);
             if (shown.size() < Hollow.SHOWN && truth.state(changes[server]) == State.READY) {
-                shown.add(new Target(Names.of(server), InetSocketAddress.createUnresolved("known", HTTP_PORT),
-                        "", "", changes[server], State.READY, 1, 0));
+                shown.add(new Target(
+                        Names.of(server),
+                        InetSocketAddress.createUnresolved("known", HTTP_PORT),
+                        "",
+                        "",
+                        changes[server],
+                        State.READY,
+                        1,
+                        0));
             }
         }
         return new Known(rev, changes, shown, versions);
--- a/fleet/src/main/java/topazvalve/fleet/hollow/LoopSide.java
+++ b/fleet/src/main/java/topazvalve/fleet/hollow/LoopSide.java
@@ -113,8 +113,7 @@
     private void took(Hollow instance, int before, int now, long at) {
         for (int change = now; change > Math.max(before, first); change = truth.before(change)) {
             boolean waited = truth.at(change) < instance.owedSince();
-            record(waited ? figures.caughtUp : figures.changes,
-                    at - Math.max(truth.at(change), instance.owedSince()));
+            record(waited ? figures.caughtUp : figures.changes, at - Math.max(truth.at(change), instance.owedSince()));
         }
     }
 
@@ -150,7 +149,8 @@
         int missing = 0;
         int example = 0;
         for (int server = 0; server < due.length; server++) {
-            if (!oracle.inForce(due[server], instance.held().change(server), instance.held().state(server))) {
+            if (!oracle.inForce(
+                    due[server], instance.held().change(server), instance.held().state(server))) {
                 missing++;
                 example = due[server];
             }
@@ -166,9 +166,10 @@
         int behind = 0;
         for (Hollow each : instances) {
             boolean lacks = each.isStarting() || each.owed() && (!each.answered() || each.empty());
-            for (int server = each.source(); !lacks && each.owed() && server < truth.servers();
-                    server += lists) {
-                lacks = !oracle.inForce(truth.latest(server), each.held().change(server),
+            for (int server = each.source(); !lacks && each.owed() && server < truth.servers(); server += lists) {
+                lacks = !oracle.inForce(
+                        truth.latest(server),
+                        each.held().change(server),
                         each.held().state(server));
             }
             behind += lacks ? 1 : 0;
@@ -179,7 +180,8 @@
     /** The figures since this was last asked; each rule may be broken anew by each instance. */
     Figures turn() {
         Figures done = figures;
-        done.connections = instances.stream().mapToLong(each -> each.tap().connections()).sum();
+        done.connections =
+                instances.stream().mapToLong(each -> each.tap().connections()).sum();
         figures = new Figures();
         meters.forEach(each -> {
             each.over = false;
--- a/fleet/src/main/java/topazvalve/fleet/hollow/NoBack.java
+++ b/fleet/src/main/java/topazvalve/fleet/hollow/NoBack.java
@@ -10,8 +10,8 @@
 /** The request path that a hollow sidecar does not have: no request comes, so nothing is ever sent. */
 final class NoBack implements Back<Object, Object> {
     @Override
-    public Attempt<Object, Object> send(long server, Object message, RequestBody body, long wait,
-            AttemptListener<Object, Object> listener) {
+    public Attempt<Object, Object> send(
+            long server, Object message, RequestBody body, long wait, AttemptListener<Object, Object> listener) {
         throw new UnsupportedOperationException("a hollow sidecar sends no request");
     }
 
@@ -21,10 +21,10 @@
     }
 
     @Override
-    public void listed(long server, InetSocketAddress address, long startedMs, boolean ready) { }
+    public void listed(long server, InetSocketAddress address, long startedMs, boolean ready) {}
 
     @Override
-    public void gone(long server) { }
+    public void gone(long server) {}
 
     @Override
     public int listed() {
@@ -32,11 +32,11 @@
     }
 
     @Override
-    public void closeIdle(long server) { }
+    public void closeIdle(long server) {}
 
     @Override
-    public void retune(Options options) { }
+    public void retune(Options options) {}
 
     @Override
-    public void close() { }
+    public void close() {}
 }
--- a/fleet/src/main/java/topazvalve/fleet/hollow/Tap.java
+++ b/fleet/src/main/java/topazvalve/fleet/hollow/Tap.java
@@ -32,8 +32,8 @@
 
     /** The loop as the instance is to know it. */
     EventLoop tapped() {
-        return (EventLoop) Proxy.newProxyInstance(EventLoop.class.getClassLoader(),
-                new Class<?>[] {EventLoop.class}, this::call);
+        return (EventLoop)
+                Proxy.newProxyInstance(EventLoop.class.getClassLoader(), new Class<?>[] {EventLoop.class}, this::call);
     }
 
     private Object call(Object proxy, Method method, Object[] arguments) throws Throwable {
--- a/fleet/src/main/java/topazvalve/fleet/hollow/Targets.java
+++ b/fleet/src/main/java/topazvalve/fleet/hollow/Targets.java
@@ -9,4 +9,4 @@
  * @param source where its source listens
  * @param relays the relays to choose from in its place; empty where the source itself is asked
  */
-public record Targets(InetSocketAddress source, List<InetSocketAddress> relays) { }
+public record Targets(InetSocketAddress source, List<InetSocketAddress> relays) {}
--- a/fleet/src/main/java/topazvalve/fleet/oracle/Allowed.java
+++ b/fleet/src/main/java/topazvalve/fleet/oracle/Allowed.java
@@ -7,4 +7,4 @@
  * @param bytesPerSecond what an instance may read and write for control, on the average over the window
  * @param windowSeconds that window
  */
-public record Allowed(long late, double bytesPerSecond, int windowSeconds) { }
+public record Allowed(long late, double bytesPerSecond, int windowSeconds) {}
--- a/fleet/src/main/java/topazvalve/fleet/oracle/FleetOracle.java
+++ b/fleet/src/main/java/topazvalve/fleet/oracle/FleetOracle.java
@@ -23,7 +23,7 @@
     private final List<Finding> examples = new ArrayList<>();
 
     /** One thing found wrong: what, when (nanoseconds) and with whom. */
-    public record Finding(Rule rule, long at, String text) { }
+    public record Finding(Rule rule, long at, String text) {}
 
     public FleetOracle(Truth truth, Allowed allowed) {
         this.truth = truth;
@@ -38,11 +38,17 @@
     public void replaced(int instance, int server, int before, State had, int now, State has, long at) {
         boolean said = before == 0 || truth.state(before) == State.READY;
         if (now <= before && has == State.READY && had != State.READY && !said) {
-            found(Rule.RETURNED, at, "instance " + instance + ": " + Names.of(server) + " is ready by change "
-                    + now + ", which is no newer than change " + before + " that made it " + had);
+            found(
+                    Rule.RETURNED,
+                    at,
+                    "instance " + instance + ": " + Names.of(server) + " is ready by change " + now
+                            + ", which is no newer than change " + before + " that made it " + had);
         } else if (now < before) {
-            found(Rule.WENT_BACK, at, "instance " + instance + ": " + Names.of(server) + " went from change "
-                    + before + " back to " + now);
+            found(
+                    Rule.WENT_BACK,
+                    at,
+                    "instance " + instance + ": " + Names.of(server) + " went from change " + before + " back to "
+                            + now);
         }
     }
 
@@ -65,16 +71,26 @@
 
     /** An instance lacks changes that are due; {@code missing} is one of {@code count}. */
     public void late(int instance, int missing, int count, long at) {
-        found(Rule.CHANGE_LATE, at, String.format(Locale.ROOT,
-                "instance %d: change %d of %s is not in force %.1f s after it was made, %d such at once",
-                instance, missing, Names.of(truth.server(missing)), (at - truth.at(missing)) / 1e9, count));
+        found(
+                Rule.CHANGE_LATE,
+                at,
+                String.format(
+                        Locale.ROOT,
+                        "instance %d: change %d of %s is not in force %.1f s after it was made, %d such at once",
+                        instance,
+                        missing,
+                        Names.of(truth.server(missing)),
+                        (at - truth.at(missing)) / 1e9,
+                        count));
     }
 
     /** So many calls have come in a second to one that can do {@code capacity}; 0 is unbounded. */
     public void called(String who, int inSecond, double capacity, long at) {
         if (capacity > 0 && inSecond == (int) capacity + 1) {
-            found(Rule.SERVING_RATE, at, who + ": " + inSecond + " calls in a second and more to come, where "
-                    + capacity + " can be done");
+            found(
+                    Rule.SERVING_RATE,
+                    at,
+                    who + ": " + inSecond + " calls in a second and more to come, where " + capacity + " can be done");
         }
     }
 
@@ -82,9 +98,16 @@
     public boolean bytes(int instance, long inWindow, long at) {
         double average = inWindow / (double) allowed.windowSeconds();
         if (average > allowed.bytesPerSecond()) {
-            found(Rule.CONTROL_BYTES, at, String.format(Locale.ROOT,
-                    "instance %d: %.0f bytes a second over %d s, where %.0f are allowed", instance, average,
-                    allowed.windowSeconds(), allowed.bytesPerSecond()));
+            found(
+                    Rule.CONTROL_BYTES,
+                    at,
+                    String.format(
+                            Locale.ROOT,
+                            "instance %d: %.0f bytes a second over %d s, where %.0f are allowed",
+                            instance,
+                            average,
+                            allowed.windowSeconds(),
+                            allowed.bytesPerSecond()));
             return true;
         }
         return false;
--- a/fleet/src/main/java/topazvalve/fleet/run/EmbeddedRelays.java
+++ b/fleet/src/main/java/topazvalve/fleet/run/EmbeddedRelays.java
@@ -25,7 +25,9 @@
     EmbeddedRelays(List<RelaySettings> wanted, long seed) {
         this.seed = seed;
         group = new MultiThreadIoEventLoopGroup(wanted.size(), NioIoHandler.newFactory());
-        loops = IntStream.range(0, wanted.size()).mapToObj(each -> (EventLoop) group.next()).toList();
+        loops = IntStream.range(0, wanted.size())
+                .mapToObj(each -> (EventLoop) group.next())
+                .toList();
         relays = new Relay[wanted.size()];
         for (int i = 0; i < relays.length; i++) {
             settings.add(wanted.get(i));
@@ -35,8 +37,14 @@
     }
 
     private static RelaySettings with(RelaySettings old, InetSocketAddress listen) {
-        return new RelaySettings(old.name(), listen, old.sources(), old.mostCallers(), old.callerBytes(),
-                old.loggedEntries(), old.stallMs());
+        return new RelaySettings(
+                old.name(),
+                listen,
+                old.sources(),
+                old.mostCallers(),
+                old.callerBytes(),
+                old.loggedEntries(),
+                old.stallMs());
     }
 
     @Override
@@ -57,9 +65,12 @@
 
     @Override
     public long cpu() {
-        return loops.stream().map(each -> each.submit(() -> Thread.currentThread().getId())
-                .syncUninterruptibly().getNow()).mapToLong(each ->
-                        ManagementFactory.getThreadMXBean().getThreadCpuTime(each)).sum();
+        return loops.stream()
+                .map(each -> each.submit(() -> Thread.currentThread().getId())
+                        .syncUninterruptibly()
+                        .getNow())
+                .mapToLong(each -> ManagementFactory.getThreadMXBean().getThreadCpuTime(each))
+                .sum();
     }
 
     @Override
--- a/fleet/src/main/java/topazvalve/fleet/run/FleetReport.java
+++ b/fleet/src/main/java/topazvalve/fleet/run/FleetReport.java
@@ -24,62 +24,111 @@
     /** What is about to be played. */
     public void begin(long seed) {
         Timeline.Size size = timeline.size();
-        out.printf(Locale.ROOT, "%s: %d hollow sidecars, %d servers, %d sources%s, %d zones in %d regions, "
-                + "seed %d%n", timeline.name(), size.hollow(), size.servers(), size.sources(),
-                timeline.source().capacity() == 0 ? " of unbounded capacity" : String.format(Locale.ROOT,
-                        " of %.1f calls a second", timeline.source().capacity()),
-                size.zones(), size.regions(), seed);
+        out.printf(
+                Locale.ROOT,
+                "%s: %d hollow sidecars, %d servers, %d sources%s, %d zones in %d regions, " + "seed %d%n",
+                timeline.name(),
+                size.hollow(),
+                size.servers(),
+                size.sources(),
+                timeline.source().capacity() == 0
+                        ? " of unbounded capacity"
+                        : String.format(
+                                Locale.ROOT,
+                                " of %.1f calls a second",
+                                timeline.source().capacity()),
+                size.zones(),
+                size.regions(),
+                seed);
         if (timeline.relays().count() > 0) {
-            out.printf(Locale.ROOT, "%d relays between them, %s%n", timeline.relays().count(),
+            out.printf(
+                    Locale.ROOT,
+                    "%d relays between them, %s%n",
+                    timeline.relays().count(),
                     timeline.relays().processes() ? "each a process" : "in this process");
         }
-        out.printf(Locale.ROOT, "allowed: a change in force within %.1f s; %.0f bytes a second for control "
-                + "over %d s; %.1f%% of a core%n", timeline.allowed().late() / 1e9,
-                timeline.allowed().bytesPerSecond(), timeline.allowed().windowSeconds(), CORE_PERCENT);
+        out.printf(
+                Locale.ROOT,
+                "allowed: a change in force within %.1f s; %.0f bytes a second for control "
+                        + "over %d s; %.1f%% of a core%n",
+                timeline.allowed().late() / 1e9,
+                timeline.allowed().bytesPerSecond(),
+                timeline.allowed().windowSeconds(),
+                CORE_PERCENT);
         out.flush();
     }
 
     /** What came of a stage. */
     public void stage(StageResult result) {
         int count = timeline.size().hollow();
-        out.printf(Locale.ROOT, "%n%s: %.1f s, %d changes, %d behind at its end%n", result.name(),
-                result.seconds(), result.made(), result.behind());
+        out.printf(
+                Locale.ROOT,
+                "%n%s: %.1f s, %d changes, %d behind at its end%n",
+                result.name(),
+                result.seconds(),
+                result.made(),
+                result.behind());
         times("change in force", result.figures().changes());
         times("  made out of reach", result.figures().caughtUp());
         times("start to answer", result.figures().answers());
         times("start to whole list", result.figures().lists());
-        out.printf(Locale.ROOT, "  sources: %d calls, %d of them refused, %d in the busiest second; %.2f MB "
-                + "sent; %.2f cores the busiest%n", result.calls(), result.refused(), result.busiest(),
-                result.sent() / 1e6, result.sourceCores());
-        out.printf(Locale.ROOT, "  a hollow one: %.0f bytes a second (busiest window %.0f, busiest second "
-                + "%d); %.3f%% of a core; heap of all %d MB%n",
+        out.printf(
+                Locale.ROOT,
+                "  sources: %d calls, %d of them refused, %d in the busiest second; %.2f MB "
+                        + "sent; %.2f cores the busiest%n",
+                result.calls(),
+                result.refused(),
+                result.busiest(),
+                result.sent() / 1e6,
+                result.sourceCores());
+        out.printf(
+                Locale.ROOT,
+                "  a hollow one: %.0f bytes a second (busiest window %.0f, busiest second "
+                        + "%d); %.3f%% of a core; heap of all %d MB%n",
                 result.figures().bytes() / result.seconds() / count,
                 result.figures().busiestWindow() / (double) timeline.allowed().windowSeconds(),
-                result.figures().busiestSecond(), 100 * result.hollowCores() / count, result.heapMb());
+                result.figures().busiestSecond(),
+                100 * result.hollowCores() / count,
+                result.heapMb());
         if (result.packagedBytes() > 0) {
-            out.printf(Locale.ROOT, "  a packaged one: %.3f%% of a core; %.1f MB resident%n",
-                    100 * result.packagedCores(), result.packagedBytes() / 1048576.0);
+            out.printf(
+                    Locale.ROOT,
+                    "  a packaged one: %.3f%% of a core; %.1f MB resident%n",
+                    100 * result.packagedCores(),
+                    result.packagedBytes() / 1048576.0);
         }
         if (timeline.relays().count() > 0) {
-            out.printf(Locale.ROOT, "  relays: %.2f cores in all; the largest has %d MB%n",
-                    result.relayCores(), result.relayBytes() >> 20);
+            out.printf(
+                    Locale.ROOT,
+                    "  relays: %.2f cores in all; the largest has %d MB%n",
+                    result.relayCores(),
+                    result.relayBytes() >> 20);
         }
         if (result.starved() >= 0) {
-            out.printf(Locale.ROOT, "  machine: something waited for a processor for %.0f%% of the time%n",
+            out.printf(
+                    Locale.ROOT,
+                    "  machine: something waited for a processor for %.0f%% of the time%n",
                     100 * result.starved());
         }
         if (!result.found().isEmpty()) {
-            out.println("  found: " + result.found().entrySet().stream().map(each -> each.getKey() + " "
-                    + each.getValue()).collect(Collectors.joining(", ")));
+            out.println("  found: "
+                    + result.found().entrySet().stream()
+                            .map(each -> each.getKey() + " " + each.getValue())
+                            .collect(Collectors.joining(", ")));
         }
         out.flush();
     }
 
     private void times(String what, Histogram micros) {
         if (micros.getTotalCount() > 0) {
-            out.printf(Locale.ROOT, "  %-20s median %9.1f ms  99%% %9.1f ms  last %9.1f ms  (%d)%n", what,
-                    micros.getValueAtPercentile(50) / MILLIS, micros.getValueAtPercentile(99) / MILLIS,
-                    micros.getMaxValue() / MILLIS, micros.getTotalCount());
+            out.printf(
+                    Locale.ROOT,
+                    "  %-20s median %9.1f ms  99%% %9.1f ms  last %9.1f ms  (%d)%n",
+                    what,
+                    micros.getValueAtPercentile(50) / MILLIS,
+                    micros.getValueAtPercentile(99) / MILLIS,
+                    micros.getMaxValue() / MILLIS,
+                    micros.getTotalCount());
         }
     }
 
@@ -92,8 +141,11 @@
         System.gc();
         Runtime runtime = Runtime.getRuntime();
         double heap = runtime.totalMemory() - runtime.freeMemory();
-        out.printf(Locale.ROOT, "memory: %.0f MB of heap in use after a collection, %.1f KB for each hollow "
-                + "one; this process has %d MB resident%n", heap / 1048576,
+        out.printf(
+                Locale.ROOT,
+                "memory: %.0f MB of heap in use after a collection, %.1f KB for each hollow "
+                        + "one; this process has %d MB resident%n",
+                heap / 1048576,
                 heap / 1024 / timeline.size().hollow(),
                 RelayProcesses.resident(ProcessHandle.current().pid()) >> 20);
         out.println(oracle.counts().isEmpty() ? "oracle: no rule was broken" : "oracle: " + oracle.counts());
--- a/fleet/src/main/java/topazvalve/fleet/run/FleetRun.java
+++ b/fleet/src/main/java/topazvalve/fleet/run/FleetRun.java
@@ -57,6 +57,7 @@
     private final RelayTier relays;
     /** How many lists sidecars follow in all: relays make one of all sources'. */
     private final int lists;
+
     private final Chance chance;
     private final List<Integer> stalled = new ArrayList<>();
     private Map<Rule, Integer> foundBefore = Map.of();
@@ -80,27 +81,41 @@
         this.relays = relays(seed);
         this.packaged = new PackagedSidecars(home, packagedOnes, sources.address(0, 0));
         this.loops = new MultiThreadIoEventLoopGroup(size.loops(), NioIoHandler.newFactory());
-        List<EventLoop> all = IntStream.range(0, size.loops()).mapToObj(each -> (EventLoop) loops.next())
+        List<EventLoop> all = IntStream.range(0, size.loops())
+                .mapToObj(each -> (EventLoop) loops.next())
                 .toList();
-        this.fleet = new HollowFleet(all, size.hollow(), each -> {
-            int zone = each % size.zones();
-            int source = size.region(zone) % size.sources();
-            return new HollowFleet.Place(zone, relays == null ? source : 0, new Targets(
-                    sources.address(source, zone), relays == null ? List.of() : relays.addresses()));
-        }, truth, oracle, this::now, lists, seed);
+        this.fleet = new HollowFleet(
+                all,
+                size.hollow(),
+                each -> {
+                    int zone = each % size.zones();
+                    int source = size.region(zone) % size.sources();
+                    return new HollowFleet.Place(
+                            zone,
+                            relays == null ? source : 0,
+                            new Targets(
+                                    sources.address(source, zone), relays == null ? List.of() : relays.addresses()));
+                },
+                truth,
+                oracle,
+                this::now,
+                lists,
+                seed);
     }
 
     private RelayTier relays(long seed) {
         List<RelaySettings> wanted = new ArrayList<>();
         for (int i = 0; i < timeline.relays().count(); i++) {
             int zone = i * size.zones() / timeline.relays().count();
-            List<RelaySettings.SourceSettings> heard = IntStream.range(0, size.sources()).mapToObj(each ->
-                    new RelaySettings.SourceSettings("source-" + each, List.of(sources.address(each, zone))))
+            List<RelaySettings.SourceSettings> heard = IntStream.range(0, size.sources())
+                    .mapToObj(each ->
+                            new RelaySettings.SourceSettings("source-" + each, List.of(sources.address(each, zone))))
                     .toList();
             wanted.add(RelaySettings.of("relay-" + i, loopback(RELAYS, i), heard));
         }
-        return wanted.isEmpty() ? null : timeline.relays().processes() ? new RelayProcesses(wanted)
-                : new EmbeddedRelays(wanted, seed);
+        return wanted.isEmpty()
+                ? null
+                : timeline.relays().processes() ? new RelayProcesses(wanted) : new EmbeddedRelays(wanted, seed);
     }
 
     private long now() {
@@ -110,8 +125,11 @@
     /** The address at which a source listens for a zone: one of its own, so that ports go further. */
     static InetSocketAddress loopback(int source, int zone) {
         try {
-            return new InetSocketAddress(InetAddress.getByAddress(new byte[] {(byte) FIRST_LOOPBACK,
-                (byte) (1 + source), (byte) (zone >> 8), (byte) (1 + zone)}), 0);
+            return new InetSocketAddress(
+                    InetAddress.getByAddress(new byte[] {
+                        (byte) FIRST_LOOPBACK, (byte) (1 + source), (byte) (zone >> 8), (byte) (1 + zone)
+                    }),
+                    0);
         } catch (UnknownHostException e) {
             throw new AssertionError("four bytes are an address", e);
         }
@@ -175,8 +193,10 @@
             Figures figures = fleet.figures();
             double took = now() - at;
             long[] cpuNow = sources.cpu();
-            double busiest = IntStream.range(0, cpuNow.length).mapToDouble(each ->
-                    (cpuNow[each] - sourceCpu[each]) / took).max().orElse(0);
+            double busiest = IntStream.range(0, cpuNow.length)
+                    .mapToDouble(each -> (cpuNow[each] - sourceCpu[each]) / took)
+                    .max()
+                    .orElse(0);
             Map<Rule, Integer> found = new EnumMap<>(Rule.class);
             oracle.counts().forEach((rule, count) -> {
                 int more = count - foundBefore.getOrDefault(rule, 0);
@@ -186,14 +206,25 @@
             });
             foundBefore = oracle.counts();
             Runtime runtime = Runtime.getRuntime();
-            return new StageResult(name, made, figures, behind, took / 1e9, sources.calls() - calls,
-                    sources.refused() - refused, sources.busiest(), sources.bytes() - bytes,
-                    (fleet.cpu() - cpu) / took, busiest,
+            return new StageResult(
+                    name,
+                    made,
+                    figures,
+                    behind,
+                    took / 1e9,
+                    sources.calls() - calls,
+                    sources.refused() - refused,
+                    sources.busiest(),
+                    sources.bytes() - bytes,
+                    (fleet.cpu() - cpu) / took,
+                    busiest,
                     relays == null ? 0 : (relays.cpu() - relayCpu) / took,
                     relays == null ? -1 : relays.resident(),
                     (packaged.cpu() - packagedCpu) / took / Math.max(1, packaged.count()),
-                    packaged.resident(), runtime.totalMemory() - runtime.freeMemory() >> 20,
-                    starved < 0 ? -1 : (Machine.starvedMicros() - starved) * 1e3 / took, found);
+                    packaged.resident(),
+                    runtime.totalMemory() - runtime.freeMemory() >> 20,
+                    starved < 0 ? -1 : (Machine.starvedMicros() - starved) * 1e3 / took,
+                    found);
         }
     }
 
@@ -207,15 +238,13 @@
         int burstMade = 0;
         boolean down = stage.sourceDown() > 0;
         int back = 0;
-        while (now() < start + stage.length() || burstMade < burst.length || down
-                || back < stage.relaysKilled()) {
+        while (now() < start + stage.length() || burstMade < burst.length || down || back < stage.relaysKilled()) {
             long since = now() - start;
             while (made < planned && since >= stage.length() * (made + 0.5) / planned) {
                 change((int) (chance.part() * size.servers()));
                 made++;
             }
-            while (burstMade < burst.length
-                    && since >= stage.burstWithin() * (double) burstMade / burst.length) {
+            while (burstMade < burst.length && since >= stage.burstWithin() * (double) burstMade / burst.length) {
                 change(burst[burstMade++]);
             }
             if (down && since >= stage.sourceDown()) {
@@ -238,8 +267,8 @@
         Known[] known = known();
         List<Integer> some = some(stage.restart());
         some.forEach(fleet::kill);
-        some.forEach(each -> fleet.start(each, stage.from() == From.KNOWN ? known[fleet.source(each)]
-                : Known.NOTHING, stage.down()));
+        some.forEach(each -> fleet.start(
+                each, stage.from() == From.KNOWN ? known[fleet.source(each)] : Known.NOTHING, stage.down()));
         some(stage.stalled()).forEach(each -> {
             fleet.reading(each, false);
             stalled.add(each);
@@ -289,7 +318,8 @@
         }
         Known[] known = new Known[lists];
         for (int i = 0; i < lists; i++) {
-            known[i] = relays == null ? Known.of(truth, versions[i].rev(), Versions.NONE, i, lists)
+            known[i] = relays == null
+                    ? Known.of(truth, versions[i].rev(), Versions.NONE, i, lists)
                     : Known.of(truth, all.sum(), all, 0, 1);
         }
         return known;
@@ -306,7 +336,8 @@
     }
 
     private List<Integer> some(int count) {
-        List<Integer> all = new ArrayList<>(IntStream.range(0, fleet.size()).boxed().toList());
+        List<Integer> all =
+                new ArrayList<>(IntStream.range(0, fleet.size()).boxed().toList());
         for (int i = 0; i < count; i++) {
             Collections.swap(all, i, i + (int) (chance.part() * (all.size() - i)));
         }
@@ -314,7 +345,9 @@
     }
 
     private int[] zone(int zone, int most) {
-        return IntStream.range(0, size.servers()).filter(each -> each % size.zones() == zone).limit(most)
+        return IntStream.range(0, size.servers())
+                .filter(each -> each % size.zones() == zone)
+                .limit(most)
                 .toArray();
     }
 
--- a/fleet/src/main/java/topazvalve/fleet/run/Machine.java
+++ b/fleet/src/main/java/topazvalve/fleet/run/Machine.java
@@ -14,7 +14,7 @@
     private static final Path PRESSURE = Path.of("/proc/pressure/cpu");
     private static final Pattern TOTAL = Pattern.compile("some .*total=(\\d+)");
 
-    private Machine() { }
+    private Machine() {}
 
     /** A small file in one piece: the kernel tells a setting to the first read alone, however short. */
     static String read(Path file) throws IOException {
--- a/fleet/src/main/java/topazvalve/fleet/run/PackagedSidecars.java
+++ b/fleet/src/main/java/topazvalve/fleet/run/PackagedSidecars.java
@@ -28,7 +28,8 @@
                 Path file = folder.resolve("p" + i + ".json");
                 Files.writeString(file, config(i, source).toString());
                 processes.add(RunLine.of(home, file, List.of())
-                        .redirectOutput(folder.resolve("p" + i + ".log").toFile()).start());
+                        .redirectOutput(folder.resolve("p" + i + ".log").toFile())
+                        .start());
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -37,23 +38,35 @@
 
     /** The settings that the hollow ones have. */
     private static ObjectNode config(int number, InetSocketAddress source) throws IOException {
-        ObjectNode root = JSON.createObjectNode().put("name", "p" + number)
+        ObjectNode root = JSON.createObjectNode()
+                .put("name", "p" + number)
                 .put("listen", "127.0.0.1:" + RunLine.freePort())
                 .put("discovery", source.getAddress().getHostAddress() + ":" + source.getPort())
                 .put("seed", Integer.toHexString(number + 1));
         root.putObject("limits").put("cores", 1.0).put("memory_mb", 96).put("sockets", 1024);
-        ObjectNode settings = root.putObject("settings").put("discovery", "subscribe")
-                .put("quantum", 5_000_000);
+        ObjectNode settings =
+                root.putObject("settings").put("discovery", "subscribe").put("quantum", 5_000_000);
         settings.putArray("zones").add("z0");
         settings.putArray("kinds").add("m2");
         settings.putObject("report").put("how", "silent").putArray("fields");
-        settings.putObject("caps").put("tryLimit", 4).put("connectTimeout", 200_000_000L)
+        settings.putObject("caps")
+                .put("tryLimit", 4)
+                .put("connectTimeout", 200_000_000L)
                 .put("connIdle", 5_000_000_000L);
-        settings.putObject("rules").put("answerSlack", 20_000_000).put("stopSendingWithin", 500_000_000)
-                .put("coldShare", 0.39).put("rampTime", 7_400_000_000L).put("overloadFactor", 4.0)
-                .put("tipAfter", 3_000_000_000L).put("askWithin", 10_000_000_000L);
-        settings.putArray("profiles").addObject().put("name", "hollow").put("slo", 400_000_000)
-                .put("deadline", 1_000_000_000L).put("semantics", "repeatable");
+        settings.putObject("rules")
+                .put("answerSlack", 20_000_000)
+                .put("stopSendingWithin", 500_000_000)
+                .put("coldShare", 0.39)
+                .put("rampTime", 7_400_000_000L)
+                .put("overloadFactor", 4.0)
+                .put("tipAfter", 3_000_000_000L)
+                .put("askWithin", 10_000_000_000L);
+        settings.putArray("profiles")
+                .addObject()
+                .put("name", "hollow")
+                .put("slo", 400_000_000)
+                .put("deadline", 1_000_000_000L)
+                .put("semantics", "repeatable");
         return root;
     }
 
@@ -63,13 +76,18 @@
 
     /** CPU of all since their start, nanoseconds. */
     long cpu() {
-        return processes.stream().mapToLong(each -> each.info().totalCpuDuration().orElse(Duration.ZERO)
-                .toNanos()).sum();
+        return processes.stream()
+                .mapToLong(each ->
+                        each.info().totalCpuDuration().orElse(Duration.ZERO).toNanos())
+                .sum();
     }
 
     /** Resident memory of the largest, bytes; 0 if none runs. */
     long resident() {
-        return processes.stream().mapToLong(each -> RelayProcesses.resident(each.pid())).max().orElse(0);
+        return processes.stream()
+                .mapToLong(each -> RelayProcesses.resident(each.pid()))
+                .max()
+                .orElse(0);
     }
 
     @Override
--- a/fleet/src/main/java/topazvalve/fleet/run/Preflight.java
+++ b/fleet/src/main/java/topazvalve/fleet/run/Preflight.java
@@ -17,15 +17,18 @@
     private static final Path PORTS = Path.of("/proc/sys/net/ipv4/ip_local_port_range");
     /** A watch has two ends in this process; while one is opened anew, the old one may still be there. */
     private static final int ENDS = 3;
+
     private static final int OTHERS = 300;
     /** A call's port rests for a minute after it: a few calls an instance in that time. */
     private static final int CALLS_A_MINUTE = 4;
+
     private static final long ENTRY_BYTES = 160;
     /** What one took when measured (docs/measurements.md), rounded up. */
     private static final long HOLLOW_BYTES = 100_000;
+
     private static final long BASE_BYTES = 200_000_000;
 
-    private Preflight() { }
+    private Preflight() {}
 
     /**
      * What is short, in words; empty if there is room.
@@ -37,9 +40,13 @@
     static List<String> check(Timeline timeline, String limits, String ports, long heap) {
         List<String> wanting = new ArrayList<>();
         Size size = timeline.size();
-        long descriptors = limits.lines().filter(each -> each.startsWith("Max open files")).findFirst()
-                .map(each -> each.split("\\s+")[3]).filter(each -> each.matches("\\d+"))
-                .map(Long::parseLong).orElse(Long.MAX_VALUE);
+        long descriptors = limits.lines()
+                .filter(each -> each.startsWith("Max open files"))
+                .findFirst()
+                .map(each -> each.split("\\s+")[3])
+                .filter(each -> each.matches("\\d+"))
+                .map(Long::parseLong)
+                .orElse(Long.MAX_VALUE);
         long wanted = (long) size.hollow() * ENDS + OTHERS;
         if (descriptors < wanted) {
             wanting.add("descriptors: " + wanted + " wanted, " + descriptors + " allowed; raise them with"
@@ -59,15 +66,23 @@
         long list = size.servers() * (Integer.BYTES + (whole ? ENTRY_BYTES : 0));
         long bytes = BASE_BYTES + size.hollow() * (HOLLOW_BYTES + list);
         if (heap < bytes) {
-            wanting.add(String.format(Locale.ROOT, "memory: about %d MB wanted, %d MB allowed; raise it with"
-                    + " JAVA_TOOL_OPTIONS=-Xmx%dm, or shrink fleet.hollow or fleet.servers", bytes >> 20,
-                    heap >> 20, bytes >> 20));
+            wanting.add(String.format(
+                    Locale.ROOT,
+                    "memory: about %d MB wanted, %d MB allowed; raise it with"
+                            + " JAVA_TOOL_OPTIONS=-Xmx%dm, or shrink fleet.hollow or fleet.servers",
+                    bytes >> 20,
+                    heap >> 20,
+                    bytes >> 20));
         }
         return wanting;
     }
 
     /** As {@link #check(Timeline, String, String, long)}, with what this process has. */
     public static List<String> check(Timeline timeline) throws IOException {
-        return check(timeline, Machine.read(LIMITS), Machine.read(PORTS), Runtime.getRuntime().maxMemory());
+        return check(
+                timeline,
+                Machine.read(LIMITS),
+                Machine.read(PORTS),
+                Runtime.getRuntime().maxMemory());
     }
 }
--- a/fleet/src/main/java/topazvalve/fleet/run/RelayProcesses.java
+++ b/fleet/src/main/java/topazvalve/fleet/run/RelayProcesses.java
@@ -20,6 +20,7 @@
 final class RelayProcesses implements RelayTier {
     /** What a relay of the plan's size is given: its list, its log of changes, its callers. */
     private static final String HEAP = "-Xmx256m";
+
     private static final long KB = 1_024;
 
     private final Path folder;
@@ -54,12 +55,20 @@
     }
 
     private static String toml(RelaySettings settings, InetSocketAddress listen) {
-        StringBuilder text = new StringBuilder(String.format(Locale.ROOT,
-                "name = \"%s\"%nlisten = \"%s\"%nmost_callers = %d%n", settings.name(), text(listen),
+        StringBuilder text = new StringBuilder(String.format(
+                Locale.ROOT,
+                "name = \"%s\"%nlisten = \"%s\"%nmost_callers = %d%n",
+                settings.name(),
+                text(listen),
                 settings.mostCallers()));
-        settings.sources().forEach(each -> text.append(String.format(Locale.ROOT,
-                "[[source]]%nname = \"%s\"%naddresses = [%s]%n", each.name(), each.addresses().stream()
-                        .map(at -> '"' + text(at) + '"').collect(Collectors.joining(", ")))));
+        settings.sources()
+                .forEach(each -> text.append(String.format(
+                        Locale.ROOT,
+                        "[[source]]%nname = \"%s\"%naddresses = [%s]%n",
+                        each.name(),
+                        each.addresses().stream()
+                                .map(at -> '"' + text(at) + '"')
+                                .collect(Collectors.joining(", ")))));
         return text.toString();
     }
 
@@ -82,11 +91,20 @@
     @Override
     public void start(int relay) {
         try {
-            processes[relay] = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin",
-                    "java").toString(), "-XX:+UseSerialGC", "-XX:-UsePerfData", HEAP, "-cp",
-                    System.getProperty("java.class.path"), Main.class.getName(), file(relay).toString())
-                    .redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.appendTo(
-                            folder.resolve("relay-" + relay + ".log").toFile())).start();
+            processes[relay] = new ProcessBuilder(
+                            Path.of(System.getProperty("java.home"), "bin", "java")
+                                    .toString(),
+                            "-XX:+UseSerialGC",
+                            "-XX:-UsePerfData",
+                            HEAP,
+                            "-cp",
+                            System.getProperty("java.class.path"),
+                            Main.class.getName(),
+                            file(relay).toString())
+                    .redirectErrorStream(true)
+                    .redirectOutput(ProcessBuilder.Redirect.appendTo(
+                            folder.resolve("relay-" + relay + ".log").toFile()))
+                    .start();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -117,9 +135,14 @@
     /** Resident memory of a process, bytes; 0 for one that has ended. */
     static long resident(long pid) {
         try {
-            return Files.readString(Path.of("/proc/" + pid + "/status"), StandardCharsets.US_ASCII).lines()
-                    .filter(each -> each.startsWith("VmRSS:")).map(each -> each.replaceAll("\\D", ""))
-                    .mapToLong(Long::parseLong).findFirst().orElse(0) * KB;
+            return Files.readString(Path.of("/proc/" + pid + "/status"), StandardCharsets.US_ASCII)
+                            .lines()
+                            .filter(each -> each.startsWith("VmRSS:"))
+                            .map(each -> each.replaceAll("\\D", ""))
+                            .mapToLong(Long::parseLong)
+                            .findFirst()
+                            .orElse(0)
+                    * KB;
         } catch (IOException e) {
             return 0;
         }
--- a/fleet/src/main/java/topazvalve/fleet/run/Sources.java
+++ b/fleet/src/main/java/topazvalve/fleet/run/Sources.java
@@ -28,21 +28,29 @@
 
     Sources(Timeline timeline, Truth truth, FleetOracle oracle, LongSupplier clock) {
         int count = timeline.size().sources();
-        List<String> zones = IntStream.range(0, timeline.size().zones()).mapToObj(each -> "z" + each)
+        List<String> zones = IntStream.range(0, timeline.size().zones())
+                .mapToObj(each -> "z" + each)
                 .toList();
         group = new MultiThreadIoEventLoopGroup(count, NioIoHandler.newFactory());
         for (int i = 0; i < count; i++) {
             EventLoop loop = group.next();
             String name = "source " + i;
-            Source source = new Source(loop, truth, clock, timeline.source(), zones, inSecond ->
-                    oracle.called(name, inSecond, timeline.source().capacity(), clock.getAsLong()));
+            Source source = new Source(
+                    loop,
+                    truth,
+                    clock,
+                    timeline.source(),
+                    zones,
+                    inSecond -> oracle.called(name, inSecond, timeline.source().capacity(), clock.getAsLong()));
             InetSocketAddress[] at = new InetSocketAddress[zones.size()];
             for (int zone = 0; zone < at.length; zone++) {
                 at[zone] = source.listen(zone, FleetRun.loopback(i, zone));
             }
             all.add(source);
             addresses.add(at);
-            threads.add(loop.submit(() -> Thread.currentThread().getId()).syncUninterruptibly().getNow());
+            threads.add(loop.submit(() -> Thread.currentThread().getId())
+                    .syncUninterruptibly()
+                    .getNow());
         }
     }
 
@@ -70,7 +78,7 @@
 
     /** Waits until all that was asked of the sources before is done. */
     void settle() {
-        group.forEach(each -> each.submit(() -> { }).syncUninterruptibly());
+        group.forEach(each -> each.submit(() -> {}).syncUninterruptibly());
     }
 
     private long sum(ToLongFunction<SourceCounts> count) {
@@ -96,13 +104,18 @@
 
     /** The most calls at one source in a second since this was last asked. */
     int busiest() {
-        return all.stream().map(Source::counts).mapToInt(SourceCounts::busiest).max().orElse(0);
+        return all.stream()
+                .map(Source::counts)
+                .mapToInt(SourceCounts::busiest)
+                .max()
+                .orElse(0);
     }
 
     /** CPU of each source's loop since it began, nanoseconds. */
     long[] cpu() {
-        return threads.stream().mapToLong(each ->
-                ManagementFactory.getThreadMXBean().getThreadCpuTime(each)).toArray();
+        return threads.stream()
+                .mapToLong(each -> ManagementFactory.getThreadMXBean().getThreadCpuTime(each))
+                .toArray();
     }
 
     @Override
--- a/fleet/src/main/java/topazvalve/fleet/run/StageResult.java
+++ b/fleet/src/main/java/topazvalve/fleet/run/StageResult.java
@@ -25,10 +25,25 @@
  *     system does not tell
  * @param found how often each rule was broken
  */
-public record StageResult(String name, int made, Figures figures, int behind, double seconds, long calls,
-        long refused, int busiest, long sent, double hollowCores, double sourceCores, double relayCores,
-        long relayBytes, double packagedCores, long packagedBytes, long heapMb,
-        double starved, Map<Rule, Integer> found) {
+public record StageResult(
+        String name,
+        int made,
+        Figures figures,
+        int behind,
+        double seconds,
+        long calls,
+        long refused,
+        int busiest,
+        long sent,
+        double hollowCores,
+        double sourceCores,
+        double relayCores,
+        long relayBytes,
+        double packagedCores,
+        long packagedBytes,
+        long heapMb,
+        double starved,
+        Map<Rule, Integer> found) {
     /** Whether the oracle found nothing, and all had all. */
     public boolean clean() {
         return found.isEmpty() && behind == 0;
--- a/fleet/src/main/java/topazvalve/fleet/source/Catalogue.java
+++ b/fleet/src/main/java/topazvalve/fleet/source/Catalogue.java
@@ -33,7 +33,7 @@
     private long forgotten;
     private long epoch;
 
-    private record Change(long rev, int server) { }
+    private record Change(long rev, int server) {}
 
     /** An empty list; {@code zones} names the zone of server number i at i modulo its length. */
     Catalogue(int kept, boolean withEpoch, long epoch, String... zones) {
@@ -110,7 +110,11 @@
     private ByteBuf changes(long from) {
         Set<Integer> changed = new LinkedHashSet<>();
         after(from).forEach(each -> changed.add(each.server));
-        return line(false, changed.stream().map(each -> entries.getOrDefault(each, gone.get(each))).toList());
+        return line(
+                false,
+                changed.stream()
+                        .map(each -> entries.getOrDefault(each, gone.get(each)))
+                        .toList());
     }
 
     /** The changes after a version one by one, each in a line of its own, as a watch is told them. */
--- a/fleet/src/main/java/topazvalve/fleet/source/Source.java
+++ b/fleet/src/main/java/topazvalve/fleet/source/Source.java
@@ -45,11 +45,12 @@
     private static final int BACKLOG = 8_192;
     /** What the kernel holds of a list on its way: enough for any change, a part of a whole list. */
     private static final int SEND_BUFFER = 64 << 10;
+
     private static final ByteBuf BEAT = text("1\r\n\n\r\n");
-    private static final ByteBuf WATCH_HEAD = text("HTTP/1.1 200 OK\r\ncontent-type: application/json\r\n"
-            + "transfer-encoding: chunked\r\n\r\n");
-    private static final ByteBuf REFUSED = text("HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n"
-            + "connection: close\r\n\r\n");
+    private static final ByteBuf WATCH_HEAD =
+            text("HTTP/1.1 200 OK\r\ncontent-type: application/json\r\n" + "transfer-encoding: chunked\r\n\r\n");
+    private static final ByteBuf REFUSED =
+            text("HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n" + "connection: close\r\n\r\n");
 
     private final EventLoop loop;
     private final Truth truth;
@@ -77,8 +78,13 @@
      * @param clock nanoseconds, the one that {@code truth} is written by
      * @param busySecond told, on the loop, how many calls have come in a second, each time one comes
      */
-    public Source(EventLoop loop, Truth truth, LongSupplier clock, SourceSettings settings,
-            List<String> zones, IntConsumer busySecond) {
+    public Source(
+            EventLoop loop,
+            Truth truth,
+            LongSupplier clock,
+            SourceSettings settings,
+            List<String> zones,
+            IntConsumer busySecond) {
         this.loop = loop;
         this.truth = truth;
         this.clock = clock;
@@ -91,8 +97,7 @@
         this.listeners = new Channel[zones.size()];
         Arrays.fill(links, Link.OPEN);
         loop.scheduleWithFixedDelay(this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
-        loop.scheduleWithFixedDelay(this::beat, BEAT_MS / BEAT_SLOTS, BEAT_MS / BEAT_SLOTS,
-                TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(this::beat, BEAT_MS / BEAT_SLOTS, BEAT_MS / BEAT_SLOTS, TimeUnit.MILLISECONDS);
     }
 
     /** Listens for the callers of a zone; the address it returns has a port. Not from the loop. */
@@ -104,8 +109,11 @@
     }
 
     private ChannelFuture bind(int zone, InetSocketAddress at) {
-        return new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
+        return new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.SO_SNDBUF, SEND_BUFFER)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
@@ -113,7 +121,8 @@
                     protected void initChannel(Channel made) {
                         made.pipeline().addLast(new HttpRequestDecoder(), new Caller(made, zone));
                     }
-                }).bind(at);
+                })
+                .bind(at);
     }
 
     public SourceCounts counts() {
@@ -134,7 +143,8 @@
 
     /** The list's version, once all that was asked of this source before is done. Not from the loop. */
     public Version version() {
-        return loop.submit(() -> new Version(catalogue.epoch(), catalogue.rev())).syncUninterruptibly()
+        return loop.submit(() -> new Version(catalogue.epoch(), catalogue.rev()))
+                .syncUninterruptibly()
                 .getNow();
     }
 
@@ -199,19 +209,19 @@
     }
 
     private static ByteBuf text(String text) {
-        return Unpooled.unreleasableBuffer(Unpooled.directBuffer(text.length())
-                .writeBytes(text.getBytes(StandardCharsets.US_ASCII)));
+        return Unpooled.unreleasableBuffer(
+                Unpooled.directBuffer(text.length()).writeBytes(text.getBytes(StandardCharsets.US_ASCII)));
     }
 
     private static ByteBuf text(String head, int length) {
-        return Unpooled.copiedBuffer(head + length + "\r\nconnection: close\r\n\r\n",
-                StandardCharsets.US_ASCII);
+        return Unpooled.copiedBuffer(head + length + "\r\nconnection: close\r\n\r\n", StandardCharsets.US_ASCII);
     }
 
     /** One chunk of a chunked answer around these bytes, which are not copied. */
     private static ByteBuf chunk(ByteBuf bytes) {
-        return Unpooled.wrappedBuffer(Unpooled.copiedBuffer(Integer.toHexString(bytes.readableBytes())
-                + "\r\n", StandardCharsets.US_ASCII), bytes.retainedDuplicate(),
+        return Unpooled.wrappedBuffer(
+                Unpooled.copiedBuffer(Integer.toHexString(bytes.readableBytes()) + "\r\n", StandardCharsets.US_ASCII),
+                bytes.retainedDuplicate(),
                 Unpooled.copiedBuffer("\r\n", StandardCharsets.US_ASCII));
     }
 
@@ -321,11 +331,13 @@
             QueryStringDecoder uri = new QueryStringDecoder(request.uri());
             watching = uri.parameters().containsKey("watch");
             try {
-                from = Long.parseLong(uri.parameters().getOrDefault("from", List.of("0")).get(0));
+                from = Long.parseLong(
+                        uri.parameters().getOrDefault("from", List.of("0")).get(0));
             } catch (NumberFormatException e) {
                 from = 0;
             }
-            long at = !uri.path().equals("/discovery/hosts") || links[zone].kind() == Link.Kind.REFUSING ? -1
+            long at = !uri.path().equals("/discovery/hosts") || links[zone].kind() == Link.Kind.REFUSING
+                    ? -1
                     : queue.answered(came, catalogue.entriesFor(from, watching));
             if (at < 0) {
                 refuse();
@@ -355,8 +367,8 @@
             if (!watching) {
                 counts.wholes.increment();
                 ByteBuf list = catalogue.whole();
-                ByteBuf answer = Unpooled.wrappedBuffer(text("HTTP/1.1 200 OK\r\ncontent-length: ",
-                        list.readableBytes()), list.retainedDuplicate());
+                ByteBuf answer = Unpooled.wrappedBuffer(
+                        text("HTTP/1.1 200 OK\r\ncontent-length: ", list.readableBytes()), list.retainedDuplicate());
                 ChannelFuture written = write(answer);
                 answer.release();
                 return written;
@@ -395,8 +407,7 @@
                 return channel.writeAndFlush(sent);
             }
             ChannelPromise later = channel.newPromise();
-            loop.schedule(() -> channel.writeAndFlush(sent, later), links[zone].delay(),
-                    TimeUnit.NANOSECONDS);
+            loop.schedule(() -> channel.writeAndFlush(sent, later), links[zone].delay(), TimeUnit.NANOSECONDS);
             return later;
         }
 
--- a/fleet/src/main/java/topazvalve/fleet/source/SourceSettings.java
+++ b/fleet/src/main/java/topazvalve/fleet/source/SourceSettings.java
@@ -10,8 +10,7 @@
  * @param epoch whether each line carries the number of the source's own starts, beside {@code rev}
  * @param kept changes that are kept for who comes back; who lags further behind gets the whole list
  */
-public record SourceSettings(double capacity, double callLines, long timeout, int transfers, boolean epoch,
-        int kept) {
+public record SourceSettings(double capacity, double callLines, long timeout, int transfers, boolean epoch, int kept) {
     /** A source that takes whatever comes. */
     public static SourceSettings unbounded() {
         return new SourceSettings(0, 0, 1_000_000_000L, 64, false, 20_000);
--- a/fleet/src/main/java/topazvalve/fleet/timeline/Timeline.java
+++ b/fleet/src/main/java/topazvalve/fleet/timeline/Timeline.java
@@ -13,8 +13,14 @@
  * @param relays what is between sources and sidecars
  * @param allowed what the oracle allows
  */
-public record Timeline(String name, String about, Size size, SourceSettings source, RelayCount relays,
-        Allowed allowed, List<Stage> stages) {
+public record Timeline(
+        String name,
+        String about,
+        Size size,
+        SourceSettings source,
+        RelayCount relays,
+        Allowed allowed,
+        List<Stage> stages) {
     /**
      * How many there are.
      *
@@ -26,8 +32,7 @@
      * @param loops event loops that share the hollow sidecars
      * @param startOver the time over which they start at first
      */
-    public record Size(int hollow, int servers, int zones, int regions, int sources, int loops,
-            long startOver) {
+    public record Size(int hollow, int servers, int zones, int regions, int sources, int loops, long startOver) {
         /** The region of a zone. */
         public int region(int zone) {
             return zone * regions / zones;
@@ -40,13 +45,19 @@
      * @param count how many; 0 has sources asked directly
      * @param processes whether each is a process of its own
      */
-    public record RelayCount(int count, boolean processes) { }
+    public record RelayCount(int count, boolean processes) {}
 
     /** What an instance that comes back still knows. */
-    public enum From { KNOWN, NOTHING }
+    public enum From {
+        KNOWN,
+        NOTHING
+    }
 
     /** How a source's versions go on when it is back. */
-    public enum Versions { SAME, LOWER }
+    public enum Versions {
+        SAME,
+        LOWER
+    }
 
     /**
      * One stage: all of it begins with the stage, and what is broken is mended at its end.
@@ -68,9 +79,24 @@
      * @param relaysKilled relays killed, the first ones
      * @param relaysDown how long they are gone
      */
-    public record Stage(String name, long length, long settle, double changesADay, int burst, int burstZone,
-            long burstWithin, int restart, From from, long down, Link link, List<Integer> zones,
-            long sourceDown, Versions versions, int stalled, int relaysKilled, long relaysDown) { }
+    public record Stage(
+            String name,
+            long length,
+            long settle,
+            double changesADay,
+            int burst,
+            int burstZone,
+            long burstWithin,
+            int restart,
+            From from,
+            long down,
+            Link link,
+            List<Integer> zones,
+            long sourceDown,
+            Versions versions,
+            int stalled,
+            int relaysKilled,
+            long relaysDown) {}
 
     /** The most changes that the stages can make, the first entry of each server among them. */
     public int mostChanges() {
--- a/fleet/src/main/java/topazvalve/fleet/timeline/TimelineFile.java
+++ b/fleet/src/main/java/topazvalve/fleet/timeline/TimelineFile.java
@@ -23,7 +23,7 @@
 public final class TimelineFile {
     private static final int MOST = 20_000;
 
-    private TimelineFile() { }
+    private TimelineFile() {}
 
     /** Reads a file; {@link topazvalve.toml.BadFile} if it has faults. */
     public static Timeline read(Path file) throws IOException {
@@ -51,27 +51,34 @@
 
     private static Size size(Table table) {
         int zones = table.whole("zones", 1, 1, 100);
-        Size size = new Size(table.whole("hollow", null, 1, MOST), table.whole("servers", null, 1, MOST),
-                zones, table.whole("regions", 1, 1, zones), table.whole("sources", 1, 1, 16),
-                table.whole("loops", 4, 1, 64), table.duration("start_over", "0", "0", "5m"));
+        Size size = new Size(
+                table.whole("hollow", null, 1, MOST),
+                table.whole("servers", null, 1, MOST),
+                zones,
+                table.whole("regions", 1, 1, zones),
+                table.whole("sources", 1, 1, 16),
+                table.whole("loops", 4, 1, 64),
+                table.duration("start_over", "0", "0", "5m"));
         if (size.sources() > size.regions()) {
-            table.wrong("sources", "there are " + size.sources() + " of them, but regions = "
-                    + size.regions());
+            table.wrong("sources", "there are " + size.sources() + " of them, but regions = " + size.regions());
         }
         return size;
     }
 
     private static SourceSettings source(Table table) {
-        return new SourceSettings(table.number("capacity", 0.0, 0, 1e6),
-                table.number("call_lines", 0.0, 0, 1e6), table.duration("timeout", "1s", "1ms", "1m"),
-                table.whole("transfers", 64, 1, MOST), table.flag("epoch", false),
+        return new SourceSettings(
+                table.number("capacity", 0.0, 0, 1e6),
+                table.number("call_lines", 0.0, 0, 1e6),
+                table.duration("timeout", "1s", "1ms", "1m"),
+                table.whole("transfers", 64, 1, MOST),
+                table.flag("epoch", false),
                 table.whole("kept", MOST, 1, 1_000_000));
     }
 
     private static Allowed allowed(Table table) {
-        return new Allowed(table.duration("late", "9s", "1ms", "10m"),
-                table.number("bytes_a_second", 6_000.0, 1, 1e9),
-                (int) (table.duration("bytes_over", "60s", "1s", "10m") / 1_000_000_000L));
+        return new Allowed(
+                table.duration("late", "9s", "1ms", "10m"), table.number("bytes_a_second", 6_000.0, 1, 1e9), (int)
+                        (table.duration("bytes_over", "60s", "1s", "10m") / 1_000_000_000L));
     }
 
     private static RelayCount relays(Table table) {
@@ -96,12 +103,19 @@
         if (zones.isEmpty() == (kind != Link.Kind.OPEN)) {
             table.wrong("link", "link and one of zones and regions belong together");
         }
-        return new Stage(table.text("name", null), table.duration("length", null, "10ms", "60m"),
-                table.duration("settle", "20s", "0", "30m"), table.number("changes_a_day", 0.0, 0, 1e8),
-                table.whole("burst", 0, 0, size.servers()), table.whole("burst_zone", 0, 0, size.zones() - 1),
+        return new Stage(
+                table.text("name", null),
+                table.duration("length", null, "10ms", "60m"),
+                table.duration("settle", "20s", "0", "30m"),
+                table.number("changes_a_day", 0.0, 0, 1e8),
+                table.whole("burst", 0, 0, size.servers()),
+                table.whole("burst_zone", 0, 0, size.zones() - 1),
                 table.duration("burst_within", "1s", "0", "10m"),
-                table.whole("restart", 0, 0, size.hollow()), table.choice(From.class, "from", From.KNOWN),
-                table.duration("down", "1s", "0", "10m"), new Link(kind, delay), List.copyOf(zones),
+                table.whole("restart", 0, 0, size.hollow()),
+                table.choice(From.class, "from", From.KNOWN),
+                table.duration("down", "1s", "0", "10m"),
+                new Link(kind, delay),
+                List.copyOf(zones),
                 table.duration("source_down", "0", "0", "30m"),
                 table.choice(Versions.class, "versions", Versions.SAME),
                 table.whole("stalled", 0, 0, size.hollow()),
--- a/fleet/src/main/java/topazvalve/fleet/truth/Names.java
+++ b/fleet/src/main/java/topazvalve/fleet/truth/Names.java
@@ -4,7 +4,7 @@
 public final class Names {
     private static final int HEX = 16;
 
-    private Names() { }
+    private Names() {}
 
     /** {@code s-} and eight hexadecimal digits, as long as the published form's. */
     public static String of(int server) {
--- a/fleet/src/main/java/topazvalve/fleet/truth/Truth.java
+++ b/fleet/src/main/java/topazvalve/fleet/truth/Truth.java
@@ -16,6 +16,7 @@
     private final AtomicLongArray times;
     /** Server, earlier change of it and state in one word. */
     private final AtomicLongArray changes;
+
     private final AtomicIntegerArray latest;
     private int last;
 
--- a/fleet/src/test/java/topazvalve/fleet/WallsTest.java
+++ b/fleet/src/test/java/topazvalve/fleet/WallsTest.java
@@ -11,14 +11,22 @@
 /** Who judges knows neither clock nor socket, and the module's packages depend one way. */
 class WallsTest {
     private static final JavaClasses FLEET = new ClassFileImporter()
-            .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("topazvalve.fleet");
+            .withImportOption(new ImportOption.DoNotIncludeTests())
+            .importPackages("topazvalve.fleet");
 
     @Test
     void whoJudgesKnowsNeitherClockNorSocket() {
-        noClasses().that().resideInAnyPackage("..fleet.truth..", "..fleet.oracle..").should()
-                .dependOnClassesThat().resideInAnyPackage("io.netty..", "java.net..")
-                .orShould().callMethod(System.class, "nanoTime")
-                .orShould().callMethod(System.class, "currentTimeMillis").check(FLEET);
+        noClasses()
+                .that()
+                .resideInAnyPackage("..fleet.truth..", "..fleet.oracle..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("io.netty..", "java.net..")
+                .orShould()
+                .callMethod(System.class, "nanoTime")
+                .orShould()
+                .callMethod(System.class, "currentTimeMillis")
+                .check(FLEET);
     }
 
     @Test
--- a/fleet/src/test/java/topazvalve/fleet/hollow/HeldTest.java
+++ b/fleet/src/test/java/topazvalve/fleet/hollow/HeldTest.java
@@ -22,8 +22,10 @@
 
     private void take(ListKind kind, Target... targets) {
         told.clear();
-        held.take(kind, List.of(targets), (server, before, had, now, has) ->
-                told.add(server + ":" + before + had + ">" + now + has));
+        held.take(
+                kind,
+                List.of(targets),
+                (server, before, had, now, has) -> told.add(server + ":" + before + had + ">" + now + has));
     }
 
     @Test
@@ -57,8 +59,7 @@
 
     @Test
     void namesThatAreNotOursArePassedOver() {
-        take(ListKind.DELTA, new Target("other", null, "", "", 1, State.READY, 1, 0),
-                entry(7, 1, State.READY));
+        take(ListKind.DELTA, new Target("other", null, "", "", 1, State.READY, 1, 0), entry(7, 1, State.READY));
         assertEquals(List.of(), told);
     }
 }
--- a/fleet/src/test/java/topazvalve/fleet/run/FleetRunTest.java
+++ b/fleet/src/test/java/topazvalve/fleet/run/FleetRunTest.java
@@ -22,8 +22,9 @@
  */
 class FleetRunTest {
     /** Thousands say the same of every failure; kept, or the level would be forgotten. */
-    private static final List<Logger> TALKERS = List.of(Logger.getLogger("discovery"),
-            Logger.getLogger("source"), Logger.getLogger("relay"));
+    private static final List<Logger> TALKERS =
+            List.of(Logger.getLogger("discovery"), Logger.getLogger("source"), Logger.getLogger("relay"));
+
     private static final String FLEET = """
             name = "t"
             [fleet]
@@ -69,8 +70,11 @@
     }
 
     private static void stage(StringBuilder text, String keys) {
-        text.append("[[stage]]\nname = \"").append(keys.replaceAll("[\"\\n]", " "))
-                .append("\"\nsettle = \"60s\"\n").append(keys).append("\nchanges_a_day = 2_000_000\n");
+        text.append("[[stage]]\nname = \"")
+                .append(keys.replaceAll("[\"\\n]", " "))
+                .append("\"\nsettle = \"60s\"\n")
+                .append(keys)
+                .append("\nchanges_a_day = 2_000_000\n");
     }
 
     @Test
@@ -86,7 +90,7 @@
         stage(text, "length = \"1s\"\nsource_down = \"500ms\"");
         stage(text, "length = \"1s\"\nsource_down = \"500ms\"\nversions = \"lower\"");
         try (FleetRun run = new FleetRun(TimelineFile.parse("t", text.toString()), 7)) {
-            for (StageResult each : run.play(told -> { })) {
+            for (StageResult each : run.play(told -> {})) {
                 assertTrue(each.clean(), each.name() + ": " + each.behind() + " behind, " + each.found());
             }
         }
@@ -94,9 +98,9 @@
 
     @Test
     void severalSourcesEachHaveTheirOwnServersAndVersions() {
-        String text = FLEET.replace("regions = 3", "regions = 3\nsources = 3") + "[source]\nepoch = true\n"
-                + ALLOWED + CHANGES;
-        assertEquals(Set.of(), found(text, 1, run -> { }));
+        String text = FLEET.replace("regions = 3", "regions = 3\nsources = 3") + "[source]\nepoch = true\n" + ALLOWED
+                + CHANGES;
+        assertEquals(Set.of(), found(text, 1, run -> {}));
     }
 
     @Test
@@ -104,7 +108,7 @@
         String text = FLEET + ALLOWED + "[[stage]]\nname = \"s\"\nlength = \"10ms\"\nsettle = \"60s\"\n"
                 + "restart = 120\ndown = \"1s\"\n";
         try (FleetRun run = new FleetRun(TimelineFile.parse("t", text), 7)) {
-            StageResult result = run.play(told -> { }).get(1);
+            StageResult result = run.play(told -> {}).get(1);
             assertTrue(result.clean(), result.toString());
             assertEquals(120, result.figures().answers().getTotalCount());
         }
@@ -121,9 +125,11 @@
         stage(text, "length = \"1s\"\nsource_down = \"500ms\"\nversions = \"lower\"");
         stage(text, "length = \"1s\"\nstalled = 10");
         try (FleetRun run = new FleetRun(TimelineFile.parse("t", text.toString()), 7)) {
-            for (StageResult each : run.play(told -> { })) {
-                assertTrue(each.clean(), each.name() + ": " + each.behind() + " behind, " + each.found()
-                        + run.oracle().examples());
+            for (StageResult each : run.play(told -> {})) {
+                assertTrue(
+                        each.clean(),
+                        each.name() + ": " + each.behind() + " behind, " + each.found()
+                                + run.oracle().examples());
             }
         }
     }
@@ -163,13 +169,12 @@
     @Test
     void moreCallsThanTheSourceCanDoAreFound() {
         String text = FLEET + "[source]\ncapacity = 100.0\n" + ALLOWED + CHANGES;
-        assertEquals(Set.of(Rule.SERVING_RATE), found(text, 1, run -> { }));
+        assertEquals(Set.of(Rule.SERVING_RATE), found(text, 1, run -> {}));
     }
 
     @Test
     void moreBytesThanAllowedAreFound() {
-        String text = FLEET + ALLOWED + "bytes_a_second = 1.0\nbytes_over = \"1s\"\n"
-                + CHANGES.replace("500ms", "3s");
-        assertEquals(Set.of(Rule.CONTROL_BYTES), found(text, 1, run -> { }));
+        String text = FLEET + ALLOWED + "bytes_a_second = 1.0\nbytes_over = \"1s\"\n" + CHANGES.replace("500ms", "3s");
+        assertEquals(Set.of(Rule.CONTROL_BYTES), found(text, 1, run -> {}));
     }
 }
--- a/fleet/src/test/java/topazvalve/fleet/run/PreflightTest.java
+++ b/fleet/src/test/java/topazvalve/fleet/run/PreflightTest.java
@@ -13,8 +13,10 @@
     private static final long ROOM = 8L << 30;
 
     private static Timeline of(int hollow, int zones) {
-        return TimelineFile.parse("t", "name = \"t\"\n[fleet]\nhollow = " + hollow
-                + "\nservers = 100\nzones = " + zones + "\n[[stage]]\nname = \"s\"\nlength = \"1s\"\n");
+        return TimelineFile.parse(
+                "t",
+                "name = \"t\"\n[fleet]\nhollow = " + hollow + "\nservers = 100\nzones = " + zones
+                        + "\n[[stage]]\nname = \"s\"\nlength = \"1s\"\n");
     }
 
     private static String limits(int files) {
@@ -31,8 +33,8 @@
     void whatIsShortIsToldWithWhatToRaiseAndWhatToShrink() {
         List<String> files = Preflight.check(of(5_700, 13), limits(1_024), PORTS, ROOM);
         assertEquals(1, files.size(), files.toString());
-        assertTrue(files.get(0).contains("ulimit -n 17400") && files.get(0).contains("fleet.hollow = 241"),
-                files.get(0));
+        assertTrue(
+                files.get(0).contains("ulimit -n 17400") && files.get(0).contains("fleet.hollow = 241"), files.get(0));
         List<String> ports = Preflight.check(of(5_700, 1), limits(20_000), "32768\t40000", ROOM);
         assertEquals(1, ports.size(), ports.toString());
         assertTrue(ports.get(0).contains("fleet.zones = 4 or more"), ports.get(0));
--- a/fleet/src/test/java/topazvalve/fleet/timeline/TimelineFileTest.java
+++ b/fleet/src/test/java/topazvalve/fleet/timeline/TimelineFileTest.java
@@ -26,7 +26,8 @@
             """;
 
     private static void faulty(String text, String... parts) {
-        String message = assertThrows(BadFile.class, () -> TimelineFile.parse("t.toml", text)).getMessage();
+        String message = assertThrows(BadFile.class, () -> TimelineFile.parse("t.toml", text))
+                .getMessage();
         for (String each : parts) {
             assertTrue(message.contains(each), message);
         }
@@ -34,7 +35,9 @@
 
     @Test
     void aRegionIsItsZones() {
-        assertEquals(List.of(2, 3), TimelineFile.parse("t.toml", SOUND).stages().get(0).zones());
+        assertEquals(
+                List.of(2, 3),
+                TimelineFile.parse("t.toml", SOUND).stages().get(0).zones());
     }
 
     @Test
--- a/lists/src/main/java/topazvalve/lists/Following.java
+++ b/lists/src/main/java/topazvalve/lists/Following.java
@@ -22,17 +22,21 @@
     static final long LONGEST_ASKED = 5_000_000_000L;
 
     /** What to do next. */
-    public sealed interface Order { }
+    public sealed interface Order {}
 
     /** To ask this place after this many nanoseconds; 0 is at once. */
-    public record Ask(int place, long after) implements Order { }
+    public record Ask(int place, long after) implements Order {}
 
     /** To stay as things are. */
-    public record Stay() implements Order { }
+    public record Stay() implements Order {}
 
     private static final Stay STAY = new Stay();
 
-    private enum State { ASKING, FOLLOWING, PAUSING }
+    private enum State {
+        ASKING,
+        FOLLOWING,
+        PAUSING
+    }
 
     private final int places;
     private final RandomGenerator random;
--- a/lists/src/main/java/topazvalve/lists/ListState.java
+++ b/lists/src/main/java/topazvalve/lists/ListState.java
@@ -19,7 +19,7 @@
  */
 public final class ListState {
     /** One server's line, as its source wrote it; {@code gone} if it says that the server is no more. */
-    public record Entry(String uid, boolean gone, String json) { }
+    public record Entry(String uid, boolean gone, String json) {}
 
     /**
      * What a source tells.
@@ -27,7 +27,7 @@
      * @param version how far it has come with this
      * @param whole whether whom it does not name is gone
      */
-    public record Update(Version version, boolean whole, List<Entry> entries) { }
+    public record Update(Version version, boolean whole, List<Entry> entries) {}
 
     /** What became of an update. */
     public enum Taken {
@@ -66,7 +66,7 @@
         INCOMPLETE
     }
 
-    private record Logged(Version version, Set<String> uids) { }
+    private record Logged(Version version, Set<String> uids) {}
 
     /** What is known of one source. */
     private final class Source {
@@ -75,6 +75,7 @@
         private int logged;
         /** What came up to here is no more in the log. */
         private Version floor;
+
         private Version version;
         private long live;
 
@@ -83,15 +84,16 @@
             if (version == null && !update.whole()) {
                 return Taken.APART;
             }
-            if (version != null && next.epoch() == version.epoch() && next.rev() < version.rev()
+            if (version != null
+                    && next.epoch() == version.epoch()
+                    && next.rev() < version.rev()
                     && (next.epoch() > 0 || !update.whole())) {
                 return Taken.OLDER;
             }
             if (version != null && next.epoch() < version.epoch() && next.epoch() > 0) {
                 return Taken.OLDER;
             }
-            boolean anew = version != null
-                    && (next.epoch() != version.epoch() || next.rev() < version.rev());
+            boolean anew = version != null && (next.epoch() != version.epoch() || next.rev() < version.rev());
             if (anew && !update.whole()) {
                 return Taken.APART;
             }
@@ -156,7 +158,8 @@
                 floor = oldest.version();
                 for (String uid : oldest.uids()) {
                     Entry entry = entries.get(uid);
-                    if (entry != null && entry.gone()
+                    if (entry != null
+                            && entry.gone()
                             && log.stream().noneMatch(later -> later.uids().contains(uid))) {
                         entries.remove(uid);
                     }
@@ -242,8 +245,10 @@
     public Taken fill(String name, Version from, Update update) {
         Taken taken = take(name, update);
         Source source = sources.get(name);
-        if (!update.whole() && (taken == Taken.SAME || taken == Taken.CHANGED)
-                && from.comparable(source.floor) && from.compareTo(source.floor) < 0) {
+        if (!update.whole()
+                && (taken == Taken.SAME || taken == Taken.CHANGED)
+                && from.comparable(source.floor)
+                && from.compareTo(source.floor) < 0) {
             source.fill(from, update);
         }
         return taken;
@@ -273,8 +278,11 @@
     /** Whether a follower with this version of a source that is known comes from before the source's log. */
     public boolean beforeLog(String name, Version has) {
         Source source = sources.get(name);
-        return source.version != null && has != null && has.comparable(source.floor)
-                && has.epoch() == source.floor.epoch() && has.compareTo(source.floor) < 0;
+        return source.version != null
+                && has != null
+                && has.comparable(source.floor)
+                && has.epoch() == source.floor.epoch()
+                && has.compareTo(source.floor) < 0;
     }
 
     /** What a follower that has come so far is to hear; {@link Versions#NONE} for one with nothing. */
--- a/lists/src/main/java/topazvalve/lists/RelayOrder.java
+++ b/lists/src/main/java/topazvalve/lists/RelayOrder.java
@@ -12,12 +12,13 @@
  * is lost the others get equal shares, and one that is added or taken away moves nobody else.
  */
 public final class RelayOrder {
-    private RelayOrder() { }
+    private RelayOrder() {}
 
     /** All of {@code relays}, the one to ask first in front. */
     public static List<String> of(String follower, List<String> relays) {
         List<String> order = new ArrayList<>(relays);
-        order.sort(Comparator.<String>comparingLong(relay -> weight(follower, relay)).reversed()
+        order.sort(Comparator.<String>comparingLong(relay -> weight(follower, relay))
+                .reversed()
                 .thenComparing(Comparator.naturalOrder()));
         return List.copyOf(order);
     }
--- a/lists/src/main/java/topazvalve/lists/Versions.java
+++ b/lists/src/main/java/topazvalve/lists/Versions.java
@@ -71,7 +71,9 @@
     public boolean behind(Versions other) {
         for (Map.Entry<String, Version> each : bySource.entrySet()) {
             Version theirs = other.at(each.getKey());
-            if (theirs != null && each.getValue().epoch() > 0 && theirs.comparable(each.getValue())
+            if (theirs != null
+                    && each.getValue().epoch() > 0
+                    && theirs.comparable(each.getValue())
                     && each.getValue().compareTo(theirs) < 0) {
                 return true;
             }
--- a/lists/src/test/java/topazvalve/lists/ListStateTest.java
+++ b/lists/src/test/java/topazvalve/lists/ListStateTest.java
@@ -75,8 +75,9 @@
     @Test
     void whatChangedBeforeTheRelayBeganIsFilledIn() {
         state.take("eu", whole(0, 100, entry("a", "9"), entry("b", "1")));
-        assertEquals(Taken.SAME, state.fill("eu", new Version(0, 50),
-                change(0, 100, entry("a", "9"), new Entry("z", true, "gone"))));
+        assertEquals(
+                Taken.SAME,
+                state.fill("eu", new Version(0, 50), change(0, 100, entry("a", "9"), new Entry("z", true, "gone"))));
         assertEquals(Lack.CHANGES, state.lack(at(0, 60)));
         assertEquals(List.of("a", "z"), uids(state.changes(at(0, 60))));
         assertEquals(List.of(), state.changes(at(0, 100)));
@@ -86,8 +87,8 @@
     @Test
     void whatChangedBetweenTheWholeListAndTheFillIsServedToo() {
         state.take("eu", whole(0, 100, entry("a", "9"), entry("b", "1")));
-        assertEquals(Taken.CHANGED, state.fill("eu", new Version(0, 50),
-                change(0, 102, entry("a", "9"), entry("b", "2"))));
+        assertEquals(
+                Taken.CHANGED, state.fill("eu", new Version(0, 50), change(0, 102, entry("a", "9"), entry("b", "2"))));
         assertEquals(List.of("b"), uids(state.changes(at(0, 100))));
         assertEquals(List.of("a", "b"), uids(state.changes(at(0, 50))));
     }
@@ -158,14 +159,16 @@
 
     @Test
     void aGoneServersLineIsAnObjectWhateverItsName() {
-        assertEquals("{\"uid\":\"a\\u0022\\u005c\\u000a\",\"state\":\"DELETED\"}",
+        assertEquals(
+                "{\"uid\":\"a\\u0022\\u005c\\u000a\",\"state\":\"DELETED\"}",
                 ListState.gone("a\"\\\n").json());
     }
 
     @Test
     void aZonesServersInOneChangeAreOneAnswer() {
         Entry[] all = IntStream.range(0, 440).mapToObj(i -> entry("s" + i, "1")).toArray(Entry[]::new);
-        Entry[] drained = IntStream.range(0, 440).mapToObj(i -> entry("s" + i, "2")).toArray(Entry[]::new);
+        Entry[] drained =
+                IntStream.range(0, 440).mapToObj(i -> entry("s" + i, "2")).toArray(Entry[]::new);
         ListState large = new ListState(List.of("eu"), 1_000);
         large.take("eu", whole(1, 1, all));
         large.take("eu", change(1, 2, drained));
--- a/lists/src/test/java/topazvalve/lists/RelayOrderTest.java
+++ b/lists/src/test/java/topazvalve/lists/RelayOrderTest.java
@@ -31,8 +31,9 @@
     void followersSpreadEvenly() {
         int mean = FOLLOWERS / relays.size();
         // Five times the root of the mean is beyond chance.
-        first(relays).forEach((relay, count) -> assertTrue(Math.abs(count - mean) < 5 * Math.sqrt(mean),
-                relay + " has " + count));
+        first(relays)
+                .forEach((relay, count) ->
+                        assertTrue(Math.abs(count - mean) < 5 * Math.sqrt(mean), relay + " has " + count));
     }
 
     @Test
--- a/lists/src/test/java/topazvalve/lists/SpreadModelTest.java
+++ b/lists/src/test/java/topazvalve/lists/SpreadModelTest.java
@@ -26,12 +26,20 @@
     private static final String NAME = "eu";
 
     private enum Event {
-        CHANGE_A, TOGGLE_B, SOURCE_RESTARTS, RELAY_0_HEARS, RELAY_1_HEARS, RELAY_0_RECONNECTS,
-        RELAY_1_RECONNECTS, RELAY_1_RESTARTS, FOLLOWER_MOVES, FOLLOWER_HEARS
+        CHANGE_A,
+        TOGGLE_B,
+        SOURCE_RESTARTS,
+        RELAY_0_HEARS,
+        RELAY_1_HEARS,
+        RELAY_0_RECONNECTS,
+        RELAY_1_RECONNECTS,
+        RELAY_1_RESTARTS,
+        FOLLOWER_MOVES,
+        FOLLOWER_HEARS
     }
 
     /** What a line says, and how far it brings who hears it. */
-    private record Line(boolean whole, Versions versions, List<Entry> entries) { }
+    private record Line(boolean whole, Versions versions, List<Entry> entries) {}
 
     private static final class Relay {
         ListState state = new ListState(List.of(NAME), 2);
@@ -99,7 +107,8 @@
                 }
                 relay.inbox.add(new Update(version, false, List.copyOf(entries.values())));
             } else {
-                truth.values().stream().filter(entry -> !entry.gone())
+                truth.values().stream()
+                        .filter(entry -> !entry.gone())
                         .forEach(entry -> entries.put(entry.uid(), entry));
                 relay.inbox.add(new Update(version, true, List.copyOf(entries.values())));
             }
@@ -112,8 +121,8 @@
             }
             Versions before = relay.state.versions();
             Taken taken = relay.state.take(NAME, update);
-            assertTrue(taken == Taken.SAME || taken == Taken.CHANGED || taken == Taken.FIRST,
-                    () -> "not taken: " + taken);
+            assertTrue(
+                    taken == Taken.SAME || taken == Taken.CHANGED || taken == Taken.FIRST, () -> "not taken: " + taken);
             if (relays[at] == relay) {
                 if (parked || taken == Taken.FIRST) {
                     ask();
@@ -148,7 +157,8 @@
             line.entries().forEach(entry -> held.put(entry.uid(), entry));
             Version before = has.at(NAME);
             has = has.after(line.versions());
-            assertTrue(before == null || order.get(before) <= order.get(has.at(NAME)),
+            assertTrue(
+                    before == null || order.get(before) <= order.get(has.at(NAME)),
                     () -> "went back from " + before + " to " + has);
             return true;
         }
--- a/lists/src/test/java/topazvalve/lists/VersionsTest.java
+++ b/lists/src/test/java/topazvalve/lists/VersionsTest.java
@@ -23,8 +23,24 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"eu", "eu:", "eu:1", "eu:1.", "eu:.1", "eu:-1.2", "EU:1.2", "eu:1.2,", ",eu:1.2",
-        "eu:1.2,eu:1.3", "eu:1.2;us:1.2", "eu:1.99999999999999999999", ":1.2", "e u:1.2", "eu:1.2.3"})
+    @ValueSource(
+            strings = {
+                "eu",
+                "eu:",
+                "eu:1",
+                "eu:1.",
+                "eu:.1",
+                "eu:-1.2",
+                "EU:1.2",
+                "eu:1.2,",
+                ",eu:1.2",
+                "eu:1.2,eu:1.3",
+                "eu:1.2;us:1.2",
+                "eu:1.99999999999999999999",
+                ":1.2",
+                "e u:1.2",
+                "eu:1.2.3"
+            })
     void whatIsNoneIsRefused(String text) {
         assertThrows(IllegalArgumentException.class, () -> Versions.parse(text));
     }
--- a/lists/src/test/java/topazvalve/lists/WallsTest.java
+++ b/lists/src/test/java/topazvalve/lists/WallsTest.java
@@ -10,13 +10,32 @@
 class WallsTest {
     @Test
     void nothingHereKnowsInputClockOrThread() {
-        var lists = new ClassFileImporter().withImportOption(new ImportOption.DoNotIncludeTests())
+        var lists = new ClassFileImporter()
+                .withImportOption(new ImportOption.DoNotIncludeTests())
                 .importPackages("topazvalve.lists");
-        noClasses().should().dependOnClassesThat().resideOutsideOfPackages("topazvalve.lists..",
-                "java.lang..", "java.util", "java.util.function", "java.util.stream", "java.util.regex",
-                "java.util.random", "java.nio.charset", "org.apache.commons.codec.digest", "").check(lists);
-        noClasses().should().callMethod(System.class, "nanoTime").orShould()
-                .callMethod(System.class, "currentTimeMillis").orShould().dependOnClassesThat()
-                .areAssignableTo(Thread.class).check(lists);
+        noClasses()
+                .should()
+                .dependOnClassesThat()
+                .resideOutsideOfPackages(
+                        "topazvalve.lists..",
+                        "java.lang..",
+                        "java.util",
+                        "java.util.function",
+                        "java.util.stream",
+                        "java.util.regex",
+                        "java.util.random",
+                        "java.nio.charset",
+                        "org.apache.commons.codec.digest",
+                        "")
+                .check(lists);
+        noClasses()
+                .should()
+                .callMethod(System.class, "nanoTime")
+                .orShould()
+                .callMethod(System.class, "currentTimeMillis")
+                .orShould()
+                .dependOnClassesThat()
+                .areAssignableTo(Thread.class)
+                .check(lists);
     }
 }
--- a/logging/src/main/java/topazvalve/logging/LineFormatter.java
+++ b/logging/src/main/java/topazvalve/logging/LineFormatter.java
@@ -29,7 +29,11 @@
         Throwable thrown = entry.getThrown();
         StringBuilder line = new StringBuilder(128);
         if (json) {
-            line.append("{\"time\":\"").append(time).append("\",\"level\":\"").append(level).append('"');
+            line.append("{\"time\":\"")
+                    .append(time)
+                    .append("\",\"level\":\"")
+                    .append(level)
+                    .append('"');
             field(line, "logger", entry.getLoggerName());
             field(line, "message", message);
             if (thrown != null) {
@@ -38,7 +42,12 @@
             }
             return line.append("}\n").toString();
         }
-        line.append(time).append(' ').append(level).append(' ').append(entry.getLoggerName()).append(": ")
+        line.append(time)
+                .append(' ')
+                .append(level)
+                .append(' ')
+                .append(entry.getLoggerName())
+                .append(": ")
                 .append(message);
         if (thrown != null) {
             line.append(": ").append(thrown).append(" at ").append(origin(thrown));
--- a/logging/src/main/java/topazvalve/logging/Logging.java
+++ b/logging/src/main/java/topazvalve/logging/Logging.java
@@ -20,12 +20,21 @@
  * and the default holds.
  */
 public final class Logging {
-    private static final Map<String, Level> LEVELS = Map.of("error", Level.SEVERE, "warn", Level.WARNING,
-            "info", Level.INFO, "debug", Level.FINE, "trace", Level.FINEST);
+    private static final Map<String, Level> LEVELS = Map.of(
+            "error",
+            Level.SEVERE,
+            "warn",
+            Level.WARNING,
+            "info",
+            Level.INFO,
+            "debug",
+            Level.FINE,
+            "trace",
+            Level.FINEST);
     private static final String LEVEL = "topazvalve.log.level";
     private static final String FORMAT = "topazvalve.log.format";
 
-    private Logging() { }
+    private Logging() {}
 
     /** Sets the backend up and returns the logger of this name; for the first class of a process. */
     public static Logger of(String name) {
--- a/logging/src/main/java/topazvalve/logging/SteadyManager.java
+++ b/logging/src/main/java/topazvalve/logging/SteadyManager.java
@@ -9,11 +9,11 @@
  */
 public final class SteadyManager extends LogManager {
     /** Called by the JDK alone. */
-    public SteadyManager() { }
+    public SteadyManager() {}
 
     @Override
-    public void readConfiguration() { }
+    public void readConfiguration() {}
 
     @Override
-    public void reset() { }
+    public void reset() {}
 }
--- a/logging/src/test/java/topazvalve/logging/LineFormatterTest.java
+++ b/logging/src/test/java/topazvalve/logging/LineFormatterTest.java
@@ -25,8 +25,11 @@
     void textIsOneLineWhateverIsInIt() {
         String line = new LineFormatter(false).format(nasty());
         assertEquals(1, line.lines().count());
-        assertEquals(0, line.indexOf("2026-01-02T03:04:05.678Z WARN upstream: a \"b\" {c}   ü: "
-                + "java.lang.IllegalStateException: bro ken at topazvalve.logging."), line);
+        assertEquals(
+                0,
+                line.indexOf("2026-01-02T03:04:05.678Z WARN upstream: a \"b\" {c}   ü: "
+                        + "java.lang.IllegalStateException: bro ken at topazvalve.logging."),
+                line);
     }
 
     @Test
@@ -43,6 +46,7 @@
         }
         assertEquals("a \"b\"\n{c} \u0001 ü", read.get("message"));
         assertEquals("java.lang.IllegalStateException: bro\nken", read.get("exception"));
-        assertEquals("[time, level, logger, message, exception, at]", read.keySet().toString());
+        assertEquals(
+                "[time, level, logger, message, exception, at]", read.keySet().toString());
     }
 }
--- a/relay/src/main/java/topazvalve/relay/Caller.java
+++ b/relay/src/main/java/topazvalve/relay/Caller.java
@@ -44,6 +44,7 @@
     private Versions has = Versions.NONE;
     /** It has all that this relay has, or what is missing is on its way. */
     private boolean current;
+
     private boolean headSent;
     private long behind;
     /** When it last took bytes while some were waiting. */
@@ -86,19 +87,25 @@
     @Override
     public void channelActive(ChannelHandlerContext context) {
         tookAt = System.nanoTime();
-        timer = context.executor().schedule(() -> {
-            if (state == State.READING) {
-                state = State.ENDING;
-                channel.close();
-            }
-        }, HEAD_MS, TimeUnit.MILLISECONDS);
+        timer = context.executor()
+                .schedule(
+                        () -> {
+                            if (state == State.READING) {
+                                state = State.ENDING;
+                                channel.close();
+                            }
+                        },
+                        HEAD_MS,
+                        TimeUnit.MILLISECONDS);
         relay.opened(this);
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
         if (state != State.READING) {
-            behind += message instanceof HttpContent content ? 1 + content.content().readableBytes() : 1;
+            behind += message instanceof HttpContent content
+                    ? 1 + content.content().readableBytes()
+                    : 1;
             if (behind > MOST_BEHIND) {
                 channel.close();
             }
@@ -123,8 +130,10 @@
                 relay.bad(this, e.getMessage());
             }
         } else if (uri.path().equals("/_ready")) {
-            end(relay.vouches() ? Lines.answer("200 OK", "", "ready\n")
-                    : Lines.answer("503 Service Unavailable", "", "no source is heard\n"));
+            end(
+                    relay.vouches()
+                            ? Lines.answer("200 OK", "", "ready\n")
+                            : Lines.answer("503 Service Unavailable", "", "no source is heard\n"));
         } else if (uri.path().equals("/_vars")) {
             end(Lines.answer("200 OK", "", relay.figures()));
         } else {
@@ -136,11 +145,15 @@
     void park(long afterMs, Runnable then) {
         if (state != State.PARKED) {
             state = State.PARKED;
-            timer = channel.eventLoop().schedule(() -> {
-                if (state == State.PARKED) {
-                    then.run();
-                }
-            }, afterMs, TimeUnit.MILLISECONDS);
+            timer = channel.eventLoop()
+                    .schedule(
+                            () -> {
+                                if (state == State.PARKED) {
+                                    then.run();
+                                }
+                            },
+                            afterMs,
+                            TimeUnit.MILLISECONDS);
         }
     }
 
@@ -160,8 +173,7 @@
         write(line);
         write(Lines.LAST.duplicate());
         channel.flush();
-        channel.writeAndFlush(Unpooled.EMPTY_BUFFER)
-                .addListener(ChannelFutureListener.CLOSE);
+        channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
     }
 
     private void head() {
--- a/relay/src/main/java/topazvalve/relay/Main.java
+++ b/relay/src/main/java/topazvalve/relay/Main.java
@@ -12,7 +12,7 @@
 public final class Main {
     private static final Logger LOG = Logging.of("relay");
 
-    private Main() { }
+    private Main() {}
 
     /**
      * Runs until it is ended. A bad file ends it with a line for each fault and exit status 2, a place that
--- a/relay/src/main/java/topazvalve/relay/Query.java
+++ b/relay/src/main/java/topazvalve/relay/Query.java
@@ -17,8 +17,8 @@
         if (!from.matches("[0-9]{1,18}")) {
             throw new IllegalArgumentException("from is not a version");
         }
-        return new Query(one(uri, "watch", "0").equals("1"), Long.parseLong(from),
-                Versions.parse(one(uri, "versions", "")));
+        return new Query(
+                one(uri, "watch", "0").equals("1"), Long.parseLong(from), Versions.parse(one(uri, "versions", "")));
     }
 
     private static String one(QueryStringDecoder uri, String key, String absent) {
--- a/relay/src/main/java/topazvalve/relay/Relay.java
+++ b/relay/src/main/java/topazvalve/relay/Relay.java
@@ -42,6 +42,7 @@
     private static final Logger LOG = LoggerFactory.getLogger("relay");
     /** A source brings a line every 2 s; a relay takes so long a silence for a break, as a sidecar does. */
     private static final long VOUCH_NS = TimeUnit.MILLISECONDS.toNanos(ListCall.SILENCE_MS);
+
     private static final long LINE_MS = 2_000;
     private static final long SWEEP_MS = 250;
     /**
@@ -53,6 +54,7 @@
     private static final int MOST_WHOLE = 8;
     /** From one line of changes to the next: what comes sooner is gathered, as lines cost each reader. */
     static final long GATHER_NS = TimeUnit.MILLISECONDS.toNanos(100);
+
     private static final int LONGEST_HEAD = 4 << 10;
     private static final int BACKLOG = 1_024;
 
@@ -65,9 +67,11 @@
     private final SplittableRandom random;
     /** The whole list as it is now, once somebody needed it, and older ones that are still being written. */
     private ByteBuf whole;
+
     private final List<ByteBuf> wholeBefore = new ArrayList<>();
     /** Changes that are still to be told, each server's newest line; from which versions on. */
     private final Map<String, ListState.Entry> gathered = new LinkedHashMap<>();
+
     private Versions gatheredFrom;
     private long toldAt = System.nanoTime() - GATHER_NS;
     private boolean vouched;
@@ -79,7 +83,8 @@
         this.loop = loop;
         this.settings = settings;
         this.random = new SplittableRandom(seed);
-        List<String> names = settings.sources().stream().map(SourceSettings::name).toList();
+        List<String> names =
+                settings.sources().stream().map(SourceSettings::name).toList();
         this.lists = new ListState(names, settings.loggedEntries());
         for (SourceSettings each : settings.sources()) {
             links.add(new SourceLink(loop, each, lists, random.nextLong(), new SourceLink.Listener() {
@@ -101,20 +106,25 @@
         loop.execute(() -> links.forEach(SourceLink::start));
         loop.scheduleAtFixedRate(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
         loop.scheduleAtFixedRate(this::nothingNew, LINE_MS, LINE_MS, TimeUnit.MILLISECONDS);
-        ChannelFuture opened = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
+        ChannelFuture opened = new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK,
+                .childOption(
+                        ChannelOption.WRITE_BUFFER_WATER_MARK,
                         new WriteBufferWaterMark(settings.callerBytes() / 4, settings.callerBytes()))
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel made) {
-                        made.pipeline().addLast(
-                                new HttpRequestDecoder(LONGEST_HEAD, LONGEST_HEAD, LONGEST_HEAD),
-                                new Caller(Relay.this, made));
+                        made.pipeline()
+                                .addLast(
+                                        new HttpRequestDecoder(LONGEST_HEAD, LONGEST_HEAD, LONGEST_HEAD),
+                                        new Caller(Relay.this, made));
                     }
-                }).bind(settings.listen());
+                })
+                .bind(settings.listen());
         listening = opened.channel();
         return opened;
     }
@@ -197,14 +207,16 @@
             return query.versions();
         }
         Version now = lists.versions().at(links.get(0).name());
-        return now == null || now.epoch() > 0 ? Versions.NONE
+        return now == null || now.epoch() > 0
+                ? Versions.NONE
                 : Versions.of(links.get(0).name(), new Version(0, query.from()));
     }
 
     /** Brings a caller to the newest state, if that can be done now. */
     private void bring(Caller caller) {
         Lack lack = lists.lack(caller.has());
-        if (lack == Lack.WHOLE && links.stream().anyMatch(link -> link.fill(caller.has().at(link.name())))) {
+        if (lack == Lack.WHOLE
+                && links.stream().anyMatch(link -> link.fill(caller.has().at(link.name())))) {
             caller.park(PARK_MS, () -> settle(caller));
         } else if (lack == Lack.CHANGES) {
             Versions now = lists.versions();
@@ -390,8 +402,11 @@
                 }
             });
         } else if (!vouched && vouches) {
-            LOG.info("{} follows {} of {} sources, {} servers", settings.name(),
-                    links.stream().filter(link -> link.silentFor() <= VOUCH_NS).count(), links.size(),
+            LOG.info(
+                    "{} follows {} of {} sources, {} servers",
+                    settings.name(),
+                    links.stream().filter(link -> link.silentFor() <= VOUCH_NS).count(),
+                    links.size(),
                     lists.live());
         }
         vouched = vouches;
@@ -407,14 +422,17 @@
     String figures() {
         StringBuilder text = new StringBuilder();
         Figures.line(text, "callers", callers.size());
-        Figures.line(text, "following", callers.stream()
-                .filter(each -> each.state() == Caller.State.FOLLOWING).count());
+        Figures.line(
+                text,
+                "following",
+                callers.stream()
+                        .filter(each -> each.state() == Caller.State.FOLLOWING)
+                        .count());
         Figures.line(text, "servers", lists.live());
         Figures.line(text, "vouches", vouches() ? 1 : 0);
         text.append("versions=").append(lists.versions()).append('\n');
         for (SourceLink each : links) {
-            Figures.line(text, "source." + each.name() + ".silent_ms",
-                    TimeUnit.NANOSECONDS.toMillis(each.silentFor()));
+            Figures.line(text, "source." + each.name() + ".silent_ms", TimeUnit.NANOSECONDS.toMillis(each.silentFor()));
         }
         figures.print(text);
         return text.toString();
--- a/relay/src/main/java/topazvalve/relay/RelayFile.java
+++ b/relay/src/main/java/topazvalve/relay/RelayFile.java
@@ -16,7 +16,7 @@
 
 /** A relay's file, in TOML: read whole or refused with all its faults. */
 public final class RelayFile {
-    private RelayFile() { }
+    private RelayFile() {}
 
     /** Reads a file; {@link topazvalve.toml.BadFile} if it has faults. */
     public static RelaySettings read(Path file) throws IOException {
@@ -50,7 +50,10 @@
             }
             sources.add(new SourceSettings(source, List.copyOf(addresses)));
         }
-        return new RelaySettings(name, listen, List.copyOf(sources),
+        return new RelaySettings(
+                name,
+                listen,
+                List.copyOf(sources),
                 root.whole("most_callers", RelaySettings.MOST_CALLERS, 1, 1_000_000),
                 root.whole("caller_bytes", RelaySettings.CALLER_BYTES, 1 << 10, 64 << 20),
                 root.whole("logged_entries", RelaySettings.LOGGED_ENTRIES, 1, 10_000_000),
--- a/relay/src/main/java/topazvalve/relay/RelaySettings.java
+++ b/relay/src/main/java/topazvalve/relay/RelaySettings.java
@@ -14,15 +14,21 @@
  * @param loggedEntries changed entries that are kept of each source, to tell changes from
  * @param stallMs after this long without a byte taken by its caller a connection is closed
  */
-public record RelaySettings(String name, InetSocketAddress listen, List<SourceSettings> sources,
-        int mostCallers, int callerBytes, int loggedEntries, long stallMs) {
+public record RelaySettings(
+        String name,
+        InetSocketAddress listen,
+        List<SourceSettings> sources,
+        int mostCallers,
+        int callerBytes,
+        int loggedEntries,
+        long stallMs) {
     /**
      * One source of lists, a region's for example.
      *
      * @param name in versions and figures
      * @param addresses where it can be asked, one at least; the first that answers is followed
      */
-    public record SourceSettings(String name, List<InetSocketAddress> addresses) { }
+    public record SourceSettings(String name, List<InetSocketAddress> addresses) {}
 
     public static final int MOST_CALLERS = 4_000;
     public static final int CALLER_BYTES = 256 << 10;
--- a/relay/src/main/java/topazvalve/relay/SourceLink.java
+++ b/relay/src/main/java/topazvalve/relay/SourceLink.java
@@ -20,6 +20,7 @@
 final class SourceLink {
     /** How often a relay asks for changes from before its time, for followers with older versions. */
     static final int MOST_FILLS = 8;
+
     private static final Logger LOG = LoggerFactory.getLogger("source");
 
     /** Hears what became of the state. */
@@ -31,7 +32,12 @@
         void filled();
     }
 
-    private enum State { CLOSED, PAUSING, ASKING, FOLLOWING }
+    private enum State {
+        CLOSED,
+        PAUSING,
+        ASKING,
+        FOLLOWING
+    }
 
     private final EventLoop loop;
     private final SourceSettings settings;
@@ -44,6 +50,7 @@
     private int fillsLeft = MOST_FILLS;
     /** What is here does not follow on: the whole list is asked for. */
     private boolean anew = true;
+
     private long heardAt;
     private String fault = "";
 
@@ -85,15 +92,18 @@
 
     private void ask(Following.Ask next) {
         state = State.PAUSING;
-        loop.schedule(() -> {
-            if (state == State.PAUSING) {
-                state = State.ASKING;
-                following.asks();
-                long from = anew || version() == null ? 0 : version().rev();
-                call = new ListCall(loop, settings.addresses().get(next.place()), true, new Watch(from));
-                call.open(ListCall.CONNECT_TIMEOUT_MS, "?watch=1&from=" + from);
-            }
-        }, next.after(), TimeUnit.NANOSECONDS);
+        loop.schedule(
+                () -> {
+                    if (state == State.PAUSING) {
+                        state = State.ASKING;
+                        following.asks();
+                        long from = anew || version() == null ? 0 : version().rev();
+                        call = new ListCall(loop, settings.addresses().get(next.place()), true, new Watch(from));
+                        call.open(ListCall.CONNECT_TIMEOUT_MS, "?watch=1&from=" + from);
+                    }
+                },
+                next.after(),
+                TimeUnit.NANOSECONDS);
     }
 
     /**
--- a/relay/src/main/java/topazvalve/relay/SourceReader.java
+++ b/relay/src/main/java/topazvalve/relay/SourceReader.java
@@ -23,9 +23,11 @@
     private static final Logger LOG = LoggerFactory.getLogger("source");
     private static final int LONGEST_NAME = 256;
     private static final JsonFactory FACTORY = JsonFactory.builder()
-            .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(64).build()).build();
+            .streamReadConstraints(
+                    StreamReadConstraints.builder().maxNestingDepth(64).build())
+            .build();
 
-    private SourceReader() { }
+    private SourceReader() {}
 
     /** An object of a list or a watch; an {@link IOException} says why it is none. */
     static Update read(byte[] text) throws IOException {
--- a/relay/src/test/java/topazvalve/relay/Follower.java
+++ b/relay/src/test/java/topazvalve/relay/Follower.java
@@ -29,6 +29,7 @@
     private final Map<String, State> servers = new TreeMap<>();
     /** Every state that a server was ever in here, in order. */
     private final Map<String, List<State>> history = new HashMap<>();
+
     private int wholes;
 
     Follower(EventLoop loop, Relay... relays) {
@@ -41,8 +42,13 @@
         for (Relay each : relays) {
             order.add(each.address());
         }
-        discovery = new Discovery(loop, new InetSocketAddress("127.0.0.1", 1), known, null,
-                new Relays(order, new Following(order.size(), new SplittableRandom(1))), this::listed);
+        discovery = new Discovery(
+                loop,
+                new InetSocketAddress("127.0.0.1", 1),
+                known,
+                null,
+                new Relays(order, new Following(order.size(), new SplittableRandom(1))),
+                this::listed);
         loop.execute(() -> discovery.watch(true));
     }
 
--- a/relay/src/test/java/topazvalve/relay/RelayFileTest.java
+++ b/relay/src/test/java/topazvalve/relay/RelayFileTest.java
@@ -28,9 +28,15 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "name = \"EU\"|name", "addresses = [\"disco:8500\"]|addresses", "addresses = []|addresses",
-        "address = \"127.0.0.1:1\"|address"})
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "name = \"EU\"|name",
+                "addresses = [\"disco:8500\"]|addresses",
+                "addresses = []|addresses",
+                "address = \"127.0.0.1:1\"|address"
+            })
     void aSourcesFaultIsToldWithItsLine(String line, String key) {
         String text = GOOD.replaceAll("(?m)^" + line.split(" ")[0] + " = .*\n", "") + line + "\n";
         BadFile bad = assertThrows(BadFile.class, () -> RelayFile.parse("r.toml", text));
@@ -39,9 +45,13 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "listen = \"here\"|listen", "most_callers = 0|most_callers", "caller_bytes = 1|caller_bytes",
-        "logged_entries = 0|logged_entries", "stall = \"1ms\"|stall", "stal = \"1s\"|stal"})
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "listen = \"here\"|listen", "most_callers = 0|most_callers", "caller_bytes = 1|caller_bytes",
+                "logged_entries = 0|logged_entries", "stall = \"1ms\"|stall", "stal = \"1s\"|stal"
+            })
     void aKeysFaultIsToldWithItsLine(String line, String key) {
         String text = line + "\n" + (key.equals("listen") ? GOOD.substring(GOOD.indexOf('\n') + 1) : GOOD);
         BadFile bad = assertThrows(BadFile.class, () -> RelayFile.parse("r.toml", text));
--- a/relay/src/test/java/topazvalve/relay/RelayTest.java
+++ b/relay/src/test/java/topazvalve/relay/RelayTest.java
@@ -29,8 +29,7 @@
 /** Relays between a scripted source and a sidecar's real reader, over loopback, each on a loop of its own. */
 @Timeout(120)
 class RelayTest {
-    private final MultiThreadIoEventLoopGroup group =
-            new MultiThreadIoEventLoopGroup(4, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(4, NioIoHandler.newFactory());
     private final List<AutoCloseable> open = new ArrayList<>();
     private SourceStub source;
 
@@ -80,16 +79,18 @@
 
     /** What a sidecar was started with, at version 41. */
     private static Listing listing(String uid) {
-        return new Listing(41, true, List.of(new Target(uid, new InetSocketAddress("127.0.0.1", 9), "", "", 0,
-                State.READY, 1, 0)));
+        return new Listing(
+                41,
+                true,
+                List.of(new Target(uid, new InetSocketAddress("127.0.0.1", 9), "", "", 0, State.READY, 1, 0)));
     }
 
     private static String get(Relay relay, String path) throws IOException {
         try (Socket socket = new Socket()) {
             socket.connect(relay.address());
             socket.setSoTimeout(30_000);
-            socket.getOutputStream().write(("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n")
-                    .getBytes(StandardCharsets.US_ASCII));
+            socket.getOutputStream()
+                    .write(("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         }
     }
@@ -97,11 +98,14 @@
     /** The version is the source's own count alone. */
     private static long figure(Relay relay, String key) throws IOException {
         if (key.equals("version")) {
-            return Long.parseLong(get(relay, "/_vars")
-                    .replaceAll("(?s).*versions=eu:0\\.([0-9]+)\n.*", "$1"));
+            return Long.parseLong(get(relay, "/_vars").replaceAll("(?s).*versions=eu:0\\.([0-9]+)\n.*", "$1"));
         }
-        return Long.parseLong(get(relay, "/_vars").lines().filter(line -> line.startsWith(key + "="))
-                .findFirst().orElseThrow().substring(key.length() + 1));
+        return Long.parseLong(get(relay, "/_vars")
+                .lines()
+                .filter(line -> line.startsWith(key + "="))
+                .findFirst()
+                .orElseThrow()
+                .substring(key.length() + 1));
     }
 
     /** Asks until it is so: the answer itself is what is waited for. */
@@ -284,7 +288,8 @@
         after.close().sync();
         before.close().sync();
         source.change("a", "DRAINING");
-        RelaySettings same = RelaySettings.of("r", after.address(), settings(source).sources());
+        RelaySettings same =
+                RelaySettings.of("r", after.address(), settings(source).sources());
         Relay anew = relay(group.next(), same);
         for (Follower each : followers) {
             each.awaitState("a", State.DRAINING);
@@ -296,22 +301,32 @@
 
     /** A thousand servers that change at once, from round to round. */
     private static String[] thousand(int round) {
-        return IntStream.range(0, 2_000).mapToObj(i -> i % 2 == 0 ? "s" + i / 2
-                : round % 2 == 1 ? "DRAINING" : "SERVING").toArray(String[]::new);
+        return IntStream.range(0, 2_000)
+                .mapToObj(i -> i % 2 == 0 ? "s" + i / 2 : round % 2 == 1 ? "DRAINING" : "SERVING")
+                .toArray(String[]::new);
     }
 
     private Socket watching(Relay relay) throws IOException {
         Socket watching = new Socket();
         watching.setReceiveBufferSize(4_096);
         watching.connect(relay.address());
-        watching.getOutputStream().write("GET /discovery/hosts?watch=1&from=0 HTTP/1.1\r\nHost: x\r\n\r\n"
-                .getBytes(StandardCharsets.US_ASCII));
+        watching.getOutputStream()
+                .write("GET /discovery/hosts?watch=1&from=0 HTTP/1.1\r\nHost: x\r\n\r\n"
+                        .getBytes(StandardCharsets.US_ASCII));
         return watching;
     }
 
     private Relay tight(long stallMs) throws Exception {
-        return relay(group.next(), new RelaySettings("r", new InetSocketAddress("127.0.0.1", 0),
-                settings(source).sources(), 20, 4_096, 100_000, stallMs));
+        return relay(
+                group.next(),
+                new RelaySettings(
+                        "r",
+                        new InetSocketAddress("127.0.0.1", 0),
+                        settings(source).sources(),
+                        20,
+                        4_096,
+                        100_000,
+                        stallMs));
     }
 
     @Test
@@ -332,7 +347,10 @@
                 int read = slow.getInputStream().read(some);
                 heard.append(new String(some, 0, read, StandardCharsets.US_ASCII));
             }
-            long lines = heard.toString().lines().filter(line -> line.startsWith("{")).count();
+            long lines = heard.toString()
+                    .lines()
+                    .filter(line -> line.startsWith("{"))
+                    .count();
             assertTrue(lines < last - 41 + 1, lines + " lines of " + (last - 41 + 1));
         }
     }
@@ -357,7 +375,8 @@
 
     @Test
     void aZonesServersInOneChangeAreOneLine() throws Exception {
-        String[] zone = IntStream.range(0, 880).mapToObj(i -> i % 2 == 0 ? "z" + i / 2 : "SERVING")
+        String[] zone = IntStream.range(0, 880)
+                .mapToObj(i -> i % 2 == 0 ? "z" + i / 2 : "SERVING")
                 .toArray(String[]::new);
         source.change(zone);
         Relay relay = relay();
@@ -391,7 +410,8 @@
 
     @Test
     void aListOf5700ThatArrivesCutIsNotTakenAndAWholeOneIs() throws Exception {
-        String[] all = IntStream.range(0, 11_400).mapToObj(i -> i % 2 == 0 ? "s" + i / 2 : "SERVING")
+        String[] all = IntStream.range(0, 11_400)
+                .mapToObj(i -> i % 2 == 0 ? "s" + i / 2 : "SERVING")
                 .toArray(String[]::new);
         source.change(all);
         source.cut(true);
@@ -428,8 +448,8 @@
 
     @Test
     void callersAreBoundedInTimeBytesAndCount() throws Exception {
-        RelaySettings tight = new RelaySettings("r", new InetSocketAddress("127.0.0.1", 0),
-                settings(source).sources(), 3, 65_536, 100, 1_000);
+        RelaySettings tight = new RelaySettings(
+                "r", new InetSocketAddress("127.0.0.1", 0), settings(source).sources(), 3, 65_536, 100, 1_000);
         Relay relay = relay(group.next(), tight);
         assertTrue(get(relay, "/discovery/hosts?watch=1&from=x").startsWith("HTTP/1.1 400"));
         assertTrue(get(relay, "/discovery/hosts?watch=1&versions=eu").startsWith("HTTP/1.1 400"));
@@ -440,7 +460,9 @@
             silent.setSoTimeout(30_000);
             assertEquals(-1, silent.getInputStream().read(), "who says nothing is closed");
         }
-        try (Socket one = new Socket(); Socket two = new Socket(); Socket three = new Socket()) {
+        try (Socket one = new Socket();
+                Socket two = new Socket();
+                Socket three = new Socket()) {
             one.connect(relay.address());
             two.connect(relay.address());
             three.connect(relay.address());
--- a/relay/src/test/java/topazvalve/relay/SourceReaderTest.java
+++ b/relay/src/test/java/topazvalve/relay/SourceReaderTest.java
@@ -26,20 +26,35 @@
         assertEquals(new Version(2, 4), update.version());
         assertTrue(update.whole() && update.entries().get(0).gone());
         assertEquals("a", update.entries().get(0).uid());
-        assertEquals("{\"uid\":\"a\",\"tags\":{\"uid\":\"inner\",\"n\":[1.50,null]},\"state\":\"DELETED\"}",
+        assertEquals(
+                "{\"uid\":\"a\",\"tags\":{\"uid\":\"inner\",\"n\":[1.50,null]},\"state\":\"DELETED\"}",
                 update.entries().get(0).json());
     }
 
     @Test
     void anEntryWithoutANameIsPassedOverAndTheRestTaken() throws IOException {
-        assertEquals(1, read("{\"rev\":4,\"targets\":[{\"state\":\"SERVING\"},{\"uid\":7},"
-                + "{\"uid\":\"b\"},{\"uid\":\"" + "x".repeat(300) + "\"}]}").entries().size());
+        assertEquals(
+                1,
+                read("{\"rev\":4,\"targets\":[{\"state\":\"SERVING\"},{\"uid\":7}," + "{\"uid\":\"b\"},{\"uid\":\""
+                                + "x".repeat(300) + "\"}]}")
+                        .entries()
+                        .size());
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"[]", "{}", "{\"rev\":1}", "{\"targets\":[]}", "{\"rev\":-1,\"targets\":[]}",
-        "{\"rev\":\"1\",\"targets\":[]}", "{\"rev\":1.5,\"targets\":[]}", "{\"rev\":1,\"targets\":{}}",
-        "{\"rev\":1,\"targets\":[1]}", "{\"rev\":1,\"targets\":[{\"uid\":\"a\"}"})
+    @ValueSource(
+            strings = {
+                "[]",
+                "{}",
+                "{\"rev\":1}",
+                "{\"targets\":[]}",
+                "{\"rev\":-1,\"targets\":[]}",
+                "{\"rev\":\"1\",\"targets\":[]}",
+                "{\"rev\":1.5,\"targets\":[]}",
+                "{\"rev\":1,\"targets\":{}}",
+                "{\"rev\":1,\"targets\":[1]}",
+                "{\"rev\":1,\"targets\":[{\"uid\":\"a\"}"
+            })
     void whatIsNoListIsRefused(String text) {
         assertThrows(IOException.class, () -> read(text));
     }
--- a/relay/src/test/java/topazvalve/relay/SourceStub.java
+++ b/relay/src/test/java/topazvalve/relay/SourceStub.java
@@ -27,6 +27,7 @@
 
     /** Each call's request line. */
     final BlockingQueue<String> asked = new LinkedBlockingQueue<>();
+
     private final ServerSocket server;
     private final Map<String, String> servers = new LinkedHashMap<>();
     private final TreeMap<Long, List<String>> log = new TreeMap<>();
@@ -36,6 +37,7 @@
     private long rev;
     /** Of these watches, by their order of coming, nothing goes out for now. */
     private final List<Socket> held = new ArrayList<>();
+
     private boolean cuts;
     private boolean silent;
 
@@ -102,7 +104,8 @@
 
     /** From now on nothing is said to the n-th watch that is open, or to all if {@code n} is below nought. */
     synchronized void hold(int n) {
-        held.addAll(n < 0 ? watches.keySet() : List.of(List.copyOf(watches.keySet()).get(n)));
+        held.addAll(
+                n < 0 ? watches.keySet() : List.of(List.copyOf(watches.keySet()).get(n)));
     }
 
     /** Whatever was held goes out, in order. */
@@ -133,8 +136,8 @@
 
     private String line(boolean whole, List<String> uids) {
         return "{\"rev\":" + rev + (tellsEpoch ? ",\"epoch\":" + epoch : "") + ",\"all\":" + whole
-                + ",\"targets\":[" + uids.stream().map(uid -> entry(uid, servers.get(uid)))
-                        .collect(Collectors.joining(",")) + "]}\n";
+                + ",\"targets\":["
+                + uids.stream().map(uid -> entry(uid, servers.get(uid))).collect(Collectors.joining(",")) + "]}\n";
     }
 
     /** Adds to what a watch is to be told, and tells it unless it is held. */
@@ -177,8 +180,8 @@
 
     private void serve(Socket socket) {
         try {
-            BufferedReader in = new BufferedReader(
-                    new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
+            BufferedReader in =
+                    new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
             String line = in.readLine();
             asked.add(line == null ? "" : line);
             long from = Long.parseLong(line.replaceAll(".*from=([0-9]+).*", "$1"));
@@ -204,12 +207,15 @@
         write(socket, HEAD);
         boolean known = from > 0 && from <= rev && (log.isEmpty() ? from == rev : from >= log.firstKey() - 1);
         if (known) {
-            List<String> uids = log.tailMap(from, false).values().stream().flatMap(List::stream)
-                    .distinct().toList();
+            List<String> uids = log.tailMap(from, false).values().stream()
+                    .flatMap(List::stream)
+                    .distinct()
+                    .toList();
             send(socket, uids.isEmpty() ? "\n" : line(false, uids));
         } else {
             List<String> live = servers.keySet().stream()
-                    .filter(uid -> !servers.get(uid).equals("DELETED")).toList();
+                    .filter(uid -> !servers.get(uid).equals("DELETED"))
+                    .toList();
             String whole = line(true, live);
             if (cuts) {
                 write(socket, chunk(whole).substring(0, whole.length() / 2));
--- a/relay/src/test/java/topazvalve/relay/WallsTest.java
+++ b/relay/src/test/java/topazvalve/relay/WallsTest.java
@@ -10,15 +10,28 @@
 class WallsTest {
     @Test
     void dependenciesGoOneWay() {
-        var house = new ClassFileImporter().withImportOption(new ImportOption.DoNotIncludeTests())
+        var house = new ClassFileImporter()
+                .withImportOption(new ImportOption.DoNotIncludeTests())
                 .importPackages("topazvalve");
-        noClasses().that().resideInAPackage("topazvalve.relay..").should().dependOnClassesThat()
-                .resideInAnyPackage("topazvalve.decisions..", "topazvalve.core.exchange..",
-                        "topazvalve.core.pool..", "topazvalve.sidecar.front..",
-                        "topazvalve.sidecar.upstream..", "topazvalve.world..").check(house);
-        noClasses().that()
+        noClasses()
+                .that()
+                .resideInAPackage("topazvalve.relay..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "topazvalve.decisions..",
+                        "topazvalve.core.exchange..",
+                        "topazvalve.core.pool..",
+                        "topazvalve.sidecar.front..",
+                        "topazvalve.sidecar.upstream..",
+                        "topazvalve.world..")
+                .check(house);
+        noClasses()
+                .that()
                 .resideInAnyPackage("topazvalve.sidecar..", "topazvalve.core..", "topazvalve.lists..")
                 .should()
-                .dependOnClassesThat().resideInAPackage("topazvalve.relay..").check(house);
+                .dependOnClassesThat()
+                .resideInAPackage("topazvalve.relay..")
+                .check(house);
     }
 }
--- a/sidecar/src/main/java/topazvalve/sidecar/HttpSide.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/HttpSide.java
@@ -27,19 +27,34 @@
     private final Discovery discovery;
     private final Frontend front;
 
-    HttpSide(EventLoop loop, Config config, int mostOpen, int mostClients, Metrics metrics,
-            Lifecycle lifecycle, ByteBudget budget, List<InetSocketAddress> relays) {
+    HttpSide(
+            EventLoop loop,
+            Config config,
+            int mostOpen,
+            int mostClients,
+            Metrics metrics,
+            Lifecycle lifecycle,
+            ByteBudget budget,
+            List<InetSocketAddress> relays) {
         ClassTable classes = new ClassTable();
         Time time = LoopTime.watched(loop);
-        exchanges = new Exchanges<>(time, config.options(),
+        exchanges = new Exchanges<>(
+                time,
+                config.options(),
                 (settings, actions) -> new Rules(settings, config.seed(), actions),
-                new Pools<>(loop, time, config.options(), new HttpCodec(HttpCodec.REST),
-                        config.mostUpstream()), mostOpen,
-                metrics, classes);
-        discovery = new Discovery(loop, config.discovery(), config.known(),
-                Pushed.of(config.options()), Relays.of(config.name(), relays, config.seed()), exchanges);
-        front = new Frontend(loop, exchanges, classes, config.options().names("parties"), mostClients,
-                lifecycle, budget);
+                new Pools<>(loop, time, config.options(), new HttpCodec(HttpCodec.REST), config.mostUpstream()),
+                mostOpen,
+                metrics,
+                classes);
+        discovery = new Discovery(
+                loop,
+                config.discovery(),
+                config.known(),
+                Pushed.of(config.options()),
+                Relays.of(config.name(), relays, config.seed()),
+                exchanges);
+        front = new Frontend(
+                loop, exchanges, classes, config.options().names("parties"), mostClients, lifecycle, budget);
     }
 
     void start(Config config) {
--- a/sidecar/src/main/java/topazvalve/sidecar/Main.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/Main.java
@@ -18,7 +18,7 @@
 public final class Main {
     private static final Logger LOG = Logging.of("topazvalve");
 
-    private Main() { }
+    private Main() {}
 
     /**
      * Runs until SIGTERM, with the argument {@code rehearse} only until it is warm: that checks a
@@ -48,8 +48,7 @@
         EventLoop loop = group.next();
         boolean rehearsal = args.length == 1 && args[0].equals("rehearse");
         loop.execute(() -> {
-            Sidecar sidecar = new Sidecar(group, loop, config, clients, operator,
-                    rehearsal ? Main::end : () -> { });
+            Sidecar sidecar = new Sidecar(group, loop, config, clients, operator, rehearsal ? Main::end : () -> {});
             sidecar.start();
             endAtSigterm(loop, sidecar);
             running.complete(sidecar);
@@ -83,8 +82,8 @@
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object ours = Proxy.newProxyInstance(Main.class.getClassLoader(), new Class<?>[] {handler},
-                    (proxy, method, arguments) -> {
+            Object ours = Proxy.newProxyInstance(
+                    Main.class.getClassLoader(), new Class<?>[] {handler}, (proxy, method, arguments) -> {
                         if (method.getName().equals("handle")) {
                             action.run();
                         }
--- a/sidecar/src/main/java/topazvalve/sidecar/OperatorFile.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/OperatorFile.java
@@ -32,8 +32,8 @@
 
     /** Reads a text; {@code name} stands for it in messages. */
     public static OperatorFile parse(String name, String text) {
-        return TomlFile.parse(name, text,
-                root -> new OperatorFile(TcpFile.listeners(root), relays(root.table("relays"))));
+        return TomlFile.parse(
+                name, text, root -> new OperatorFile(TcpFile.listeners(root), relays(root.table("relays"))));
     }
 
     private static List<InetSocketAddress> relays(Table table) {
--- a/sidecar/src/main/java/topazvalve/sidecar/Sidecar.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/Sidecar.java
@@ -12,15 +12,15 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import topazvalve.decisions.Balancer.RequestClass;
+import topazvalve.core.lifecycle.Lifecycle;
+import topazvalve.core.metrics.Metrics;
 import topazvalve.core.stream.ByteBudget;
+import topazvalve.decisions.Balancer.RequestClass;
 import topazvalve.sidecar.admin.AdminServer;
 import topazvalve.sidecar.config.Config;
-import topazvalve.core.lifecycle.Lifecycle;
 import topazvalve.sidecar.front.Frontend;
 import topazvalve.sidecar.listen.ClientListener;
 import topazvalve.tcp.TcpSettings;
-import topazvalve.core.metrics.Metrics;
 
 /** One running sidecar: its parts, and the order in which they start and end. On the event loop alone. */
 final class Sidecar {
@@ -29,12 +29,14 @@
     private static final long ACCEPT_MS = 500;
     /** SIGKILL comes no sooner than the longest deadline, taken as 3 s at the most, and 0.7 s more. */
     private static final long LONGEST_COUNTED_MS = 3_000;
+
     private static final long KILL_SPARE_MS = 700;
     /**
      * What is taken early in the end has its whole time, and its answer its way out. To leave before that
      * would lose what is open; being killed loses no more.
      */
     private static final long SPARE_MS = 2_000;
+
     private static final long POLL_MS = 20;
 
     private final MultiThreadIoEventLoopGroup group;
@@ -46,15 +48,22 @@
     private final Metrics metrics = new Metrics();
     /** How many take clients from one socket while one takes over from the other. */
     private final int processes;
+
     private final HttpSide http;
     private final Streams streams = new Streams();
     /** What all fronts may hold of bodies and streams. */
     private final ByteBudget budget;
+
     private volatile List<TcpSettings> listeners;
     private final List<InetSocketAddress> relays;
 
-    Sidecar(MultiThreadIoEventLoopGroup group, EventLoop loop, Config config, ClientListener clients,
-            OperatorFile operator, Runnable whenReady) {
+    Sidecar(
+            MultiThreadIoEventLoopGroup group,
+            EventLoop loop,
+            Config config,
+            ClientListener clients,
+            OperatorFile operator,
+            Runnable whenReady) {
         this.group = group;
         this.loop = loop;
         this.config = config;
@@ -65,8 +74,15 @@
         this.budget = new ByteBudget(config.bodyBytes());
         // Two processes on one socket count as one sidecar: together they keep no more idle clients than one.
         this.processes = clients.shared() ? 2 : 1;
-        this.http = new HttpSide(loop, config, config.sockets() / 2, config.mostClients() / processes,
-                metrics, lifecycle, budget, relays);
+        this.http = new HttpSide(
+                loop,
+                config,
+                config.sockets() / 2,
+                config.mostClients() / processes,
+                metrics,
+                lifecycle,
+                budget,
+                relays);
     }
 
     void start() {
@@ -156,7 +172,9 @@
             LOG.warn("relays stay as they are until a restart");
         }
         metrics.configApplied();
-        LOG.info("new configuration taken: classes {}, attempts {}", read.options().names("profiles"),
+        LOG.info(
+                "new configuration taken: classes {}, attempts {}",
+                read.options().names("profiles"),
                 read.options().settings().allowed().tryLimit());
     }
 
@@ -172,11 +190,17 @@
         lifecycle.end(TimeUnit.MILLISECONDS.toNanos(killedAfterMs));
         streams.end();
         loop.schedule(clients::stop, clients.shared() ? 0 : ACCEPT_MS, TimeUnit.MILLISECONDS);
-        loop.scheduleWithFixedDelay(() -> {
-            if (http.front().empty() && streams.empty() && http.exchanges().active() == 0) {
-                done.countDown();
-            }
-        }, ACCEPT_MS, POLL_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(
+                () -> {
+                    if (http.front().empty()
+                            && streams.empty()
+                            && http.exchanges().active() == 0) {
+                        done.countDown();
+                    }
+                },
+                ACCEPT_MS,
+                POLL_MS,
+                TimeUnit.MILLISECONDS);
     }
 
     /** How long an end may take at the most; from any thread. */
@@ -186,6 +210,9 @@
 
     private long longestDeadlineMs() {
         return config.options().settings().classes().stream()
-                .mapToLong(RequestClass::deadline).max().orElse(0) / 1_000_000;
+                        .mapToLong(RequestClass::deadline)
+                        .max()
+                        .orElse(0)
+                / 1_000_000;
     }
 }
--- a/sidecar/src/main/java/topazvalve/sidecar/Streams.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/Streams.java
@@ -22,13 +22,18 @@
     /** After a grace, the time that an end in order takes. */
     private static final long ORDERLY_NS = 1_500_000_000L;
 
-    private record Open(TcpSide side, ClientListener listener) { }
+    private record Open(TcpSide side, ClientListener listener) {}
 
     private final List<Open> open = new ArrayList<>();
 
     /** Listens; one listener that can't is told of, and the others serve. */
-    void start(MultiThreadIoEventLoopGroup group, EventLoop loop, List<TcpSettings> listeners, long seed,
-            ByteBudget budget, Lifecycle lifecycle) {
+    void start(
+            MultiThreadIoEventLoopGroup group,
+            EventLoop loop,
+            List<TcpSettings> listeners,
+            long seed,
+            ByteBudget budget,
+            Lifecycle lifecycle) {
         for (TcpSettings each : listeners) {
             TcpSide side = new TcpSide(loop, each, seed, budget);
             side.start();
@@ -44,26 +49,34 @@
             open.add(new Open(side, listener));
         }
         if (!open.isEmpty()) {
-            loop.scheduleWithFixedDelay(() -> {
-                if (lifecycle.emptying()) {
-                    open.forEach(each -> each.side.empty());
-                }
-            }, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+            loop.scheduleWithFixedDelay(
+                    () -> {
+                        if (lifecycle.emptying()) {
+                            open.forEach(each -> each.side.empty());
+                        }
+                    },
+                    SWEEP_MS,
+                    SWEEP_MS,
+                    TimeUnit.MILLISECONDS);
         }
     }
 
     /** New settings for listeners that are there; others come and go with a restart. */
     void retune(List<TcpSettings> next) {
         for (TcpSettings each : next) {
-            Open found = open.stream().filter(one -> one.side.settings().name().equals(each.name())
-                    && one.side.settings().listen().equals(each.listen())).findAny().orElse(null);
+            Open found = open.stream()
+                    .filter(one -> one.side.settings().name().equals(each.name())
+                            && one.side.settings().listen().equals(each.listen()))
+                    .findAny()
+                    .orElse(null);
             if (found == null) {
                 LOG.warn("{}: a new listener or a new address waits for a restart", each.name());
             } else {
                 found.side.retune(each);
             }
         }
-        String gone = open.stream().map(one -> one.side.settings().name())
+        String gone = open.stream()
+                .map(one -> one.side.settings().name())
                 .filter(name -> next.stream().noneMatch(each -> each.name().equals(name)))
                 .collect(Collectors.joining(", "));
         if (!gone.isEmpty()) {
@@ -84,7 +97,11 @@
 
     /** How long an end may take, in milliseconds; 0 without listeners. From any thread. */
     static long longestEndMs(List<TcpSettings> listeners) {
-        return listeners.stream().mapToLong(each -> each.grace() + ORDERLY_NS).max().orElse(0) / 1_000_000;
+        return listeners.stream()
+                        .mapToLong(each -> each.grace() + ORDERLY_NS)
+                        .max()
+                        .orElse(0)
+                / 1_000_000;
     }
 
     void print(StringBuilder to) {
--- a/sidecar/src/main/java/topazvalve/sidecar/WarmUp.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/WarmUp.java
@@ -9,6 +9,12 @@
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
+import topazvalve.core.lifecycle.Lifecycle;
+import topazvalve.core.metrics.Metrics;
+import topazvalve.core.pool.Pools;
+import topazvalve.core.stream.ByteBudget;
+import topazvalve.core.stream.RequestBody;
+import topazvalve.core.time.LoopTime;
 import topazvalve.decisions.Balancer;
 import topazvalve.decisions.Balancer.ListKind;
 import topazvalve.decisions.Balancer.Outcome;
@@ -20,15 +26,9 @@
 import topazvalve.decisions.Balancer.Upstream;
 import topazvalve.decisions.Rules;
 import topazvalve.sidecar.config.Config;
-import topazvalve.core.pool.Pools;
-import topazvalve.core.stream.ByteBudget;
-import topazvalve.core.time.LoopTime;
 import topazvalve.sidecar.http.Answer;
 import topazvalve.sidecar.http.Message;
 import topazvalve.sidecar.upstream.HttpCodec;
-import topazvalve.core.lifecycle.Lifecycle;
-import topazvalve.core.metrics.Metrics;
-import topazvalve.core.stream.RequestBody;
 
 /**
  * Loads and compiles what every request runs through, before the first client comes: the sidecar asks one of
@@ -37,9 +37,11 @@
 final class WarmUp {
     /** Fewer start sooner and cost the first seconds of service: docs/measurements.md has the figures. */
     private static final int ROUNDS = 200;
+
     private static final long PATIENCE = 1_000_000_000;
     /** For all rounds together: on a crowded core a cold sidecar is better than a late one. */
     private static final long LONGEST = 2_500_000_000L;
+
     private static final long STEP = 10_000_000;
 
     private final Pools<Message, Answer> self;
@@ -82,16 +84,20 @@
             done.run();
             return;
         }
-        Message message = new Message(HttpMethod.GET, "/up",
-                new DefaultHttpHeaders().set(HttpHeaderNames.HOST, "app.svc"));
-        self.send(0, message, RequestBody.of(new byte[0]), PATIENCE, (outcome, answer, load) ->
-                ask(outcome == Outcome.ERROR || outcome == Outcome.OK ? left - 1 : 0));
+        Message message =
+                new Message(HttpMethod.GET, "/up", new DefaultHttpHeaders().set(HttpHeaderNames.HOST, "app.svc"));
+        self.send(
+                0,
+                message,
+                RequestBody.of(new byte[0]),
+                PATIENCE,
+                (outcome, answer, load) -> ask(outcome == Outcome.ERROR || outcome == Outcome.OK ? left - 1 : 0));
     }
 
     /** A frontend that nobody can reach takes requests; the core, which knows no server, refuses them. */
     private static void answer(long began, EventLoop loop, Config config) {
-        HttpSide side = new HttpSide(loop, config, ROUNDS, 1, new Metrics(), new Lifecycle(),
-                new ByteBudget(config.bodyBytes()), List.of());
+        HttpSide side = new HttpSide(
+                loop, config, ROUNDS, 1, new Metrics(), new Lifecycle(), new ByteBudget(config.bodyBytes()), List.of());
         List<String> tenants = config.options().names("parties");
         EmbeddedChannel client = new EmbeddedChannel(side.front().connections());
         List<RequestClass> rules = config.options().settings().classes();
@@ -117,12 +123,13 @@
         Balancer rules = new Rules(settings, 0, new Unheard());
         long now = System.nanoTime() & Long.MAX_VALUE;
         rules.start(now);
-        rules.listChanged(now, ListKind.CACHED, List.of(
-                new Upstream(1, 0, 0, 0, State.READY, 1, 0), new Upstream(2, 0, 0, 0, State.READY, 1, 0)));
+        rules.listChanged(
+                now,
+                ListKind.CACHED,
+                List.of(new Upstream(1, 0, 0, 0, State.READY, 1, 0), new Upstream(2, 0, 0, 0, State.READY, 1, 0)));
         for (int i = 0; i < ROUNDS && !late(began); i++) {
             now += STEP;
-            rules.request(now,
-                    new Request(i, i % settings.classes().size(), 0, 0, PATIENCE, 0, false, false));
+            rules.request(now, new Request(i, i % settings.classes().size(), 0, 0, PATIENCE, 0, false, false));
             rules.outcome(now + STEP / 2, i, 0, 1, Outcome.OK, STEP / 2, true, new float[0]);
             rules.timer(now + STEP / 2, i);
         }
@@ -130,36 +137,36 @@
 
     private static final class Unheard implements Balancer.Actions {
         @Override
-        public void send(long request, long upstream, long timeout) { }
+        public void send(long request, long upstream, long timeout) {}
 
         @Override
-        public void refuse(long request, long wait) { }
+        public void refuse(long request, long wait) {}
 
         @Override
-        public void fail(long request) { }
+        public void fail(long request) {}
 
         @Override
-        public void cancel(long request, int attempt) { }
+        public void cancel(long request, int attempt) {}
 
         @Override
-        public void timer(long token, long at) { }
+        public void timer(long token, long at) {}
 
         @Override
-        public void probe(long upstream) { }
+        public void probe(long upstream) {}
 
         @Override
-        public void closeIdle(long upstream) { }
+        public void closeIdle(long upstream) {}
 
         @Override
-        public void tell(int peer, byte[] message) { }
+        public void tell(int peer, byte[] message) {}
 
         @Override
-        public void log(String line) { }
+        public void log(String line) {}
 
         @Override
-        public void subscribe(boolean on) { }
+        public void subscribe(boolean on) {}
 
         @Override
-        public void fetchList() { }
+        public void fetchList() {}
     }
 }
--- a/sidecar/src/main/java/topazvalve/sidecar/admin/AdminCalls.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/admin/AdminCalls.java
@@ -19,7 +19,7 @@
         }
     }
 
-    private record Call(HttpMethod method, Supplier<Reply> action) { }
+    private record Call(HttpMethod method, Supplier<Reply> action) {}
 
     private final Map<String, Call> calls;
 
@@ -43,7 +43,8 @@
     }
 
     private static Reply ready(Lifecycle lifecycle) {
-        return lifecycle.takesClients() ? new Reply(HttpResponseStatus.OK, "yes\n")
+        return lifecycle.takesClients()
+                ? new Reply(HttpResponseStatus.OK, "yes\n")
                 : new Reply(HttpResponseStatus.SERVICE_UNAVAILABLE, "no\n");
     }
 
--- a/sidecar/src/main/java/topazvalve/sidecar/admin/AdminServer.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/admin/AdminServer.java
@@ -47,6 +47,7 @@
     public static final int MOST_CONNECTIONS = 16;
     /** Of these, for callers that come while the oldest one's is released. */
     private static final int SPARE_CONNECTIONS = 4;
+
     private static final int LONGEST_LINE = 1024;
     private static final int LARGEST_HEAD = 8192;
     private static final int LARGEST_BODY = 1024;
@@ -63,7 +64,9 @@
 
     /** Listens from now on. */
     public ChannelFuture listen(EventLoopGroup group, InetSocketAddress address) {
-        return new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
+        return new ServerBootstrap()
+                .group(group)
+                .channel(NioServerSocketChannel.class)
                 .handler(new AcceptLimit(() -> MOST_CONNECTIONS))
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
@@ -89,8 +92,11 @@
             end.cancel(false);
             connections.remove(made);
         });
-        made.pipeline().addLast(new HttpServerCodec(LONGEST_LINE, LARGEST_HEAD, LARGEST_BODY),
-                new HttpObjectAggregator(LARGEST_BODY, true), new Handler());
+        made.pipeline()
+                .addLast(
+                        new HttpServerCodec(LONGEST_LINE, LARGEST_HEAD, LARGEST_BODY),
+                        new HttpObjectAggregator(LARGEST_BODY, true),
+                        new Handler());
     }
 
     private final class Handler extends SimpleChannelInboundHandler<FullHttpRequest> {
@@ -106,16 +112,17 @@
                     ? new AdminCalls.Reply(HttpResponseStatus.BAD_REQUEST, "not a call\n", null)
                     : calls.answer(request.method(), new QueryStringDecoder(request.uri()).rawPath());
             ByteBuf body = ByteBufUtil.writeUtf8(context.alloc(), reply.text());
-            FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, reply.status(),
-                    body);
-            response.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.TEXT_PLAIN)
+            FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, reply.status(), body);
+            response.headers()
+                    .set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.TEXT_PLAIN)
                     .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             if (reply.allow() != null) {
                 response.headers().set(HttpHeaderNames.ALLOW, reply.allow().name());
             }
             HttpUtil.setContentLength(response, body.readableBytes());
             // What may still come must not turn the close into a reset, which could overtake the answer.
-            context.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE_ON_FAILURE)
+            context.writeAndFlush(response)
+                    .addListener(ChannelFutureListener.CLOSE_ON_FAILURE)
                     .addListener(done -> ((DuplexChannel) context.channel()).shutdownOutput());
         }
 
--- a/sidecar/src/main/java/topazvalve/sidecar/config/Config.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/config/Config.java
@@ -11,19 +11,28 @@
 import java.util.StringJoiner;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import topazvalve.core.net.Addresses;
 import topazvalve.decisions.Options;
 import topazvalve.sidecar.admin.AdminServer;
 import topazvalve.sidecar.discovery.Listing;
 import topazvalve.sidecar.json.Json;
 import topazvalve.sidecar.json.Node;
-import topazvalve.core.net.Addresses;
 
 /** What one sidecar is told, checked whole; a mistake is an exception whose message names the key. */
-public record Config(String name, InetSocketAddress listen, InetSocketAddress admin,
-        InetSocketAddress discovery, long seed, int sockets, Listing known, Options options, Node root) {
+public record Config(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress admin,
+        InetSocketAddress discovery,
+        long seed,
+        int sockets,
+        Listing known,
+        Options options,
+        Node root) {
     private static final Logger LOG = LoggerFactory.getLogger("sidecar");
     /** Settings that the module, or what it knows, can't change while it runs. */
     private static final List<String> FIXED = List.of("discovery", "parties");
+
     private static final long MB = 1 << 20;
     private static final long LEAST_MB = 96;
     private static final int FEWEST_SOCKETS = 64;
@@ -56,10 +65,17 @@
         if (sockets < FEWEST_SOCKETS) {
             throw new IllegalArgumentException("too few: limits.sockets");
         }
-        Listing known = root.has("known") ? Listing.of(root.path("known"))
-                : Listing.NONE;
-        return new Config(root.path("name").asText("sidecar"), address(root, "listen"), admin(root),
-                address(root, "discovery"), seed(root), sockets, known, options, root);
+        Listing known = root.has("known") ? Listing.of(root.path("known")) : Listing.NONE;
+        return new Config(
+                root.path("name").asText("sidecar"),
+                address(root, "listen"),
+                admin(root),
+                address(root, "discovery"),
+                seed(root),
+                sockets,
+                known,
+                options,
+                root);
     }
 
     /** What decides how long and how often is never guessed at. */
@@ -70,8 +86,12 @@
             String path = "profiles." + number++ + ".";
             requireAboveNought(profile, "deadline", path);
             requireAboveNought(profile, "slo", path);
-            requireKeys(profile, path, "by_key".equals(profile.path("semantics").asText())
-                    ? List.of("name", "semantics", "keyScope", "keyTtl") : List.of("name", "semantics"));
+            requireKeys(
+                    profile,
+                    path,
+                    "by_key".equals(profile.path("semantics").asText())
+                            ? List.of("name", "semantics", "keyScope", "keyTtl")
+                            : List.of("name", "semantics"));
         }
     }
 
@@ -97,7 +117,9 @@
     public void requireFit(Config inForce) {
         requireSameKeys("", inForce.root, root);
         for (String key : FIXED) {
-            if (!root.path("settings").path(key).equals(inForce.root.path("settings").path(key))) {
+            if (!root.path("settings")
+                    .path(key)
+                    .equals(inForce.root.path("settings").path(key))) {
                 throw new IllegalArgumentException("changes only with a restart: settings." + key);
             }
         }
--- a/sidecar/src/main/java/topazvalve/sidecar/discovery/Discovery.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/discovery/Discovery.java
@@ -33,6 +33,7 @@
     private long rev;
     /** How far the list in force has come at each source; empty where nobody says. */
     private Versions versions;
+
     private boolean moved;
     private boolean wanted;
     /** How soon a watch that has ended is opened again; null where the module says so. */
@@ -41,24 +42,31 @@
     private final Relays relays;
     /** Whether any server is, or was, in the list in force. */
     private boolean listed;
+
     private Call watch;
     /** A watch at the first relay, opened beside the one in force. */
     private Call returning;
     /** Why the last call failed; null if it did not. */
     private String fault;
+
     private long heardAt = System.nanoTime();
     private long askedAnew;
     /**
      * Tells {@code listener} of each answer and each failure, on the loop; {@code known} is in force now.
      * {@code pushed} is null where the module says when to follow.
      */
-    public Discovery(EventLoop loop, InetSocketAddress address, Listing known, Pushed pushed,
-            ServerList.Listener listener) {
+    public Discovery(
+            EventLoop loop, InetSocketAddress address, Listing known, Pushed pushed, ServerList.Listener listener) {
         this(loop, address, known, pushed, null, listener);
     }
 
     /** As above; {@code relays}, if there are any, are asked in place of {@code address}. */
-    public Discovery(EventLoop loop, InetSocketAddress address, Listing known, Pushed pushed, Relays relays,
+    public Discovery(
+            EventLoop loop,
+            InetSocketAddress address,
+            Listing known,
+            Pushed pushed,
+            Relays relays,
             ServerList.Listener listener) {
         this.loop = loop;
         this.pushed = pushed;
@@ -164,11 +172,15 @@
     /** Adds figures where relays are asked: whom, how long ago it was heard, and how often another was. */
     public void print(StringBuilder to) {
         if (relays != null) {
-            to.append("list_relay=").append(Relays.text(relays.now()))
-                    .append("\nlist_followed=").append(relays.following().following() ? 1 : 0)
+            to.append("list_relay=")
+                    .append(Relays.text(relays.now()))
+                    .append("\nlist_followed=")
+                    .append(relays.following().following() ? 1 : 0)
                     .append("\nlist_heard_ms=")
                     .append(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - heardAt))
-                    .append("\nlist_asked_anew=").append(askedAnew).append('\n');
+                    .append("\nlist_asked_anew=")
+                    .append(askedAnew)
+                    .append('\n');
         }
     }
 
@@ -178,25 +190,31 @@
         Following.Ask next = relays.following().refused(TimeUnit.MILLISECONDS.toNanos(retryAfterMs));
         askedAnew++;
         if (next.after() > 0 && !followed) {
-            LOG.warn("no relay answers, the list in force stays; asked again in {} ms",
+            LOG.warn(
+                    "no relay answers, the list in force stays; asked again in {} ms",
                     TimeUnit.NANOSECONDS.toMillis(next.after()));
         }
-        loop.schedule(() -> {
-            if (wanted && watch == null) {
-                relays.following().asks();
-                open();
-            }
-        }, next.after(), TimeUnit.NANOSECONDS);
+        loop.schedule(
+                () -> {
+                    if (wanted && watch == null) {
+                        relays.following().asks();
+                        open();
+                    }
+                },
+                next.after(),
+                TimeUnit.NANOSECONDS);
     }
 
     private void returnLater() {
-        loop.schedule(() -> {
-            if (wanted && returning == null
-                    && relays.following().mayReturn() instanceof Following.Ask first) {
-                returning = new Call(true, relays.order().get(first.place()));
-                returning.open();
-            }
-        }, relays.following().returnAfter(), TimeUnit.NANOSECONDS);
+        loop.schedule(
+                () -> {
+                    if (wanted && returning == null && relays.following().mayReturn() instanceof Following.Ask first) {
+                        returning = new Call(true, relays.order().get(first.place()));
+                        returning.open();
+                    }
+                },
+                relays.following().returnAfter(),
+                TimeUnit.NANOSECONDS);
     }
 
     private final class Call implements ListCall.Owner {
@@ -215,7 +233,8 @@
         void open() {
             calls.add(this);
             String query = watching ? "?watch=1&from=" + rev : "";
-            call.open(pushed == null ? ListCall.CONNECT_TIMEOUT_MS : pushed.connectMs(),
+            call.open(
+                    pushed == null ? ListCall.CONNECT_TIMEOUT_MS : pushed.connectMs(),
                     watching && !versions.isEmpty() ? query + "&versions=" + versions : query);
         }
 
--- a/sidecar/src/main/java/topazvalve/sidecar/discovery/ListCall.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/discovery/ListCall.java
@@ -37,6 +37,7 @@
      * by then it must be noticed, opened anew (a connect of up to 1 s, and a call that waits) and answered.
      */
     public static final long SILENCE_MS = 3_000;
+
     public static final int CONNECT_TIMEOUT_MS = 1_000;
 
     static final String NO_ANSWER = "no whole answer in time";
@@ -80,7 +81,9 @@
     /** Connects, within {@code connectMs}, and asks with this query: empty, or from its question mark on. */
     public void open(int connectMs, String query) {
         heard();
-        new Bootstrap().group(loop).channel(NioSocketChannel.class)
+        new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMs)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
@@ -100,10 +103,9 @@
     }
 
     private void ask(String query) {
-        DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
-                "/discovery/hosts" + query);
-        request.headers().set(HttpHeaderNames.HOST,
-                address.getAddress().getHostAddress() + ":" + address.getPort());
+        DefaultFullHttpRequest request =
+                new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/discovery/hosts" + query);
+        request.headers().set(HttpHeaderNames.HOST, address.getAddress().getHostAddress() + ":" + address.getPort());
         channel.writeAndFlush(request);
     }
 
@@ -112,7 +114,8 @@
         if (silence != null) {
             silence.cancel(false);
         }
-        silence = watching && answered ? loop.schedule(this::silent, SILENCE_MS, TimeUnit.MILLISECONDS)
+        silence = watching && answered
+                ? loop.schedule(this::silent, SILENCE_MS, TimeUnit.MILLISECONDS)
                 : loop.schedule(this::late, ANSWER_MS, TimeUnit.MILLISECONDS);
     }
 
--- a/sidecar/src/main/java/topazvalve/sidecar/discovery/Listing.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/discovery/Listing.java
@@ -34,7 +34,10 @@
                 targets.add(target);
             }
         }
-        return new Listing(node.path("rev").asLong(), node.path("all").asBoolean(), targets,
+        return new Listing(
+                node.path("rev").asLong(),
+                node.path("all").asBoolean(),
+                targets,
                 Versions.parse(node.path("versions").asText("")));
     }
 
@@ -52,8 +55,14 @@
             LOG.warn("entry passed over: {}", node);
             return null;
         }
-        return new Target(uid, endpoint, node.path("az").asText(""), node.path("model").asText(""),
-                (int) node.path("pod_group").asLong(), state, (float) node.path("capacity_hint").asDouble(1),
+        return new Target(
+                uid,
+                endpoint,
+                node.path("az").asText(""),
+                node.path("model").asText(""),
+                (int) node.path("pod_group").asLong(),
+                state,
+                (float) node.path("capacity_hint").asDouble(1),
                 node.path("boot_ms").asLong());
     }
 }
--- a/sidecar/src/main/java/topazvalve/sidecar/front/ClientConnection.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/front/ClientConnection.java
@@ -31,17 +31,16 @@
 import topazvalve.core.exchange.Client;
 import topazvalve.core.exchange.Intake;
 import topazvalve.core.exchange.Job;
-import topazvalve.sidecar.http.Answer;
-import topazvalve.sidecar.http.Message;
 import topazvalve.core.lifecycle.Lifecycle;
 import topazvalve.core.stream.ByteBudget;
 import topazvalve.core.stream.RequestBody;
 import topazvalve.core.stream.Source;
 import topazvalve.core.time.LoopTime;
+import topazvalve.sidecar.http.Answer;
+import topazvalve.sidecar.http.Message;
 
 /** One client's connection: one request at a time, each answered once. */
-final class ClientConnection extends SimpleChannelInboundHandler<HttpObject>
-        implements Client<Answer> {
+final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> implements Client<Answer> {
     private static final Logger LOG = LoggerFactory.getLogger("frontend");
     private static final int LARGEST_BODY = 1 << 25;
     private static final int LINGER_BYTES = 1 << 20;
@@ -53,6 +52,7 @@
     private final Channel channel;
     /** What was read in one piece with a request that is open; what comes later, the decoder keeps. */
     private final ArrayDeque<HttpObject> waiting = new ArrayDeque<>(1);
+
     private final RequestDecoder decoder;
     private Stage stage = Stage.NEW;
     private long since = System.nanoTime();
@@ -65,6 +65,7 @@
     private boolean leftUnread = true;
     /** Its last byte is there and counts after one more look at the socket. */
     private boolean looking;
+
     private boolean keepAlive;
     private boolean oldVersion;
     private String id;
@@ -73,9 +74,13 @@
     /** An answer that is passed on as it comes; null if none is. */
     private AnswerFlow flow;
 
-    ClientConnection(Frontend owner, Intake<Message, Answer> intake, RequestReader reader,
+    ClientConnection(
+            Frontend owner,
+            Intake<Message, Answer> intake,
+            RequestReader reader,
             Lifecycle lifecycle,
-            ByteBudget budget, Channel channel) {
+            ByteBudget budget,
+            Channel channel) {
         this.owner = owner;
         this.intake = intake;
         this.reader = reader;
@@ -238,7 +243,8 @@
      * room.
      */
     void readWhileRoom() {
-        boolean room = stage == Stage.LINGERING ? lingered <= LINGER_BYTES
+        boolean room = stage == Stage.LINGERING
+                ? lingered <= LINGER_BYTES
                 : !decoder.flooded() && (!incoming || looking || !body.full());
         channel.config().setAutoRead(room);
     }
@@ -271,16 +277,16 @@
         if (HttpUtil.getContentLength(head, 0L) > LARGEST_BODY) {
             reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body too large");
         } else if (HttpUtil.is100ContinueExpected(head)) {
-            channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                    HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
+            channel.writeAndFlush(new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
         }
     }
 
     /** The request is whole, or has as much as may be held of it. */
     private void submit() {
         if (job == null) {
-            answer(Replies.plain(lifecycle.takesClients() ? HttpResponseStatus.OK
-                    : HttpResponseStatus.SERVICE_UNAVAILABLE, ""));
+            answer(Replies.plain(
+                    lifecycle.takesClients() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, ""));
             return;
         }
         idTaken = owner.takeId(id);
@@ -452,7 +458,7 @@
     /** The last request that was kept whole is answered, and what came behind it was dropped. */
     void endRow() {
         if (stage == Stage.ASKED) {
-            flooded();  // a body whose rest was dropped
+            flooded(); // a body whose rest was dropped
         } else if (stage == Stage.IDLE || stage == Stage.READING) {
             linger(channel.writeAndFlush(Unpooled.EMPTY_BUFFER));
         }
--- a/sidecar/src/main/java/topazvalve/sidecar/front/Frontend.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/front/Frontend.java
@@ -12,14 +12,14 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import topazvalve.core.classes.ClassTable;
 import topazvalve.core.Front;
+import topazvalve.core.classes.ClassTable;
 import topazvalve.core.exchange.Intake;
-import topazvalve.sidecar.http.Answer;
-import topazvalve.sidecar.http.Message;
 import topazvalve.core.lifecycle.Lifecycle;
 import topazvalve.core.stream.ByteBudget;
 import topazvalve.core.time.LoopTime;
+import topazvalve.sidecar.http.Answer;
+import topazvalve.sidecar.http.Message;
 
 /**
  * The application's side: reads requests, answers each once, and tells malformed ones so itself. A client
@@ -29,9 +29,10 @@
 public final class Frontend implements Front {
     /** A request's id is held to be in use for a while after its answer: clients never use one again. */
     private static final long ID_TIME = 2_000_000_000L;
+
     private static final long SWEEP_MS = 100;
 
-    private record Past(String id, long at) { }
+    private record Past(String id, long at) {}
 
     private final Intake<Message, Answer> intake;
     private final RequestReader reader;
@@ -39,7 +40,7 @@
     private final Room room;
     private boolean makingRoom;
     private int mostHeld;
-    private Runnable whenMoreAreHeld = () -> { };
+    private Runnable whenMoreAreHeld = () -> {};
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
     private final Set<String> ids = new HashSet<>();
     private final ArrayDeque<Past> past = new ArrayDeque<>();
@@ -48,9 +49,14 @@
     private final Future<?> sweeping;
 
     /** Serves on this loop. */
-    public Frontend(EventLoop loop, Intake<Message, Answer> intake, ClassTable classes,
+    public Frontend(
+            EventLoop loop,
+            Intake<Message, Answer> intake,
+            ClassTable classes,
             List<String> tenantNames,
-            int mostConnections, Lifecycle lifecycle, ByteBudget budget) {
+            int mostConnections,
+            Lifecycle lifecycle,
+            ByteBudget budget) {
         this.intake = intake;
         this.budget = budget;
         this.lifecycle = lifecycle;
@@ -67,11 +73,10 @@
         return new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel made) {
-                ClientConnection connection = new ClientConnection(Frontend.this, intake, reader,
-                        lifecycle, budget, made);
+                ClientConnection connection =
+                        new ClientConnection(Frontend.this, intake, reader, lifecycle, budget, made);
                 connections.add(connection);
-                made.pipeline().addLast(new HttpResponseEncoder(), connection.decoder(),
-                        connection);
+                made.pipeline().addLast(new HttpResponseEncoder(), connection.decoder(), connection);
                 requireRoom();
             }
         };
--- a/sidecar/src/main/java/topazvalve/sidecar/front/Replies.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/front/Replies.java
@@ -16,20 +16,21 @@
 
 /** The answers that the sidecar words itself. */
 final class Replies {
-    private Replies() { }
+    private Replies() {}
 
     static HttpResponseStatus status(Throwable cause) {
         if (cause instanceof TooLongHttpHeaderException) {
             return HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE;
         }
-        return cause instanceof TooLongHttpLineException ? HttpResponseStatus.REQUEST_URI_TOO_LONG
+        return cause instanceof TooLongHttpLineException
+                ? HttpResponseStatus.REQUEST_URI_TOO_LONG
                 : HttpResponseStatus.BAD_REQUEST;
     }
 
     /** An order server's answer. */
     static FullHttpResponse served(Answer answer) {
-        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                answer.status(), Unpooled.wrappedBuffer(answer.body()));
+        FullHttpResponse response = new DefaultFullHttpResponse(
+                HttpVersion.HTTP_1_1, answer.status(), Unpooled.wrappedBuffer(answer.body()));
         response.headers().set(answer.headers());
         return response;
     }
@@ -38,8 +39,12 @@
     static FullHttpResponse refused(long wait) {
         FullHttpResponse response = plain(HttpResponseStatus.SERVICE_UNAVAILABLE, "refused");
         if (wait > 0) {
-            response.headers().set(HttpHeaderNames.RETRY_AFTER,
-                    BigDecimal.valueOf(wait, 9).setScale(3, RoundingMode.UP).toPlainString());
+            response.headers()
+                    .set(
+                            HttpHeaderNames.RETRY_AFTER,
+                            BigDecimal.valueOf(wait, 9)
+                                    .setScale(3, RoundingMode.UP)
+                                    .toPlainString());
         }
         return response;
     }
@@ -49,8 +54,8 @@
     }
 
     static FullHttpResponse plain(HttpResponseStatus status, String text) {
-        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-                Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
+        FullHttpResponse response = new DefaultFullHttpResponse(
+                HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
         response.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.TEXT_PLAIN);
         return response;
     }
--- a/sidecar/src/main/java/topazvalve/sidecar/front/RequestDecoder.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/front/RequestDecoder.java
@@ -20,6 +20,7 @@
     private static final int PIECE = 1 << 10;
     /** Who sends more than so many bytes that are dropped is ended: reading them costs the others. */
     private static final int MOST_DROPPED = 1 << 20;
+
     private final ClientConnection connection;
     private final ByteBudget budget;
     private ChannelHandlerContext context;
--- a/sidecar/src/main/java/topazvalve/sidecar/front/RequestReader.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/front/RequestReader.java
@@ -7,12 +7,12 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
 import java.util.List;
-import topazvalve.decisions.Balancer.Semantics;
 import topazvalve.core.classes.ClassTable;
 import topazvalve.core.exchange.Job;
+import topazvalve.core.stream.RequestBody;
+import topazvalve.decisions.Balancer.Semantics;
 import topazvalve.sidecar.http.Headers;
 import topazvalve.sidecar.http.Message;
-import topazvalve.core.stream.RequestBody;
 
 /** Reads what a request's head tells; what can't be used is an {@link IllegalArgumentException}. */
 final class RequestReader {
@@ -55,23 +55,22 @@
     /** Rejects what two readers could take for requests of different lengths, or for different hosts. */
     static void framed(HttpRequest message) {
         HttpHeaders headers = message.headers();
-        if (message.protocolVersion().equals(HttpVersion.HTTP_1_1)
-                && !headers.contains(HttpHeaderNames.HOST)) {
+        if (message.protocolVersion().equals(HttpVersion.HTTP_1_1) && !headers.contains(HttpHeaderNames.HOST)) {
             throw new IllegalArgumentException("no Host");
         }
         boolean coded = headers.contains(HttpHeaderNames.TRANSFER_ENCODING);
         if (message.protocolVersion().majorVersion() != 1 || coded && !Headers.onlyChunked(message)) {
             throw new IllegalArgumentException("version or transfer coding not supported");
         }
-        if (!message.method().equals(HttpMethod.POST)
-                && (coded || HttpUtil.getContentLength(message, 0L) > 0)) {
+        if (!message.method().equals(HttpMethod.POST) && (coded || HttpUtil.getContentLength(message, 0L) > 0)) {
             throw new IllegalArgumentException("body where none belongs");
         }
         if (!message.uri().chars().allMatch(each -> each > ' ' && each < 0x7f)) {
             throw new IllegalArgumentException("path can't be read");
         }
         for (String name : headers.names()) {
-            boolean once = name.regionMatches(true, 0, "Req-", 0, 4) || name.equalsIgnoreCase(KEY)
+            boolean once = name.regionMatches(true, 0, "Req-", 0, 4)
+                    || name.equalsIgnoreCase(KEY)
                     || name.equalsIgnoreCase("Host");
             if (once && headers.getAll(name).size() > 1) {
                 throw new IllegalArgumentException("repeated " + name);
@@ -104,9 +103,16 @@
         // Nobody waits for longer than the class allows, whatever the header says.
         long wait = Math.min(number(message, "Req-Deadline-Ms"), kind.rules().deadline() / 1_000_000);
         long cost = message.headers().contains("Req-Cost") ? number(message, "Req-Cost") * 1000 : 0;
-        return new Job<>(kind, tenant, key(path), wait, cost,
-                "1".equals(message.headers().get("Req-Retry")), semantics != Semantics.REPEATABLE,
-                new Message(method, message.uri(), message.headers()), body);
+        return new Job<>(
+                kind,
+                tenant,
+                key(path),
+                wait,
+                cost,
+                "1".equals(message.headers().get("Req-Retry")),
+                semantics != Semantics.REPEATABLE,
+                new Message(method, message.uri(), message.headers()),
+                body);
     }
 
     private static String header(HttpRequest message, String name) {
--- a/sidecar/src/main/java/topazvalve/sidecar/front/Room.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/front/Room.java
@@ -38,8 +38,7 @@
      * The {@code count} connections that are missed least, or fewer. Only those are looked at whose stage
      * began before {@code heardUntil}: what they sent until then has been read.
      */
-    List<ClientConnection> leastMissed(Collection<ClientConnection> connections, int count, long now,
-            long heardUntil) {
+    List<ClientConnection> leastMissed(Collection<ClientConnection> connections, int count, long now, long heardUntil) {
         ArrayDeque<ClientConnection> turnedAway = new ArrayDeque<>();
         ArrayDeque<ClientConnection> silent = new ArrayDeque<>();
         ArrayDeque<ClientConnection> idle = new ArrayDeque<>();
@@ -58,16 +57,18 @@
                 case NEW -> silent.add(each);
                 case IDLE -> idle.add(each);
                 case READING -> stalled.add(each);
-                default -> { }
+                default -> {}
             }
         }
         List<ClientConnection> least = new ArrayList<>(count);
         while (least.size() < count) {
-            ArrayDeque<ClientConnection> from = !turnedAway.isEmpty() ? turnedAway
-                    : isDue(silent, now) || silentCount > most / 2 && !silent.isEmpty() ? silent
-                    : !idle.isEmpty() ? idle
-                    : !silent.isEmpty() ? silent
-                    : isDue(stalled, now) ? stalled : null;
+            ArrayDeque<ClientConnection> from = !turnedAway.isEmpty()
+                    ? turnedAway
+                    : isDue(silent, now) || silentCount > most / 2 && !silent.isEmpty()
+                            ? silent
+                            : !idle.isEmpty()
+                                    ? idle
+                                    : !silent.isEmpty() ? silent : isDue(stalled, now) ? stalled : null;
             if (from == null) {
                 break;
             }
--- a/sidecar/src/main/java/topazvalve/sidecar/front/StageTimes.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/front/StageTimes.java
@@ -13,7 +13,7 @@
     /** A connection made while the sidecar empties is given so long for its request. */
     private static final long FIRST = 300_000_000;
 
-    private StageTimes() { }
+    private StageTimes() {}
 
     /** Whether a connection that a sidecar which ends may close has waited long enough for its request. */
     static boolean unusedForLong(Stage stage, long age) {
--- a/sidecar/src/main/java/topazvalve/sidecar/json/Json.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/json/Json.java
@@ -21,9 +21,11 @@
 public final class Json {
     private static final int DEEPEST = 64;
     private static final JsonFactory FACTORY = JsonFactory.builder()
-            .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(DEEPEST).build()).build();
+            .streamReadConstraints(
+                    StreamReadConstraints.builder().maxNestingDepth(DEEPEST).build())
+            .build();
 
-    private Json() { }
+    private Json() {}
 
     /** The first value of a text; the node that stands for nothing where there is none. */
     public static Node read(String text) throws JsonProcessingException {
@@ -75,7 +77,8 @@
 
     private static Node whole(JsonParser parser) throws IOException {
         return parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
-                ? new Node(parser.getDoubleValue()) : new Node(parser.getLongValue());
+                ? new Node(parser.getDoubleValue())
+                : new Node(parser.getLongValue());
     }
 
     private static Node object(JsonParser parser) throws IOException {
--- a/sidecar/src/main/java/topazvalve/sidecar/listen/AcceptLimit.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/listen/AcceptLimit.java
@@ -21,6 +21,7 @@
     private static final int MOST_AT_ONCE = 16;
     /** After an accept that failed all the same, since others hold more descriptors than they should. */
     private static final long PAUSE_MS = 20;
+
     private static final long LOG_EVERY = 1_000_000_000;
 
     private final IntSupplier most;
@@ -52,11 +53,12 @@
         open++;
         Channel server = context.channel();
         Channel made = (Channel) message;
-        made.closeFuture().addListener(closed -> LoopTime.afterNextSelect(server.eventLoop(), () -> {
-            // Only now is its descriptor released.
-            open--;
-            resume(server);
-        }));
+        made.closeFuture()
+                .addListener(closed -> LoopTime.afterNextSelect(server.eventLoop(), () -> {
+                    // Only now is its descriptor released.
+                    open--;
+                    resume(server);
+                }));
         retune(server);
         context.fireChannelRead(message);
     }
@@ -84,9 +86,13 @@
         Channel server = context.channel();
         paused = true;
         retune(server);
-        server.eventLoop().schedule(() -> {
-            paused = false;
-            resume(server);
-        }, PAUSE_MS, TimeUnit.MILLISECONDS);
+        server.eventLoop()
+                .schedule(
+                        () -> {
+                            paused = false;
+                            resume(server);
+                        },
+                        PAUSE_MS,
+                        TimeUnit.MILLISECONDS);
     }
 }
--- a/sidecar/src/main/java/topazvalve/sidecar/listen/ClientListener.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/listen/ClientListener.java
@@ -77,18 +77,24 @@
     /** Takes connections from now on, {@code most} at a time; others wait until one of these has ended. */
     public ChannelFuture open(EventLoopGroup group, ChannelHandler each, IntSupplier most) {
         limit = new AcceptLimit(most);
-        ServerBootstrap bootstrap = new ServerBootstrap().group(group).handler(limit)
+        ServerBootstrap bootstrap = new ServerBootstrap()
+                .group(group)
+                .handler(limit)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childOption(ChannelOption.RECVBUF_ALLOCATOR,
-                        new AdaptiveRecvByteBufAllocator(64, 2048, ByteBudget.LEAST))
+                .childOption(
+                        ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator(64, 2048, ByteBudget.LEAST))
                 .childHandler(each);
         if (beside) {
             bootstrap.option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true);
         }
         ChannelFuture opened = shared()
-                ? bootstrap.channelFactory(() -> new NioServerSocketChannel(inherited)).register()
-                : bootstrap.channel(NioServerSocketChannel.class).option(ChannelOption.SO_BACKLOG, BACKLOG)
+                ? bootstrap
+                        .channelFactory(() -> new NioServerSocketChannel(inherited))
+                        .register()
+                : bootstrap
+                        .channel(NioServerSocketChannel.class)
+                        .option(ChannelOption.SO_BACKLOG, BACKLOG)
                         .bind(address);
         server = opened.channel();
         return opened;
--- a/sidecar/src/main/java/topazvalve/sidecar/upstream/Heads.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/upstream/Heads.java
@@ -15,13 +15,16 @@
 
 /** An attempt in HTTP's terms: the head that is sent to an upstream, and what an answer's head says. */
 final class Heads {
-    private Heads() { }
+    private Heads() {}
 
     static HttpRequest head(Attempt<Message, Answer> attempt) {
-        HttpRequest request = new DefaultHttpRequest(HttpVersion.HTTP_1_1, attempt.message().method(),
+        HttpRequest request = new DefaultHttpRequest(
+                HttpVersion.HTTP_1_1,
+                attempt.message().method(),
                 attempt.message().uri());
         Headers.copyEndToEnd(attempt.message().headers(), request.headers());
-        request.headers().set("Req-Deadline-Ms", Math.max(1, attempt.waitTime() / 1_000_000))
+        request.headers()
+                .set("Req-Deadline-Ms", Math.max(1, attempt.waitTime() / 1_000_000))
                 .remove(HttpHeaderNames.CONTENT_LENGTH);
         long length = attempt.body().length();
         if (length < 0) {
@@ -40,8 +43,7 @@
         int code = response.status().code();
         return switch (code) {
             case 200 -> Outcome.OK;
-            case 503, 504 -> "1".equals(response.headers().get("Srv-Declined")) ? Outcome.REJECTED
-                    : Outcome.ERROR;
+            case 503, 504 -> "1".equals(response.headers().get("Srv-Declined")) ? Outcome.REJECTED : Outcome.ERROR;
             // Of the server's own state: waited too long, not the one meant, too early, too many requests.
             case 408, 421, 425, 429 -> Outcome.ERROR;
             default -> code / 100 == 4 ? Outcome.OK : Outcome.ERROR;
--- a/sidecar/src/main/java/topazvalve/sidecar/upstream/HttpCarrier.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/upstream/HttpCarrier.java
@@ -36,11 +36,11 @@
  * HTTP on one connection, one request at a time. An answer counts once all that came with it has been read:
  * only then is it known whether more has come than was asked for, and whether the next request may follow.
  */
-final class HttpCarrier extends SimpleChannelInboundHandler<HttpObject>
-        implements Carrier<Message, Answer>, Source {
+final class HttpCarrier extends SimpleChannelInboundHandler<HttpObject> implements Carrier<Message, Answer>, Source {
     private static final Logger LOG = LoggerFactory.getLogger("upstream");
     /** Up to here an answer is held until it is whole, and a spoilt one can be tried again elsewhere. */
     private static final int LARGEST_HELD = 1 << 16;
+
     private static final int LARGEST_ANSWER = 1 << 25;
     /** An answer that does not tell its length may be a large one, whose first bytes are waited for. */
     private static final long LONGEST_HELD = 30_000_000;
@@ -48,6 +48,7 @@
     private static final long STALL = 30_000_000_000L;
     /** Some answers come behind interim ones; more than a few are no way to an answer. */
     private static final int MOST_INTERIM = 16;
+
     private final LoadReports reports;
     private final PooledConnection<Message, Answer> connection;
     private final AnswerDecoder decoder = new AnswerDecoder();
@@ -59,6 +60,7 @@
     private long received;
     /** Whether the answer is passed on as it comes. */
     private boolean passing;
+
     private boolean pumping;
     private Future<?> held;
     private Future<?> stall;
@@ -172,7 +174,10 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
-        if (current == null || current.over() || whole || message.decoderResult().isFailure()) {
+        if (current == null
+                || current.over()
+                || whole
+                || message.decoderResult().isFailure()) {
             spoil();
             return;
         }
@@ -204,11 +209,15 @@
         if (Math.max(received, length) > LARGEST_HELD) {
             pass();
         } else if (length < 0 && held == null) {
-            held = channel.eventLoop().schedule(() -> {
-                if (current == attempt && !attempt.over() && !passing && !whole) {
-                    pass();
-                }
-            }, LONGEST_HELD, TimeUnit.NANOSECONDS);
+            held = channel.eventLoop()
+                    .schedule(
+                            () -> {
+                                if (current == attempt && !attempt.over() && !passing && !whole) {
+                                    pass();
+                                }
+                            },
+                            LONGEST_HELD,
+                            TimeUnit.NANOSECONDS);
         }
     }
 
@@ -259,8 +268,7 @@
                 ? Headers.onlyChunked(response)
                 : HttpUtil.getContentLength(response, -1L) >= 0 || !HttpUtil.isKeepAlive(response);
         received = 0;
-        if (!bounded && code != 204 && code != 304
-                || HttpUtil.getContentLength(response, 0L) > LARGEST_ANSWER) {
+        if (!bounded && code != 204 && code != 304 || HttpUtil.getContentLength(response, 0L) > LARGEST_ANSWER) {
             return false;
         }
         try {
@@ -270,8 +278,7 @@
             return false;
         }
         head = response;
-        body = new ByteArrayOutputStream(
-                (int) Math.min(LARGEST_HELD, HttpUtil.getContentLength(response, 1024L)));
+        body = new ByteArrayOutputStream((int) Math.min(LARGEST_HELD, HttpUtil.getContentLength(response, 1024L)));
         return true;
     }
 
@@ -287,13 +294,15 @@
         }
         HttpResponse response = head;
         // Served before it had all been sent: that can't be.
-        Outcome outcome = attempt.written() || response.status().code() != 200 ? Heads.outcome(response)
-                : Outcome.ERROR;
-        float[] load = reports.read(response,
+        Outcome outcome =
+                attempt.written() || response.status().code() != 200 ? Heads.outcome(response) : Outcome.ERROR;
+        float[] load = reports.read(
+                response,
                 attempt.message().uri().equals(LoadReports.PATH) && body != null
-                        ? body.toString(StandardCharsets.UTF_8) : null);
-        Answer answer = outcome == Outcome.OK && !passing
-                ? new Answer(response.status(), headers, body.toByteArray()) : null;
+                        ? body.toString(StandardCharsets.UTF_8)
+                        : null);
+        Answer answer =
+                outcome == Outcome.OK && !passing ? new Answer(response.status(), headers, body.toByteArray()) : null;
         boolean reusable = HttpUtil.isKeepAlive(response) && attempt.written() && !soiled && !decoder.holds();
         current = null;
         head = null;
--- a/sidecar/src/main/java/topazvalve/sidecar/upstream/HttpCodec.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/upstream/HttpCodec.java
@@ -18,6 +18,7 @@
      * open, which take of a server's capacity; it is about what a new one takes to come up.
      */
     public static final long REST = 10_000_000;
+
     private static final long PROBE_TIMEOUT = 250_000_000;
 
     private final LoadReports reports = new LoadReports();
@@ -36,8 +37,10 @@
     /** For a server's load report where the deployment has reports, else for its health. */
     @Override
     public Probe<Message> probe() {
-        return new Probe<>(new Message(HttpMethod.GET, reports.path(),
-                new DefaultHttpHeaders().set(HttpHeaderNames.HOST, "app.svc")), PROBE_TIMEOUT);
+        return new Probe<>(
+                new Message(
+                        HttpMethod.GET, reports.path(), new DefaultHttpHeaders().set(HttpHeaderNames.HOST, "app.svc")),
+                PROBE_TIMEOUT);
     }
 
     @Override
--- a/sidecar/src/test/java/topazvalve/sidecar/AdminTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/AdminTest.java
@@ -80,17 +80,19 @@
     void everyFigureShowsFromNoughtAndCountsWhatHappened() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         try (Stub upstream = new Stub((socket, head) -> switch (Stub.header(head, "Req-Id")) {
-            case "held" -> {
-                try {
-                    yield go.await(Stub.LIMIT_S, TimeUnit.SECONDS) && Stub.reply(socket, "200 OK", "", "x");
-                } catch (InterruptedException e) {
-                    yield false;
-                }
-            }
-            case "9b1f" -> Stub.reply(socket, "500 No", "", "");
-            case "shed" -> Stub.reply(socket, "503 No", "Srv-Declined: 1\r\n", "");
-            default -> Stub.reply(socket, "200 OK", "", "x");
-        }); Bed bed = Bed.with(upstream); Bed.Client held = new Bed.Client(bed.address)) {
+                    case "held" -> {
+                        try {
+                            yield go.await(Stub.LIMIT_S, TimeUnit.SECONDS) && Stub.reply(socket, "200 OK", "", "x");
+                        } catch (InterruptedException e) {
+                            yield false;
+                        }
+                    }
+                    case "9b1f" -> Stub.reply(socket, "500 No", "", "");
+                    case "shed" -> Stub.reply(socket, "503 No", "Srv-Declined: 1\r\n", "");
+                    default -> Stub.reply(socket, "200 OK", "", "x");
+                });
+                Bed bed = Bed.with(upstream);
+                Bed.Client held = new Bed.Client(bed.address)) {
             assertEquals("""
                     app.ok.look=0
                     app.shed.look=0
@@ -131,7 +133,9 @@
     /** An upstream that takes no connection is avoided; a try that was never written is none. */
     @Test
     void ejectedUpstreamShows() throws Exception {
-        try (Stub dead = Stub.serving("x"); Stub alive = Stub.serving("y"); Bed bed = Bed.with(dead, alive)) {
+        try (Stub dead = Stub.serving("x");
+                Stub alive = Stub.serving("y");
+                Bed bed = Bed.with(dead, alive)) {
             dead.die();
             for (int i = 0; i < 4; i++) {
                 assertEquals("y", bed.ask(Bed.look("a" + i)).body());
@@ -147,13 +151,15 @@
     void lameDuckServesWhatComesAndCanBeTurnedBack() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         try (Stub upstream = new Stub((socket, head) -> {
-            try {
-                go.await();
-            } catch (InterruptedException e) {
-                return false;
-            }
-            return Stub.reply(socket, "200 OK", "", "x");
-        }); Bed bed = Bed.with(upstream); Bed.Client idle = new Bed.Client(bed.address);
+                    try {
+                        go.await();
+                    } catch (InterruptedException e) {
+                        return false;
+                    }
+                    return Stub.reply(socket, "200 OK", "", "x");
+                });
+                Bed bed = Bed.with(upstream);
+                Bed.Client idle = new Bed.Client(bed.address);
                 Bed.Client busy = new Bed.Client(bed.address)) {
             bed.loop.submit(bed.lifecycle::started).sync();
             assertEquals(200, idle.ask(UP).status());
@@ -182,13 +188,15 @@
     void requestsReadAheadAreAnsweredBeforeALameDuckCloses() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         try (Stub upstream = new Stub((socket, head) -> {
-            try {
-                go.await();
-            } catch (InterruptedException e) {
-                return false;
-            }
-            return Stub.reply(socket, "200 OK", "", Stub.header(head, "Req-Id"));
-        }); Bed bed = Bed.with(upstream); Bed.Client client = new Bed.Client(bed.address)) {
+                    try {
+                        go.await();
+                    } catch (InterruptedException e) {
+                        return false;
+                    }
+                    return Stub.reply(socket, "200 OK", "", Stub.header(head, "Req-Id"));
+                });
+                Bed bed = Bed.with(upstream);
+                Bed.Client client = new Bed.Client(bed.address)) {
             Stub.write(client.socket, Bed.look("a") + Bed.look("b"));
             Stub.next(upstream.heads);
             assertEquals(200, status(bed, call("POST", "/_lameduck/on")));
