--- a/sidecar/src/test/java/topazvalve/sidecar/Bed.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/Bed.java
@@ -10,20 +10,20 @@
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetSocketAddress;
-import java.util.List;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
+import java.util.List;
 import java.util.concurrent.TimeUnit;
-import topazvalve.sidecar.admin.AdminServer;
-import topazvalve.sidecar.config.Config;
-import topazvalve.sidecar.json.Json;
 import topazvalve.core.exchange.Exchanges;
-import topazvalve.sidecar.http.Message;
-import topazvalve.sidecar.front.Frontend;
 import topazvalve.core.lifecycle.Lifecycle;
-import topazvalve.sidecar.listen.ClientListener;
 import topazvalve.core.metrics.Metrics;
 import topazvalve.core.stream.ByteBudget;
+import topazvalve.sidecar.admin.AdminServer;
+import topazvalve.sidecar.config.Config;
+import topazvalve.sidecar.front.Frontend;
+import topazvalve.sidecar.http.Message;
+import topazvalve.sidecar.json.Json;
+import topazvalve.sidecar.listen.ClientListener;
 
 /** A sidecar in this process, with its upstreams known from the start, and a client for it. */
 final class Bed implements AutoCloseable {
@@ -33,8 +33,7 @@
     /** Descriptors for connections on their way in or out. */
     static final int SPARE = 10;
 
-    private final MultiThreadIoEventLoopGroup group =
-            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     final EventLoop loop = group.next();
     final Lifecycle lifecycle = new Lifecycle();
     final Metrics metrics = new Metrics();
@@ -46,7 +45,7 @@
     final InetSocketAddress admin;
 
     /** An answer as the client saw it. */
-    record Answer(int status, String head, String body) { }
+    record Answer(int status, String head, String body) {}
 
     /** What every accepted connection is counted with, by the descriptors held. */
     final OpenConnections open = new OpenConnections();
@@ -58,16 +57,22 @@
     /** With room for so many clients. */
     Bed(ObjectNode json, int mostClients) throws Exception {
         Config config = config(json);
-        side = new HttpSide(loop, config, MOST, mostClients, metrics, lifecycle,
-                new ByteBudget(config.bodyBytes()), List.of());
+        side = new HttpSide(
+                loop, config, MOST, mostClients, metrics, lifecycle, new ByteBudget(config.bodyBytes()), List.of());
         frontend = side.front();
         engine = side.exchanges();
         loop.submit(() -> side.start(config)).sync();
         clients = ClientListener.binding(config.listen());
-        address = (InetSocketAddress) clients.open(group, open.counting(frontend.connections()),
-                () -> mostClients + SPARE).sync().channel().localAddress();
+        address = (InetSocketAddress)
+                clients.open(group, open.counting(frontend.connections()), () -> mostClients + SPARE)
+                        .sync()
+                        .channel()
+                        .localAddress();
         admin = (InetSocketAddress) new AdminServer(lifecycle, () -> metrics.text(engine))
-                .listen(group, new InetSocketAddress("127.0.0.1", 0)).sync().channel().localAddress();
+                .listen(group, new InetSocketAddress("127.0.0.1", 0))
+                .sync()
+                .channel()
+                .localAddress();
     }
 
     static Bed with(Stub... upstreams) throws Exception {
@@ -105,8 +110,14 @@
     }
 
     static ObjectNode target(String uid, String endpoint, String state) {
-        return JSON.createObjectNode().put("uid", uid).put("endpoint", endpoint).put("az", "a")
-                .put("model", "m").put("pod_group", 1).put("state", state).put("capacity_hint", 1.0)
+        return JSON.createObjectNode()
+                .put("uid", uid)
+                .put("endpoint", endpoint)
+                .put("az", "a")
+                .put("model", "m")
+                .put("pod_group", 1)
+                .put("state", state)
+                .put("capacity_hint", 1.0)
                 .put("boot_ms", 0);
     }
 
--- a/sidecar/src/test/java/topazvalve/sidecar/BulkTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/BulkTest.java
@@ -69,7 +69,8 @@
 
     @Test
     void largeBodiesGoThroughBothWaysOnOneConnection() throws Exception {
-        try (Stub upstream = Stub.serving(BODY); Bed bed = narrow(upstream);
+        try (Stub upstream = Stub.serving(BODY);
+                Bed bed = narrow(upstream);
                 Bed.Client client = new Bed.Client(bed.address)) {
             for (int i = 0; i < 3; i++) {
                 Bed.Answer answer = client.ask(Bed.post("book", "", BODY).replace("9b1f", "b" + i));
@@ -82,20 +83,27 @@
     /** Chunks with extensions and trailers, an answer of unknown length, and the next request behind it. */
     @Test
     void chunkedBodiesGoThrough() throws Exception {
-        try (Stub upstream = new Stub((socket, head) -> {
-            Stub.write(socket, "HTTP/1.1 200 OK\r\n" + CHUNKED + "Trailer: X-Sum\r\n\r\n"
-                    + chunk(BODY) + chunk("end") + "0\r\nX-Sum: 1\r\n\r\n");
-            return true;
-        }) {
-            @Override
-            void readBody(Socket socket, InputStream in, String head) throws IOException {
-                bodies.add(head.contains("chunked") ? readChunked(in) : "none");
-            }
-        }; Bed bed = narrow(upstream); Bed.Client client = new Bed.Client(bed.address)) {
+        try (Stub upstream =
+                        new Stub((socket, head) -> {
+                            Stub.write(
+                                    socket,
+                                    "HTTP/1.1 200 OK\r\n" + CHUNKED + "Trailer: X-Sum\r\n\r\n" + chunk(BODY)
+                                            + chunk("end") + "0\r\nX-Sum: 1\r\n\r\n");
+                            return true;
+                        }) {
+                            @Override
+                            void readBody(Socket socket, InputStream in, String head) throws IOException {
+                                bodies.add(head.contains("chunked") ? readChunked(in) : "none");
+                            }
+                        };
+                Bed bed = narrow(upstream);
+                Bed.Client client = new Bed.Client(bed.address)) {
             Stub.thread(() -> {
                 try {
-                    Stub.write(client.socket, post(CHUNKED) + chunk(BODY.substring(0, 70_000))
-                            + chunk(BODY.substring(70_000)) + "0\r\nX-Sum: 1\r\n\r\n" + Bed.look("next"));
+                    Stub.write(
+                            client.socket,
+                            post(CHUNKED) + chunk(BODY.substring(0, 70_000)) + chunk(BODY.substring(70_000))
+                                    + "0\r\nX-Sum: 1\r\n\r\n" + Bed.look("next"));
                 } catch (IOException e) {
                     throw new AssertionError(e);
                 }
@@ -114,12 +122,14 @@
     @Test
     void messagesCutAtAnyByteAreReadAlike() throws Exception {
         try (Stub upstream = new Stub((socket, head) -> {
-            String answer = "HTTP/1.1 200 OK\r\n" + CHUNKED + "\r\n" + chunk("hello") + "0\r\n\r\n";
-            for (int i = 0; i < answer.length(); i++) {
-                Stub.write(socket, answer.substring(i, i + 1));
-            }
-            return true;
-        }); Bed bed = Bed.with(upstream); Bed.Client client = new Bed.Client(bed.address)) {
+                    String answer = "HTTP/1.1 200 OK\r\n" + CHUNKED + "\r\n" + chunk("hello") + "0\r\n\r\n";
+                    for (int i = 0; i < answer.length(); i++) {
+                        Stub.write(socket, answer.substring(i, i + 1));
+                    }
+                    return true;
+                });
+                Bed bed = Bed.with(upstream);
+                Bed.Client client = new Bed.Client(bed.address)) {
             client.socket.setTcpNoDelay(true);
             String request = post(CHUNKED) + chunk("two") + chunk("three") + "0\r\n\r\n";
             for (int i = 0; i < request.length(); i++) {
@@ -132,7 +142,8 @@
 
     @Test
     void clientThatWaitsForContinueIsToldTo() throws Exception {
-        try (Stub upstream = Stub.serving("x"); Bed bed = Bed.with(upstream);
+        try (Stub upstream = Stub.serving("x");
+                Bed bed = Bed.with(upstream);
                 Bed.Client client = new Bed.Client(bed.address)) {
             Stub.write(client.socket, post("Expect: 100-continue\r\nContent-Length: 3\r\n"));
             assertTrue(client.head().startsWith("HTTP/1.1 100 "));
@@ -145,7 +156,8 @@
     /** A body that its client sends slowly costs no time: that counts from the last byte. */
     @Test
     void slowBodyIsNotLate() throws Exception {
-        try (Stub upstream = Stub.serving("x"); Bed bed = narrow(upstream);
+        try (Stub upstream = Stub.serving("x");
+                Bed bed = narrow(upstream);
                 Bed.Client client = new Bed.Client(bed.address)) {
             String head = post("Content-Length: " + 10 * 20_000 + "\r\n").replace("Ms: 20000", "Ms: 1500");
             Stub.write(client.socket, head);
@@ -161,7 +173,8 @@
     /** Its time ends for want of bytes: the client is told, and the attempt goes with it. */
     @Test
     void silenceWithinABodyEndsTheRequest() throws Exception {
-        try (Stub upstream = Stub.serving("x"); Bed bed = narrow(upstream);
+        try (Stub upstream = Stub.serving("x");
+                Bed bed = narrow(upstream);
                 Bed.Client client = new Bed.Client(bed.address)) {
             Stub.write(client.socket, post("Content-Length: 200000\r\n") + "x".repeat(100_000));
             assertEquals(408, client.read().status());
@@ -174,11 +187,15 @@
     /** Before a byte of it was let go a large request goes elsewhere, even an unsafe one. */
     @Test
     void largeRequestGoesOnWhenNoConnectionComesUp() throws Exception {
-        try (Stub gone = Stub.serving("x"); Stub upstream = Stub.serving("y");
+        try (Stub gone = Stub.serving("x");
+                Stub upstream = Stub.serving("y");
                 Bed bed = narrow(gone, upstream)) {
             gone.die();
             for (int i = 0; i < 4; i++) {
-                assertEquals("y", bed.ask(Bed.post("book", "", BODY).replace("9b1f", "b" + i)).body());
+                assertEquals(
+                        "y",
+                        bed.ask(Bed.post("book", "", BODY).replace("9b1f", "b" + i))
+                                .body());
                 assertEquals(BODY, Stub.next(upstream.bodies));
             }
         }
@@ -187,8 +204,10 @@
     /** Once its start is let go it can't be sent again: it never ran, so that the client may. */
     @Test
     void largeRequestThatBreaksOnItsWayIsRefusedOnce() throws Exception {
-        try (Breaking one = new Breaking(); Breaking two = new Breaking();
-                Bed bed = narrow(one.stub, two.stub); Bed.Client client = new Bed.Client(bed.address)) {
+        try (Breaking one = new Breaking();
+                Breaking two = new Breaking();
+                Bed bed = narrow(one.stub, two.stub);
+                Bed.Client client = new Bed.Client(bed.address)) {
             Stub.thread(() -> {
                 try {
                     Stub.write(client.socket, post("Content-Length: 30000000\r\n") + "x".repeat(29_000_000));
@@ -224,10 +243,14 @@
         for (String length : List.of("Content-Length: 200000\r\n", CHUNKED)) {
             String part = "x".repeat(100_000);
             try (Stub upstream = new Stub((socket, head) -> {
-                Stub.write(socket, "HTTP/1.1 200 OK\r\n" + length + "\r\n"
-                        + (length.equals(CHUNKED) ? chunk(part) : part));
-                return false;
-            }); Bed bed = Bed.with(upstream); Bed.Client client = new Bed.Client(bed.address)) {
+                        Stub.write(
+                                socket,
+                                "HTTP/1.1 200 OK\r\n" + length + "\r\n"
+                                        + (length.equals(CHUNKED) ? chunk(part) : part));
+                        return false;
+                    });
+                    Bed bed = Bed.with(upstream);
+                    Bed.Client client = new Bed.Client(bed.address)) {
                 Stub.write(client.socket, Bed.look("a"));
                 String head = client.head();
                 assertTrue(head.startsWith("HTTP/1.1 200 "));
@@ -236,7 +259,8 @@
                 } else {
                     assertEquals(100_000, client.in.readNBytes(200_000).length);
                 }
-                String figures = bed.loop.submit(() -> bed.metrics.text(bed.engine)).get();
+                String figures =
+                        bed.loop.submit(() -> bed.metrics.text(bed.engine)).get();
                 assertTrue(figures.contains("app.errors.look=1\n") && figures.contains("app.ok.look=0\n"));
                 assertEquals(1, upstream.heads.size(), "what has begun is not tried again");
             }
@@ -248,20 +272,26 @@
     void answerThatEndsWithItsConnectionIsServed() throws Exception {
         for (String body : List.of("short", BODY)) {
             try (Stub upstream = new Stub((socket, head) -> {
-                Stub.write(socket, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body);
-                return false;
-            }); Bed bed = Bed.with(upstream); Bed.Client client = new Bed.Client(bed.address)) {
+                        Stub.write(socket, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body);
+                        return false;
+                    });
+                    Bed bed = Bed.with(upstream);
+                    Bed.Client client = new Bed.Client(bed.address)) {
                 Stub.write(client.socket, Bed.look("a"));
                 String head = client.head();
-                assertEquals(body, body.equals(BODY) ? readChunked(client.in)
-                        : new String(client.in.readNBytes(Stub.length(head)), StandardCharsets.US_ASCII));
+                assertEquals(
+                        body,
+                        body.equals(BODY)
+                                ? readChunked(client.in)
+                                : new String(client.in.readNBytes(Stub.length(head)), StandardCharsets.US_ASCII));
                 assertNull(Stub.header(head, "Connection"), "that was the upstream's connection");
             }
         }
         try (Stub upstream = new Stub((socket, head) -> {
-            Stub.write(socket, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
-            return Stub.reset(socket);
-        }); Bed bed = Bed.with(upstream)) {
+                    Stub.write(socket, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
+                    return Stub.reset(socket);
+                });
+                Bed bed = Bed.with(upstream)) {
             assertEquals(502, bed.ask(Bed.post("book", "", "x")).status());
         }
     }
@@ -271,15 +301,17 @@
     void firstBytesOfAnAnswerOfUnknownLengthDoNotWaitForTheRest() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         try (Stub upstream = new Stub((socket, head) -> {
-            Stub.write(socket, "HTTP/1.1 200 OK\r\n" + CHUNKED + "\r\n" + chunk("first"));
-            try {
-                go.await();
-            } catch (InterruptedException e) {
-                return false;
-            }
-            Stub.write(socket, chunk("rest") + "0\r\n\r\n");
-            return true;
-        }); Bed bed = Bed.with(upstream); Bed.Client client = new Bed.Client(bed.address)) {
+                    Stub.write(socket, "HTTP/1.1 200 OK\r\n" + CHUNKED + "\r\n" + chunk("first"));
+                    try {
+                        go.await();
+                    } catch (InterruptedException e) {
+                        return false;
+                    }
+                    Stub.write(socket, chunk("rest") + "0\r\n\r\n");
+                    return true;
+                });
+                Bed bed = Bed.with(upstream);
+                Bed.Client client = new Bed.Client(bed.address)) {
             Stub.write(client.socket, Bed.look("a"));
             assertTrue(client.head().startsWith("HTTP/1.1 200 "));
             assertEquals("5", line(client.in));
@@ -298,24 +330,27 @@
         CountDownLatch started = new CountDownLatch(3);
         CountDownLatch sent = new CountDownLatch(3);
         try (Stub upstream = new Stub((socket, head) -> {
-            if (head.contains("Req-Id: small")) {
-                return Stub.reply(socket, "200 OK", "", "x");
-            }
-            Stub.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + size + "\r\n\r\n");
-            started.countDown();
-            socket.getOutputStream().write(all);
-            sent.countDown();
-            return true;
-        }); Bed bed = narrow(upstream)) {
-            List<Bed.Client> clients = Stream.of("a", "b", "c").map(id -> {
-                try {
-                    Bed.Client client = new Bed.Client(bed.address);
-                    Stub.write(client.socket, Bed.look(id));
-                    return client;
-                } catch (IOException e) {
-                    throw new AssertionError(e);
-                }
-            }).toList();
+                    if (head.contains("Req-Id: small")) {
+                        return Stub.reply(socket, "200 OK", "", "x");
+                    }
+                    Stub.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + size + "\r\n\r\n");
+                    started.countDown();
+                    socket.getOutputStream().write(all);
+                    sent.countDown();
+                    return true;
+                });
+                Bed bed = narrow(upstream)) {
+            List<Bed.Client> clients = Stream.of("a", "b", "c")
+                    .map(id -> {
+                        try {
+                            Bed.Client client = new Bed.Client(bed.address);
+                            Stub.write(client.socket, Bed.look(id));
+                            return client;
+                        } catch (IOException e) {
+                            throw new AssertionError(e);
+                        }
+                    })
+                    .toList();
             assertTrue(started.await(Stub.LIMIT_S, TimeUnit.SECONDS));
             for (Bed.Client client : clients) {
                 assertEquals(size, Stub.length(client.head()));
--- a/sidecar/src/test/java/topazvalve/sidecar/ConfigTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/ConfigTest.java
@@ -11,10 +11,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import topazvalve.core.net.Addresses;
 import topazvalve.decisions.Balancer.Semantics;
 import topazvalve.decisions.Balancer.Settings;
 import topazvalve.sidecar.config.Config;
-import topazvalve.core.net.Addresses;
 
 /** The configuration, and the settings in it as the module is told them. */
 class ConfigTest {
@@ -86,14 +86,21 @@
     void runningSidecarTakesNoFileThatMissesAKey() throws Exception {
         Config inForce = Bed.config(Bed.json());
         inForce.requireFit(inForce);
-        for (String at : List.of("/settings/caps/connIdle", "/settings/rules/askWithin", "/limits/cores",
-                "/settings/zones", "/known", "/name")) {
+        for (String at : List.of(
+                "/settings/caps/connIdle",
+                "/settings/rules/askWithin",
+                "/limits/cores",
+                "/settings/zones",
+                "/known",
+                "/name")) {
             ObjectNode json = Bed.json();
             int slash = at.lastIndexOf('/');
             String key = at.substring(slash + 1);
             ((ObjectNode) json.at(at.substring(0, slash))).remove(key);
-            String message = assertThrows(IllegalArgumentException.class,
-                    () -> Bed.config(json).requireFit(inForce)).getMessage();
+            String message = assertThrows(
+                            IllegalArgumentException.class,
+                            () -> Bed.config(json).requireFit(inForce))
+                    .getMessage();
             assertTrue(message.contains(key), message);
         }
         ObjectNode json = Bed.json();
@@ -106,7 +113,8 @@
     }
 
     private static void assertNames(String key, ObjectNode json) {
-        String message = assertThrows(IllegalArgumentException.class, () -> Bed.config(json)).getMessage();
+        String message = assertThrows(IllegalArgumentException.class, () -> Bed.config(json))
+                .getMessage();
         assertTrue(message.contains(key) && message.lines().count() == 1, message);
     }
 
--- a/sidecar/src/test/java/topazvalve/sidecar/CrossingsTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/CrossingsTest.java
@@ -26,6 +26,7 @@
     private static final int OVER_A_SHARE = 800_000;
     /** So long that a close must have been heard of. */
     private static final long STALL_MS = 130;
+
     private static final long LATE_MS = 620;
     private static final long KILL_MS = 1_500;
 
@@ -62,7 +63,8 @@
     @ValueSource(strings = {"close", "reset", "half"})
     void nothingIsSentOnForAClientThatLeftWithMuchBehindAHeldRequest(String how) throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        try (Stub upstream = new Stub(until(go)); Bed bed = Bed.with(upstream)) {
+        try (Stub upstream = new Stub(until(go));
+                Bed bed = Bed.with(upstream)) {
             List<Bed.Client> busy = fill(bed, upstream);
             Bed.Client gone = new Bed.Client(bed.address);
             StringBuilder much = new StringBuilder(Bed.look("gone"));
@@ -95,7 +97,8 @@
     @ValueSource(strings = {"close", "reset"})
     void leavingIsHeardBehindMoreThanAShare(String how) throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        try (Stub upstream = new Stub(until(go)); Bed bed = new Bed(small(upstream))) {
+        try (Stub upstream = new Stub(until(go));
+                Bed bed = new Bed(small(upstream))) {
             List<Bed.Client> busy = fill(bed, upstream);
             Bed.Client gone = new Bed.Client(bed.address);
             Stub.write(gone.socket, Bed.look("gone"));
@@ -122,14 +125,15 @@
     void rowThatHasNoRoomEndsInOrderBehindWhatWasKept() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         Stub.Script held = (socket, head) -> until(go).play(socket, head);
-        try (Stub upstream = new Stub(held); Bed bed = new Bed(small(upstream));
+        try (Stub upstream = new Stub(held);
+                Bed bed = new Bed(small(upstream));
                 Bed.Client client = new Bed.Client(bed.address)) {
             Stub.write(client.socket, Bed.look("first"));
             assertEquals("first", Stub.header(Stub.next(upstream.heads), "Req-Id"));
             String behind = row(OVER_A_SHARE);
             Stub.write(client.socket, behind);
             for (int i = 0; i < 100; i++) {
-                bed.loop.submit(() -> { }).sync();
+                bed.loop.submit(() -> {}).sync();
             }
             go.countDown();
             int answered = 0;
@@ -151,7 +155,8 @@
     @Test
     void whoFloodsBehindAnOpenRequestIsEnded() throws Exception {
         CountDownLatch never = new CountDownLatch(1);
-        try (Stub upstream = new Stub(until(never)); Bed bed = new Bed(small(upstream));
+        try (Stub upstream = new Stub(until(never));
+                Bed bed = new Bed(small(upstream));
                 Bed.Client client = new Bed.Client(bed.address)) {
             Stub.write(client.socket, Bed.look("first"));
             Stub.next(upstream.heads);
@@ -188,7 +193,8 @@
     /** A client came, asked and left while nobody took its connection: its request is not sent on. */
     @Test
     void nothingIsSentOnForAClientThatLeftBeforeItsConnectionWasTaken() throws Exception {
-        try (Stub upstream = Stub.serving("x"); Bed bed = Bed.with(upstream)) {
+        try (Stub upstream = Stub.serving("x");
+                Bed bed = Bed.with(upstream)) {
             CountDownLatch go = hold(bed, 0);
             Bed.Client gone = new Bed.Client(bed.address);
             Stub.write(gone.socket, Bed.look("gone"));
@@ -202,7 +208,8 @@
     /** The process was held up while a client that it knew asked and left: that is heard of first. */
     @Test
     void nothingIsSentOnForAClientThatAskedAndLeftDuringAStall() throws Exception {
-        try (Stub upstream = Stub.serving("x"); Bed bed = Bed.with(upstream)) {
+        try (Stub upstream = Stub.serving("x");
+                Bed bed = Bed.with(upstream)) {
             Bed.Client gone = new Bed.Client(bed.address);
             assertEquals(200, gone.ask(Bed.look("known")).status());
             CountDownLatch go = hold(bed, STALL_MS);
@@ -220,7 +227,9 @@
     void noFurtherAttemptBeginsForAClientThatLeftDuringAStall() throws Exception {
         BlockingQueue<Socket> asked = new LinkedBlockingQueue<>();
         Stub.Script silent = (socket, head) -> asked.add(socket);
-        try (Stub one = new Stub(silent); Stub two = new Stub(silent); Bed bed = Bed.with(one, two);
+        try (Stub one = new Stub(silent);
+                Stub two = new Stub(silent);
+                Bed bed = Bed.with(one, two);
                 Bed.Client last = new Bed.Client(bed.address)) {
             Bed.Client gone = new Bed.Client(bed.address);
             // A connection to each is there and has rested: what is sent on is written at once.
@@ -229,8 +238,9 @@
             for (Socket server : List.of(Stub.next(asked), Stub.next(asked))) {
                 Stub.reply(server, "200 OK", "", "x");
             }
-            assertEquals(List.of(200, 200), List.of(gone.read().status(), last.read().status()));
-            bed.loop.schedule(() -> { }, HttpCodec.REST, TimeUnit.NANOSECONDS).sync();
+            assertEquals(
+                    List.of(200, 200), List.of(gone.read().status(), last.read().status()));
+            bed.loop.schedule(() -> {}, HttpCodec.REST, TimeUnit.NANOSECONDS).sync();
             Stub.write(gone.socket, Bed.look("gone"));
             Socket first = Stub.next(asked);
             CountDownLatch go = hold(bed, STALL_MS);
@@ -311,7 +321,8 @@
     void rowOfRequestsIsAnsweredInTurn() throws Exception {
         int row = 400;
         Stub.Script echo = (socket, head) -> Stub.reply(socket, "200 OK", "", Stub.header(head, "Req-Id"));
-        try (Stub upstream = new Stub(echo); Bed bed = Bed.with(upstream);
+        try (Stub upstream = new Stub(echo);
+                Bed bed = Bed.with(upstream);
                 Bed.Client client = new Bed.Client(bed.address)) {
             StringBuilder all = new StringBuilder();
             for (int i = 0; i < row; i++) {
@@ -334,20 +345,25 @@
     @Test
     void pushedDrainIsHeardOf() throws Exception {
         BlockingQueue<Socket> watches = new LinkedBlockingQueue<>();
-        try (Stub one = Stub.serving("one"); Stub two = Stub.serving("two");
+        try (Stub one = Stub.serving("one");
+                Stub two = Stub.serving("two");
                 Stub discovery = new Stub((socket, head) -> watches.add(socket))) {
             ObjectNode json = Bed.json(one, two);
             json.put("discovery", discovery.endpoint());
             try (Bed bed = new Bed(json)) {
                 Socket watch = Stub.next(watches);
-                String line = "{\"rev\":42,\"all\":false,\"targets\":["
-                        + Bed.target("s-0", one.endpoint(), "DRAINING") + "]}\n";
-                Stub.write(watch, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                        + Integer.toHexString(line.length()) + "\r\n" + line + "\r\n");
+                String line = "{\"rev\":42,\"all\":false,\"targets\":[" + Bed.target("s-0", one.endpoint(), "DRAINING")
+                        + "]}\n";
+                Stub.write(
+                        watch,
+                        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(line.length())
+                                + "\r\n" + line + "\r\n");
                 long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Stub.LIMIT_S);
                 List<String> bodies = List.of("one");
                 for (int i = 0; bodies.contains("one") && System.nanoTime() < end; i++) {
-                    bodies = List.of(bed.ask(Bed.look("a" + i)).body(), bed.ask(Bed.look("b" + i)).body());
+                    bodies = List.of(
+                            bed.ask(Bed.look("a" + i)).body(),
+                            bed.ask(Bed.look("b" + i)).body());
                 }
                 assertEquals(List.of("two", "two"), bodies, State.DRAINING + " servers take nothing");
             }
@@ -358,10 +374,13 @@
     @Test
     void requestTakenLateInTheEndIsAnsweredBeforeTheKill() throws Exception {
         CountDownLatch never = new CountDownLatch(1);
-        try (Stub upstream = new Stub(until(never)); Bed bed = Bed.with(upstream)) {
-            bed.loop.submit(() -> bed.lifecycle.end(TimeUnit.MILLISECONDS.toNanos(KILL_MS))).sync();
+        try (Stub upstream = new Stub(until(never));
+                Bed bed = Bed.with(upstream)) {
+            bed.loop
+                    .submit(() -> bed.lifecycle.end(TimeUnit.MILLISECONDS.toNanos(KILL_MS)))
+                    .sync();
             long killed = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(KILL_MS);
-            bed.loop.schedule(() -> { }, LATE_MS, TimeUnit.MILLISECONDS).sync();
+            bed.loop.schedule(() -> {}, LATE_MS, TimeUnit.MILLISECONDS).sync();
             Bed.Answer answer = bed.ask(Bed.post("book", "", "x"));
             assertEquals("close", Stub.header(answer.head(), "Connection"));
             assertTrue(answer.status() == 502 || answer.status() == 503, answer.head());
@@ -380,7 +399,8 @@
         try (Stub upstream = new Stub(until(go))) {
             ObjectNode json = Bed.json(upstream);
             json.withObject("/limits").put("memory_mb", 0);
-            try (Bed bed = new Bed(json); Bed.Client client = new Bed.Client(bed.address)) {
+            try (Bed bed = new Bed(json);
+                    Bed.Client client = new Bed.Client(bed.address)) {
                 String last = Bed.look("last").replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n");
                 Stub.write(client.socket, last + "x".repeat(MUCH));
                 Stub.next(upstream.heads);
--- a/sidecar/src/test/java/topazvalve/sidecar/DeployedIT.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/DeployedIT.java
@@ -25,6 +25,7 @@
 
     @TempDir
     private Path folder;
+
     private Process process;
 
     @AfterEach
@@ -36,7 +37,9 @@
 
     static String command(String key) throws IOException {
         String line = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
-                .filter(each -> each.startsWith(key + " = \"")).findFirst().orElseThrow();
+                .filter(each -> each.startsWith(key + " = \""))
+                .findFirst()
+                .orElseThrow();
         return line.substring(line.indexOf('"') + 1, line.lastIndexOf('"'));
     }
 
@@ -53,7 +56,11 @@
 
     /** SIGHUP, to the program itself: the shell that started it has become it. */
     private void hangUp() throws Exception {
-        assertEquals(0, new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-HUP", Long.toString(process.pid()))
+                        .start()
+                        .waitFor());
     }
 
     private int exit() throws InterruptedException {
@@ -105,7 +112,8 @@
             InetSocketAddress address = freeAddress();
             start("run", Bed.json(upstream).put("listen", "127.0.0.1:" + address.getPort()));
             awaitUp(address);
-            try (Bed.Client client = new Bed.Client(address); Bed.Client other = new Bed.Client(address)) {
+            try (Bed.Client client = new Bed.Client(address);
+                    Bed.Client other = new Bed.Client(address)) {
                 Stub.write(client.socket, Bed.look("a"));
                 Stub.next(upstream.heads);
                 assertEquals(200, other.ask(UP).status());
@@ -130,7 +138,8 @@
         Path file = Files.writeString(folder.resolve(name), config.toString());
         process.outputWriter().write(file + "\t" + command("run") + "\n");
         process.outputWriter().flush();
-        return ProcessHandle.of(Long.parseLong(process.inputReader().readLine())).orElseThrow();
+        return ProcessHandle.of(Long.parseLong(process.inputReader().readLine()))
+                .orElseThrow();
     }
 
     static void awaitYes(InetSocketAddress door) throws Exception {
@@ -198,7 +207,8 @@
             }
             process.outputWriter().close();
             String log = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
-            assertEquals(2, log.lines().filter(line -> line.contains("ready at")).count(), log);
+            assertEquals(
+                    2, log.lines().filter(line -> line.contains("ready at")).count(), log);
             assertEquals(2, log.lines().filter(line -> line.contains("ending")).count(), log);
         }
     }
@@ -228,11 +238,13 @@
     /** The JVM's own way with SIGHUP is to end: here each one brings the file's new discovery, under way. */
     @Test
     void sighupTakesTheNewDiscoveryAndABadFileChangesNothing() throws Exception {
-        try (Stub upstream = Stub.serving("x"); Stub first = new Stub((socket, head) -> true);
+        try (Stub upstream = Stub.serving("x");
+                Stub first = new Stub((socket, head) -> true);
                 Stub second = new Stub((socket, head) -> true);
                 Stub third = new Stub((socket, head) -> true)) {
             InetSocketAddress address = freeAddress();
-            ObjectNode json = Bed.json(upstream).put("listen", "127.0.0.1:" + address.getPort())
+            ObjectNode json = Bed.json(upstream)
+                    .put("listen", "127.0.0.1:" + address.getPort())
                     .put("discovery", first.endpoint());
             json.withObject("/settings").put("discovery", "subscribe");
             start("run", json);
--- a/sidecar/src/test/java/topazvalve/sidecar/DescriptorsIT.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/DescriptorsIT.java
@@ -32,6 +32,7 @@
 
     @TempDir
     private Path folder;
+
     private Process process;
     private final List<Bed.Client> silent = new ArrayList<>();
 
@@ -79,7 +80,8 @@
         InetSocketAddress address = DeployedIT.freeAddress();
         InetSocketAddress discovery = DeployedIT.freeAddress();
         InetSocketAddress door = DeployedIT.freeAddress();
-        Path file = Files.writeString(folder.resolve("config.json"),
+        Path file = Files.writeString(
+                folder.resolve("config.json"),
                 config(address, discovery).put("admin", text(door)).toString());
         ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", command());
         builder.environment().put("PROXY_CONFIG", file.toString());
@@ -91,7 +93,8 @@
             flood(address);
             for (int i = 0; i < ROUNDS; i++) {
                 assertEquals(200, working.ask(UP).status(), "who works keeps its connection");
-                try (Bed.Client next = new Bed.Client(address); Bed.Client operator = new Bed.Client(door)) {
+                try (Bed.Client next = new Bed.Client(address);
+                        Bed.Client operator = new Bed.Client(door)) {
                     assertEquals(200, next.ask(UP).status());
                     assertEquals(200, operator.ask(UP.replace("/up", "/_ready")).status());
                 }
@@ -112,7 +115,8 @@
     @Test
     void floodFromTheFirstMomentHoldsNoStartBack() throws Exception {
         InetSocketAddress address = DeployedIT.freeAddress();
-        Path file = Files.writeString(folder.resolve("config.json"),
+        Path file = Files.writeString(
+                folder.resolve("config.json"),
                 config(address, DeployedIT.freeAddress()).toString());
         ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", command());
         builder.environment().put("PROXY_CONFIG", file.toString());
@@ -137,11 +141,15 @@
             long most = CLIENTS + 2 * OTHERS;
             for (String name : List.of("old.json", "new.json")) {
                 InetSocketAddress door = DeployedIT.freeAddress();
-                Path file = Files.writeString(folder.resolve(name),
-                        config(address, DeployedIT.freeAddress()).put("admin", text(door)).toString());
+                Path file = Files.writeString(
+                        folder.resolve(name),
+                        config(address, DeployedIT.freeAddress())
+                                .put("admin", text(door))
+                                .toString());
                 process.outputWriter().write(file + "\t" + command() + "\n");
                 process.outputWriter().flush();
-                both.add(ProcessHandle.of(Long.parseLong(process.inputReader().readLine())).orElseThrow());
+                both.add(ProcessHandle.of(Long.parseLong(process.inputReader().readLine()))
+                        .orElseThrow());
                 DeployedIT.awaitYes(door);
                 most += descriptors(both.get(both.size() - 1).pid());
             }
@@ -150,7 +158,8 @@
                 try (Bed.Client next = new Bed.Client(address)) {
                     assertEquals(200, next.ask(UP).status());
                 }
-                long held = descriptors(both.get(0).pid()) + descriptors(both.get(1).pid());
+                long held =
+                        descriptors(both.get(0).pid()) + descriptors(both.get(1).pid());
                 assertTrue(held <= most, held + " descriptors held, not " + most);
             }
         } finally {
--- a/sidecar/src/test/java/topazvalve/sidecar/DiscoveryTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/DiscoveryTest.java
@@ -16,12 +16,12 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
+import topazvalve.core.servers.Target;
 import topazvalve.decisions.Balancer.ListKind;
 import topazvalve.decisions.Balancer.State;
 import topazvalve.sidecar.discovery.Discovery;
 import topazvalve.sidecar.discovery.Listing;
 import topazvalve.sidecar.discovery.Pushed;
-import topazvalve.core.servers.Target;
 
 /** The list and its watch against a discovery that answers in awkward ways. */
 class DiscoveryTest {
@@ -29,10 +29,9 @@
     private static final String HALF_1 = "{\"rev\":43,\"all\":false,\"targets\":[" + entry("DRAINING") + ",";
     private static final String HALF_2 = "{\"uid\":\"odd\",\"state\":\"???\"}]}\n";
 
-    private record Told(ListKind kind, List<Target> targets) { }
+    private record Told(ListKind kind, List<Target> targets) {}
 
-    private final MultiThreadIoEventLoopGroup group =
-            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final BlockingQueue<Told> told = new LinkedBlockingQueue<>();
 
@@ -58,16 +57,17 @@
     }
 
     private Discovery discovery(Stub stub, Listing known, Pushed pushed) {
-        return new Discovery(loop, stub.address(), known, pushed,
-                (kind, targets) -> told.add(new Told(kind, targets)));
+        return new Discovery(loop, stub.address(), known, pushed, (kind, targets) -> told.add(new Told(kind, targets)));
     }
 
     /** An object over several lines, cut anywhere; its empty lines and braces within words say nothing. */
     @Test
     void indentedListsAreTakenWholeAndOnAWatch() throws Exception {
-        String indented = Bed.JSON.writerWithDefaultPrettyPrinter().writeValueAsString(Bed.JSON.readTree(
-                "{\"rev\":43,\"all\":true,\"targets\":["
-                        + entry("DRAINING").replace("\"m\"", "\"m}\\\"{\"") + "]}")).replace("\n", "\r\n\n");
+        String indented = Bed.JSON
+                .writerWithDefaultPrettyPrinter()
+                .writeValueAsString(Bed.JSON.readTree("{\"rev\":43,\"all\":true,\"targets\":["
+                        + entry("DRAINING").replace("\"m\"", "\"m}\\\"{\"") + "]}"))
+                .replace("\n", "\r\n\n");
         try (Stub stub = new Stub((socket, head) -> {
             if (!head.contains("watch=1")) {
                 return Stub.reply(socket, "200 OK", "", indented);
@@ -117,8 +117,7 @@
             if (calls.incrementAndGet() <= 3) {
                 return false;
             }
-            Stub.write(socket, CHUNKED + chunk("{\"rev\":43,\"all\":true,\"targets\":["
-                    + entry("DRAINING") + "]}\n"));
+            Stub.write(socket, CHUNKED + chunk("{\"rev\":43,\"all\":true,\"targets\":[" + entry("DRAINING") + "]}\n"));
             return true;
         })) {
             Discovery discovery = discovery(stub, new Listing(41, true, List.of()), new Pushed(10, 1000));
@@ -139,8 +138,10 @@
             }
             Stub.write(socket, CHUNKED + chunk("\n"));
             await(fetched);
-            Stub.write(socket, chunk("{\"rev\":44,\"all\":false,\"targets\":[" + entry("SERVING") + "]}\n")
-                    + chunk("{\"rev\":46,\"all\":false,\"targets\":[]}\n"));
+            Stub.write(
+                    socket,
+                    chunk("{\"rev\":44,\"all\":false,\"targets\":[" + entry("SERVING") + "]}\n")
+                            + chunk("{\"rev\":46,\"all\":false,\"targets\":[]}\n"));
             return true;
         })) {
             Discovery discovery = discovery(stub);
@@ -166,8 +167,7 @@
     void watchIsReadLineByLineAndItsEndIsAFailure() throws Exception {
         try (Stub stub = new Stub((socket, head) -> {
             Stub.write(socket, CHUNKED + chunk("\n") + chunk(HALF_1));
-            Stub.write(socket, chunk(HALF_2 + "{\"rev\":44,\"all\":true,\"targets\":["
-                    + entry("SERVING") + "]}\n"));
+            Stub.write(socket, chunk(HALF_2 + "{\"rev\":44,\"all\":true,\"targets\":[" + entry("SERVING") + "]}\n"));
             return false;
         })) {
             Discovery discovery = discovery(stub);
@@ -176,9 +176,12 @@
             assertEquals(new Told(ListKind.DELTA, List.of()), Stub.next(told), "an empty line: no news");
             Told delta = Stub.next(told);
             assertEquals(ListKind.DELTA, delta.kind);
-            assertEquals(List.of(State.DRAINING),
+            assertEquals(
+                    List.of(State.DRAINING),
                     delta.targets.stream().map(Target::state).toList());
-            assertEquals(List.of(State.READY), Stub.next(told).targets.stream().map(Target::state).toList());
+            assertEquals(
+                    List.of(State.READY),
+                    Stub.next(told).targets.stream().map(Target::state).toList());
             assertEquals(new Told(ListKind.FAILED, List.of()), Stub.next(told));
             loop.execute(() -> discovery.watch(true));
             assertTrue(Stub.next(stub.heads).contains("from=44 "), "goes on from the last version");
@@ -188,8 +191,12 @@
     /** Each call that fails is told of once, so that the module's waits between calls hold. */
     @Test
     void everyFailureIsToldOnce() throws Exception {
-        for (String reply : List.of("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", "", "nonsense\r\n\r\n",
-                CHUNKED + chunk("{\"rev\":\n"), CHUNKED + chunk("[]\n"),
+        for (String reply : List.of(
+                "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
+                "",
+                "nonsense\r\n\r\n",
+                CHUNKED + chunk("{\"rev\":\n"),
+                CHUNKED + chunk("[]\n"),
                 CHUNKED + chunk("{\"rev\":1,\"targets\":{}}\n"))) {
             try (Stub stub = new Stub((socket, head) -> {
                 Stub.write(socket, reply);
@@ -200,7 +207,7 @@
                 assertEquals(ListKind.FAILED, Stub.next(told).kind, reply);
                 loop.execute(discovery::fetch);
                 assertEquals(ListKind.FAILED, Stub.next(told).kind, reply);
-                loop.submit(() -> { }).sync();
+                loop.submit(() -> {}).sync();
                 assertEquals(0, told.size(), reply);
             }
         }
@@ -235,7 +242,7 @@
             Stub.write(socket, CHUNKED + chunk("{\"rev\":42,"));
             try {
                 for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(2 * Stub.LIMIT_S);
-                        System.nanoTime() < end;) {
+                        System.nanoTime() < end; ) {
                     Stub.write(socket, chunk(" "));
                     Thread.sleep(20);
                 }
@@ -261,9 +268,10 @@
             Discovery discovery = discovery(stub);
             Told mark = new Told(ListKind.CACHED, List.of());
             loop.submit(() -> {
-                loop.schedule(() -> told.add(mark), 3, TimeUnit.SECONDS);
-                discovery.watch(true);
-            }).sync();
+                        loop.schedule(() -> told.add(mark), 3, TimeUnit.SECONDS);
+                        discovery.watch(true);
+                    })
+                    .sync();
             assertEquals(new Told(ListKind.FAILED, List.of()), Stub.next(told));
             loop.submit(() -> discovery.watch(true)).sync();
             Socket first = Stub.next(asked);
@@ -291,8 +299,7 @@
             Stub.write(next, CHUNKED + chunk("\n"));
             assertEquals(new Told(ListKind.DELTA, List.of()), Stub.next(told));
             try {
-                Stub.write(late, CHUNKED + chunk("{\"rev\":40,\"all\":true,\"targets\":["
-                        + entry("SERVING") + "]}\n"));
+                Stub.write(late, CHUNKED + chunk("{\"rev\":40,\"all\":true,\"targets\":[" + entry("SERVING") + "]}\n"));
             } catch (IOException ended) {
                 // On a machine that took so long the late call's own time is over, and it has been closed.
                 assertTrue(System.nanoTime() - began >= TimeUnit.SECONDS.toNanos(5), ended.toString());
@@ -327,10 +334,11 @@
             return true;
         };
         String whole = "{\"rev\":3,\"all\":true,\"targets\":[" + entry("SERVING") + "]}\n";
-        try (Stub old = new Stub(silent); Stub next = new Stub((socket, head) -> {
-            Stub.write(socket, CHUNKED + chunk(whole));
-            return true;
-        })) {
+        try (Stub old = new Stub(silent);
+                Stub next = new Stub((socket, head) -> {
+                    Stub.write(socket, CHUNKED + chunk(whole));
+                    return true;
+                })) {
             Discovery discovery = discovery(old);
             loop.execute(() -> discovery.watch(true));
             assertEquals(ListKind.FULL, Stub.next(told).kind);
@@ -341,7 +349,7 @@
             assertEquals(ListKind.FULL, list.kind);
             assertEquals(1, list.targets.size());
             old.die();
-            loop.submit(() -> { }).sync();
+            loop.submit(() -> {}).sync();
             assertEquals(0, told.size(), "neither a failure nor a word of the old one");
         }
     }
@@ -350,13 +358,14 @@
     @Test
     void movedWatchThatTellsOnlyChangesIsFollowedByTheWholeList() throws Exception {
         String whole = "{\"rev\":3,\"all\":true,\"targets\":[" + entry("SERVING") + "]}";
-        try (Stub old = new Stub((socket, head) -> true); Stub next = new Stub((socket, head) -> {
-            if (!head.contains("watch=1")) {
-                return Stub.reply(socket, "200 OK", "", whole);
-            }
-            Stub.write(socket, CHUNKED + chunk("{\"rev\":3,\"all\":false,\"targets\":[]}\n"));
-            return true;
-        })) {
+        try (Stub old = new Stub((socket, head) -> true);
+                Stub next = new Stub((socket, head) -> {
+                    if (!head.contains("watch=1")) {
+                        return Stub.reply(socket, "200 OK", "", whole);
+                    }
+                    Stub.write(socket, CHUNKED + chunk("{\"rev\":3,\"all\":false,\"targets\":[]}\n"));
+                    return true;
+                })) {
             Discovery discovery = discovery(old);
             loop.execute(() -> discovery.watch(true));
             Stub.next(old.heads);
--- a/sidecar/src/test/java/topazvalve/sidecar/FrontTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/FrontTest.java
@@ -17,7 +17,8 @@
     /** A request in no known form must not reach an upstream: there it would void more than itself. */
     @Test
     void malformedRequestsAreToldSoAndGoNowhere() throws Exception {
-        try (Stub upstream = Stub.serving("x"); Bed bed = Bed.with(upstream)) {
+        try (Stub upstream = Stub.serving("x");
+                Bed bed = Bed.with(upstream)) {
             for (String bad : List.of(
                     "NONSENSE\r\n\r\n",
                     Bed.look("a").replace("Req-Id: a\r\n", ""),
@@ -33,7 +34,10 @@
             }
             assertEquals(404, bed.ask(Bed.look("a").replace("/api/", "/other/")).status());
             String huge = "Content-Length: " + ((1 << 25) + 1);
-            assertEquals(413, bed.ask(Bed.post("book", "", "").replace("Content-Length: 0", huge)).status());
+            assertEquals(
+                    413,
+                    bed.ask(Bed.post("book", "", "").replace("Content-Length: 0", huge))
+                            .status());
             assertEquals(200, bed.ask(Bed.look("good")).status());
             assertEquals("good", Stub.header(Stub.next(upstream.heads), "Req-Id"));
             assertNull(upstream.heads.poll(), "no other request came this far");
@@ -43,7 +47,8 @@
     @Test
     void requestsAheadOfTheirTurnAreAnsweredInOrder() throws Exception {
         Stub.Script echo = (socket, head) -> Stub.reply(socket, "200 OK", "", Stub.header(head, "Req-Id"));
-        try (Stub upstream = new Stub(echo); Bed bed = Bed.with(upstream);
+        try (Stub upstream = new Stub(echo);
+                Bed bed = Bed.with(upstream);
                 Bed.Client client = new Bed.Client(bed.address)) {
             Stub.write(client.socket, Bed.look("a") + Bed.look("b") + Bed.look("c"));
             for (String id : List.of("a", "b", "c")) {
@@ -55,8 +60,11 @@
     /** RFC 9112 3.2: without Host it is answered at once, and no order server hears of it. */
     @Test
     void requestWithoutHostIsTurnedAwayHere() throws Exception {
-        try (Stub upstream = Stub.serving("x"); Bed bed = Bed.with(upstream)) {
-            assertEquals(400, bed.ask(Bed.look("a").replaceFirst("Host: [^\r]*\r\n", "")).status());
+        try (Stub upstream = Stub.serving("x");
+                Bed bed = Bed.with(upstream)) {
+            assertEquals(
+                    400,
+                    bed.ask(Bed.look("a").replaceFirst("Host: [^\r]*\r\n", "")).status());
             assertEquals(0, upstream.heads.size());
         }
     }
@@ -64,17 +72,29 @@
     /** RFC 9112 3.2.2: its host goes before the header's, and order servers see the origin's form. */
     @Test
     void targetInAbsoluteFormIsTaken() throws Exception {
-        try (Stub upstream = Stub.serving("x"); Bed bed = Bed.with(upstream)) {
+        try (Stub upstream = Stub.serving("x");
+                Bed bed = Bed.with(upstream)) {
             String asked = Bed.look("a");
             String path = asked.substring(4, asked.indexOf(' ', 4));
-            assertEquals(200, bed.ask(asked.replace("GET /", "GET HTTP://other.svc:81/")).status());
+            assertEquals(
+                    200,
+                    bed.ask(asked.replace("GET /", "GET HTTP://other.svc:81/")).status());
             String head = upstream.heads.iterator().next();
-            assertTrue(head.startsWith("GET " + path + " ") && head.contains("other.svc:81")
-                    && !head.contains("app.svc"), head);
+            assertTrue(
+                    head.startsWith("GET " + path + " ") && head.contains("other.svc:81") && !head.contains("app.svc"),
+                    head);
             bed.lifecycle.started();
-            assertEquals(200, bed.ask("GET http://app.svc/up HTTP/1.1\r\nHost: app.svc\r\n\r\n").status());
-            assertEquals(404, bed.ask("GET http://app.svc?a HTTP/1.1\r\nHost: app.svc\r\n\r\n").status());
-            assertEquals(400, bed.ask("GET http:/// HTTP/1.1\r\nHost: app.svc\r\n\r\n").status());
+            assertEquals(
+                    200,
+                    bed.ask("GET http://app.svc/up HTTP/1.1\r\nHost: app.svc\r\n\r\n")
+                            .status());
+            assertEquals(
+                    404,
+                    bed.ask("GET http://app.svc?a HTTP/1.1\r\nHost: app.svc\r\n\r\n")
+                            .status());
+            assertEquals(
+                    400,
+                    bed.ask("GET http:/// HTTP/1.1\r\nHost: app.svc\r\n\r\n").status());
         }
     }
 
@@ -86,12 +106,11 @@
     void ambiguousRequestsEndTheirConnection() throws Exception {
         String hidden = Bed.look("hidden");
         String post = Bed.post("book", "", "");
-        try (Stub upstream = Stub.serving("x"); Bed bed = Bed.with(upstream)) {
+        try (Stub upstream = Stub.serving("x");
+                Bed bed = Bed.with(upstream)) {
             for (String bad : List.of(
-                    post.replace("Content-Length: 0", "Content-Length: 6\r\nTransfer-Encoding: chunked")
-                            + "0\r\n\r\n",
-                    post.replace("Content-Length: 0", "Transfer-Encoding: chunked\r\nContent-Length: 6")
-                            + "0\r\n\r\n",
+                    post.replace("Content-Length: 0", "Content-Length: 6\r\nTransfer-Encoding: chunked") + "0\r\n\r\n",
+                    post.replace("Content-Length: 0", "Transfer-Encoding: chunked\r\nContent-Length: 6") + "0\r\n\r\n",
                     post.replace("Content-Length: 0", "Transfer-Encoding: gzip\r\nContent-Length: 0"),
                     post.replace("Content-Length: 0", "Transfer-Encoding: chunked, chunked") + "0\r\n\r\n",
                     post.replace("Content-Length: 0", "Content-Length: 0\r\nContent-Length: 9"),
@@ -116,12 +135,14 @@
     void idOfAnOpenRequestIsRejected() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         try (Stub upstream = new Stub((socket, head) -> {
-            try {
-                return go.await(Stub.LIMIT_S, TimeUnit.SECONDS) && Stub.reply(socket, "200 OK", "", "own");
-            } catch (InterruptedException e) {
-                return false;
-            }
-        }); Bed bed = Bed.with(upstream); Bed.Client first = new Bed.Client(bed.address)) {
+                    try {
+                        return go.await(Stub.LIMIT_S, TimeUnit.SECONDS) && Stub.reply(socket, "200 OK", "", "own");
+                    } catch (InterruptedException e) {
+                        return false;
+                    }
+                });
+                Bed bed = Bed.with(upstream);
+                Bed.Client first = new Bed.Client(bed.address)) {
             Stub.write(first.socket, Bed.look("a"));
             Stub.next(upstream.heads);
             assertEquals(409, bed.ask(Bed.look("a")).status());
@@ -134,7 +155,8 @@
     /** A client that sends much more than will be read must still get its error, not only a reset. */
     @Test
     void errorArrivesWhileTheClientStillSends() throws Exception {
-        try (Bed bed = Bed.with(); Bed.Client client = new Bed.Client(bed.address)) {
+        try (Bed bed = Bed.with();
+                Bed.Client client = new Bed.Client(bed.address)) {
             Stub.write(client.socket, Bed.post("unknown", "", "x".repeat(900_000)));
             assertEquals(400, client.read().status());
             assertEquals(-1, client.socket.getInputStream().read());
@@ -144,7 +166,8 @@
     /** Half a request, a silent connection and an idle one end by themselves; the half one is told why. */
     @Test
     void connectionsWithoutARequestEnd() throws Exception {
-        try (Bed bed = Bed.with(); Bed.Client half = new Bed.Client(bed.address);
+        try (Bed bed = Bed.with();
+                Bed.Client half = new Bed.Client(bed.address);
                 Bed.Client silent = new Bed.Client(bed.address);
                 Bed.Client idle = new Bed.Client(bed.address)) {
             Stub.write(half.socket, Bed.post("book", "", "xx").replaceFirst("x$", ""));
@@ -159,7 +182,8 @@
     @Test
     void silentConnectionsMakeRoom() throws Exception {
         List<Bed.Client> silent = new ArrayList<>();
-        try (Stub upstream = Stub.serving("x"); Bed bed = Bed.with(upstream)) {
+        try (Stub upstream = Stub.serving("x");
+                Bed bed = Bed.with(upstream)) {
             for (int i = 0; i < 3 * Bed.MOST; i++) {
                 silent.add(new Bed.Client(bed.address));
             }
--- a/sidecar/src/test/java/topazvalve/sidecar/OpenConnections.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/OpenConnections.java
@@ -18,8 +18,7 @@
                 now++;
                 taken++;
                 most = Math.max(most, now);
-                made.closeFuture().addListener(closed -> LoopTime.afterNextSelect(made.eventLoop(),
-                        () -> now--));
+                made.closeFuture().addListener(closed -> LoopTime.afterNextSelect(made.eventLoop(), () -> now--));
                 made.pipeline().addLast(each);
             }
         };
--- a/sidecar/src/test/java/topazvalve/sidecar/ReadinessTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/ReadinessTest.java
@@ -28,8 +28,7 @@
     private static final long READY_S = 10;
     private static final int FLOOD = 300;
 
-    private final MultiThreadIoEventLoopGroup group =
-            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
     private InetSocketAddress address;
 
@@ -44,8 +43,14 @@
         EventLoop loop = group.next();
         loop.execute(() -> {
             loop.schedule(() -> events.add("late"), READY_S, TimeUnit.SECONDS);
-            new Sidecar(group, loop, config, ClientListener.binding(config.listen()), OperatorFile.NONE,
-                    () -> events.add("ready")).start();
+            new Sidecar(
+                            group,
+                            loop,
+                            config,
+                            ClientListener.binding(config.listen()),
+                            OperatorFile.NONE,
+                            () -> events.add("ready"))
+                    .start();
         });
     }
 
@@ -67,8 +72,8 @@
     @ParameterizedTest
     @ValueSource(strings = {"refuses", "silent", "full"})
     void discoveryThatIsDownAndAnEmptyList(String how) throws Exception {
-        try (Stub discovery = new Stub((socket, head) ->
-                how.equals("silent") || Stub.reply(socket, "503 Service Unavailable", "", ""))) {
+        try (Stub discovery = new Stub(
+                (socket, head) -> how.equals("silent") || Stub.reply(socket, "503 Service Unavailable", "", ""))) {
             start(json(how.equals("refuses") ? "" : discovery.endpoint()));
             assertReady();
         }
--- a/sidecar/src/test/java/topazvalve/sidecar/RelaysTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/RelaysTest.java
@@ -31,10 +31,9 @@
     private static final String CHUNKED = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private static final InetSocketAddress NOBODY = new InetSocketAddress("127.0.0.1", 1);
 
-    private record Told(ListKind kind, List<Target> targets) { }
+    private record Told(ListKind kind, List<Target> targets) {}
 
-    private final MultiThreadIoEventLoopGroup group =
-            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final BlockingQueue<Told> told = new LinkedBlockingQueue<>();
 
@@ -48,8 +47,8 @@
     }
 
     private static String line(long rev, boolean all, String versions, String state) {
-        return chunk("{\"rev\":" + rev + ",\"all\":" + all + ",\"versions\":\"" + versions
-                + "\",\"targets\":[" + Bed.target("s-1", "127.0.0.1:9", state) + "]}\n");
+        return chunk("{\"rev\":" + rev + ",\"all\":" + all + ",\"versions\":\"" + versions + "\",\"targets\":["
+                + Bed.target("s-1", "127.0.0.1:9", state) + "]}\n");
     }
 
     /** One that answers with a line, and then with an empty one whenever it is asked. */
@@ -66,8 +65,8 @@
             order.add(each.address());
         }
         Relays of = new Relays(order, Relays.of("n", order, 1).following());
-        Discovery discovery = new Discovery(loop, NOBODY, known, null, of,
-                (kind, targets) -> told.add(new Told(kind, targets)));
+        Discovery discovery =
+                new Discovery(loop, NOBODY, known, null, of, (kind, targets) -> told.add(new Told(kind, targets)));
         loop.execute(() -> discovery.watch(true));
         return discovery;
     }
@@ -96,13 +95,15 @@
             first.die();
             assertEquals(ListKind.DELTA, Stub.next(told).kind, "the third's word, not the second's");
             Stub.next(older.heads);
-            assertEquals(Versions.parse("eu:3.5"), loop.submit(discovery::versions).get());
+            assertEquals(
+                    Versions.parse("eu:3.5"), loop.submit(discovery::versions).get());
         }
     }
 
     @Test
     void aRelayThatFallsSilentIsLeftForTheNext() throws Exception {
-        try (Stub silent = telling(chunk("\n")); Stub next = telling(chunk("\n"))) {
+        try (Stub silent = telling(chunk("\n"));
+                Stub next = telling(chunk("\n"))) {
             following(Listing.NONE, silent, next);
             assertEquals(ListKind.DELTA, Stub.next(told).kind);
             long began = System.nanoTime();
@@ -114,8 +115,8 @@
 
     @Test
     void oneThatAsksToComeBackLaterIsPassedOver() throws Exception {
-        try (Stub full = new Stub((socket, head) ->
-                Stub.reply(socket, "503 Service Unavailable", "Retry-After: 2\r\n", ""));
+        try (Stub full = new Stub(
+                        (socket, head) -> Stub.reply(socket, "503 Service Unavailable", "Retry-After: 2\r\n", ""));
                 Stub next = telling(line(41, true, "eu:1.41", "SERVING"))) {
             following(Listing.NONE, full, next);
             assertEquals(ListKind.FULL, Stub.next(told).kind);
@@ -154,21 +155,30 @@
 
     @Test
     void theOperatorsFileNamesRelays() {
-        assertEquals(List.of(new InetSocketAddress("10.0.0.1", 8600)), OperatorFile.parse("o.toml",
-                "[relays]\naddresses = [\"10.0.0.1:8600\"]\n").relays());
+        assertEquals(
+                List.of(new InetSocketAddress("10.0.0.1", 8600)),
+                OperatorFile.parse("o.toml", "[relays]\naddresses = [\"10.0.0.1:8600\"]\n")
+                        .relays());
         assertEquals(OperatorFile.NONE, OperatorFile.parse("o.toml", ""));
-        assertFalse(OperatorFile.parse("o.toml", "[[listener]]\nname = \"a\"\nprotocol = \"tcp\"\n"
-                + "listen = \"127.0.0.1:7000\"\nservers = [\"127.0.0.1:7101\"]\n").listeners().isEmpty());
+        assertFalse(OperatorFile.parse(
+                        "o.toml",
+                        "[[listener]]\nname = \"a\"\nprotocol = \"tcp\"\n"
+                                + "listen = \"127.0.0.1:7000\"\nservers = [\"127.0.0.1:7101\"]\n")
+                .listeners()
+                .isEmpty());
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "addresses = [\"relay-1:8600\"]|addresses", "addresses = [\"10.0.0.1\"]|addresses",
-        "addresses = [\"10.0.0.1:0\"]|addresses", "addresses = \"10.0.0.1:8600\"|addresses",
-        "addresses = [\"10.0.0.1:1\", \"10.0.0.1:1\"]|addresses", "adresses = [\"10.0.0.1:1\"]|adresses"})
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "addresses = [\"relay-1:8600\"]|addresses", "addresses = [\"10.0.0.1\"]|addresses",
+                "addresses = [\"10.0.0.1:0\"]|addresses", "addresses = \"10.0.0.1:8600\"|addresses",
+                "addresses = [\"10.0.0.1:1\", \"10.0.0.1:1\"]|addresses", "adresses = [\"10.0.0.1:1\"]|adresses"
+            })
     void whatIsNoRelayIsRefusedWithLineAndKey(String line, String key) {
-        BadFile bad = assertThrows(BadFile.class,
-                () -> OperatorFile.parse("o.toml", "[relays]\n" + line + "\n"));
+        BadFile bad = assertThrows(BadFile.class, () -> OperatorFile.parse("o.toml", "[relays]\n" + line + "\n"));
         assertTrue(bad.getMessage().startsWith("o.toml:2: relays." + key + ": "), bad.getMessage());
     }
 }
--- a/sidecar/src/test/java/topazvalve/sidecar/RoomTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/RoomTest.java
@@ -57,7 +57,8 @@
      */
     @Test
     void floodKeepsToItsShareAndClosesNoClientThatWorks() throws Exception {
-        try (Stub upstream = Stub.serving("x"); Bed bed = Bed.with(upstream)) {
+        try (Stub upstream = Stub.serving("x");
+                Bed bed = Bed.with(upstream)) {
             Bed.Client working = client(bed);
             assertEquals(200, working.ask(Bed.look("first")).status());
             CountDownLatch go = hold(bed);
@@ -77,12 +78,13 @@
     void clientsBeyondTheShareWaitForARequestToEnd() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         try (Stub upstream = new Stub((socket, head) -> {
-            try {
-                return go.await(Stub.LIMIT_S, TimeUnit.SECONDS) && Stub.reply(socket, "200 OK", "", "x");
-            } catch (InterruptedException e) {
-                return false;
-            }
-        }); Bed bed = new Bed(Bed.json(upstream), FEW)) {
+                    try {
+                        return go.await(Stub.LIMIT_S, TimeUnit.SECONDS) && Stub.reply(socket, "200 OK", "", "x");
+                    } catch (InterruptedException e) {
+                        return false;
+                    }
+                });
+                Bed bed = new Bed(Bed.json(upstream), FEW)) {
             int share = FEW + Bed.SPARE;
             for (int i = 0; i < share + 2; i++) {
                 Stub.write(client(bed).socket, Bed.look("open" + i));
@@ -100,7 +102,8 @@
     /** The request of one that is to be closed for another lies in its socket: it is read and served. */
     @Test
     void whoeverHasSentSomethingIsNotClosedUnread() throws Exception {
-        try (Stub upstream = Stub.serving("x"); Bed bed = new Bed(Bed.json(upstream), FEW)) {
+        try (Stub upstream = Stub.serving("x");
+                Bed bed = new Bed(Bed.json(upstream), FEW)) {
             for (int i = 0; i < FEW; i++) {
                 client(bed);
             }
--- a/sidecar/src/test/java/topazvalve/sidecar/SidecarTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/SidecarTest.java
@@ -19,20 +19,21 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import topazvalve.core.classes.ClassTable;
-import topazvalve.sidecar.config.Config;
 import topazvalve.core.exchange.Client;
 import topazvalve.core.exchange.Job;
-import topazvalve.sidecar.http.Answer;
-import topazvalve.sidecar.http.Message;
 import topazvalve.core.stream.RequestBody;
 import topazvalve.core.stream.Source;
+import topazvalve.sidecar.config.Config;
+import topazvalve.sidecar.http.Answer;
+import topazvalve.sidecar.http.Message;
 
 /** The whole sidecar between a client and upstreams on loopback. */
 class SidecarTest {
 
     @Test
     void requestAndAnswerGoOnUnchanged() throws Exception {
-        try (Stub upstream = Stub.serving("{\"parts\":7}"); Bed bed = Bed.with(upstream)) {
+        try (Stub upstream = Stub.serving("{\"parts\":7}");
+                Bed bed = Bed.with(upstream)) {
             Bed.Answer answer = bed.ask(Bed.post("hold", "Idempotency-Key: 5c0f\r\nX-Trace: t1\r\n", "two"));
             assertEquals(200, answer.status());
             assertEquals("{\"parts\":7}", answer.body());
@@ -54,7 +55,8 @@
     @Test
     void largestBodiesGoThrough() throws Exception {
         String body = "x".repeat(1 << 16);
-        try (Stub upstream = Stub.serving(body); Bed bed = Bed.with(upstream)) {
+        try (Stub upstream = Stub.serving(body);
+                Bed bed = Bed.with(upstream)) {
             assertEquals(body, bed.ask(Bed.post("book", "", body)).body());
             assertEquals(body, Stub.next(upstream.bodies));
         }
@@ -64,7 +66,8 @@
     @Test
     void largeAnswerGoesThrough() throws Exception {
         String body = "x".repeat(400_000);
-        try (Stub upstream = Stub.serving(body); Bed bed = Bed.with(upstream)) {
+        try (Stub upstream = Stub.serving(body);
+                Bed bed = Bed.with(upstream)) {
             assertEquals(body, bed.ask(Bed.look("a")).body());
             assertEquals(1, upstream.heads.size());
         }
@@ -73,7 +76,8 @@
     /** A refused connection proves that nothing ran, so that even an unsafe request may go elsewhere. */
     @Test
     void unsafeRequestGoesOnWhenNoConnectionComesUp() throws Exception {
-        try (Stub gone = Stub.serving("x"); Stub upstream = Stub.serving("y");
+        try (Stub gone = Stub.serving("x");
+                Stub upstream = Stub.serving("y");
                 Bed bed = Bed.with(gone, upstream)) {
             gone.die();
             for (int i = 0; i < 4; i++) {
@@ -100,7 +104,9 @@
                 }
                 return how.equals("reset") && Stub.reset(socket);
             };
-            try (Stub one = new Stub(script); Stub two = new Stub(script); Bed bed = Bed.with(one, two)) {
+            try (Stub one = new Stub(script);
+                    Stub two = new Stub(script);
+                    Bed bed = Bed.with(one, two)) {
                 assertEquals(502, bed.ask(Bed.post("book", "", "b")).status(), how);
                 assertEquals(1, one.heads.size() + two.heads.size(), how);
             }
@@ -112,7 +118,9 @@
     void safeAndKeyedRequestsAreSentAgainAfterAReset() throws Exception {
         Stub.Script script = (socket, head) -> Stub.reset(socket);
         for (String request : List.of(Bed.look("a"), Bed.post("hold", "Idempotency-Key: 1\r\n", "b"))) {
-            try (Stub one = new Stub(script); Stub two = new Stub(script); Bed bed = Bed.with(one, two)) {
+            try (Stub one = new Stub(script);
+                    Stub two = new Stub(script);
+                    Bed bed = Bed.with(one, two)) {
                 assertEquals(503, bed.ask(request).status(), "all tried, and a retry is harmless");
                 assertEquals(1, one.heads.size());
                 assertEquals(1, two.heads.size());
@@ -124,7 +132,9 @@
     @Test
     void declinedUnsafeRequestGoesElsewhere() throws Exception {
         Stub.Script declines = (socket, head) -> Stub.reply(socket, "503 No", "Srv-Declined: 1\r\n", "");
-        try (Stub one = new Stub(declines); Stub two = new Stub(declines); Bed bed = Bed.with(one, two)) {
+        try (Stub one = new Stub(declines);
+                Stub two = new Stub(declines);
+                Bed bed = Bed.with(one, two)) {
             Bed.Answer answer = bed.ask(Bed.post("book", "", "b"));
             assertEquals(503, answer.status());
             assertEquals("0.750", Stub.header(answer.head(), "Retry-After"), "as long as the module says");
@@ -136,7 +146,8 @@
     /** A client that leaves takes its attempt with it: its connection must close, not be used again. */
     @Test
     void hangUpClosesTheAttemptsConnection() throws Exception {
-        try (Stub silent = new Stub((socket, head) -> true); Bed bed = Bed.with(silent)) {
+        try (Stub silent = new Stub((socket, head) -> true);
+                Bed bed = Bed.with(silent)) {
             try (Bed.Client client = new Bed.Client(bed.address)) {
                 Stub.write(client.socket, Bed.look("a"));
                 Stub.next(silent.heads);
@@ -148,7 +159,8 @@
     /** Silent upstreams must not cost the client its answer: it comes while the client still waits. */
     @Test
     void silenceIsAnsweredBeforeTheClientsDeadline() throws Exception {
-        try (Stub silent = new Stub((socket, head) -> true); Bed bed = Bed.with(silent)) {
+        try (Stub silent = new Stub((socket, head) -> true);
+                Bed bed = Bed.with(silent)) {
             String shorter = Bed.post("book", "", "b").replace("Deadline-Ms: 20000", "Deadline-Ms: 1500");
             assertEquals(502, bed.ask(shorter).status());
             Stub.next(silent.ended);
@@ -180,7 +192,8 @@
             }
             return Stub.reply(socket, "200 OK", "", "x");
         };
-        try (Stub upstream = new Stub(counting); Bed bed = Bed.with(upstream)) {
+        try (Stub upstream = new Stub(counting);
+                Bed bed = Bed.with(upstream)) {
             for (int i = 0; i < 5; i++) {
                 assertEquals(200, bed.ask(Bed.look("a" + i)).status());
             }
@@ -192,9 +205,10 @@
     @Test
     void toldDrainIsKeptAndABrokenWatchRenewed() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        try (Stub drained = Stub.serving("x"); Stub other = Stub.serving("y")) {
-            String line = "{\"rev\":42,\"all\":false,\"targets\":["
-                    + Bed.target("s-0", drained.endpoint(), "DRAINING") + "]}\n";
+        try (Stub drained = Stub.serving("x");
+                Stub other = Stub.serving("y")) {
+            String line = "{\"rev\":42,\"all\":false,\"targets\":[" + Bed.target("s-0", drained.endpoint(), "DRAINING")
+                    + "]}\n";
             try (Stub discovery = new Stub((socket, head) -> {
                 Stub.write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 try {
@@ -237,7 +251,7 @@
         Stub.Script script = (socket, head) -> {
             try {
                 if (Stub.header(head, "Req-Id") == null) {
-                    return Stub.reply(socket, "200 OK", "", "");  // a probe
+                    return Stub.reply(socket, "200 OK", "", ""); // a probe
                 }
                 return switch (Stub.header(head, "Req-Id")) {
                     case "open" -> go.await(Stub.LIMIT_S, TimeUnit.SECONDS) && Stub.reset(socket);
@@ -248,7 +262,9 @@
                 return false;
             }
         };
-        try (Stub one = new Stub(script); Stub two = new Stub(script); Bed bed = Bed.with(one, two);
+        try (Stub one = new Stub(script);
+                Stub two = new Stub(script);
+                Bed bed = Bed.with(one, two);
                 Bed.Client open = new Bed.Client(bed.address)) {
             Stub.write(open.socket, Bed.look("open"));
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Stub.LIMIT_S);
@@ -261,26 +277,37 @@
             ArrayNode profiles = json.withObject("/settings").withArray("/profiles");
             ((ObjectNode) profiles.get(0)).put("semantics", "once");
             profiles.remove(1);
-            profiles.addObject().put("name", "fresh").put("slo", 1_000_000_000L)
-                    .put("deadline", 2_000_000_000L).put("semantics", "repeatable");
+            profiles.addObject()
+                    .put("name", "fresh")
+                    .put("slo", 1_000_000_000L)
+                    .put("deadline", 2_000_000_000L)
+                    .put("semantics", "repeatable");
             Config next = Bed.config(json);
             bed.loop.submit(() -> bed.side.reconfigure(next)).sync();
             assertEquals(400, bed.ask(Bed.look("a")).status(), "an unsafe class takes no GET");
-            assertEquals(400, bed.ask(Bed.post("hold", "Idempotency-Key: 1\r\n", "")).status(), "went");
-            assertTrue(bed.loop.submit(() -> bed.metrics.text(bed.engine)).get()
-                    .contains("app.tries.fresh=0\n"));
+            assertEquals(
+                    400, bed.ask(Bed.post("hold", "Idempotency-Key: 1\r\n", "")).status(), "went");
+            assertTrue(bed.loop.submit(() -> bed.metrics.text(bed.engine)).get().contains("app.tries.fresh=0\n"));
             // The module has no second tries to spare while many requests fail: let most be served.
             for (int i = 0; i < 30; i++) {
-                assertEquals(200, bed.ask(Bed.look("c" + i).replace("look", "fresh")).status());
+                assertEquals(
+                        200, bed.ask(Bed.look("c" + i).replace("look", "fresh")).status());
             }
-            assertEquals(502, bed.ask(Bed.post("look", "", "").replace("9b1f", "unsafe")).status());
+            assertEquals(
+                    502,
+                    bed.ask(Bed.post("look", "", "").replace("9b1f", "unsafe")).status());
             assertEquals(503, bed.ask(Bed.look("bad").replace("look", "fresh")).status());
-            assertTrue(bed.loop.submit(() -> bed.metrics.text(bed.engine)).get()
-                    .contains("app.tries.fresh=31\n"), "one try is the limit");
+            assertTrue(
+                    bed.loop.submit(() -> bed.metrics.text(bed.engine)).get().contains("app.tries.fresh=31\n"),
+                    "one try is the limit");
             go.countDown();
             assertEquals(503, open.read().status(), "harmless, as it was when the request came");
-            assertEquals(2, Stream.concat(one.heads.stream(), two.heads.stream())
-                    .filter(head -> head.contains("Req-Id: open")).count(), "and tried again, as it was");
+            assertEquals(
+                    2,
+                    Stream.concat(one.heads.stream(), two.heads.stream())
+                            .filter(head -> head.contains("Req-Id: open"))
+                            .count(),
+                    "and tried again, as it was");
         }
     }
 
@@ -288,15 +315,16 @@
     @Test
     void callersFaultsDoNotMakeAServerLookIll() throws Exception {
         Stub.Script wrong = (socket, head) -> Stub.reply(socket, "422 Unprocessable Content", "", "qty");
-        try (Stub one = new Stub(wrong); Stub two = new Stub(wrong); Bed bed = Bed.with(one, two)) {
+        try (Stub one = new Stub(wrong);
+                Stub two = new Stub(wrong);
+                Bed bed = Bed.with(one, two)) {
             for (int i = 0; i < 50; i++) {
                 Bed.Answer answer = bed.ask(Bed.look("w" + i));
                 assertEquals(422, answer.status());
                 assertEquals("qty", answer.body());
             }
             assertEquals(50, one.heads.size() + two.heads.size());
-            assertTrue(bed.loop.submit(() -> bed.metrics.text(bed.engine)).get()
-                    .contains("app.pool_ejected=0\n"));
+            assertTrue(bed.loop.submit(() -> bed.metrics.text(bed.engine)).get().contains("app.pool_ejected=0\n"));
         }
     }
 
@@ -311,7 +339,8 @@
             }
             return Stub.reply(socket, "200 OK", "", "late");
         };
-        try (Stub upstream = new Stub(held); Bed bed = Bed.with(upstream);
+        try (Stub upstream = new Stub(held);
+                Bed bed = Bed.with(upstream);
                 Bed.Client busy = new Bed.Client(bed.address);
                 Bed.Client idle = new Bed.Client(bed.address)) {
             assertEquals(503, idle.ask("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status());
@@ -336,7 +365,8 @@
     /** What is kept of a request for its deadline's sake goes with its answer, not with its deadline. */
     @Test
     void answeredRequestIsNotKeptUntilItsDeadline() throws Exception {
-        try (Stub upstream = Stub.serving("x"); Bed bed = Bed.with(upstream)) {
+        try (Stub upstream = Stub.serving("x");
+                Bed bed = Bed.with(upstream)) {
             WeakReference<RequestBody> body = answered(bed);
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Stub.LIMIT_S);
             while (body.get() != null && System.nanoTime() < end) {
@@ -351,8 +381,16 @@
     private static WeakReference<RequestBody> answered(Bed bed) throws Exception {
         RequestBody body = RequestBody.of(new byte[1000]);
         CountDownLatch done = new CountDownLatch(1);
-        Job<Message> job = new Job<>(new ClassTable.Entry(2, "book", null), 0, 0, 600_000, 0, false,
-                true, new Message(HttpMethod.POST, "/api/x", new DefaultHttpHeaders()), body);
+        Job<Message> job = new Job<>(
+                new ClassTable.Entry(2, "book", null),
+                0,
+                0,
+                600_000,
+                0,
+                false,
+                true,
+                new Message(HttpMethod.POST, "/api/x", new DefaultHttpHeaders()),
+                body);
         bed.loop.execute(() -> bed.engine.submit(job, new Client<Answer>() {
             @Override
             public void served(Answer answer) {
@@ -360,22 +398,22 @@
             }
 
             @Override
-            public void begun(Answer first, long length, Source rest) { }
+            public void begun(Answer first, long length, Source rest) {}
 
             @Override
-            public void more(ByteBuf bytes) { }
+            public void more(ByteBuf bytes) {}
 
             @Override
-            public void finished() { }
+            public void finished() {}
 
             @Override
-            public void cut() { }
+            public void cut() {}
 
             @Override
-            public void refused(long wait) { }
+            public void refused(long wait) {}
 
             @Override
-            public void failed() { }
+            public void failed() {}
         }));
         assertTrue(done.await(Stub.LIMIT_S, TimeUnit.SECONDS));
         return new WeakReference<>(body);
--- a/sidecar/src/test/java/topazvalve/sidecar/StreamsIT.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/StreamsIT.java
@@ -25,6 +25,7 @@
 class StreamsIT {
     @TempDir
     private Path folder;
+
     private final List<Process> started = new ArrayList<>();
 
     @AfterEach
@@ -73,8 +74,12 @@
 
     private Process start(String name, InetSocketAddress address, InetSocketAddress door, Path operator)
             throws IOException {
-        Path file = Files.writeString(folder.resolve(name), Bed.json().put("listen",
-                "127.0.0.1:" + address.getPort()).put("admin", "127.0.0.1:" + door.getPort()).toString());
+        Path file = Files.writeString(
+                folder.resolve(name),
+                Bed.json()
+                        .put("listen", "127.0.0.1:" + address.getPort())
+                        .put("admin", "127.0.0.1:" + door.getPort())
+                        .toString());
         ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", DeployedIT.command("run"));
         builder.environment().put("PROXY_CONFIG", file.toString());
         builder.environment().put("JDK_JAVA_OPTIONS", "-Dtopazvalve.operator=" + operator);
@@ -115,19 +120,22 @@
         InetSocketAddress address = DeployedIT.freeAddress();
         InetSocketAddress door = DeployedIT.freeAddress();
         InetSocketAddress listener = DeployedIT.freeAddress();
-        try (ServerSocket one = server('a'); ServerSocket two = server('b')) {
+        try (ServerSocket one = server('a');
+                ServerSocket two = server('b')) {
             String both = at(one) + ", " + at(two);
             Process process = start("c.json", address, door, operator(listener, both, ""));
             DeployedIT.awaitUp(process, address);
             try (Socket socket = connect(listener)) {
                 assertTrue("ab".indexOf(letter(socket)) >= 0);
                 Stub.write(socket, "echo");
-                assertEquals("echo", new String(socket.getInputStream().readNBytes(4),
-                        StandardCharsets.US_ASCII));
+                assertEquals("echo", new String(socket.getInputStream().readNBytes(4), StandardCharsets.US_ASCII));
                 try (Bed.Client client = new Bed.Client(door)) {
-                    String figures = client.ask("GET /_vars HTTP/1.1\r\nHost: a\r\n\r\n").body();
-                    assertTrue(figures.contains("app.tcp.it.open=1\n")
-                            && figures.contains("app.tcp.it.bytes_to_servers=4\n"), figures);
+                    String figures =
+                            client.ask("GET /_vars HTTP/1.1\r\nHost: a\r\n\r\n").body();
+                    assertTrue(
+                            figures.contains("app.tcp.it.open=1\n")
+                                    && figures.contains("app.tcp.it.bytes_to_servers=4\n"),
+                            figures);
                 }
             }
             operator(listener, both, at(one));
@@ -148,7 +156,11 @@
     }
 
     private static void hangUp(Process process) throws Exception {
-        assertEquals(0, new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-HUP", Long.toString(process.pid()))
+                        .start()
+                        .waitFor());
     }
 
     /** The old one's streams run on for their grace and end in order; new ones find the new one. */
@@ -187,7 +199,10 @@
         String err = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
         assertTrue(process.waitFor(Stub.LIMIT_S, TimeUnit.SECONDS));
         assertEquals(2, process.exitValue());
-        assertTrue(err.contains("operator.toml:5: listener.0.servers")
-                && err.contains("operator.toml:6: listener.0.draining") && !err.contains("\tat "), err);
+        assertTrue(
+                err.contains("operator.toml:5: listener.0.servers")
+                        && err.contains("operator.toml:6: listener.0.draining")
+                        && !err.contains("\tat "),
+                err);
     }
 }
--- a/sidecar/src/test/java/topazvalve/sidecar/Stub.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/Stub.java
@@ -30,6 +30,7 @@
     final BlockingQueue<String> bodies = new LinkedBlockingQueue<>();
     /** One entry each time that the other side has ended a connection. */
     final BlockingQueue<String> ended = new LinkedBlockingQueue<>();
+
     private final Set<Socket> open = ConcurrentHashMap.newKeySet();
     private final ServerSocket server;
     private final Script script;
@@ -54,10 +55,8 @@
     }
 
     /** A reply whose body may be longer or shorter than it says. */
-    static boolean reply(Socket socket, String status, String headers, String body, int said)
-            throws IOException {
-        write(socket, "HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + said
-                + "\r\n\r\n" + body);
+    static boolean reply(Socket socket, String status, String headers, String body, int said) throws IOException {
+        write(socket, "HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + said + "\r\n\r\n" + body);
         return true;
     }
 
@@ -145,8 +144,11 @@
     }
 
     static String header(String head, String name) {
-        return head.lines().filter(line -> line.regionMatches(true, 0, name + ":", 0, name.length() + 1))
-                .map(line -> line.substring(name.length() + 1).trim()).findFirst().orElse(null);
+        return head.lines()
+                .filter(line -> line.regionMatches(true, 0, name + ":", 0, name.length() + 1))
+                .map(line -> line.substring(name.length() + 1).trim())
+                .findFirst()
+                .orElse(null);
     }
 
     @Override
--- a/sidecar/src/test/java/topazvalve/sidecar/UpstreamsTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/UpstreamsTest.java
@@ -23,22 +23,21 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import topazvalve.decisions.Balancer.Outcome;
-import topazvalve.decisions.Options;
-import topazvalve.sidecar.http.Answer;
-import topazvalve.sidecar.http.Message;
-import topazvalve.core.stream.RequestBody;
 import topazvalve.core.pool.Attempt;
 import topazvalve.core.pool.AttemptListener;
 import topazvalve.core.pool.Pools;
+import topazvalve.core.stream.RequestBody;
 import topazvalve.core.time.LoopTime;
+import topazvalve.decisions.Balancer.Outcome;
+import topazvalve.decisions.Options;
+import topazvalve.sidecar.http.Answer;
+import topazvalve.sidecar.http.Message;
 import topazvalve.sidecar.upstream.HttpCodec;
 
 /** Attempts and probes on real connections, and what they end as. */
 class UpstreamsTest {
     private static final long LONG = 60_000_000_000L;
-    private final MultiThreadIoEventLoopGroup group =
-            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
     private final BlockingQueue<float[]> reports = new LinkedBlockingQueue<>();
@@ -48,29 +47,30 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    private Pools<Message, Answer> upstreams(InetSocketAddress address, long connectTimeout,
-            int most) throws Exception {
+    private Pools<Message, Answer> upstreams(InetSocketAddress address, long connectTimeout, int most)
+            throws Exception {
         return upstreams(address, connectTimeout, most, 0);
     }
 
-    private Pools<Message, Answer> upstreams(InetSocketAddress address, long connectTimeout,
-            int most, long rest) throws Exception {
-        Options options = new Options("caps.connectTimeout=" + connectTimeout
-                + "\ncaps.connIdle=60000000000\nreport.fields=rate,q");
+    private Pools<Message, Answer> upstreams(InetSocketAddress address, long connectTimeout, int most, long rest)
+            throws Exception {
+        Options options = new Options(
+                "caps.connectTimeout=" + connectTimeout + "\ncaps.connIdle=60000000000\nreport.fields=rate,q");
         return loop.submit(() -> {
-            Pools<Message, Answer> made = new Pools<>(loop, new LoopTime(loop), options, new HttpCodec(rest),
-                    most);
-            made.listed(1, address, 0, true);
-            return made;
-        }).get();
+                    Pools<Message, Answer> made =
+                            new Pools<>(loop, new LoopTime(loop), options, new HttpCodec(rest), most);
+                    made.listed(1, address, 0, true);
+                    return made;
+                })
+                .get();
     }
 
     private void send(Pools<Message, Answer> upstreams) {
         loop.execute(() -> send(upstreams, 1, get("/api/x"), this::ended));
     }
 
-    private static Attempt<Message, Answer> send(Pools<Message, Answer> upstreams, long to, Message message,
-            AttemptListener<Message, Answer> listener) {
+    private static Attempt<Message, Answer> send(
+            Pools<Message, Answer> upstreams, long to, Message message, AttemptListener<Message, Answer> listener) {
         return upstreams.send(to, message, RequestBody.of(new byte[0]), LONG, listener);
     }
 
@@ -91,11 +91,11 @@
             send(upstreams);
             assertEquals(Outcome.OK, Stub.next(outcomes));
             send(upstreams);
-            loop.submit(() -> { }).sync();
+            loop.submit(() -> {}).sync();
             Socket first = Stub.next(sockets);
             // In one write: the stub's own thread closes the socket as soon as the other side has.
-            first.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nagain"
-                    .getBytes(StandardCharsets.ISO_8859_1));
+            first.getOutputStream()
+                    .write("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nagain".getBytes(StandardCharsets.ISO_8859_1));
             assertEquals("end", Stub.next(upstream.ended), "it is closed");
             assertEquals(Outcome.OK, Stub.next(outcomes));
             assertTrue(first != Stub.next(sockets), "not on the one that had not rested");
@@ -117,9 +117,10 @@
             assertEquals(Outcome.OK, Stub.next(outcomes));
             assertEquals(Stub.next(sockets), Stub.next(sockets));
             loop.submit(() -> {
-                send(upstreams, 1, get("/api/x"), this::ended);
-                upstreams.listed(1, upstream.address(), 0, false);
-            }).sync();
+                        send(upstreams, 1, get("/api/x"), this::ended);
+                        upstreams.listed(1, upstream.address(), 0, false);
+                    })
+                    .sync();
             assertEquals(Outcome.CONNECT_FAILED, Stub.next(outcomes));
             assertEquals("end", Stub.next(upstream.ended), "its connections are closed");
         }
@@ -201,8 +202,7 @@
     /** Reports come in the settings' order, from answers and probes; bad ones are none, never a crash. */
     @Test
     void loadReportsAreRead() throws Exception {
-        List<String> texts = List.of("{\"q\":2,\"rate\":1.5,\"more\":0}",
-                "{\"q\":2}", "{", "[]", "{\"q\":\"x\"}");
+        List<String> texts = List.of("{\"q\":2,\"rate\":1.5,\"more\":0}", "{\"q\":2}", "{", "[]", "{\"q\":\"x\"}");
         try (Stub upstream = new Stub((socket, head) -> head.startsWith("GET /metrics/load")
                 ? Stub.reply(socket, "200 OK", "", "{\"rate\":7,\"q\":0}")
                 : Stub.reply(socket, "200 OK", "Srv-Load: " + Stub.header(head, "Say") + "\r\n", "x"))) {
@@ -212,8 +212,7 @@
                 message.headers().set("Say", text);
                 loop.execute(() -> send(upstreams, 1, message, this::ended));
                 assertEquals(Outcome.OK, Stub.next(outcomes));
-                assertArrayEquals(text.contains("rate") ? new float[] {1.5f, 2} : new float[0],
-                        Stub.next(reports));
+                assertArrayEquals(text.contains("rate") ? new float[] {1.5f, 2} : new float[0], Stub.next(reports));
             }
             loop.execute(() -> upstreams.probe(1, this::ended));
             assertArrayEquals(new float[] {7, 0}, Stub.next(reports));
@@ -224,8 +223,9 @@
     @Test
     void overlongAnswerIsAnError() throws Exception {
         String head = "HTTP/1.1 200 OK\r\nContent-Length: ";
-        for (String answer : List.of(head + ((1 << 25) + 1) + "\r\n\r\nx", "HTTP/1.1 500 No\r\n"
-                + "Content-Length: 1200000\r\n\r\n" + "x".repeat(1_200_000))) {
+        for (String answer : List.of(
+                head + ((1 << 25) + 1) + "\r\n\r\nx",
+                "HTTP/1.1 500 No\r\n" + "Content-Length: 1200000\r\n\r\n" + "x".repeat(1_200_000))) {
             try (Stub upstream = new Stub((socket, request) -> {
                 Stub.write(socket, answer);
                 return true;
@@ -276,8 +276,7 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
                 "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxx",
                 "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\nx",
-                "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n"
-                        + "1\r\nx\r\n0\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n" + "1\r\nx\r\n0\r\n\r\n",
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n",
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
                 "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n",
@@ -315,7 +314,8 @@
     /** Idle connections to others must not keep a request from its own. */
     @Test
     void idleConnectionsMakeRoom() throws Exception {
-        try (Stub first = Stub.serving("x"); Stub second = Stub.serving("y")) {
+        try (Stub first = Stub.serving("x");
+                Stub second = Stub.serving("y")) {
             Pools<Message, Answer> upstreams = upstreams(first.address(), LONG, 1);
             send(upstreams);
             assertEquals(Outcome.OK, Stub.next(outcomes));
--- a/simhost/src/main/java/topazvalve/simhost/Cursor.java
+++ b/simhost/src/main/java/topazvalve/simhost/Cursor.java
@@ -115,8 +115,7 @@
     /** The value an ordinal names, or an error saying which field was out of range. */
     <T> T choice(T[] values, int ordinal, String field) {
         if (ordinal >= values.length) {
-            throw new WireException(field + " " + ordinal + " out of range in the record at byte "
-                    + recordStart);
+            throw new WireException(field + " " + ordinal + " out of range in the record at byte " + recordStart);
         }
         return values[ordinal];
     }
--- a/simhost/src/main/java/topazvalve/simhost/Host.java
+++ b/simhost/src/main/java/topazvalve/simhost/Host.java
@@ -52,13 +52,27 @@
             case 2 -> membership(now, in);
             case 3 -> submit(now, in);
             case 4 -> instance(in).firstByte(now, in.u32(), in.u8(), in.upstream(), in.time("timeTaken"));
-            case 5 -> instance(in).outcome(now, in.u32(), in.u8(), in.upstream(),
-                    in.choice(OUTCOMES, in.u8(), "stateCode"), in.time("timeTaken"), in.u8() != 0,
-                    in.report());
+            case 5 ->
+                instance(in)
+                        .outcome(
+                                now,
+                                in.u32(),
+                                in.u8(),
+                                in.upstream(),
+                                in.choice(OUTCOMES, in.u8(), "stateCode"),
+                                in.time("timeTaken"),
+                                in.u8() != 0,
+                                in.report());
             case 6 -> instance(in).hangup(now, in.u32());
             case 7 -> instance(in).timer(now, in.i64());
-            case 8 -> instance(in).probeResult(now, in.upstream(),
-                    in.choice(OUTCOMES, in.u8(), "stateCode"), in.time("timeTaken"), in.report());
+            case 8 ->
+                instance(in)
+                        .probeResult(
+                                now,
+                                in.upstream(),
+                                in.choice(OUTCOMES, in.u8(), "stateCode"),
+                                in.time("timeTaken"),
+                                in.report());
             case 9 -> instance(in).peerMessage(now, in.u16(), in.bytes(in.u16()));
             case 10 -> instances.remove(in.u16());
             case 11 -> defineList(in);
@@ -78,8 +92,7 @@
     private void provision(long now, Cursor in) {
         int sidecar = in.u16();
         long seed = in.i64();
-        Balancer instance = decider.make(new Options(in.text(in.u32())).settings(), seed,
-                replies.sink(sidecar));
+        Balancer instance = decider.make(new Options(in.text(in.u32())).settings(), seed, replies.sink(sidecar));
         instances.put(sidecar, instance);
         instance.start(now);
     }
@@ -108,8 +121,17 @@
         long left = in.time("left");
         long hint = in.time("costGuess");
         int bits = in.u8();
-        instance.request(now, new Request(id, requestClass, tenant, key, left, (bits & 1) != 0 ? hint : 0,
-                (bits & 2) != 0, (bits & 4) != 0));
+        instance.request(
+                now,
+                new Request(
+                        id,
+                        requestClass,
+                        tenant,
+                        key,
+                        left,
+                        (bits & 1) != 0 ? hint : 0,
+                        (bits & 2) != 0,
+                        (bits & 4) != 0));
     }
 
     private void defineList(Cursor in) {
@@ -120,8 +142,14 @@
         long count = in.u32();
         List<Upstream> entries = new ArrayList<>((int) Math.min(count, FIRST_ENTRIES));
         for (long i = 0; i < count; i++) {
-            entries.add(new Upstream(in.upstream(), in.u8(), in.u16(), in.u16(),
-                    in.choice(STATES, in.u8(), "status"), in.f32(), in.time("lastStart")));
+            entries.add(new Upstream(
+                    in.upstream(),
+                    in.u8(),
+                    in.u16(),
+                    in.u16(),
+                    in.choice(STATES, in.u8(), "status"),
+                    in.f32(),
+                    in.time("lastStart")));
         }
         lists.set((int) number, entries);
     }
--- a/simhost/src/main/java/topazvalve/simhost/Main.java
+++ b/simhost/src/main/java/topazvalve/simhost/Main.java
@@ -19,7 +19,7 @@
 
     private static final Logger LOG = Logging.of("topazvalve");
 
-    private Main() { }
+    private Main() {}
 
     /** Runs the adapter until input ends; a malformed frame ends it with a message and exit status 1. */
     public static void main(String[] args) {
@@ -28,7 +28,8 @@
             System.exit(2);
         }
         try {
-            run(new BufferedInputStream(new FileInputStream(FileDescriptor.in), 1 << 16),
+            run(
+                    new BufferedInputStream(new FileInputStream(FileDescriptor.in), 1 << 16),
                     new FileOutputStream(FileDescriptor.out));
         } catch (WireException | IllegalArgumentException | IOException e) {
             LOG.error("{}", e.getMessage());
@@ -46,7 +47,7 @@
         Host host = new Host(replies, decider);
         byte[] header = new byte[HEADER];
         byte[] body = new byte[1 << 16];
-        for (long frame = 0;; frame++) {
+        for (long frame = 0; ; frame++) {
             int got = in.readNBytes(header, 0, HEADER);
             if (got == 0) {
                 return;
@@ -67,8 +68,8 @@
             }
             got = in.readNBytes(body, 0, size);
             if (got < size) {
-                throw new WireException("frame " + frame + ": states " + length + " bytes, ends after "
-                        + (got + HEADER));
+                throw new WireException(
+                        "frame " + frame + ": states " + length + " bytes, ends after " + (got + HEADER));
             }
             try {
                 host.batch(now, records, new Cursor(body, size));
--- a/simhost/src/test/java/topazvalve/simhost/PackagedJarIT.java
+++ b/simhost/src/test/java/topazvalve/simhost/PackagedJarIT.java
@@ -16,12 +16,13 @@
 
 /** The packaged jar as a process: exit status, standard error, nothing half-written on standard output. */
 class PackagedJarIT {
-    private record Result(int status, byte[] out, String err) { }
+    private record Result(int status, byte[] out, String err) {}
 
     private static Result run(byte[] input, String... args) throws IOException, InterruptedException {
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-jar", "simhost/target/topazvalve-simhost.jar"));
+                "-jar",
+                "simhost/target/topazvalve-simhost.jar"));
         command.addAll(List.of(args));
         Process process = new ProcessBuilder(command).start();
         try (OutputStream in = process.getOutputStream()) {
@@ -45,11 +46,16 @@
     void malformedInputEndsWithAMessageAndNoOutput() throws Exception {
         byte[] provision = new WireTest.Frame().provision(1, WireTest.OPTIONS).bytes(1);
         Map<String, byte[]> bad = Map.of(
-                "header cut short", new byte[] {1, 2, 3},
-                "ends after", Arrays.copyOf(provision, provision.length - 3),
-                "unknown event code 99", new WireTest.Frame().record(99).end().bytes(1),
+                "header cut short",
+                new byte[] {1, 2, 3},
+                "ends after",
+                Arrays.copyOf(provision, provision.length - 3),
+                "unknown event code 99",
+                new WireTest.Frame().record(99).end().bytes(1),
                 "setting missing: rules.rampTime",
-                new WireTest.Frame().provision(1, WireTest.OPTIONS.replace("rules.rampTime", "x")).bytes(1));
+                new WireTest.Frame()
+                        .provision(1, WireTest.OPTIONS.replace("rules.rampTime", "x"))
+                        .bytes(1));
         for (Map.Entry<String, byte[]> each : bad.entrySet()) {
             Result result = run(each.getValue(), "adapter");
             assertEquals(1, result.status, each.getKey());
--- a/simhost/src/test/java/topazvalve/simhost/WireTest.java
+++ b/simhost/src/test/java/topazvalve/simhost/WireTest.java
@@ -18,14 +18,31 @@
 import topazvalve.decisions.Options;
 
 class WireTest {
-    static final String OPTIONS = String.join("\n",
-            "caps.mayCancel=true", "caps.tryLimit=3", "caps.parallelTries=true", "brand.newKey=what,ever",
-            "discovery=subscribe", "profiles.count=1", "profiles.0.deadline=1000000000",
-            "profiles.0.slo=500000000", "profiles.0.semantics=once", "profiles.0.worth=2.5",
-            "parties.count=1", "parties.0.portion=1.0", "parties.0.quotaRps=50", "quantum=5000000", "rank=1",
-            "replicasOfMe=3", "report.fields=rif,lat_ms", "rules.answerSlack=20000000",
-            "rules.coldShare=0.3", "rules.overloadFactor=3.0", "rules.rampTime=8000000000",
-            "rules.stopSendingWithin=250000000", "rules.tipAfter=1500000000");
+    static final String OPTIONS = String.join(
+            "\n",
+            "caps.mayCancel=true",
+            "caps.tryLimit=3",
+            "caps.parallelTries=true",
+            "brand.newKey=what,ever",
+            "discovery=subscribe",
+            "profiles.count=1",
+            "profiles.0.deadline=1000000000",
+            "profiles.0.slo=500000000",
+            "profiles.0.semantics=once",
+            "profiles.0.worth=2.5",
+            "parties.count=1",
+            "parties.0.portion=1.0",
+            "parties.0.quotaRps=50",
+            "quantum=5000000",
+            "rank=1",
+            "replicasOfMe=3",
+            "report.fields=rif,lat_ms",
+            "rules.answerSlack=20000000",
+            "rules.coldShare=0.3",
+            "rules.overloadFactor=3.0",
+            "rules.rampTime=8000000000",
+            "rules.stopSendingWithin=250000000",
+            "rules.tipAfter=1500000000");
 
     /** Builds frames from the documented layout. */
     static final class Frame {
@@ -55,15 +72,26 @@
 
         Frame provision(int sidecar, String options) {
             byte[] text = options.getBytes(StandardCharsets.UTF_8);
-            record(1).body.putShort((short) sidecar).putLong(42).putInt(text.length).put(text);
+            record(1)
+                    .body
+                    .putShort((short) sidecar)
+                    .putLong(42)
+                    .putInt(text.length)
+                    .put(text);
             return end();
         }
 
         Frame list(int number, int... upstreams) {
             record(11).body.putInt(number).putInt(upstreams.length);
             for (int id : upstreams) {
-                body.putInt(id).putShort((short) 80).put((byte) 0).putShort((short) 0).putShort((short) 0)
-                        .put((byte) 1).putFloat(1).putLong(0);
+                body.putInt(id)
+                        .putShort((short) 80)
+                        .put((byte) 0)
+                        .putShort((short) 0)
+                        .putShort((short) 0)
+                        .put((byte) 1)
+                        .putFloat(1)
+                        .putLong(0);
             }
             return end();
         }
@@ -74,8 +102,16 @@
         }
 
         Frame submit(int sidecar, int id) {
-            record(3).body.putShort((short) sidecar).putInt(id).put((byte) 0).putShort((short) 0).putLong(0)
-                    .putLong(1_000_000_000L).putLong(0).put((byte) 0);
+            record(3)
+                    .body
+                    .putShort((short) sidecar)
+                    .putInt(id)
+                    .put((byte) 0)
+                    .putShort((short) 0)
+                    .putLong(0)
+                    .putLong(1_000_000_000L)
+                    .putLong(0)
+                    .put((byte) 0);
             return end();
         }
     }
@@ -107,8 +143,12 @@
 
     @Test
     void requestIsPlacedOnTheListedUpstream() throws IOException {
-        byte[] reply = play(new Frame().provision(3, OPTIONS).list(0, 0x0100_000a).membership(3, 2, 0)
-                .submit(3, 0xf0000001).bytes(1_000_000_000L));
+        byte[] reply = play(new Frame()
+                .provision(3, OPTIONS)
+                .list(0, 0x0100_000a)
+                .membership(3, 2, 0)
+                .submit(3, 0xf0000001)
+                .bytes(1_000_000_000L));
         ByteBuffer in = ByteBuffer.wrap(reply).order(ByteOrder.LITTLE_ENDIAN);
         assertEquals(reply.length, in.getInt(4));
         in.position(8);
@@ -126,15 +166,22 @@
 
     @Test
     void listNumbersResolveByOrder() throws IOException {
-        byte[] reply = play(new Frame().provision(1, OPTIONS).list(0, 7).membership(1, 2, 0).list(0, 8)
-                .membership(1, 1, 0).submit(1, 9).bytes(1_000_000_000L));
+        byte[] reply = play(new Frame()
+                .provision(1, OPTIONS)
+                .list(0, 7)
+                .membership(1, 2, 0)
+                .list(0, 8)
+                .membership(1, 1, 0)
+                .submit(1, 9)
+                .bytes(1_000_000_000L));
         String hex = java.util.HexFormat.of().formatHex(reply);
         assertTrue(hex.contains("09000000" + "08000000" + "5000"), hex);
     }
 
     @Test
     void restartInOneBatchForgetsTheOldInstance() throws IOException {
-        Frame frame = new Frame().provision(1, OPTIONS).list(0, 7).membership(1, 2, 0).submit(1, 9);
+        Frame frame =
+                new Frame().provision(1, OPTIONS).list(0, 7).membership(1, 2, 0).submit(1, 9);
         frame.record(10).body.putShort((short) 1);
         frame.end().provision(1, OPTIONS).membership(1, 2, 0);
         assertTrue(play(frame.bytes(1_000_000_000L)).length > 8);
@@ -147,9 +194,15 @@
         fails("ends after", java.util.Arrays.copyOf(whole, whole.length - 3));
         fails("unknown event code 99", new Frame().record(99).end().bytes(1));
         fails("unknown instance 5", new Frame().submit(5, 1).bytes(1));
-        fails("unknown list number 3", new Frame().provision(1, OPTIONS).membership(1, 1, 3).bytes(1));
-        fails("form 9 out of range", new Frame().provision(1, OPTIONS).list(0).membership(1, 9, 0).bytes(1));
-        fails("field cut short", new Frame().provision(1, OPTIONS).record(6).end().bytes(1));
+        fails(
+                "unknown list number 3",
+                new Frame().provision(1, OPTIONS).membership(1, 1, 3).bytes(1));
+        fails(
+                "form 9 out of range",
+                new Frame().provision(1, OPTIONS).list(0).membership(1, 9, 0).bytes(1));
+        fails(
+                "field cut short",
+                new Frame().provision(1, OPTIONS).record(6).end().bytes(1));
     }
 
     @Test
@@ -159,11 +212,17 @@
         assertEquals(2.5, settings.classes().get(0).worth());
         assertEquals(2, settings.reportFields().size());
         assertEquals(50, settings.tenants().get(0).quotaPerSecond());
-        fails("setting missing: rules.rampTime",
+        fails(
+                "setting missing: rules.rampTime",
                 new Frame().provision(1, OPTIONS.replace("rules.rampTime", "x")).bytes(1));
-        fails("not a number", new Frame().provision(1, OPTIONS.replace("slo=5", "slo=five")).bytes(1));
-        fails("cold share",
-                new Frame().provision(1, OPTIONS.replace("coldShare=0.3", "coldShare=7")).bytes(1));
+        fails(
+                "not a number",
+                new Frame().provision(1, OPTIONS.replace("slo=5", "slo=five")).bytes(1));
+        fails(
+                "cold share",
+                new Frame()
+                        .provision(1, OPTIONS.replace("coldShare=0.3", "coldShare=7"))
+                        .bytes(1));
     }
 
     @Test
--- a/tcp/src/main/java/topazvalve/tcp/ClientStream.java
+++ b/tcp/src/main/java/topazvalve/tcp/ClientStream.java
@@ -31,7 +31,12 @@
     /** A PROXY header comes with the connection. */
     private static final long HEADER_TIME = 3_000_000_000L;
 
-    private enum State { HEADER, OPENING, OPEN, CLOSED }
+    private enum State {
+        HEADER,
+        OPENING,
+        OPEN,
+        CLOSED
+    }
 
     private final TcpFront owner;
     private final TcpSettings settings;
@@ -47,8 +52,8 @@
     private long exchange;
     private Relay relay;
 
-    ClientStream(TcpFront owner, TcpSettings settings, StreamCounts counts, Time time, Channel channel,
-            InetAddress client) {
+    ClientStream(
+            TcpFront owner, TcpSettings settings, StreamCounts counts, Time time, Channel channel, InetAddress client) {
         this.owner = owner;
         this.settings = settings;
         this.counts = counts;
@@ -77,8 +82,7 @@
     }
 
     private Opening direct() {
-        return new Opening((InetSocketAddress) channel.remoteAddress(),
-                (InetSocketAddress) channel.localAddress());
+        return new Opening((InetSocketAddress) channel.remoteAddress(), (InetSocketAddress) channel.localAddress());
     }
 
     private void submit(Opening opening) {
@@ -196,7 +200,7 @@
 
     /** The relay has seen to it already. */
     @Override
-    public void finished() { }
+    public void finished() {}
 
     /** The server's connection was taken away under the stream. */
     @Override
--- a/tcp/src/main/java/topazvalve/tcp/Direction.java
+++ b/tcp/src/main/java/topazvalve/tcp/Direction.java
@@ -13,7 +13,11 @@
  * go, then ENDED. Reading stops while more than the bound is held.
  */
 final class Direction {
-    private enum State { FLOWING, ENDING, ENDED }
+    private enum State {
+        FLOWING,
+        ENDING,
+        ENDED
+    }
 
     private final Channel from;
     private final Channel to;
--- a/tcp/src/main/java/topazvalve/tcp/ProxyHeader.java
+++ b/tcp/src/main/java/topazvalve/tcp/ProxyHeader.java
@@ -11,16 +11,19 @@
 
 /** The PROXY header, versions 1 and 2 (the PROXY protocol, HAProxy's specification of 2020-03-05). */
 final class ProxyHeader {
-    private ProxyHeader() { }
+    private ProxyHeader() {}
 
     /** Tells a server who called whom; both addresses in one family, as the header wants them. */
     static HAProxyMessage of(Opening opening, int version) {
         boolean six = opening.caller().getAddress() instanceof Inet6Address
                 || opening.called().getAddress() instanceof Inet6Address;
         return new HAProxyMessage(
-                version == 1 ? HAProxyProtocolVersion.V1 : HAProxyProtocolVersion.V2, HAProxyCommand.PROXY,
+                version == 1 ? HAProxyProtocolVersion.V1 : HAProxyProtocolVersion.V2,
+                HAProxyCommand.PROXY,
                 six ? HAProxyProxiedProtocol.TCP6 : HAProxyProxiedProtocol.TCP4,
-                text(opening.caller(), six), text(opening.called(), six), opening.caller().getPort(),
+                text(opening.caller(), six),
+                text(opening.called(), six),
+                opening.caller().getPort(),
                 opening.called().getPort());
     }
 
@@ -37,8 +40,10 @@
             return null;
         }
         return switch (header.proxiedProtocol()) {
-            case TCP4, TCP6 -> new Opening(address(header.sourceAddress(), header.sourcePort()),
-                    address(header.destinationAddress(), header.destinationPort()));
+            case TCP4, TCP6 ->
+                new Opening(
+                        address(header.sourceAddress(), header.sourcePort()),
+                        address(header.destinationAddress(), header.destinationPort()));
             default -> null;
         };
     }
--- a/tcp/src/main/java/topazvalve/tcp/Relay.java
+++ b/tcp/src/main/java/topazvalve/tcp/Relay.java
@@ -31,6 +31,7 @@
     private long movedAt;
     /** Why both halves are being ended; null if nobody has said so. */
     private Ended ordered;
+
     private boolean closed;
 
     /** Is told how a stream ended. */
@@ -38,8 +39,14 @@
         void ended(Ended how);
     }
 
-    Relay(Time time, TcpSettings settings, ByteBudget budget, StreamCounts counts, Channel client,
-            Channel server, EndListener listener) {
+    Relay(
+            Time time,
+            TcpSettings settings,
+            ByteBudget budget,
+            StreamCounts counts,
+            Channel client,
+            Channel server,
+            EndListener listener) {
         this.time = time;
         this.budget = budget;
         this.settings = settings;
--- a/tcp/src/main/java/topazvalve/tcp/StreamCounts.java
+++ b/tcp/src/main/java/topazvalve/tcp/StreamCounts.java
@@ -7,11 +7,26 @@
 /** What one listener did since it began; on the event loop alone. */
 public final class StreamCounts {
     /** Why a stream was not taken. */
-    public enum Refused { STREAMS_FULL, CLIENT_FULL, NO_SERVER, CONNECT_FAILED, BAD_PROXY_HEADER,
-        PROXY_HEADER_LATE, ENDING }
+    public enum Refused {
+        STREAMS_FULL,
+        CLIENT_FULL,
+        NO_SERVER,
+        CONNECT_FAILED,
+        BAD_PROXY_HEADER,
+        PROXY_HEADER_LATE,
+        ENDING
+    }
 
     /** How a stream that was open ended. */
-    public enum Ended { ORDERLY, CLIENT_RESET, SERVER_RESET, IDLE, TOTAL, DRAINED, LEFT_BEFORE_OPEN }
+    public enum Ended {
+        ORDERLY,
+        CLIENT_RESET,
+        SERVER_RESET,
+        IDLE,
+        TOTAL,
+        DRAINED,
+        LEFT_BEFORE_OPEN
+    }
 
     private final Map<Refused, Long> refused = new EnumMap<>(Refused.class);
     private final Map<Ended, Long> ended = new EnumMap<>(Ended.class);
@@ -75,7 +90,12 @@
     }
 
     private static void line(StringBuilder to, String listener, String name, long value) {
-        to.append("app.tcp.").append(listener).append('.').append(name).append('=').append(
-                value).append('\n');
+        to.append("app.tcp.")
+                .append(listener)
+                .append('.')
+                .append(name)
+                .append('=')
+                .append(value)
+                .append('\n');
     }
 }
--- a/tcp/src/main/java/topazvalve/tcp/TcpCarrier.java
+++ b/tcp/src/main/java/topazvalve/tcp/TcpCarrier.java
@@ -24,10 +24,10 @@
     /** A relay stops and starts its two connections itself. */
     private static final Source NOT_ASKED = new Source() {
         @Override
-        public void pause() { }
+        public void pause() {}
 
         @Override
-        public void resume() { }
+        public void resume() {}
     };
 
     private final TcpSettings settings;
@@ -99,7 +99,7 @@
     }
 
     @Override
-    public void closing() { }
+    public void closing() {}
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
--- a/tcp/src/main/java/topazvalve/tcp/TcpCodec.java
+++ b/tcp/src/main/java/topazvalve/tcp/TcpCodec.java
@@ -33,5 +33,5 @@
     }
 
     @Override
-    public void retune(Options options) { }
+    public void retune(Options options) {}
 }
--- a/tcp/src/main/java/topazvalve/tcp/TcpFile.java
+++ b/tcp/src/main/java/topazvalve/tcp/TcpFile.java
@@ -17,9 +17,11 @@
     private static final int LARGEST_BUFFER = 16 << 20;
 
     /** What a listener speaks; others come with other protocols. */
-    enum Protocol { TCP }
+    enum Protocol {
+        TCP
+    }
 
-    private TcpFile() { }
+    private TcpFile() {}
 
     /** Reads a file; {@link topazvalve.toml.BadFile} if it has faults, and nothing of it holds. */
     public static List<TcpSettings> read(Path file) throws IOException {
@@ -69,14 +71,24 @@
         if (connectDeadline < connectTimeout) {
             table.wrong("connect_deadline", "is shorter than connect_timeout: no attempt could use its time");
         }
-        return new TcpSettings(name, listen, servers, draining, connectTimeout, connectDeadline,
-                table.whole("attempts", 3, 1, 4), table.duration("idle", "10m", "0", "1440m"),
-                table.duration("total", "0", "0", "1440m"), table.duration("grace", "30s", "0", "60m"),
+        return new TcpSettings(
+                name,
+                listen,
+                servers,
+                draining,
+                connectTimeout,
+                connectDeadline,
+                table.whole("attempts", 3, 1, 4),
+                table.duration("idle", "10m", "0", "1440m"),
+                table.duration("total", "0", "0", "1440m"),
+                table.duration("grace", "30s", "0", "60m"),
                 table.whole("most_streams", 10_000, 1, 1_000_000),
                 table.whole("most_per_client", 1_000, 1, 1_000_000),
-                table.whole("buffer", 64 << 10, 1 << 10, LARGEST_BUFFER), table.flag("keep_alive", true),
+                table.whole("buffer", 64 << 10, 1 << 10, LARGEST_BUFFER),
+                table.flag("keep_alive", true),
                 table.choice(TcpSettings.Refusal.class, "refusal", TcpSettings.Refusal.RESET),
-                table.flag("proxy_in", false), table.whole("proxy_out", 0, 0, 2));
+                table.flag("proxy_in", false),
+                table.whole("proxy_out", 0, 0, 2));
     }
 
     private static List<InetSocketAddress> addresses(Table table, String key, List<String> absent) {
--- a/tcp/src/main/java/topazvalve/tcp/TcpFront.java
+++ b/tcp/src/main/java/topazvalve/tcp/TcpFront.java
@@ -37,8 +37,14 @@
     private final Set<ClientStream> streams = new LinkedHashSet<>();
     private final Map<InetAddress, Integer> perClient = new HashMap<>();
 
-    TcpFront(Exchanges<Opening, Link> exchanges, ClassTable classes, Supplier<TcpSettings> settings,
-            StreamCounts counts, Time time, ByteBudget budget, BooleanSupplier ending) {
+    TcpFront(
+            Exchanges<Opening, Link> exchanges,
+            ClassTable classes,
+            Supplier<TcpSettings> settings,
+            StreamCounts counts,
+            Time time,
+            ByteBudget budget,
+            BooleanSupplier ending) {
         this.exchanges = exchanges;
         this.classes = classes;
         this.settings = settings;
@@ -62,10 +68,11 @@
                 }
                 InetAddress client = caller.getAddress();
                 ClientStream stream = new ClientStream(TcpFront.this, now, counts, time, made, client);
-                Refused why = ending.getAsBoolean() ? Refused.ENDING
-                        : streams.size() >= now.mostStreams() ? Refused.STREAMS_FULL
-                        : perClient.getOrDefault(client, 0) >= now.mostPerClient() ? Refused.CLIENT_FULL
-                        : null;
+                Refused why = ending.getAsBoolean()
+                        ? Refused.ENDING
+                        : streams.size() >= now.mostStreams()
+                                ? Refused.STREAMS_FULL
+                                : perClient.getOrDefault(client, 0) >= now.mostPerClient() ? Refused.CLIENT_FULL : null;
                 if (why != null) {
                     stream.refuse(why);
                     return;
@@ -85,8 +92,18 @@
 
     long submit(Opening opening, ClientStream stream) {
         ClassTable.Entry kind = classes.named(CLASS);
-        return exchanges.submit(new Job<>(kind, 0, 0, settings.get().connectDeadline() / 1_000_000, 0, false,
-                true, opening, RequestBody.of(new byte[0])), stream);
+        return exchanges.submit(
+                new Job<>(
+                        kind,
+                        0,
+                        0,
+                        settings.get().connectDeadline() / 1_000_000,
+                        0,
+                        false,
+                        true,
+                        opening,
+                        RequestBody.of(new byte[0])),
+                stream);
     }
 
     void hangup(long exchange) {
@@ -132,5 +149,5 @@
     }
 
     @Override
-    public void stop() { }
+    public void stop() {}
 }
--- a/tcp/src/main/java/topazvalve/tcp/TcpSettings.java
+++ b/tcp/src/main/java/topazvalve/tcp/TcpSettings.java
@@ -17,13 +17,30 @@
  * @param proxyIn whether each client's connection begins with a PROXY header
  * @param proxyOut the version of the PROXY header that servers get; 0 for none
  */
-public record TcpSettings(String name, InetSocketAddress listen, List<InetSocketAddress> servers,
-        List<InetSocketAddress> draining, long connectTimeout, long connectDeadline, int attempts, long idle,
-        long total, long grace, int mostStreams, int mostPerClient, int buffer, boolean keepAlive,
-        Refusal refusal, boolean proxyIn, int proxyOut) {
+public record TcpSettings(
+        String name,
+        InetSocketAddress listen,
+        List<InetSocketAddress> servers,
+        List<InetSocketAddress> draining,
+        long connectTimeout,
+        long connectDeadline,
+        int attempts,
+        long idle,
+        long total,
+        long grace,
+        int mostStreams,
+        int mostPerClient,
+        int buffer,
+        boolean keepAlive,
+        Refusal refusal,
+        boolean proxyIn,
+        int proxyOut) {
 
     /** How a client sees that its stream is not taken. */
-    public enum Refusal { RESET, CLOSE }
+    public enum Refusal {
+        RESET,
+        CLOSE
+    }
 
     public TcpSettings {
         servers = List.copyOf(servers);
--- a/tcp/src/main/java/topazvalve/tcp/TcpSide.java
+++ b/tcp/src/main/java/topazvalve/tcp/TcpSide.java
@@ -60,16 +60,24 @@
         Time time = LoopTime.watched(loop);
         Options options = options(settings);
         // How many there may be is the front's to say, by settings that can change.
-        exchanges = new Exchanges<>(time, options,
+        exchanges = new Exchanges<>(
+                time,
+                options,
                 (given, actions) -> new Rules(given, seed, actions),
                 new Pools<>(loop, time, options, new TcpCodec(() -> this.settings), Integer.MAX_VALUE),
-                Integer.MAX_VALUE, new Metrics(), classes);
+                Integer.MAX_VALUE,
+                new Metrics(),
+                classes);
         front = new TcpFront(exchanges, classes, () -> this.settings, counts, time, budget, () -> ending);
     }
 
     private static Options options(TcpSettings settings) {
-        return new Options(SETTINGS.formatted(settings.attempts(), settings.connectTimeout(), TcpFront.CLASS,
-                settings.connectTimeout(), settings.connectDeadline()));
+        return new Options(SETTINGS.formatted(
+                settings.attempts(),
+                settings.connectTimeout(),
+                TcpFront.CLASS,
+                settings.connectTimeout(),
+                settings.connectDeadline()));
     }
 
     /** Begins; on the loop, like all that follows. */
@@ -82,8 +90,15 @@
         List<Target> targets = new ArrayList<>();
         int number = 0;
         for (InetSocketAddress each : settings.servers()) {
-            targets.add(new Target(each.getAddress().getHostAddress() + ":" + each.getPort(), each, "", "",
-                    number++, settings.draining().contains(each) ? State.DRAINING : State.READY, 1, 0));
+            targets.add(new Target(
+                    each.getAddress().getHostAddress() + ":" + each.getPort(),
+                    each,
+                    "",
+                    "",
+                    number++,
+                    settings.draining().contains(each) ? State.DRAINING : State.READY,
+                    1,
+                    0));
         }
         return targets;
     }
--- a/tcp/src/test/java/topazvalve/tcp/ListenerTest.java
+++ b/tcp/src/test/java/topazvalve/tcp/ListenerTest.java
@@ -87,8 +87,10 @@
 
     @Test
     void tooManyStreamsAreRefusedAsTheOperatorWishes() throws Exception {
-        try (ServerSocket server = server(); Listening listening = listening(server, "most_streams = 1",
-                "refusal = \"close\""); Socket first = client(listening); Socket served = accepted(server)) {
+        try (ServerSocket server = server();
+                Listening listening = listening(server, "most_streams = 1", "refusal = \"close\"");
+                Socket first = client(listening);
+                Socket served = accepted(server)) {
             write(first, "x");
             assertEquals("x", read(served.getInputStream(), 1));
             try (Socket second = client(listening)) {
@@ -96,8 +98,10 @@
             }
             await(listening, Refused.STREAMS_FULL, 1);
         }
-        try (ServerSocket server = server(); Listening listening = listening(server, "most_per_client = 1");
-                Socket first = client(listening); Socket served = accepted(server);
+        try (ServerSocket server = server();
+                Listening listening = listening(server, "most_per_client = 1");
+                Socket first = client(listening);
+                Socket served = accepted(server);
                 Socket second = client(listening)) {
             assertReset(second);
             await(listening, Refused.CLIENT_FULL, 1);
@@ -125,12 +129,12 @@
                 write(client, "PROXY TCP4 192.0.2.7 198.51.100.9 4711 443\r\nhello");
                 try (Socket served = accepted(server)) {
                     if (version == 1) {
-                        assertEquals("PROXY TCP4 192.0.2.7 198.51.100.9 4711 443\r\nhello",
+                        assertEquals(
+                                "PROXY TCP4 192.0.2.7 198.51.100.9 4711 443\r\nhello",
                                 read(served.getInputStream(), 49));
                     } else {
                         byte[] head = served.getInputStream().readNBytes(28);
-                        assertEquals("\r\n\r\n\0\r\nQUIT\n", new String(head, 0, 12,
-                                StandardCharsets.ISO_8859_1));
+                        assertEquals("\r\n\r\n\0\r\nQUIT\n", new String(head, 0, 12, StandardCharsets.ISO_8859_1));
                         assertEquals(0x21, head[12]);
                         assertEquals((byte) 192, head[16]);
                         assertEquals("hello", read(served.getInputStream(), 5));
@@ -142,8 +146,10 @@
 
     @Test
     void malformedOrMissingHeaderIsRefused() throws Exception {
-        try (ServerSocket server = server(); Listening listening = listening(server, "proxy_in = true");
-                Socket bad = client(listening); Socket silent = client(listening)) {
+        try (ServerSocket server = server();
+                Listening listening = listening(server, "proxy_in = true");
+                Socket bad = client(listening);
+                Socket silent = client(listening)) {
             write(bad, "GET / HTTP/1.1\r\nHost: x\r\n\r\n");
             assertReset(bad);
             await(listening, Refused.BAD_PROXY_HEADER, 1);
@@ -158,7 +164,8 @@
             String key = how == Ended.IDLE ? "idle" : "total";
             try (ServerSocket server = server();
                     Listening listening = listening(server, key + " = \"300ms\"");
-                    Socket client = client(listening); Socket served = accepted(server)) {
+                    Socket client = client(listening);
+                    Socket served = accepted(server)) {
                 write(client, "x");
                 assertEquals("x", read(served.getInputStream(), 1));
                 assertEquals(-1, client.getInputStream().read());
@@ -170,11 +177,14 @@
 
     @Test
     void drainedServersStreamsRunOnForTheGraceAndNoNewOneComes() throws Exception {
-        try (ServerSocket server = server(); ServerSocket other = server();
-                Listening listening = new Listening(List.of(at(server), at(other)),
-                        text -> text + "grace = \"400ms\"\n")) {
-            try (Socket one = client(listening); Socket two = client(listening);
-                    Socket servedHere = accepted(server); Socket servedThere = accepted(other)) {
+        try (ServerSocket server = server();
+                ServerSocket other = server();
+                Listening listening =
+                        new Listening(List.of(at(server), at(other)), text -> text + "grace = \"400ms\"\n")) {
+            try (Socket one = client(listening);
+                    Socket two = client(listening);
+                    Socket servedHere = accepted(server);
+                    Socket servedThere = accepted(other)) {
                 // The system accepts before the sidecar knows of it: both are through once a byte is.
                 write(one, "x");
                 write(two, "x");
@@ -192,7 +202,8 @@
                 assertEquals(-1, servedHere.getInputStream().read(), "until the grace is over");
                 await(listening, Ended.DRAINED, 1);
                 write(servedThere, "z");
-                assertTrue(one.getInputStream().read() + two.getInputStream().read() == 'z' - 1,
+                assertTrue(
+                        one.getInputStream().read() + two.getInputStream().read() == 'z' - 1,
                         "one has ended, the other goes on");
             }
         }
@@ -200,8 +211,10 @@
 
     @Test
     void whatTheServerNeverTakesIsBoundedAndHoldsUpNoOther() throws Exception {
-        try (ServerSocket server = server(); Listening listening = listening(server, "idle = \"2s\"");
-                Socket slow = client(listening); Socket deaf = accepted(server)) {
+        try (ServerSocket server = server();
+                Listening listening = listening(server, "idle = \"2s\"");
+                Socket slow = client(listening);
+                Socket deaf = accepted(server)) {
             slow.setSendBufferSize(32 << 10);
             Thread sender = new Thread(() -> {
                 try {
@@ -214,7 +227,8 @@
                 }
             });
             sender.start();
-            try (Socket quick = client(listening); Socket served = accepted(server)) {
+            try (Socket quick = client(listening);
+                    Socket served = accepted(server)) {
                 for (int i = 0; i < 100; i++) {
                     write(quick, "x");
                     assertEquals("x", read(served.getInputStream(), 1));
--- a/tcp/src/test/java/topazvalve/tcp/Listening.java
+++ b/tcp/src/test/java/topazvalve/tcp/Listening.java
@@ -26,8 +26,7 @@
             connect_deadline = "3s"
             """;
 
-    private final MultiThreadIoEventLoopGroup group =
-            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     final EventLoop loop = group.next();
     final TcpSide side;
     final InetSocketAddress address;
@@ -40,21 +39,29 @@
         this.change = change;
         side = new TcpSide(loop, settings(List.of()), 7, new ByteBudget(64 << 20));
         loop.submit(side::start).sync();
-        address = (InetSocketAddress) new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, 4096).childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(side.connections()).bind(new InetSocketAddress("127.0.0.1", 0)).sync().channel()
+        address = (InetSocketAddress) new ServerBootstrap()
+                .group(group)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_BACKLOG, 4096)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childHandler(side.connections())
+                .bind(new InetSocketAddress("127.0.0.1", 0))
+                .sync()
+                .channel()
                 .localAddress();
     }
 
     private TcpSettings settings(List<InetSocketAddress> draining) {
-        return TcpFile.parse("it.toml", change.apply(FILE.formatted(quoted(servers),
-                quoted(draining)))).get(0);
+        return TcpFile.parse("it.toml", change.apply(FILE.formatted(quoted(servers), quoted(draining))))
+                .get(0);
     }
 
     private static String quoted(List<InetSocketAddress> addresses) {
-        return String.join(", ", addresses.stream()
-                .map(each -> "\"" + each.getAddress().getHostAddress() + ":" + each.getPort()
-                        + "\"").toList());
+        return String.join(
+                ", ",
+                addresses.stream()
+                        .map(each -> "\"" + each.getAddress().getHostAddress() + ":" + each.getPort() + "\"")
+                        .toList());
     }
 
     /** Tells of servers that drain, as a reload of the file does. */
--- a/tcp/src/test/java/topazvalve/tcp/StreamsTest.java
+++ b/tcp/src/test/java/topazvalve/tcp/StreamsTest.java
@@ -17,12 +17,19 @@
     void everyByteAndEveryEndArrivesAsItWasSent() throws Exception {
         try (StreamTrial trial = new StreamTrial(Integer.getInteger("streams.seed", 5), 4);
                 Listening listening = new Listening(trial.addresses(), text -> text)) {
-            StreamTrial.Result result = trial.play(listening.address, listening::draining, STREAMS, AT_ONCE,
-                    EVERY_MS);
-            System.out.printf("streams: %d, %d half-closed, %d broken, %d refused, %d late of %d, %,d B%n",
-                    result.streams(), result.halfCloses(), result.broken(), result.refused(), result.late(),
-                    result.watched(), result.bytes());
-            assertEquals(List.of(), result.faults().stream().limit(5).toList(),
+            StreamTrial.Result result = trial.play(listening.address, listening::draining, STREAMS, AT_ONCE, EVERY_MS);
+            System.out.printf(
+                    "streams: %d, %d half-closed, %d broken, %d refused, %d late of %d, %,d B%n",
+                    result.streams(),
+                    result.halfCloses(),
+                    result.broken(),
+                    result.refused(),
+                    result.late(),
+                    result.watched(),
+                    result.bytes());
+            assertEquals(
+                    List.of(),
+                    result.faults().stream().limit(5).toList(),
                     () -> "mismatches: " + result.faults().size());
             assertTrue(result.watched() > STREAMS / 50, "opened while a server drained: " + result.watched());
             assertEquals(0, result.late(), "streams to a drained server");
--- a/tcp/src/test/java/topazvalve/tcp/TcpFileTest.java
+++ b/tcp/src/test/java/topazvalve/tcp/TcpFileTest.java
@@ -31,23 +31,43 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "name = \"A B\"|name", "protocol = \"udp\"|protocol", "listen = \"localhost:1\"|listen",
-        "servers = []|servers", "servers = [\"127.0.0.1\"]|servers",
-        "servers = [\"127.0.0.1:1\", \"127.0.0.1:1\"]|servers", "draining = [\"127.0.0.1:9\"]|draining",
-        "connect_timeout = \"0s\"|connect_timeout", "connect_deadline = \"10ms\"|connect_deadline",
-        "attempts = 5|attempts", "idle = 3|idle", "total = \"2d\"|total", "grace = \"2000m\"|grace",
-        "most_streams = 0|most_streams", "most_per_client = 0|most_per_client", "buffer = 10|buffer",
-        "keep_alive = \"yes\"|keep_alive", "refusal = \"drop\"|refusal", "proxy_in = 1|proxy_in",
-        "proxy_out = 3|proxy_out", "idel = \"1s\"|idel"})
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "name = \"A B\"|name",
+                "protocol = \"udp\"|protocol",
+                "listen = \"localhost:1\"|listen",
+                "servers = []|servers",
+                "servers = [\"127.0.0.1\"]|servers",
+                "servers = [\"127.0.0.1:1\", \"127.0.0.1:1\"]|servers",
+                "draining = [\"127.0.0.1:9\"]|draining",
+                "connect_timeout = \"0s\"|connect_timeout",
+                "connect_deadline = \"10ms\"|connect_deadline",
+                "attempts = 5|attempts",
+                "idle = 3|idle",
+                "total = \"2d\"|total",
+                "grace = \"2000m\"|grace",
+                "most_streams = 0|most_streams",
+                "most_per_client = 0|most_per_client",
+                "buffer = 10|buffer",
+                "keep_alive = \"yes\"|keep_alive",
+                "refusal = \"drop\"|refusal",
+                "proxy_in = 1|proxy_in",
+                "proxy_out = 3|proxy_out",
+                "idel = \"1s\"|idel"
+            })
     void aKeyThatIsWrongIsNamedWithItsLine(String line, String key) {
         String name = line.substring(0, line.indexOf(' '));
-        String text = GOOD.lines().filter(each -> !each.startsWith(name + " "))
-                .reduce("", (all, each) -> all + each + "\n") + line + "\n";
+        String text =
+                GOOD.lines().filter(each -> !each.startsWith(name + " ")).reduce("", (all, each) -> all + each + "\n")
+                        + line + "\n";
         int number = (int) text.lines().count();
         BadFile bad = assertThrows(BadFile.class, () -> TcpFile.parse("o.toml", text));
-        assertTrue(bad.problems().stream().anyMatch(each -> each.line() == number
-                && each.key().equals("listener.0." + key)), () -> bad.getMessage());
+        assertTrue(
+                bad.problems().stream()
+                        .anyMatch(each -> each.line() == number && each.key().equals("listener.0." + key)),
+                () -> bad.getMessage());
     }
 
     @Test
--- a/toml/src/main/java/topazvalve/toml/Table.java
+++ b/toml/src/main/java/topazvalve/toml/Table.java
@@ -64,8 +64,7 @@
 
     /** Nanoseconds from a text such as {@code "250ms"}; {@code absent} null makes the key required. */
     public long duration(String key, String absent, String least, String most) {
-        String meant = "a duration from " + least + " to " + most
-                + " in quotes, such as \"250ms\" (us, ms, s, m)";
+        String meant = "a duration from " + least + " to " + most + " in quotes, such as \"250ms\" (us, ms, s, m)";
         JsonNode value = value(key, absent == null, meant);
         if (value == null) {
             return absent == null ? nanos(least) : nanos(absent);
@@ -83,8 +82,7 @@
         if (text.equals("0")) {
             return 0;
         }
-        double nanos = matcher.matches() ? Double.parseDouble(matcher.group(1)) * UNITS.get(matcher.group(2))
-                : -1;
+        double nanos = matcher.matches() ? Double.parseDouble(matcher.group(1)) * UNITS.get(matcher.group(2)) : -1;
         return nanos > LONGEST ? -1 : Math.round(nanos);
     }
 
@@ -111,9 +109,10 @@
         }
         JsonNode low = value.isArray() ? value.path(0) : value;
         JsonNode high = value.isArray() ? value.path(1) : value;
-        if (value.isArray() && value.size() != 2 || !low.isNumber() || !high.isNumber()
-                || !(low.asDouble() >= least && high.asDouble() <= most
-                        && low.asDouble() <= high.asDouble())) {
+        if (value.isArray() && value.size() != 2
+                || !low.isNumber()
+                || !high.isNumber()
+                || !(low.asDouble() >= least && high.asDouble() <= most && low.asDouble() <= high.asDouble())) {
             wrong(key, value + " is not " + meant);
             return new Range(least, least);
         }
@@ -151,7 +150,8 @@
     /** One word of a set, in small letters with dashes; {@code absent} null makes the key required. */
     public <E extends Enum<E>> E choice(Class<E> type, String key, E absent) {
         E[] all = type.getEnumConstants();
-        String meant = "one of " + String.join(", ", Arrays.stream(all).map(Table::word).toList());
+        String meant = "one of "
+                + String.join(", ", Arrays.stream(all).map(Table::word).toList());
         JsonNode value = value(key, absent == null, meant);
         if (value == null) {
             return absent == null ? all[0] : absent;
@@ -191,7 +191,9 @@
         }
         List<String> read = new ArrayList<>();
         value.forEach(each -> read.add(each.isTextual() ? each.asText() : ""));
-        if (!value.isArray() || read.isEmpty() && !mayBeEmpty || read.contains("")
+        if (!value.isArray()
+                || read.isEmpty() && !mayBeEmpty
+                || read.contains("")
                 || Set.copyOf(read).size() < read.size()) {
             wrong(key, value + " is not a list of different texts in quotes");
             return absent == null ? List.of("?") : absent;
@@ -206,16 +208,15 @@
             wrong(key, "is not a table [" + at(key) + "]");
             value = null;
         }
-        Table made = new Table(file, lines, problems, at(key),
-                value == null ? JsonNodeFactory.instance.objectNode() : value);
+        Table made = new Table(
+                file, lines, problems, at(key), value == null ? JsonNodeFactory.instance.objectNode() : value);
         inner.add(made);
         return made;
     }
 
     /** An array of tables; {@code least} is how many there must be. */
     public List<Table> tables(String key, int least) {
-        JsonNode value = value(key, least > 0, "[[" + at(key) + "]] has to be given " + least
-                + " times or more");
+        JsonNode value = value(key, least > 0, "[[" + at(key) + "]] has to be given " + least + " times or more");
         List<Table> made = new ArrayList<>();
         if (value != null && !value.isArray()) {
             wrong(key, "is not an array of tables [[" + at(key) + "]]");
--- a/toml/src/main/java/topazvalve/toml/TomlFile.java
+++ b/toml/src/main/java/topazvalve/toml/TomlFile.java
@@ -12,7 +12,7 @@
 public final class TomlFile {
     private static final TomlMapper TOML = new TomlMapper();
 
-    private TomlFile() { }
+    private TomlFile() {}
 
     /** Reads a text; {@code name} stands for it in messages. {@link BadFile} if it has faults. */
     public static <T> T parse(String name, String text, Function<Table, T> reader) {
@@ -22,8 +22,8 @@
             root = TOML.readTree(text);
         } catch (JsonProcessingException e) {
             int line = e.getLocation() == null ? 1 : Math.max(1, e.getLocation().getLineNr());
-            throw new BadFile(List.of(new Problem(name, line, "", "not TOML: "
-                    + e.getOriginalMessage().replaceAll("\\s*\\R.*", ""))));
+            throw new BadFile(List.of(new Problem(
+                    name, line, "", "not TOML: " + e.getOriginalMessage().replaceAll("\\s*\\R.*", ""))));
         }
         Table table = new Table(name, new KeyLines(text), problems, "", root);
         T read = reader.apply(table);
--- a/world/src/main/java/topazvalve/world/experiment/Comparison.java
+++ b/world/src/main/java/topazvalve/world/experiment/Comparison.java
@@ -17,8 +17,8 @@
  * @param mean of the differences, the first arm's less the second's
  * @param half half the width of the 95% interval (Student's t); NaN for fewer than two pairs
  */
-public record Comparison(String scenario, String figure, int pairs, double first, double second, double mean,
-        double half) {
+public record Comparison(
+        String scenario, String figure, int pairs, double first, double second, double mean, double half) {
     private static final double CONFIDENCE = 0.975;
     private static final Map<String, ToDoubleFunction<Result>> FIGURES = figures();
 
@@ -28,8 +28,10 @@
         figures.put("service", Result::service);
         figures.put("worst 10 s", Result::worstWindow);
         figures.put("worst class", Result::worstClass);
-        figures.put("attempts per request", each -> (double) each.sums().attempts() / Math.max(1,
-                each.sums().asked()));
+        figures.put(
+                "attempts per request",
+                each -> (double) each.sums().attempts()
+                        / Math.max(1, each.sums().asked()));
         figures.put("runs with a broken rule", each -> each.broken().isEmpty() ? 0 : 1);
         return figures;
     }
@@ -41,15 +43,17 @@
 
     /** All figures on all scenarios that both arms have been played on. */
     public static List<Comparison> of(List<Result> first, List<Result> second) {
-        Set<String> scenarios = new LinkedHashSet<>(first.stream().map(Result::scenario).toList());
+        Set<String> scenarios =
+                new LinkedHashSet<>(first.stream().map(Result::scenario).toList());
         List<Comparison> all = new ArrayList<>();
         for (String scenario : scenarios) {
             Map<Long, Result> others = new HashMap<>();
-            second.stream().filter(each -> each.scenario().equals(scenario))
+            second.stream()
+                    .filter(each -> each.scenario().equals(scenario))
                     .forEach(each -> others.put(each.seed(), each));
             List<Result> ours = first.stream()
-                    .filter(each -> each.scenario().equals(scenario)
-                            && others.containsKey(each.seed())).toList();
+                    .filter(each -> each.scenario().equals(scenario) && others.containsKey(each.seed()))
+                    .toList();
             if (!ours.isEmpty()) {
                 FIGURES.forEach((name, figure) -> all.add(of(scenario, name, figure, ours, others)));
             }
@@ -57,8 +61,12 @@
         return all;
     }
 
-    private static Comparison of(String scenario, String name, ToDoubleFunction<Result> figure,
-            List<Result> ours, Map<Long, Result> others) {
+    private static Comparison of(
+            String scenario,
+            String name,
+            ToDoubleFunction<Result> figure,
+            List<Result> ours,
+            Map<Long, Result> others) {
         SummaryStatistics one = new SummaryStatistics();
         SummaryStatistics two = new SummaryStatistics();
         SummaryStatistics difference = new SummaryStatistics();
@@ -71,9 +79,10 @@
         }
         int pairs = (int) difference.getN();
         double half = pairs < 2
-                ? Double.NaN : new TDistribution(pairs - 1).inverseCumulativeProbability(CONFIDENCE)
-                * difference.getStandardDeviation() / Math.sqrt(pairs);
-        return new Comparison(scenario, name, pairs, one.getMean(), two.getMean(), difference.getMean(),
-                half);
+                ? Double.NaN
+                : new TDistribution(pairs - 1).inverseCumulativeProbability(CONFIDENCE)
+                        * difference.getStandardDeviation()
+                        / Math.sqrt(pairs);
+        return new Comparison(scenario, name, pairs, one.getMean(), two.getMean(), difference.getMean(), half);
     }
 }
--- a/world/src/main/java/topazvalve/world/experiment/Plan.java
+++ b/world/src/main/java/topazvalve/world/experiment/Plan.java
@@ -10,7 +10,7 @@
 public record Plan(String name, List<Setting> scenarios, List<Arm> arms, long firstSeed, long lastSeed) {
 
     /** A scenario and the file that it came from. */
-    public record Setting(Path file, Scenario scenario) { }
+    public record Setting(Path file, Scenario scenario) {}
 
     /** One run of it. */
     public record Cell(Scenario scenario, Arm arm, long seed) {
--- a/world/src/main/java/topazvalve/world/experiment/Result.java
+++ b/world/src/main/java/topazvalve/world/experiment/Result.java
@@ -6,20 +6,33 @@
 import java.util.TreeMap;
 import topazvalve.world.scenario.Fault;
 import topazvalve.world.scenario.Scenario;
-import topazvalve.world.tally.Tally;
 import topazvalve.world.tally.Run;
+import topazvalve.world.tally.Tally;
 
 /** One run as a line of a file of results; times in milliseconds, fault times in seconds. */
-public record Result(String scenario, String arm, long seed, double goal, double service, double worstWindow,
-        double worstClass, List<OfClass> classes, Tally.Sums sums, Map<String, Integer> broken, String digest,
-        double wallS, List<Tally.Second> seconds, List<Trouble> faults, long[] attemptsByServer,
+public record Result(
+        String scenario,
+        String arm,
+        long seed,
+        double goal,
+        double service,
+        double worstWindow,
+        double worstClass,
+        List<OfClass> classes,
+        Tally.Sums sums,
+        Map<String, Integer> broken,
+        String digest,
+        double wallS,
+        List<Tally.Second> seconds,
+        List<Trouble> faults,
+        long[] attemptsByServer,
         List<String> breaches) {
 
     /** One class. */
-    public record OfClass(String name, double service, double p50, double p90, double p99, double p999) { }
+    public record OfClass(String name, double service, double p50, double p90, double p99, double p999) {}
 
     /** A fault as a report draws it. */
-    public record Trouble(String kind, double from, double to) { }
+    public record Trouble(String kind, double from, double to) {}
 
     /** Of a run. */
     public static Result of(Scenario scenario, Run run) {
@@ -27,9 +40,13 @@
         List<OfClass> classes = new ArrayList<>();
         for (int i = 0; i < scenario.classes().size(); i++) {
             var latency = tally.latency(i);
-            classes.add(new OfClass(scenario.classes().get(i).name(), tally.service(i),
-                    latency.getValueAtPercentile(50) / 1e6, latency.getValueAtPercentile(90) / 1e6,
-                    latency.getValueAtPercentile(99) / 1e6, latency.getValueAtPercentile(99.9) / 1e6));
+            classes.add(new OfClass(
+                    scenario.classes().get(i).name(),
+                    tally.service(i),
+                    latency.getValueAtPercentile(50) / 1e6,
+                    latency.getValueAtPercentile(90) / 1e6,
+                    latency.getValueAtPercentile(99) / 1e6,
+                    latency.getValueAtPercentile(99.9) / 1e6));
         }
         List<Tally.Second> seconds = new ArrayList<>();
         for (int i = 0; i < tally.seconds() - 1; i++) {
@@ -37,15 +54,29 @@
         }
         List<Trouble> faults = new ArrayList<>();
         for (Fault each : run.faults()) {
-            faults.add(new Trouble(each.kind().name().toLowerCase(java.util.Locale.ROOT).replace('_', '-'),
-                    each.start() / 1e9, (each.start() + each.length()) / 1e9));
+            faults.add(new Trouble(
+                    each.kind().name().toLowerCase(java.util.Locale.ROOT).replace('_', '-'),
+                    each.start() / 1e9,
+                    (each.start() + each.length()) / 1e9));
         }
         Map<String, Integer> broken = new TreeMap<>();
         run.broken().forEach((rule, count) -> broken.put(rule.name(), count));
-        return new Result(run.scenario(), run.arm(), run.seed(), tally.goal(), tally.service(),
-                tally.worstWindow(), tally.worstClass(), classes, tally.sums(), broken,
-                Long.toHexString(run.digest()), run.wallNanos() / 1e9, seconds, faults,
-                        run.attemptsByServer(),
+        return new Result(
+                run.scenario(),
+                run.arm(),
+                run.seed(),
+                tally.goal(),
+                tally.service(),
+                tally.worstWindow(),
+                tally.worstClass(),
+                classes,
+                tally.sums(),
+                broken,
+                Long.toHexString(run.digest()),
+                run.wallNanos() / 1e9,
+                seconds,
+                faults,
+                run.attemptsByServer(),
                 run.breaches().stream().limit(5).map(Object::toString).toList());
     }
 
--- a/world/src/main/java/topazvalve/world/experiment/Results.java
+++ b/world/src/main/java/topazvalve/world/experiment/Results.java
@@ -17,9 +17,10 @@
 public final class Results {
     /** The file's name in its folder. */
     public static final String FILE = "results.jsonl";
+
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private Results() { }
+    private Results() {}
 
     /** Reads all whole lines; none where there is no file. */
     public static List<Result> read(Path folder) throws IOException {
@@ -46,7 +47,10 @@
         }
         Path next = folder.resolve(FILE + ".next");
         Files.writeString(next, text);
-        Files.move(next, folder.resolve(FILE), java.nio.file.StandardCopyOption.REPLACE_EXISTING,
+        Files.move(
+                next,
+                folder.resolve(FILE),
+                java.nio.file.StandardCopyOption.REPLACE_EXISTING,
                 java.nio.file.StandardCopyOption.ATOMIC_MOVE);
     }
 
--- a/world/src/main/java/topazvalve/world/experiment/Runner.java
+++ b/world/src/main/java/topazvalve/world/experiment/Runner.java
@@ -39,7 +39,7 @@
     }
 
     /** How far it is; {@code leftS} is a guess at the seconds left. */
-    public record Progress(int done, int all, int broken, double leftS) { }
+    public record Progress(int done, int all, int broken, double leftS) {}
 
     /**
      * Runs what is not done yet.
@@ -47,16 +47,19 @@
      * @param resume whether earlier results of the same plan in the folder count as done
      * @return all results, in the plan's order; fewer than the plan has if it was stopped
      */
-    public List<Result> run(boolean resume, Consumer<Progress> listener) throws IOException,
-            InterruptedException {
+    public List<Result> run(boolean resume, Consumer<Progress> listener) throws IOException, InterruptedException {
         Files.createDirectories(folder);
         List<Plan.Cell> cells = plan.cells();
         Set<String> wanted = new HashSet<>(cells.stream().map(Plan.Cell::key).toList());
-        List<Result> kept = resume ? Results.read(folder).stream()
-                .filter(each -> wanted.contains(each.key())).toList() : List.of();
+        List<Result> kept = resume
+                ? Results.read(folder).stream()
+                        .filter(each -> wanted.contains(each.key()))
+                        .toList()
+                : List.of();
         Results.rewrite(folder, kept);
         Set<String> done = new HashSet<>(kept.stream().map(Result::key).toList());
-        List<Plan.Cell> left = cells.stream().filter(each -> !done.contains(each.key())).toList();
+        List<Plan.Cell> left =
+                cells.stream().filter(each -> !done.contains(each.key())).toList();
         ExecutorService threads = Executors.newFixedThreadPool(jobs);
         try {
             runAll(left, threads, kept.size(), cells.size(), listener);
@@ -69,8 +72,8 @@
         return all;
     }
 
-    private void runAll(List<Plan.Cell> left, ExecutorService threads, int before, int all,
-            Consumer<Progress> listener) throws IOException, InterruptedException {
+    private void runAll(List<Plan.Cell> left, ExecutorService threads, int before, int all, Consumer<Progress> listener)
+            throws IOException, InterruptedException {
         ExecutorCompletionService<Result> running = new ExecutorCompletionService<>(threads);
         long began = System.nanoTime();
         int next = 0;
--- a/world/src/main/java/topazvalve/world/measure/EchoServer.java
+++ b/world/src/main/java/topazvalve/world/measure/EchoServer.java
@@ -29,16 +29,20 @@
 
     /** Listens on a port that is free. */
     public EchoServer(EventLoopGroup group) {
-        listening = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
+        listening = new ServerBootstrap()
+                .group(group)
+                .channel(NioServerSocketChannel.class)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel made) {
-                        made.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(1 << 16),
-                                EchoServer.this);
+                        made.pipeline()
+                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(1 << 16), EchoServer.this);
                     }
-                }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(),
-                        0)).syncUninterruptibly().channel();
+                })
+                .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+                .syncUninterruptibly()
+                .channel();
     }
 
     /** Where it listens. */
@@ -48,8 +52,8 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
-        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK,
-                Unpooled.wrappedBuffer(BODY));
+        FullHttpResponse response =
+                new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.wrappedBuffer(BODY));
         HttpUtil.setContentLength(response, BODY.length);
         context.writeAndFlush(response);
     }
--- a/world/src/main/java/topazvalve/world/measure/Launch.java
+++ b/world/src/main/java/topazvalve/world/measure/Launch.java
@@ -25,22 +25,37 @@
 
     /** A configuration with one class that may be repeated, and a list that need not be asked for. */
     static ObjectNode config(ObjectMapper json) {
-        ObjectNode root = json.createObjectNode().put("name", "m0").put("discovery",
-                "127.0.0.1:1").put("seed", "7");
+        ObjectNode root = json.createObjectNode()
+                .put("name", "m0")
+                .put("discovery", "127.0.0.1:1")
+                .put("seed", "7");
         root.putObject("limits").put("cores", 1.0).put("memory_mb", 96).put("sockets", 1024);
-        ObjectNode settings = root.putObject("settings").put("discovery", "automatic").put("quantum", 0);
+        ObjectNode settings =
+                root.putObject("settings").put("discovery", "automatic").put("quantum", 0);
         settings.putArray("zones").add("a");
         settings.putArray("kinds").add("m");
         settings.putObject("report").put("how", "silent").putArray("fields");
-        settings.putObject("caps").put("mayCancel", true).put("tryLimit", 3).put("connectTimeout",
-                500_000_000L)
-                .put("connIdle", 10_000_000_000L).put("retryAfter", true).put("maxRetryAfter",
-                        1_000_000_000L);
-        settings.putObject("rules").put("answerSlack", 20_000_000).put("stopSendingWithin", 500_000_000)
-                .put("coldShare", 0.4).put("rampTime", 7_000_000_000L).put("overloadFactor", 4.0)
-                .put("tipAfter", 1_500_000_000).put("askWithin", 10_000_000_000L);
-        settings.putArray("profiles").addObject().put("name", "look-up").put("slo", 1_000_000_000)
-                .put("deadline", 5_000_000_000L).put("semantics", "repeatable");
+        settings.putObject("caps")
+                .put("mayCancel", true)
+                .put("tryLimit", 3)
+                .put("connectTimeout", 500_000_000L)
+                .put("connIdle", 10_000_000_000L)
+                .put("retryAfter", true)
+                .put("maxRetryAfter", 1_000_000_000L);
+        settings.putObject("rules")
+                .put("answerSlack", 20_000_000)
+                .put("stopSendingWithin", 500_000_000)
+                .put("coldShare", 0.4)
+                .put("rampTime", 7_000_000_000L)
+                .put("overloadFactor", 4.0)
+                .put("tipAfter", 1_500_000_000)
+                .put("askWithin", 10_000_000_000L);
+        settings.putArray("profiles")
+                .addObject()
+                .put("name", "look-up")
+                .put("slo", 1_000_000_000)
+                .put("deadline", 5_000_000_000L)
+                .put("semantics", "repeatable");
         return root;
     }
 
--- a/world/src/main/java/topazvalve/world/measure/OpenLoop.java
+++ b/world/src/main/java/topazvalve/world/measure/OpenLoop.java
@@ -98,16 +98,20 @@
         waiting.add(meant);
         if (connections < MOST_CONNECTIONS) {
             connections++;
-            new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY,
-                    true)
+            new Bootstrap()
+                    .group(loop)
+                    .channel(NioSocketChannel.class)
+                    .option(ChannelOption.TCP_NODELAY, true)
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel made) {
-                            made.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(1 << 16),
-                                    new Handler());
+                            made.pipeline()
+                                    .addLast(new HttpClientCodec(), new HttpObjectAggregator(1 << 16), new Handler());
                             made.closeFuture().addListener(closed -> connections--);
                         }
-                    }).connect("127.0.0.1", port).addListener((ChannelFuture done) -> {
+                    })
+                    .connect("127.0.0.1", port)
+                    .addListener((ChannelFuture done) -> {
                         if (done.isSuccess()) {
                             free(done.channel());
                         } else {
@@ -128,11 +132,13 @@
 
     private void write(Channel channel, long meant) {
         channel.pipeline().get(Handler.class).meant = meant;
-        DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
-                "/api/" + Long.toHexString(chance.any()));
-        request.headers().set(HttpHeaderNames.HOST, "app.svc").set("Req-Id", name + "-"
-                + Long.toHexString(chance.any()))
-                .set("Req-Kind", "look-up").set("Req-Deadline-Ms", "5000");
+        DefaultFullHttpRequest request = new DefaultFullHttpRequest(
+                HttpVersion.HTTP_1_1, HttpMethod.GET, "/api/" + Long.toHexString(chance.any()));
+        request.headers()
+                .set(HttpHeaderNames.HOST, "app.svc")
+                .set("Req-Id", name + "-" + Long.toHexString(chance.any()))
+                .set("Req-Kind", "look-up")
+                .set("Req-Deadline-Ms", "5000");
         channel.writeAndFlush(request);
     }
 
--- a/world/src/main/java/topazvalve/world/measure/RateMeasurement.java
+++ b/world/src/main/java/topazvalve/world/measure/RateMeasurement.java
@@ -21,24 +21,31 @@
 public final class RateMeasurement {
     /** What the p99 may be longer by, in nanoseconds. */
     public static final long MOST_OVER = 5_000_000;
+
     private static final int SERVERS = 4;
     private static final ObjectMapper JSON = new ObjectMapper();
 
     /** One rate; latencies in milliseconds. */
-    public record Step(double rate, double directP50, double directP99, double throughP50, double throughP99,
-            double cpuMicros, double badShare) {
+    public record Step(
+            double rate,
+            double directP50,
+            double directP99,
+            double throughP50,
+            double throughP99,
+            double cpuMicros,
+            double badShare) {
         /** Whether the sidecar carries this rate. */
         public boolean carried() {
             return throughP99 - directP99 < MOST_OVER / 1e6 && badShare < 0.001;
         }
     }
 
-    private RateMeasurement() { }
+    private RateMeasurement() {}
 
     /** Steps up until a rate is not carried; {@code each} is told of every step. */
-    public static List<Step> run(Path home, Path folder, double first, double factor, Duration length,
-            int core,
-            Consumer<Step> each) throws IOException, InterruptedException {
+    public static List<Step> run(
+            Path home, Path folder, double first, double factor, Duration length, int core, Consumer<Step> each)
+            throws IOException, InterruptedException {
         MultiThreadIoEventLoopGroup servers = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
         MultiThreadIoEventLoopGroup clients = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
         List<EchoServer> echoes = new ArrayList<>();
@@ -50,7 +57,7 @@
             sidecar.awaitReady(Duration.ofSeconds(30));
             step(clients, echoes, sidecar, first, length, 0);
             List<Step> steps = new ArrayList<>();
-            for (double rate = first;; rate *= factor) {
+            for (double rate = first; ; rate *= factor) {
                 Step step = step(clients, echoes, sidecar, rate, length, steps.size() + 1);
                 steps.add(step);
                 each.accept(step);
@@ -65,13 +72,16 @@
         }
     }
 
-    private static Step step(MultiThreadIoEventLoopGroup clients, List<EchoServer> echoes, Launch sidecar,
+    private static Step step(
+            MultiThreadIoEventLoopGroup clients,
+            List<EchoServer> echoes,
+            Launch sidecar,
             double rate,
-            Duration length, int number) throws InterruptedException {
-        OpenLoop direct = new OpenLoop(clients.next(), echoes.get(0).port(), "d" + number, rate,
-                length.toNanos(), 1);
-        OpenLoop through = new OpenLoop(clients.next(), sidecar.port(), "t" + number, rate, length.toNanos(),
-                2);
+            Duration length,
+            int number)
+            throws InterruptedException {
+        OpenLoop direct = new OpenLoop(clients.next(), echoes.get(0).port(), "d" + number, rate, length.toNanos(), 1);
+        OpenLoop through = new OpenLoop(clients.next(), sidecar.port(), "t" + number, rate, length.toNanos(), 2);
         Duration before = sidecar.cpu();
         direct.start();
         through.start();
@@ -80,18 +90,30 @@
         Histogram d = direct.latency();
         Histogram t = through.latency();
         long missing = through.sent() - t.getTotalCount();
-        return new Step(rate, d.getValueAtPercentile(50) / 1e6, d.getValueAtPercentile(99) / 1e6,
-                t.getValueAtPercentile(50) / 1e6, t.getValueAtPercentile(99) / 1e6, cpu,
+        return new Step(
+                rate,
+                d.getValueAtPercentile(50) / 1e6,
+                d.getValueAtPercentile(99) / 1e6,
+                t.getValueAtPercentile(50) / 1e6,
+                t.getValueAtPercentile(99) / 1e6,
+                cpu,
                 (double) Math.max(missing, through.bad()) / Math.max(1, through.sent()));
     }
 
     private static ObjectNode config(List<EchoServer> echoes) {
         ObjectNode config = Launch.config(JSON);
-        ArrayNode targets = config.putObject("known").put("rev", 1).put("all", true).putArray("targets");
+        ArrayNode targets =
+                config.putObject("known").put("rev", 1).put("all", true).putArray("targets");
         for (int i = 0; i < echoes.size(); i++) {
-            targets.addObject().put("uid", "s-" + i).put("endpoint", "127.0.0.1:" + echoes.get(i).port())
-                    .put("az", "a").put("model", "m").put("pod_group", 0).put("state", "SERVING")
-                    .put("capacity_hint", 1.0).put("boot_ms", 0);
+            targets.addObject()
+                    .put("uid", "s-" + i)
+                    .put("endpoint", "127.0.0.1:" + echoes.get(i).port())
+                    .put("az", "a")
+                    .put("model", "m")
+                    .put("pod_group", 0)
+                    .put("state", "SERVING")
+                    .put("capacity_hint", 1.0)
+                    .put("boot_ms", 0);
         }
         return config;
     }
--- a/world/src/main/java/topazvalve/world/measure/StartMeasurement.java
+++ b/world/src/main/java/topazvalve/world/measure/StartMeasurement.java
@@ -27,7 +27,7 @@
         }
     }
 
-    private StartMeasurement() { }
+    private StartMeasurement() {}
 
     /** Starts it so many times, alone on the core or beside {@code parts} - 1 busy ones. */
     public static Share run(Path home, Path folder, int core, int parts, int times)
@@ -37,8 +37,7 @@
         List<Double> cpu = new ArrayList<>();
         try {
             for (int i = 1; i < parts; i++) {
-                busy.add(new ProcessBuilder(Launch.pinned(core, "/bin/sh", "-c",
-                        "while :; do :; done")).start());
+                busy.add(new ProcessBuilder(Launch.pinned(core, "/bin/sh", "-c", "while :; do :; done")).start());
             }
             for (int i = 0; i < times; i++) {
                 Launch sidecar = Launch.of(home, folder, Launch.config(JSON), core);
--- a/world/src/main/java/topazvalve/world/model/Asker.java
+++ b/world/src/main/java/topazvalve/world/model/Asker.java
@@ -12,8 +12,14 @@
  */
 public final class Asker {
     /** One request as meant. */
-    public record Wish(int requestClass, long key, double work, long patience, boolean leavesEarly,
-            boolean retries, boolean heeds) { }
+    public record Wish(
+            int requestClass,
+            long key,
+            double work,
+            long patience,
+            boolean leavesEarly,
+            boolean retries,
+            boolean heeds) {}
 
     private final Scenario scenario;
     private final Chance chance;
@@ -29,7 +35,9 @@
         this.rhythm = rhythm;
         this.rate = scenario.instanceRate() * chance.lognormal(scenario.load().instanceSpread()) / 1e9;
         this.shares = scenario.classes().stream().mapToDouble(WorkClass::share).sum();
-        this.keys = RejectionInversionZipfSampler.of(chance.random(), scenario.load().keys(),
+        this.keys = RejectionInversionZipfSampler.of(
+                chance.random(),
+                scenario.load().keys(),
                 Math.max(1e-9, scenario.load().zipf()));
     }
 
@@ -56,7 +64,13 @@
         Scenario.Clients clients = scenario.clients();
         boolean early = chance.happens(clients.impatient());
         long patience = early ? (long) (kind.deadline() * (0.05 + 0.5 * chance.part())) : kind.deadline();
-        return new Wish(number, keys.sample(), kind.work() * chance.lognormal(kind.spread()), patience, early,
-                chance.happens(clients.retries()), chance.happens(clients.honour()));
+        return new Wish(
+                number,
+                keys.sample(),
+                kind.work() * chance.lognormal(kind.spread()),
+                patience,
+                early,
+                chance.happens(clients.retries()),
+                chance.happens(clients.honour()));
     }
 }
--- a/world/src/main/java/topazvalve/world/model/Directory.java
+++ b/world/src/main/java/topazvalve/world/model/Directory.java
@@ -14,7 +14,7 @@
  */
 public final class Directory {
     /** One line of the list. */
-    public record Entry(OrderServer server, State state, long startedAt, long changedAtRevision) { }
+    public record Entry(OrderServer server, State state, long startedAt, long changedAtRevision) {}
 
     private static final int REMEMBERED = 4096;
 
@@ -82,7 +82,8 @@
 
     /** The changes after a revision; null where they are no longer known. */
     public List<Entry> since(long after) {
-        if (after > revision || !log.isEmpty() && log.get(0).changedAtRevision() > after + 1
+        if (after > revision
+                || !log.isEmpty() && log.get(0).changedAtRevision() > after + 1
                 || log.isEmpty() && after < revision) {
             return null;
         }
--- a/world/src/main/java/topazvalve/world/model/FaultPlayer.java
+++ b/world/src/main/java/topazvalve/world/model/FaultPlayer.java
@@ -43,8 +43,13 @@
             long start = (long) (chance.part() * Math.max(0, scenario.length() - length));
             double size = chaos.size().at(chance.part());
             boolean part = kind == Fault.Kind.LOSS || kind == Fault.Kind.SPOIL;
-            all.add(new Fault(kind, start, length, chaos.share().at(chance.part()),
-                    part ? Math.min(0.5, size / 10) : size, 20_000_000));
+            all.add(new Fault(
+                    kind,
+                    start,
+                    length,
+                    chaos.share().at(chance.part()),
+                    part ? Math.min(0.5, size / 10) : size,
+                    20_000_000));
         }
         return all;
     }
@@ -79,7 +84,7 @@
                     long at = clock.now() + (long) (chance.part() * fault.length());
                     clock.at(at, () -> stage.restartInstance(number));
                 }
-                later(fault, () -> { });
+                later(fault, () -> {});
             }
             case SPOIL -> {
                 List<OrderServer> struck = struck(fault, chance);
@@ -91,17 +96,17 @@
             case REFUSE -> inMode(fault, chance, Mode.REFUSING);
             case RESET -> {
                 struck(fault, chance).forEach(OrderServer::breakAll);
-                later(fault, () -> { });
+                later(fault, () -> {});
             }
             case VANISH -> stop(fault, chance, true);
             case RESTART -> stop(fault, chance, false);
             case REPLACE, REPLACE_IN_PLACE -> {
                 struck(fault, chance).forEach(old -> replace(fault, old));
-                later(fault, () -> { });
+                later(fault, () -> {});
             }
             case DRAIN -> {
                 struck(fault, chance).forEach(server -> drain(fault, server));
-                later(fault, () -> { });
+                later(fault, () -> {});
             }
             default -> throw new IllegalStateException("no such fault: " + fault.kind());
         }
@@ -143,8 +148,7 @@
     private void inMode(Fault fault, Chance chance, Mode mode) {
         List<OrderServer> struck = struck(fault, chance);
         struck.forEach(each -> each.mode(mode));
-        later(fault, () -> struck.stream().filter(each -> each.mode() == mode).forEach(each ->
-                each.mode(Mode.UP)));
+        later(fault, () -> struck.stream().filter(each -> each.mode() == mode).forEach(each -> each.mode(Mode.UP)));
     }
 
     private void stop(Fault fault, Chance chance, boolean silently) {
--- a/world/src/main/java/topazvalve/world/model/Fleet.java
+++ b/world/src/main/java/topazvalve/world/model/Fleet.java
@@ -34,7 +34,8 @@
     }
 
     private int kind(Chance chance) {
-        double all = scenario.machines().stream().mapToDouble(MachineKind::share).sum();
+        double all =
+                scenario.machines().stream().mapToDouble(MachineKind::share).sum();
         double at = chance.part() * all;
         for (int i = 0; i < scenario.machines().size(); i++) {
             at -= scenario.machines().get(i).share();
@@ -47,8 +48,15 @@
 
     private OrderServer make(Pod pod, int kind) {
         long id = ++lastId;
-        return new OrderServer(clock, id, scenario.machines().get(kind), kind, pod, scenario.limits(),
-                scenario.meanWork(), Chance.stream(seed, "server." + id));
+        return new OrderServer(
+                clock,
+                id,
+                scenario.machines().get(kind),
+                kind,
+                pod,
+                scenario.limits(),
+                scenario.meanWork(),
+                Chance.stream(seed, "server." + id));
     }
 
     /** Those that are there now. */
--- a/world/src/main/java/topazvalve/world/model/Job.java
+++ b/world/src/main/java/topazvalve/world/model/Job.java
@@ -14,6 +14,7 @@
     double finish;
     /** Where it is: null once it is over. */
     OrderServer holder;
+
     boolean running;
 
     /**
--- a/world/src/main/java/topazvalve/world/model/Link.java
+++ b/world/src/main/java/topazvalve/world/model/Link.java
@@ -6,6 +6,7 @@
 public final class Link {
     /** How long a lost packet is missed before it is sent again; doubled each time. */
     private static final long RESEND = 200_000_000;
+
     private static final int MOST_RESENDS = 6;
     private final Network network;
     private final Chance chance;
--- a/world/src/main/java/topazvalve/world/model/OrderServer.java
+++ b/world/src/main/java/topazvalve/world/model/OrderServer.java
@@ -50,7 +50,7 @@
     private final KeyMemory keys;
     private final List<Job> running = new ArrayList<>();
     private final ArrayDeque<Job> waiting = new ArrayDeque<>();
-    private BiConsumer<OrderServer, Double> whenFallen = (server, informed) -> { };
+    private BiConsumer<OrderServer, Double> whenFallen = (server, informed) -> {};
 
     private ColdWatch coldWatch;
 
@@ -73,14 +73,22 @@
 
     /** Work that each running attempt has had, in nanoseconds of a standard core. */
     private double progress;
+
     private long progressAt;
     private double rate;
     private long planned = Long.MAX_VALUE;
     private long plan;
 
     /** A warm server that has run for long. */
-    public OrderServer(Clock clock, long id, MachineKind kind, int kindNumber, Pod pod, Limits limits,
-            double meanWork, Chance chance) {
+    public OrderServer(
+            Clock clock,
+            long id,
+            MachineKind kind,
+            int kindNumber,
+            Pod pod,
+            Limits limits,
+            double meanWork,
+            Chance chance) {
         this.clock = clock;
         this.id = id;
         this.kind = kind;
@@ -92,8 +100,7 @@
         this.speed = kind.speed().at(chance.part());
         this.slots = Math.max(1, (int) Math.round(kind.slots() * kind.cores()));
         this.room = slots + (int) Math.round(kind.queue() * kind.cores());
-        this.keys = kind.knownKeys() > 0 ? new KeyMemory(kind.knownKeys() * kind.cores(),
-                kind.keyTime()) : null;
+        this.keys = kind.knownKeys() > 0 ? new KeyMemory(kind.knownKeys() * kind.cores(), kind.keyTime()) : null;
         this.progressAt = clock.now();
         pod.add(this);
         if (kind.pauseEvery() > 0) {
@@ -207,8 +214,8 @@
         if (cold) {
             budget.offer(now, job.work, presentSpeed(now), informed);
             if (coldWatch != null) {
-                coldWatch.window(this, budget.offered() / meanWork, budget.allowed() / meanWork,
-                        budget.informedShare());
+                coldWatch.window(
+                        this, budget.offered() / meanWork, budget.allowed() / meanWork, budget.informedShare());
             } else if (budget.over(slack())) {
                 fall();
                 job.broken();
@@ -232,8 +239,7 @@
 
     /** The sender has given an attempt up; what that stops is up to the kind. */
     public void cancel(Job job) {
-        if (job.holder != this || kind.cancel() == Cancel.NOTHING
-                || job.running && kind.cancel() == Cancel.WAITING) {
+        if (job.holder != this || kind.cancel() == Cancel.NOTHING || job.running && kind.cancel() == Cancel.WAITING) {
             return;
         }
         settle();
--- a/world/src/main/java/topazvalve/world/model/Rhythm.java
+++ b/world/src/main/java/topazvalve/world/model/Rhythm.java
@@ -23,17 +23,18 @@
 
     /** The factor at a time, in nanoseconds from the start; called with times that never run back. */
     public double factor(long time) {
-        return overload * switch (load.shape()) {
-            case POISSON -> 1;
-            case WAVE -> 1 + load.swing() * Math.sin(2 * Math.PI * time / load.period());
-            case BURSTY -> {
-                while (time >= until) {
-                    high = !high;
-                    until += Math.max(1_000_000, (long) chance.exponential(load.period() / 2.0));
-                }
-                yield high ? 1 + load.swing() : 1 - load.swing();
-            }
-        };
+        return overload
+                * switch (load.shape()) {
+                    case POISSON -> 1;
+                    case WAVE -> 1 + load.swing() * Math.sin(2 * Math.PI * time / load.period());
+                    case BURSTY -> {
+                        while (time >= until) {
+                            high = !high;
+                            until += Math.max(1_000_000, (long) chance.exponential(load.period() / 2.0));
+                        }
+                        yield high ? 1 + load.swing() : 1 - load.swing();
+                    }
+                };
     }
 
     /** No factor is above this one, at present. */
--- a/world/src/main/java/topazvalve/world/oracle/Oracle.java
+++ b/world/src/main/java/topazvalve/world/oracle/Oracle.java
@@ -15,7 +15,11 @@
  */
 public final class Oracle {
     /** How an answer reads to the client. */
-    public enum Answer { SERVED, REFUSED, FAILED }
+    public enum Answer {
+        SERVED,
+        REFUSED,
+        FAILED
+    }
 
     /** Breaches that are kept whole; the rest is counted. */
     private static final int KEPT = 100;
@@ -74,17 +78,21 @@
             broken(Rule.NOTHING_AFTER, at, "sent after its answer: " + trace.describe());
         }
         if (at - LEFT_GRACE - flight - tolerance > trace.leftAt) {
-            broken(Rule.CLIENT_LEFT, at, (at - trace.leftAt) / 1_000_000
-                    + " ms after its client left, attempt " + trace.attempts + ": " + trace.describe());
+            broken(
+                    Rule.CLIENT_LEFT,
+                    at,
+                    (at - trace.leftAt) / 1_000_000 + " ms after its client left, attempt " + trace.attempts + ": "
+                            + trace.describe());
         }
         if (trace.mayHaveRun > 0) {
             repeated(trace, zone, pod, at);
         }
         Long told = drains.get(drainKey(trace.instance, server));
         if (told != null && at > told + limits.drainGrace() + flight + tolerance) {
-            broken(Rule.DRAIN, at, (at - told) / 1_000_000 + " ms after it was told of server " + server
-                    + ": "
-                    + trace.describe());
+            broken(
+                    Rule.DRAIN,
+                    at,
+                    (at - told) / 1_000_000 + " ms after it was told of server " + server + ": " + trace.describe());
         }
         if (mayRun) {
             if (!trace.everMayHaveRun) {
@@ -111,11 +119,12 @@
             broken(Rule.NEVER_TWICE, at, trace.describe());
         } else if (repeats == Repeats.KEYED) {
             Scope scope = trace.requestClass.scope();
-            boolean elsewhere = scope == Scope.ZONE && zone != trace.zone || scope == Scope.POD
-                    && pod != trace.pod;
+            boolean elsewhere = scope == Scope.ZONE && zone != trace.zone || scope == Scope.POD && pod != trace.pod;
             if (elsewhere || at - trace.firstAt > trace.requestClass.window() + flight + tolerance) {
-                broken(Rule.KEYED_REPEAT, at, (elsewhere ? "in another " + scope : "after the window") + ": "
-                        + trace.describe());
+                broken(
+                        Rule.KEYED_REPEAT,
+                        at,
+                        (elsewhere ? "in another " + scope : "after the window") + ": " + trace.describe());
             }
         }
     }
@@ -146,12 +155,14 @@
             broken(Rule.TRUE_ANSWER, at, "served by no server: " + trace.describe());
         }
         Repeats repeats = trace.requestClass.repeats();
-        boolean harmful = repeats == Repeats.NEVER
-                || repeats == Repeats.KEYED && trace.requestClass.scope() != Scope.ALL;
+        boolean harmful =
+                repeats == Repeats.NEVER || repeats == Repeats.KEYED && trace.requestClass.scope() != Scope.ALL;
         if (answer == Answer.REFUSED && harmful && trace.everMayHaveRun) {
             broken(Rule.HARMLESS_REFUSAL, at, trace.describe());
         }
-        if (answer != Answer.SERVED && trace.attempts == 0 && !trace.carried
+        if (answer != Answer.SERVED
+                && trace.attempts == 0
+                && !trace.carried
                 && at - trace.sentAt > HELD_BACK * (trace.deadline - trace.sentAt) + tolerance) {
             broken(Rule.AT_ONCE, at, "given up, and held back: " + trace.describe());
         }
@@ -198,8 +209,11 @@
     /** A cold server was pushed over; {@code informed} is the part of the work from those who knew. */
     public void fell(long server, double informed, long at) {
         if (informed >= INFORMED) {
-            broken(Rule.COLD, at, "server " + server + " was pushed over, "
-                    + Math.round(informed * 100) + " in 100 by who knew that it was cold");
+            broken(
+                    Rule.COLD,
+                    at,
+                    "server " + server + " was pushed over, " + Math.round(informed * 100)
+                            + " in 100 by who knew that it was cold");
         }
     }
 
--- a/world/src/main/java/topazvalve/world/oracle/Trace.java
+++ b/world/src/main/java/topazvalve/world/oracle/Trace.java
@@ -27,6 +27,7 @@
     boolean excused;
     /** When its client left; {@link Long#MAX_VALUE} while it waits. */
     long leftAt = Long.MAX_VALUE;
+
     private final long[] servers = new long[KEPT];
     private final long[] times = new long[KEPT];
 
@@ -73,11 +74,22 @@
 
     /** The request, its attempts and their times, in milliseconds after it was sent. */
     String describe() {
-        StringBuilder text = new StringBuilder("request ").append(id).append(" (").append(requestClass.name())
-                .append(", instance ").append(instance).append(", sent at ").append(sentAt / 1_000_000)
-                .append(" ms, deadline +").append((deadline - sentAt) / 1_000_000).append(')');
+        StringBuilder text = new StringBuilder("request ")
+                .append(id)
+                .append(" (")
+                .append(requestClass.name())
+                .append(", instance ")
+                .append(instance)
+                .append(", sent at ")
+                .append(sentAt / 1_000_000)
+                .append(" ms, deadline +")
+                .append((deadline - sentAt) / 1_000_000)
+                .append(')');
         for (int i = 0; i < Math.min(attempts, KEPT); i++) {
-            text.append(i == 0 ? "; attempts" : ",").append(" server ").append(servers[i]).append(" at +")
+            text.append(i == 0 ? "; attempts" : ",")
+                    .append(" server ")
+                    .append(servers[i])
+                    .append(" at +")
                     .append((times[i] - sentAt) / 1_000_000);
         }
         if (answered()) {
--- a/world/src/main/java/topazvalve/world/policy/Policy.java
+++ b/world/src/main/java/topazvalve/world/policy/Policy.java
@@ -26,8 +26,7 @@
         @Override
         public Balancer make(Balancer.Settings settings, long seed, Balancer.Actions actions) {
             long first = new SplittableRandom(seed).nextInt(1 << 20);
-            return new Textbook(settings, actions, (servers, turn) -> (int) ((first
-                    + turn) % servers.size()));
+            return new Textbook(settings, actions, (servers, turn) -> (int) ((first + turn) % servers.size()));
         }
     },
     /** The ready server with the fewest of this instance's own requests; the first after a random place. */
--- a/world/src/main/java/topazvalve/world/policy/Textbook.java
+++ b/world/src/main/java/topazvalve/world/policy/Textbook.java
@@ -78,7 +78,8 @@
         }
         entries.forEach(each -> listed.put(each.id(), each));
         ready.clear();
-        listed.values().stream().filter(each -> each.state() == State.READY)
+        listed.values().stream()
+                .filter(each -> each.state() == State.READY)
                 .sorted((a, b) -> Long.compare(a.id(), b.id()))
                 .forEach(each -> ready.add(servers.computeIfAbsent(each.id(), id -> new Server(each))));
         servers.values().removeIf(each -> each.inFlight == 0 && !listed.containsKey(each.id));
@@ -97,13 +98,13 @@
     }
 
     @Override
-    public void requestWhole(long now, long request) { }
+    public void requestWhole(long now, long request) {}
 
     @Override
-    public void unrepeatable(long now, long request) { }
+    public void unrepeatable(long now, long request) {}
 
     @Override
-    public void firstByte(long now, long request, int attempt, long upstream, long elapsed) { }
+    public void firstByte(long now, long request, int attempt, long upstream, long elapsed) {}
 
     private void place(long now, Call call) {
         if (ready.isEmpty() || call.tries >= settings.allowed().tryLimit() || now >= call.deadline) {
@@ -128,8 +129,15 @@
     }
 
     @Override
-    public void outcome(long now, long request, int attempt, long upstream, Outcome outcome, long elapsed,
-            boolean ended, float[] load) {
+    public void outcome(
+            long now,
+            long request,
+            int attempt,
+            long upstream,
+            Outcome outcome,
+            long elapsed,
+            boolean ended,
+            float[] load) {
         Server server = servers.get(upstream);
         if (server != null && server.inFlight > 0) {
             server.inFlight--;
--- a/world/src/main/java/topazvalve/world/process/RunLine.java
+++ b/world/src/main/java/topazvalve/world/process/RunLine.java
@@ -10,7 +10,7 @@
 
 /** The deploy file's {@code run} line, which starts one sidecar. */
 public final class RunLine {
-    private RunLine() { }
+    private RunLine() {}
 
     /**
      * A sidecar with this configuration, about to be started from the repository's root.
@@ -19,7 +19,8 @@
      */
     public static ProcessBuilder of(Path home, Path config, List<String> before) throws IOException {
         String run = Files.readAllLines(home.resolve("deploy/balancer.toml")).stream()
-                .filter(each -> each.startsWith("run = \"")).findFirst()
+                .filter(each -> each.startsWith("run = \""))
+                .findFirst()
                 .map(each -> each.substring(each.indexOf('"') + 1, each.lastIndexOf('"')))
                 .orElseThrow(() -> new IOException("deploy/balancer.toml has no run line"));
         List<String> command = new ArrayList<>(before);
