--- a/world/src/main/java/topazvalve/world/real/DiscoveryStand.java
+++ b/world/src/main/java/topazvalve/world/real/DiscoveryStand.java
@@ -51,27 +51,32 @@
     private final Set<Watch> watches = new HashSet<>();
     private long busyUntil;
 
-    private record Watch(int instance, Channel channel) { }
+    private record Watch(int instance, Channel channel) {}
 
     DiscoveryStand(EventLoop loop, RealWorld world, News news) {
         this.world = world;
         this.news = news;
         world.directory().follow(this::changed);
-        loop.scheduleWithFixedDelay(() -> watches.forEach(each -> write(each, "\n")), BEAT_S, BEAT_S,
-                TimeUnit.SECONDS);
+        loop.scheduleWithFixedDelay(() -> watches.forEach(each -> write(each, "\n")), BEAT_S, BEAT_S, TimeUnit.SECONDS);
         loop.scheduleWithFixedDelay(this::lookWhetherDown, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Opens the port of one instance. */
     ChannelFuture open(int instance) {
-        return new ServerBootstrap().group(world.group()).channel(NioServerSocketChannel.class)
+        return new ServerBootstrap()
+                .group(world.group())
+                .channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel made) {
-                        made.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(LARGEST),
-                                new Handler(instance));
+                        made.pipeline()
+                                .addLast(
+                                        new HttpServerCodec(),
+                                        new HttpObjectAggregator(LARGEST),
+                                        new Handler(instance));
                     }
-                }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+                })
+                .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     }
 
     private void lookWhetherDown() {
@@ -82,14 +87,19 @@
     }
 
     private static void write(Watch watch, String line) {
-        watch.channel.writeAndFlush(new DefaultHttpContent(Unpooled.copiedBuffer(line,
-                StandardCharsets.UTF_8)));
+        watch.channel.writeAndFlush(new DefaultHttpContent(Unpooled.copiedBuffer(line, StandardCharsets.UTF_8)));
     }
 
     private void changed(Entry entry) {
         long at = world.clock().now() + world.newsDelay();
-        world.clock().at(at, () -> Set.copyOf(watches).forEach(each ->
-                tell(each, listing(List.of(entry), entry.changedAtRevision(), false), List.of(entry))));
+        world.clock()
+                .at(
+                        at,
+                        () -> Set.copyOf(watches)
+                                .forEach(each -> tell(
+                                        each,
+                                        listing(List.of(entry), entry.changedAtRevision(), false),
+                                        List.of(entry))));
     }
 
     private void tell(Watch watch, ObjectNode listing, List<Entry> entries) {
@@ -124,10 +134,9 @@
             String from = uri.parameters().getOrDefault("from", List.of("0")).get(0);
             long now = world.clock().now();
             long begins = Math.max(now, busyUntil);
-            if (!uri.path().equals("/discovery/hosts") || world.directory().down()
-                    || begins - now > news.patience()) {
-                FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                        HttpResponseStatus.SERVICE_UNAVAILABLE);
+            if (!uri.path().equals("/discovery/hosts") || world.directory().down() || begins - now > news.patience()) {
+                FullHttpResponse response =
+                        new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.SERVICE_UNAVAILABLE);
                 HttpUtil.setContentLength(response, 0);
                 context.writeAndFlush(response);
                 return;
@@ -150,7 +159,8 @@
                 channel.closeFuture().addListener(closed -> watches.remove(watch));
                 tell(watch, listing, entries);
             } else {
-                FullHttpResponse whole = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
+                FullHttpResponse whole = new DefaultFullHttpResponse(
+                        HttpVersion.HTTP_1_1,
                         HttpResponseStatus.OK,
                         Unpooled.copiedBuffer(listing + "\n", StandardCharsets.UTF_8));
                 HttpUtil.setContentLength(whole, whole.content().readableBytes());
--- a/world/src/main/java/topazvalve/world/real/LoopClock.java
+++ b/world/src/main/java/topazvalve/world/real/LoopClock.java
@@ -8,6 +8,7 @@
 final class LoopClock implements Clock {
     /** Far from 0, since a server that started at 0 counts as started long ago. */
     private static final long START = 1_000_000_000_000L;
+
     private final EventLoop loop;
     private final long zero = System.nanoTime();
 
--- a/world/src/main/java/topazvalve/world/real/RealClients.java
+++ b/world/src/main/java/topazvalve/world/real/RealClients.java
@@ -118,9 +118,8 @@
         }
 
         void send() {
-            world.traces().put(id, new Traces.Sent(trace, number, wish.requestClass(), wish.key(),
-                    wish.work(),
-                    deadline));
+            world.traces()
+                    .put(id, new Traces.Sent(trace, number, wish.requestClass(), wish.key(), wish.work(), deadline));
             world.oracle().sent(trace);
             world.request();
             world.clock().at(deadline, this::giveUp);
@@ -135,17 +134,22 @@
                 write(kept);
                 return;
             }
-            new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY,
-                    true)
+            new Bootstrap()
+                    .group(loop)
+                    .channel(NioSocketChannel.class)
+                    .option(ChannelOption.TCP_NODELAY, true)
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel made) {
-                            made.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(LARGEST),
-                                    new Handler(number));
+                            made.pipeline()
+                                    .addLast(
+                                            new HttpClientCodec(),
+                                            new HttpObjectAggregator(LARGEST),
+                                            new Handler(number));
                         }
                     })
-                    .connect("127.0.0.1",
-                            world.port(number)).addListener((io.netty.channel.ChannelFuture done) -> {
+                    .connect("127.0.0.1", world.port(number))
+                    .addListener((io.netty.channel.ChannelFuture done) -> {
                         if (over) {
                             done.channel().close();
                         } else if (done.isSuccess()) {
@@ -171,10 +175,15 @@
             to.pipeline().get(Handler.class).current = this;
             boolean get = kind.repeats() == Repeats.FREE;
             ByteBuf body = get ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(BODY);
-            DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
-                    get ? HttpMethod.GET : HttpMethod.POST, "/api/" + Long.toHexString(wish.key()), body);
-            request.headers().set(HttpHeaderNames.HOST, "app.svc").set("Req-Id", id).set("Req-Kind",
-                    kind.name())
+            DefaultFullHttpRequest request = new DefaultFullHttpRequest(
+                    HttpVersion.HTTP_1_1,
+                    get ? HttpMethod.GET : HttpMethod.POST,
+                    "/api/" + Long.toHexString(wish.key()),
+                    body);
+            request.headers()
+                    .set(HttpHeaderNames.HOST, "app.svc")
+                    .set("Req-Id", id)
+                    .set("Req-Kind", kind.name())
                     .set("Req-Deadline-Ms", Math.max(1, left / 1_000_000));
             if (kind.repeats() == Repeats.KEYED) {
                 request.headers().set("Idempotency-Key", id);
@@ -218,8 +227,7 @@
             int code = response.status().code();
             boolean genuine = code == 200
                     && response.content().toString(StandardCharsets.US_ASCII).equals(bodyOf(id));
-            Answer answer = code == 200 ? Answer.SERVED : code == 429 || code == 503
-                    ? Answer.REFUSED : Answer.FAILED;
+            Answer answer = code == 200 ? Answer.SERVED : code == 429 || code == 503 ? Answer.REFUSED : Answer.FAILED;
             if (code == 200 && !genuine) {
                 world.oracle().forged(trace, world.elapsed());
             }
@@ -230,8 +238,7 @@
 
         private long wait(FullHttpResponse response) {
             try {
-                return (long) (Double.parseDouble(response.headers().get(HttpHeaderNames.RETRY_AFTER,
-                        "0")) * 1e9);
+                return (long) (Double.parseDouble(response.headers().get(HttpHeaderNames.RETRY_AFTER, "0")) * 1e9);
             } catch (NumberFormatException e) {
                 return 0;
             }
@@ -239,14 +246,21 @@
 
         private void ended(Answer answer, long wait) {
             over = true;
-            boolean harmless = answer == Answer.REFUSED || kind.repeats() == Repeats.FREE
+            boolean harmless = answer == Answer.REFUSED
+                    || kind.repeats() == Repeats.FREE
                     || kind.repeats() == Repeats.KEYED && kind.scope() == Scope.ALL;
             if (answer == Answer.SERVED) {
-                world.tally().served(wish.requestClass(), world.sinceStart(firstAt),
-                        world.clock().now() - firstAt);
+                world.tally()
+                        .served(
+                                wish.requestClass(),
+                                world.sinceStart(firstAt),
+                                world.clock().now() - firstAt);
             } else if (wish.retries() && !retry && harmless) {
-                long pause = wish.heeds() ? Math.max(scenario.clients().backoff(),
-                        Math.min(wait, scenario.clients().maxRetryAfter())) : scenario.clients().backoff();
+                long pause = wish.heeds()
+                        ? Math.max(
+                                scenario.clients().backoff(),
+                                Math.min(wait, scenario.clients().maxRetryAfter()))
+                        : scenario.clients().backoff();
                 world.clock().at(world.clock().now() + pause, () -> {
                     world.tally().retry();
                     new Try(number, wish, firstAt, true).send();
@@ -290,8 +304,10 @@
         public void channelReadComplete(ChannelHandlerContext context) {
             if (slow) {
                 context.channel().config().setAutoRead(false);
-                world.clock().at(world.clock().now() + SLOW_READ,
-                        () -> context.channel().config().setAutoRead(true));
+                world.clock()
+                        .at(
+                                world.clock().now() + SLOW_READ,
+                                () -> context.channel().config().setAutoRead(true));
             }
         }
 
--- a/world/src/main/java/topazvalve/world/real/RealWorld.java
+++ b/world/src/main/java/topazvalve/world/real/RealWorld.java
@@ -46,6 +46,7 @@
     private static final ObjectMapper JSON = new ObjectMapper();
     /** What scheduling and the kernel may add to every limit. */
     private static final long TOLERANCE = 50_000_000;
+
     private static final long FLIGHT = 50_000_000;
     private static final long START_LIMIT_S = 30;
 
@@ -53,8 +54,7 @@
     private final long seed;
     private final Path home;
     private final Path folder;
-    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1,
-            NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final LoopClock clock = new LoopClock(loop);
     private final Oracle oracle;
@@ -87,7 +87,8 @@
         this.seed = seed;
         this.home = home;
         this.folder = folder;
-        this.oracle = new Oracle(scenario.limits(), TOLERANCE, FLIGHT + 4 * scenario.network().crossZone());
+        this.oracle = new Oracle(
+                scenario.limits(), TOLERANCE, FLIGHT + 4 * scenario.network().crossZone());
         this.tally = new Tally(scenario);
         this.noise = Chance.stream(seed, "noise");
         this.spread = Chance.stream(seed, "spread");
@@ -131,22 +132,34 @@
                 int second = i;
                 long until = began + (i + 2) * 1_000_000_000L;
                 TimeUnit.NANOSECONDS.sleep(Math.max(0, until - System.nanoTime()));
-                Map.Entry<Tally.Second, String> seen = onLoop(() -> Map.entry(tally.second(second),
-                        wrongNow()));
+                Map.Entry<Tally.Second, String> seen = onLoop(() -> Map.entry(tally.second(second), wrongNow()));
                 eachSecond.accept(seen.getKey(), seen.getValue());
             }
-            long rest = scenario.classes().stream().mapToLong(each -> each.deadline()).max().orElseThrow();
+            long rest = scenario.classes().stream()
+                    .mapToLong(each -> each.deadline())
+                    .max()
+                    .orElseThrow();
             TimeUnit.NANOSECONDS.sleep(2 * rest + scenario.clients().maxRetryAfter());
             for (int i = 0; i < sidecars.size(); i++) {
                 if (!sidecars.get(i).alive()) {
-                    throw new IOException("sidecar " + i + " has ended by itself; its log is "
-                            + folder.resolve("n" + i
-                            + ".log"));
+                    throw new IOException(
+                            "sidecar " + i + " has ended by itself; its log is " + folder.resolve("n" + i + ".log"));
                 }
             }
-            return onLoop(() -> new Run(scenario.name(), "sidecar", seed, tally, oracle.counts(),
-                    oracle.breaches(), faults, scene.notes(), digest.getValue(), requests, 0,
-                    System.nanoTime() - began, attemptsByServer));
+            return onLoop(() -> new Run(
+                    scenario.name(),
+                    "sidecar",
+                    seed,
+                    tally,
+                    oracle.counts(),
+                    oracle.breaches(),
+                    faults,
+                    scene.notes(),
+                    digest.getValue(),
+                    requests,
+                    0,
+                    System.nanoTime() - began,
+                    attemptsByServer));
         } finally {
             close();
             forget(hook);
@@ -223,8 +236,10 @@
 
     private static boolean up(SidecarProcess sidecar) {
         try {
-            HttpURLConnection ask = (HttpURLConnection) URI.create("http://127.0.0.1:" + sidecar.adminPort()
-                    + "/_ready").toURL().openConnection();
+            HttpURLConnection ask =
+                    (HttpURLConnection) URI.create("http://127.0.0.1:" + sidecar.adminPort() + "/_ready")
+                            .toURL()
+                            .openConnection();
             ask.setConnectTimeout(500);
             ask.setReadTimeout(1000);
             return ask.getResponseCode() == 200;
@@ -293,7 +308,8 @@
 
     /** One way between an instance and a server, beyond what loopback takes. */
     long way(int instance, OrderServer server) {
-        return link().delay(instance % scenario.fleet().zones().size() != server.pod().zone());
+        return link().delay(instance % scenario.fleet().zones().size()
+                != server.pod().zone());
     }
 
     long newsDelay() {
@@ -303,8 +319,8 @@
     void received(Traces.Sent sent, OrderServer server, boolean mayRun) {
         attemptsByServer[(int) Math.min(attemptsByServer.length - 1, server.id())]++;
         tally.attempt(elapsed());
-        oracle.received(sent.trace(), server.id(), server.pod().zone(), server.pod().number(), mayRun,
-                elapsed());
+        oracle.received(
+                sent.trace(), server.id(), server.pod().zone(), server.pod().number(), mayRun, elapsed());
     }
 
     void told(int instance, List<Entry> entries) {
@@ -329,16 +345,22 @@
 
     ObjectNode target(Entry entry) {
         OrderServer server = entry.server();
-        return JSON.createObjectNode().put("uid", "s-" + server.id())
+        return JSON.createObjectNode()
+                .put("uid", "s-" + server.id())
                 .put("endpoint", stands.get(server.id()).endpoint())
                 .put("az", scenario.fleet().zones().get(server.pod().zone()))
-                .put("model", server.kind().name()).put("pod_group", server.pod().number())
-                .put("state", DiscoveryStand.word(entry.state())).put("capacity_hint", 1.0)
+                .put("model", server.kind().name())
+                .put("pod_group", server.pod().number())
+                .put("state", DiscoveryStand.word(entry.state()))
+                .put("capacity_hint", 1.0)
                 .put("boot_ms", clock.unixMs(entry.startedAt()));
     }
 
     void digest(Trace trace, Answer answer) {
-        digest.update(ByteBuffer.allocate(12).putLong(trace.id()).putInt(answer.ordinal()).flip());
+        digest.update(ByteBuffer.allocate(12)
+                .putLong(trace.id())
+                .putInt(answer.ordinal())
+                .flip());
     }
 
     @Override
@@ -359,21 +381,26 @@
         servers().forEach(each -> oracle.readyTold(number, each.id()));
         ObjectNode known = discovery.known();
         long fresh = restarts.any();
-        loop.schedule(() -> {
-            try {
-                sidecars.get(number).start(scenario, discoveryPorts.get(number), known, fresh);
-                directory().all().stream().filter(each -> each.state() != State.READY)
-                        .forEach(each -> oracle.drainTold(number, each.server().id(), elapsed()));
-            } catch (IOException e) {
-                note("sidecar " + number + " could not be started again: " + e.getMessage());
-            }
-        }, 100, TimeUnit.MILLISECONDS);
+        loop.schedule(
+                () -> {
+                    try {
+                        sidecars.get(number).start(scenario, discoveryPorts.get(number), known, fresh);
+                        directory().all().stream()
+                                .filter(each -> each.state() != State.READY)
+                                .forEach(each ->
+                                        oracle.drainTold(number, each.server().id(), elapsed()));
+                    } catch (IOException e) {
+                        note("sidecar " + number + " could not be started again: " + e.getMessage());
+                    }
+                },
+                100,
+                TimeUnit.MILLISECONDS);
     }
 
     @Override
     public OrderServer replace(OrderServer old, boolean sameAddress) {
         OrderServer fresh = scene.fleet().replace(old);
-        introduce(fresh, sameAddress ? stands.get(old.id()).address() : ServerStand.ANY, () -> { });
+        introduce(fresh, sameAddress ? stands.get(old.id()).address() : ServerStand.ANY, () -> {});
         return fresh;
     }
 
--- a/world/src/main/java/topazvalve/world/real/ServerStand.java
+++ b/world/src/main/java/topazvalve/world/real/ServerStand.java
@@ -37,6 +37,7 @@
 final class ServerStand {
     /** Loopback, on a port that the system picks. */
     static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+
     private static final int LARGEST = 1 << 20;
     private static final double PROBE_WORK = 130_000;
     private static final long LOOK_MS = 20;
@@ -57,8 +58,8 @@
     }
 
     /** Opens one at an address, or at {@link #ANY}; on the loop. {@code open} is told once it listens. */
-    static ServerStand open(EventLoop loop, RealWorld world, OrderServer server, InetSocketAddress where,
-            Runnable open) {
+    static ServerStand open(
+            EventLoop loop, RealWorld world, OrderServer server, InetSocketAddress where, Runnable open) {
         ServerStand stand = new ServerStand(loop, world, server);
         ChannelFuture bound = stand.bootstrap().bind(where);
         stand.listening = bound.channel();
@@ -66,7 +67,8 @@
             if (!done.isSuccess()) {
                 world.note("no socket for server " + server.id() + " at " + where + ": " + done.cause());
             }
-            stand.address = done.isSuccess() ? (InetSocketAddress) bound.channel().localAddress() : where;
+            stand.address =
+                    done.isSuccess() ? (InetSocketAddress) bound.channel().localAddress() : where;
             open.run();
         });
         return stand;
@@ -81,7 +83,9 @@
     }
 
     private ServerBootstrap bootstrap() {
-        return new ServerBootstrap().group(world.group()).channel(NioServerSocketChannel.class)
+        return new ServerBootstrap()
+                .group(world.group())
+                .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
@@ -126,8 +130,8 @@
     private void rebind() {
         ChannelFuture bound = bootstrap().bind(address);
         listening = bound.channel();
-        bound.addListener(done -> world.note("server " + server.id()
-                + (done.isSuccess() ? " listens again" : " has no socket: " + done.cause())));
+        bound.addListener(done -> world.note(
+                "server " + server.id() + (done.isSuccess() ? " listens again" : " has no socket: " + done.cause())));
     }
 
     private static void reset(Channel channel) {
@@ -151,8 +155,12 @@
             made.config().setAutoRead(false);
         }
         long idle = server.kind().idleClose();
-        made.pipeline().addLast(new IdleStateHandler(0, 0, idle, TimeUnit.NANOSECONDS), new HttpServerCodec(),
-                new HttpObjectAggregator(LARGEST), new Handler());
+        made.pipeline()
+                .addLast(
+                        new IdleStateHandler(0, 0, idle, TimeUnit.NANOSECONDS),
+                        new HttpServerCodec(),
+                        new HttpObjectAggregator(LARGEST),
+                        new Handler());
     }
 
     private final class Handler extends SimpleChannelInboundHandler<FullHttpRequest> {
@@ -169,8 +177,11 @@
             String id = request.headers().get("Req-Id");
             Traces.Sent sent = world.traces().get(id);
             if (sent == null) {
-                answer(context.channel(), id == null ? HttpResponseStatus.NOT_FOUND
-                        : HttpResponseStatus.BAD_REQUEST, "", false);
+                answer(
+                        context.channel(),
+                        id == null ? HttpResponseStatus.NOT_FOUND : HttpResponseStatus.BAD_REQUEST,
+                        "",
+                        false);
                 return;
             }
             RealJob job = new RealJob(context.channel(), id, sent);
@@ -190,7 +201,8 @@
 
         @Override
         public void userEventTriggered(ChannelHandlerContext context, Object event) {
-            if (event instanceof IdleStateEvent && (current == null || current.over)
+            if (event instanceof IdleStateEvent
+                    && (current == null || current.over)
                     && server.mode() != Mode.VANISHED) {
                 context.close();
             }
@@ -210,8 +222,8 @@
     }
 
     private static void answer(Channel channel, HttpResponseStatus status, String body, boolean declined) {
-        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-                Unpooled.copiedBuffer(body, StandardCharsets.US_ASCII));
+        FullHttpResponse response = new DefaultFullHttpResponse(
+                HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(body, StandardCharsets.US_ASCII));
         HttpUtil.setContentLength(response, response.content().readableBytes());
         if (declined) {
             response.headers().set("Srv-Declined", "1");
@@ -258,19 +270,21 @@
             if (good) {
                 world.oracle().served(sent.trace());
             }
-            back(() -> answer(channel,
+            back(() -> answer(
+                    channel,
                     good ? HttpResponseStatus.OK : HttpResponseStatus.INTERNAL_SERVER_ERROR,
-                    good ? RealClients.bodyOf(id) : "", false));
+                    good ? RealClients.bodyOf(id) : "",
+                    false));
         }
 
         /** It has run, but what goes back is noise, or cut, or comes twice. */
         private void spoil(long how) {
             if (how == 0) {
-                back(() -> channel.writeAndFlush(Unpooled.copiedBuffer("HTTP/1.1 2OO ?\r\n\u0000\u0001noise",
-                        StandardCharsets.ISO_8859_1)));
+                back(() -> channel.writeAndFlush(
+                        Unpooled.copiedBuffer("HTTP/1.1 2OO ?\r\n\u0000\u0001noise", StandardCharsets.ISO_8859_1)));
             } else if (how == 1) {
                 back(() -> channel.writeAndFlush(Unpooled.copiedBuffer(
-                        "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\ndone:", StandardCharsets.ISO_8859_1))
+                                "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\ndone:", StandardCharsets.ISO_8859_1))
                         .addListener(done -> channel.close()));
             } else {
                 world.oracle().served(sent.trace());
@@ -312,7 +326,7 @@
         }
 
         @Override
-        protected void began() { }
+        protected void began() {}
 
         @Override
         protected void served(boolean good, boolean spoilt) {
@@ -330,7 +344,7 @@
         }
 
         @Override
-        protected void dropped() { }
+        protected void dropped() {}
     }
 
     void close() {
--- a/world/src/main/java/topazvalve/world/real/SidecarProcess.java
+++ b/world/src/main/java/topazvalve/world/real/SidecarProcess.java
@@ -46,7 +46,8 @@
         Files.writeString(file, config(scenario, discoveryPort, known, seed).toString());
         File log = folder.resolve(name + ".log").toFile();
         process = RunLine.of(home, file, List.of())
-                .redirectOutput(ProcessBuilder.Redirect.appendTo(log)).start();
+                .redirectOutput(ProcessBuilder.Redirect.appendTo(log))
+                .start();
     }
 
     boolean alive() {
@@ -70,28 +71,42 @@
     }
 
     private ObjectNode config(Scenario scenario, int discoveryPort, ObjectNode known, long seed) {
-        ObjectNode root = JSON.createObjectNode().put("name", name).put("listen", "127.0.0.1:" + port)
-                .put("admin", "127.0.0.1:" + adminPort).put("discovery", "127.0.0.1:" + discoveryPort)
+        ObjectNode root = JSON.createObjectNode()
+                .put("name", name)
+                .put("listen", "127.0.0.1:" + port)
+                .put("admin", "127.0.0.1:" + adminPort)
+                .put("discovery", "127.0.0.1:" + discoveryPort)
                 .put("seed", Long.toHexString(seed));
         root.putObject("limits").put("cores", 1.0).put("memory_mb", 96).put("sockets", 1024);
         root.set("known", known);
-        ObjectNode settings = root.putObject("settings").put("discovery", "subscribe").put("quantum", 0)
-                .put("rank", 0).put("replicasOfMe", scenario.fleet().instances());
+        ObjectNode settings = root.putObject("settings")
+                .put("discovery", "subscribe")
+                .put("quantum", 0)
+                .put("rank", 0)
+                .put("replicasOfMe", scenario.fleet().instances());
         ArrayNode zones = settings.putArray("zones");
         scenario.fleet().zones().forEach(zones::add);
         ArrayNode kinds = settings.putArray("kinds");
         scenario.machines().forEach(each -> kinds.add(each.name()));
         settings.putObject("report").put("how", "silent").putArray("fields");
-        long idle = scenario.machines().stream().mapToLong(each -> each.idleClose()).min().orElseThrow();
-        settings.putObject("caps").put("mayCancel", true).put("mayProbe", true).put("retryAfter", true)
+        long idle = scenario.machines().stream()
+                .mapToLong(each -> each.idleClose())
+                .min()
+                .orElseThrow();
+        settings.putObject("caps")
+                .put("mayCancel", true)
+                .put("mayProbe", true)
+                .put("retryAfter", true)
                 .put("tryLimit", scenario.limits().attempts())
                 .put("maxRetryAfter", scenario.clients().maxRetryAfter())
-                .put("connectTimeout", scenario.limits().connectTimeout()).put("connIdle", idle);
+                .put("connectTimeout", scenario.limits().connectTimeout())
+                .put("connIdle", idle);
         settings.putObject("charges").put("probe", 0.01);
-        settings.putObject("rules").put("answerSlack", scenario.limits().answerSlack())
+        settings.putObject("rules")
+                .put("answerSlack", scenario.limits().answerSlack())
                 .put("stopSendingWithin", scenario.limits().drainGrace())
-                .put("askWithin", scenario.limits().askWithin()).put("coldShare",
-                        scenario.limits().coldShare())
+                .put("askWithin", scenario.limits().askWithin())
+                .put("coldShare", scenario.limits().coldShare())
                 .put("rampTime", scenario.limits().rampTime())
                 .put("overloadFactor", scenario.limits().overloadFactor())
                 .put("tipAfter", scenario.limits().tipAfter());
@@ -101,19 +116,27 @@
     }
 
     private static ObjectNode profile(WorkClass kind) {
-        ObjectNode profile = JSON.createObjectNode().put("name", kind.name()).put("slo", kind.aim())
-                .put("deadline", kind.deadline()).put("worth", kind.worth())
-                .put("semantics", switch (kind.repeats()) {
-                    case FREE -> "repeatable";
-                    case KEYED -> "by_key";
-                    case NEVER -> "once";
-                });
+        ObjectNode profile = JSON.createObjectNode()
+                .put("name", kind.name())
+                .put("slo", kind.aim())
+                .put("deadline", kind.deadline())
+                .put("worth", kind.worth())
+                .put(
+                        "semantics",
+                        switch (kind.repeats()) {
+                            case FREE -> "repeatable";
+                            case KEYED -> "by_key";
+                            case NEVER -> "once";
+                        });
         if (kind.repeats() == WorkClass.Repeats.KEYED) {
-            profile.put("keyTtl", kind.window()).put("keyScope", switch (kind.scope()) {
-                case ALL -> "all";
-                case ZONE -> "zone";
-                case POD -> "cell";
-            });
+            profile.put("keyTtl", kind.window())
+                    .put(
+                            "keyScope",
+                            switch (kind.scope()) {
+                                case ALL -> "all";
+                                case ZONE -> "zone";
+                                case POD -> "cell";
+                            });
         }
         return profile;
     }
--- a/world/src/main/java/topazvalve/world/real/Traces.java
+++ b/world/src/main/java/topazvalve/world/real/Traces.java
@@ -7,7 +7,7 @@
 /** The requests that clients have sent, by the id that travels with them. */
 final class Traces {
     /** One that was sent. */
-    record Sent(Trace trace, int instance, int requestClass, long key, double work, long deadline) { }
+    record Sent(Trace trace, int instance, int requestClass, long key, double work, long deadline) {}
 
     private final Map<String, Sent> sent = new HashMap<>();
 
--- a/world/src/main/java/topazvalve/world/scenario/ExperimentFile.java
+++ b/world/src/main/java/topazvalve/world/scenario/ExperimentFile.java
@@ -20,14 +20,13 @@
     private static final int MOST_SEEDS = 10_000;
 
     /** An arm as written; {@code attempts} 0 stands for the scenario's own. */
-    public record ArmSpec(String name, Policy policy, int attempts, boolean cancel, boolean probes,
-            boolean retryAfter) { }
+    public record ArmSpec(
+            String name, Policy policy, int attempts, boolean cancel, boolean probes, boolean retryAfter) {}
 
     /** An experiment as written; scenario files are beside the experiment's own. */
-    public record Experiment(String name, List<Path> scenarios, long firstSeed, long lastSeed,
-            List<ArmSpec> arms) { }
+    public record Experiment(String name, List<Path> scenarios, long firstSeed, long lastSeed, List<ArmSpec> arms) {}
 
-    private ExperimentFile() { }
+    private ExperimentFile() {}
 
     /** Reads a file; {@link BadFile} if it has faults. */
     public static Experiment read(Path file) throws IOException {
@@ -57,8 +56,13 @@
             if (!names.add(armName)) {
                 arm.wrong("name", "\"" + armName + "\" is given twice");
             }
-            arms.add(new ArmSpec(armName, policy, arm.whole("attempts", 0, 0, 4), arm.flag("cancel", true),
-                    arm.flag("probes", true), arm.flag("retry_after", true)));
+            arms.add(new ArmSpec(
+                    armName,
+                    policy,
+                    arm.whole("attempts", 0, 0, 4),
+                    arm.flag("cancel", true),
+                    arm.flag("probes", true),
+                    arm.flag("retry_after", true)));
         }
         return new Experiment(name, scenarios, seeds[0], seeds[1], arms);
     }
--- a/world/src/main/java/topazvalve/world/scenario/Fault.java
+++ b/world/src/main/java/topazvalve/world/scenario/Fault.java
@@ -51,11 +51,11 @@
         DISCOVERY_DOWN
     }
 
-    private static final Set<Kind> SIZED = EnumSet.of(Kind.SLOW, Kind.OVERLOAD, Kind.SHARED_SLOW, Kind.LOSS,
-            Kind.SPOIL);
+    private static final Set<Kind> SIZED =
+            EnumSet.of(Kind.SLOW, Kind.OVERLOAD, Kind.SHARED_SLOW, Kind.LOSS, Kind.SPOIL);
     private static final Set<Kind> PARTS = EnumSet.of(Kind.LOSS, Kind.SPOIL);
-    private static final Set<Kind> WHOLE = EnumSet.of(Kind.OVERLOAD, Kind.SHARED_SLOW, Kind.LOSS, Kind.DELAY,
-            Kind.DISCOVERY_DOWN);
+    private static final Set<Kind> WHOLE =
+            EnumSet.of(Kind.OVERLOAD, Kind.SHARED_SLOW, Kind.LOSS, Kind.DELAY, Kind.DISCOVERY_DOWN);
 
     static Fault read(Table table, long runLength) {
         Kind kind = table.choice(Kind.class, "kind", null);
@@ -67,8 +67,7 @@
         }
         double size = 1;
         if (SIZED.contains(kind)) {
-            size = PARTS.contains(kind) ? table.number("size", null, 0, 1) : table.number("size", null, 0.01,
-                    1000);
+            size = PARTS.contains(kind) ? table.number("size", null, 0, 1) : table.number("size", null, 0.01, 1000);
         }
         long by = kind == Kind.DELAY ? table.duration("by", null, "1us", "1m") : 0;
         if (start >= runLength) {
--- a/world/src/main/java/topazvalve/world/scenario/Scenario.java
+++ b/world/src/main/java/topazvalve/world/scenario/Scenario.java
@@ -8,9 +8,21 @@
  *
  * @param settle the first part of the run, which does not count
  */
-public record Scenario(String name, String about, long length, long settle, Fleet fleet, Load load,
-        Network network, News news, Limits limits, List<MachineKind> machines, List<WorkClass> classes,
-        Clients clients, List<Fault> faults, Chaos chaos) {
+public record Scenario(
+        String name,
+        String about,
+        long length,
+        long settle,
+        Fleet fleet,
+        Load load,
+        Network network,
+        News news,
+        Limits limits,
+        List<MachineKind> machines,
+        List<WorkClass> classes,
+        Clients clients,
+        List<Fault> faults,
+        Chaos chaos) {
 
     /**
      * How many of what, and where.
@@ -19,8 +31,8 @@
      * @param limitedPods part of the pods whose servers share a limit
      * @param podLimit that limit, as a part of their capacity together
      */
-    public record Fleet(int servers, int instances, List<String> zones, int podSize, double limitedPods,
-            Range podLimit) { }
+    public record Fleet(
+            int servers, int instances, List<String> zones, int podSize, double limitedPods, Range podLimit) {}
 
     /**
      * What clients ask. Either {@code rate} or {@code utilisation} is above 0.
@@ -32,14 +44,25 @@
      * @param instanceSpread coefficient of variation of the instances' rates
      * @param keys how many keys there are; {@code zipf} is the exponent of their popularity
      */
-    public record Load(double rate, double utilisation, Shape shape, double swing, long period,
-            double instanceSpread, int keys, double zipf) { }
+    public record Load(
+            double rate,
+            double utilisation,
+            Shape shape,
+            double swing,
+            long period,
+            double instanceSpread,
+            int keys,
+            double zipf) {}
 
     /** How arrivals vary. */
-    public enum Shape { POISSON, BURSTY, WAVE }
+    public enum Shape {
+        POISSON,
+        BURSTY,
+        WAVE
+    }
 
     /** One-way delays; {@code jitter} is the part of a delay that is exponential on top. */
-    public record Network(long sameZone, long crossZone, double jitter, long client) { }
+    public record Network(long sameZone, long crossZone, double jitter, long client) {}
 
     /**
      * How servers' states come to be known.
@@ -50,13 +73,20 @@
      * @param callTime how long discovery works on one call; calls wait in turn
      * @param patience a call that has waited so long fails
      */
-    public record News(boolean subscribe, Range notice, Range silentNotice, long spread, long callTime,
-            long patience) { }
+    public record News(
+            boolean subscribe, Range notice, Range silentNotice, long spread, long callTime, long patience) {}
 
     /** The numbers behind the rules. */
-    public record Limits(long drainGrace, long answerSlack, double overloadFactor, long tipAfter,
+    public record Limits(
+            long drainGrace,
+            long answerSlack,
+            double overloadFactor,
+            long tipAfter,
             int attempts,
-            long connectTimeout, long askWithin, double coldShare, long rampTime) { }
+            long connectTimeout,
+            long askWithin,
+            double coldShare,
+            long rampTime) {}
 
     /**
      * What clients do besides asking.
@@ -67,11 +97,17 @@
      * @param slowReaders part of the clients that read answers slowly; on real sockets alone
      * @param reconnect part of the requests that come on a new connection; on real sockets alone
      */
-    public record Clients(double retries, long backoff, double honour, long maxRetryAfter, double impatient,
-            double slowReaders, double reconnect) { }
+    public record Clients(
+            double retries,
+            long backoff,
+            double honour,
+            long maxRetryAfter,
+            double impatient,
+            double slowReaders,
+            double reconnect) {}
 
     /** Faults drawn at random from the seed: how many, of which kinds, how long and how large. */
-    public record Chaos(int count, List<Fault.Kind> kinds, Range length, Range share, Range size) { }
+    public record Chaos(int count, List<Fault.Kind> kinds, Range length, Range share, Range size) {}
 
     /** Mean work of a request. */
     public double meanWork() {
@@ -97,8 +133,8 @@
 
     /** First tries a second of a mean instance. */
     public double instanceRate() {
-        return load.rate() > 0 ? load.rate()
-                : load.utilisation() * meanCapacity() * fleet.servers() * 1e9 / meanWork()
-                        / fleet.instances();
+        return load.rate() > 0
+                ? load.rate()
+                : load.utilisation() * meanCapacity() * fleet.servers() * 1e9 / meanWork() / fleet.instances();
     }
 }
--- a/world/src/main/java/topazvalve/world/scenario/ScenarioFile.java
+++ b/world/src/main/java/topazvalve/world/scenario/ScenarioFile.java
@@ -25,7 +25,7 @@
  * fault is not played at all.
  */
 public final class ScenarioFile {
-    private ScenarioFile() { }
+    private ScenarioFile() {}
 
     /** Reads a file; {@link BadFile} if it has faults. */
     public static Scenario read(Path file) throws IOException {
@@ -49,17 +49,21 @@
         Load load = load(table.table("load"));
         Network network = network(table.table("network"));
         News news = news(table.table("discovery"));
-        List<MachineKind> machines = table.tables("machine", 1).stream().map(MachineKind::read).toList();
-        List<WorkClass> classes = table.tables("class", 1).stream().map(WorkClass::read).toList();
+        List<MachineKind> machines =
+                table.tables("machine", 1).stream().map(MachineKind::read).toList();
+        List<WorkClass> classes =
+                table.tables("class", 1).stream().map(WorkClass::read).toList();
         unique(table, "machine", machines.stream().map(MachineKind::name).toList());
         unique(table, "class", classes.stream().map(WorkClass::name).toList());
         Limits limits = limits(table.table("rules"), machines);
         Clients clients = clients(table.table("clients"));
-        List<Fault> faults = table.tables("fault", 0).stream().map(each -> Fault.read(each, length)).toList();
+        List<Fault> faults = table.tables("fault", 0).stream()
+                .map(each -> Fault.read(each, length))
+                .toList();
         Chaos chaos = chaos(table.table("chaos"));
-        return new Scenario(name, about, length, settle, fleet, load, network, news, limits, machines,
-                classes,
-                clients, faults, chaos);
+        return new Scenario(
+                name, about, length, settle, fleet, load, network, news, limits, machines, classes, clients, faults,
+                chaos);
     }
 
     private static void unique(Table table, String key, List<String> names) {
@@ -72,9 +76,13 @@
     }
 
     private static Fleet fleet(Table table) {
-        return new Fleet(table.whole("servers", null, 1, 5_000), table.whole("instances", null, 1, 20_000),
-                table.texts("zones", List.of("a")), table.whole("pod_size", 8, 1, 5_000),
-                table.number("limited_pods", 0.0, 0, 1), table.range("pod_limit", new Range(1, 1), 0.05, 1));
+        return new Fleet(
+                table.whole("servers", null, 1, 5_000),
+                table.whole("instances", null, 1, 20_000),
+                table.texts("zones", List.of("a")),
+                table.whole("pod_size", 8, 1, 5_000),
+                table.number("limited_pods", 0.0, 0, 1),
+                table.range("pod_limit", new Range(1, 1), 0.05, 1));
     }
 
     private static Load load(Table table) {
@@ -82,41 +90,59 @@
         if (rate == table.has("utilisation")) {
             table.wrong(rate ? "utilisation" : "rate", "one of rate and utilisation has to be given");
         }
-        return new Load(rate ? table.number("rate", null, 0.001, 1e6) : 0,
+        return new Load(
+                rate ? table.number("rate", null, 0.001, 1e6) : 0,
                 rate ? 0 : table.number("utilisation", 0.5, 0.001, 100),
-                table.choice(Shape.class, "shape", Shape.POISSON), table.number("swing", 0.0, 0, 1),
-                table.duration("period", "10s", "10ms", "10m"), table.number("instance_spread", 0.0, 0, 5),
-                table.whole("keys", 1000, 1, 100_000_000), table.number("zipf", 0.8, 0, 5));
+                table.choice(Shape.class, "shape", Shape.POISSON),
+                table.number("swing", 0.0, 0, 1),
+                table.duration("period", "10s", "10ms", "10m"),
+                table.number("instance_spread", 0.0, 0, 5),
+                table.whole("keys", 1000, 1, 100_000_000),
+                table.number("zipf", 0.8, 0, 5));
     }
 
     private static Network network(Table table) {
-        return new Network(table.duration("same_zone", "200us", "0", "10s"),
-                table.duration("cross_zone", "15ms", "0", "10s"), table.number("jitter", 0.2, 0, 10),
+        return new Network(
+                table.duration("same_zone", "200us", "0", "10s"),
+                table.duration("cross_zone", "15ms", "0", "10s"),
+                table.number("jitter", 0.2, 0, 10),
                 table.duration("client", "50us", "0", "1s"));
     }
 
     private static News news(Table table) {
-        return new News(table.flag("subscribe", true), table.range("notice_s", new Range(2, 3), 0, 600),
+        return new News(
+                table.flag("subscribe", true),
+                table.range("notice_s", new Range(2, 3), 0, 600),
                 table.range("silent_notice_s", new Range(6, 13), 0, 600),
-                table.duration("spread", "100ms", "0", "1m"), table.duration("call_time", "5ms", "0", "10s"),
+                table.duration("spread", "100ms", "0", "1m"),
+                table.duration("call_time", "5ms", "0", "10s"),
                 table.duration("patience", "1s", "1ms", "1m"));
     }
 
     private static Limits limits(Table table, List<MachineKind> machines) {
-        double coldest = machines.stream().mapToDouble(MachineKind::coldShare).min().orElse(1);
+        double coldest =
+                machines.stream().mapToDouble(MachineKind::coldShare).min().orElse(1);
         long longest = machines.stream().mapToLong(MachineKind::coldTime).max().orElse(0);
-        return new Limits(table.duration("drain_grace", "500ms", "0", "1m"),
+        return new Limits(
+                table.duration("drain_grace", "500ms", "0", "1m"),
                 table.duration("answer_slack", "20ms", "0", "10s"),
-                table.number("overload_factor", 4.0, 1, 1000), table.duration("tip_after", "3s", "10ms",
-                        "1m"),
-                table.whole("attempts", 4, 1, 4), table.duration("connect_timeout", "200ms", "1ms", "1m"),
-                table.duration("ask_within", "10s", "0", "10m"), coldest, longest);
+                table.number("overload_factor", 4.0, 1, 1000),
+                table.duration("tip_after", "3s", "10ms", "1m"),
+                table.whole("attempts", 4, 1, 4),
+                table.duration("connect_timeout", "200ms", "1ms", "1m"),
+                table.duration("ask_within", "10s", "0", "10m"),
+                coldest,
+                longest);
     }
 
     private static Clients clients(Table table) {
-        return new Clients(table.number("retries", 0.0, 0, 1), table.duration("backoff", "100ms", "0", "1m"),
-                table.number("honour", 1.0, 0, 1), table.duration("max_retry_after", "2s", "0", "10m"),
-                table.number("impatient", 0.0, 0, 1), table.number("slow_readers", 0.0, 0, 1),
+        return new Clients(
+                table.number("retries", 0.0, 0, 1),
+                table.duration("backoff", "100ms", "0", "1m"),
+                table.number("honour", 1.0, 0, 1),
+                table.duration("max_retry_after", "2s", "0", "10m"),
+                table.number("impatient", 0.0, 0, 1),
+                table.number("slow_readers", 0.0, 0, 1),
                 table.number("reconnect", 0.0, 0, 1));
     }
 
@@ -133,9 +159,11 @@
                 kinds.add(found);
             }
         }
-        return new Chaos(table.whole("count", 0, 0, 1000), kinds, table.range("length_s", new Range(2, 10), 0,
-                600),
-                table.range("share", new Range(0.1, 0.3), 0, 1), table.range("size", new Range(2, 6), 0.01,
-                        1000));
+        return new Chaos(
+                table.whole("count", 0, 0, 1000),
+                kinds,
+                table.range("length_s", new Range(2, 10), 0, 600),
+                table.range("share", new Range(0.1, 0.3), 0, 1),
+                table.range("size", new Range(2, 6), 0.01, 1000));
     }
 }
--- a/world/src/main/java/topazvalve/world/scenario/package-info.java
+++ b/world/src/main/java/topazvalve/world/scenario/package-info.java
@@ -1,3 +1,2 @@
 /** What a scenario file says, read strictly. */
 package topazvalve.world.scenario;
-
--- a/world/src/main/java/topazvalve/world/stream/Bytes.java
+++ b/world/src/main/java/topazvalve/world/stream/Bytes.java
@@ -8,13 +8,14 @@
 final class Bytes {
     /** A prime, so that no multiple of a buffer's size hides a shift. */
     private static final int LENGTH = 65_521;
+
     private static final byte[] PATTERN = new byte[LENGTH];
 
     static {
         new Random(20_261_201).nextBytes(PATTERN);
     }
 
-    private Bytes() { }
+    private Bytes() {}
 
     private static int offset(long stream, boolean up, long position) {
         return (int) Math.floorMod(stream * 7_919 + (up ? 0 : 31_337) + position, (long) LENGTH);
@@ -23,7 +24,8 @@
     /** At most so many of what follows a position. */
     static ByteBuf at(long stream, boolean up, long position, int most) {
         int offset = offset(stream, up, position);
-        return Unpooled.wrappedBuffer(PATTERN, offset, Math.min(most, LENGTH - offset)).asReadOnly();
+        return Unpooled.wrappedBuffer(PATTERN, offset, Math.min(most, LENGTH - offset))
+                .asReadOnly();
     }
 
     /** Whether these bytes are what follows a position; reads them. */
--- a/world/src/main/java/topazvalve/world/stream/End.java
+++ b/world/src/main/java/topazvalve/world/stream/End.java
@@ -70,14 +70,12 @@
                 return;
             }
             int most = 1 + pauses.nextInt(PIECE);
-            ByteBuf piece = Bytes.at(log.number, client, mine.sent,
-                    (int) Math.min(most, all() - mine.sent));
+            ByteBuf piece = Bytes.at(log.number, client, mine.sent, (int) Math.min(most, all() - mine.sent));
             mine.sent += piece.readableBytes();
             channel.writeAndFlush(piece);
             if (log.plan.pauseMs() > 0 && pauses.nextInt(4) == 0) {
                 writing = true;
-                channel.eventLoop().schedule(this::write, pauses.nextInt(log.plan.pauseMs()),
-                        TimeUnit.MILLISECONDS);
+                channel.eventLoop().schedule(this::write, pauses.nextInt(log.plan.pauseMs()), TimeUnit.MILLISECONDS);
                 return;
             }
         }
@@ -89,8 +87,7 @@
     /** Resets, if that is what this end does here. */
     private boolean breaks() {
         Fault fault = log.plan.fault();
-        if (fault == (client ? Fault.CLIENT_RESETS : Fault.SERVER_RESETS)
-                && mine.sent >= log.plan.faultAt()) {
+        if (fault == (client ? Fault.CLIENT_RESETS : Fault.SERVER_RESETS) && mine.sent >= log.plan.faultAt()) {
             reset();
             return true;
         }
@@ -108,8 +105,7 @@
         ended = true;
         mine.ended = true;
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER)
-                .addListener(done -> ((DuplexChannel) channel).shutdownOutput()
-                        .addListener(shut -> closeIfOver()));
+                .addListener(done -> ((DuplexChannel) channel).shutdownOutput().addListener(shut -> closeIfOver()));
     }
 
     private void closeIfOver() {
@@ -127,12 +123,12 @@
         bytes.release();
         mine.received += size;
         Fault fault = log.plan.fault();
-        if (!stalled && fault == (client ? Fault.CLIENT_STALLS : Fault.SERVER_STALLS)
+        if (!stalled
+                && fault == (client ? Fault.CLIENT_STALLS : Fault.SERVER_STALLS)
                 && mine.received >= log.plan.faultAt()) {
             stalled = true;
             channel.config().setAutoRead(false);
-            channel.eventLoop().schedule(() -> channel.config().setAutoRead(true), STALL_MS,
-                    TimeUnit.MILLISECONDS);
+            channel.eventLoop().schedule(() -> channel.config().setAutoRead(true), STALL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
--- a/world/src/main/java/topazvalve/world/stream/Plan.java
+++ b/world/src/main/java/topazvalve/world/stream/Plan.java
@@ -14,10 +14,20 @@
  */
 record Plan(long up, long down, Order order, int pauseMs, Fault fault, long faultAt) {
     /** A half that ends while the other still has all of its bytes to send, or both as they come. */
-    enum Order { CLIENT_FIRST, SERVER_FIRST, EACH }
+    enum Order {
+        CLIENT_FIRST,
+        SERVER_FIRST,
+        EACH
+    }
 
     /** What goes wrong. */
-    enum Fault { NONE, CLIENT_RESETS, SERVER_RESETS, CLIENT_STALLS, SERVER_STALLS }
+    enum Fault {
+        NONE,
+        CLIENT_RESETS,
+        SERVER_RESETS,
+        CLIENT_STALLS,
+        SERVER_STALLS
+    }
 
     /** A third each way with a half-close, a third without; four in twenty-five reset or stall. */
     static Plan of(long seed, long stream, int largest) {
@@ -28,8 +38,8 @@
         int drawn = random.nextInt(25);
         Fault fault = drawn < Fault.values().length ? Fault.values()[drawn] : Fault.NONE;
         long breaker = fault == Fault.CLIENT_RESETS || fault == Fault.SERVER_STALLS ? up : down;
-        return new Plan(up, down, order, random.nextInt(4) == 0 ? 20 : 0, fault,
-                8 + (long) (random.nextDouble() * breaker));
+        return new Plan(
+                up, down, order, random.nextInt(4) == 0 ? 20 : 0, fault, 8 + (long) (random.nextDouble() * breaker));
     }
 
     /** Many are small, some are large. */
--- a/world/src/main/java/topazvalve/world/stream/StreamLog.java
+++ b/world/src/main/java/topazvalve/world/stream/StreamLog.java
@@ -5,7 +5,11 @@
 /** What both ends of one stream saw; each half is written on its own end's loop and read when both ended. */
 final class StreamLog {
     /** How an end saw the other's half end. */
-    enum Seen { NOTHING, END, RESET }
+    enum Seen {
+        NOTHING,
+        END,
+        RESET
+    }
 
     /** One end's half of the log. */
     static final class Half {
--- a/world/src/main/java/topazvalve/world/stream/StreamStandIn.java
+++ b/world/src/main/java/topazvalve/world/stream/StreamStandIn.java
@@ -31,8 +31,11 @@
 
     /** Listens, on a port that the system picks the first time and that stays. */
     InetSocketAddress listen() throws InterruptedException {
-        server = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_REUSEADDR, true).option(ChannelOption.SO_BACKLOG, 4096)
+        server = new ServerBootstrap()
+                .group(group)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .option(ChannelOption.SO_BACKLOG, 4096)
                 .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
@@ -43,7 +46,10 @@
                         made.closeFuture().addListener(closed -> open.remove(served));
                         made.pipeline().addLast(served);
                     }
-                }).bind(address).sync().channel();
+                })
+                .bind(address)
+                .sync()
+                .channel();
         address = (InetSocketAddress) server.localAddress();
         return address;
     }
@@ -62,7 +68,7 @@
         private StreamLog log;
 
         Served() {
-            super(false, () -> { });
+            super(false, () -> {});
         }
 
         @Override
--- a/world/src/main/java/topazvalve/world/stream/StreamTrial.java
+++ b/world/src/main/java/topazvalve/world/stream/StreamTrial.java
@@ -39,14 +39,19 @@
      * What came of it; {@code faults} has one line for each stream that does not agree. {@code watched} were
      * opened while some server had been drained for longer than 500 ms, {@code late} of them at that server.
      */
-    public record Result(int streams, int halfCloses, int broken, int refused, int watched, int late,
-            long bytes, List<String> faults) { }
+    public record Result(
+            int streams,
+            int halfCloses,
+            int broken,
+            int refused,
+            int watched,
+            int late,
+            long bytes,
+            List<String> faults) {}
 
     private final long seed;
-    private final MultiThreadIoEventLoopGroup clients =
-            new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-    private final MultiThreadIoEventLoopGroup serving =
-            new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup clients = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup serving = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     private final Map<Long, StreamLog> logs = new ConcurrentHashMap<>();
     private final List<StreamStandIn> servers = new ArrayList<>();
     private final List<InetSocketAddress> addresses = new ArrayList<>();
@@ -98,31 +103,41 @@
     }
 
     private List<String> hanging() {
-        return logs.values().stream().filter(log -> log.over.getCount() > 0).limit(5)
+        return logs.values().stream()
+                .filter(log -> log.over.getCount() > 0)
+                .limit(5)
                 .map(log -> log.number + " " + log.plan + " up " + log.client.sent + "/" + log.server.received
-                        + " down " + log.server.sent + "/" + log.client.received).toList();
+                        + " down " + log.server.sent + "/" + log.client.received)
+                .toList();
     }
 
     private void open(InetSocketAddress listener, StreamLog log, Semaphore room) {
-        new Bootstrap().group(clients).channel(NioSocketChannel.class)
-                .option(ChannelOption.ALLOW_HALF_CLOSURE, true).option(ChannelOption.TCP_NODELAY, true)
+        new Bootstrap()
+                .group(clients)
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.ALLOW_HALF_CLOSURE, true)
+                .option(ChannelOption.TCP_NODELAY, true)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel made) {
-                        made.pipeline().addLast(new End(true, () -> {
-                            log.over.countDown();
-                            room.release();
-                        }) {
-                            @Override
-                            public void channelActive(ChannelHandlerContext context) {
-                                context.write(Unpooled.copyLong(log.number));
-                                log.client.sent = 8;
-                                begin(log, context.channel());
-                                context.flush();
-                            }
-                        });
+                        made.pipeline()
+                                .addLast(
+                                        new End(true, () -> {
+                                            log.over.countDown();
+                                            room.release();
+                                        }) {
+                                            @Override
+                                            public void channelActive(ChannelHandlerContext context) {
+                                                context.write(Unpooled.copyLong(log.number));
+                                                log.client.sent = 8;
+                                                begin(log, context.channel());
+                                                context.flush();
+                                            }
+                                        });
                     }
-                }).connect(listener).addListener(done -> {
+                })
+                .connect(listener)
+                .addListener(done -> {
                     if (!done.isSuccess()) {
                         log.over.countDown();
                         room.release();
@@ -134,7 +149,7 @@
     private void trouble(Fleet fleet, long everyMs) {
         Random random = new Random(seed);
         try {
-            for (int turn = 0;; turn++) {
+            for (int turn = 0; ; turn++) {
                 Thread.sleep(everyMs);
                 int which = random.nextInt(servers.size());
                 if (turn % 2 == 0) {
@@ -157,7 +172,8 @@
 
     /** Whether a server, or any where {@code which} is below 0, had been drained for longer than 500 ms. */
     private boolean drained(int which, long at) {
-        return drains.entrySet().stream().filter(each -> which < 0 || each.getKey() == which)
+        return drains.entrySet().stream()
+                .filter(each -> which < 0 || each.getKey() == which)
                 .flatMap(each -> each.getValue().stream())
                 .anyMatch(drain -> at > drain[0] + RULE_NS && at < drain[1]);
     }
@@ -176,7 +192,8 @@
     /** One that no server saw has got nothing, and no orderly end. */
     private static String unserved(StreamLog log) {
         return log.client.received > 0 || log.client.seen == StreamLog.Seen.END
-                ? "stream " + log.number + " was answered by nobody: " + log.client.seen : null;
+                ? "stream " + log.number + " was answered by nobody: " + log.client.seen
+                : null;
     }
 
     private Result result(int streams) {
@@ -194,8 +211,7 @@
             watched += log.at >= 0 && drained(-1, log.openedAt) ? 1 : 0;
             late += log.at >= 0 && drained(log.at, log.openedAt) ? 1 : 0;
         }
-        return new Result(streams, halves, broken, refused, watched, late, bytes,
-                compare());
+        return new Result(streams, halves, broken, refused, watched, late, bytes, compare());
     }
 
     @Override
--- a/world/src/main/java/topazvalve/world/tally/Run.java
+++ b/world/src/main/java/topazvalve/world/tally/Run.java
@@ -15,10 +15,20 @@
  * @param wallNanos how long it took to play
  * @param attemptsByServer by the server's id, from 1
  */
-public record Run(String scenario, String arm, long seed, Tally tally, Map<Rule, Integer> broken,
-        List<Breach> breaches, List<Fault> faults, List<String> notes, long digest, long requests,
-                long events,
-        long wallNanos, long[] attemptsByServer) {
+public record Run(
+        String scenario,
+        String arm,
+        long seed,
+        Tally tally,
+        Map<Rule, Integer> broken,
+        List<Breach> breaches,
+        List<Fault> faults,
+        List<String> notes,
+        long digest,
+        long requests,
+        long events,
+        long wallNanos,
+        long[] attemptsByServer) {
 
     /** Whether every rule held. */
     public boolean clean() {
--- a/world/src/main/java/topazvalve/world/tally/Tally.java
+++ b/world/src/main/java/topazvalve/world/tally/Tally.java
@@ -123,7 +123,7 @@
     }
 
     /** What a second looked like. */
-    public record Second(int number, long asked, long good, double p50Ms, double p99Ms, long attempts) { }
+    public record Second(int number, long asked, long good, double p50Ms, double p99Ms, long attempts) {}
 
     /** One second, for a progress line or a plot. */
     public Second second(int number) {
@@ -134,8 +134,13 @@
             served += good[i][number];
         }
         Histogram window = bySecond.get(number);
-        return new Second(number, all, served, window == null ? 0 : window.getValueAtPercentile(50) / 1e6,
-                window == null ? 0 : window.getValueAtPercentile(99) / 1e6, attemptsBySecond[number]);
+        return new Second(
+                number,
+                all,
+                served,
+                window == null ? 0 : window.getValueAtPercentile(50) / 1e6,
+                window == null ? 0 : window.getValueAtPercentile(99) / 1e6,
+                attemptsBySecond[number]);
     }
 
     /** Seconds that the run has. */
@@ -195,8 +200,17 @@
     }
 
     /** Sums over all classes and the whole run, the settling apart. */
-    public record Sums(long asked, long good, long late, long refused, long failed, long unanswered,
-            long attempts, long connections, long probes, long retries) { }
+    public record Sums(
+            long asked,
+            long good,
+            long late,
+            long refused,
+            long failed,
+            long unanswered,
+            long attempts,
+            long connections,
+            long probes,
+            long retries) {}
 
     /** The sums. */
     public Sums sums() {
@@ -206,8 +220,17 @@
             all += Arrays.stream(asked[i], firstSecond(), seconds).sum();
             served += Arrays.stream(good[i], firstSecond(), seconds).sum();
         }
-        return new Sums(all, served, sum(late), sum(refused), sum(failed), sum(unanswered), attempts,
-                connections, probes, retries);
+        return new Sums(
+                all,
+                served,
+                sum(late),
+                sum(refused),
+                sum(failed),
+                sum(unanswered),
+                attempts,
+                connections,
+                probes,
+                retries);
     }
 
     private static long sum(long[] values) {
--- a/world/src/main/java/topazvalve/world/virtual/ColdSums.java
+++ b/world/src/main/java/topazvalve/world/virtual/ColdSums.java
@@ -18,6 +18,7 @@
 public final class ColdSums implements ColdWatch {
     /** Part of a window's work from those who knew, from which a fall is their fault. */
     private static final double INFORMED = 2.0 / 3;
+
     private static final String SCENARIO = """
             name = "cold-sums"
             length = "36s"
@@ -125,9 +126,9 @@
      * @param peaks of each server that was cold, the most it was sent, in parts of what lets it fall
      * @param faults how many were sent more than that, two thirds of it by those who knew
      */
-    public record Result(List<Double> peaks, long faults) { }
+    public record Result(List<Double> peaks, long faults) {}
 
-    private ColdSums() { }
+    private ColdSums() {}
 
     @Override
     public void window(OrderServer server, double offered, double allowed, double informed) {
@@ -145,17 +146,22 @@
      * @param factor how many times its present capacity a cold server bears
      * @param replaced part of the servers that cold ones replace within two seconds
      */
-    public record Fleet(int instances, int servers, double utilisation, double factor, double replaced) { }
+    public record Fleet(int instances, int servers, double utilisation, double factor, double replaced) {}
 
     /** Plays one fleet in virtual time. */
     static Result play(Policy policy, Fleet fleet, long seed) {
         ColdSums sums = new ColdSums();
-        VirtualWorld world = new VirtualWorld(ScenarioFile.parse("cold-sums.toml", SCENARIO.formatted(
-                fleet.servers, fleet.instances, fleet.utilisation, fleet.factor, fleet.replaced)),
-                Arm.of(policy), seed);
+        VirtualWorld world = new VirtualWorld(
+                ScenarioFile.parse(
+                        "cold-sums.toml",
+                        SCENARIO.formatted(
+                                fleet.servers, fleet.instances, fleet.utilisation, fleet.factor, fleet.replaced)),
+                Arm.of(policy),
+                seed);
         world.watchCold(sums);
         world.play();
-        return new Result(List.copyOf(sums.peaks.values()),
+        return new Result(
+                List.copyOf(sums.peaks.values()),
                 sums.informedPeaks.values().stream().filter(each -> each > 1).count());
     }
 
@@ -181,9 +187,17 @@
                 faults += result.faults();
             }
             all.sort(null);
-            System.out.printf(Locale.ROOT, "%d %d %d %.2f %.2f %.2f %d %d%n", size[0], size[1], all.size(),
-                    all.get(all.size() / 2), all.get(all.size() * 99 / 100), all.get(all.size() - 1),
-                    all.stream().filter(each -> each > 1).count(), faults);
+            System.out.printf(
+                    Locale.ROOT,
+                    "%d %d %d %.2f %.2f %.2f %d %d%n",
+                    size[0],
+                    size[1],
+                    all.size(),
+                    all.get(all.size() / 2),
+                    all.get(all.size() * 99 / 100),
+                    all.get(all.size() - 1),
+                    all.stream().filter(each -> each > 1).count(),
+                    faults);
         }
     }
 }
--- a/world/src/main/java/topazvalve/world/virtual/DelayLine.java
+++ b/world/src/main/java/topazvalve/world/virtual/DelayLine.java
@@ -16,6 +16,7 @@
     private Object[] things = new Object[64];
     /** Numbers of the first thing and of the one after the last; each one's slot is its number's low bits. */
     private long first;
+
     private long next;
     private boolean scheduled;
 
--- a/world/src/main/java/topazvalve/world/virtual/EventHeap.java
+++ b/world/src/main/java/topazvalve/world/virtual/EventHeap.java
@@ -60,8 +60,8 @@
                 break;
             }
             int right = down + 1;
-            if (right < size && (times[right] < times[down]
-                    || times[right] == times[down] && serials[right] < serials[down])) {
+            if (right < size
+                    && (times[right] < times[down] || times[right] == times[down] && serials[right] < serials[down])) {
                 down = right;
             }
             if (when < times[down] || when == times[down] && serial < serials[down]) {
--- a/world/src/main/java/topazvalve/world/virtual/VirtualAttempt.java
+++ b/world/src/main/java/topazvalve/world/virtual/VirtualAttempt.java
@@ -13,13 +13,13 @@
     Peer.Connection connection;
     /** Whether its last byte has been written. */
     boolean written;
+
     boolean received;
     boolean turnedAway;
     boolean ran;
     boolean ended;
 
-    VirtualAttempt(VirtualInstance instance, VirtualCall call, int number, Peer peer, double work,
-            long sentAt) {
+    VirtualAttempt(VirtualInstance instance, VirtualCall call, int number, Peer peer, double work, long sentAt) {
         super(work, call.requestClass, call.key, call.deadline);
         this.instance = instance;
         this.call = call;
--- a/world/src/main/java/topazvalve/world/virtual/VirtualCall.java
+++ b/world/src/main/java/topazvalve/world/virtual/VirtualCall.java
@@ -21,6 +21,7 @@
     final Client client;
     /** The first try's time, which the retry's answer is counted against. */
     final long firstAt;
+
     final VirtualAttempt[] attempts;
     int tries;
     int out;
@@ -28,8 +29,18 @@
     /** Its place in the line of those whose time will be over; -1 for none. */
     long expiry = -1;
 
-    VirtualCall(long id, int instance, Trace trace, int requestClass, long key, double work, long deadline,
-            boolean retry, long firstAt, int mostAttempts, Client client) {
+    VirtualCall(
+            long id,
+            int instance,
+            Trace trace,
+            int requestClass,
+            long key,
+            double work,
+            long deadline,
+            boolean retry,
+            long firstAt,
+            int mostAttempts,
+            Client client) {
         this.id = id;
         this.instance = instance;
         this.trace = trace;
--- a/world/src/main/java/topazvalve/world/virtual/VirtualClients.java
+++ b/world/src/main/java/topazvalve/world/virtual/VirtualClients.java
@@ -68,11 +68,23 @@
         }
         long id = ++lastId;
         long deadline = now + wish.patience();
-        Trace trace = new Trace(id, number, scenario.classes().get(wish.requestClass()),
-                world.sinceStart(now), world.sinceStart(deadline));
-        VirtualCall call = new VirtualCall(id, number, trace, wish.requestClass(), wish.key(), wish.work(),
+        Trace trace = new Trace(
+                id,
+                number,
+                scenario.classes().get(wish.requestClass()),
+                world.sinceStart(now),
+                world.sinceStart(deadline));
+        VirtualCall call = new VirtualCall(
+                id,
+                number,
+                trace,
+                wish.requestClass(),
+                wish.key(),
+                wish.work(),
                 deadline,
-                retry, firstAt, world.attemptLimit() + 2,
+                retry,
+                firstAt,
+                world.attemptLimit() + 2,
                 (ended, answer, wait) -> answered(ended, answer, wait, wish));
         world.oracle().sent(trace);
         if (wish.leavesEarly()) {
@@ -129,12 +141,14 @@
 
     private void ended(int number, Asker.Wish wish, Answer answer, long wait, long firstAt, boolean retry) {
         WorkClass kind = scenario.classes().get(wish.requestClass());
-        boolean harmless = answer == Answer.REFUSED || kind.repeats() == Repeats.FREE
+        boolean harmless = answer == Answer.REFUSED
+                || kind.repeats() == Repeats.FREE
                 || kind.repeats() == Repeats.KEYED && kind.scope() == Scope.ALL;
         if (wish.retries() && !retry && harmless) {
             long pause = wish.heeds() && wait > 0
-                    ? Math.max(scenario.clients().backoff(), Math.min(wait,
-                            scenario.clients().maxRetryAfter()))
+                    ? Math.max(
+                            scenario.clients().backoff(),
+                            Math.min(wait, scenario.clients().maxRetryAfter()))
                     : scenario.clients().backoff();
             world.clock().at(world.clock().now() + pause, () -> {
                 world.tally().retry();
--- a/world/src/main/java/topazvalve/world/virtual/VirtualClock.java
+++ b/world/src/main/java/topazvalve/world/virtual/VirtualClock.java
@@ -12,6 +12,7 @@
 final class VirtualClock implements Clock {
     /** A slice is 2^16 ns, 66 us long; 2^14 of them make a wheel of 1.07 s. */
     private static final int SLICE_BITS = 16;
+
     private static final int SLICES = 1 << 14;
 
     private static final class Slice {
@@ -46,6 +47,7 @@
     private int inWheel;
     /** The slice whose events are at hand. */
     private long slice;
+
     private long serial;
     private long now;
     private long fired;
--- a/world/src/main/java/topazvalve/world/virtual/VirtualDiscovery.java
+++ b/world/src/main/java/topazvalve/world/virtual/VirtualDiscovery.java
@@ -33,7 +33,12 @@
     private final List<VirtualInstance> instances;
     private long busyUntil;
 
-    VirtualDiscovery(Clock clock, News news, Directory directory, Oracle oracle, Chance chance,
+    VirtualDiscovery(
+            Clock clock,
+            News news,
+            Directory directory,
+            Oracle oracle,
+            Chance chance,
             List<VirtualInstance> instances) {
         this.clock = clock;
         this.news = news;
@@ -117,7 +122,8 @@
         long at = Math.max(watch.lastAt, clock.now() + (long) (chance.part() * news.spread()));
         watch.lastAt = at;
         clock.at(at, () -> {
-            if (watches.get(number) == watch && instance.life() == life
+            if (watches.get(number) == watch
+                    && instance.life() == life
                     && entry.changedAtRevision() > watch.toldUntil) {
                 watch.toldUntil = entry.changedAtRevision();
                 tell(instance, ListKind.DELTA, List.of(entry));
@@ -140,7 +146,13 @@
     }
 
     static Upstream line(Entry entry) {
-        return new Upstream(entry.server().id(), entry.server().pod().zone(), entry.server().kindNumber(),
-                entry.server().pod().number(), entry.state(), 1, entry.startedAt());
+        return new Upstream(
+                entry.server().id(),
+                entry.server().pod().zone(),
+                entry.server().kindNumber(),
+                entry.server().pod().number(),
+                entry.state(),
+                1,
+                entry.startedAt());
     }
 }
--- a/world/src/main/java/topazvalve/world/virtual/VirtualInstance.java
+++ b/world/src/main/java/topazvalve/world/virtual/VirtualInstance.java
@@ -32,6 +32,7 @@
     private Balancer balancer;
     /** By the server's id, which is small and given out in turn. */
     private Peer[] peers = new Peer[16];
+
     private final Map<Long, VirtualCall> calls = new HashMap<>();
     private final ArrayDeque<Runnable> events = new ArrayDeque<>();
     private boolean telling;
@@ -157,8 +158,8 @@
     /** Takes a client's request. */
     void request(VirtualCall call) {
         calls.put(call.id, call);
-        Request request = new Request(call.id, call.requestClass, 0, call.key, call.deadline - now(), 0,
-                call.retry, true);
+        Request request =
+                new Request(call.id, call.requestClass, 0, call.key, call.deadline - now(), 0, call.retry, true);
         tell(() -> balancer.request(now(), request));
     }
 
@@ -240,8 +241,7 @@
         long now = now();
         Peer peer = peer(upstream);
         if (refusesToSend(call, mine, now) || peer == null) {
-            tell(() -> outcome(call, mine, upstream, 0, peer == null ? Outcome.CONNECT_FAILED
-                    : Outcome.NEVER_SENT));
+            tell(() -> outcome(call, mine, upstream, 0, peer == null ? Outcome.CONNECT_FAILED : Outcome.NEVER_SENT));
             return;
         }
         VirtualAttempt attempt = new VirtualAttempt(this, call, mine, peer, world.attemptWork(call), now);
@@ -275,8 +275,10 @@
         }
         long back = world.link().delay(attempt.peer.crossZone);
         if (mode == Mode.VANISHED) {
-            world.clock().at(attempt.sentAt + world.scenario().limits().connectTimeout(), () ->
-                    ended(attempt, Outcome.CONNECT_FAILED));
+            world.clock()
+                    .at(
+                            attempt.sentAt + world.scenario().limits().connectTimeout(),
+                            () -> ended(attempt, Outcome.CONNECT_FAILED));
         } else if (mode == Mode.DOWN || mode == Mode.REFUSING || !server.accept()) {
             world.clock().at(now() + back, () -> ended(attempt, Outcome.CONNECT_FAILED));
         } else {
@@ -343,8 +345,9 @@
         attempt.ended = true;
         Peer.Connection connection = attempt.connection;
         if (connection != null && !connection.closed) {
-            boolean keeps = running && (outcome == Outcome.OK || outcome == Outcome.ERROR
-                    || outcome == Outcome.REJECTED) && connection.life == attempt.peer.server.life();
+            boolean keeps = running
+                    && (outcome == Outcome.OK || outcome == Outcome.ERROR || outcome == Outcome.REJECTED)
+                    && connection.life == attempt.peer.server.life();
             if (keeps) {
                 connection.idle = true;
                 attempt.peer.idle.addLast(connection);
@@ -354,8 +357,8 @@
             }
         }
         if (running && calls.get(attempt.call.id) == attempt.call) {
-            tell(() -> outcome(attempt.call, attempt.number, attempt.peer.server.id(), now() - attempt.sentAt,
-                    outcome));
+            tell(() ->
+                    outcome(attempt.call, attempt.number, attempt.peer.server.id(), now() - attempt.sentAt, outcome));
         }
     }
 
@@ -371,7 +374,9 @@
     @Override
     public void cancel(long request, int attempt) {
         VirtualCall call = calls.get(request);
-        if (call != null && attempt < call.attempts.length && call.attempts[attempt] != null
+        if (call != null
+                && attempt < call.attempts.length
+                && call.attempts[attempt] != null
                 && !call.attempts[attempt].ended) {
             VirtualAttempt cancelled = call.attempts[attempt];
             giveUp(cancelled);
@@ -434,7 +439,7 @@
         }
 
         @Override
-        protected void began() { }
+        protected void began() {}
 
         @Override
         protected void served(boolean good, boolean spoilt) {
@@ -452,7 +457,7 @@
         }
 
         @Override
-        protected void dropped() { }
+        protected void dropped() {}
     }
 
     @Override
--- a/world/src/main/java/topazvalve/world/virtual/VirtualWorld.java
+++ b/world/src/main/java/topazvalve/world/virtual/VirtualWorld.java
@@ -7,9 +7,9 @@
 import java.util.function.IntFunction;
 import java.util.zip.CRC32C;
 import topazvalve.decisions.Balancer.State;
-import topazvalve.world.model.ColdWatch;
 import topazvalve.world.model.Chance;
 import topazvalve.world.model.Clock;
+import topazvalve.world.model.ColdWatch;
 import topazvalve.world.model.FaultPlayer;
 import topazvalve.world.model.OrderServer;
 import topazvalve.world.model.Scene;
@@ -25,6 +25,7 @@
 public final class VirtualWorld implements Stage {
     /** A start far from 0, since a server that started at 0 counts as started long ago. */
     private static final long START = 1_000_000_000_000L;
+
     private static final double IDLE_SHARE = 0.9;
 
     private final Scenario scenario;
@@ -64,14 +65,17 @@
         this.restarts = Chance.stream(seed, "restarts");
         servers().forEach(this::introduce);
         servers().forEach(directory()::list);
-        this.discovery = new VirtualDiscovery(clock, scenario.news(), directory(), oracle,
-                Chance.stream(seed, "discovery"), instances);
-        this.keepIdle = (long) (scenario.machines().stream().mapToLong(each -> each.idleClose()).min()
-                .orElseThrow() * IDLE_SHARE);
+        this.discovery = new VirtualDiscovery(
+                clock, scenario.news(), directory(), oracle, Chance.stream(seed, "discovery"), instances);
+        this.keepIdle = (long) (scenario.machines().stream()
+                        .mapToLong(each -> each.idleClose())
+                        .min()
+                        .orElseThrow()
+                * IDLE_SHARE);
         this.idleConnections = new DelayLine<>(clock, keepIdle, this::stale);
         IntFunction<VirtualInstance> make = others == null
-                ? number -> new VirtualInstance(this, number, zone(number)) : number -> others.make(this,
-                        number);
+                ? number -> new VirtualInstance(this, number, zone(number))
+                : number -> others.make(this, number);
         for (int i = 0; i < scenario.fleet().instances(); i++) {
             instances.add(make.apply(i));
         }
@@ -122,20 +126,42 @@
         List<Fault> faults = FaultPlayer.play(this, scenario, seed);
         instances.forEach(this::begin);
         clients.start();
-        long rest = scenario.classes().stream().mapToLong(each -> each.deadline()).max().orElseThrow();
-        clock.runUntil(end() + 2 * rest + scenario.clients().maxRetryAfter()
+        long rest = scenario.classes().stream()
+                .mapToLong(each -> each.deadline())
+                .max()
+                .orElseThrow();
+        clock.runUntil(end()
+                + 2 * rest
+                + scenario.clients().maxRetryAfter()
                 + scenario.limits().answerSlack());
-        return new Run(scenario.name(), arm.name(), seed, tally, oracle.counts(), oracle.breaches(),
-                faults, scene.notes(), digest.getValue(), oracle.requests(), clock.fired(),
-                System.nanoTime() - began, attemptsByServer);
+        return new Run(
+                scenario.name(),
+                arm.name(),
+                seed,
+                tally,
+                oracle.counts(),
+                oracle.breaches(),
+                faults,
+                scene.notes(),
+                digest.getValue(),
+                oracle.requests(),
+                clock.fired(),
+                System.nanoTime() - began,
+                attemptsByServer);
     }
 
     private void begin(VirtualInstance instance) {
         if (!scenario.news().subscribe()) {
             discovery.follow(instance);
         }
-        instance.start(arm.policy().make(arm.settings(scenario, instance.number(), zone(instance.number())),
-                restarts.any(), instance), directory().all(), directory().revision());
+        instance.start(
+                arm.policy()
+                        .make(
+                                arm.settings(scenario, instance.number(), zone(instance.number())),
+                                restarts.any(),
+                                instance),
+                directory().all(),
+                directory().revision());
     }
 
     // What parts of the world ask of it.
@@ -157,7 +183,8 @@
         discovery.forget(number);
         servers().forEach(each -> oracle.readyTold(number, each.id()));
         begin(instance);
-        directory().all().stream().filter(each -> each.state() != State.READY)
+        directory().all().stream()
+                .filter(each -> each.state() != State.READY)
                 .forEach(each -> oracle.drainTold(number, each.server().id(), elapsed()));
     }
 
@@ -241,8 +268,13 @@
         }
         attemptsByServer[id]++;
         tally.attempt(elapsed());
-        oracle.received(attempt.call.trace, server.id(), server.pod().zone(), server.pod().number(),
-                !attempt.turnedAway, elapsed());
+        oracle.received(
+                attempt.call.trace,
+                server.id(),
+                server.pod().zone(),
+                server.pod().number(),
+                !attempt.turnedAway,
+                elapsed());
     }
 
     void digest(long request, Answer answer) {
--- a/world/src/test/java/topazvalve/world/WallsTest.java
+++ b/world/src/test/java/topazvalve/world/WallsTest.java
@@ -11,21 +11,37 @@
 /** One model on two clocks: it may know neither of them. */
 class WallsTest {
     private static final JavaClasses WORLD = new ClassFileImporter()
-            .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("topazvalve.world");
+            .withImportOption(new ImportOption.DoNotIncludeTests())
+            .importPackages("topazvalve.world");
 
     @Test
     void theModelKnowsNeitherClockNorSocket() {
-        noClasses().that().resideInAnyPackage("..world.model..", "..world.oracle..", "..world.policy..",
-                "..world.scenario..", "..world.tally..").should().dependOnClassesThat()
+        noClasses()
+                .that()
+                .resideInAnyPackage(
+                        "..world.model..",
+                        "..world.oracle..",
+                        "..world.policy..",
+                        "..world.scenario..",
+                        "..world.tally..")
+                .should()
+                .dependOnClassesThat()
                 .resideInAnyPackage("io.netty..", "java.net..", "..world.real..", "..world.virtual..")
-                .orShould().callMethod(System.class, "nanoTime")
-                .orShould().callMethod(System.class, "currentTimeMillis").check(WORLD);
+                .orShould()
+                .callMethod(System.class, "nanoTime")
+                .orShould()
+                .callMethod(System.class, "currentTimeMillis")
+                .check(WORLD);
     }
 
     @Test
     void virtualTimeOpensNoSocket() {
-        noClasses().that().resideInAnyPackage("..world.virtual..", "..world.experiment..").should()
-                .dependOnClassesThat().resideInAnyPackage("io.netty..", "java.net..", "..world.real..")
+        noClasses()
+                .that()
+                .resideInAnyPackage("..world.virtual..", "..world.experiment..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("io.netty..", "java.net..", "..world.real..")
                 .check(WORLD);
     }
 
--- a/world/src/test/java/topazvalve/world/experiment/RunnerTest.java
+++ b/world/src/test/java/topazvalve/world/experiment/RunnerTest.java
@@ -39,14 +39,18 @@
                 deadline = "1s"
                 repeats = "free"
                 """);
-        return new Plan("tiny", List.of(new Plan.Setting(Path.of("tiny.toml"), scenario)),
-                List.of(Arm.of(Policy.LEAST_IN_FLIGHT), Arm.of(Policy.RANDOM)), 1, seeds);
+        return new Plan(
+                "tiny",
+                List.of(new Plan.Setting(Path.of("tiny.toml"), scenario)),
+                List.of(Arm.of(Policy.LEAST_IN_FLIGHT), Arm.of(Policy.RANDOM)),
+                1,
+                seeds);
     }
 
     /** A stop in the middle of a line loses that run alone; going on gives what a whole run gives. */
     @Test
     void aStoppedExperimentGoesOnWhereItWas() throws Exception {
-        List<Result> whole = new Runner(plan(6), folder.resolve("whole"), 3).run(false, each -> { });
+        List<Result> whole = new Runner(plan(6), folder.resolve("whole"), 3).run(false, each -> {});
         assertEquals(12, whole.size());
         Path cut = folder.resolve("cut");
         Runner stopped = new Runner(plan(6), cut, 1);
@@ -60,13 +64,14 @@
         List<Integer> done = new ArrayList<>();
         List<Result> resumed = new Runner(plan(6), cut, 2).run(true, each -> done.add(each.done()));
         assertEquals(12 - some.size(), done.size(), "only what was missing is run");
-        assertEquals(whole.stream().map(each -> each.key() + each.digest()).toList(),
+        assertEquals(
+                whole.stream().map(each -> each.key() + each.digest()).toList(),
                 resumed.stream().map(each -> each.key() + each.digest()).toList());
     }
 
     @Test
     void theReportIsOneFileThatNeedsNothingElse() throws Exception {
-        List<Result> results = new Runner(plan(2), folder, 2).run(false, each -> { });
+        List<Result> results = new Runner(plan(2), folder, 2).run(false, each -> {});
         Path file = folder.resolve("report.html");
         Report.write(file, "a <title>", results);
         String html = Files.readString(file);
@@ -78,9 +83,12 @@
 
     @Test
     void aDifferenceIsToldWhereThereIsOneAndOnlyThere() throws Exception {
-        List<Result> results = new Runner(plan(12), folder, 4).run(false, each -> { });
-        List<Result> least = results.stream().filter(each -> each.arm().equals("least-in-flight")).toList();
-        List<Result> random = results.stream().filter(each -> each.arm().equals("random")).toList();
+        List<Result> results = new Runner(plan(12), folder, 4).run(false, each -> {});
+        List<Result> least = results.stream()
+                .filter(each -> each.arm().equals("least-in-flight"))
+                .toList();
+        List<Result> random =
+                results.stream().filter(each -> each.arm().equals("random")).toList();
         Comparison same = Comparison.of(least, least).get(0);
         assertFalse(same.differs());
         assertEquals(0, same.mean());
--- a/world/src/test/java/topazvalve/world/scenario/ScenarioFileTest.java
+++ b/world/src/test/java/topazvalve/world/scenario/ScenarioFileTest.java
@@ -14,13 +14,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
-import topazvalve.toml.Problem;
 import topazvalve.toml.BadFile;
+import topazvalve.toml.Problem;
 
 class ScenarioFileTest {
     private static List<Path> shipped() throws IOException {
         try (Stream<Path> files = Files.list(Path.of("scenarios"))) {
-            return files.filter(each -> each.toString().endsWith(".toml")).sorted().toList();
+            return files.filter(each -> each.toString().endsWith(".toml"))
+                    .sorted()
+                    .toList();
         }
     }
 
@@ -33,7 +35,9 @@
     }
 
     private static BadFile refused(List<String> lines) {
-        return assertThrows(BadFile.class, () -> ScenarioFile.parse("x.toml", String.join("\n", lines)),
+        return assertThrows(
+                BadFile.class,
+                () -> ScenarioFile.parse("x.toml", String.join("\n", lines)),
                 () -> String.join("\n", lines));
     }
 
@@ -53,15 +57,21 @@
             int line = i + 1;
             List<String> misspelt = new ArrayList<>(lines);
             misspelt.set(i, key + "x = " + value);
-            assertTrue(refused(misspelt).problems().stream().anyMatch(each -> each.line() == line
-                    && each.what().startsWith("unknown key; was \"" + key + "\" meant?")), key);
+            assertTrue(
+                    refused(misspelt).problems().stream()
+                            .anyMatch(each -> each.line() == line
+                                    && each.what().startsWith("unknown key; was \"" + key + "\" meant?")),
+                    key);
             for (String wrong : List.of("{ a = 1 }", "-7", "[[]]")) {
                 List<String> other = new ArrayList<>(lines);
                 other.set(i, key + " = " + wrong);
                 List<Problem> problems = refused(other).problems();
-                assertTrue(problems.stream().anyMatch(each -> each.line() == line && each.key().endsWith(key)
-                        && each.toString().startsWith("x.toml:" + line + ": ")), key + " = " + wrong + ": "
-                                + problems);
+                assertTrue(
+                        problems.stream()
+                                .anyMatch(each -> each.line() == line
+                                        && each.key().endsWith(key)
+                                        && each.toString().startsWith("x.toml:" + line + ": ")),
+                        key + " = " + wrong + ": " + problems);
             }
             tried++;
         }
@@ -70,12 +80,12 @@
 
     @Test
     void allFaultsAreToldAtOnceAndInOrder() {
-        BadFile bad = refused(List.of("nam = \"x\"", "length = \"10\"", "[load]", "rate = 1",
-                "rhythm = 2"));
+        BadFile bad = refused(List.of("nam = \"x\"", "length = \"10\"", "[load]", "rate = 1", "rhythm = 2"));
         List<String> told = bad.problems().stream().map(Problem::key).toList();
-        assertTrue(told.containsAll(List.of("name", "nam", "length", "load.rhythm", "machine", "class")),
-                told.toString());
-        assertEquals(bad.problems().stream().map(Problem::line).sorted().toList(),
+        assertTrue(
+                told.containsAll(List.of("name", "nam", "length", "load.rhythm", "machine", "class")), told.toString());
+        assertEquals(
+                bad.problems().stream().map(Problem::line).sorted().toList(),
                 bad.problems().stream().map(Problem::line).toList());
     }
 
--- a/world/src/test/java/topazvalve/world/virtual/ColdSumsTest.java
+++ b/world/src/test/java/topazvalve/world/virtual/ColdSumsTest.java
@@ -12,9 +12,11 @@
 class ColdSumsTest {
     /** The lower of the factors in the settings that are known. */
     private static final double FACTOR = 3;
+
     private static final double UTILISATION = 0.7;
     /** Part of what lets one fall: the rule is 1; without the part of each sidecar 100 send up to 0.88. */
     private static final double MOST = 0.7;
+
     private static final double REPLACED = 0.6;
     private static final int SEEDS = 2;
 
@@ -28,8 +30,7 @@
         for (long seed = 1; seed <= SEEDS; seed++) {
             ColdSums.Result result = ColdSums.play(Policy.MODULE, fleet(instances, servers), seed);
             assertTrue(result.peaks().size() > servers / 2, "cold ones were sent something");
-            assertTrue(result.peaks().stream().allMatch(each -> each < MOST), "seed " + seed + ": "
-                    + result.peaks());
+            assertTrue(result.peaks().stream().allMatch(each -> each < MOST), "seed " + seed + ": " + result.peaks());
             assertEquals(0, result.faults());
         }
     }
--- a/world/src/test/java/topazvalve/world/virtual/FaultySidecar.java
+++ b/world/src/test/java/topazvalve/world/virtual/FaultySidecar.java
@@ -15,6 +15,7 @@
     private static final long LATER = 1_000_000_000L;
     /** Over the 0.1 s that a client's leaving may take to be heard of, and the way to a server here. */
     private static final long AFTER_LEAVING = 250_000_000L;
+
     private final Rule breaks;
     private long newest = 1;
     private long newestStart;
@@ -37,8 +38,10 @@
         if (breaks == Rule.TRUE_ANSWER && picks(call)) {
             finish(call, Answer.SERVED, 0);
         } else if (breaks == Rule.AT_ONCE && picks(call)) {
-            world.clock().at(world.clock().now() + (call.deadline - world.clock().now()) * 8 / 10, () ->
-                    finish(call, Answer.FAILED, 0));
+            world.clock()
+                    .at(
+                            world.clock().now() + (call.deadline - world.clock().now()) * 8 / 10,
+                            () -> finish(call, Answer.FAILED, 0));
         } else {
             super.request(call);
             copies(call);
@@ -56,8 +59,7 @@
 
     @Override
     boolean refusesToSend(VirtualCall call, int mine, long now) {
-        boolean unbounded = breaks == Rule.ATTEMPTS || breaks == Rule.NOTHING_AFTER
-                || breaks == Rule.CLIENT_LEFT;
+        boolean unbounded = breaks == Rule.ATTEMPTS || breaks == Rule.NOTHING_AFTER || breaks == Rule.CLIENT_LEFT;
         return unbounded ? mine >= call.attempts.length : super.refusesToSend(call, mine, now);
     }
 
@@ -100,8 +102,13 @@
     @Override
     void listed(ListKind kind, List<Upstream> lines) {
         boolean deaf = breaks == Rule.DRAIN && kind != ListKind.CACHED;
-        super.listed(deaf ? ListKind.DELTA : kind,
-                deaf ? lines.stream().filter(each -> each.state() == State.READY).toList() : lines);
+        super.listed(
+                deaf ? ListKind.DELTA : kind,
+                deaf
+                        ? lines.stream()
+                                .filter(each -> each.state() == State.READY)
+                                .toList()
+                        : lines);
     }
 
     @Override
--- a/world/src/test/java/topazvalve/world/virtual/OracleTest.java
+++ b/world/src/test/java/topazvalve/world/virtual/OracleTest.java
@@ -18,25 +18,30 @@
 
     private static Scenario scenarioFor(Rule rule) {
         // All the load on one cold server has to be more than it bears; the rest wants no sidecar restarted.
-        return SmallWorld.with(rule == Rule.COLD ? SmallWorld.fault("restart", 2, 1, 0.2)
-                : SmallWorld.TROUBLE);
+        return SmallWorld.with(rule == Rule.COLD ? SmallWorld.fault("restart", 2, 1, 0.2) : SmallWorld.TROUBLE);
     }
 
     @ParameterizedTest
     @EnumSource(Rule.class)
     void aBrokenRuleIsFound(Rule rule) {
-        Run run = new VirtualWorld(scenarioFor(rule), Arm.of(Policy.RANDOM), SEED,
-                (world, number) -> new FaultySidecar(world, number, rule)).play();
+        Run run = new VirtualWorld(
+                        scenarioFor(rule),
+                        Arm.of(Policy.RANDOM),
+                        SEED,
+                        (world, number) -> new FaultySidecar(world, number, rule))
+                .play();
         assertTrue(run.broken().containsKey(rule), rule + " not found, but " + run.broken());
-        assertTrue(run.breaches().stream().anyMatch(each -> each.rule() == rule
-                && each.what().contains(rule == Rule.COLD ? "server " : "request ")), "names what broke it");
+        assertTrue(
+                run.breaches().stream()
+                        .anyMatch(each -> each.rule() == rule
+                                && each.what().contains(rule == Rule.COLD ? "server " : "request ")),
+                "names what broke it");
     }
 
     @Test
     void noneIsFoundWhereNoneIsBroken() {
         for (long seed = 1; seed <= 5; seed++) {
-            Run run = new VirtualWorld(SmallWorld.with(SmallWorld.TROUBLE), Arm.of(Policy.MODULE),
-                    seed).play();
+            Run run = new VirtualWorld(SmallWorld.with(SmallWorld.TROUBLE), Arm.of(Policy.MODULE), seed).play();
             assertEquals(Map.of(), run.broken(), run.breaches().toString());
         }
     }
--- a/world/src/test/java/topazvalve/world/virtual/SmallWorld.java
+++ b/world/src/test/java/topazvalve/world/virtual/SmallWorld.java
@@ -53,15 +53,17 @@
             deadline = "1500ms"
             repeats = "never"
             """;
-    static final String TROUBLE = fault("silent", 2, 4, 0.2) + fault("drain", 4, 4, 0.2)
-            + fault("restart", 7, 1, 0.4) + fault("vanish", 10, 3, 0.2) + fault("instance-restart", 9, 1,
-                    0.4);
+    static final String TROUBLE = fault("silent", 2, 4, 0.2)
+            + fault("drain", 4, 4, 0.2)
+            + fault("restart", 7, 1, 0.4)
+            + fault("vanish", 10, 3, 0.2)
+            + fault("instance-restart", 9, 1, 0.4);
 
-    private SmallWorld() { }
+    private SmallWorld() {}
 
     static String fault(String kind, int start, int length, double share) {
-        return "[[fault]]\nkind = \"" + kind + "\"\nstart = \"" + start + "s\"\nlength = \"" + length
-                + "s\"\nshare = " + share + "\n";
+        return "[[fault]]\nkind = \"" + kind + "\"\nstart = \"" + start + "s\"\nlength = \"" + length + "s\"\nshare = "
+                + share + "\n";
     }
 
     static Scenario with(String faults) {
--- a/world/src/test/java/topazvalve/world/virtual/VirtualClockTest.java
+++ b/world/src/test/java/topazvalve/world/virtual/VirtualClockTest.java
@@ -16,8 +16,7 @@
 
     /** Events, some of which make further ones, run in order of time and then of making. */
     @Property(tries = 300, seed = "42")
-    void eventsRunInOrder(@ForAll @Size(max = 60) List<@LongRange(min = 0,
-            max = 5_000_000_000L) Long> delays) {
+    void eventsRunInOrder(@ForAll @Size(max = 60) List<@LongRange(min = 0, max = 5_000_000_000L) Long> delays) {
         VirtualClock clock = new VirtualClock(START);
         List<String> ran = new ArrayList<>();
         for (int i = 0; i < delays.size(); i++) {
@@ -31,9 +30,9 @@
         clock.runUntil(START + 10_000_000_000L);
         // The reference: repeatedly the earliest, and among equals the one made first.
         List<String> right = new ArrayList<>();
-        record Due(long at, long serial, String name, long again) { }
-        TreeSet<Due> due = new TreeSet<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at)
-                : Long.compare(a.serial, b.serial));
+        record Due(long at, long serial, String name, long again) {}
+        TreeSet<Due> due =
+                new TreeSet<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.serial, b.serial));
         long serial = 0;
         for (int i = 0; i < delays.size(); i++) {
             due.add(new Due(delays.get(i), serial++, "e" + i, delays.get(i) / 2));
@@ -50,12 +49,11 @@
 
     /** What is taken off in time is never due; the rest is due once, at its time, in order. */
     @Property(tries = 300, seed = "42")
-    void aRingTellsWhatIsLeft(@ForAll @Size(max = 80) List<@LongRange(min = 1,
-            max = 400_000_000L) Long> gaps) {
+    void aRingTellsWhatIsLeft(@ForAll @Size(max = 80) List<@LongRange(min = 1, max = 400_000_000L) Long> gaps) {
         VirtualClock clock = new VirtualClock(START);
         List<String> due = new ArrayList<>();
-        DelayLine<String> line = new DelayLine<>(clock, 300_000_000, name ->
-                due.add(name + "@" + (clock.now() - START)));
+        DelayLine<String> line =
+                new DelayLine<>(clock, 300_000_000, name -> due.add(name + "@" + (clock.now() - START)));
         List<String> right = new ArrayList<>();
         long at = 0;
         for (int i = 0; i < gaps.size(); i++) {
--- a/world/src/test/java/topazvalve/world/virtual/VirtualWorldTest.java
+++ b/world/src/test/java/topazvalve/world/virtual/VirtualWorldTest.java
@@ -42,7 +42,8 @@
         Run troubled = play(SmallWorld.with(SmallWorld.TROUBLE), 3);
         assertEquals(calm.tally().sums().asked(), troubled.tally().sums().asked());
         for (int i = 0; i < calm.tally().seconds(); i++) {
-            assertEquals(calm.tally().second(i).asked(), troubled.tally().second(i).asked(), "second " + i);
+            assertEquals(
+                    calm.tally().second(i).asked(), troubled.tally().second(i).asked(), "second " + i);
         }
         assertTrue(troubled.tally().service() < calm.tally().service());
     }
@@ -70,26 +71,26 @@
         String word = kind.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
         String fault = "[[fault]]\nkind = \"" + word + "\"\nstart = \"3s\"\nlength = \"5s\"\n"
                 + switch (kind) {
-            case OVERLOAD, SHARED_SLOW -> "size = 3\n";
-            case LOSS -> "size = 0.2\n";
-            case DELAY -> "by = \"50ms\"\n";
-            case DISCOVERY_DOWN -> "";
-            case SLOW -> "share = 0.3\nsize = 4\n";
-            case SPOIL -> "share = 0.3\nsize = 0.5\n";
-            default -> "share = 0.3\n";
-        };
+                    case OVERLOAD, SHARED_SLOW -> "size = 3\n";
+                    case LOSS -> "size = 0.2\n";
+                    case DELAY -> "by = \"50ms\"\n";
+                    case DISCOVERY_DOWN -> "";
+                    case SLOW -> "share = 0.3\nsize = 4\n";
+                    case SPOIL -> "share = 0.3\nsize = 0.5\n";
+                    default -> "share = 0.3\n";
+                };
         Run run = play(SmallWorld.with(fault), 11);
         var sums = run.tally().sums();
-        assertEquals(sums.asked(), sums.good() + sums.late() + sums.refused() + sums.failed()
-                + sums.unanswered()
-                + killed(kind, sums), sums.toString());
+        assertEquals(
+                sums.asked(),
+                sums.good() + sums.late() + sums.refused() + sums.failed() + sums.unanswered() + killed(kind, sums),
+                sums.toString());
         assertTrue(run.clean(), run.breaches().toString());
     }
 
     /** What a killed sidecar held has no end of any kind. */
     private static long killed(Fault.Kind kind, topazvalve.world.tally.Tally.Sums sums) {
-        long without = sums.asked() - sums.good() - sums.late() - sums.refused() - sums.failed()
-                - sums.unanswered();
+        long without = sums.asked() - sums.good() - sums.late() - sums.refused() - sums.failed() - sums.unanswered();
         return kind == Fault.Kind.INSTANCE_RESTART && without >= 0 && without < 20 ? without : 0;
     }
 
