--- a/capacity/src/main/java/topazvalve/capacity/measure/ProcessFigures.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/ProcessFigures.java
@@ -29,7 +29,7 @@
                                     Files.readString(task.resolve("schedstat")).split(" ")[0]));
                 } catch (NoSuchFileException e) {
                     // The thread has just ended.
-                    continue;
+
                 }
             }
         }
--- a/core/src/main/java/topazvalve/core/lifecycle/Lifecycle.java
+++ b/core/src/main/java/topazvalve/core/lifecycle/Lifecycle.java
@@ -71,6 +71,6 @@
     /** Whether a connection without a request should be closed now. */
     public boolean closesIdle() {
         long now = System.nanoTime();
-        return ending && now - endedAt >= END_GRACE || emptying() && now - emptyingSince >= GRACE;
+        return (ending && now - endedAt >= END_GRACE) || (emptying() && now - emptyingSince >= GRACE);
     }
 }
--- a/core/src/main/java/topazvalve/core/stream/RequestBody.java
+++ b/core/src/main/java/topazvalve/core/stream/RequestBody.java
@@ -14,6 +14,7 @@
     /** What an attempt writes at once. */
     private static final int PIECE = 16 << 10;
 
+    @SuppressWarnings("UnnecessaryLambda") // compared by identity in several places
     private static final Runnable NOTHING = () -> {};
 
     private final ByteBudget budget;
@@ -147,8 +148,8 @@
     public boolean drained() {
         return whole
                 && (held.isEmpty()
-                        || segment == held.size() - 1
-                                && offset == held.get(segment).readableBytes());
+                        || (segment == held.size() - 1
+                                && offset == held.get(segment).readableBytes()));
     }
 
     /** Lets go of what has been read, once the share is full; that may have grown meanwhile. */
--- a/decisions/src/main/java/topazvalve/decisions/Balancer.java
+++ b/decisions/src/main/java/topazvalve/decisions/Balancer.java
@@ -130,7 +130,7 @@
             require(aim > 0, "class aim");
             require(deadline >= aim, "class deadline");
             require(worth >= 0 && Double.isFinite(worth), "class worth");
-            require(semantics != Semantics.BY_KEY || keyTtl >= 0 && scope != null, "class key scope and ttl");
+            require(semantics != Semantics.BY_KEY || (keyTtl >= 0 && scope != null), "class key scope and ttl");
         }
     }
 
--- a/decisions/src/main/java/topazvalve/decisions/Rules.java
+++ b/decisions/src/main/java/topazvalve/decisions/Rules.java
@@ -223,7 +223,7 @@
     private boolean mayTake(long now, Server server, Call call, boolean ignoreHealth) {
         return ledger.mayGoTo(call, server)
                 && server.inFlight < Math.max(1, (int) server.limit)
-                && (ignoreHealth || health.open(now, server, call) && !reports.crowded(server, call))
+                && (ignoreHealth || (health.open(now, server, call) && !reports.crowded(server, call)))
                 && roster.coldRoom(now, server, call);
     }
 
@@ -513,7 +513,7 @@
             }
             boolean harmless = firstDoubt(call) == null
                     || call.kind.semantics() == Semantics.REPEATABLE
-                    || call.kind.semantics() == Semantics.BY_KEY && call.kind.scope() == Scope.ALL;
+                    || (call.kind.semantics() == Semantics.BY_KEY && call.kind.scope() == Scope.ALL);
             if (harmless) {
                 actions.refuse(call.request.id(), admission.stayAway(call));
             } else {
@@ -824,7 +824,7 @@
         }
 
         private boolean shut(Server server, double slow, double expected, double aim) {
-            return server.connectFailures > 0 || slow > SLOW && slow * expected > USELESS * aim;
+            return server.connectFailures > 0 || (slow > SLOW && slow * expected > USELESS * aim);
         }
 
         /** For operators: whether every class avoids it, but for trials. */
@@ -1202,7 +1202,11 @@
 
         /** All told or out of patience: sets the bar that shuts the crowded ones, and goes on. */
         private void decide(long now, Call call, int answers) {
-            if (call.pending == 0 || (call.pending -= answers) > 0 || call.closed) {
+            if (call.pending == 0) {
+                return;
+            }
+            call.pending -= answers;
+            if (call.pending > 0 || call.closed) {
                 return;
             }
             double least =
--- a/fleet/src/main/java/topazvalve/fleet/hollow/LoopSide.java
+++ b/fleet/src/main/java/topazvalve/fleet/hollow/LoopSide.java
@@ -165,7 +165,7 @@
     int behind() {
         int behind = 0;
         for (Hollow each : instances) {
-            boolean lacks = each.isStarting() || each.owed() && (!each.answered() || each.empty());
+            boolean lacks = each.isStarting() || (each.owed() && (!each.answered() || each.empty()));
             for (int server = each.source(); !lacks && each.owed() && server < truth.servers(); server += lists) {
                 lacks = !oracle.inForce(
                         truth.latest(server),
--- a/fleet/src/main/java/topazvalve/fleet/run/FleetRun.java
+++ b/fleet/src/main/java/topazvalve/fleet/run/FleetRun.java
@@ -222,7 +222,7 @@
                     relays == null ? -1 : relays.resident(),
                     (packaged.cpu() - packagedCpu) / took / Math.max(1, packaged.count()),
                     packaged.resident(),
-                    runtime.totalMemory() - runtime.freeMemory() >> 20,
+                    (runtime.totalMemory() - runtime.freeMemory()) >> 20,
                     starved < 0 ? -1 : (Machine.starvedMicros() - starved) * 1e3 / took,
                     found);
         }
--- a/fleet/src/main/java/topazvalve/fleet/timeline/Timeline.java
+++ b/fleet/src/main/java/topazvalve/fleet/timeline/Timeline.java
@@ -104,6 +104,7 @@
         for (Stage each : stages) {
             made += each.burst + each.changesADay * (each.length + each.settle) / 86_400e9 + 1;
         }
-        return (int) Math.min(Integer.MAX_VALUE / 8, made * 1.1 + 1_000);
+        int limit = Integer.MAX_VALUE / 8;
+        return (int) Math.min(limit, made * 1.1 + 1_000);
     }
 }
--- a/lists/src/main/java/topazvalve/lists/ListState.java
+++ b/lists/src/main/java/topazvalve/lists/ListState.java
@@ -105,7 +105,7 @@
                 floor = next;
                 version = next;
                 return Taken.FIRST;
-            } else if (anew && !next.comparable(version) || anew && next.epoch() == 0) {
+            } else if ((anew && !next.comparable(version)) || (anew && next.epoch() == 0)) {
                 // No order between the lives: nobody of the old one can be served by changes.
                 log.clear();
                 logged = 0;
@@ -141,7 +141,7 @@
 
         private void put(Entry entry, Set<String> uids) {
             Entry before = entries.get(entry.uid());
-            if (entry.equals(before) || before == null && entry.gone()) {
+            if (entry.equals(before) || (before == null && entry.gone())) {
                 return;
             }
             // At the end again: who changed last stands last.
--- a/relay/src/main/java/topazvalve/relay/Relay.java
+++ b/relay/src/main/java/topazvalve/relay/Relay.java
@@ -261,7 +261,7 @@
         Lack lack = lists.lack(caller.has());
         long parked = TimeUnit.MILLISECONDS.toNanos(PARK_MS);
         boolean heard = links.stream().allMatch(link -> link.silentFor() < parked);
-        if (lists.complete() && (lack == Lack.WHOLE || lack == Lack.AHEAD_OR_ANEW && heard)) {
+        if (lists.complete() && (lack == Lack.WHOLE || (lack == Lack.AHEAD_OR_ANEW && heard))) {
             tellWhole(caller);
         } else if (lack == Lack.CHANGES) {
             bring(caller);
--- a/sidecar/src/main/java/topazvalve/sidecar/discovery/Discovery.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/discovery/Discovery.java
@@ -273,7 +273,7 @@
 
         /** An answer that comes late is as good as another's, unless that one was sooner. */
         private boolean takesOver() {
-            if (!wanted || watch != null && watch.call.isAnswered()) {
+            if (!wanted || (watch != null && watch.call.isAnswered())) {
                 return false;
             }
             if (watch != null) {
--- a/sidecar/src/main/java/topazvalve/sidecar/discovery/Listing.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/discovery/Listing.java
@@ -51,7 +51,7 @@
             default -> null;
         };
         InetSocketAddress endpoint = Addresses.parse(node.path("endpoint").asText(""));
-        if (uid.isEmpty() || state == null || endpoint == null && state != State.GONE) {
+        if (uid.isEmpty() || state == null || (endpoint == null && state != State.GONE)) {
             LOG.warn("entry passed over: {}", node);
             return null;
         }
--- a/sidecar/src/main/java/topazvalve/sidecar/front/ClientConnection.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/front/ClientConnection.java
@@ -152,7 +152,7 @@
 
     /** Whether what comes now belongs to a later request. */
     boolean busy() {
-        return looking || !waiting.isEmpty() || occupied() && !incoming;
+        return looking || !waiting.isEmpty() || (occupied() && !incoming);
     }
 
     @Override
--- a/sidecar/src/main/java/topazvalve/sidecar/front/RequestDecoder.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/front/RequestDecoder.java
@@ -53,7 +53,7 @@
 
     /** Keeps it, or drops it where there is no room; what is kept may lie over the share by one read. */
     private void keep(ByteBuf bytes) {
-        if (overflowed() || kept != null && kept.readableBytes() >= budget.share()) {
+        if (overflowed() || (kept != null && kept.readableBytes() >= budget.share())) {
             dropped += bytes.readableBytes();
             if (flooded()) {
                 drop();
--- a/sidecar/src/main/java/topazvalve/sidecar/front/RequestReader.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/front/RequestReader.java
@@ -59,7 +59,7 @@
             throw new IllegalArgumentException("no Host");
         }
         boolean coded = headers.contains(HttpHeaderNames.TRANSFER_ENCODING);
-        if (message.protocolVersion().majorVersion() != 1 || coded && !Headers.onlyChunked(message)) {
+        if (message.protocolVersion().majorVersion() != 1 || (coded && !Headers.onlyChunked(message))) {
             throw new IllegalArgumentException("version or transfer coding not supported");
         }
         if (!message.method().equals(HttpMethod.POST) && (coded || HttpUtil.getContentLength(message, 0L) > 0)) {
--- a/sidecar/src/main/java/topazvalve/sidecar/front/Room.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/front/Room.java
@@ -64,7 +64,7 @@
         while (least.size() < count) {
             ArrayDeque<ClientConnection> from = !turnedAway.isEmpty()
                     ? turnedAway
-                    : isDue(silent, now) || silentCount > most / 2 && !silent.isEmpty()
+                    : isDue(silent, now) || (silentCount > most / 2 && !silent.isEmpty())
                             ? silent
                             : !idle.isEmpty()
                                     ? idle
--- a/sidecar/src/main/java/topazvalve/sidecar/json/Json.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/json/Json.java
@@ -68,8 +68,8 @@
             case VALUE_STRING -> new Node(parser.getText());
             case VALUE_NUMBER_INT -> whole(parser);
             case VALUE_NUMBER_FLOAT -> new Node(parser.getDoubleValue());
-            case VALUE_TRUE -> new Node(Boolean.TRUE);
-            case VALUE_FALSE -> new Node(Boolean.FALSE);
+            case VALUE_TRUE -> new Node(true);
+            case VALUE_FALSE -> new Node(false);
             case VALUE_NULL -> Node.NULL;
             default -> throw new JsonParseException(parser, "not a value");
         };
--- a/sidecar/src/main/java/topazvalve/sidecar/json/Node.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/json/Node.java
@@ -74,7 +74,7 @@
     }
 
     public boolean isNull() {
-        return this == NULL;
+        return value == Void.class;
     }
 
     /** How many entries a list or members an object has. */
--- a/sidecar/src/main/java/topazvalve/sidecar/upstream/HttpCarrier.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/upstream/HttpCarrier.java
@@ -138,7 +138,7 @@
     /** An upstream that could go on with a body and does not for long ends the attempt. */
     private void checkStall() {
         Attempt<Message, Answer> attempt = current;
-        if (attempt == null || attempt.over() || attempt.handedOn() && !passing) {
+        if (attempt == null || attempt.over() || (attempt.handedOn() && !passing)) {
             return;
         }
         boolean waits = passing ? channel.config().isAutoRead() : !channel.isWritable();
@@ -190,7 +190,7 @@
             ByteBuf bytes = content.content();
             received += bytes.readableBytes();
             whole = message instanceof LastHttpContent;
-            if (received > LARGEST_ANSWER || received > LARGEST_HELD && !mayPass()) {
+            if (received > LARGEST_ANSWER || (received > LARGEST_HELD && !mayPass())) {
                 whole = false;
                 spoil();
             } else if (passing) {
@@ -268,7 +268,7 @@
                 ? Headers.onlyChunked(response)
                 : HttpUtil.getContentLength(response, -1L) >= 0 || !HttpUtil.isKeepAlive(response);
         received = 0;
-        if (!bounded && code != 204 && code != 304 || HttpUtil.getContentLength(response, 0L) > LARGEST_ANSWER) {
+        if ((!bounded && code != 204 && code != 304) || HttpUtil.getContentLength(response, 0L) > LARGEST_ANSWER) {
             return false;
         }
         try {
--- a/toml/src/main/java/topazvalve/toml/Table.java
+++ b/toml/src/main/java/topazvalve/toml/Table.java
@@ -109,7 +109,7 @@
         }
         JsonNode low = value.isArray() ? value.path(0) : value;
         JsonNode high = value.isArray() ? value.path(1) : value;
-        if (value.isArray() && value.size() != 2
+        if ((value.isArray() && value.size() != 2)
                 || !low.isNumber()
                 || !high.isNumber()
                 || !(low.asDouble() >= least && high.asDouble() <= most && low.asDouble() <= high.asDouble())) {
@@ -192,7 +192,7 @@
         List<String> read = new ArrayList<>();
         value.forEach(each -> read.add(each.isTextual() ? each.asText() : ""));
         if (!value.isArray()
-                || read.isEmpty() && !mayBeEmpty
+                || (read.isEmpty() && !mayBeEmpty)
                 || read.contains("")
                 || Set.copyOf(read).size() < read.size()) {
             wrong(key, value + " is not a list of different texts in quotes");
--- a/world/src/main/java/topazvalve/world/experiment/Results.java
+++ b/world/src/main/java/topazvalve/world/experiment/Results.java
@@ -32,7 +32,7 @@
                     results.add(JSON.readValue(line, Result.class));
                 } catch (JsonProcessingException e) {
                     // Cut by a stop: that run counts as not done.
-                    continue;
+
                 }
             }
         }
