--- a/capacity/src/main/java/topazvalve/capacity/measure/CallMeasurement.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/CallMeasurement.java
@@ -15,9 +15,9 @@
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
 import topazvalve.capacity.need.Quantity;
-import topazvalve.capacity.plan.Plan;
-import topazvalve.world.measure.EchoServer;
-import topazvalve.world.measure.OpenLoop;
+import topazvalve.capacity.plan.CapacityPlan;
+import topazvalve.simulation.measure.EchoServer;
+import topazvalve.simulation.measure.OpenLoop;
 
 /**
  * What the sidecar, on one core, adds to a call: open loop, direct and through it in turn, twice each in one
@@ -31,7 +31,7 @@
     private static final long LONGEST = 60_000_000_000L;
     private static final double MS = 1e6;
 
-    private final Plan plan;
+    private final CapacityPlan plan;
     private final Path home;
     private final Path folder;
     private final boolean quick;
@@ -40,7 +40,7 @@
     private final MultiThreadIoEventLoopGroup clients = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private int streams;
 
-    CallMeasurement(Plan plan, Path home, Path folder, boolean quick, Points points) {
+    CallMeasurement(CapacityPlan plan, Path home, Path folder, boolean quick, Points points) {
         this.plan = plan;
         this.home = home;
         this.folder = folder;
--- a/capacity/src/main/java/topazvalve/capacity/measure/CapacityMeasurement.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/CapacityMeasurement.java
@@ -6,11 +6,11 @@
 import java.util.Locale;
 import java.util.function.Consumer;
 import topazvalve.capacity.fit.Fit;
-import topazvalve.capacity.need.NeedTable;
-import topazvalve.capacity.need.Needs;
+import topazvalve.capacity.need.DemandModel;
+import topazvalve.capacity.need.DemandTable;
 import topazvalve.capacity.need.Quantity;
 import topazvalve.capacity.need.Slopes;
-import topazvalve.capacity.plan.Plan;
+import topazvalve.capacity.plan.CapacityPlan;
 
 /** Measures all slopes and puts the plan's sizes into them. */
 public final class CapacityMeasurement {
@@ -23,14 +23,14 @@
      * @param folder for the measured processes' files
      * @param quick fewer sizes and shorter, in under a minute
      */
-    public static NeedTable run(Plan plan, Path home, Path folder, boolean quick, Consumer<String> say)
+    public static DemandTable run(CapacityPlan plan, Path home, Path folder, boolean quick, Consumer<String> say)
             throws IOException, InterruptedException {
         Points points = new Points(say);
         say.accept(machine(quick));
         new ListMeasurement(plan, home, folder, quick, points).run();
         new ServingMeasurement(plan, home, folder, quick, points).run();
         new CallMeasurement(plan, home, folder, quick, points).run();
-        ConnectionMeasurement.run(home.resolve("world/capacity/connections.toml"), quick, points);
+        ConnectionMeasurement.run(home.resolve("simulation/capacity/connections.toml"), quick, points);
         Slopes slopes = points.fit();
         say.accept(machine(quick));
         say.accept("");
@@ -40,7 +40,7 @@
         if (!slopes.has(Quantity.CALL_ADDED_P99)) {
             say.accept("not decided: the delay added to a call, which has no line in the table");
         }
-        return Needs.of(plan, slopes);
+        return DemandModel.of(plan, slopes);
     }
 
     private static String machine(boolean quick) {
--- a/capacity/src/main/java/topazvalve/capacity/measure/ConnectionMeasurement.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/ConnectionMeasurement.java
@@ -3,13 +3,13 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import topazvalve.capacity.need.Quantity;
-import topazvalve.world.policy.Policy;
-import topazvalve.world.scenario.Scenario;
-import topazvalve.world.scenario.Scenario.Load;
-import topazvalve.world.scenario.ScenarioFile;
-import topazvalve.world.tally.Tally;
-import topazvalve.world.virtual.Arm;
-import topazvalve.world.virtual.VirtualWorld;
+import topazvalve.simulation.policy.Policy;
+import topazvalve.simulation.scenario.Scenario;
+import topazvalve.simulation.scenario.Scenario.Load;
+import topazvalve.simulation.scenario.ScenarioFile;
+import topazvalve.simulation.tally.RunStatistics;
+import topazvalve.simulation.virtual.ExperimentArm;
+import topazvalve.simulation.virtual.VirtualWorld;
 
 /**
  * New connections for a call by the calls a second of one sidecar and one server, in virtual time: a
@@ -55,7 +55,7 @@
                 scenario.clients(),
                 scenario.faults(),
                 scenario.chaos());
-        Tally.Sums sums = new VirtualWorld(loaded, Arm.of(Policy.MODULE), SEED)
+        RunStatistics.Sums sums = new VirtualWorld(loaded, ExperimentArm.of(Policy.MODULE), SEED)
                 .play()
                 .tally()
                 .sums();
--- a/capacity/src/main/java/topazvalve/capacity/measure/ListMeasurement.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/ListMeasurement.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import topazvalve.capacity.need.Quantity;
-import topazvalve.capacity.plan.Plan;
+import topazvalve.capacity.plan.CapacityPlan;
 
 /**
  * What a server in the list costs the packaged sidecar: it follows a stand-in source with lists of several
@@ -20,13 +20,13 @@
     private static final double MS = 1e6;
     private static final double PERCENT = 100;
 
-    private final Plan plan;
+    private final CapacityPlan plan;
     private final Path home;
     private final Path folder;
     private final boolean quick;
     private final Points points;
 
-    ListMeasurement(Plan plan, Path home, Path folder, boolean quick, Points points) {
+    ListMeasurement(CapacityPlan plan, Path home, Path folder, boolean quick, Points points) {
         this.plan = plan;
         this.home = home;
         this.folder = folder;
@@ -58,7 +58,7 @@
         List<Double> starts = new ArrayList<>();
         List<Double> cpus = new ArrayList<>();
         for (int i = quick ? 1 : 3; i > 0; i--) {
-            try (Server source = Server.source(servers, 0, 1000, emptyMs);
+            try (MeasuredServer source = MeasuredServer.source(servers, 0, 1000, emptyMs);
                     MeasuredSidecar sidecar = MeasuredSidecar.following(home, folder, source.port(), List.of())) {
                 sidecar.awaitListed(servers, START_LIMIT_MS, 10);
                 starts.add(sidecar.age() / 1e9);
@@ -72,7 +72,8 @@
         }
     }
 
-    private void running(int servers, Server source, MeasuredSidecar sidecar) throws IOException, InterruptedException {
+    private void running(int servers, MeasuredServer source, MeasuredSidecar sidecar)
+            throws IOException, InterruptedException {
         sidecar.awaitReady(START_LIMIT_MS);
         Thread.sleep(500);
         double rest = cpuPercent(sidecar, quick ? REST_MS : 3 * REST_MS);
@@ -92,7 +93,7 @@
         return PERCENT * ProcessFigures.cpuSince(cpu, sidecar.pid()) / (System.nanoTime() - begun);
     }
 
-    private void changes(int servers, Server source, MeasuredSidecar sidecar, double rest)
+    private void changes(int servers, MeasuredServer source, MeasuredSidecar sidecar, double rest)
             throws IOException, InterruptedException {
         points.add(Quantity.CHANGE_TIME, servers, time(servers, 1, sidecar, quick ? 6 : 30, () -> source.change(1)));
         points.add(
@@ -104,7 +105,7 @@
     }
 
     /** One line may tell of many servers: what each of them adds. */
-    private void lines(int servers, Server source, MeasuredSidecar sidecar, double rest)
+    private void lines(int servers, MeasuredServer source, MeasuredSidecar sidecar, double rest)
             throws IOException, InterruptedException {
         for (int entries : lineSizes()) {
             points.add(
@@ -124,7 +125,7 @@
 
     /** Tells something that makes one server come or go. */
     private interface Telling {
-        Server.Told tell() throws IOException;
+        MeasuredServer.Told tell() throws IOException;
     }
 
     /** From the telling until it is in force, in milliseconds, the one in the middle. */
@@ -132,7 +133,7 @@
             throws IOException, InterruptedException {
         List<Double> found = new ArrayList<>();
         for (int i = 0; i < times; i++) {
-            Server.Told told = telling.tell();
+            MeasuredServer.Told told = telling.tell();
             long inForce = sidecar.awaitListed(i % 2 == 0 ? servers + entries : servers, LIMIT_MS, 1);
             found.add((inForce - told.nanos()) / MS);
         }
--- a/capacity/src/main/java/topazvalve/capacity/measure/Server.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/MeasuredServer.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** A process of this program that serves lists, with commands on its standard input. */
-final class Server implements AutoCloseable {
+final class MeasuredServer implements AutoCloseable {
     private final Process process;
     private final BufferedReader answers;
     private final PrintWriter commands;
@@ -24,7 +24,7 @@
         }
     }
 
-    private Server(Process process) throws IOException {
+    private MeasuredServer(Process process) throws IOException {
         this.process = process;
         this.answers = process.inputReader(StandardCharsets.UTF_8);
         this.commands = new PrintWriter(process.outputWriter(StandardCharsets.UTF_8), true);
@@ -32,7 +32,7 @@
     }
 
     /** A stand-in source of so many servers; {@code callsPerSecond} 0 is no bound. */
-    static Server source(int servers, double callsPerSecond, long timeoutMs, long emptyMs) throws IOException {
+    static MeasuredServer source(int servers, double callsPerSecond, long timeoutMs, long emptyMs) throws IOException {
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin/java").toString(),
                 "-XX:+UseSerialGC",
@@ -44,7 +44,7 @@
         for (Object each : new Object[] {servers, callsPerSecond, timeoutMs, emptyMs}) {
             command.add(each.toString());
         }
-        return new Server(new ProcessBuilder(command)
+        return new MeasuredServer(new ProcessBuilder(command)
                 .redirectError(ProcessBuilder.Redirect.DISCARD)
                 .start());
     }
--- a/capacity/src/main/java/topazvalve/capacity/measure/MeasuredSidecar.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/MeasuredSidecar.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import topazvalve.world.process.RunLine;
+import topazvalve.simulation.process.RunLine;
 
 /** The packaged sidecar, started by the deploy file's {@code run} line, looked at by its operators' door. */
 final class MeasuredSidecar implements AutoCloseable {
--- a/capacity/src/main/java/topazvalve/capacity/measure/RelayProcess.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/RelayProcess.java
@@ -4,7 +4,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
-import topazvalve.world.process.RunLine;
+import topazvalve.simulation.process.RunLine;
 
 /** The packaged relay as a process of its own, following one source; only its jar is known here. */
 final class RelayProcess implements AutoCloseable {
--- a/capacity/src/main/java/topazvalve/capacity/measure/ServingMeasurement.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/ServingMeasurement.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import topazvalve.capacity.need.Quantity;
-import topazvalve.capacity.plan.Plan;
+import topazvalve.capacity.plan.CapacityPlan;
 
 /**
  * What a watch, a change and a mass of calls cost who serves lists: plain clients of this process on a server
@@ -25,7 +25,7 @@
     private static final long SEED = 23;
     private static final String RELAY_JAR = "relay/target/topazvalve-relay.jar";
 
-    private final Plan plan;
+    private final CapacityPlan plan;
     private final Path home;
     private final Path folder;
     private final boolean quick;
@@ -33,7 +33,7 @@
     private final long emptyMs;
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(LOOPS, NioIoHandler.newFactory());
 
-    ServingMeasurement(Plan plan, Path home, Path folder, boolean quick, Points points) {
+    ServingMeasurement(CapacityPlan plan, Path home, Path folder, boolean quick, Points points) {
         this.plan = plan;
         this.home = home;
         this.folder = folder;
@@ -44,7 +44,7 @@
 
     void run() throws IOException, InterruptedException {
         try {
-            try (Server source = Server.source(plan.fleet().servers(), 0, 1000, emptyMs)) {
+            try (MeasuredServer source = MeasuredServer.source(plan.fleet().servers(), 0, 1000, emptyMs)) {
                 watches(Role.SOURCE, source, source.port(), source.pid());
                 lists(Role.SOURCE, source.port(), source.pid());
             }
@@ -94,7 +94,7 @@
             points.say("no relay is built here: not measured, reckoned by the source's slopes");
             return;
         }
-        try (Server source = Server.source(plan.fleet().servers(), 0, 1000, emptyMs);
+        try (MeasuredServer source = MeasuredServer.source(plan.fleet().servers(), 0, 1000, emptyMs);
                 RelayProcess relay = new RelayProcess(jar, folder, source.port())) {
             // The first whole list that it serves says that it has one.
             Fetchers.run(group, relay.port(), 1, SEED, 30);
@@ -103,7 +103,8 @@
         }
     }
 
-    private void watches(Role role, Server source, int port, long pid) throws IOException, InterruptedException {
+    private void watches(Role role, MeasuredServer source, int port, long pid)
+            throws IOException, InterruptedException {
         int each = plan.watchesPerMachine();
         int[] sizes =
                 quick ? new int[] {each / 4, each, 6 * each} : new int[] {each / 4, each, 2 * each, 4 * each, 8 * each};
@@ -122,7 +123,7 @@
         }
     }
 
-    private long at(Role role, int size, Server source, Watchers watchers, long pid)
+    private long at(Role role, int size, MeasuredServer source, Watchers watchers, long pid)
             throws IOException, InterruptedException {
         points.add(role.heap(), size, ProcessFigures.liveHeapMib(pid));
         points.add(role.memory(), size, ProcessFigures.residentMib(pid));
@@ -140,7 +141,7 @@
         cpu = ProcessFigures.cpu(pid);
         begun = System.nanoTime();
         for (int i = 0; i < times; i++) {
-            Server.Told told = tell(source, watchers);
+            MeasuredServer.Told told = tell(source, watchers);
             rev = told.rev();
             lasts.add((told.last() - told.nanos()) / MS);
         }
@@ -150,9 +151,10 @@
         return rev;
     }
 
-    private static Server.Told tell(Server source, Watchers watchers) throws IOException, InterruptedException {
+    private static MeasuredServer.Told tell(MeasuredServer source, Watchers watchers)
+            throws IOException, InterruptedException {
         watchers.expect();
-        Server.Told told = source.change(1);
+        MeasuredServer.Told told = source.change(1);
         return told.until(watchers.awaitLast());
     }
 
@@ -175,8 +177,8 @@
                 / 2;
         int[] sizes = quick ? new int[] {2, 4, 8} : new int[] {6, 12, 24, 48};
         points.part("stand-in source that answers " + rate + " calls a second, whole lists at once");
-        try (Server source =
-                Server.source(plan.fleet().servers(), rate, plan.source().timeout() / 1_000_000, emptyMs)) {
+        try (MeasuredServer source = MeasuredServer.source(
+                plan.fleet().servers(), rate, plan.source().timeout() / 1_000_000, emptyMs)) {
             for (int size : sizes) {
                 points.add(Quantity.BOUND_LISTS_TIME, size, Fetchers.run(group, source.port(), size, SEED, 120));
                 points.add(Quantity.BOUND_LISTS_CALLS, size, source.calls());
--- a/capacity/src/main/java/topazvalve/capacity/need/Needs.java
+++ b/capacity/src/main/java/topazvalve/capacity/need/DemandModel.java
@@ -2,15 +2,15 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import topazvalve.capacity.need.Need.Tier;
-import topazvalve.capacity.plan.Plan;
+import topazvalve.capacity.need.ResourceDemand.Tier;
+import topazvalve.capacity.plan.CapacityPlan;
 
 /**
  * Puts the plan's sizes into the slopes: what each role needs on an ordinary day and in each named failure.
  * What comes at once is spread over the time in which a change has to be in force; calls are taken to be
  * spread evenly over the control machines. Relays that were not measured are reckoned by the source's slopes.
  */
-public final class Needs {
+public final class DemandModel {
     private static final String SIDECAR = "sidecar";
     private static final String SERVES = "serves lists";
     private static final String TAKES = "takes changes";
@@ -22,13 +22,13 @@
     private static final double MS = 1e3;
     private static final double PERCENT = 100;
 
-    private final Plan plan;
+    private final CapacityPlan plan;
     private final Slopes slopes;
     private final int servers;
     private final double window;
-    private final List<Need> needs = new ArrayList<>();
+    private final List<ResourceDemand> needs = new ArrayList<>();
 
-    private Needs(Plan plan, Slopes slopes) {
+    private DemandModel(CapacityPlan plan, Slopes slopes) {
         this.plan = plan;
         this.slopes = slopes;
         this.servers = plan.fleet().servers();
@@ -36,8 +36,8 @@
     }
 
     /** The whole table. */
-    public static NeedTable of(Plan plan, Slopes slopes) {
-        Needs made = new Needs(plan, slopes);
+    public static DemandTable of(CapacityPlan plan, Slopes slopes) {
+        DemandModel made = new DemandModel(plan, slopes);
         for (Tier tier : Tier.values()) {
             made.ordinaryDay(tier);
             for (Event each : Event.of(plan)) {
@@ -46,11 +46,11 @@
                 }
             }
         }
-        return new NeedTable(made.needs);
+        return new DemandTable(made.needs);
     }
 
     private void add(Tier tier, String role, String when, String what, String unit, Figure need, double allowed) {
-        needs.add(new Need(tier, role, when, what, unit, need, allowed));
+        needs.add(new ResourceDemand(tier, role, when, what, unit, need, allowed));
     }
 
     private Figure at(Quantity quantity, double size) {
@@ -79,7 +79,7 @@
 
     private void ordinaryDay(Tier tier) {
         double changes = plan.changesPerSecond();
-        Plan.Sidecar allowed = plan.budget().sidecar();
+        CapacityPlan.Sidecar allowed = plan.budget().sidecar();
         add(
                 tier,
                 SIDECAR,
@@ -106,7 +106,7 @@
         }
         serving(tier, DAY, watches(tier), Figure.reckoned(0), Figure.reckoned(0), changes);
         add(tier, TAKES, DAY, "a change, to the last", "s", changeInForce(tier, watches(tier)), window);
-        Plan.Load load = plan.load();
+        CapacityPlan.Load load = plan.load();
         double dailyCalls = tier == Tier.BEFORE ? (load.failuresPerDay() + load.restartsPerDay()) / 86_400 : 0;
         add(tier, SOURCE, DAY, "calls", "1/s", Figure.reckoned(dailyCalls), sourceCalls());
     }
@@ -118,7 +118,7 @@
     /** Memory, CPU and bytes of one that serves. */
     private void serving(
             Tier tier, String when, int watches, Figure listBytes, Figure listCpu, double changesPerSecond) {
-        Plan.Control allowed = plan.budget().control();
+        CapacityPlan.Control allowed = plan.budget().control();
         Figure changeCpu = served(tier, Quantity.SOURCE_CHANGE_CPU, Quantity.RELAY_CHANGE_CPU, watches);
         add(
                 tier,
@@ -196,7 +196,7 @@
             bytes = bytes.plus(at(Quantity.LIST_BYTES, servers).times(1 / window));
             cpu = cpu.plus(at(Quantity.LIST_CPU, servers).times(PERCENT / MS / window));
         }
-        Plan.Sidecar allowed = plan.budget().sidecar();
+        CapacityPlan.Sidecar allowed = plan.budget().sidecar();
         add(tier, SIDECAR, event.name(), "bytes", RATE, bytes, allowed.bytesPerSecond());
         add(tier, SIDECAR, event.name(), CPU, CORE, cpu, allowed.corePercent());
     }
--- a/capacity/src/main/java/topazvalve/capacity/need/NeedTable.java
+++ b/capacity/src/main/java/topazvalve/capacity/need/DemandTable.java
@@ -5,40 +5,41 @@
 import java.util.Locale;
 
 /** The table that a measurement ends with. */
-public record NeedTable(List<Need> needs) {
+public record DemandTable(List<ResourceDemand> needs) {
 
-    public NeedTable {
+    public DemandTable {
         needs = List.copyOf(needs);
     }
 
     /** Those over their budget, the furthest first. */
-    public List<Need> over() {
+    public List<ResourceDemand> over() {
         return needs.stream()
-                .filter(Need::over)
-                .sorted(Comparator.comparingDouble(Need::ratio).reversed())
+                .filter(ResourceDemand::over)
+                .sorted(Comparator.comparingDouble(ResourceDemand::ratio).reversed())
                 .toList();
     }
 
     /** What belongs to one tier alone. */
-    public NeedTable of(Need.Tier tier) {
-        return new NeedTable(needs.stream().filter(each -> each.tier() == tier).toList());
+    public DemandTable of(ResourceDemand.Tier tier) {
+        return new DemandTable(
+                needs.stream().filter(each -> each.tier() == tier).toList());
     }
 
     /** The tiers that have a line. */
-    public List<Need.Tier> tiers() {
-        return needs.stream().map(Need::tier).distinct().toList();
+    public List<ResourceDemand.Tier> tiers() {
+        return needs.stream().map(ResourceDemand::tier).distinct().toList();
     }
 
     /** Whether every ratio of this tier is 1 or less. */
-    public boolean kept(Need.Tier tier) {
+    public boolean kept(ResourceDemand.Tier tier) {
         return needs.stream().noneMatch(each -> each.tier() == tier && each.over());
     }
 
     /** As Markdown, one line for each need of a tier. */
-    public List<String> lines(Need.Tier tier) {
+    public List<String> lines(ResourceDemand.Tier tier) {
         List<String> body = needs.stream()
                 .filter(each -> each.tier() == tier)
-                .map(NeedTable::line)
+                .map(DemandTable::line)
                 .toList();
         return java.util.stream.Stream.concat(
                         List.of(
@@ -49,7 +50,7 @@
                 .toList();
     }
 
-    private static String line(Need need) {
+    private static String line(ResourceDemand need) {
         return "| "
                 + String.join(
                         " | ",
--- a/capacity/src/main/java/topazvalve/capacity/need/Event.java
+++ b/capacity/src/main/java/topazvalve/capacity/need/Event.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import topazvalve.capacity.plan.Plan;
+import topazvalve.capacity.plan.CapacityPlan;
 
 /**
  * Something that goes wrong at once, as the plan names it, by what it asks of control.
@@ -33,7 +33,7 @@
         return lists + resumes;
     }
 
-    static List<Event> of(Plan plan) {
+    static List<Event> of(CapacityPlan plan) {
         int all = plan.budget().control().machines();
         int each = plan.watchesPerMachine();
         int lost = plan.failure().controlMachinesLost();
--- a/capacity/src/main/java/topazvalve/capacity/need/Need.java
+++ b/capacity/src/main/java/topazvalve/capacity/need/ResourceDemand.java
@@ -1,7 +1,8 @@
 package topazvalve.capacity.need;
 
 /** One line of the table: what a role needs of something, beside what it is allowed in the same unit. */
-public record Need(Tier tier, String role, String when, String what, String unit, Figure need, double allowed) {
+public record ResourceDemand(
+        Tier tier, String role, String when, String what, String unit, Figure need, double allowed) {
 
     /** How lists come to the sidecars. */
     public enum Tier {
--- a/capacity/src/main/java/topazvalve/capacity/plan/Plan.java
+++ b/capacity/src/main/java/topazvalve/capacity/plan/CapacityPlan.java
@@ -3,7 +3,7 @@
 import topazvalve.toml.Range;
 
 /** The size to design for, as read from a file. Durations in nanoseconds; other units are in the names. */
-public record Plan(String name, Fleet fleet, Load load, Failure failure, Budget budget, Source source) {
+public record CapacityPlan(String name, Fleet fleet, Load load, Failure failure, Budget budget, Source source) {
     private static final double SECONDS_PER_DAY = 86_400;
 
     /**
--- a/capacity/src/main/java/topazvalve/capacity/plan/PlanFile.java
+++ b/capacity/src/main/java/topazvalve/capacity/plan/PlanFile.java
@@ -3,14 +3,14 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import topazvalve.capacity.plan.Plan.Budget;
-import topazvalve.capacity.plan.Plan.Control;
-import topazvalve.capacity.plan.Plan.Failure;
-import topazvalve.capacity.plan.Plan.Fleet;
-import topazvalve.capacity.plan.Plan.Load;
-import topazvalve.capacity.plan.Plan.Sidecar;
-import topazvalve.capacity.plan.Plan.Source;
-import topazvalve.toml.BadFile;
+import topazvalve.capacity.plan.CapacityPlan.Budget;
+import topazvalve.capacity.plan.CapacityPlan.Control;
+import topazvalve.capacity.plan.CapacityPlan.Failure;
+import topazvalve.capacity.plan.CapacityPlan.Fleet;
+import topazvalve.capacity.plan.CapacityPlan.Load;
+import topazvalve.capacity.plan.CapacityPlan.Sidecar;
+import topazvalve.capacity.plan.CapacityPlan.Source;
+import topazvalve.toml.InvalidFileException;
 import topazvalve.toml.Table;
 import topazvalve.toml.TomlFile;
 
@@ -23,17 +23,17 @@
 
     private PlanFile() {}
 
-    /** Reads a file; {@link BadFile} if it has faults. */
-    public static Plan read(Path file) throws IOException {
+    /** Reads a file; {@link InvalidFileException} if it has faults. */
+    public static CapacityPlan read(Path file) throws IOException {
         return parse(file.toString(), Files.readString(file));
     }
 
     /** Reads a text; {@code name} stands for it in messages. */
-    public static Plan parse(String name, String text) {
+    public static CapacityPlan parse(String name, String text) {
         return TomlFile.parse(name, text, PlanFile::plan);
     }
 
-    private static Plan plan(Table table) {
+    private static CapacityPlan plan(Table table) {
         String name = table.text("name", null);
         Table fleetTable = table.table("fleet");
         Table failureTable = table.table("failure");
@@ -56,7 +56,7 @@
                 budgetTable.duration("added_p99", null, "1us", "1s"),
                 sidecar(budgetTable.table("sidecar")),
                 control);
-        return new Plan(name, fleet, load, failure, budget, source(table.table("source")));
+        return new CapacityPlan(name, fleet, load, failure, budget, source(table.table("source")));
     }
 
     private static Fleet fleet(Table table) {
--- a/capacity/src/test/java/topazvalve/capacity/WallsTest.java
+++ b/capacity/src/test/java/topazvalve/capacity/ArchitectureTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Plan, fit and table are arithmetic: they know neither clock nor socket nor process. */
-class WallsTest {
+class ArchitectureTest {
     private static final JavaClasses CAPACITY = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("topazvalve.capacity");
--- a/capacity/src/test/java/topazvalve/capacity/measure/StandInSourceTest.java
+++ b/capacity/src/test/java/topazvalve/capacity/measure/StandInSourceTest.java
@@ -24,12 +24,12 @@
 
     @Test
     void eachWatchHasAChangeAndItsBytesAreCounted() throws IOException, InterruptedException {
-        try (Server source = Server.source(SERVERS, 0, 1000, 600_000);
+        try (MeasuredServer source = MeasuredServer.source(SERVERS, 0, 1000, 600_000);
                 Watchers watchers = new Watchers(group, source.port())) {
             watchers.open(7, 1);
             watchers.expect();
             long before = watchers.bytes();
-            Server.Told told = source.change(3);
+            MeasuredServer.Told told = source.change(3);
             assertEquals(2, told.rev());
             assertTrue(watchers.awaitLast() > told.nanos());
             int line = ListText.change(2, 3, true).length();
@@ -43,7 +43,7 @@
 
     @Test
     void withoutABoundEachCallIsAnsweredAtOnce() throws IOException, InterruptedException {
-        try (Server source = Server.source(SERVERS, 0, 1000, 600_000)) {
+        try (MeasuredServer source = MeasuredServer.source(SERVERS, 0, 1000, 600_000)) {
             Fetchers.run(group, source.port(), 30, 1, 20);
             assertEquals(30, source.calls());
         }
@@ -52,7 +52,7 @@
     @Test
     void boundedItRefusesWhoWaitsTooLongAndTheyComeAgain() throws IOException, InterruptedException {
         // 20 calls a second and 60 ms of patience: of 6 at once some are refused.
-        try (Server source = Server.source(SERVERS, 20, 60, 600_000)) {
+        try (MeasuredServer source = MeasuredServer.source(SERVERS, 20, 60, 600_000)) {
             double last = Fetchers.run(group, source.port(), 6, 1, 20);
             assertTrue(last >= 6 / 20.0, last + " s");
             assertTrue(source.calls() > 6);
@@ -61,7 +61,7 @@
 
     @Test
     void theSystemSaysWhatAProcessTakes() throws IOException, InterruptedException {
-        try (Server source = Server.source(SERVERS, 0, 1000, 600_000)) {
+        try (MeasuredServer source = MeasuredServer.source(SERVERS, 0, 1000, 600_000)) {
             assertTrue(ProcessFigures.cpuSince(Map.of(), source.pid()) > 0);
             assertTrue(ProcessFigures.residentMib(source.pid()) > ProcessFigures.liveHeapMib(source.pid()));
         }
--- a/capacity/src/test/java/topazvalve/capacity/need/NeedsTest.java
+++ b/capacity/src/test/java/topazvalve/capacity/need/NeedsTest.java
@@ -13,14 +13,14 @@
 import org.junit.jupiter.api.Test;
 import topazvalve.capacity.fit.Fit;
 import topazvalve.capacity.fit.Point;
-import topazvalve.capacity.need.Need.Tier;
-import topazvalve.capacity.plan.Plan;
+import topazvalve.capacity.need.ResourceDemand.Tier;
+import topazvalve.capacity.plan.CapacityPlan;
 import topazvalve.capacity.plan.PlanFile;
 
 /** The table's arithmetic on made-up slopes, each a round number. */
 class NeedsTest {
     private final Slopes slopes = new Slopes();
-    private Plan plan;
+    private CapacityPlan plan;
 
     private void line(Quantity quantity, double intercept, double slope, double... sizes) {
         List<Point> points = new ArrayList<>();
@@ -32,7 +32,7 @@
 
     @BeforeEach
     void madeUp() throws IOException {
-        plan = PlanFile.read(Path.of("../world/capacity/plan.toml"));
+        plan = PlanFile.read(Path.of("../simulation/capacity/plan.toml"));
         for (Quantity each : Quantity.values()) {
             if (!each.name().startsWith("RELAY")) {
                 line(each, 0, 0, 1, 1_000, 6_000);
@@ -45,8 +45,8 @@
         line(Quantity.SOURCE_MEMORY, 50, 0.1, 100, 356, 1_000);
     }
 
-    private Need find(Tier tier, String role, String when, String what) {
-        List<Need> found = Needs.of(plan, slopes).needs().stream()
+    private ResourceDemand find(Tier tier, String role, String when, String what) {
+        List<ResourceDemand> found = DemandModel.of(plan, slopes).needs().stream()
                 .filter(each -> each.tier() == tier
                         && each.role().equals(role)
                         && each.when().startsWith(when)
@@ -58,7 +58,7 @@
 
     @Test
     void theSidecarsMemoryIsReadOffItsLine() {
-        Need need = find(Tier.BEFORE, "sidecar", "ordinary", "memory");
+        ResourceDemand need = find(Tier.BEFORE, "sidecar", "ordinary", "memory");
         assertEquals(157, need.need().value(), 1e-9);
         assertEquals(256, need.allowed());
         assertEquals(Origin.MEASURED, need.need().origin());
@@ -79,7 +79,7 @@
 
     @Test
     void relaysWithoutASlopeOfTheirOwnAreReckonedByTheSources() {
-        Need need = find(Tier.AFTER, "serves lists", "ordinary", "memory");
+        ResourceDemand need = find(Tier.AFTER, "serves lists", "ordinary", "memory");
         assertEquals(Origin.RECKONED, need.need().origin());
         assertEquals("source_memory", need.need().from());
         assertEquals(50 + 35.7, need.need().value(), 1e-9);
@@ -92,11 +92,11 @@
 
     @Test
     void theOneSourceTakesHalfAnHourToAnswerAllOfThem() {
-        Need need = find(Tier.BEFORE, "serves lists", "all that serve", "until the last has it");
+        ResourceDemand need = find(Tier.BEFORE, "serves lists", "all that serve", "until the last has it");
         assertEquals(1_900, need.need().value(), 1e-9);
         assertEquals(1_900 / 9.0, need.ratio(), 1e-9);
         assertTrue(need.over());
-        assertFalse(Needs.of(plan, slopes).kept(Tier.BEFORE));
+        assertFalse(DemandModel.of(plan, slopes).kept(Tier.BEFORE));
         need = find(Tier.AFTER, "serves lists", "all that serve", "until the last has it");
         assertEquals(16 / 3.0, need.need().value(), 1e-9);
         assertFalse(need.over());
@@ -104,7 +104,7 @@
 
     @Test
     void aWholeListCountsInTheTimeInWhichItHasToBeInForce() {
-        Need need = find(Tier.AFTER, "sidecar", "restart of", "bytes");
+        ResourceDemand need = find(Tier.AFTER, "sidecar", "restart of", "bytes");
         assertEquals(3 + (1_050 * 200 + 5_700 * 150) / 9.0, need.need().value(), 1e-6);
         assertEquals(6_000, need.allowed());
         assertTrue(need.over());
@@ -118,9 +118,9 @@
 
     @Test
     void halfOfTheControlMachinesLeaveTheirWatchesToTheOthers() {
-        Need need = find(Tier.AFTER, "serves lists", "8 of 16", "memory");
+        ResourceDemand need = find(Tier.AFTER, "serves lists", "8 of 16", "memory");
         assertEquals(50 + 71.3, need.need().value(), 1e-9);
-        assertTrue(Needs.of(plan, slopes).needs().stream()
+        assertTrue(DemandModel.of(plan, slopes).needs().stream()
                 .noneMatch(each -> each.tier() == Tier.BEFORE && each.when().startsWith("8 of 16")));
     }
 
@@ -128,22 +128,22 @@
     void whereNothingCostsAnythingEveryBudgetOfRelaysIsKeptAndOneSlopeBreaksIt() {
         line(Quantity.LIST_BYTES, 0, 0, 100, 1_500, 5_700);
         line(Quantity.CHANGE_BYTES, 0, 0, 1, 10, 100);
-        NeedTable kept = Needs.of(plan, slopes);
+        DemandTable kept = DemandModel.of(plan, slopes);
         assertTrue(kept.kept(Tier.AFTER), kept.over().toString());
         line(Quantity.CHANGE_TIME, 9_001, 0, 100, 1_500, 5_700);
-        NeedTable broken = Needs.of(plan, slopes);
+        DemandTable broken = DemandModel.of(plan, slopes);
         assertFalse(broken.kept(Tier.AFTER));
         assertTrue(broken.over().stream().anyMatch(each -> each.what().equals("a change, to the last")));
     }
 
     @Test
     void theTableSaysWhatIsOverTheFurthestFirst() {
-        List<Need> over = Needs.of(plan, slopes).over();
+        List<ResourceDemand> over = DemandModel.of(plan, slopes).over();
         assertTrue(over.size() > 1);
         for (int i = 1; i < over.size(); i++) {
             assertTrue(over.get(i - 1).ratio() >= over.get(i).ratio());
         }
-        List<String> lines = Needs.of(plan, slopes).lines(Tier.BEFORE);
+        List<String> lines = DemandModel.of(plan, slopes).lines(Tier.BEFORE);
         assertTrue(
                 lines.stream()
                         .anyMatch(each -> each.equals("| sidecar | ordinary day | memory | 157 MiB "
@@ -166,14 +166,14 @@
     }
 
     private long delays(Slopes measured) {
-        return Needs.of(plan, measured).needs().stream()
+        return DemandModel.of(plan, measured).needs().stream()
                 .filter(each -> each.what().startsWith("delay"))
                 .count();
     }
 
     @Test
     void whatWasNotMeasuredIsNotGuessed() {
-        assertTrue(assertThrows(IllegalStateException.class, () -> Needs.of(plan, new Slopes()))
+        assertTrue(assertThrows(IllegalStateException.class, () -> DemandModel.of(plan, new Slopes()))
                 .getMessage()
                 .startsWith("not measured: "));
     }
--- a/capacity/src/test/java/topazvalve/capacity/plan/PlanFileTest.java
+++ b/capacity/src/test/java/topazvalve/capacity/plan/PlanFileTest.java
@@ -10,12 +10,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import topazvalve.toml.BadFile;
+import topazvalve.toml.InvalidFileException;
 import topazvalve.toml.Problem;
 
 /** The plan's file: what is read, and what is refused with file, line, key and what was meant. */
 class PlanFileTest {
-    private static final Path FILE = Path.of("../world/capacity/plan.toml");
+    private static final Path FILE = Path.of("../simulation/capacity/plan.toml");
 
     private static String text() {
         try {
@@ -36,13 +36,13 @@
     }
 
     private static List<Problem> problems(String text) {
-        return assertThrows(BadFile.class, () -> PlanFile.parse("plan.toml", text))
+        return assertThrows(InvalidFileException.class, () -> PlanFile.parse("plan.toml", text))
                 .problems();
     }
 
     @Test
     void thePlanIsTheUsersWords() throws IOException {
-        Plan plan = PlanFile.read(FILE);
+        CapacityPlan plan = PlanFile.read(FILE);
         assertEquals(5_700, plan.fleet().servers());
         assertEquals(320, plan.fleet().services());
         assertEquals(510_000, plan.load().callsPerSecond());
@@ -59,7 +59,7 @@
 
     @Test
     void whatFollowsFromThePlanIsReckonedOnce() throws IOException {
-        Plan plan = PlanFile.read(FILE);
+        CapacityPlan plan = PlanFile.read(FILE);
         assertEquals((14_000 + 383 * 3) / 86_400.0, plan.changesPerSecond(), 1e-9);
         assertEquals(357, plan.watchesPerMachine());
         assertEquals(1_425, plan.sidecarsOfRegion());
--- a/command/src/main/java/topazvalve/command/Capacity.java
+++ b/cli/src/main/java/topazvalve/cli/CapacityVerb.java
@@ -1,4 +1,4 @@
-package topazvalve.command;
+package topazvalve.cli;
 
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -13,10 +13,10 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 import topazvalve.capacity.measure.CapacityMeasurement;
-import topazvalve.capacity.need.Need;
-import topazvalve.capacity.need.Need.Tier;
-import topazvalve.capacity.need.NeedTable;
-import topazvalve.capacity.plan.Plan;
+import topazvalve.capacity.need.DemandTable;
+import topazvalve.capacity.need.ResourceDemand;
+import topazvalve.capacity.need.ResourceDemand.Tier;
+import topazvalve.capacity.plan.CapacityPlan;
 
 /** What the planned size needs of each role, beside what it is allowed. */
 @Command(
@@ -26,11 +26,11 @@
             "and prints what each role needs at the plan's size beside what it is allowed.",
             "Exit code 1 says that a budget is not kept."
         })
-final class Capacity implements Callable<Integer> {
+final class CapacityVerb implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
 
-    @Parameters(arity = "0..1", paramLabel = "PLAN", description = "the plan's file (world/capacity/plan.toml)")
+    @Parameters(arity = "0..1", paramLabel = "PLAN", description = "the plan's file (simulation/capacity/plan.toml)")
     private Path file;
 
     @Option(names = "--quick", description = "fewer sizes, and shorter: under a minute")
@@ -41,10 +41,11 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        Plan plan = Input.plan(file == null ? Real.home().resolve("world/capacity/plan.toml") : file);
+        CapacityPlan plan =
+                InputFiles.plan(file == null ? RealTimeRun.home().resolve("simulation/capacity/plan.toml") : file);
         PrintWriter out = spec.commandLine().getOut();
         Path folder = Files.createTempDirectory("topazvalve");
-        NeedTable table = CapacityMeasurement.run(plan, Real.home(), folder, quick, line -> {
+        DemandTable table = CapacityMeasurement.run(plan, RealTimeRun.home(), folder, quick, line -> {
             out.println(line);
             out.flush();
         });
@@ -52,7 +53,7 @@
     }
 
     /** Prints the tables and says which budgets are not kept; the exit code says whether there is one. */
-    static int print(NeedTable table, Plan plan, PrintWriter out) {
+    static int print(DemandTable table, CapacityPlan plan, PrintWriter out) {
         for (Tier tier : table.tiers()) {
             out.println();
             out.println(
@@ -63,7 +64,7 @@
             table.lines(tier).forEach(out::println);
         }
         out.println();
-        List<Need> over = table.over();
+        List<ResourceDemand> over = table.over();
         over.forEach(each -> out.printf(
                 Locale.ROOT,
                 "over its budget, %s: %s, %s, %s: %.2f times%n",
--- a/command/src/main/java/topazvalve/command/Check.java
+++ b/cli/src/main/java/topazvalve/cli/CheckVerb.java
@@ -1,4 +1,4 @@
-package topazvalve.command;
+package topazvalve.cli;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -12,7 +12,7 @@
 import topazvalve.sidecar.OperatorFile;
 import topazvalve.sidecar.config.Config;
 import topazvalve.tcp.TcpSettings;
-import topazvalve.toml.BadFile;
+import topazvalve.toml.InvalidFileException;
 
 /** Reads a file as the program that takes it would, and starts nothing. */
 @Command(
@@ -21,7 +21,7 @@
             "Checks a sidecar's configuration (.json), an operator's file or a scenario "
                     + "(.toml), and starts nothing."
         })
-final class Check implements Callable<Integer> {
+final class CheckVerb implements Callable<Integer> {
     /** What only an operator's file has. */
     private static final Pattern OPERATOR = Pattern.compile("(?m)^\\s*(\\[\\[\\s*listener\\s*]]|\\[\\s*relays\\s*])");
 
@@ -33,7 +33,7 @@
 
     @Override
     public Integer call() throws IOException {
-        Input.requireFile(file);
+        InputFiles.requireFile(file);
         if (file.toString().endsWith(".toml")
                 && OPERATOR.matcher(Files.readString(file)).find()) {
             try {
@@ -48,14 +48,15 @@
                                         ? ""
                                         : ", relays " + read.relays().size()));
                 return ExitCode.DONE;
-            } catch (BadFile e) {
-                throw new BadInput(e.getMessage(), e);
+            } catch (InvalidFileException e) {
+                throw new InvalidInputException(e.getMessage(), e);
             }
         }
         if (file.toString().endsWith(".toml")) {
             spec.commandLine()
                     .getOut()
-                    .println(file + ": good; scenario " + Input.scenario(file).name());
+                    .println(file + ": good; scenario "
+                            + InputFiles.scenario(file).name());
             return ExitCode.DONE;
         }
         try {
@@ -64,7 +65,7 @@
                     .getOut()
                     .println(file + ": good; classes " + config.options().names("profiles"));
         } catch (IllegalArgumentException e) {
-            throw new BadInput(file + ": " + e.getMessage(), e);
+            throw new InvalidInputException(file + ": " + e.getMessage(), e);
         }
         return ExitCode.DONE;
     }
--- a/command/src/main/java/topazvalve/command/Demo.java
+++ b/cli/src/main/java/topazvalve/cli/DemoVerb.java
@@ -1,4 +1,4 @@
-package topazvalve.command;
+package topazvalve.cli;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import topazvalve.world.scenario.Scenario;
+import topazvalve.simulation.scenario.Scenario;
 
 /** Shows the whole thing at work, with no file to write first. */
 @Command(
@@ -16,7 +16,7 @@
             "Plays one minute on loopback: real sidecars between stand-in clients, " + "order servers and discovery,",
             "with a slow and a silent server, a drain and restarts. " + "Ends with 0 only if no rule was broken."
         })
-final class Demo implements Callable<Integer> {
+final class DemoVerb implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
 
@@ -28,7 +28,10 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        Scenario scenario = Input.scenario(Real.home().resolve("world/scenarios/demo.toml"));
-        return Real.play(scenario, seed, out, spec.commandLine().getOut()).clean() ? ExitCode.DONE : ExitCode.FAILED;
+        Scenario scenario = InputFiles.scenario(RealTimeRun.home().resolve("simulation/scenarios/demo.toml"));
+        return RealTimeRun.play(scenario, seed, out, spec.commandLine().getOut())
+                        .clean()
+                ? ExitCode.DONE
+                : ExitCode.FAILED;
     }
 }
--- a/command/src/main/java/topazvalve/command/ExitCode.java
+++ b/cli/src/main/java/topazvalve/cli/ExitCode.java
@@ -1,4 +1,4 @@
-package topazvalve.command;
+package topazvalve.cli;
 
 /** The command's exit codes, as its help lists them. */
 final class ExitCode {
--- a/command/src/main/java/topazvalve/command/Experiments.java
+++ b/cli/src/main/java/topazvalve/cli/ExperimentVerb.java
@@ -1,4 +1,4 @@
-package topazvalve.command;
+package topazvalve.cli;
 
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -15,24 +15,24 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import topazvalve.toml.BadFile;
-import topazvalve.world.experiment.Comparison;
-import topazvalve.world.experiment.Plan;
-import topazvalve.world.experiment.Report;
-import topazvalve.world.experiment.Result;
-import topazvalve.world.experiment.Results;
-import topazvalve.world.experiment.Runner;
-import topazvalve.world.scenario.ExperimentFile;
-import topazvalve.world.scenario.Scenario;
-import topazvalve.world.virtual.Arm;
+import topazvalve.simulation.experiment.Comparison;
+import topazvalve.simulation.experiment.ExperimentPlan;
+import topazvalve.simulation.experiment.Report;
+import topazvalve.simulation.experiment.Result;
+import topazvalve.simulation.experiment.Results;
+import topazvalve.simulation.experiment.Runner;
+import topazvalve.simulation.scenario.ExperimentFile;
+import topazvalve.simulation.scenario.Scenario;
+import topazvalve.simulation.virtual.ExperimentArm;
+import topazvalve.toml.InvalidFileException;
 
 /** Arms by scenarios by seeds, and what differs between them. */
 @Command(
         name = "experiment",
         description = "Runs arms on scenarios with many seeds, and compares them.",
         synopsisSubcommandLabel = "run|compare",
-        subcommands = {Experiments.Run.class, Experiments.Compare.class})
-final class Experiments implements Runnable {
+        subcommands = {ExperimentVerb.Run.class, ExperimentVerb.Compare.class})
+final class ExperimentVerb implements Runnable {
     private static final int INTERRUPTED = 130;
     /** Ctrl-C waits so long for the report of what is finished. */
     private static final long LONGEST_END_S = 20;
@@ -73,14 +73,15 @@
 
         @Override
         public Integer call() throws IOException, InterruptedException {
-            Plan plan = plan(file, seeds);
+            ExperimentPlan plan = plan(file, seeds);
             Path folder = out != null ? out : Path.of("found", plan.name());
             int threads = jobs == null ? Runtime.getRuntime().availableProcessors() : jobs;
             if (threads < 1) {
-                throw new BadInput("--jobs: " + threads + " is not a whole number above 0", null);
+                throw new InvalidInputException("--jobs: " + threads + " is not a whole number above 0", null);
             }
             if (!resume && !Results.read(folder).isEmpty()) {
-                throw new BadInput(folder + ": has results already; go on with --resume, or name another --out", null);
+                throw new InvalidInputException(
+                        folder + ": has results already; go on with --resume, or name another --out", null);
             }
             Runner runner = new Runner(plan, folder, threads);
             CountDownLatch told = new CountDownLatch(1);
@@ -100,7 +101,8 @@
             }
         }
 
-        private int run(Plan plan, Runner runner, Path folder, Thread hook) throws IOException, InterruptedException {
+        private int run(ExperimentPlan plan, Runner runner, Path folder, Thread hook)
+                throws IOException, InterruptedException {
             PrintWriter console = spec.commandLine().getOut();
             List<Result> results = runner.run(
                     resume,
@@ -126,9 +128,9 @@
             return results.stream().allMatch(each -> each.broken().isEmpty()) ? ExitCode.DONE : ExitCode.FAILED;
         }
 
-        private static void print(PrintWriter console, Plan plan, List<Result> results) {
-            for (Plan.Setting setting : plan.scenarios()) {
-                for (Arm arm : plan.arms()) {
+        private static void print(PrintWriter console, ExperimentPlan plan, List<Result> results) {
+            for (ExperimentPlan.Setting setting : plan.scenarios()) {
+                for (ExperimentArm arm : plan.arms()) {
                     List<Result> runs = results.stream()
                             .filter(each -> each.arm().equals(arm.name())
                                     && each.scenario().equals(setting.scenario().name()))
@@ -161,30 +163,30 @@
         }
     }
 
-    static Plan plan(Path file, String seeds) throws IOException {
-        Input.requireFile(file);
+    static ExperimentPlan plan(Path file, String seeds) throws IOException {
+        InputFiles.requireFile(file);
         ExperimentFile.Experiment read;
         try {
             read = ExperimentFile.read(file);
-        } catch (BadFile e) {
-            throw new BadInput(e.getMessage(), e);
+        } catch (InvalidFileException e) {
+            throw new InvalidInputException(e.getMessage(), e);
         }
-        List<Plan.Setting> scenarios = new ArrayList<>();
+        List<ExperimentPlan.Setting> scenarios = new ArrayList<>();
         for (Path each : read.scenarios()) {
-            Scenario scenario = Input.scenario(each);
-            scenarios.add(new Plan.Setting(each, scenario));
+            Scenario scenario = InputFiles.scenario(each);
+            scenarios.add(new ExperimentPlan.Setting(each, scenario));
         }
-        List<Arm> arms = read.arms().stream()
-                .map(each -> new Arm(
+        List<ExperimentArm> arms = read.arms().stream()
+                .map(each -> new ExperimentArm(
                         each.name(), each.policy(), each.attempts(), each.cancel(), each.probes(), each.retryAfter()))
                 .toList();
-        Plan plan = new Plan(read.name(), scenarios, arms, read.firstSeed(), read.lastSeed());
+        ExperimentPlan plan = new ExperimentPlan(read.name(), scenarios, arms, read.firstSeed(), read.lastSeed());
         if (seeds == null) {
             return plan;
         }
         long[] range = ExperimentFile.seeds(seeds);
         if (range == null) {
-            throw new BadInput("--seeds: " + seeds + " is not a range such as 1..20", null);
+            throw new InvalidInputException("--seeds: " + seeds + " is not a range such as 1..20", null);
         }
         return plan.withSeeds(range[0], range[1]);
     }
@@ -213,7 +215,8 @@
         public Integer call() throws IOException {
             List<Comparison> all = Comparison.of(results(first), results(second));
             if (all.isEmpty()) {
-                throw new BadInput(first + " and " + second + " have no scenario and seed in common", null);
+                throw new InvalidInputException(
+                        first + " and " + second + " have no scenario and seed in common", null);
             }
             PrintWriter console = spec.commandLine().getOut();
             for (Comparison each : all) {
@@ -240,13 +243,13 @@
             Path folder = colon > 0 ? Path.of(named.substring(0, colon)) : out;
             String arm = named.substring(colon + 1);
             if (folder == null || !Files.isDirectory(folder)) {
-                throw new BadInput(named + ": no such folder of results; say --out DIR, or DIR:ARM", null);
+                throw new InvalidInputException(named + ": no such folder of results; say --out DIR, or DIR:ARM", null);
             }
             List<Result> found = Results.read(folder).stream()
                     .filter(each -> each.arm().equals(arm))
                     .toList();
             if (found.isEmpty()) {
-                throw new BadInput(folder + ": has no results of an arm " + arm, null);
+                throw new InvalidInputException(folder + ": has no results of an arm " + arm, null);
             }
             return found;
         }
--- a/command/src/main/java/topazvalve/command/Fleet.java
+++ b/cli/src/main/java/topazvalve/cli/FleetVerb.java
@@ -1,4 +1,4 @@
-package topazvalve.command;
+package topazvalve.cli;
 
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -12,13 +12,13 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import topazvalve.fleet.run.FleetReport;
-import topazvalve.fleet.run.FleetRun;
-import topazvalve.fleet.run.Preflight;
-import topazvalve.fleet.run.StageResult;
-import topazvalve.fleet.timeline.Timeline;
-import topazvalve.fleet.timeline.TimelineFile;
-import topazvalve.toml.BadFile;
+import topazvalve.hollowfleet.run.FleetReport;
+import topazvalve.hollowfleet.run.FleetRun;
+import topazvalve.hollowfleet.run.Preflight;
+import topazvalve.hollowfleet.run.StageResult;
+import topazvalve.hollowfleet.timeline.Timeline;
+import topazvalve.hollowfleet.timeline.TimelineFile;
+import topazvalve.toml.InvalidFileException;
 
 /** Plays a fleet of hollow sidecars and their sources of lists on loopback. */
 @Command(
@@ -27,7 +27,7 @@
             "Plays a fleet's control plane on loopback: thousands of hollow sidecars that follow lists,",
             "the sources of these lists, and what happens to both; an oracle watches."
         })
-final class Fleet implements Callable<Integer> {
+final class FleetVerb implements Callable<Integer> {
     /** Thousands of sidecars say the same of every failure; kept, or the level would be forgotten. */
     private static final List<Logger> TALKERS =
             List.of(Logger.getLogger("discovery"), Logger.getLogger("source"), Logger.getLogger("relay"));
@@ -38,7 +38,7 @@
     @Parameters(
             paramLabel = "TIMELINE",
             arity = "0..1",
-            description = "what happens (.toml); world/fleets/plan.toml, or quick.toml there for --quick")
+            description = "what happens (.toml); simulation/fleets/plan.toml, or quick.toml there for --quick")
     private Path file;
 
     @Option(names = "--quick", description = "the short form: some hundred sidecars, under a minute")
@@ -58,13 +58,13 @@
         Timeline timeline = timeline();
         List<String> wanting = Preflight.check(timeline);
         if (!wanting.isEmpty()) {
-            throw new BadInput("this machine has no room for it\n" + String.join("\n", wanting), null);
+            throw new InvalidInputException("this machine has no room for it\n" + String.join("\n", wanting), null);
         }
         PrintWriter out = spec.commandLine().getOut();
         TALKERS.forEach(each -> each.setLevel(Level.OFF));
         FleetReport report = new FleetReport(timeline, out);
         report.begin(seed);
-        try (FleetRun run = new FleetRun(timeline, seed, Real.home(), packaged)) {
+        try (FleetRun run = new FleetRun(timeline, seed, RealTimeRun.home(), packaged)) {
             boolean clean = run.play(report::stage).stream().allMatch(StageResult::clean);
             report.end(run.oracle());
             return clean ? ExitCode.DONE : ExitCode.FAILED;
@@ -72,13 +72,14 @@
     }
 
     private Timeline timeline() throws IOException {
-        Path named =
-                file != null ? file : Real.home().resolve(quick ? "world/fleets/quick.toml" : "world/fleets/plan.toml");
-        Input.requireFile(named);
+        Path named = file != null
+                ? file
+                : RealTimeRun.home().resolve(quick ? "simulation/fleets/quick.toml" : "simulation/fleets/plan.toml");
+        InputFiles.requireFile(named);
         try {
             return TimelineFile.read(named);
-        } catch (BadFile e) {
-            throw new BadInput(e.getMessage(), e);
+        } catch (InvalidFileException e) {
+            throw new InvalidInputException(e.getMessage(), e);
         }
     }
 }
--- a/command/src/main/java/topazvalve/command/Input.java
+++ b/cli/src/main/java/topazvalve/cli/InputFiles.java
@@ -1,21 +1,21 @@
-package topazvalve.command;
+package topazvalve.cli;
 
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import topazvalve.capacity.plan.Plan;
+import topazvalve.capacity.plan.CapacityPlan;
 import topazvalve.capacity.plan.PlanFile;
-import topazvalve.toml.BadFile;
-import topazvalve.world.scenario.Scenario;
-import topazvalve.world.scenario.ScenarioFile;
+import topazvalve.simulation.scenario.Scenario;
+import topazvalve.simulation.scenario.ScenarioFile;
+import topazvalve.toml.InvalidFileException;
 
-/** Reads what the caller names; whatever is wrong with it is a {@link BadInput}. */
-final class Input {
-    private Input() {}
+/** Reads what the caller names; whatever is wrong with it is a {@link InvalidInputException}. */
+final class InputFiles {
+    private InputFiles() {}
 
     static void requireFile(Path file) {
         if (!Files.isRegularFile(file) || !Files.isReadable(file)) {
-            throw new BadInput(file + ": no such file, or it can't be read", null);
+            throw new InvalidInputException(file + ": no such file, or it can't be read", null);
         }
     }
 
@@ -23,7 +23,7 @@
         return read(file, ScenarioFile::read);
     }
 
-    static Plan plan(Path file) {
+    static CapacityPlan plan(Path file) {
         return read(file, PlanFile::read);
     }
 
@@ -36,8 +36,9 @@
         requireFile(file);
         try {
             return reader.read(file);
-        } catch (BadFile | IOException e) {
-            throw new BadInput(e instanceof BadFile ? e.getMessage() : file + ": " + e.getMessage(), e);
+        } catch (InvalidFileException | IOException e) {
+            throw new InvalidInputException(
+                    e instanceof InvalidFileException ? e.getMessage() : file + ": " + e.getMessage(), e);
         }
     }
 }
--- a/command/src/main/java/topazvalve/command/BadInput.java
+++ b/cli/src/main/java/topazvalve/cli/InvalidInputException.java
@@ -1,10 +1,10 @@
-package topazvalve.command;
+package topazvalve.cli;
 
 /** Something that the caller gave can't be used; the message has a line for each fault. */
-final class BadInput extends RuntimeException {
+final class InvalidInputException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
-    BadInput(String message, Throwable cause) {
+    InvalidInputException(String message, Throwable cause) {
         super(message, cause);
     }
 }
--- a/command/src/main/java/topazvalve/command/Main.java
+++ b/cli/src/main/java/topazvalve/cli/Main.java
@@ -1,4 +1,4 @@
-package topazvalve.command;
+package topazvalve.cli;
 
 import org.slf4j.Logger;
 import picocli.CommandLine;
@@ -9,21 +9,21 @@
 @Command(
         name = "topazvalve",
         mixinStandardHelpOptions = true,
-        versionProvider = Version.class,
+        versionProvider = VersionVerb.class,
         synopsisSubcommandLabel = "VERB",
         scope = CommandLine.ScopeType.INHERIT,
         description = "A load-balancing sidecar, and a world to try it in.",
         subcommands = {
-            Demo.class,
-            Serve.class,
+            DemoVerb.class,
+            ServeVerb.class,
             RelayVerb.class,
-            Check.class,
-            World.class,
-            Experiments.class,
-            Fleet.class,
-            Measure.class,
-            SimHost.class,
-            Version.class
+            CheckVerb.class,
+            SimulateVerb.class,
+            ExperimentVerb.class,
+            FleetVerb.class,
+            MeasureVerb.class,
+            SimulatorVerb.class,
+            VersionVerb.class
         },
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
@@ -59,7 +59,7 @@
     }
 
     private static int failed(Exception fault, CommandLine command, CommandLine.ParseResult parsed) {
-        if (fault instanceof BadInput) {
+        if (fault instanceof InvalidInputException) {
             fault.getMessage().lines().forEach(line -> command.getErr().println("topazvalve: " + line));
             return ExitCode.BAD_INPUT;
         }
--- a/command/src/main/java/topazvalve/command/Measure.java
+++ b/cli/src/main/java/topazvalve/cli/MeasureVerb.java
@@ -1,4 +1,4 @@
-package topazvalve.command;
+package topazvalve.cli;
 
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -12,8 +12,8 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import topazvalve.world.measure.RateMeasurement;
-import topazvalve.world.measure.StartMeasurement;
+import topazvalve.simulation.measure.RateMeasurement;
+import topazvalve.simulation.measure.StartMeasurement;
 
 /** Measures the packaged sidecar on this machine. */
 @Command(
@@ -21,8 +21,8 @@
         description = "Measures the packaged sidecar: the rate it carries, the time it takes to start, "
                 + "what the planned size needs.",
         synopsisSubcommandLabel = "rate|start|capacity",
-        subcommands = {Measure.Rate.class, Measure.Start.class, Capacity.class})
-final class Measure implements Runnable {
+        subcommands = {MeasureVerb.Rate.class, MeasureVerb.Start.class, CapacityVerb.class})
+final class MeasureVerb implements Runnable {
     @Spec
     private CommandSpec spec;
 
@@ -57,12 +57,12 @@
         @Override
         public Integer call() throws IOException, InterruptedException {
             if (!(first > 0 && factor > 1.01 && seconds > 0)) {
-                throw new BadInput("--from and --seconds have to be above 0, --factor above 1.01", null);
+                throw new InvalidInputException("--from and --seconds have to be above 0, --factor above 1.01", null);
             }
             PrintWriter out = spec.commandLine().getOut();
             Path folder = Files.createTempDirectory("topazvalve");
-            List<RateMeasurement.Step> steps =
-                    RateMeasurement.run(Real.home(), folder, first, factor, Duration.ofSeconds(seconds), core, step -> {
+            List<RateMeasurement.Step> steps = RateMeasurement.run(
+                    RealTimeRun.home(), folder, first, factor, Duration.ofSeconds(seconds), core, step -> {
                         out.printf(
                                 Locale.ROOT,
                                 "%8.0f/s  direct p50 %6.2f p99 %7.2f ms  through p50 %6.2f p99 %7.2f ms  "
@@ -107,12 +107,12 @@
         @Override
         public Integer call() throws IOException, InterruptedException {
             if (times < 1 || core < 0) {
-                throw new BadInput("--times has to be above 0, --core a core's number", null);
+                throw new InvalidInputException("--times has to be above 0, --core a core's number", null);
             }
             PrintWriter out = spec.commandLine().getOut();
             Path folder = Files.createTempDirectory("topazvalve");
             for (int parts : new int[] {1, 2, 4}) {
-                StartMeasurement.Share share = StartMeasurement.run(Real.home(), folder, core, parts, times);
+                StartMeasurement.Share share = StartMeasurement.run(RealTimeRun.home(), folder, core, parts, times);
                 out.printf(
                         Locale.ROOT,
                         "%.2f of a core: ready in %.2f s (median of %d; %.2f to %.2f), CPU %.2f s%n",
--- a/command/src/main/java/topazvalve/command/Real.java
+++ b/cli/src/main/java/topazvalve/cli/RealTimeRun.java
@@ -1,19 +1,19 @@
-package topazvalve.command;
+package topazvalve.cli;
 
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Path;
 import java.util.Locale;
-import topazvalve.world.experiment.Report;
-import topazvalve.world.experiment.Result;
-import topazvalve.world.real.RealWorld;
-import topazvalve.world.scenario.Scenario;
-import topazvalve.world.tally.Run;
-import topazvalve.world.tally.Tally;
+import topazvalve.simulation.experiment.Report;
+import topazvalve.simulation.experiment.Result;
+import topazvalve.simulation.real.RealWorld;
+import topazvalve.simulation.scenario.Scenario;
+import topazvalve.simulation.tally.Run;
+import topazvalve.simulation.tally.RunStatistics;
 
 /** Plays a scenario on real sockets, with a line a second, and leaves a report. */
-final class Real {
-    private Real() {}
+final class RealTimeRun {
+    private RealTimeRun() {}
 
     /** Where this program was built, as the script says. */
     static Path home() {
@@ -42,7 +42,7 @@
         return run;
     }
 
-    private static String line(Tally.Second second, String wrong) {
+    private static String line(RunStatistics.Second second, String wrong) {
         double within = second.asked() == 0 ? 100 : 100.0 * second.good() / second.asked();
         return String.format(
                 Locale.ROOT,
--- a/command/src/main/java/topazvalve/command/RelayVerb.java
+++ b/cli/src/main/java/topazvalve/cli/RelayVerb.java
@@ -1,4 +1,4 @@
-package topazvalve.command;
+package topazvalve.cli;
 
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
@@ -18,7 +18,7 @@
 
     @Override
     public Integer call() throws InterruptedException {
-        Input.requireFile(file);
+        InputFiles.requireFile(file);
         topazvalve.relay.Main.main(new String[] {file.toString()});
         return ExitCode.DONE;
     }
--- a/command/src/main/java/topazvalve/command/Serve.java
+++ b/cli/src/main/java/topazvalve/cli/ServeVerb.java
@@ -1,4 +1,4 @@
-package topazvalve.command;
+package topazvalve.cli;
 
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
@@ -14,7 +14,7 @@
             "Runs one sidecar by the run line of deploy/balancer.toml.",
             "It reads the file named by $$PROXY_CONFIG; SIGHUP reads it again, SIGTERM ends in order."
         })
-final class Serve implements Callable<Integer> {
+final class ServeVerb implements Callable<Integer> {
     @Override
     public Integer call() throws InterruptedException {
         topazvalve.sidecar.Main.main(new String[0]);
--- a/command/src/main/java/topazvalve/command/World.java
+++ b/cli/src/main/java/topazvalve/cli/SimulateVerb.java
@@ -1,4 +1,4 @@
-package topazvalve.command;
+package topazvalve.cli;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -8,17 +8,17 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import topazvalve.world.policy.Policy;
-import topazvalve.world.scenario.Scenario;
-import topazvalve.world.tally.Run;
-import topazvalve.world.virtual.Arm;
-import topazvalve.world.virtual.VirtualWorld;
+import topazvalve.simulation.policy.Policy;
+import topazvalve.simulation.scenario.Scenario;
+import topazvalve.simulation.tally.Run;
+import topazvalve.simulation.virtual.ExperimentArm;
+import topazvalve.simulation.virtual.VirtualWorld;
 
 /** Plays one scenario once, on either clock. */
 @Command(
         name = "world",
         description = "Plays one scenario, in virtual time or on real sockets, and says what came of it.")
-final class World implements Callable<Integer> {
+final class SimulateVerb implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
 
@@ -45,13 +45,14 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        Scenario scenario = Input.scenario(file);
+        Scenario scenario = InputFiles.scenario(file);
         if (real) {
-            return Real.play(scenario, seed, out, spec.commandLine().getOut()).clean()
+            return RealTimeRun.play(scenario, seed, out, spec.commandLine().getOut())
+                            .clean()
                     ? ExitCode.DONE
                     : ExitCode.FAILED;
         }
-        Run run = new VirtualWorld(scenario, Arm.of(policy), seed).play();
+        Run run = new VirtualWorld(scenario, ExperimentArm.of(policy), seed).play();
         Summary.print(spec.commandLine().getOut(), scenario, run);
         return run.clean() ? ExitCode.DONE : ExitCode.FAILED;
     }
--- a/command/src/main/java/topazvalve/command/SimHost.java
+++ b/cli/src/main/java/topazvalve/cli/SimulatorVerb.java
@@ -1,4 +1,4 @@
-package topazvalve.command;
+package topazvalve.cli;
 
 import java.io.BufferedInputStream;
 import java.io.FileDescriptor;
@@ -8,11 +8,11 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import topazvalve.world.policy.Policy;
+import topazvalve.simulation.policy.Policy;
 
 /** Any policy on the simulator's wire, so that both worlds can be asked how they rank them. */
 @Command(name = "simhost", description = "Hosts any policy on the simulator's wire, on standard streams.")
-final class SimHost implements Callable<Integer> {
+final class SimulatorVerb implements Callable<Integer> {
     @Option(
             names = "--policy",
             defaultValue = "module",
@@ -21,7 +21,7 @@
 
     @Override
     public Integer call() throws IOException {
-        topazvalve.simhost.Main.run(
+        topazvalve.simulator.Main.run(
                 new BufferedInputStream(new FileInputStream(FileDescriptor.in), 1 << 16),
                 new FileOutputStream(FileDescriptor.out),
                 policy::make);
--- a/command/src/main/java/topazvalve/command/Summary.java
+++ b/cli/src/main/java/topazvalve/cli/Summary.java
@@ -1,11 +1,11 @@
-package topazvalve.command;
+package topazvalve.cli;
 
 import java.io.PrintWriter;
 import java.util.Locale;
 import org.HdrHistogram.Histogram;
-import topazvalve.world.scenario.Scenario;
-import topazvalve.world.tally.Run;
-import topazvalve.world.tally.Tally;
+import topazvalve.simulation.scenario.Scenario;
+import topazvalve.simulation.tally.Run;
+import topazvalve.simulation.tally.RunStatistics;
 
 /** Says in a few lines what came of a run. */
 final class Summary {
@@ -14,8 +14,8 @@
     private Summary() {}
 
     static void print(PrintWriter out, Scenario scenario, Run run) {
-        Tally tally = run.tally();
-        Tally.Sums sums = tally.sums();
+        RunStatistics tally = run.tally();
+        RunStatistics.Sums sums = tally.sums();
         out.printf(
                 Locale.ROOT,
                 "%s, %s, seed %d: service %.4f (worst 10 s %.4f, worst class %.4f, goal %.4f)%n",
--- a/command/src/main/java/topazvalve/command/Version.java
+++ b/cli/src/main/java/topazvalve/cli/VersionVerb.java
@@ -1,4 +1,4 @@
-package topazvalve.command;
+package topazvalve.cli;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -11,7 +11,7 @@
 
 /** Which topazvalve this is, and on what it runs. */
 @Command(name = "version", description = "Prints the version, and the Java that runs it.")
-final class Version implements Callable<Integer>, IVersionProvider {
+final class VersionVerb implements Callable<Integer>, IVersionProvider {
     @Spec
     private CommandSpec spec;
 
@@ -24,7 +24,7 @@
     @Override
     public String[] getVersion() throws IOException {
         Properties build = new Properties();
-        try (InputStream in = Version.class.getResourceAsStream("build.properties")) {
+        try (InputStream in = VersionVerb.class.getResourceAsStream("build.properties")) {
             build.load(in);
         }
         return new String[] {
--- a/command/src/main/java/topazvalve/command/package-info.java
+++ b/cli/src/main/java/topazvalve/cli/package-info.java
@@ -1,2 +1,2 @@
 /** The {@code topazvalve} command: arguments in, exit codes out. What its verbs do is elsewhere. */
-package topazvalve.command;
+package topazvalve.cli;
--- a/command/src/test/java/topazvalve/command/CapacityTest.java
+++ b/cli/src/test/java/topazvalve/cli/CapacityTest.java
@@ -1,4 +1,4 @@
-package topazvalve.command;
+package topazvalve.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,20 +11,20 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import topazvalve.capacity.need.DemandTable;
 import topazvalve.capacity.need.Figure;
-import topazvalve.capacity.need.Need;
-import topazvalve.capacity.need.Need.Tier;
-import topazvalve.capacity.need.NeedTable;
 import topazvalve.capacity.need.Origin;
-import topazvalve.capacity.plan.Plan;
+import topazvalve.capacity.need.ResourceDemand;
+import topazvalve.capacity.need.ResourceDemand.Tier;
+import topazvalve.capacity.plan.CapacityPlan;
 import topazvalve.capacity.plan.PlanFile;
 
 /** What the verb prints and ends with, on made-up figures; nothing is measured here. */
 class CapacityTest {
-    private static final Path PLAN = Path.of("../world/capacity/plan.toml");
+    private static final Path PLAN = Path.of("../simulation/capacity/plan.toml");
 
-    private static Need need(Tier tier, double value) {
-        return new Need(
+    private static ResourceDemand need(Tier tier, double value) {
+        return new ResourceDemand(
                 tier,
                 "sidecar",
                 "ordinary day",
@@ -34,9 +34,9 @@
                 256);
     }
 
-    private static int print(StringWriter out, Need... needs) throws IOException {
-        Plan plan = PlanFile.read(PLAN);
-        return Capacity.print(new NeedTable(List.of(needs)), plan, new PrintWriter(out));
+    private static int print(StringWriter out, ResourceDemand... needs) throws IOException {
+        CapacityPlan plan = PlanFile.read(PLAN);
+        return CapacityVerb.print(new DemandTable(List.of(needs)), plan, new PrintWriter(out));
     }
 
     @Test
--- a/command/src/test/java/topazvalve/command/CommandIT.java
+++ b/cli/src/test/java/topazvalve/cli/CommandIT.java
@@ -1,4 +1,4 @@
-package topazvalve.command;
+package topazvalve.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -91,7 +91,7 @@
     void aShortScenarioOnRealSocketsKeepsEveryRule() throws Exception {
         Result result = run(
                 "world",
-                "command/src/test/resources/short.toml",
+                "cli/src/test/resources/short.toml",
                 "--real",
                 "--out",
                 folder.resolve("real").toString());
@@ -105,7 +105,7 @@
     /** Every fault of a scenario is told, each on a line of its own with its place, and nothing is played. */
     @Test
     void aBadScenarioIsRefusedWithEveryFault() throws Exception {
-        String good = Files.readString(Path.of("command/src/test/resources/short.toml"));
+        String good = Files.readString(Path.of("cli/src/test/resources/short.toml"));
         Path bad = Files.writeString(
                 folder.resolve("bad.toml"),
                 good.replace("servers = 4", "sevrers = 4").replace("length = \"7s\"", "length = 7"));
--- a/core/src/main/java/topazvalve/core/classes/ClassTable.java
+++ b/core/src/main/java/topazvalve/core/classes/ClassTable.java
@@ -4,9 +4,9 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import topazvalve.decisions.Balancer.RequestClass;
-import topazvalve.decisions.Balancer.Scope;
-import topazvalve.decisions.Balancer.Semantics;
+import topazvalve.policy.LoadBalancer.Idempotency;
+import topazvalve.policy.LoadBalancer.KeyScope;
+import topazvalve.policy.LoadBalancer.RequestClass;
 
 /**
  * Gives each class its number. A class is known by its name and its effect: under another effect the same
@@ -18,9 +18,9 @@
     public record Entry(int number, String name, RequestClass rules) {}
 
     /** What a request does and where it may be repeated; aims, deadlines and worth may change without it. */
-    private record Identity(String name, Semantics semantics, Scope scope, long keyTtl, boolean stream) {
+    private record Identity(String name, Idempotency semantics, KeyScope scope, long keyTtl, boolean stream) {
         private static Identity of(String name, RequestClass rules) {
-            return new Identity(name, rules.semantics(), rules.scope(), rules.keyTtl(), rules.stream());
+            return new Identity(name, rules.idempotency(), rules.keyScope(), rules.keyTtlNanos(), rules.streaming());
         }
 
         /** Written out, like equals: a record's own are linked at run time, 50 ms of CPU at each start. */
@@ -45,7 +45,7 @@
     private final Map<String, Entry> current = new HashMap<>();
 
     /** Takes over the classes that are in force from now on. */
-    public void take(List<String> names, List<RequestClass> classes) {
+    public void update(List<String> names, List<RequestClass> classes) {
         current.clear();
         for (int i = 0; i < names.size(); i++) {
             RequestClass each = classes.get(i);
@@ -60,7 +60,7 @@
     }
 
     /** The class in force under a name, or null. */
-    public Entry named(String name) {
+    public Entry find(String name) {
         return current.get(name);
     }
 
--- a/core/src/main/java/topazvalve/core/servers/ServerList.java
+++ b/core/src/main/java/topazvalve/core/endpoint/EndpointDiscovery.java
@@ -1,17 +1,17 @@
-package topazvalve.core.servers;
+package topazvalve.core.endpoint;
 
 import java.util.List;
 import java.util.function.Supplier;
-import topazvalve.decisions.Balancer.ListKind;
+import topazvalve.policy.LoadBalancer.UpdateKind;
 
 /**
  * Tells of servers. The decision module says when to follow and when to ask; each answer and each failure
  * comes to the one listener, on the loop.
  */
-public interface ServerList {
-    /** Takes what a list tells; {@code targets} is empty for {@link ListKind#FAILED}. */
+public interface EndpointDiscovery {
+    /** Takes what a list tells; {@code targets} is empty for {@link UpdateKind#FAILED}. */
     interface Listener {
-        void listed(ListKind kind, List<Target> targets);
+        void endpointsUpdated(UpdateKind kind, List<Endpoint> endpoints);
     }
 
     /** Follows changes from the last one known, or stops; answered by one call at the least. */
@@ -24,8 +24,8 @@
     void close();
 
     /** Servers that a file names: nothing is followed, {@link #fetch} tells what it says now. */
-    static ServerList named(Supplier<List<Target>> targets, Listener listener) {
-        return new ServerList() {
+    static EndpointDiscovery fixed(Supplier<List<Endpoint>> targets, Listener listener) {
+        return new EndpointDiscovery() {
             @Override
             public void watch(boolean on) {
                 if (on) {
@@ -35,7 +35,7 @@
 
             @Override
             public void fetch() {
-                listener.listed(ListKind.FULL, targets.get());
+                listener.endpointsUpdated(UpdateKind.FULL, targets.get());
             }
 
             @Override
--- a/core/src/main/java/topazvalve/core/servers/package-info.java
+++ b/core/src/main/java/topazvalve/core/endpoint/package-info.java
@@ -1,2 +1,2 @@
 /** Who serves, as lists of any kind tell it. */
-package topazvalve.core.servers;
+package topazvalve.core.endpoint;
--- a/core/src/main/java/topazvalve/core/exchange/ServerNumbers.java
+++ b/core/src/main/java/topazvalve/core/exchange/EndpointIds.java
@@ -2,18 +2,18 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import topazvalve.core.servers.Target;
-import topazvalve.decisions.Balancer.Upstream;
-import topazvalve.decisions.Options;
+import topazvalve.core.endpoint.Endpoint;
+import topazvalve.policy.LoadBalancer.EndpointInfo;
+import topazvalve.policy.SettingsReader;
 
 /** The numbers under which the decision module knows servers, zones and kinds; each is given once. */
-final class ServerNumbers {
+final class EndpointIds {
     private final Map<String, Long> servers = new HashMap<>();
     private final Map<String, Integer> zones = new HashMap<>();
     private final Map<String, Integer> kinds = new HashMap<>();
 
     /** Takes over the names that settings number. */
-    void take(Options options) {
+    void take(SettingsReader options) {
         options.list("zones").forEach(zone -> number(zones, zone));
         options.list("kinds").forEach(kind -> number(kinds, kind));
     }
@@ -28,15 +28,15 @@
     }
 
     /** A server as the module knows it. */
-    Upstream upstream(Target target) {
+    EndpointInfo upstream(Endpoint target) {
         long id = servers.computeIfAbsent(target.uid(), uid -> servers.size() + 1L);
-        return new Upstream(
+        return new EndpointInfo(
                 id,
                 number(zones, target.zone()),
-                number(kinds, target.kind()),
+                number(kinds, target.machineKind()),
                 target.cell(),
-                target.state(),
+                target.status(),
                 target.weight(),
-                target.startedMs() * 1_000_000);
+                target.startedAtMillis() * 1_000_000);
     }
 }
--- a/core/src/main/java/topazvalve/core/exchange/Exchange.java
+++ b/core/src/main/java/topazvalve/core/exchange/Exchange.java
@@ -3,29 +3,29 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Objects;
-import topazvalve.core.exchange.Phase.Step;
-import topazvalve.core.metrics.ClassCounts;
+import topazvalve.core.exchange.ExchangeState.Step;
+import topazvalve.core.metrics.ClassCounters;
 import topazvalve.core.pool.Attempt;
-import topazvalve.core.time.Time;
+import topazvalve.core.time.Scheduler;
 
 /** One exchange: what was asked, its attempts, and where it is in its life. */
 final class Exchange<Q, A> {
     final long id;
-    final Job<Q> job;
-    final Client<A> client;
-    final ClassCounts counts;
+    final ExchangeRequest<Q> job;
+    final ResponseListener<A> client;
+    final ClassCounters counts;
     private final int tryLimit;
     private final List<Attempt<Q, A>> attempts = new ArrayList<>(1);
-    private Phase phase = Phase.TAKEN;
+    private ExchangeState phase = ExchangeState.TAKEN;
     private int out;
     /** The attempt whose answer has begun, which from then on is the client's; -1 for none. */
     private int answering = -1;
     /** When the client gives up; never, until its body is whole. */
     private long deadline = Long.MAX_VALUE;
 
-    private Time.Alarm giveUp;
+    private Scheduler.Timer giveUp;
 
-    Exchange(long id, Job<Q> job, Client<A> client, ClassCounts counts, int tryLimit) {
+    Exchange(long id, ExchangeRequest<Q> job, ResponseListener<A> client, ClassCounters counts, int tryLimit) {
         this.id = id;
         this.job = job;
         this.client = client;
@@ -33,7 +33,7 @@
         this.tryLimit = tryLimit;
     }
 
-    Phase phase() {
+    ExchangeState phase() {
         return phase;
     }
 
@@ -47,7 +47,7 @@
     }
 
     /** The client's time runs from now on; {@code alarm} ends it if nobody else does. */
-    void startClock(long at, Time.Alarm alarm) {
+    void startClock(long at, Scheduler.Timer alarm) {
         deadline = at;
         giveUp = alarm;
     }
@@ -59,10 +59,10 @@
 
     /** Whether an attempt that is ordered now may set out. */
     boolean maySend(long now) {
-        return (phase == Phase.WAITING || phase == Phase.OUT)
+        return (phase == ExchangeState.WAITING || phase == ExchangeState.OUT)
                 && now < deadline
                 && attempts.size() < tryLimit
-                && job.body().repeatable();
+                && job.body().isReplayable();
     }
 
     /** An attempt is ordered; returns its number. What becomes of it is said by {@link #sent}. */
@@ -90,7 +90,7 @@
 
     /** The answer of an attempt begins; false if it is not wanted any more. */
     boolean begun(int number) {
-        if (phase != Phase.OUT) {
+        if (phase != ExchangeState.OUT) {
             return false;
         }
         phase = phase.after(Step.BEGUN, out);
@@ -101,7 +101,7 @@
 
     /** Whether the answer that the client has the beginning of is this attempt's. */
     boolean answeredBy(int number) {
-        return phase == Phase.ANSWERING && answering == number;
+        return phase == ExchangeState.ANSWERING && answering == number;
     }
 
     /** An attempt has ended. */
@@ -124,10 +124,10 @@
 
     /** Whether nothing is owed to anybody any more, neither client nor module; then it is forgotten. */
     boolean settled() {
-        if (phase == Phase.ANSWERED && out == 0) {
+        if (phase == ExchangeState.ANSWERED && out == 0) {
             phase = phase.after(Step.SETTLED, out);
         }
-        return phase == Phase.FORGOTTEN;
+        return phase == ExchangeState.FORGOTTEN;
     }
 
     private void stopClock() {
--- a/core/src/main/java/topazvalve/core/exchange/Intake.java
+++ b/core/src/main/java/topazvalve/core/exchange/ExchangeHandler.java
@@ -1,13 +1,13 @@
 package topazvalve.core.exchange;
 
 /** Where fronts bring exchanges. */
-public interface Intake<Q, A> {
+public interface ExchangeHandler<Q, A> {
     /**
      * Takes one; its client is told of one final answer, perhaps within this call. Returns the number under
-     * which {@link #hangup} knows it, 0 if it was refused at once.
+     * which {@link #clientDisconnected} knows it, 0 if it was refused at once.
      */
-    long submit(Job<Q> job, Client<A> client);
+    long submit(ExchangeRequest<Q> job, ResponseListener<A> client);
 
     /** The client has gone away. An answer that has begun goes with it. */
-    void hangup(long id);
+    void clientDisconnected(long id);
 }
--- a/core/src/main/java/topazvalve/core/exchange/Exchanges.java
+++ b/core/src/main/java/topazvalve/core/exchange/ExchangeManager.java
@@ -10,85 +10,86 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import topazvalve.core.classes.ClassTable;
-import topazvalve.core.metrics.ClassCounts;
+import topazvalve.core.endpoint.Endpoint;
+import topazvalve.core.endpoint.EndpointDiscovery;
+import topazvalve.core.metrics.ClassCounters;
 import topazvalve.core.metrics.Metrics;
 import topazvalve.core.pool.Attempt;
 import topazvalve.core.pool.AttemptListener;
-import topazvalve.core.pool.Back;
-import topazvalve.core.servers.ServerList;
-import topazvalve.core.servers.Target;
-import topazvalve.core.stream.Source;
-import topazvalve.core.time.Time;
-import topazvalve.decisions.Balancer;
-import topazvalve.decisions.Balancer.ListKind;
-import topazvalve.decisions.Balancer.Outcome;
-import topazvalve.decisions.Balancer.Request;
-import topazvalve.decisions.Balancer.State;
-import topazvalve.decisions.Balancer.Upstream;
-import topazvalve.decisions.Options;
+import topazvalve.core.pool.Backend;
+import topazvalve.core.stream.FlowControl;
+import topazvalve.core.time.Scheduler;
+import topazvalve.policy.LoadBalancer;
+import topazvalve.policy.LoadBalancer.EndpointInfo;
+import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.LoadBalancer.Outcome;
+import topazvalve.policy.LoadBalancer.Request;
+import topazvalve.policy.LoadBalancer.UpdateKind;
+import topazvalve.policy.SettingsReader;
 
 /**
  * The only caller of the decision module: tells it events one after the other, on the event loop, and carries
  * out what it orders. Whatever the module and the back do, an exchange gets one final answer and an attempt
  * one outcome.
  */
-public final class Exchanges<Q, A> implements Intake<Q, A>, Balancer.Actions, Metrics.Gauges, ServerList.Listener {
+public final class ExchangeManager<Q, A>
+        implements ExchangeHandler<Q, A>, LoadBalancer.Actions, Metrics.Gauges, EndpointDiscovery.Listener {
     private static final Logger MODULE = LoggerFactory.getLogger("module");
     /** What of a client's wait is kept for the answer's way back; the module does not know of it. */
     private static final long ANSWER_ROOM = 10_000_000;
 
     /** Makes the decision module, which gives its orders to {@code actions}. */
-    public interface ModuleMaker {
-        Balancer make(Balancer.Settings settings, Balancer.Actions actions);
+    public interface PolicyFactory {
+        LoadBalancer create(LoadBalancer.Settings settings, LoadBalancer.Actions actions);
     }
 
-    private final Time time;
-    private final Back<Q, A> back;
+    private final Scheduler time;
+    private final Backend<Q, A> back;
     private final int mostOpen;
     private final Metrics metrics;
     private final ClassTable classes;
-    private final Balancer module;
+    private final LoadBalancer module;
     private final Map<Long, Exchange<Q, A>> exchanges = new HashMap<>();
-    private final ServerNumbers numbers = new ServerNumbers();
-    private final EventQueue events;
-    private ServerList servers;
+    private final EndpointIds numbers = new EndpointIds();
+    private final PolicyEventQueue events;
+    private EndpointDiscovery servers;
     private int tryLimit;
     private long lastId;
 
     /** Holds at most {@code mostOpen} exchanges; more are refused at once. */
-    public Exchanges(
-            Time time,
-            Options options,
-            ModuleMaker maker,
-            Back<Q, A> back,
+    public ExchangeManager(
+            Scheduler time,
+            SettingsReader options,
+            PolicyFactory maker,
+            Backend<Q, A> back,
             int mostOpen,
             Metrics metrics,
             ClassTable classes) {
         this.time = time;
-        this.events = new EventQueue(time);
+        this.events = new PolicyEventQueue(time);
         this.back = back;
         this.mostOpen = mostOpen;
         this.metrics = metrics;
         this.classes = classes;
-        this.module = maker.make(take(options), this);
+        this.module = maker.create(take(options), this);
     }
 
     /** Takes settings over; returns them as the module is to know them, with the table's numbers. */
-    private Balancer.Settings take(Options options) {
-        Balancer.Settings settings = options.settings();
+    private LoadBalancer.Settings take(SettingsReader options) {
+        LoadBalancer.Settings settings = options.settings();
         List<String> names = options.names("profiles");
-        classes.take(names, settings.classes());
-        metrics.show(names);
-        tryLimit = settings.allowed().tryLimit();
+        classes.update(names, settings.requestClasses());
+        metrics.register(names);
+        tryLimit = settings.capabilities().maxAttempts();
         numbers.take(options);
-        return settings.with(classes.rules());
+        return settings.withRequestClasses(classes.rules());
     }
 
     /** Begins with the cached list; on the loop, like all that follows. */
-    public void start(ServerList list, List<Target> known) {
+    public void start(EndpointDiscovery list, List<Endpoint> known) {
         servers = list;
         tell(module::start);
-        listed(ListKind.CACHED, known);
+        endpointsUpdated(UpdateKind.CACHED, known);
     }
 
     /** Holds no more connections and follows no list; what is open is answered as it would be. */
@@ -100,10 +101,10 @@
     }
 
     /** Takes new settings over; exchanges that are open keep the class and try limit they came under. */
-    public void retune(Options options) {
-        Balancer.Settings settings = take(options);
-        back.retune(options);
-        tell(now -> module.retuned(now, settings));
+    public void settingsChanged(SettingsReader options) {
+        LoadBalancer.Settings settings = take(options);
+        back.settingsChanged(options);
+        tell(now -> module.settingsChanged(now, settings));
     }
 
     private void tell(LongConsumer event) {
@@ -111,55 +112,56 @@
     }
 
     @Override
-    public void listed(ListKind kind, List<Target> targets) {
-        List<Upstream> entries = new ArrayList<>(targets.size());
-        Map<Long, Target> named = new HashMap<>();
-        for (Target target : targets) {
-            Upstream entry = numbers.upstream(target);
+    public void endpointsUpdated(UpdateKind kind, List<Endpoint> targets) {
+        List<EndpointInfo> entries = new ArrayList<>(targets.size());
+        Map<Long, Endpoint> named = new HashMap<>();
+        for (Endpoint target : targets) {
+            EndpointInfo entry = numbers.upstream(target);
             named.put(entry.id(), target);
             entries.add(entry);
         }
         tell(now -> {
             named.forEach((id, target) -> {
-                if (target.state() == State.GONE) {
-                    back.gone(id);
+                if (target.status() == EndpointStatus.REMOVED) {
+                    back.endpointRemoved(id);
                 } else {
-                    back.listed(id, target.endpoint(), target.startedMs(), target.state() == State.READY);
+                    back.endpointUpdated(
+                            id, target.address(), target.startedAtMillis(), target.status() == EndpointStatus.READY);
                 }
             });
-            if (kind == ListKind.FULL) {
+            if (kind == UpdateKind.FULL) {
                 for (long id : numbers.all()) {
                     if (!named.containsKey(id)) {
-                        back.gone(id);
+                        back.endpointRemoved(id);
                     }
                 }
             }
-            module.listChanged(now, kind, entries);
+            module.endpointsUpdated(now, kind, entries);
         });
     }
 
     @Override
-    public long submit(Job<Q> job, Client<A> client) {
-        ClassCounts counts = metrics.of(job.requestClass().name());
-        if (exchanges.size() >= mostOpen || job.waitMs() <= 0) {
-            counts.refused();
-            client.refused(0);
+    public long submit(ExchangeRequest<Q> job, ResponseListener<A> client) {
+        ClassCounters counts = metrics.countersOf(job.requestClass().name());
+        if (exchanges.size() >= mostOpen || job.timeoutMillis() <= 0) {
+            counts.requestShed();
+            client.rejected(0);
             return 0;
         }
         long id = ++lastId;
         Exchange<Q, A> exchange = new Exchange<>(id, job, client, counts, tryLimit);
         exchanges.put(id, exchange);
-        job.body().onProgress(() -> whole(exchange), () -> tell(now -> module.unrepeatable(now, id)));
+        job.body().onProgress(() -> whole(exchange), () -> tell(now -> module.bodyNotReplayable(now, id)));
         Request request = new Request(
                 id,
                 job.requestClass().number(),
                 job.tenant(),
-                job.key(),
+                job.resourceKey(),
                 wait(exchange),
-                job.costHint(),
+                job.costHintNanos(),
                 job.clientRetry(),
                 job.write());
-        boolean whole = job.body().whole();
+        boolean whole = job.body().isComplete();
         if (whole) {
             startClock(exchange);
         }
@@ -169,23 +171,23 @@
             }
             exchange.told();
             if (whole) {
-                module.request(now, request);
+                module.requestReceived(now, request);
             } else {
                 // The client's time begins with the last byte of its body.
-                module.requestBegun(now, request);
+                module.requestStarted(now, request);
             }
         });
         return id;
     }
 
     private long wait(Exchange<Q, A> exchange) {
-        return Math.max(1, exchange.job.waitMs() * 1_000_000 - ANSWER_ROOM);
+        return Math.max(1, exchange.job.timeoutMillis() * 1_000_000 - ANSWER_ROOM);
     }
 
     private void startClock(Exchange<Q, A> exchange) {
         long wait = wait(exchange);
         // The module answers by its own deadline; this holds for whatever it may have missed.
-        exchange.startClock(time.now() + wait, time.after(wait + ANSWER_ROOM / 2, () -> {
+        exchange.startClock(time.now() + wait, time.schedule(wait + ANSWER_ROOM / 2, () -> {
             fail(exchange.id);
             giveUp(exchange);
         }));
@@ -193,12 +195,12 @@
 
     private void whole(Exchange<Q, A> exchange) {
         startClock(exchange);
-        exchange.sentAttempts().forEach(attempt -> attempt.limit(wait(exchange)));
-        tell(now -> module.requestWhole(now, exchange.id));
+        exchange.sentAttempts().forEach(attempt -> attempt.startTimeout(wait(exchange)));
+        tell(now -> module.requestBodyCompleted(now, exchange.id));
     }
 
     @Override
-    public void hangup(long id) {
+    public void clientDisconnected(long id) {
         Exchange<Q, A> exchange = exchanges.get(id);
         if (exchange != null && exchange.open()) {
             answer(exchange, () -> {});
@@ -214,9 +216,9 @@
      * cancelling: that is about work a server has.
      */
     private void giveUp(Exchange<Q, A> exchange) {
-        tell(now -> module.hangup(now, exchange.id));
+        tell(now -> module.clientDisconnected(now, exchange.id));
         for (Attempt<Q, A> attempt : List.copyOf(exchange.sentAttempts())) {
-            if (!attempt.written()) {
+            if (!attempt.isWritten()) {
                 attempt.cancel();
             }
         }
@@ -225,18 +227,18 @@
     @Override
     public long active() {
         return exchanges.values().stream()
-                .filter(each -> each.open() && each.job.body().whole())
+                .filter(each -> each.open() && each.job.body().isComplete())
                 .count();
     }
 
     @Override
     public long poolSize() {
-        return back.listed();
+        return back.endpointCount();
     }
 
     @Override
     public long poolEjected() {
-        return module.avoided(time.now());
+        return module.ejectedCount(time.now());
     }
 
     /** How many are known, answered ones with attempts still out among them. */
@@ -250,7 +252,7 @@
     }
 
     /** Where each that is known is. */
-    List<Phase> phases() {
+    List<ExchangeState> phases() {
         return exchanges.values().stream().map(Exchange::phase).toList();
     }
 
@@ -270,7 +272,7 @@
     }
 
     @Override
-    public void send(long request, long server, long timeout) {
+    public void forward(long request, long server, long timeout) {
         Exchange<Q, A> exchange = exchanges.get(request);
         if (exchange == null) {
             return;
@@ -280,13 +282,13 @@
         int number = exchange.ordered();
         Out out = new Out(exchange, number, server, now);
         if (!may) {
-            out.ended(Outcome.NEVER_SENT, null, Attempt.NO_LOAD);
+            out.attemptCompleted(Outcome.NEVER_SENT, null, Attempt.NO_LOAD);
             return;
         }
         long wait = Math.min(wait(exchange), exchange.left(now));
         exchange.sent(
                 number,
-                back.send(
+                back.startAttempt(
                         server,
                         exchange.job.message(),
                         exchange.job.body(),
@@ -309,33 +311,34 @@
         }
 
         @Override
-        public void written() {
-            exchange.counts.tried();
+        public void requestWritten() {
+            exchange.counts.attemptWritten();
         }
 
         @Override
-        public void begun(Attempt<Q, A> attempt, A first, long length, Source rest) {
+        public void responseStarted(Attempt<Q, A> attempt, A first, long length, FlowControl rest) {
             if (!exchange.begun(number)) {
                 attempt.cancel();
                 return;
             }
-            tell(now -> module.firstByte(now, exchange.id, number, server, now - sentAt));
-            exchange.client.begun(first, length, rest);
+            tell(now -> module.responseStarted(now, exchange.id, number, server, now - sentAt));
+            exchange.client.responseStarted(first, length, rest);
         }
 
         @Override
-        public void more(ByteBuf bytes) {
-            exchange.client.more(bytes);
+        public void responseData(ByteBuf bytes) {
+            exchange.client.responseData(bytes);
         }
 
         @Override
-        public void ended(Outcome outcome, A answer, float[] load) {
+        public void attemptCompleted(Outcome outcome, A answer, float[] load) {
             // An answer that is there does not wait for what else is to be heard of. Danger: a fault on the
             // client's side that left out the rest would leave the attempt counted as in flight for good.
             events.handle(now -> pass(outcome, answer));
             tell(now -> {
                 exchange.ended();
-                module.outcome(now, exchange.id, number, server, outcome, now - sentAt, !exchange.open(), load);
+                module.attemptCompleted(
+                        now, exchange.id, number, server, outcome, now - sentAt, !exchange.open(), load);
                 forget(exchange);
             });
         }
@@ -345,35 +348,35 @@
             boolean answers = exchange.answeredBy(number);
             if (answers && outcome == Outcome.OK) {
                 answer(exchange, () -> {
-                    exchange.counts.served();
-                    exchange.client.finished();
+                    exchange.counts.requestServed();
+                    exchange.client.responseCompleted();
                 });
             } else if (answers) {
                 answer(exchange, () -> {
-                    exchange.counts.failed();
-                    exchange.client.cut();
+                    exchange.counts.requestFailed();
+                    exchange.client.responseAborted();
                 });
-            } else if (outcome == Outcome.OK && exchange.phase() == Phase.OUT) {
+            } else if (outcome == Outcome.OK && exchange.phase() == ExchangeState.OUT) {
                 answer(exchange, () -> {
-                    exchange.counts.served();
-                    exchange.client.served(answer);
+                    exchange.counts.requestServed();
+                    exchange.client.responseReceived(answer);
                 });
             }
         }
     }
 
     @Override
-    public void refuse(long request, long wait) {
+    public void reject(long request, long wait) {
         turnDown(request, exchange -> {
-            exchange.counts.refused();
-            exchange.client.refused(wait);
+            exchange.counts.requestShed();
+            exchange.client.rejected(wait);
         });
     }
 
     @Override
     public void fail(long request) {
         turnDown(request, exchange -> {
-            exchange.counts.failed();
+            exchange.counts.requestFailed();
             exchange.client.failed();
         });
     }
@@ -381,13 +384,13 @@
     /** Not while an answer is being passed on: that answer's end is the client's. */
     private void turnDown(long request, Consumer<Exchange<Q, A>> words) {
         Exchange<Q, A> exchange = exchanges.get(request);
-        if (exchange != null && exchange.phase() != Phase.ANSWERING) {
+        if (exchange != null && exchange.phase() != ExchangeState.ANSWERING) {
             answer(exchange, () -> words.accept(exchange));
         }
     }
 
     @Override
-    public void cancel(long request, int attempt) {
+    public void cancelAttempt(long request, int attempt) {
         Exchange<Q, A> exchange = exchanges.get(request);
         if (exchange != null
                 && attempt < exchange.attempts().size()
@@ -397,26 +400,27 @@
     }
 
     @Override
-    public void timer(long token, long at) {
-        time.after(Math.max(0, at - time.now()), () -> tell(now -> module.timer(now, token)));
+    public void setTimer(long token, long at) {
+        time.schedule(Math.max(0, at - time.now()), () -> tell(now -> module.timerFired(now, token)));
     }
 
     @Override
-    public void probe(long server) {
+    public void sendHealthCheck(long server) {
         long sentAt = time.now();
-        back.probe(
+        back.sendHealthCheck(
                 server,
-                (outcome, answer, load) -> tell(now -> module.probeResult(now, server, outcome, now - sentAt, load)));
+                (outcome, answer, load) ->
+                        tell(now -> module.healthCheckCompleted(now, server, outcome, now - sentAt, load)));
     }
 
     @Override
-    public void closeIdle(long server) {
-        back.closeIdle(server);
+    public void closeIdleConnections(long server) {
+        back.closeIdleConnections(server);
     }
 
     /** Sidecars of this kind share nothing; the module does not use peers. */
     @Override
-    public void tell(int peer, byte[] message) {
+    public void sendGossip(int peer, byte[] message) {
         throw new UnsupportedOperationException("peers");
     }
 
@@ -426,12 +430,12 @@
     }
 
     @Override
-    public void subscribe(boolean on) {
+    public void watchEndpoints(boolean on) {
         servers.watch(on);
     }
 
     @Override
-    public void fetchList() {
+    public void fetchEndpoints() {
         servers.fetch();
     }
 }
--- a/core/src/main/java/topazvalve/core/exchange/Phase.java
+++ b/core/src/main/java/topazvalve/core/exchange/ExchangeState.java
@@ -19,7 +19,7 @@
  * ANSWERED   settled  FORGOTTEN   no attempt is out
  * </pre>
  */
-enum Phase {
+enum ExchangeState {
     TAKEN,
     WAITING,
     OUT,
@@ -43,8 +43,8 @@
     }
 
     /** The phase after a step; {@code out} attempts are out after it. */
-    Phase after(Step step, int out) {
-        Phase next = switch (this) {
+    ExchangeState after(Step step, int out) {
+        ExchangeState next = switch (this) {
             case TAKEN -> step == Step.TOLD ? WAITING : step == Step.ANSWERED ? ANSWERED : null;
             case WAITING -> step == Step.SENT ? OUT : step == Step.ANSWERED ? ANSWERED : null;
             case OUT ->
--- a/core/src/main/java/topazvalve/core/exchange/EventQueue.java
+++ b/core/src/main/java/topazvalve/core/exchange/PolicyEventQueue.java
@@ -4,20 +4,20 @@
 import java.util.function.LongConsumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import topazvalve.core.time.Time;
+import topazvalve.core.time.Scheduler;
 
 /**
  * Events on their way to the decision module, one after the other: it is never entered twice. After a stall
  * they wait until clients that left meanwhile were heard of: whatever the module orders begins attempts.
  */
-final class EventQueue {
+final class PolicyEventQueue {
     private static final Logger LOG = LoggerFactory.getLogger("engine");
-    private final Time time;
+    private final Scheduler time;
     private final ArrayDeque<LongConsumer> events = new ArrayDeque<>();
     private boolean busy;
     private long faults;
 
-    EventQueue(Time time) {
+    PolicyEventQueue(Scheduler time) {
         this.time = time;
     }
 
@@ -26,7 +26,7 @@
         events.add(event);
         if (!busy) {
             busy = true;
-            time.whenHeard(this::handleAll);
+            time.runOnceCaughtUp(this::handleAll);
         }
     }
 
--- a/core/src/main/java/topazvalve/core/lifecycle/Lifecycle.java
+++ b/core/src/main/java/topazvalve/core/lifecycle/Lifecycle.java
@@ -22,12 +22,12 @@
     private long killAt;
 
     /** It is warm and listens. */
-    public void started() {
+    public void markStarted() {
         started = true;
     }
 
     /** Makes it a lame duck or takes that back; false if it is ending and so can't be turned any more. */
-    public boolean lameDuck(boolean on) {
+    public boolean setLameDuck(boolean on) {
         if (ending) {
             return false;
         }
@@ -39,9 +39,9 @@
     }
 
     /** It ends, and is killed no sooner than so many nanoseconds from now: nothing turns it back. */
-    public void end(long killedAfter) {
+    public void shutDown(long killedAfter) {
         long now = System.nanoTime();
-        if (!emptying()) {
+        if (!isDraining()) {
             emptyingSince = now;
         }
         ending = true;
@@ -53,24 +53,24 @@
      * How long a request that comes now may take at the most, in nanoseconds: one that comes late in the end
      * has to be answered before the kill, however long its client would wait; 0 or less if it can't be.
      */
-    public long longestWait() {
+    public long maxRequestTimeoutNanos() {
         long now = System.nanoTime();
         return ending && now - endedAt > EXCUSED ? killAt - KILL_ROOM - now : Long.MAX_VALUE;
     }
 
     /** Whether clients should come here. One that comes all the same is served. */
-    public boolean takesClients() {
-        return started && !emptying();
+    public boolean acceptsClients() {
+        return started && !isDraining();
     }
 
     /** Whether connections should end: each with its next answer, and those that idle after a grace. */
-    public boolean emptying() {
+    public boolean isDraining() {
         return lame || ending;
     }
 
     /** Whether a connection without a request should be closed now. */
-    public boolean closesIdle() {
+    public boolean closesIdleConnections() {
         long now = System.nanoTime();
-        return (ending && now - endedAt >= END_GRACE) || (emptying() && now - emptyingSince >= GRACE);
+        return (ending && now - endedAt >= END_GRACE) || (isDraining() && now - emptyingSince >= GRACE);
     }
 }
--- a/core/src/main/java/topazvalve/core/metrics/ClassCounts.java
+++ b/core/src/main/java/topazvalve/core/metrics/ClassCounters.java
@@ -1,31 +1,31 @@
 package topazvalve.core.metrics;
 
 /** One class's counts since the process started. */
-public final class ClassCounts {
+public final class ClassCounters {
     private long ok;
     private long shed;
     private long errors;
     private long tries;
 
-    ClassCounts() {}
+    ClassCounters() {}
 
     /** A request was served. */
-    public void served() {
+    public void requestServed() {
         ok++;
     }
 
     /** A request was refused: its client may try again. */
-    public void refused() {
+    public void requestShed() {
         shed++;
     }
 
     /** A request has failed. */
-    public void failed() {
+    public void requestFailed() {
         errors++;
     }
 
     /** An attempt has been written whole to an upstream. */
-    public void tried() {
+    public void attemptWritten() {
         tries++;
     }
 
--- a/core/src/main/java/topazvalve/core/metrics/Metrics.java
+++ b/core/src/main/java/topazvalve/core/metrics/Metrics.java
@@ -21,18 +21,18 @@
         long poolEjected();
     }
 
-    private final Map<String, ClassCounts> classes = new LinkedHashMap<>();
+    private final Map<String, ClassCounters> classes = new LinkedHashMap<>();
     private long configsApplied;
     private long configsRejected;
 
     /** Shows these classes from now on, from 0 if they are new; a class that is dropped keeps its counts. */
-    public void show(List<String> names) {
-        names.forEach(this::of);
+    public void register(List<String> names) {
+        names.forEach(this::countersOf);
     }
 
     /** The counts of a class. */
-    public ClassCounts of(String name) {
-        return classes.computeIfAbsent(name, added -> new ClassCounts());
+    public ClassCounters countersOf(String name) {
+        return classes.computeIfAbsent(name, added -> new ClassCounters());
     }
 
     /** A new configuration was taken. */
--- a/core/src/main/java/topazvalve/core/pool/Attempt.java
+++ b/core/src/main/java/topazvalve/core/pool/Attempt.java
@@ -2,10 +2,10 @@
 
 import io.netty.buffer.ByteBuf;
 import java.util.function.Consumer;
+import topazvalve.core.stream.FlowControl;
 import topazvalve.core.stream.RequestBody;
-import topazvalve.core.stream.Source;
-import topazvalve.core.time.Time;
-import topazvalve.decisions.Balancer.Outcome;
+import topazvalve.core.time.Scheduler;
+import topazvalve.policy.LoadBalancer.Outcome;
 
 /**
  * One sending of an exchange. Until its last byte is written it has never run; after that it may have.
@@ -25,7 +25,7 @@
         OVER
     }
 
-    private final Time time;
+    private final Scheduler time;
     private final Consumer<Attempt<Q, A>> notUnwritten;
     private final Q message;
     private final RequestBody body;
@@ -34,7 +34,7 @@
     private State state = State.WAITING;
     private boolean ran;
     private Runnable breakOff = () -> {};
-    private Time.Alarm alarm;
+    private Scheduler.Timer alarm;
 
     /**
      * One that waits for a connection.
@@ -42,7 +42,7 @@
      * @param unwrittenNoMore called once it is written or over, perhaps twice
      */
     public Attempt(
-            Time time,
+            Scheduler time,
             Q message,
             RequestBody body,
             long wait,
@@ -65,33 +65,33 @@
     }
 
     /** What it was given, in nanoseconds, from its sending on. */
-    public long waitTime() {
+    public long timeoutNanos() {
         return wait;
     }
 
-    public boolean over() {
+    public boolean isCompleted() {
         return state == State.OVER;
     }
 
     /** Whether its last byte was written, so that it may have run; stays so when it is over. */
-    public boolean written() {
+    public boolean isWritten() {
         return ran;
     }
 
     /** Whether all of it was handed to the connection, though perhaps not written yet. */
-    public boolean handedOn() {
+    public boolean isHandedOver() {
         return state == State.HANDED || state == State.WRITTEN;
     }
 
     /** From now on it may take so many nanoseconds until its answer is whole or begins. */
-    public void limit(long nanoseconds) {
-        if (!over() && alarm == null) {
-            alarm = time.after(nanoseconds, this::late);
+    public void startTimeout(long nanoseconds) {
+        if (!isCompleted() && alarm == null) {
+            alarm = time.schedule(nanoseconds, this::late);
         }
     }
 
     /** It may take as long as it likes. */
-    public void unlimited() {
+    public void cancelTimeout() {
         if (alarm != null) {
             alarm.cancel();
         }
@@ -103,75 +103,75 @@
     }
 
     /** The connection begins to write it. */
-    public void writing() {
+    public void writeStarted() {
         if (state == State.WAITING) {
             state = State.WRITING;
         }
     }
 
     /** The connection has taken its last byte. */
-    public void handOn() {
-        if (!over()) {
+    public void handedOver() {
+        if (!isCompleted()) {
             state = State.HANDED;
             body.stopReading();
         }
     }
 
     /** Its last byte was written. */
-    public void wrote() {
+    public void requestWritten() {
         ran = true;
-        if (!over()) {
+        if (!isCompleted()) {
             state = State.WRITTEN;
         }
         notUnwritten.accept(this);
-        listener.written();
+        listener.requestWritten();
     }
 
     /** Gives it up and closes its connection. */
     public void cancel() {
-        end(Outcome.CANCELLED);
+        complete(Outcome.CANCELLED);
     }
 
     private void late() {
-        end(ran ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED);
+        complete(ran ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED);
     }
 
     /** Its connection is lost, or never came. */
-    public void broken() {
-        end(ran ? Outcome.RESET : Outcome.CONNECT_FAILED);
+    public void connectionLost() {
+        complete(ran ? Outcome.RESET : Outcome.CONNECT_FAILED);
     }
 
     /** Its answer begins: it is passed on as it comes, and takes as long as that. */
-    public void begin(A first, long length, Source rest) {
-        unlimited();
-        listener.begun(this, first, length, rest);
+    public void responseStarted(A first, long length, FlowControl rest) {
+        cancelTimeout();
+        listener.responseStarted(this, first, length, rest);
     }
 
     /** More of an answer that was begun; takes over the buffer. */
-    public void more(ByteBuf bytes) {
-        listener.more(bytes);
+    public void responseData(ByteBuf bytes) {
+        listener.responseData(bytes);
     }
 
     /** Ends it without an answer, unless it has ended before; its connection is of no further use. */
-    public void end(Outcome outcome) {
-        if (!over()) {
+    public void complete(Outcome outcome) {
+        if (!isCompleted()) {
             breakOff.run();
-            end(outcome, null, NO_LOAD);
+            complete(outcome, null, NO_LOAD);
         }
     }
 
     /** Ends it with what its connection, which stays as it is, has brought; not after another end. */
-    public void end(Outcome outcome, A answer, float[] load) {
-        if (over()) {
+    public void complete(Outcome outcome, A answer, float[] load) {
+        if (isCompleted()) {
             return;
         }
         boolean reading = state == State.WAITING || state == State.WRITING;
         state = State.OVER;
-        unlimited();
+        cancelTimeout();
         if (reading) {
             body.stopReading();
         }
         notUnwritten.accept(this);
-        listener.ended(outcome, answer, load);
+        listener.attemptCompleted(outcome, answer, load);
     }
 }
--- a/core/src/main/java/topazvalve/core/pool/Pool.java
+++ b/core/src/main/java/topazvalve/core/pool/EndpointPool.java
@@ -6,10 +6,10 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import topazvalve.decisions.Balancer.Outcome;
+import topazvalve.policy.LoadBalancer.Outcome;
 
 /** One server's connections; the least lately used idle one comes first. */
-final class Pool<Q, A> {
+final class EndpointPool<Q, A> {
     private final ArrayDeque<PooledConnection<Q, A>> idle = new ArrayDeque<>();
     /** Idle ones that an attempt waits for while they rest. */
     private final Set<PooledConnection<Q, A>> reserved = new LinkedHashSet<>();
@@ -113,7 +113,7 @@
         ready = false;
         closeIdle();
         for (Attempt<Q, A> attempt : List.copyOf(unwritten)) {
-            attempt.end(Outcome.CONNECT_FAILED);
+            attempt.complete(Outcome.CONNECT_FAILED);
         }
         List.copyOf(all).forEach(PooledConnection::draining);
     }
--- a/core/src/main/java/topazvalve/core/pool/PooledConnection.java
+++ b/core/src/main/java/topazvalve/core/pool/PooledConnection.java
@@ -11,7 +11,7 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
 import topazvalve.core.stream.ByteBudget;
-import topazvalve.decisions.Balancer.Outcome;
+import topazvalve.policy.LoadBalancer.Outcome;
 
 /**
  * One connection to a server: CONNECTING, then LEASED to one attempt after the other and IDLE between them,
@@ -25,23 +25,24 @@
         CLOSED
     }
 
-    private static final RecvByteBufAllocator READS = new AdaptiveRecvByteBufAllocator(64, 2048, ByteBudget.LEAST);
+    private static final RecvByteBufAllocator READS =
+            new AdaptiveRecvByteBufAllocator(64, 2048, ByteBudget.MIN_QUOTA_BYTES);
 
-    private final Pools<Q, A> owner;
+    private final ConnectionPools<Q, A> owner;
     private final EventLoop loop;
-    private final Pool<Q, A> pool;
-    private final Carrier<Q, A> carrier;
+    private final EndpointPool<Q, A> pool;
+    private final ConnectionHandler<Q, A> carrier;
     private State state = State.CONNECTING;
     private Channel channel;
     private long idleSince;
     /** What waits for this idle connection while it rests; null if nothing does. */
     private Attempt<Q, A> waiting;
 
-    PooledConnection(Pools<Q, A> owner, EventLoop loop, Pool<Q, A> pool, Codec<Q, A> codec) {
+    PooledConnection(ConnectionPools<Q, A> owner, EventLoop loop, EndpointPool<Q, A> pool, Codec<Q, A> codec) {
         this.owner = owner;
         this.loop = loop;
         this.pool = pool;
-        this.carrier = codec.carrier(this);
+        this.carrier = codec.newConnectionHandler(this);
     }
 
     /** Connects, and carries this attempt as its first. */
@@ -60,7 +61,7 @@
                         channel = made;
                         owner.opened();
                         made.closeFuture().addListener(closed -> owner.closed());
-                        carrier.prepare(made);
+                        carrier.configure(made);
                     }
                 })
                 .connect(pool.address())
@@ -71,15 +72,15 @@
         if (channel == null) {
             // No socket could be made, which is no fault of the server's; told elsewhere.
             pool.left(this);
-            loop.execute(() -> first.end(Outcome.NEVER_SENT));
+            loop.execute(() -> first.complete(Outcome.NEVER_SENT));
         } else if (!success) {
             close();
-            first.broken();
-        } else if (first.over()) {
+            first.connectionLost();
+        } else if (first.isCompleted()) {
             close();
         } else {
             state = State.LEASED;
-            carrier.carry(first);
+            carrier.startAttempt(first);
         }
     }
 
@@ -98,7 +99,7 @@
         if (!channel.isActive() || spoilt()) {
             close();
             owner.replace(pool, next);
-        } else if (next.over()) {
+        } else if (next.isCompleted()) {
             pool.idles(this);
         } else {
             lease(next);
@@ -110,7 +111,7 @@
         pool.leases(this);
         state = State.LEASED;
         next.carried(this::close);
-        carrier.carry(next);
+        carrier.startAttempt(next);
     }
 
     /** Its server takes nothing new. */
@@ -122,7 +123,7 @@
 
     /** Whether nobody's attempt may follow, since more has come than was asked for. */
     boolean spoilt() {
-        return carrier.spoilt();
+        return carrier.hasUnexpectedData();
     }
 
     /** When it was last given back; {@link System#nanoTime}. */
@@ -135,7 +136,7 @@
     }
 
     /** The attempt is through: another may follow, or it is closed if its server takes no more. */
-    public void giveBack() {
+    public void release() {
         if (state == State.LEASED && pool.ready() && channel.isActive()) {
             state = State.IDLE;
             idleSince = System.nanoTime();
--- a/core/src/main/java/topazvalve/core/stream/ByteBudget.java
+++ b/core/src/main/java/topazvalve/core/stream/ByteBudget.java
@@ -6,9 +6,9 @@
  */
 public final class ByteBudget {
     /** Enough for one read, so that everything moves however many there are. */
-    public static final int LEAST = 16 << 10;
+    public static final int MIN_QUOTA_BYTES = 16 << 10;
     /** More would make no body faster. */
-    public static final int MOST = 256 << 10;
+    public static final int MAX_QUOTA_BYTES = 256 << 10;
 
     private final long total;
     private int bodies;
@@ -19,17 +19,17 @@
     }
 
     /** Another body is under way. */
-    public void enter() {
+    public void register() {
         bodies++;
     }
 
     /** One has ended. */
-    public void leave() {
+    public void unregister() {
         bodies--;
     }
 
     /** What one body may hold now. */
-    public int share() {
-        return (int) Math.max(LEAST, Math.min(MOST, total / Math.max(1, bodies)));
+    public int quotaBytes() {
+        return (int) Math.max(MIN_QUOTA_BYTES, Math.min(MAX_QUOTA_BYTES, total / Math.max(1, bodies)));
     }
 }
--- a/core/src/main/java/topazvalve/core/stream/Source.java
+++ b/core/src/main/java/topazvalve/core/stream/FlowControl.java
@@ -1,7 +1,7 @@
 package topazvalve.core.stream;
 
 /** Where bytes come from that are passed on as they come. */
-public interface Source {
+public interface FlowControl {
     /** Stops reading: whoever takes the bytes has as many as it may hold. */
     void pause();
 
--- a/core/src/main/java/topazvalve/core/stream/RequestBody.java
+++ b/core/src/main/java/topazvalve/core/stream/RequestBody.java
@@ -44,12 +44,12 @@
         if (bytes.length > 0) {
             body.add(Unpooled.wrappedBuffer(bytes));
         }
-        body.end();
+        body.complete();
         return body;
     }
 
-    /** Calls when there is room after {@link #full}. */
-    public void onRoom(Runnable action) {
+    /** Calls when there is room after {@link #isFull}. */
+    public void onSpaceAvailable(Runnable action) {
         onRoom = action;
     }
 
@@ -66,7 +66,7 @@
             return;
         }
         if (received == 0) {
-            budget.enter();
+            budget.register();
         }
         received += size;
         ByteBuf last = held.isEmpty() ? null : held.get(held.size() - 1);
@@ -81,14 +81,14 @@
     }
 
     /** The last byte has come. */
-    public void end() {
+    public void complete() {
         whole = true;
         onWhole.run();
         onMore.run();
     }
 
     /** Whether all has come. */
-    public boolean whole() {
+    public boolean isComplete() {
         return whole;
     }
 
@@ -98,22 +98,22 @@
     }
 
     /** How much has come. */
-    public long received() {
+    public long receivedBytes() {
         return received;
     }
 
     /** Whether nothing more should be read from the client for now. */
-    public boolean full() {
-        return !discarded && heldBytes >= budget.share();
+    public boolean isFull() {
+        return !discarded && heldBytes >= budget.quotaBytes();
     }
 
     /** Whether another attempt can read it from its start. */
-    public boolean repeatable() {
+    public boolean isReplayable() {
         return repeatable && !discarded;
     }
 
     /** A new attempt reads from the start; {@code more} is called when there is something or the end. */
-    public void read(Runnable more) {
+    public void startReading(Runnable more) {
         onMore = more;
         segment = 0;
         offset = 0;
@@ -125,7 +125,7 @@
     }
 
     /** The next piece, or null if there is none now. */
-    public ByteBuf next() {
+    public ByteBuf nextChunk() {
         while (segment < held.size() - 1 && offset == held.get(segment).readableBytes()) {
             segment++;
             offset = 0;
@@ -145,7 +145,7 @@
     }
 
     /** Whether all has been read. */
-    public boolean drained() {
+    public boolean isFullyRead() {
         return whole
                 && (held.isEmpty()
                         || (segment == held.size() - 1
@@ -155,7 +155,7 @@
     /** Lets go of what has been read, once the share is full; that may have grown meanwhile. */
     private void makeRoom() {
         boolean dropped = false;
-        while (heldBytes >= budget.share()
+        while (heldBytes >= budget.quotaBytes()
                 && (segment > 0 || offset == held.get(0).readableBytes())) {
             if (segment > 0) {
                 segment--;
@@ -170,7 +170,7 @@
             repeatable = false;
             onDropped.run();
         }
-        if (!full()) {
+        if (!isFull()) {
             onRoom.run();
         }
     }
@@ -188,7 +188,7 @@
             segment = 0;
             offset = 0;
             if (received > 0) {
-                budget.leave();
+                budget.unregister();
             }
             onRoom.run();
         }
--- a/core/src/main/java/topazvalve/core/time/LoopTime.java
+++ b/core/src/main/java/topazvalve/core/time/EventLoopScheduler.java
@@ -9,7 +9,7 @@
  * An event loop's time. One that is watched notices when its loop stalled, as in a collection of garbage or
  * where others have the processor: what peers did meanwhile lies unread in the sockets, in no order.
  */
-public final class LoopTime implements Time {
+public final class EventLoopScheduler implements Scheduler {
     /** A stall that is not noticed is shorter than both together: less than the 0.1 s that a close has. */
     private static final long BEAT = 50_000_000;
 
@@ -21,13 +21,13 @@
     private boolean hearing;
     private long beatAt = System.nanoTime();
 
-    public LoopTime(EventLoop loop) {
+    public EventLoopScheduler(EventLoop loop) {
         this.loop = loop;
     }
 
     /** One that notices stalls, for as long as the loop runs. */
-    public static LoopTime watched(EventLoop loop) {
-        LoopTime time = new LoopTime(loop);
+    public static EventLoopScheduler detectingStalls(EventLoop loop) {
+        EventLoopScheduler time = new EventLoopScheduler(loop);
         time.watched = true;
         loop.scheduleWithFixedDelay(time::beat, BEAT, BEAT, TimeUnit.NANOSECONDS);
         return time;
@@ -39,7 +39,7 @@
     }
 
     @Override
-    public Alarm after(long nanoseconds, Runnable action) {
+    public Timer schedule(long nanoseconds, Runnable action) {
         Future<?> set = loop.schedule(action, nanoseconds, TimeUnit.NANOSECONDS);
         return () -> set.cancel(false);
     }
@@ -54,7 +54,7 @@
     }
 
     @Override
-    public void whenHeard(Runnable action) {
+    public void runOnceCaughtUp(Runnable action) {
         notice();
         if (hearing) {
             putOff.add(action);
--- a/core/src/test/java/topazvalve/core/classes/ClassTableTest.java
+++ b/core/src/test/java/topazvalve/core/classes/ClassTableTest.java
@@ -6,45 +6,47 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import topazvalve.decisions.Balancer.RequestClass;
-import topazvalve.decisions.Balancer.Scope;
-import topazvalve.decisions.Balancer.Semantics;
+import topazvalve.policy.LoadBalancer.Idempotency;
+import topazvalve.policy.LoadBalancer.KeyScope;
+import topazvalve.policy.LoadBalancer.RequestClass;
 
 /** What a class's number means, over several configurations. */
 class ClassTableTest {
     private final ClassTable table = new ClassTable();
 
-    private static RequestClass rules(Semantics semantics, long deadline) {
-        return new RequestClass(1, 0, deadline, 1, 0, semantics, Scope.ALL, 0, false);
+    private static RequestClass rules(Idempotency semantics, long deadline) {
+        return new RequestClass(1, 0, deadline, 1, 0, semantics, KeyScope.ALL, 0, false);
     }
 
     @Test
     void numbersFollowTheFirstFile() {
-        table.take(List.of("a", "b"), List.of(rules(Semantics.ONCE, 1), rules(Semantics.REPEATABLE, 1)));
-        assertEquals(0, table.named("a").number());
-        assertEquals(1, table.named("b").number());
-        assertNull(table.named("c"));
+        table.update(
+                List.of("a", "b"), List.of(rules(Idempotency.NON_IDEMPOTENT, 1), rules(Idempotency.IDEMPOTENT, 1)));
+        assertEquals(0, table.find("a").number());
+        assertEquals(1, table.find("b").number());
+        assertNull(table.find("c"));
     }
 
     /** An unsafe class that becomes repeatable must not make its open requests repeatable. */
     @Test
     void anotherEffectIsAnotherNumber() {
-        table.take(List.of("a"), List.of(rules(Semantics.ONCE, 1)));
-        table.take(List.of("a"), List.of(rules(Semantics.REPEATABLE, 1)));
-        assertNotEquals(0, table.named("a").number());
-        assertEquals(Semantics.ONCE, table.rules().get(0).semantics());
-        table.take(List.of("a"), List.of(rules(Semantics.ONCE, 2)));
-        assertEquals(0, table.named("a").number(), "the first class again");
+        table.update(List.of("a"), List.of(rules(Idempotency.NON_IDEMPOTENT, 1)));
+        table.update(List.of("a"), List.of(rules(Idempotency.IDEMPOTENT, 1)));
+        assertNotEquals(0, table.find("a").number());
+        assertEquals(Idempotency.NON_IDEMPOTENT, table.rules().get(0).idempotency());
+        table.update(List.of("a"), List.of(rules(Idempotency.NON_IDEMPOTENT, 2)));
+        assertEquals(0, table.find("a").number(), "the first class again");
         assertEquals(2, table.rules().size());
     }
 
     @Test
     void newFiguresKeepTheNumber() {
-        table.take(List.of("a", "b"), List.of(rules(Semantics.ONCE, 1), rules(Semantics.ONCE, 1)));
-        table.take(List.of("b"), List.of(rules(Semantics.ONCE, 7)));
-        assertEquals(1, table.named("b").number());
-        assertEquals(7, table.rules().get(1).deadline());
-        assertNull(table.named("a"), "no longer in force");
+        table.update(
+                List.of("a", "b"), List.of(rules(Idempotency.NON_IDEMPOTENT, 1), rules(Idempotency.NON_IDEMPOTENT, 1)));
+        table.update(List.of("b"), List.of(rules(Idempotency.NON_IDEMPOTENT, 7)));
+        assertEquals(1, table.find("b").number());
+        assertEquals(7, table.rules().get(1).deadlineNanos());
+        assertNull(table.find("a"), "no longer in force");
         assertEquals(2, table.rules().size(), "but still there for what is open");
     }
 }
--- a/core/src/test/java/topazvalve/core/exchange/ExchangeModelTest.java
+++ b/core/src/test/java/topazvalve/core/exchange/ExchangeModelTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import topazvalve.decisions.Balancer.Semantics;
+import topazvalve.policy.LoadBalancer.Idempotency;
 
 /**
  * Plays every order of events up to a depth against the real core and module, each from the beginning: the
@@ -23,8 +23,8 @@
     private long played;
 
     @ParameterizedTest
-    @EnumSource(Semantics.class)
-    void everyOrderOfEventsEndsInOneAnswerAndLosesNothing(Semantics semantics) {
+    @EnumSource(Idempotency.class)
+    void everyOrderOfEventsEndsInOneAnswerAndLosesNothing(Idempotency semantics) {
         for (boolean whole : new boolean[] {true, false}) {
             for (boolean rogue : new boolean[] {true, false}) {
                 explore(semantics, whole, rogue, new ArrayList<>());
@@ -37,8 +37,8 @@
 
     /** Whatever happens to a request that came in a stall, before the module has heard of it. */
     @ParameterizedTest
-    @EnumSource(Semantics.class)
-    void everyOrderOfEventsInAStallEndsInOneAnswer(Semantics semantics) {
+    @EnumSource(Idempotency.class)
+    void everyOrderOfEventsInAStallEndsInOneAnswer(Idempotency semantics) {
         for (boolean whole : new boolean[] {true, false}) {
             for (String first : new Scene(semantics, whole, false, true).next()) {
                 for (String second : List.of("ring", "hangup", "heard", "drain", "stop")) {
@@ -51,7 +51,7 @@
         }
     }
 
-    private void explore(Semantics semantics, boolean whole, boolean rogue, List<String> path) {
+    private void explore(Idempotency semantics, boolean whole, boolean rogue, List<String> path) {
         List<String> next;
         try {
             Scene scene = new Scene(semantics, whole, rogue);
@@ -75,9 +75,9 @@
 
     @Test
     void stepThatCannotBeIsLoud() {
-        assertThrows(IllegalStateException.class, () -> Phase.FORGOTTEN.after(Phase.Step.ENDED, 0));
-        assertThrows(IllegalStateException.class, () -> Phase.ANSWERED.after(Phase.Step.SETTLED, 1));
-        assertThrows(IllegalStateException.class, () -> Phase.ANSWERING.after(Phase.Step.BEGUN, 2));
-        assertThrows(IllegalStateException.class, () -> Phase.WAITING.after(Phase.Step.ENDED, 0));
+        assertThrows(IllegalStateException.class, () -> ExchangeState.FORGOTTEN.after(ExchangeState.Step.ENDED, 0));
+        assertThrows(IllegalStateException.class, () -> ExchangeState.ANSWERED.after(ExchangeState.Step.SETTLED, 1));
+        assertThrows(IllegalStateException.class, () -> ExchangeState.ANSWERING.after(ExchangeState.Step.BEGUN, 2));
+        assertThrows(IllegalStateException.class, () -> ExchangeState.WAITING.after(ExchangeState.Step.ENDED, 0));
     }
 }
--- a/core/src/test/java/topazvalve/core/exchange/PlayBack.java
+++ b/core/src/test/java/topazvalve/core/exchange/PlayBack.java
@@ -7,14 +7,14 @@
 import java.util.Map;
 import topazvalve.core.pool.Attempt;
 import topazvalve.core.pool.AttemptListener;
-import topazvalve.core.pool.Back;
+import topazvalve.core.pool.Backend;
 import topazvalve.core.stream.RequestBody;
-import topazvalve.core.time.Time;
-import topazvalve.decisions.Balancer.Outcome;
-import topazvalve.decisions.Options;
+import topazvalve.core.time.Scheduler;
+import topazvalve.policy.LoadBalancer.Outcome;
+import topazvalve.policy.SettingsReader;
 
 /** A back whose attempts do what the test says; it watches that a drained server gets nothing new. */
-final class PlayBack implements Back<String, String> {
+final class PlayBack implements Backend<String, String> {
     /** An attempt that was sent, and what was done with it. */
     static final class Sent {
         final long server;
@@ -36,49 +36,49 @@
     final List<Sent> sent = new ArrayList<>();
     final Map<Long, Boolean> ready = new HashMap<>();
     boolean closed;
-    private final Time time;
+    private final Scheduler time;
 
-    PlayBack(Time time) {
+    PlayBack(Scheduler time) {
         this.time = time;
     }
 
     @Override
-    public Attempt<String, String> send(
+    public Attempt<String, String> startAttempt(
             long server, String message, RequestBody body, long wait, AttemptListener<String, String> listener) {
-        boolean doubt = sent.stream().anyMatch(each -> each.attempt.written());
+        boolean doubt = sent.stream().anyMatch(each -> each.attempt.isWritten());
         Attempt<String, String> attempt = new Attempt<>(time, message, body, wait, listener, over -> {});
-        sent.add(new Sent(server, attempt, ready.getOrDefault(server, false), doubt, !body.repeatable()));
-        if (body.whole()) {
-            attempt.limit(wait);
+        sent.add(new Sent(server, attempt, ready.getOrDefault(server, false), doubt, !body.isReplayable()));
+        if (body.isComplete()) {
+            attempt.startTimeout(wait);
         }
         return attempt;
     }
 
     @Override
-    public void probe(long server, AttemptListener<String, String> listener) {
-        listener.ended(Outcome.OK, null, Attempt.NO_LOAD);
+    public void sendHealthCheck(long server, AttemptListener<String, String> listener) {
+        listener.attemptCompleted(Outcome.OK, null, Attempt.NO_LOAD);
     }
 
     @Override
-    public void listed(long server, InetSocketAddress address, long startedMs, boolean takesWork) {
+    public void endpointUpdated(long server, InetSocketAddress address, long startedMs, boolean takesWork) {
         ready.put(server, takesWork);
     }
 
     @Override
-    public void gone(long server) {
+    public void endpointRemoved(long server) {
         ready.remove(server);
     }
 
     @Override
-    public int listed() {
+    public int endpointCount() {
         return ready.size();
     }
 
     @Override
-    public void closeIdle(long server) {}
+    public void closeIdleConnections(long server) {}
 
     @Override
-    public void retune(Options options) {}
+    public void settingsChanged(SettingsReader options) {}
 
     @Override
     public void close() {
--- a/core/src/test/java/topazvalve/core/exchange/PlayTime.java
+++ b/core/src/test/java/topazvalve/core/exchange/PlayTime.java
@@ -2,10 +2,10 @@
 
 import java.util.ArrayDeque;
 import java.util.PriorityQueue;
-import topazvalve.core.time.Time;
+import topazvalve.core.time.Scheduler;
 
 /** Time that moves when the test says so. */
-final class PlayTime implements Time {
+final class PlayTime implements Scheduler {
     private static final class Ring implements Comparable<Ring> {
         private final long at;
         private final long serial;
@@ -36,14 +36,14 @@
     }
 
     @Override
-    public Alarm after(long nanoseconds, Runnable action) {
+    public Timer schedule(long nanoseconds, Runnable action) {
         Ring ring = new Ring(now + nanoseconds, serial++, action);
         rings.add(ring);
         return () -> ring.cancelled = true;
     }
 
     @Override
-    public void whenHeard(Runnable action) {
+    public void runOnceCaughtUp(Runnable action) {
         if (stalled) {
             putOff.add(action);
         } else {
--- a/core/src/test/java/topazvalve/core/exchange/Scene.java
+++ b/core/src/test/java/topazvalve/core/exchange/Scene.java
@@ -13,19 +13,19 @@
 import java.util.List;
 import java.util.Map;
 import topazvalve.core.classes.ClassTable;
+import topazvalve.core.endpoint.Endpoint;
+import topazvalve.core.endpoint.EndpointDiscovery;
 import topazvalve.core.metrics.Metrics;
-import topazvalve.core.servers.ServerList;
-import topazvalve.core.servers.Target;
 import topazvalve.core.stream.ByteBudget;
+import topazvalve.core.stream.FlowControl;
 import topazvalve.core.stream.RequestBody;
-import topazvalve.core.stream.Source;
-import topazvalve.decisions.Balancer;
-import topazvalve.decisions.Balancer.ListKind;
-import topazvalve.decisions.Balancer.Outcome;
-import topazvalve.decisions.Balancer.Semantics;
-import topazvalve.decisions.Balancer.State;
-import topazvalve.decisions.Options;
-import topazvalve.decisions.Rules;
+import topazvalve.policy.LoadBalancer;
+import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.LoadBalancer.Idempotency;
+import topazvalve.policy.LoadBalancer.Outcome;
+import topazvalve.policy.LoadBalancer.UpdateKind;
+import topazvalve.policy.SettingsReader;
+import topazvalve.policy.SidecarPolicy;
 
 /** One exchange among two servers, the real core and the real module in played time, and what can happen. */
 final class Scene {
@@ -55,11 +55,11 @@
     final PlayTime time = new PlayTime();
     final PlayBack back = new PlayBack(time);
     private final ClassTable classes = new ClassTable();
-    private final Semantics semantics;
+    private final Idempotency semantics;
     private final boolean rogue;
-    private final ByteBudget budget = new ByteBudget(ByteBudget.LEAST);
+    private final ByteBudget budget = new ByteBudget(ByteBudget.MIN_QUOTA_BYTES);
     private final RequestBody body;
-    private final Exchanges<String, String> exchanges;
+    private final ExchangeManager<String, String> exchanges;
     private final List<String> finals = new ArrayList<>();
     private final List<ByteBuf> given = new ArrayList<>();
     private final Map<Integer, Integer> outcomes = new HashMap<>();
@@ -75,46 +75,50 @@
     private boolean stalledBefore;
 
     /** With {@code rogue} orders may come that the module did not give, and it can't cancel. */
-    Scene(Semantics semantics, boolean whole, boolean rogue) {
+    Scene(Idempotency semantics, boolean whole, boolean rogue) {
         this(semantics, whole, rogue, false);
     }
 
     /** As above; with {@code stalled} the request is taken in a stall. */
-    Scene(Semantics semantics, boolean whole, boolean rogue, boolean stalled) {
+    Scene(Idempotency semantics, boolean whole, boolean rogue, boolean stalled) {
         this.semantics = semantics;
         this.rogue = rogue;
         body = whole ? RequestBody.of(new byte[8]) : new RequestBody(budget, -1);
-        Options options = options(TRIES);
-        exchanges = new Exchanges<>(time, options, this::module, back, 2, new Metrics(), classes);
+        SettingsReader options = options(TRIES);
+        exchanges = new ExchangeManager<>(time, options, this::module, back, 2, new Metrics(), classes);
         exchanges.start(
-                ServerList.named(List::of, (kind, targets) -> {}),
-                List.of(target(1, State.READY), target(2, State.READY)));
+                EndpointDiscovery.fixed(List::of, (kind, targets) -> {}),
+                List.of(target(1, EndpointStatus.READY), target(2, EndpointStatus.READY)));
         if (stalled) {
             time.stall();
         }
-        id = exchanges.submit(new Job<>(classes.named("one"), 0, 0, 400, 0, false, true, "ask", body), new Taker());
+        id = exchanges.submit(
+                new ExchangeRequest<>(classes.find("one"), 0, 0, 400, 0, false, true, "ask", body), new Taker());
     }
 
-    private Options options(int tries) {
-        return new Options(SETTINGS.formatted(!rogue, tries, semantics.name().toLowerCase(java.util.Locale.ROOT)));
+    private SettingsReader options(int tries) {
+        return new SettingsReader(
+                SETTINGS.formatted(!rogue, tries, semantics.name().toLowerCase(java.util.Locale.ROOT)));
     }
 
-    private static Target target(int number, State state) {
-        return new Target("s" + number, new InetSocketAddress("127.0.0.1", number), "z", "k", number, state, 1, 0);
+    private static Endpoint target(int number, EndpointStatus state) {
+        return new Endpoint("s" + number, new InetSocketAddress("127.0.0.1", number), "z", "k", number, state, 1, 0);
     }
 
     /** The real module, between two ears. */
-    private Balancer module(Balancer.Settings settings, Balancer.Actions actions) {
-        Balancer.Actions heard = (Balancer.Actions) Proxy.newProxyInstance(
-                Scene.class.getClassLoader(), new Class<?>[] {Balancer.Actions.class}, (proxy, method, arguments) -> {
+    private LoadBalancer module(LoadBalancer.Settings settings, LoadBalancer.Actions actions) {
+        LoadBalancer.Actions heard = (LoadBalancer.Actions) Proxy.newProxyInstance(
+                Scene.class.getClassLoader(),
+                new Class<?>[] {LoadBalancer.Actions.class},
+                (proxy, method, arguments) -> {
                     if (method.getName().equals("send")) {
                         orders++;
                     }
                     return call(actions, method, arguments);
                 });
-        Balancer rules = new Rules(settings, 7, heard);
-        return (Balancer) Proxy.newProxyInstance(
-                Scene.class.getClassLoader(), new Class<?>[] {Balancer.class}, (proxy, method, arguments) -> {
+        LoadBalancer rules = new SidecarPolicy(settings, 7, heard);
+        return (LoadBalancer) Proxy.newProxyInstance(
+                Scene.class.getClassLoader(), new Class<?>[] {LoadBalancer.class}, (proxy, method, arguments) -> {
                     if (method.getName().equals("outcome")) {
                         outcomes.merge((Integer) arguments[2], 1, Integer::sum);
                     }
@@ -131,41 +135,41 @@
     }
 
     /** What the client is told. */
-    private final class Taker implements Client<String> {
+    private final class Taker implements ResponseListener<String> {
         @Override
-        public void served(String answer) {
+        public void responseReceived(String answer) {
             ends("served");
         }
 
         @Override
-        public void begun(String first, long length, Source rest) {
+        public void responseStarted(String first, long length, FlowControl rest) {
             assertTrue(!begun && finals.isEmpty(), "begun once, before any end");
             begun = true;
         }
 
         @Override
-        public void more(ByteBuf bytes) {
+        public void responseData(ByteBuf bytes) {
             assertTrue(begun, "more of nothing");
             bytes.release();
         }
 
         @Override
-        public void finished() {
+        public void responseCompleted() {
             assertTrue(begun, "finished what never began");
             assertTrue(
-                    back.sent.stream().allMatch(each -> !each.begun || each.attempt.over()),
+                    back.sent.stream().allMatch(each -> !each.begun || each.attempt.isCompleted()),
                     "finished by another's end");
             ends("finished");
         }
 
         @Override
-        public void cut() {
+        public void responseAborted() {
             assertTrue(begun, "cut what never began");
             ends("cut");
         }
 
         @Override
-        public void refused(long wait) {
+        public void rejected(long wait) {
             assertTrue(!begun, "refused in the middle");
             ends("refused");
         }
@@ -188,12 +192,12 @@
         List<String> events = new ArrayList<>();
         for (int i = 0; i < back.sent.size(); i++) {
             PlayBack.Sent each = back.sent.get(i);
-            if (each.attempt.over()) {
+            if (each.attempt.isCompleted()) {
                 continue;
             }
-            if (!each.attempt.written()) {
+            if (!each.attempt.isWritten()) {
                 events.add("lost " + i);
-                events.add(body.whole() ? "write " + i : "reject " + i);
+                events.add(body.isComplete() ? "write " + i : "reject " + i);
             } else if (!each.begun) {
                 events.add("ok " + i);
                 events.add("error " + i);
@@ -206,7 +210,7 @@
         }
         if (!left && finals.isEmpty()) {
             events.add("hangup");
-            if (!body.whole()) {
+            if (!body.isComplete()) {
                 events.add("last byte");
                 if (!dropped) {
                     events.add("drop");
@@ -241,23 +245,23 @@
                 ? back.sent.get(Integer.parseInt(words[1]))
                 : null;
         // What was due meanwhile may have ended it.
-        if (sent != null && sent.attempt.over()) {
+        if (sent != null && sent.attempt.isCompleted()) {
             return;
         }
         switch (words[0]) {
             case "write" -> {
-                sent.attempt.writing();
-                sent.attempt.handOn();
-                sent.attempt.wrote();
+                sent.attempt.writeStarted();
+                sent.attempt.handedOver();
+                sent.attempt.requestWritten();
             }
-            case "lost" -> sent.attempt.broken();
-            case "reject" -> sent.attempt.end(Outcome.REJECTED);
-            case "ok" -> sent.attempt.end(Outcome.OK, "answer", new float[0]);
-            case "error" -> sent.attempt.end(Outcome.ERROR);
-            case "reset" -> sent.attempt.broken();
+            case "lost" -> sent.attempt.connectionLost();
+            case "reject" -> sent.attempt.complete(Outcome.REJECTED);
+            case "ok" -> sent.attempt.complete(Outcome.OK, "answer", new float[0]);
+            case "error" -> sent.attempt.complete(Outcome.ERROR);
+            case "reset" -> sent.attempt.connectionLost();
             case "begin" -> {
                 sent.begun = true;
-                sent.attempt.begin("first", -1, new Source() {
+                sent.attempt.responseStarted("first", -1, new FlowControl() {
                     @Override
                     public void pause() {}
 
@@ -268,23 +272,23 @@
             case "more" -> {
                 ByteBuf bytes = Unpooled.buffer(1).writeByte(1);
                 given.add(bytes);
-                sent.attempt.more(bytes);
+                sent.attempt.responseData(bytes);
             }
-            case "end" -> sent.attempt.end(Outcome.OK, null, new float[0]);
+            case "end" -> sent.attempt.complete(Outcome.OK, null, new float[0]);
             case "hangup" -> {
                 left = finals.isEmpty();
-                exchanges.hangup(id);
+                exchanges.clientDisconnected(id);
                 sentUntilLeft = back.sent.size();
             }
             case "order" -> {
                 if (exchanges.held() > 0) {
                     orders++;
-                    exchanges.send(id, 2, 0);
+                    exchanges.forward(id, 2, 0);
                 }
             }
             case "last" -> {
-                if (!body.whole()) {
-                    body.end();
+                if (!body.isComplete()) {
+                    body.complete();
                 }
             }
             case "drop" -> dropBody();
@@ -296,11 +300,11 @@
             case "heard" -> time.heard();
             case "drain" -> {
                 drainedAt.put(1L, time.now());
-                exchanges.listed(ListKind.DELTA, List.of(target(1, State.DRAINING)));
+                exchanges.endpointsUpdated(UpdateKind.DELTA, List.of(target(1, EndpointStatus.DRAINING)));
             }
             case "retune" -> {
                 retuned = true;
-                exchanges.retune(options(1));
+                exchanges.settingsChanged(options(1));
             }
             case "stop" -> {
                 stopped = true;
@@ -314,10 +318,10 @@
     /** More comes than may be held, and what was read of it is let go. */
     private void dropBody() {
         dropped = true;
-        ByteBuf piece = Unpooled.wrappedBuffer(new byte[ByteBudget.LEAST]);
+        ByteBuf piece = Unpooled.wrappedBuffer(new byte[ByteBudget.MIN_QUOTA_BYTES]);
         for (int i = 0; i < 3; i++) {
             body.add(piece.duplicate());
-            for (ByteBuf read = body.next(); read != null; read = body.next()) {
+            for (ByteBuf read = body.nextChunk(); read != null; read = body.nextChunk()) {
                 read.release();
             }
         }
@@ -331,10 +335,10 @@
         assertTrue(!left || back.sent.size() == sentUntilLeft, "an attempt begins, its client has left");
         for (PlayBack.Sent each : back.sent) {
             assertTrue(each.readyThen, "sent to a drained server");
-            assertTrue(rogue || semantics != Semantics.ONCE || !each.afterDoubt, "ran twice");
-            assertTrue(!left || !each.begun || each.attempt.over(), "answers who has left");
+            assertTrue(rogue || semantics != Idempotency.NON_IDEMPOTENT || !each.afterDoubt, "ran twice");
+            assertTrue(!left || !each.begun || each.attempt.isCompleted(), "answers who has left");
             assertTrue(
-                    !left || each.attempt.written() || each.attempt.over(),
+                    !left || each.attempt.isWritten() || each.attempt.isCompleted(),
                     "waits to be sent on though its client has left");
         }
         assertTrue(back.sent.stream().noneMatch(each -> each.withoutBody), "sent again without its body");
@@ -343,16 +347,16 @@
     /** Lets everything come to its end, and looks whether all is settled. */
     void settle() {
         time.heard();
-        if (!body.whole() && !left && finals.isEmpty()) {
-            body.end();
+        if (!body.isComplete() && !left && finals.isEmpty()) {
+            body.complete();
         }
         for (int i = 0; i < back.sent.size(); i++) {
-            back.sent.get(i).attempt.broken();
+            back.sent.get(i).attempt.connectionLost();
             holds();
         }
         time.pass(10_000_000_000L);
         for (int i = 0; i < back.sent.size(); i++) {
-            back.sent.get(i).attempt.broken();
+            back.sent.get(i).attempt.connectionLost();
         }
         holds();
         assertEquals(left ? 0 : 1, finals.size(), "final answers");
@@ -371,12 +375,12 @@
                 .append(dropped)
                 .append(retuned)
                 .append(stopped)
-                .append(body.whole())
+                .append(body.isComplete())
                 .append(drainedAt.keySet())
                 .append(time.stalled());
         for (PlayBack.Sent each : back.sent) {
             text.append(each.server)
-                    .append(each.attempt.over() ? 'o' : each.begun ? 'b' : each.attempt.written() ? 'w' : 'n');
+                    .append(each.attempt.isCompleted() ? 'o' : each.begun ? 'b' : each.attempt.isWritten() ? 'w' : 'n');
         }
         return text.toString();
     }
--- a/core/src/test/java/topazvalve/core/lifecycle/LifecycleTest.java
+++ b/core/src/test/java/topazvalve/core/lifecycle/LifecycleTest.java
@@ -11,32 +11,32 @@
 
     @Test
     void takesClientsOnceStartedAndWhileNoLameDuck() {
-        assertFalse(lifecycle.takesClients(), "not yet warm");
-        assertFalse(lifecycle.emptying());
-        lifecycle.started();
-        assertTrue(lifecycle.takesClients());
-        assertTrue(lifecycle.lameDuck(true));
-        assertFalse(lifecycle.takesClients());
-        assertTrue(lifecycle.emptying());
-        assertTrue(lifecycle.lameDuck(false));
-        assertTrue(lifecycle.takesClients());
-        assertFalse(lifecycle.closesIdle());
+        assertFalse(lifecycle.acceptsClients(), "not yet warm");
+        assertFalse(lifecycle.isDraining());
+        lifecycle.markStarted();
+        assertTrue(lifecycle.acceptsClients());
+        assertTrue(lifecycle.setLameDuck(true));
+        assertFalse(lifecycle.acceptsClients());
+        assertTrue(lifecycle.isDraining());
+        assertTrue(lifecycle.setLameDuck(false));
+        assertTrue(lifecycle.acceptsClients());
+        assertFalse(lifecycle.closesIdleConnections());
     }
 
     /** One that is told before it has started stays a lame duck. */
     @Test
     void startDoesNotTurnALameDuckBack() {
-        lifecycle.lameDuck(true);
-        lifecycle.started();
-        assertFalse(lifecycle.takesClients());
+        lifecycle.setLameDuck(true);
+        lifecycle.markStarted();
+        assertFalse(lifecycle.acceptsClients());
     }
 
     @Test
     void nothingTurnsTheEndBack() {
-        lifecycle.started();
-        lifecycle.end(1_000_000_000);
-        assertFalse(lifecycle.lameDuck(false));
-        assertFalse(lifecycle.takesClients());
-        assertTrue(lifecycle.emptying());
+        lifecycle.markStarted();
+        lifecycle.shutDown(1_000_000_000);
+        assertFalse(lifecycle.setLameDuck(false));
+        assertFalse(lifecycle.acceptsClients());
+        assertTrue(lifecycle.isDraining());
     }
 }
--- a/core/src/test/java/topazvalve/core/stream/RequestBodyTest.java
+++ b/core/src/test/java/topazvalve/core/stream/RequestBodyTest.java
@@ -23,7 +23,7 @@
     private RequestBody body(long budget) {
         RequestBody body = new RequestBody(new ByteBudget(budget), -1);
         body.onProgress(() -> {}, () -> dropped++);
-        body.onRoom(() -> rooms++);
+        body.onSpaceAvailable(() -> rooms++);
         return body;
     }
 
@@ -34,7 +34,7 @@
     }
 
     private void readAll(RequestBody body) {
-        for (ByteBuf piece = body.next(); piece != null; piece = body.next()) {
+        for (ByteBuf piece = body.nextChunk(); piece != null; piece = body.nextChunk()) {
             read.writeBytes(ByteBufUtil.getBytes(piece));
             piece.release();
         }
@@ -45,18 +45,18 @@
         RequestBody body = body(1 << 20);
         byte[] bytes = bytes(50_000);
         body.add(Unpooled.wrappedBuffer(bytes, 0, 20_000));
-        body.read(() -> {});
+        body.startReading(() -> {});
         readAll(body);
-        assertFalse(body.drained(), "more is to come");
+        assertFalse(body.isFullyRead(), "more is to come");
         body.add(Unpooled.wrappedBuffer(bytes, 20_000, 30_000));
-        body.end();
+        body.complete();
         for (int attempt = 0; attempt < 3; attempt++) {
             read.reset();
-            body.read(() -> {});
+            body.startReading(() -> {});
             readAll(body);
-            assertTrue(body.drained());
+            assertTrue(body.isFullyRead());
             assertArrayEquals(bytes, read.toByteArray());
-            assertTrue(body.repeatable());
+            assertTrue(body.isReplayable());
         }
         assertEquals(50_000, body.length());
         assertEquals(0, dropped);
@@ -70,79 +70,79 @@
         int at = 0;
         boolean reading = false;
         while (at < bytes.length) {
-            if (body.full()) {
+            if (body.isFull()) {
                 if (!reading) {
-                    assertTrue(body.repeatable(), "all is there until somebody reads");
-                    body.read(() -> {});
+                    assertTrue(body.isReplayable(), "all is there until somebody reads");
+                    body.startReading(() -> {});
                     reading = true;
                 }
                 int before = rooms;
                 readAll(body);
-                assertFalse(body.full());
+                assertFalse(body.isFull());
                 assertTrue(rooms > before, "whoever waits for room is told");
             }
             int size = Math.min(1 + random.nextInt(9000), bytes.length - at);
             body.add(Unpooled.wrappedBuffer(bytes, at, size));
             at += size;
         }
-        body.end();
+        body.complete();
         readAll(body);
-        assertTrue(body.drained());
+        assertTrue(body.isFullyRead());
         assertArrayEquals(bytes, read.toByteArray());
-        assertFalse(body.repeatable());
+        assertFalse(body.isReplayable());
         assertEquals(1, dropped, "told once");
     }
 
     /** Its share may grow while nobody reads: whoever waits for room must not wait for ever. */
     @Test
     void roomIsToldAlsoWhenTheShareHasGrown() {
-        ByteBudget budget = new ByteBudget(3 * ByteBudget.LEAST);
+        ByteBudget budget = new ByteBudget(3 * ByteBudget.MIN_QUOTA_BYTES);
         RequestBody[] others = new RequestBody[3];
         for (int i = 0; i < others.length; i++) {
             others[i] = new RequestBody(budget, -1);
             others[i].add(Unpooled.wrappedBuffer(new byte[1]));
         }
         RequestBody body = new RequestBody(budget, -1);
-        body.onRoom(() -> rooms++);
+        body.onSpaceAvailable(() -> rooms++);
         body.add(Unpooled.wrappedBuffer(bytes(20_000)));
-        assertTrue(body.full());
+        assertTrue(body.isFull());
         for (RequestBody other : others) {
             other.discard();
         }
-        assertFalse(body.full());
+        assertFalse(body.isFull());
         rooms = 0;
-        body.read(() -> {});
+        body.startReading(() -> {});
         readAll(body);
         assertTrue(rooms > 0);
-        assertTrue(body.repeatable(), "there was no need to let go of anything");
+        assertTrue(body.isReplayable(), "there was no need to let go of anything");
     }
 
     @Test
     void discardedBodyHoldsNothingAndTakesNothing() {
         RequestBody body = body(0);
         body.add(Unpooled.wrappedBuffer(bytes(20_000)));
-        assertTrue(body.full());
+        assertTrue(body.isFull());
         body.discard();
         body.add(Unpooled.wrappedBuffer(bytes(20_000)));
-        assertFalse(body.full());
-        assertNull(body.next());
-        assertFalse(body.repeatable());
+        assertFalse(body.isFull());
+        assertNull(body.nextChunk());
+        assertFalse(body.isReplayable());
     }
 
     @Test
     void budgetIsSharedOutAmongTheBodiesUnderWay() {
         ByteBudget budget = new ByteBudget(400_000);
-        assertEquals(ByteBudget.MOST, budget.share());
+        assertEquals(ByteBudget.MAX_QUOTA_BYTES, budget.quotaBytes());
         RequestBody[] bodies = new RequestBody[4];
         for (int i = 0; i < bodies.length; i++) {
             bodies[i] = new RequestBody(budget, -1);
             bodies[i].add(Unpooled.wrappedBuffer(new byte[1]));
         }
-        assertEquals(100_000, budget.share());
+        assertEquals(100_000, budget.quotaBytes());
         for (RequestBody each : bodies) {
             each.discard();
             each.discard();
         }
-        assertEquals(ByteBudget.MOST, budget.share());
+        assertEquals(ByteBudget.MAX_QUOTA_BYTES, budget.quotaBytes());
     }
 }
--- a/sidecar/src/main/java/topazvalve/sidecar/discovery/ListCall.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/DiscoveryCall.java
@@ -1,4 +1,4 @@
-package topazvalve.sidecar.discovery;
+package topazvalve.discovery.client;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
@@ -27,7 +27,7 @@
  * One call for a list, the whole once or a watch: connects, asks, and cuts what comes into objects. Its owner
  * is told of each, and of the call's end unless it closed the call itself. On the loop alone.
  */
-public final class ListCall extends SimpleChannelInboundHandler<HttpObject> {
+public final class DiscoveryCall extends SimpleChannelInboundHandler<HttpObject> {
     /** A call may wait in discovery's queue, for 2 s where that is known, before it is answered or fails. */
     private static final long ANSWER_MS = 2_500;
     /** A queue may be longer: so long an answer may take all the same, if the owner lets the late call be. */
@@ -36,25 +36,25 @@
      * An answered watch brings an empty line every 2 s. One that has fallen silent counts as told 6 s later:
      * by then it must be noticed, opened anew (a connect of up to 1 s, and a call that waits) and answered.
      */
-    public static final long SILENCE_MS = 3_000;
+    public static final long IDLE_TIMEOUT_MILLIS = 3_000;
 
-    public static final int CONNECT_TIMEOUT_MS = 1_000;
+    public static final int CONNECT_TIMEOUT_MILLIS = 1_000;
 
     static final String NO_ANSWER = "no whole answer in time";
 
     /** Hears of a call until it is over. */
-    public interface Owner {
-        /** A whole object has come; what is thrown, or a call of {@link ListCall#fail}, ends the call. */
-        void object(byte[] text) throws IOException;
+    public interface Listener {
+        /** A whole object has come; what is thrown, or a call of {@link DiscoveryCall#fail}, ends the call. */
+        void objectReceived(byte[] text) throws IOException;
 
         /** An empty line: there is nothing new. */
-        void empty();
+        void heartbeatReceived();
 
-        /** A watch that was answered has brought no whole line for {@link #SILENCE_MS}. */
-        void silent();
+        /** A watch that was answered has brought no whole line for {@link #IDLE_TIMEOUT_MILLIS}. */
+        void watchIdle();
 
         /** No whole object came in time. It may come yet: a call that is let be fails later on. */
-        void late();
+        void answerOverdue();
 
         /** The call is over; {@code retryAfterMs} is for how long its peer asked to stay away, else 0. */
         void failed(String why, long retryAfterMs);
@@ -63,15 +63,15 @@
     private final EventLoop loop;
     private final InetSocketAddress address;
     private final boolean watching;
-    private final Owner owner;
-    private final Lines lines = new Lines();
+    private final Listener owner;
+    private final JsonObjectFramer lines = new JsonObjectFramer();
     private Channel channel;
     private Future<?> silence;
     private boolean answered;
     private boolean over;
 
     /** Of a watch, or of one whole list; nothing is done before {@link #open}. */
-    public ListCall(EventLoop loop, InetSocketAddress address, boolean watching, Owner owner) {
+    public DiscoveryCall(EventLoop loop, InetSocketAddress address, boolean watching, Listener owner) {
         this.loop = loop;
         this.address = address;
         this.watching = watching;
@@ -89,7 +89,7 @@
                     @Override
                     protected void initChannel(Channel made) {
                         channel = made;
-                        made.pipeline().addLast(new HttpClientCodec(), ListCall.this);
+                        made.pipeline().addLast(new HttpClientCodec(), DiscoveryCall.this);
                     }
                 })
                 .connect(address)
@@ -115,18 +115,18 @@
             silence.cancel(false);
         }
         silence = watching && answered
-                ? loop.schedule(this::silent, SILENCE_MS, TimeUnit.MILLISECONDS)
+                ? loop.schedule(this::silent, IDLE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
                 : loop.schedule(this::late, ANSWER_MS, TimeUnit.MILLISECONDS);
     }
 
     private void late() {
         silence = loop.schedule(() -> fail(NO_ANSWER), LONGEST_ANSWER_MS - ANSWER_MS, TimeUnit.MILLISECONDS);
-        owner.late();
+        owner.answerOverdue();
     }
 
     private void silent() {
         if (!over) {
-            owner.silent();
+            owner.watchIdle();
         }
     }
 
@@ -195,16 +195,16 @@
         return said.matches("[0-9]{1,6}(\\.[0-9]{1,6})?") ? Math.round(Double.parseDouble(said) * 1_000) : 0;
     }
 
-    private final Lines.Taker taker = new Lines.Taker() {
+    private final JsonObjectFramer.Taker taker = new JsonObjectFramer.Taker() {
         @Override
         public boolean object(byte[] text) throws IOException {
-            owner.object(text);
+            owner.objectReceived(text);
             return goesOn();
         }
 
         @Override
         public boolean empty() {
-            owner.empty();
+            owner.heartbeatReceived();
             return goesOn();
         }
 
--- a/sidecar/src/main/java/topazvalve/sidecar/discovery/Discovery.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/DiscoveryClient.java
@@ -1,4 +1,4 @@
-package topazvalve.sidecar.discovery;
+package topazvalve.discovery.client;
 
 import io.netty.channel.EventLoop;
 import java.io.IOException;
@@ -9,37 +9,37 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import topazvalve.core.servers.ServerList;
-import topazvalve.decisions.Balancer.ListKind;
-import topazvalve.lists.Following;
-import topazvalve.lists.Versions;
-import topazvalve.sidecar.json.Json;
-import topazvalve.sidecar.json.Node;
+import topazvalve.core.endpoint.EndpointDiscovery;
+import topazvalve.discovery.json.JsonNode;
+import topazvalve.discovery.json.JsonReader;
+import topazvalve.discovery.state.FailoverStateMachine;
+import topazvalve.discovery.state.VersionVector;
+import topazvalve.policy.LoadBalancer.UpdateKind;
 
 /**
  * Asks discovery for the list: a watch on its changes, or the whole once. The module decides when. An answer
  * that is wrong, cut, without end or empty is not taken: the list in force stays, and one log line says why.
  *
- * <p>Where there are relays to choose from they are asked in discovery's place, and {@link Following} says
+ * <p>Where there are relays to choose from they are asked in discovery's place, and {@link FailoverStateMachine} says
  * whom and when: the next one serves at once, so that there is nothing for the module to wait for.
  */
-public final class Discovery implements ServerList {
+public final class DiscoveryClient implements EndpointDiscovery {
     private static final Logger LOG = LoggerFactory.getLogger("discovery");
 
     private final EventLoop loop;
-    private final ServerList.Listener listener;
+    private final EndpointDiscovery.Listener listener;
     private final Set<Call> calls = new HashSet<>();
     private InetSocketAddress address;
     private long rev;
     /** How far the list in force has come at each source; empty where nobody says. */
-    private Versions versions;
+    private VersionVector versions;
 
     private boolean moved;
     private boolean wanted;
     /** How soon a watch that has ended is opened again; null where the module says so. */
-    private final Pushed pushed;
+    private final PushedDiscovery pushed;
     /** Who is asked in discovery's place; null where discovery itself is. */
-    private final Relays relays;
+    private final RelaySelector relays;
     /** Whether any server is, or was, in the list in force. */
     private boolean listed;
 
@@ -55,26 +55,30 @@
      * Tells {@code listener} of each answer and each failure, on the loop; {@code known} is in force now.
      * {@code pushed} is null where the module says when to follow.
      */
-    public Discovery(
-            EventLoop loop, InetSocketAddress address, Listing known, Pushed pushed, ServerList.Listener listener) {
+    public DiscoveryClient(
+            EventLoop loop,
+            InetSocketAddress address,
+            EndpointUpdate known,
+            PushedDiscovery pushed,
+            EndpointDiscovery.Listener listener) {
         this(loop, address, known, pushed, null, listener);
     }
 
     /** As above; {@code relays}, if there are any, are asked in place of {@code address}. */
-    public Discovery(
+    public DiscoveryClient(
             EventLoop loop,
             InetSocketAddress address,
-            Listing known,
-            Pushed pushed,
-            Relays relays,
-            ServerList.Listener listener) {
+            EndpointUpdate known,
+            PushedDiscovery pushed,
+            RelaySelector relays,
+            EndpointDiscovery.Listener listener) {
         this.loop = loop;
         this.pushed = pushed;
         this.relays = relays;
         this.address = address;
-        this.rev = known.rev();
+        this.rev = known.revision();
         this.versions = known.versions();
-        this.listed = !known.targets().isEmpty();
+        this.listed = !known.endpoints().isEmpty();
         this.listener = listener;
     }
 
@@ -106,7 +110,7 @@
         closeWatches();
         if (on) {
             if (relays != null) {
-                relays.following().begin();
+                relays.following().start();
             }
             open();
         }
@@ -128,7 +132,7 @@
      * out begin again at the new one. Its versions need not follow on from the old one's, so its whole list
      * is asked for. Relays stay those that they are.
      */
-    public void move(InetSocketAddress to) {
+    public void changeAddress(InetSocketAddress to) {
         if (to.equals(address) || relays != null) {
             return;
         }
@@ -160,22 +164,22 @@
     }
 
     /** How far the list in force has come at each source; empty where nobody says. */
-    public Versions versions() {
+    public VersionVector versions() {
         return versions;
     }
 
     /** The version of the list in force, as who is asked counts. */
-    public long rev() {
+    public long revision() {
         return rev;
     }
 
     /** Adds figures where relays are asked: whom, how long ago it was heard, and how often another was. */
-    public void print(StringBuilder to) {
+    public void printMetrics(StringBuilder to) {
         if (relays != null) {
             to.append("list_relay=")
-                    .append(Relays.text(relays.now()))
+                    .append(RelaySelector.text(relays.now()))
                     .append("\nlist_followed=")
-                    .append(relays.following().following() ? 1 : 0)
+                    .append(relays.following().isFollowing() ? 1 : 0)
                     .append("\nlist_heard_ms=")
                     .append(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - heardAt))
                     .append("\nlist_asked_anew=")
@@ -186,40 +190,42 @@
 
     /** The watch has ended: with relays the next is asked, at once or once a round's pause is over. */
     private void askNext(long retryAfterMs) {
-        boolean followed = relays.following().following();
-        Following.Ask next = relays.following().refused(TimeUnit.MILLISECONDS.toNanos(retryAfterMs));
+        boolean followed = relays.following().isFollowing();
+        FailoverStateMachine.Connect next = relays.following().rejected(TimeUnit.MILLISECONDS.toNanos(retryAfterMs));
         askedAnew++;
-        if (next.after() > 0 && !followed) {
+        if (next.delayNanos() > 0 && !followed) {
             LOG.warn(
                     "no relay answers, the list in force stays; asked again in {} ms",
-                    TimeUnit.NANOSECONDS.toMillis(next.after()));
+                    TimeUnit.NANOSECONDS.toMillis(next.delayNanos()));
         }
         loop.schedule(
                 () -> {
                     if (wanted && watch == null) {
-                        relays.following().asks();
+                        relays.following().connecting();
                         open();
                     }
                 },
-                next.after(),
+                next.delayNanos(),
                 TimeUnit.NANOSECONDS);
     }
 
     private void returnLater() {
         loop.schedule(
                 () -> {
-                    if (wanted && returning == null && relays.following().mayReturn() instanceof Following.Ask first) {
-                        returning = new Call(true, relays.order().get(first.place()));
+                    if (wanted
+                            && returning == null
+                            && relays.following().failback() instanceof FailoverStateMachine.Connect first) {
+                        returning = new Call(true, relays.order().get(first.index()));
                         returning.open();
                     }
                 },
-                relays.following().returnAfter(),
+                relays.following().failbackDelayNanos(),
                 TimeUnit.NANOSECONDS);
     }
 
-    private final class Call implements ListCall.Owner {
+    private final class Call implements DiscoveryCall.Listener {
         private final boolean watching;
-        private final ListCall call;
+        private final DiscoveryCall call;
         /** Changes up to this version came with a whole list that was asked for meanwhile. */
         private long outdated = -1;
         /** It has not answered in time, and the next has been asked for. */
@@ -227,14 +233,14 @@
 
         Call(boolean watching, InetSocketAddress to) {
             this.watching = watching;
-            this.call = new ListCall(loop, to, watching, this);
+            this.call = new DiscoveryCall(loop, to, watching, this);
         }
 
         void open() {
             calls.add(this);
             String query = watching ? "?watch=1&from=" + rev : "";
             call.open(
-                    pushed == null ? ListCall.CONNECT_TIMEOUT_MS : pushed.connectMs(),
+                    pushed == null ? DiscoveryCall.CONNECT_TIMEOUT_MILLIS : pushed.connectTimeoutMillis(),
                     watching && !versions.isEmpty() ? query + "&versions=" + versions : query);
         }
 
@@ -263,7 +269,7 @@
                     watch.close();
                 }
                 watch = this;
-                relays.following().returned();
+                relays.following().failedBack();
             } else {
                 relays.following().answered();
                 returnLater();
@@ -288,11 +294,11 @@
          * once; sidecars whose watches fall silent together notice it spread over the time between lines.
          */
         @Override
-        public void silent() {
+        public void watchIdle() {
             if (relays != null) {
-                call.fail("no whole line for " + ListCall.SILENCE_MS + " ms");
+                call.fail("no whole line for " + DiscoveryCall.IDLE_TIMEOUT_MILLIS + " ms");
             } else if (watch == this) {
-                LOG.warn("watch opened anew: no whole line for {} ms", ListCall.SILENCE_MS);
+                LOG.warn("watch opened anew: no whole line for {} ms", DiscoveryCall.IDLE_TIMEOUT_MILLIS);
                 watch(true);
             }
         }
@@ -315,11 +321,11 @@
          * the next may have to wait for its turn as well. This one keeps its own place in discovery's queue.
          */
         @Override
-        public void late() {
+        public void answerOverdue() {
             // A relay may hold a call for a while, and has no queue: its call fails later on.
             if (relays == null) {
                 late = true;
-                askAgain(ListCall.NO_ANSWER, 0);
+                askAgain(DiscoveryCall.NO_ANSWER, 0);
             }
         }
 
@@ -333,66 +339,66 @@
             if (followed && relays != null) {
                 askNext(retryAfterMs);
             } else if (pushed == null) {
-                listener.listed(ListKind.FAILED, List.of());
+                listener.endpointsUpdated(UpdateKind.FAILED, List.of());
             } else if (followed) {
                 // The module, which did not ask, is not to wait and ask again.
-                loop.schedule(Discovery.this::followOn, pushed.pauseMs(), TimeUnit.MILLISECONDS);
+                loop.schedule(DiscoveryClient.this::followOn, pushed.backoffMillis(), TimeUnit.MILLISECONDS);
             }
         }
 
         @Override
-        public void empty() {
+        public void heartbeatReceived() {
             boolean first = watching && !call.isAnswered();
             if ((first || call.isAnswered()) && answered() && first) {
                 // Nothing has changed since the version known: that, too, is the watch's answer.
-                listener.listed(ListKind.DELTA, List.of());
+                listener.endpointsUpdated(UpdateKind.DELTA, List.of());
             }
         }
 
         @Override
-        public void object(byte[] text) throws IOException {
-            Node node = Json.read(text);
+        public void objectReceived(byte[] text) throws IOException {
+            JsonNode node = JsonReader.read(text);
             if (!node.path("rev").isWhole() || !node.path("targets").isArray()) {
                 call.fail("a line that is no list");
                 return;
             }
-            Listing listing = Listing.of(node);
-            if (listing.all() && listing.targets().isEmpty() && listed) {
+            EndpointUpdate listing = EndpointUpdate.of(node);
+            if (listing.fullSnapshot() && listing.endpoints().isEmpty() && listed) {
                 call.fail("the whole list is empty");
                 return;
             }
-            if (!watching && !moved && relays == null && listing.rev() < rev) {
-                call.fail("version " + listing.rev() + " is older than " + rev);
+            if (!watching && !moved && relays == null && listing.revision() < rev) {
+                call.fail("version " + listing.revision() + " is older than " + rev);
                 return;
             }
-            if ((!watching || !call.isAnswered()) && listing.versions().behind(versions)) {
+            if ((!watching || !call.isAnswered()) && listing.versions().isBehind(versions)) {
                 call.fail("version " + listing.versions() + " is older than " + versions);
                 return;
             }
             take(listing);
         }
 
-        private void take(Listing listing) {
+        private void take(EndpointUpdate listing) {
             if (!answered()) {
                 return;
             }
-            if (watching && !listing.all() && listing.rev() <= outdated) {
+            if (watching && !listing.fullSnapshot() && listing.revision() <= outdated) {
                 return;
             }
-            listed |= !listing.targets().isEmpty();
-            rev = listing.rev();
-            versions = versions.after(listing.versions());
+            listed |= !listing.endpoints().isEmpty();
+            rev = listing.revision();
+            versions = versions.merge(listing.versions());
             if (!watching && watch != null) {
                 watch.outdated = rev;
             }
             if (moved) {
                 moved = false;
-                if (!listing.all()) {
+                if (!listing.fullSnapshot()) {
                     // Only changes: who was listed by the old service and is not by this one would stay.
                     fetch();
                 }
             }
-            listener.listed(listing.all() ? ListKind.FULL : ListKind.DELTA, listing.targets());
+            listener.endpointsUpdated(listing.fullSnapshot() ? UpdateKind.FULL : UpdateKind.DELTA, listing.endpoints());
         }
     }
 }
--- a/sidecar/src/main/java/topazvalve/sidecar/discovery/Lines.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/JsonObjectFramer.java
@@ -1,4 +1,4 @@
-package topazvalve.sidecar.discovery;
+package topazvalve.discovery.client;
 
 import io.netty.buffer.ByteBuf;
 import java.io.ByteArrayOutputStream;
@@ -9,7 +9,7 @@
  * several. A line that holds nothing, between objects, is a sign of life; one within an object is none, or a
  * trickle without end would pass for life.
  */
-final class Lines {
+final class JsonObjectFramer {
     private static final int LONGEST = 4 << 20;
     /** Room that is kept for the next object; a change of a few hundred servers fits. */
     static final int KEPT = 64 << 10;
--- a/sidecar/src/main/java/topazvalve/sidecar/discovery/Relays.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/RelaySelector.java
@@ -1,4 +1,4 @@
-package topazvalve.sidecar.discovery;
+package topazvalve.discovery.client;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import topazvalve.lists.Following;
-import topazvalve.lists.RelayOrder;
+import topazvalve.discovery.state.FailoverStateMachine;
+import topazvalve.discovery.state.RendezvousOrder;
 
 /**
  * Relays to choose from, in this sidecar's own order, and whom it asks of them.
@@ -15,17 +15,18 @@
  * @param order where they listen, the one to ask first in front
  * @param following whom to ask and when
  */
-public record Relays(List<InetSocketAddress> order, Following following) {
+public record RelaySelector(List<InetSocketAddress> order, FailoverStateMachine following) {
     /** For the sidecar of this name; {@code seed} is its own. Null where there are no relays. */
-    public static Relays of(String name, List<InetSocketAddress> addresses, long seed) {
+    public static RelaySelector of(String name, List<InetSocketAddress> addresses, long seed) {
         if (addresses.isEmpty()) {
             return null;
         }
         Map<String, InetSocketAddress> byText = new HashMap<>();
         addresses.forEach(address -> byText.put(text(address), address));
         List<InetSocketAddress> order = new ArrayList<>();
-        RelayOrder.of(name, List.copyOf(byText.keySet())).forEach(text -> order.add(byText.get(text)));
-        return new Relays(List.copyOf(order), new Following(order.size(), new SplittableRandom(seed)));
+        RendezvousOrder.of(name, List.copyOf(byText.keySet())).forEach(text -> order.add(byText.get(text)));
+        return new RelaySelector(
+                List.copyOf(order), new FailoverStateMachine(order.size(), new SplittableRandom(seed)));
     }
 
     static String text(InetSocketAddress address) {
@@ -34,6 +35,6 @@
 
     /** Where the one listens that is asked or followed now. */
     InetSocketAddress now() {
-        return order.get(following.place());
+        return order.get(following.currentIndex());
     }
 }
--- a/sidecar/src/main/java/topazvalve/sidecar/discovery/package-info.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/package-info.java
@@ -1,2 +1,2 @@
 /** The list of order servers, as discovery tells it. */
-package topazvalve.sidecar.discovery;
+package topazvalve.discovery.client;
--- a/sidecar/src/main/java/topazvalve/sidecar/json/Node.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/json/JsonNode.java
@@ -1,4 +1,4 @@
-package topazvalve.sidecar.json;
+package topazvalve.discovery.json;
 
 import java.util.Collections;
 import java.util.Iterator;
@@ -11,14 +11,14 @@
  * {@link Long}, others as {@link Double}), true, false, null, or nothing where a path leads nowhere. Reading
  * never fails; what is not of the kind asked for gives the kind's default.
  */
-public final class Node implements Iterable<Node> {
-    static final Node MISSING = new Node(null);
-    static final Node NULL = new Node(Void.class);
+public final class JsonNode implements Iterable<JsonNode> {
+    static final JsonNode MISSING = new JsonNode(null);
+    static final JsonNode NULL = new JsonNode(Void.class);
 
     private final Object value;
 
     /** Of a map of nodes, a list of nodes, a text, a number or a truth value. */
-    Node(Object value) {
+    JsonNode(Object value) {
         this.value = value;
     }
 
@@ -31,8 +31,8 @@
     }
 
     /** The member of an object, or the node that stands for nothing. */
-    public Node path(String key) {
-        return members().get(key) instanceof Node member ? member : MISSING;
+    public JsonNode path(String key) {
+        return members().get(key) instanceof JsonNode member ? member : MISSING;
     }
 
     /** Whether an object has a member of this name, be it null. */
@@ -85,8 +85,8 @@
     /** A list's entries, or an object's values. */
     @Override
     @SuppressWarnings("unchecked")
-    public Iterator<Node> iterator() {
-        return (Iterator<Node>) (isObject() ? members().values() : items()).iterator();
+    public Iterator<JsonNode> iterator() {
+        return (Iterator<JsonNode>) (isObject() ? members().values() : items()).iterator();
     }
 
     /** A text, number or truth value as text; empty for all else. */
@@ -121,7 +121,7 @@
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Node node && (value == null ? node.value == null : value.equals(node.value));
+        return other instanceof JsonNode node && (value == null ? node.value == null : value.equals(node.value));
     }
 
     @Override
--- a/sidecar/src/main/java/topazvalve/sidecar/json/Json.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/json/JsonReader.java
@@ -1,4 +1,4 @@
-package topazvalve.sidecar.json;
+package topazvalve.discovery.json;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParseException;
@@ -15,20 +15,20 @@
 import java.util.Map;
 
 /**
- * Reads JSON into {@link Node}s by Jackson's streaming parser. Its object mapper would do as well, but its
+ * Reads JSON into {@link JsonNode}s by Jackson's streaming parser. Its object mapper would do as well, but its
  * start costs a sidecar 70 ms of CPU and 700 classes.
  */
-public final class Json {
+public final class JsonReader {
     private static final int DEEPEST = 64;
     private static final JsonFactory FACTORY = JsonFactory.builder()
             .streamReadConstraints(
                     StreamReadConstraints.builder().maxNestingDepth(DEEPEST).build())
             .build();
 
-    private Json() {}
+    private JsonReader() {}
 
     /** The first value of a text; the node that stands for nothing where there is none. */
-    public static Node read(String text) throws JsonProcessingException {
+    public static JsonNode read(String text) throws JsonProcessingException {
         try (JsonParser parser = FACTORY.createParser(text)) {
             return first(parser);
         } catch (JsonProcessingException e) {
@@ -39,17 +39,17 @@
     }
 
     /** The first value of a text in UTF-8; the node that stands for nothing where there is none. */
-    public static Node read(byte[] text) throws IOException {
+    public static JsonNode read(byte[] text) throws IOException {
         try (JsonParser parser = FACTORY.createParser(text)) {
             return first(parser);
         }
     }
 
     /** A text in UTF-8 that holds one value and nothing more, with no member given twice. */
-    public static Node readStrictly(byte[] text) throws IOException {
+    public static JsonNode readStrictly(byte[] text) throws IOException {
         try (JsonParser parser = FACTORY.createParser(text)) {
             parser.enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION.mappedFeature());
-            Node node = first(parser);
+            JsonNode node = first(parser);
             if (parser.nextToken() != null) {
                 throw new JsonParseException(parser, "more follows the end of the value");
             }
@@ -57,45 +57,45 @@
         }
     }
 
-    private static Node first(JsonParser parser) throws IOException {
-        return parser.nextToken() == null ? Node.MISSING : value(parser);
+    private static JsonNode first(JsonParser parser) throws IOException {
+        return parser.nextToken() == null ? JsonNode.MISSING : value(parser);
     }
 
-    private static Node value(JsonParser parser) throws IOException {
+    private static JsonNode value(JsonParser parser) throws IOException {
         return switch (parser.currentToken()) {
             case START_OBJECT -> object(parser);
             case START_ARRAY -> array(parser);
-            case VALUE_STRING -> new Node(parser.getText());
+            case VALUE_STRING -> new JsonNode(parser.getText());
             case VALUE_NUMBER_INT -> whole(parser);
-            case VALUE_NUMBER_FLOAT -> new Node(parser.getDoubleValue());
-            case VALUE_TRUE -> new Node(true);
-            case VALUE_FALSE -> new Node(false);
-            case VALUE_NULL -> Node.NULL;
+            case VALUE_NUMBER_FLOAT -> new JsonNode(parser.getDoubleValue());
+            case VALUE_TRUE -> new JsonNode(true);
+            case VALUE_FALSE -> new JsonNode(false);
+            case VALUE_NULL -> JsonNode.NULL;
             default -> throw new JsonParseException(parser, "not a value");
         };
     }
 
-    private static Node whole(JsonParser parser) throws IOException {
+    private static JsonNode whole(JsonParser parser) throws IOException {
         return parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
-                ? new Node(parser.getDoubleValue())
-                : new Node(parser.getLongValue());
+                ? new JsonNode(parser.getDoubleValue())
+                : new JsonNode(parser.getLongValue());
     }
 
-    private static Node object(JsonParser parser) throws IOException {
-        Map<String, Node> members = new LinkedHashMap<>();
+    private static JsonNode object(JsonParser parser) throws IOException {
+        Map<String, JsonNode> members = new LinkedHashMap<>();
         while (parser.nextToken() != JsonToken.END_OBJECT) {
             String key = parser.currentName();
             parser.nextToken();
             members.put(key, value(parser));
         }
-        return new Node(members);
+        return new JsonNode(members);
     }
 
-    private static Node array(JsonParser parser) throws IOException {
-        List<Node> items = new ArrayList<>();
+    private static JsonNode array(JsonParser parser) throws IOException {
+        List<JsonNode> items = new ArrayList<>();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             items.add(value(parser));
         }
-        return new Node(items);
+        return new JsonNode(items);
     }
 }
--- a/sidecar/src/main/java/topazvalve/sidecar/json/package-info.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/json/package-info.java
@@ -1,2 +1,2 @@
 /** The one JSON reader: a second would cost the start again. */
-package topazvalve.sidecar.json;
+package topazvalve.discovery.json;
--- a/sidecar/src/test/java/topazvalve/sidecar/discovery/LinesTest.java
+++ b/discovery-client/src/test/java/topazvalve/discovery/client/LinesTest.java
@@ -1,4 +1,4 @@
-package topazvalve.sidecar.discovery;
+package topazvalve.discovery.client;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,10 +12,10 @@
 
 class LinesTest {
     private final List<Integer> objects = new ArrayList<>();
-    private final Lines lines = new Lines();
+    private final JsonObjectFramer lines = new JsonObjectFramer();
 
     private void take(String text) throws IOException {
-        lines.take(Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII), new Lines.Taker() {
+        lines.take(Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII), new JsonObjectFramer.Taker() {
             @Override
             public boolean object(byte[] object) {
                 objects.add(object.length);
@@ -36,6 +36,6 @@
         assertTrue(lines.room() >= 500_000 && lines.open());
         take(list.substring(500_000) + "\n{\"rev\":2}\n");
         assertEquals(List.of(list.length(), 9), objects);
-        assertTrue(lines.room() <= Lines.KEPT, lines.room() + " bytes are kept");
+        assertTrue(lines.room() <= JsonObjectFramer.KEPT, lines.room() + " bytes are kept");
     }
 }
