--- a/lists/src/main/java/topazvalve/lists/ListState.java
+++ b/discovery-state/src/main/java/topazvalve/discovery/state/EndpointStore.java
@@ -1,4 +1,4 @@
-package topazvalve.lists;
+package topazvalve.discovery.state;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -17,56 +17,56 @@
  *
  * <p>Sources are apart: one that is cut off keeps its entries, and the others' changes go on.
  */
-public final class ListState {
+public final class EndpointStore {
     /** One server's line, as its source wrote it; {@code gone} if it says that the server is no more. */
-    public record Entry(String uid, boolean gone, String json) {}
+    public record Entry(String uid, boolean removed, String json) {}
 
     /**
      * What a source tells.
      *
      * @param version how far it has come with this
-     * @param whole whether whom it does not name is gone
+     * @param fullSnapshot whether whom it does not name is gone
      */
-    public record Update(Version version, boolean whole, List<Entry> entries) {}
+    public record Update(SourceVersion version, boolean fullSnapshot, List<Entry> entries) {}
 
     /** What became of an update. */
-    public enum Taken {
+    public enum UpdateResult {
         /** Nothing was new; the version may be. */
-        SAME,
+        UNCHANGED,
         /** Something changed: {@link #changed} has it. */
         CHANGED,
         /**
          * The source was heard for the first time. Followers that came with a version of it are each to be
-         * looked at anew by {@link #lack}: whom they have and this list does not name is not known here.
+         * looked at anew by {@link #catchUp}: whom they have and this list does not name is not known here.
          */
-        FIRST,
+        FIRST_UPDATE,
         /** Older than what is here, from the same life of the source: not taken. */
-        OLDER,
+        STALE,
         /** A whole list with nobody in it, where somebody was: not believed. */
-        EMPTY,
+        EMPTY_SNAPSHOT,
         /** Changes that do not follow on what is here: the whole list has to be asked for. */
-        APART
+        NOT_CONTIGUOUS
     }
 
     /** What a follower that says how far it has come is to hear. */
-    public enum Lack {
-        /** What {@link #changes} gives, be it nothing. */
-        CHANGES,
+    public enum CatchUp {
+        /** What {@link #changesSince} gives, be it nothing. */
+        DELTA,
         /** The whole list. */
-        WHOLE,
+        SNAPSHOT,
         /**
          * Nothing yet: the follower is ahead of this relay, or of a life of the source that tells no epoch,
          * so that it may as well have begun anew. A relay that has meanwhile heard from its source for long
          * enough is not behind, and the whole list is due.
          */
-        AHEAD_OR_ANEW,
+        AHEAD_OR_RESTARTED,
         /** Nothing yet: the follower is ahead of this relay. */
         AHEAD,
         /** The whole list, but not every source was heard yet, and nobody's entries may vanish. */
         INCOMPLETE
     }
 
-    private record Logged(Version version, Set<String> uids) {}
+    private record Logged(SourceVersion version, Set<String> uids) {}
 
     /** What is known of one source. */
     private final class Source {
@@ -74,38 +74,38 @@
         private final Deque<Logged> log = new ArrayDeque<>();
         private int logged;
         /** What came up to here is no more in the log. */
-        private Version floor;
+        private SourceVersion floor;
 
-        private Version version;
+        private SourceVersion version;
         private long live;
 
-        Taken take(Update update) {
-            Version next = update.version();
-            if (version == null && !update.whole()) {
-                return Taken.APART;
+        UpdateResult take(Update update) {
+            SourceVersion next = update.version();
+            if (version == null && !update.fullSnapshot()) {
+                return UpdateResult.NOT_CONTIGUOUS;
             }
             if (version != null
                     && next.epoch() == version.epoch()
-                    && next.rev() < version.rev()
-                    && (next.epoch() > 0 || !update.whole())) {
-                return Taken.OLDER;
+                    && next.revision() < version.revision()
+                    && (next.epoch() > 0 || !update.fullSnapshot())) {
+                return UpdateResult.STALE;
             }
             if (version != null && next.epoch() < version.epoch() && next.epoch() > 0) {
-                return Taken.OLDER;
+                return UpdateResult.STALE;
             }
-            boolean anew = version != null && (next.epoch() != version.epoch() || next.rev() < version.rev());
-            if (anew && !update.whole()) {
-                return Taken.APART;
+            boolean anew = version != null && (next.epoch() != version.epoch() || next.revision() < version.revision());
+            if (anew && !update.fullSnapshot()) {
+                return UpdateResult.NOT_CONTIGUOUS;
             }
-            if (update.whole() && live > 0 && update.entries().stream().allMatch(Entry::gone)) {
-                return Taken.EMPTY;
+            if (update.fullSnapshot() && live > 0 && update.entries().stream().allMatch(Entry::removed)) {
+                return UpdateResult.EMPTY_SNAPSHOT;
             }
             Set<String> uids = merge(update);
             if (version == null) {
                 floor = next;
                 version = next;
-                return Taken.FIRST;
-            } else if ((anew && !next.comparable(version)) || (anew && next.epoch() == 0)) {
+                return UpdateResult.FIRST_UPDATE;
+            } else if ((anew && !next.isComparableTo(version)) || (anew && next.epoch() == 0)) {
                 // No order between the lives: nobody of the old one can be served by changes.
                 log.clear();
                 logged = 0;
@@ -116,21 +116,21 @@
                 bound();
             }
             version = next;
-            return uids.isEmpty() ? Taken.SAME : Taken.CHANGED;
+            return uids.isEmpty() ? UpdateResult.UNCHANGED : UpdateResult.CHANGED;
         }
 
         /** Takes the lines over; whose line changed. */
         private Set<String> merge(Update update) {
             Set<String> uids = new LinkedHashSet<>();
-            Set<String> missing = update.whole() ? new LinkedHashSet<>(entries.keySet()) : Set.of();
+            Set<String> missing = update.fullSnapshot() ? new LinkedHashSet<>(entries.keySet()) : Set.of();
             for (Entry entry : update.entries()) {
-                if (update.whole()) {
+                if (update.fullSnapshot()) {
                     missing.remove(entry.uid());
                 }
                 put(entry, uids);
             }
             for (String uid : missing) {
-                if (!entries.get(uid).gone()) {
+                if (!entries.get(uid).removed()) {
                     put(gone(uid), uids);
                 }
             }
@@ -141,13 +141,13 @@
 
         private void put(Entry entry, Set<String> uids) {
             Entry before = entries.get(entry.uid());
-            if (entry.equals(before) || (before == null && entry.gone())) {
+            if (entry.equals(before) || (before == null && entry.removed())) {
                 return;
             }
             // At the end again: who changed last stands last.
             entries.remove(entry.uid());
             entries.put(entry.uid(), entry);
-            live += (entry.gone() ? 0 : 1) - (before == null || before.gone() ? 0 : 1);
+            live += (entry.removed() ? 0 : 1) - (before == null || before.removed() ? 0 : 1);
             uids.add(entry.uid());
         }
 
@@ -159,7 +159,7 @@
                 for (String uid : oldest.uids()) {
                     Entry entry = entries.get(uid);
                     if (entry != null
-                            && entry.gone()
+                            && entry.removed()
                             && log.stream().noneMatch(later -> later.uids().contains(uid))) {
                         entries.remove(uid);
                     }
@@ -168,7 +168,7 @@
         }
 
         /** Lines that were the last to change since {@code from}; they are here already, or are taken. */
-        void fill(Version from, Update update) {
+        void fill(SourceVersion from, Update update) {
             Set<String> uids = new LinkedHashSet<>();
             update.entries().forEach(entry -> uids.add(entry.uid()));
             for (Logged each : log) {
@@ -180,19 +180,19 @@
             bound();
         }
 
-        Lack lack(Version has) {
-            if (!has.comparable(version)) {
-                return Lack.AHEAD_OR_ANEW;
+        CatchUp lack(SourceVersion has) {
+            if (!has.isComparableTo(version)) {
+                return CatchUp.AHEAD_OR_RESTARTED;
             }
             if (has.compareTo(version) > 0) {
-                return version.epoch() == 0 ? Lack.AHEAD_OR_ANEW : Lack.AHEAD;
+                return version.epoch() == 0 ? CatchUp.AHEAD_OR_RESTARTED : CatchUp.AHEAD;
             }
-            return has.equals(version) || has.compareTo(floor) >= 0 ? Lack.CHANGES : Lack.WHOLE;
+            return has.equals(version) || has.compareTo(floor) >= 0 ? CatchUp.DELTA : CatchUp.SNAPSHOT;
         }
 
-        void since(Version has, List<Entry> to) {
+        void since(SourceVersion has, List<Entry> to) {
             if (has == null) {
-                entries.values().stream().filter(entry -> !entry.gone()).forEach(to::add);
+                entries.values().stream().filter(entry -> !entry.removed()).forEach(to::add);
                 return;
             }
             Set<String> uids = new LinkedHashSet<>();
@@ -213,7 +213,7 @@
     private final List<Entry> changed = new ArrayList<>();
 
     /** Of these sources; {@code mostLogged} changed entries of each are kept in its log. */
-    public ListState(Collection<String> names, int mostLogged) {
+    public EndpointStore(Collection<String> names, int mostLogged) {
         this.mostLogged = mostLogged;
         names.forEach(name -> sources.put(name, new Source()));
     }
@@ -232,7 +232,7 @@
     }
 
     /** Takes over what a source tells, or says why not; then nothing has changed. */
-    public Taken take(String source, Update update) {
+    public UpdateResult apply(String source, Update update) {
         changed.clear();
         return sources.get(source).take(update);
     }
@@ -242,26 +242,26 @@
      * whole list: what changed before this relay began, so that followers which come with an older version
      * need no whole list. {@code from} may not be after the first version here; does nothing if it is.
      */
-    public Taken fill(String name, Version from, Update update) {
-        Taken taken = take(name, update);
+    public UpdateResult backfill(String name, SourceVersion from, Update update) {
+        UpdateResult taken = apply(name, update);
         Source source = sources.get(name);
-        if (!update.whole()
-                && (taken == Taken.SAME || taken == Taken.CHANGED)
-                && from.comparable(source.floor)
+        if (!update.fullSnapshot()
+                && (taken == UpdateResult.UNCHANGED || taken == UpdateResult.CHANGED)
+                && from.isComparableTo(source.floor)
                 && from.compareTo(source.floor) < 0) {
             source.fill(from, update);
         }
         return taken;
     }
 
-    /** The lines that the last {@link #take} changed. */
-    public List<Entry> changed() {
+    /** The lines that the last {@link #apply} changed. */
+    public List<Entry> changedEntries() {
         return List.copyOf(changed);
     }
 
     /** How far each source has come that was ever heard. */
-    public Versions versions() {
-        Versions versions = Versions.NONE;
+    public VersionVector versions() {
+        VersionVector versions = VersionVector.NONE;
         for (Map.Entry<String, Source> each : sources.entrySet()) {
             if (each.getValue().version != null) {
                 versions = versions.with(each.getKey(), each.getValue().version);
@@ -271,56 +271,56 @@
     }
 
     /** Whether every source was heard: only then is a whole list one. */
-    public boolean complete() {
+    public boolean isComplete() {
         return sources.values().stream().allMatch(source -> source.version != null);
     }
 
     /** Whether a follower with this version of a source that is known comes from before the source's log. */
-    public boolean beforeLog(String name, Version has) {
+    public boolean precedesLog(String name, SourceVersion has) {
         Source source = sources.get(name);
         return source.version != null
                 && has != null
-                && has.comparable(source.floor)
+                && has.isComparableTo(source.floor)
                 && has.epoch() == source.floor.epoch()
                 && has.compareTo(source.floor) < 0;
     }
 
-    /** What a follower that has come so far is to hear; {@link Versions#NONE} for one with nothing. */
-    public Lack lack(Versions has) {
+    /** What a follower that has come so far is to hear; {@link VersionVector#NONE} for one with nothing. */
+    public CatchUp catchUp(VersionVector has) {
         if (has.isEmpty()) {
-            return complete() ? Lack.WHOLE : Lack.INCOMPLETE;
+            return isComplete() ? CatchUp.SNAPSHOT : CatchUp.INCOMPLETE;
         }
-        Lack most = Lack.CHANGES;
+        CatchUp most = CatchUp.DELTA;
         for (Map.Entry<String, Source> each : sources.entrySet()) {
-            Version at = has.at(each.getKey());
+            SourceVersion at = has.versionOf(each.getKey());
             if (at != null && each.getValue().version != null) {
-                Lack lack = each.getValue().lack(at);
+                CatchUp lack = each.getValue().lack(at);
                 most = lack.compareTo(most) > 0 ? lack : most;
             }
         }
-        return most == Lack.WHOLE && !complete() ? Lack.INCOMPLETE : most;
+        return most == CatchUp.SNAPSHOT && !isComplete() ? CatchUp.INCOMPLETE : most;
     }
 
     /** The newest lines of all that changed since; all lines of a source that {@code has} does not know. */
-    public List<Entry> changes(Versions has) {
+    public List<Entry> changesSince(VersionVector has) {
         List<Entry> entries = new ArrayList<>();
         sources.forEach((name, source) -> {
             if (source.version != null) {
-                source.since(has.at(name), entries);
+                source.since(has.versionOf(name), entries);
             }
         });
         return entries;
     }
 
     /** Every server that is not gone. */
-    public List<Entry> whole() {
+    public List<Entry> snapshot() {
         List<Entry> entries = new ArrayList<>();
         sources.values().forEach(source -> source.since(null, entries));
         return entries;
     }
 
     /** How many servers are listed and not gone. */
-    public long live() {
+    public long liveCount() {
         return sources.values().stream().mapToLong(source -> source.live).sum();
     }
 }
--- a/lists/src/main/java/topazvalve/lists/RelayOrder.java
+++ b/discovery-state/src/main/java/topazvalve/discovery/state/RendezvousOrder.java
@@ -1,4 +1,4 @@
-package topazvalve.lists;
+package topazvalve.discovery.state;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -11,8 +11,8 @@
  * address, by MurmurHash3. Every follower has an order of its own, the same after a restart; of a relay that
  * is lost the others get equal shares, and one that is added or taken away moves nobody else.
  */
-public final class RelayOrder {
-    private RelayOrder() {}
+public final class RendezvousOrder {
+    private RendezvousOrder() {}
 
     /** All of {@code relays}, the one to ask first in front. */
     public static List<String> of(String follower, List<String> relays) {
--- a/lists/src/main/java/topazvalve/lists/Version.java
+++ b/discovery-state/src/main/java/topazvalve/discovery/state/SourceVersion.java
@@ -1,19 +1,19 @@
-package topazvalve.lists;
+package topazvalve.discovery.state;
 
 /**
  * How far one source's list has come.
  *
  * @param epoch which life of the source counted it, larger for a later one; 0 where the source does not say
- * @param rev the source's own count within that life, never less from one change to the next
+ * @param revision the source's own count within that life, never less from one change to the next
  */
-public record Version(long epoch, long rev) implements Comparable<Version> {
+public record SourceVersion(long epoch, long revision) implements Comparable<SourceVersion> {
     /** Before the first change of a source that tells no epoch. */
-    public static final Version NONE = new Version(0, 0);
+    public static final SourceVersion NONE = new SourceVersion(0, 0);
 
     /** Versions can't be below nought. */
-    public Version {
-        if (epoch < 0 || rev < 0) {
-            throw new IllegalArgumentException("a version below nought: " + epoch + "." + rev);
+    public SourceVersion {
+        if (epoch < 0 || revision < 0) {
+            throw new IllegalArgumentException("a version below nought: " + epoch + "." + revision);
         }
     }
 
@@ -22,26 +22,26 @@
      * any two of its versions, so that only the one that told both can say; and one life that is known is
      * in no order with one that is not.
      */
-    public boolean comparable(Version other) {
+    public boolean isComparableTo(SourceVersion other) {
         return (epoch == 0) == (other.epoch == 0);
     }
 
     @Override
-    public int compareTo(Version other) {
-        return epoch != other.epoch ? Long.compare(epoch, other.epoch) : Long.compare(rev, other.rev);
+    public int compareTo(SourceVersion other) {
+        return epoch != other.epoch ? Long.compare(epoch, other.epoch) : Long.compare(revision, other.revision);
     }
 
     @Override
     public String toString() {
-        return epoch + "." + rev;
+        return epoch + "." + revision;
     }
 
     /** Reads {@code epoch.rev}; an {@link IllegalArgumentException} says what is wrong. */
-    static Version parse(String text) {
+    static SourceVersion parse(String text) {
         int dot = text.indexOf('.');
         if (dot < 1 || !text.matches("[0-9]{1,18}\\.[0-9]{1,18}")) {
             throw new IllegalArgumentException("not a version: " + text);
         }
-        return new Version(Long.parseLong(text.substring(0, dot)), Long.parseLong(text.substring(dot + 1)));
+        return new SourceVersion(Long.parseLong(text.substring(0, dot)), Long.parseLong(text.substring(dot + 1)));
     }
 }
--- a/lists/src/test/java/topazvalve/lists/WallsTest.java
+++ b/discovery-state/src/test/java/topazvalve/discovery/state/ArchitectureTest.java
@@ -1,4 +1,4 @@
-package topazvalve.lists;
+package topazvalve.discovery.state;
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
 
@@ -6,18 +6,18 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** What decides knows nothing but values. */
-class WallsTest {
+/** The state machines depend on plain values only. */
+class ArchitectureTest {
     @Test
-    void nothingHereKnowsInputClockOrThread() {
+    void stateUsesNoInputClockOrThread() {
         var lists = new ClassFileImporter()
                 .withImportOption(new ImportOption.DoNotIncludeTests())
-                .importPackages("topazvalve.lists");
+                .importPackages("topazvalve.discovery.state");
         noClasses()
                 .should()
                 .dependOnClassesThat()
                 .resideOutsideOfPackages(
-                        "topazvalve.lists..",
+                        "topazvalve.discovery.state..",
                         "java.lang..",
                         "java.util",
                         "java.util.function",
--- a/lists/src/test/java/topazvalve/lists/RelayOrderTest.java
+++ b/discovery-state/src/test/java/topazvalve/discovery/state/RelayOrderTest.java
@@ -1,4 +1,4 @@
-package topazvalve.lists;
+package topazvalve.discovery.state;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -22,7 +22,7 @@
     private Map<String, Integer> first(List<String> among) {
         Map<String, Integer> counts = new HashMap<>();
         for (int i = 0; i < FOLLOWERS; i++) {
-            counts.merge(RelayOrder.of("n" + i, among).get(0), 1, Integer::sum);
+            counts.merge(RendezvousOrder.of("n" + i, among).get(0), 1, Integer::sum);
         }
         return counts;
     }
@@ -41,8 +41,8 @@
         List<String> mixed = new ArrayList<>(relays);
         Collections.shuffle(mixed, new Random(1));
         for (int i = 0; i < 100; i++) {
-            assertEquals(RelayOrder.of("n" + i, relays), RelayOrder.of("n" + i, mixed));
-            assertEquals(Set.copyOf(relays), Set.copyOf(RelayOrder.of("n" + i, relays)));
+            assertEquals(RendezvousOrder.of("n" + i, relays), RendezvousOrder.of("n" + i, mixed));
+            assertEquals(Set.copyOf(relays), Set.copyOf(RendezvousOrder.of("n" + i, relays)));
         }
     }
 
@@ -52,8 +52,8 @@
         List<String> left = relays.stream().filter(relay -> !relay.equals(lost)).toList();
         Map<String, Integer> heirs = new HashMap<>();
         for (int i = 0; i < FOLLOWERS; i++) {
-            List<String> before = RelayOrder.of("n" + i, relays);
-            String now = RelayOrder.of("n" + i, left).get(0);
+            List<String> before = RendezvousOrder.of("n" + i, relays);
+            String now = RendezvousOrder.of("n" + i, left).get(0);
             if (before.get(0).equals(lost)) {
                 assertEquals(before.get(1), now);
                 heirs.merge(now, 1, Integer::sum);
--- a/lists/src/test/java/topazvalve/lists/SpreadModelTest.java
+++ b/discovery-state/src/test/java/topazvalve/discovery/state/SpreadModelTest.java
@@ -1,4 +1,4 @@
-package topazvalve.lists;
+package topazvalve.discovery.state;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,10 +11,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import topazvalve.lists.ListState.Entry;
-import topazvalve.lists.ListState.Lack;
-import topazvalve.lists.ListState.Taken;
-import topazvalve.lists.ListState.Update;
+import topazvalve.discovery.state.EndpointStore.CatchUp;
+import topazvalve.discovery.state.EndpointStore.Entry;
+import topazvalve.discovery.state.EndpointStore.Update;
+import topazvalve.discovery.state.EndpointStore.UpdateResult;
 
 /**
  * Every order of events, to a depth, of one source with epochs, two relays and a follower that changes over
@@ -39,23 +39,23 @@
     }
 
     /** What a line says, and how far it brings who hears it. */
-    private record Line(boolean whole, Versions versions, List<Entry> entries) {}
+    private record Line(boolean whole, VersionVector versions, List<Entry> entries) {}
 
     private static final class Relay {
-        ListState state = new ListState(List.of(NAME), 2);
+        EndpointStore state = new EndpointStore(List.of(NAME), 2);
         final Deque<Update> inbox = new ArrayDeque<>();
         boolean connected;
     }
 
     private static final class Play {
         final Map<String, Entry> truth = new TreeMap<>();
-        final Map<Version, Integer> order = new HashMap<>();
+        final Map<SourceVersion, Integer> order = new HashMap<>();
         final List<Update> log = new ArrayList<>();
         final Relay[] relays = {new Relay(), new Relay()};
         final Map<String, Entry> held = new TreeMap<>();
         final Deque<Line> inbox = new ArrayDeque<>();
-        Version version = new Version(1, 10);
-        Versions has = Versions.NONE;
+        SourceVersion version = new SourceVersion(1, 10);
+        VersionVector has = VersionVector.NONE;
         int at;
         boolean parked;
         int wholes;
@@ -77,7 +77,7 @@
         }
 
         private void publish(Entry entry) {
-            version = new Version(version.epoch(), version.rev() + 1);
+            version = new SourceVersion(version.epoch(), version.revision() + 1);
             order.put(version, order.size());
             truth.put(entry.uid(), entry);
             Update update = new Update(version, false, List.of(entry));
@@ -93,7 +93,7 @@
         private void connect(Relay relay) {
             relay.connected = true;
             relay.inbox.clear();
-            Version from = relay.state.versions().at(NAME);
+            SourceVersion from = relay.state.versions().versionOf(NAME);
             Map<String, Entry> entries = new TreeMap<>();
             if (from != null && from.epoch() == version.epoch()) {
                 for (Update each : log) {
@@ -104,7 +104,7 @@
                 relay.inbox.add(new Update(version, false, List.copyOf(entries.values())));
             } else {
                 truth.values().stream()
-                        .filter(entry -> !entry.gone())
+                        .filter(entry -> !entry.removed())
                         .forEach(entry -> entries.put(entry.uid(), entry));
                 relay.inbox.add(new Update(version, true, List.copyOf(entries.values())));
             }
@@ -115,15 +115,18 @@
             if (update == null) {
                 return false;
             }
-            Versions before = relay.state.versions();
-            Taken taken = relay.state.take(NAME, update);
+            VersionVector before = relay.state.versions();
+            UpdateResult taken = relay.state.apply(NAME, update);
             assertTrue(
-                    taken == Taken.SAME || taken == Taken.CHANGED || taken == Taken.FIRST, () -> "not taken: " + taken);
+                    taken == UpdateResult.UNCHANGED
+                            || taken == UpdateResult.CHANGED
+                            || taken == UpdateResult.FIRST_UPDATE,
+                    () -> "not taken: " + taken);
             if (relays[at] == relay) {
-                if (parked || taken == Taken.FIRST) {
+                if (parked || taken == UpdateResult.FIRST_UPDATE) {
                     ask();
                 } else if (!before.equals(relay.state.versions())) {
-                    inbox.add(new Line(false, relay.state.versions(), relay.state.changed()));
+                    inbox.add(new Line(false, relay.state.versions(), relay.state.changedEntries()));
                 }
             }
             return true;
@@ -131,13 +134,13 @@
 
         private void ask() {
             inbox.clear();
-            ListState state = relays[at].state;
-            Lack lack = state.lack(has);
-            parked = lack != Lack.CHANGES && lack != Lack.WHOLE;
+            EndpointStore state = relays[at].state;
+            CatchUp lack = state.catchUp(has);
+            parked = lack != CatchUp.DELTA && lack != CatchUp.SNAPSHOT;
             if (!parked) {
-                boolean whole = lack == Lack.WHOLE;
+                boolean whole = lack == CatchUp.SNAPSHOT;
                 wholes += whole ? 1 : 0;
-                inbox.add(new Line(whole, state.versions(), whole ? state.whole() : state.changes(has)));
+                inbox.add(new Line(whole, state.versions(), whole ? state.snapshot() : state.changesSince(has)));
             }
         }
 
@@ -150,10 +153,10 @@
                 held.clear();
             }
             line.entries().forEach(entry -> held.put(entry.uid(), entry));
-            Version before = has.at(NAME);
-            has = has.after(line.versions());
+            SourceVersion before = has.versionOf(NAME);
+            has = has.merge(line.versions());
             assertTrue(
-                    before == null || order.get(before) <= order.get(has.at(NAME)),
+                    before == null || order.get(before) <= order.get(has.versionOf(NAME)),
                     () -> "went back from " + before + " to " + has);
             return true;
         }
@@ -162,9 +165,9 @@
         boolean play(Event event) {
             switch (event) {
                 case CHANGE_A -> publish(new Entry("a", false, "a" + order.size()));
-                case TOGGLE_B -> publish(new Entry("b", !truth.get("b").gone(), "b" + order.size()));
+                case TOGGLE_B -> publish(new Entry("b", !truth.get("b").removed(), "b" + order.size()));
                 case SOURCE_RESTARTS -> {
-                    version = new Version(version.epoch() + 1, 3);
+                    version = new SourceVersion(version.epoch() + 1, 3);
                     order.put(version, order.size());
                     log.clear();
                     for (Relay relay : relays) {
@@ -181,7 +184,7 @@
                 case RELAY_0_RECONNECTS -> connect(relays[0]);
                 case RELAY_1_RECONNECTS -> connect(relays[1]);
                 case RELAY_1_RESTARTS -> {
-                    relays[1].state = new ListState(List.of(NAME), 2);
+                    relays[1].state = new EndpointStore(List.of(NAME), 2);
                     connect(relays[1]);
                     if (at == 1) {
                         ask();
@@ -205,10 +208,10 @@
             }
             drain();
             Map<String, Entry> live = new TreeMap<>(truth);
-            live.values().removeIf(Entry::gone);
-            held.values().removeIf(Entry::gone);
+            live.values().removeIf(Entry::removed);
+            held.values().removeIf(Entry::removed);
             assertEquals(live, held);
-            assertEquals(Versions.of(NAME, version), has);
+            assertEquals(VersionVector.of(NAME, version), has);
         }
     }
 
--- a/lists/src/test/java/topazvalve/lists/VersionsTest.java
+++ b/discovery-state/src/test/java/topazvalve/discovery/state/VersionsTest.java
@@ -1,4 +1,4 @@
-package topazvalve.lists;
+package topazvalve.discovery.state;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -14,12 +14,12 @@
 class VersionsTest {
     @Test
     void whatIsWrittenIsRead() {
-        Versions versions = Versions.of("us", new Version(0, 7)).with("eu", new Version(3, 41));
+        VersionVector versions = VersionVector.of("us", new SourceVersion(0, 7)).with("eu", new SourceVersion(3, 41));
         assertEquals("eu:3.41,us:0.7", versions.toString());
-        assertEquals(versions, Versions.parse(versions.toString()));
-        assertEquals(Versions.NONE, Versions.parse(""));
-        assertEquals(48, versions.sum());
-        assertNull(versions.at("ap"));
+        assertEquals(versions, VersionVector.parse(versions.toString()));
+        assertEquals(VersionVector.NONE, VersionVector.parse(""));
+        assertEquals(48, versions.revisionSum());
+        assertNull(versions.versionOf("ap"));
     }
 
     @ParameterizedTest
@@ -42,35 +42,37 @@
                 "eu:1.2.3"
             })
     void whatIsNoneIsRefused(String text) {
-        assertThrows(IllegalArgumentException.class, () -> Versions.parse(text));
+        assertThrows(IllegalArgumentException.class, () -> VersionVector.parse(text));
     }
 
     @Test
     void sourcesFromOutsideAreBounded() {
         StringBuilder text = new StringBuilder("s0:1.1");
-        for (int i = 1; i <= Versions.MOST_SOURCES; i++) {
+        for (int i = 1; i <= VersionVector.MAX_SOURCES; i++) {
             text.append(",s").append(i).append(":1.1");
         }
-        assertThrows(IllegalArgumentException.class, () -> Versions.parse(text.toString()));
+        assertThrows(IllegalArgumentException.class, () -> VersionVector.parse(text.toString()));
     }
 
     @Test
     void aLaterLifeIsNewerWhateverItsCount() {
-        Versions old = Versions.of("eu", new Version(1, 900));
-        Versions anew = Versions.of("eu", new Version(2, 5));
-        assertTrue(old.behind(anew));
-        assertFalse(anew.behind(old));
+        VersionVector old = VersionVector.of("eu", new SourceVersion(1, 900));
+        VersionVector anew = VersionVector.of("eu", new SourceVersion(2, 5));
+        assertTrue(old.isBehind(anew));
+        assertFalse(anew.isBehind(old));
     }
 
     @Test
     void withoutEpochsNobodyIsCalledBehind() {
-        assertFalse(Versions.of("eu", new Version(0, 5)).behind(Versions.of("eu", new Version(0, 900))));
-        assertFalse(Versions.of("eu", new Version(0, 5)).behind(Versions.of("us", new Version(1, 9))));
+        assertFalse(VersionVector.of("eu", new SourceVersion(0, 5))
+                .isBehind(VersionVector.of("eu", new SourceVersion(0, 900))));
+        assertFalse(VersionVector.of("eu", new SourceVersion(0, 5))
+                .isBehind(VersionVector.of("us", new SourceVersion(1, 9))));
     }
 
     @Test
     void whatIsNotToldOfStays() {
-        Versions had = Versions.parse("eu:1.4,us:1.9");
-        assertEquals("eu:1.5,us:1.9", had.after(Versions.parse("eu:1.5")).toString());
+        VersionVector had = VersionVector.parse("eu:1.4,us:1.9");
+        assertEquals("eu:1.5,us:1.9", had.merge(VersionVector.parse("eu:1.5")).toString());
     }
 }
--- a/fleet/src/main/java/topazvalve/fleet/hollow/Held.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/EndpointView.java
@@ -1,18 +1,18 @@
-package topazvalve.fleet.hollow;
+package topazvalve.hollowfleet.hollow;
 
 import java.util.BitSet;
 import java.util.List;
-import topazvalve.core.servers.Target;
-import topazvalve.decisions.Balancer.ListKind;
-import topazvalve.decisions.Balancer.State;
-import topazvalve.fleet.truth.Names;
-import topazvalve.fleet.truth.Truth;
+import topazvalve.core.endpoint.Endpoint;
+import topazvalve.hollowfleet.truth.ChangeHistory;
+import topazvalve.hollowfleet.truth.Names;
+import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.LoadBalancer.UpdateKind;
 
 /**
  * The list that one instance has in force, in four bytes a server: the number of the change that its entry
  * came from, and its state. Tells the oracle of every entry that takes the place of another. On one loop.
  */
-final class Held {
+final class EndpointView {
     /** What an instance's list does, one entry after the other. */
     interface Watcher {
         /**
@@ -23,18 +23,18 @@
          * @param had the state that was in force
          * @param has the state that is
          */
-        void replaced(int server, int before, State had, int now, State has);
+        void replaced(int server, int before, EndpointStatus had, int now, EndpointStatus has);
     }
 
     private static final int STATE_BITS = 2;
     private static final int STATE_MASK = 3;
-    private static final State[] STATES = State.values();
+    private static final EndpointStatus[] STATES = EndpointStatus.values();
 
-    private final Truth truth;
+    private final ChangeHistory truth;
     private final int[] entries;
     private int present;
 
-    Held(Truth truth) {
+    EndpointView(ChangeHistory truth) {
         this.truth = truth;
         this.entries = new int[truth.servers()];
     }
@@ -46,14 +46,14 @@
             int change = known.change(server);
             entries[server] =
                     change == 0 ? 0 : change << STATE_BITS | truth.state(change).ordinal();
-            present += state(server) == State.GONE ? 0 : 1;
+            present += state(server) == EndpointStatus.REMOVED ? 0 : 1;
         }
     }
 
     /** Takes a list or a change of it over. */
-    void take(ListKind kind, List<Target> targets, Watcher watcher) {
-        BitSet named = kind == ListKind.FULL ? new BitSet(entries.length) : null;
-        for (Target each : targets) {
+    void take(UpdateKind kind, List<Endpoint> targets, Watcher watcher) {
+        BitSet named = kind == UpdateKind.FULL ? new BitSet(entries.length) : null;
+        for (Endpoint each : targets) {
             int server = Names.number(each.uid());
             if (server < 0 || server >= entries.length) {
                 continue;
@@ -61,11 +61,11 @@
             if (named != null) {
                 named.set(server);
             }
-            if (each.state() == State.GONE && each.cell() == 0) {
+            if (each.status() == EndpointStatus.REMOVED && each.cell() == 0) {
                 // Who passes lists on and hears that a server is not in one knows no more of it.
                 gone(server, watcher);
             } else {
-                put(server, each.cell(), each.state(), watcher);
+                put(server, each.cell(), each.status(), watcher);
             }
         }
         if (named != null) {
@@ -78,14 +78,14 @@
     /** What a whole list leaves out is gone; by the newest change, if that says so. */
     private void gone(int server, Watcher watcher) {
         int latest = truth.latest(server);
-        boolean said = latest > change(server) && truth.state(latest) == State.GONE;
-        put(server, said ? latest : change(server), State.GONE, watcher);
+        boolean said = latest > change(server) && truth.state(latest) == EndpointStatus.REMOVED;
+        put(server, said ? latest : change(server), EndpointStatus.REMOVED, watcher);
     }
 
-    private void put(int server, int change, State state, Watcher watcher) {
+    private void put(int server, int change, EndpointStatus state, Watcher watcher) {
         int before = change(server);
-        State had = state(server);
-        present += (state == State.GONE ? 0 : 1) - (had == State.GONE ? 0 : 1);
+        EndpointStatus had = state(server);
+        present += (state == EndpointStatus.REMOVED ? 0 : 1) - (had == EndpointStatus.REMOVED ? 0 : 1);
         entries[server] = change << STATE_BITS | state.ordinal();
         if (before != change || had != state) {
             watcher.replaced(server, before, had, change, state);
@@ -98,7 +98,7 @@
     }
 
     /** The state in force; gone where there is no entry. */
-    State state(int server) {
+    EndpointStatus state(int server) {
         return STATES[entries[server] & STATE_MASK];
     }
 
--- a/fleet/src/main/java/topazvalve/fleet/hollow/HollowFleet.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/HollowFleet.java
@@ -1,4 +1,4 @@
-package topazvalve.fleet.hollow;
+package topazvalve.hollowfleet.hollow;
 
 import io.netty.channel.EventLoop;
 import java.lang.management.ManagementFactory;
@@ -13,16 +13,16 @@
 import java.util.function.IntFunction;
 import java.util.function.LongSupplier;
 import java.util.function.Predicate;
-import topazvalve.decisions.Options;
-import topazvalve.fleet.oracle.FleetOracle;
-import topazvalve.fleet.truth.Truth;
+import topazvalve.hollowfleet.oracle.FleetOracle;
+import topazvalve.hollowfleet.truth.ChangeHistory;
+import topazvalve.policy.SettingsReader;
 
 /**
  * All hollow sidecars of a run, spread over some loops. Its methods are for one thread that is none of them:
  * each has the work done on the loops and waits for it.
  */
 public final class HollowFleet {
-    private static final Options OPTIONS = new Options(String.join(
+    private static final SettingsReader OPTIONS = new SettingsReader(String.join(
             "\n",
             "discovery=subscribe",
             "quantum=5000000",
@@ -42,8 +42,8 @@
             "profiles.0.deadline=1000000000",
             "profiles.0.semantics=repeatable"));
 
-    private final List<LoopSide> sides = new ArrayList<>();
-    private final List<Hollow> instances = new ArrayList<>();
+    private final List<LoopMonitor> sides = new ArrayList<>();
+    private final List<HollowSidecar> instances = new ArrayList<>();
     private final List<Long> threads = new ArrayList<>();
     private final long seed;
     private long starts;
@@ -60,21 +60,21 @@
             List<EventLoop> loops,
             int count,
             IntFunction<Place> places,
-            Truth truth,
+            ChangeHistory truth,
             FleetOracle oracle,
             LongSupplier clock,
             int lists,
             long seed) {
         this.seed = seed;
         for (EventLoop loop : loops) {
-            LoopSide side = new LoopSide(loop, truth, oracle, clock, lists, truth.count());
+            LoopMonitor side = new LoopMonitor(loop, truth, oracle, clock, lists, truth.count());
             sides.add(side);
             threads.add(wait(loop.submit(() -> Thread.currentThread().getId())));
         }
         for (int i = 0; i < count; i++) {
-            LoopSide side = sides.get(i % sides.size());
+            LoopMonitor side = sides.get(i % sides.size());
             Place place = places.apply(i);
-            Hollow made = new Hollow(
+            HollowSidecar made = new HollowSidecar(
                     i, place.zone, place.source, side.loop(), place.targets, OPTIONS, clock, truth, side.observer());
             side.add(made);
             instances.add(made);
@@ -93,16 +93,16 @@
         }
     }
 
-    private <T> List<T> onLoops(Function<LoopSide, T> work) {
+    private <T> List<T> onLoops(Function<LoopMonitor, T> work) {
         List<Future<T>> all = new ArrayList<>();
-        for (LoopSide each : sides) {
+        for (LoopMonitor each : sides) {
             all.add(each.loop().submit((Callable<T>) () -> work.apply(each)));
         }
         return all.stream().map(HollowFleet::wait).toList();
     }
 
-    private void on(int instance, Consumer<Hollow> work) {
-        Hollow one = instances.get(instance);
+    private void on(int instance, Consumer<HollowSidecar> work) {
+        HollowSidecar one = instances.get(instance);
         one.loop().execute(() -> work.accept(one));
     }
 
@@ -113,14 +113,14 @@
     /** Starts an instance some time from now, with what it is to know; a new life has a new seed. */
     public void start(int instance, Known known, long delayNanos) {
         long life = seed * 31 + instance + ++starts * 1_000_003L;
-        Hollow one = instances.get(instance);
+        HollowSidecar one = instances.get(instance);
         one.loop().execute(one::starting);
         one.loop().schedule(() -> one.start(life, known), delayNanos, TimeUnit.NANOSECONDS);
     }
 
     /** Kills an instance. */
     public void kill(int instance) {
-        on(instance, Hollow::kill);
+        on(instance, HollowSidecar::kill);
     }
 
     /** From now on an instance reads what comes, or does not; while it does not, nothing is owed to it. */
@@ -141,7 +141,7 @@
 
     /** How many lack some of what is true now, of those that are owed anything. */
     public int behind() {
-        return onLoops(LoopSide::behind).stream().mapToInt(Integer::intValue).sum();
+        return onLoops(LoopMonitor::behind).stream().mapToInt(Integer::intValue).sum();
     }
 
     /** The source whose servers an instance is owed. */
@@ -150,9 +150,9 @@
     }
 
     /** What was measured since this was last asked. */
-    public Figures figures() {
-        Figures all = new Figures();
-        onLoops(LoopSide::turn).forEach(all::add);
+    public HollowMetrics figures() {
+        HollowMetrics all = new HollowMetrics();
+        onLoops(LoopMonitor::turn).forEach(all::add);
         return all;
     }
 
@@ -166,7 +166,7 @@
     /** Ends all. */
     public void close() {
         onLoops(side -> {
-            side.instances().forEach(Hollow::kill);
+            side.instances().forEach(HollowSidecar::kill);
             return null;
         });
     }
--- a/fleet/src/main/java/topazvalve/fleet/hollow/Figures.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/HollowMetrics.java
@@ -1,9 +1,9 @@
-package topazvalve.fleet.hollow;
+package topazvalve.hollowfleet.hollow;
 
 import org.HdrHistogram.Histogram;
 
 /** What was measured of some instances over some time; times in microseconds. */
-public final class Figures {
+public final class HollowMetrics {
     static final long LONGEST_MICROS = 3_600_000_000L;
     private static final int DIGITS = 3;
 
@@ -21,7 +21,7 @@
     long busiestWindow;
     long connections;
 
-    void add(Figures other) {
+    void add(HollowMetrics other) {
         changes.add(other.changes);
         caughtUp.add(other.caughtUp);
         answers.add(other.answers);
--- a/fleet/src/main/java/topazvalve/fleet/hollow/Hollow.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/HollowSidecar.java
@@ -1,32 +1,32 @@
-package topazvalve.fleet.hollow;
+package topazvalve.hollowfleet.hollow;
 
 import io.netty.channel.EventLoop;
 import java.util.List;
 import java.util.function.LongSupplier;
 import topazvalve.core.classes.ClassTable;
-import topazvalve.core.exchange.Exchanges;
+import topazvalve.core.endpoint.Endpoint;
+import topazvalve.core.endpoint.EndpointDiscovery;
+import topazvalve.core.exchange.ExchangeManager;
 import topazvalve.core.metrics.Metrics;
-import topazvalve.core.servers.ServerList;
-import topazvalve.core.servers.Target;
-import topazvalve.core.time.LoopTime;
-import topazvalve.core.time.Time;
-import topazvalve.decisions.Balancer.ListKind;
-import topazvalve.decisions.Balancer.State;
-import topazvalve.decisions.Options;
-import topazvalve.decisions.Rules;
-import topazvalve.fleet.truth.Names;
-import topazvalve.fleet.truth.Truth;
-import topazvalve.sidecar.discovery.Discovery;
-import topazvalve.sidecar.discovery.Listing;
-import topazvalve.sidecar.discovery.Relays;
+import topazvalve.core.time.EventLoopScheduler;
+import topazvalve.core.time.Scheduler;
+import topazvalve.discovery.client.DiscoveryClient;
+import topazvalve.discovery.client.EndpointUpdate;
+import topazvalve.discovery.client.RelaySelector;
+import topazvalve.hollowfleet.truth.ChangeHistory;
+import topazvalve.hollowfleet.truth.Names;
+import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.LoadBalancer.UpdateKind;
+import topazvalve.policy.SettingsReader;
+import topazvalve.policy.SidecarPolicy;
 
 /**
  * One sidecar without a request path: the real discovery client, the real decision module that says when to
  * follow and how long to back off, on the real loop's timers and sockets. The module is shown the first few
  * servers of each list alone, so that thousands fit into a process; the whole list in force is kept in
- * {@link Held}. On one loop.
+ * {@link EndpointView}. On one loop.
  */
-final class Hollow {
+final class HollowSidecar {
     /** The servers that the module is shown. */
     static final int SHOWN = 8;
 
@@ -35,12 +35,12 @@
     private final int source;
     private final EventLoop loop;
     private final Targets targets;
-    private final Options options;
+    private final SettingsReader options;
     private final LongSupplier clock;
     private final Observer observer;
-    private final Tap tap;
+    private final TrafficCounter tap;
     private final EventLoop tapped;
-    private final Held held;
+    private final EndpointView held;
     private Life life;
     private boolean empty;
     private boolean answered;
@@ -50,7 +50,7 @@
 
     /** What the oracle is told, on the instance's loop. */
     interface Observer {
-        void replaced(Hollow instance, int server, int before, State had, int now, State has);
+        void replaced(HollowSidecar instance, int server, int before, EndpointStatus had, int now, EndpointStatus has);
 
         /**
          * An answer was taken over.
@@ -58,19 +58,19 @@
          * @param first whether it is the first of this life
          * @param filled whether it is the whole list of one that had none
          */
-        void listed(Hollow instance, boolean first, boolean filled);
+        void listed(HollowSidecar instance, boolean first, boolean filled);
     }
 
     /** One that is not alive yet; {@code targets} is who serves it lists. */
-    Hollow(
+    HollowSidecar(
             int number,
             int zone,
             int source,
             EventLoop loop,
             Targets targets,
-            Options options,
+            SettingsReader options,
             LongSupplier clock,
-            Truth truth,
+            ChangeHistory truth,
             Observer observer) {
         this.number = number;
         this.zone = zone;
@@ -80,21 +80,21 @@
         this.options = options;
         this.clock = clock;
         this.observer = observer;
-        this.tap = new Tap(loop);
+        this.tap = new TrafficCounter(loop);
         this.tapped = tap.tapped();
-        this.held = new Held(truth);
+        this.held = new EndpointView(truth);
     }
 
     /** One life from a start to a kill: what is left of it after that does nothing. */
-    private final class Life implements ServerList, ServerList.Listener {
-        private final Exchanges<Object, Object> exchanges;
-        private final Discovery discovery;
+    private final class Life implements EndpointDiscovery, EndpointDiscovery.Listener {
+        private final ExchangeManager<Object, Object> exchanges;
+        private final DiscoveryClient discovery;
         private final long startedAt = clock.getAsLong();
         private boolean over;
 
         Life(long seed, Known known) {
-            Time time = new Time() {
-                private final Time real = new LoopTime(loop);
+            Scheduler time = new Scheduler() {
+                private final Scheduler real = new EventLoopScheduler(loop);
 
                 @Override
                 public long now() {
@@ -102,28 +102,28 @@
                 }
 
                 @Override
-                public Alarm after(long nanoseconds, Runnable action) {
-                    return real.after(nanoseconds, () -> {
+                public Timer schedule(long nanoseconds, Runnable action) {
+                    return real.schedule(nanoseconds, () -> {
                         if (!over) {
                             action.run();
                         }
                     });
                 }
             };
-            exchanges = new Exchanges<>(
+            exchanges = new ExchangeManager<>(
                     time,
                     options,
-                    (settings, actions) -> new Rules(settings, seed, actions),
-                    new NoBack(),
+                    (settings, actions) -> new SidecarPolicy(settings, seed, actions),
+                    new UnusedBackend(),
                     1,
                     new Metrics(),
                     new ClassTable());
-            discovery = new Discovery(
+            discovery = new DiscoveryClient(
                     tapped,
                     targets.source(),
-                    new Listing(known.rev(), true, known.shown(), known.versions()),
+                    new EndpointUpdate(known.rev(), true, known.shown(), known.versions()),
                     null,
-                    Relays.of("hollow-" + number, targets.relays(), seed),
+                    RelaySelector.of("hollow-" + number, targets.relays(), seed),
                     this);
         }
 
@@ -137,23 +137,23 @@
         }
 
         @Override
-        public void listed(ListKind kind, List<Target> targets) {
+        public void endpointsUpdated(UpdateKind kind, List<Endpoint> targets) {
             if (over) {
                 return;
             }
-            if (kind != ListKind.FAILED) {
+            if (kind != UpdateKind.FAILED) {
                 held.take(
                         kind,
                         targets,
                         (server, before, had, now, has) ->
-                                observer.replaced(Hollow.this, server, before, had, now, has));
+                                observer.replaced(HollowSidecar.this, server, before, had, now, has));
                 boolean first = !answered;
                 answered = true;
-                boolean filled = empty && kind == ListKind.FULL;
+                boolean filled = empty && kind == UpdateKind.FULL;
                 empty &= !filled;
-                observer.listed(Hollow.this, first, filled);
+                observer.listed(HollowSidecar.this, first, filled);
             }
-            exchanges.listed(
+            exchanges.endpointsUpdated(
                     kind,
                     targets.stream()
                             .filter(each -> {
@@ -261,11 +261,11 @@
         return loop;
     }
 
-    Tap tap() {
+    TrafficCounter tap() {
         return tap;
     }
 
-    Held held() {
+    EndpointView held() {
         return held;
     }
 
--- a/fleet/src/main/java/topazvalve/fleet/hollow/Known.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/Known.java
@@ -1,27 +1,27 @@
-package topazvalve.fleet.hollow;
+package topazvalve.hollowfleet.hollow;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import topazvalve.core.servers.Target;
-import topazvalve.decisions.Balancer.State;
-import topazvalve.fleet.truth.Names;
-import topazvalve.fleet.truth.Truth;
-import topazvalve.lists.Versions;
+import topazvalve.core.endpoint.Endpoint;
+import topazvalve.discovery.state.VersionVector;
+import topazvalve.hollowfleet.truth.ChangeHistory;
+import topazvalve.hollowfleet.truth.Names;
+import topazvalve.policy.LoadBalancer.EndpointStatus;
 
 /** The list that an instance is started with, shared by all that start with it. */
 public final class Known {
     /** Nothing is known. */
-    public static final Known NOTHING = new Known(0, new int[0], List.of(), Versions.NONE);
+    public static final Known NOTHING = new Known(0, new int[0], List.of(), VersionVector.NONE);
 
     private static final int HTTP_PORT = 8080;
 
     private final long rev;
     private final int[] changes;
-    private final List<Target> shown;
-    private final Versions versions;
+    private final List<Endpoint> shown;
+    private final VersionVector versions;
 
-    private Known(long rev, int[] changes, List<Target> shown, Versions versions) {
+    private Known(long rev, int[] changes, List<Endpoint> shown, VersionVector versions) {
         this.versions = versions;
         this.rev = rev;
         this.changes = changes;
@@ -35,19 +35,19 @@
      * @param versions the same as relays tell it
      * @param list which of the lists, of {@code lists}
      */
-    public static Known of(Truth truth, long rev, Versions versions, int list, int lists) {
+    public static Known of(ChangeHistory truth, long rev, VersionVector versions, int list, int lists) {
         int[] changes = new int[truth.servers()];
-        List<Target> shown = new ArrayList<>();
+        List<Endpoint> shown = new ArrayList<>();
         for (int server = list; server < changes.length; server += lists) {
             changes[server] = truth.latest(server);
-            if (shown.size() < Hollow.SHOWN && truth.state(changes[server]) == State.READY) {
-                shown.add(new Target(
+            if (shown.size() < HollowSidecar.SHOWN && truth.state(changes[server]) == EndpointStatus.READY) {
+                shown.add(new Endpoint(
                         Names.of(server),
                         InetSocketAddress.createUnresolved("known", HTTP_PORT),
                         "",
                         "",
                         changes[server],
-                        State.READY,
+                        EndpointStatus.READY,
                         1,
                         0));
             }
@@ -59,7 +59,7 @@
         return rev;
     }
 
-    Versions versions() {
+    VersionVector versions() {
         return versions;
     }
 
@@ -69,7 +69,7 @@
     }
 
     /** The few that the module is shown. */
-    List<Target> shown() {
+    List<Endpoint> shown() {
         return shown;
     }
 }
--- a/fleet/src/main/java/topazvalve/fleet/hollow/LoopSide.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/LoopMonitor.java
@@ -1,4 +1,4 @@
-package topazvalve.fleet.hollow;
+package topazvalve.hollowfleet.hollow;
 
 import io.netty.channel.EventLoop;
 import java.util.ArrayList;
@@ -6,27 +6,27 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 import org.HdrHistogram.Histogram;
-import topazvalve.decisions.Balancer.State;
-import topazvalve.fleet.oracle.FleetOracle;
-import topazvalve.fleet.truth.Truth;
+import topazvalve.hollowfleet.oracle.FleetOracle;
+import topazvalve.hollowfleet.truth.ChangeHistory;
+import topazvalve.policy.LoadBalancer.EndpointStatus;
 
 /**
  * The instances of one loop, watched from there: how long each change took to be in force, what each reads
  * and writes, and, every second, whether anything that is due is missing. On the loop alone, but for
- * {@link Figures}, which is handed out once it is no longer written.
+ * {@link HollowMetrics}, which is handed out once it is no longer written.
  */
-final class LoopSide {
+final class LoopMonitor {
     private static final long LOOK_MS = 1_000;
 
     private final EventLoop loop;
-    private final Truth truth;
+    private final ChangeHistory truth;
     private final FleetOracle oracle;
     private final LongSupplier clock;
     private final int lists;
     private final int first;
-    private final List<Hollow> instances = new ArrayList<>();
+    private final List<HollowSidecar> instances = new ArrayList<>();
     private final List<Meter> meters = new ArrayList<>();
-    private Figures figures = new Figures();
+    private HollowMetrics figures = new HollowMetrics();
     private long looks;
 
     /** What one instance has read and written in the last seconds. */
@@ -57,7 +57,7 @@
      *
      * @param first changes up to this one were made before anybody looked
      */
-    LoopSide(EventLoop loop, Truth truth, FleetOracle oracle, LongSupplier clock, int lists, int first) {
+    LoopMonitor(EventLoop loop, ChangeHistory truth, FleetOracle oracle, LongSupplier clock, int lists, int first) {
         this.loop = loop;
         this.truth = truth;
         this.oracle = oracle;
@@ -70,11 +70,11 @@
         return loop;
     }
 
-    List<Hollow> instances() {
+    List<HollowSidecar> instances() {
         return instances;
     }
 
-    void add(Hollow instance) {
+    void add(HollowSidecar instance) {
         instances.add(instance);
         meters.add(new Meter(oracle.allowed().windowSeconds()));
     }
@@ -85,10 +85,11 @@
     }
 
     /** What an instance has to say; part of it is the oracle's. */
-    Hollow.Observer observer() {
-        return new Hollow.Observer() {
+    HollowSidecar.Observer observer() {
+        return new HollowSidecar.Observer() {
             @Override
-            public void replaced(Hollow instance, int server, int before, State had, int now, State has) {
+            public void replaced(
+                    HollowSidecar instance, int server, int before, EndpointStatus had, int now, EndpointStatus has) {
                 long at = clock.getAsLong();
                 oracle.replaced(instance.number(), server, before, had, now, has, at);
                 if (!instance.empty()) {
@@ -97,7 +98,7 @@
             }
 
             @Override
-            public void listed(Hollow instance, boolean first, boolean filled) {
+            public void listed(HollowSidecar instance, boolean first, boolean filled) {
                 long took = clock.getAsLong() - instance.owedSince();
                 if (first) {
                     record(figures.answers, took);
@@ -110,7 +111,7 @@
     }
 
     /** Every change between the two counts as in force now: the later ones have taken their place. */
-    private void took(Hollow instance, int before, int now, long at) {
+    private void took(HollowSidecar instance, int before, int now, long at) {
         for (int change = now; change > Math.max(before, first); change = truth.before(change)) {
             boolean waited = truth.at(change) < instance.owedSince();
             record(waited ? figures.caughtUp : figures.changes, at - Math.max(truth.at(change), instance.owedSince()));
@@ -118,7 +119,7 @@
     }
 
     private static void record(Histogram to, long nanos) {
-        to.recordValue(Math.max(0, Math.min(nanos / 1_000, Figures.LONGEST_MICROS)));
+        to.recordValue(Math.max(0, Math.min(nanos / 1_000, HollowMetrics.LONGEST_MICROS)));
     }
 
     private void look() {
@@ -126,7 +127,7 @@
         looks++;
         int[][] due = new int[lists][];
         for (int i = 0; i < instances.size(); i++) {
-            Hollow each = instances.get(i);
+            HollowSidecar each = instances.get(i);
             Meter meter = meters.get(i);
             int bytes = meter.take(each.tap().bytes(), looks);
             figures.bytes += bytes;
@@ -145,7 +146,7 @@
         }
     }
 
-    private boolean late(Hollow instance, int[] due, long now) {
+    private boolean late(HollowSidecar instance, int[] due, long now) {
         int missing = 0;
         int example = 0;
         for (int server = 0; server < due.length; server++) {
@@ -164,7 +165,7 @@
     /** How many lack some of what is true now and owed to them, or are to start; on the loop. */
     int behind() {
         int behind = 0;
-        for (Hollow each : instances) {
+        for (HollowSidecar each : instances) {
             boolean lacks = each.isStarting() || (each.owed() && (!each.answered() || each.empty()));
             for (int server = each.source(); !lacks && each.owed() && server < truth.servers(); server += lists) {
                 lacks = !oracle.inForce(
@@ -178,11 +179,11 @@
     }
 
     /** The figures since this was last asked; each rule may be broken anew by each instance. */
-    Figures turn() {
-        Figures done = figures;
+    HollowMetrics turn() {
+        HollowMetrics done = figures;
         done.connections =
                 instances.stream().mapToLong(each -> each.tap().connections()).sum();
-        figures = new Figures();
+        figures = new HollowMetrics();
         meters.forEach(each -> {
             each.over = false;
             each.late = false;
--- a/fleet/src/main/java/topazvalve/fleet/hollow/Targets.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/Targets.java
@@ -1,4 +1,4 @@
-package topazvalve.fleet.hollow;
+package topazvalve.hollowfleet.hollow;
 
 import java.net.InetSocketAddress;
 import java.util.List;
--- a/fleet/src/main/java/topazvalve/fleet/hollow/Tap.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/TrafficCounter.java
@@ -1,4 +1,4 @@
-package topazvalve.fleet.hollow;
+package topazvalve.hollowfleet.hollow;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -19,14 +19,14 @@
  * the program puts there. Nothing else is changed. On one loop.
  */
 @ChannelHandler.Sharable
-final class Tap extends ChannelDuplexHandler {
+final class TrafficCounter extends ChannelDuplexHandler {
     private final EventLoop loop;
     private final Set<Channel> channels = new HashSet<>();
     private boolean reading = true;
     private long bytes;
     private long connections;
 
-    Tap(EventLoop loop) {
+    TrafficCounter(EventLoop loop) {
         this.loop = loop;
     }
 
--- a/fleet/src/main/java/topazvalve/fleet/hollow/NoBack.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/UnusedBackend.java
@@ -1,41 +1,41 @@
-package topazvalve.fleet.hollow;
+package topazvalve.hollowfleet.hollow;
 
 import java.net.InetSocketAddress;
 import topazvalve.core.pool.Attempt;
 import topazvalve.core.pool.AttemptListener;
-import topazvalve.core.pool.Back;
+import topazvalve.core.pool.Backend;
 import topazvalve.core.stream.RequestBody;
-import topazvalve.decisions.Options;
+import topazvalve.policy.SettingsReader;
 
 /** The request path that a hollow sidecar does not have: no request comes, so nothing is ever sent. */
-final class NoBack implements Back<Object, Object> {
+final class UnusedBackend implements Backend<Object, Object> {
     @Override
-    public Attempt<Object, Object> send(
+    public Attempt<Object, Object> startAttempt(
             long server, Object message, RequestBody body, long wait, AttemptListener<Object, Object> listener) {
         throw new UnsupportedOperationException("a hollow sidecar sends no request");
     }
 
     @Override
-    public void probe(long server, AttemptListener<Object, Object> listener) {
+    public void sendHealthCheck(long server, AttemptListener<Object, Object> listener) {
         throw new UnsupportedOperationException("a hollow sidecar probes no server");
     }
 
     @Override
-    public void listed(long server, InetSocketAddress address, long startedMs, boolean ready) {}
+    public void endpointUpdated(long server, InetSocketAddress address, long startedMs, boolean ready) {}
 
     @Override
-    public void gone(long server) {}
+    public void endpointRemoved(long server) {}
 
     @Override
-    public int listed() {
+    public int endpointCount() {
         return 0;
     }
 
     @Override
-    public void closeIdle(long server) {}
+    public void closeIdleConnections(long server) {}
 
     @Override
-    public void retune(Options options) {}
+    public void settingsChanged(SettingsReader options) {}
 
     @Override
     public void close() {}
--- a/fleet/src/main/java/topazvalve/fleet/hollow/package-info.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/package-info.java
@@ -1,2 +1,2 @@
 /** Hollow sidecars: all that a sidecar does for control, on real sockets, without the request path. */
-package topazvalve.fleet.hollow;
+package topazvalve.hollowfleet.hollow;
--- a/fleet/src/main/java/topazvalve/fleet/oracle/Allowed.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/oracle/Allowed.java
@@ -1,4 +1,4 @@
-package topazvalve.fleet.oracle;
+package topazvalve.hollowfleet.oracle;
 
 /**
  * The budgets that the oracle holds instances to.
--- a/fleet/src/main/java/topazvalve/fleet/oracle/FleetOracle.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/oracle/FleetOracle.java
@@ -1,4 +1,4 @@
-package topazvalve.fleet.oracle;
+package topazvalve.hollowfleet.oracle;
 
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -6,18 +6,18 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.function.IntUnaryOperator;
-import topazvalve.decisions.Balancer.State;
-import topazvalve.fleet.truth.Names;
-import topazvalve.fleet.truth.Truth;
+import topazvalve.hollowfleet.truth.ChangeHistory;
+import topazvalve.hollowfleet.truth.Names;
+import topazvalve.policy.LoadBalancer.EndpointStatus;
 
 /**
  * Judges what instances have in force against what their sources had, and when. Told from many loops; all
- * times are the caller's, in nanoseconds on the clock that {@link Truth} is written by.
+ * times are the caller's, in nanoseconds on the clock that {@link ChangeHistory} is written by.
  */
 public final class FleetOracle {
     private static final int EXAMPLES = 5;
 
-    private final Truth truth;
+    private final ChangeHistory truth;
     private final Allowed allowed;
     private final Map<Rule, Integer> counts = new EnumMap<>(Rule.class);
     private final List<Finding> examples = new ArrayList<>();
@@ -25,7 +25,7 @@
     /** One thing found wrong: what, when (nanoseconds) and with whom. */
     public record Finding(Rule rule, long at, String text) {}
 
-    public FleetOracle(Truth truth, Allowed allowed) {
+    public FleetOracle(ChangeHistory truth, Allowed allowed) {
         this.truth = truth;
         this.allowed = allowed;
     }
@@ -35,9 +35,10 @@
     }
 
     /** An entry took another's place at an instance: change {@code now} after {@code before}, 0 for none. */
-    public void replaced(int instance, int server, int before, State had, int now, State has, long at) {
-        boolean said = before == 0 || truth.state(before) == State.READY;
-        if (now <= before && has == State.READY && had != State.READY && !said) {
+    public void replaced(
+            int instance, int server, int before, EndpointStatus had, int now, EndpointStatus has, long at) {
+        boolean said = before == 0 || truth.state(before) == EndpointStatus.READY;
+        if (now <= before && has == EndpointStatus.READY && had != EndpointStatus.READY && !said) {
             found(
                     Rule.RETURNED,
                     at,
@@ -65,7 +66,7 @@
     }
 
     /** Whether one change that is due is in force, or a newer one of the same server. */
-    public boolean inForce(int due, int held, State state) {
+    public boolean inForce(int due, int held, EndpointStatus state) {
         return due < held || (due == held && (due == 0 || truth.state(due) == state));
     }
 
--- a/fleet/src/main/java/topazvalve/fleet/oracle/Rule.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/oracle/Rule.java
@@ -1,4 +1,4 @@
-package topazvalve.fleet.oracle;
+package topazvalve.hollowfleet.oracle;
 
 /** What must never happen, whatever the machine is made to suffer. */
 public enum Rule {
--- a/fleet/src/main/java/topazvalve/fleet/oracle/package-info.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/oracle/package-info.java
@@ -1,2 +1,2 @@
 /** The rules that spreading lists is held to, checked from outside. No clock, no socket. */
-package topazvalve.fleet.oracle;
+package topazvalve.hollowfleet.oracle;
--- a/fleet/src/main/java/topazvalve/fleet/run/EmbeddedRelays.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/EmbeddedRelays.java
@@ -1,4 +1,4 @@
-package topazvalve.fleet.run;
+package topazvalve.hollowfleet.run;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.IntStream;
-import topazvalve.relay.Relay;
+import topazvalve.relay.DiscoveryRelay;
 import topazvalve.relay.RelaySettings;
 
 /** Relays in this process, each on a loop of its own; for the short forms. */
@@ -17,7 +17,7 @@
     private final MultiThreadIoEventLoopGroup group;
     private final List<EventLoop> loops;
     private final List<RelaySettings> settings = new ArrayList<>();
-    private final Relay[] relays;
+    private final DiscoveryRelay[] relays;
     private final long seed;
     private long starts;
 
@@ -28,7 +28,7 @@
         loops = IntStream.range(0, wanted.size())
                 .mapToObj(each -> (EventLoop) group.next())
                 .toList();
-        relays = new Relay[wanted.size()];
+        relays = new DiscoveryRelay[wanted.size()];
         for (int i = 0; i < relays.length; i++) {
             settings.add(wanted.get(i));
             start(i);
@@ -41,10 +41,10 @@
                 old.name(),
                 listen,
                 old.sources(),
-                old.mostCallers(),
-                old.callerBytes(),
+                old.maxSubscribers(),
+                old.subscriberBufferBytes(),
                 old.loggedEntries(),
-                old.stallMs());
+                old.stallTimeoutMillis());
     }
 
     @Override
@@ -59,7 +59,7 @@
 
     @Override
     public void start(int relay) {
-        relays[relay] = new Relay(loops.get(relay), settings.get(relay), seed + 7_919 * ++starts);
+        relays[relay] = new DiscoveryRelay(loops.get(relay), settings.get(relay), seed + 7_919 * ++starts);
         relays[relay].start().syncUninterruptibly();
     }
 
@@ -80,7 +80,7 @@
 
     @Override
     public void close() {
-        for (Relay each : relays) {
+        for (DiscoveryRelay each : relays) {
             each.close().syncUninterruptibly();
         }
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
--- a/fleet/src/main/java/topazvalve/fleet/run/FleetReport.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/FleetReport.java
@@ -1,11 +1,11 @@
-package topazvalve.fleet.run;
+package topazvalve.hollowfleet.run;
 
 import java.io.PrintWriter;
 import java.util.Locale;
 import java.util.stream.Collectors;
 import org.HdrHistogram.Histogram;
-import topazvalve.fleet.oracle.FleetOracle;
-import topazvalve.fleet.timeline.Timeline;
+import topazvalve.hollowfleet.oracle.FleetOracle;
+import topazvalve.hollowfleet.timeline.Timeline;
 
 /** Says what came of each stage, beside what the plan allows. */
 public final class FleetReport {
--- a/fleet/src/main/java/topazvalve/fleet/run/FleetRun.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/FleetRun.java
@@ -1,4 +1,4 @@
-package topazvalve.fleet.run;
+package topazvalve.hollowfleet.run;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -16,24 +16,24 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
-import topazvalve.decisions.Balancer.State;
-import topazvalve.fleet.hollow.Figures;
-import topazvalve.fleet.hollow.HollowFleet;
-import topazvalve.fleet.hollow.Known;
-import topazvalve.fleet.hollow.Targets;
-import topazvalve.fleet.oracle.FleetOracle;
-import topazvalve.fleet.oracle.Rule;
-import topazvalve.fleet.source.Link;
-import topazvalve.fleet.source.Source;
-import topazvalve.fleet.timeline.Timeline;
-import topazvalve.fleet.timeline.Timeline.From;
-import topazvalve.fleet.timeline.Timeline.Size;
-import topazvalve.fleet.timeline.Timeline.Stage;
-import topazvalve.fleet.truth.Truth;
-import topazvalve.lists.Version;
-import topazvalve.lists.Versions;
+import topazvalve.discovery.state.SourceVersion;
+import topazvalve.discovery.state.VersionVector;
+import topazvalve.hollowfleet.hollow.HollowFleet;
+import topazvalve.hollowfleet.hollow.HollowMetrics;
+import topazvalve.hollowfleet.hollow.Known;
+import topazvalve.hollowfleet.hollow.Targets;
+import topazvalve.hollowfleet.oracle.FleetOracle;
+import topazvalve.hollowfleet.oracle.Rule;
+import topazvalve.hollowfleet.source.SimulatedLink;
+import topazvalve.hollowfleet.source.SourceStandIn;
+import topazvalve.hollowfleet.timeline.Timeline;
+import topazvalve.hollowfleet.timeline.Timeline.From;
+import topazvalve.hollowfleet.timeline.Timeline.Size;
+import topazvalve.hollowfleet.timeline.Timeline.Stage;
+import topazvalve.hollowfleet.truth.ChangeHistory;
+import topazvalve.policy.LoadBalancer.EndpointStatus;
 import topazvalve.relay.RelaySettings;
-import topazvalve.world.model.Chance;
+import topazvalve.simulation.model.RandomStreams;
 
 /** Plays one timeline on loopback, in real time, from the caller's thread. */
 public final class FleetRun implements AutoCloseable {
@@ -47,7 +47,7 @@
     private final Timeline timeline;
     private final Size size;
     private final long zero = System.nanoTime();
-    private final Truth truth;
+    private final ChangeHistory truth;
     private final FleetOracle oracle;
     private final Sources sources;
     private final MultiThreadIoEventLoopGroup loops;
@@ -58,7 +58,7 @@
     /** How many lists sidecars follow in all: relays make one of all sources'. */
     private final int lists;
 
-    private final Chance chance;
+    private final RandomStreams chance;
     private final List<Integer> stalled = new ArrayList<>();
     private Map<Rule, Integer> foundBefore = Map.of();
 
@@ -71,11 +71,11 @@
     public FleetRun(Timeline timeline, long seed, Path home, int packagedOnes) {
         this.timeline = timeline;
         this.size = timeline.size();
-        this.truth = new Truth(size.servers(), timeline.mostChanges());
+        this.truth = new ChangeHistory(size.servers(), timeline.mostChanges());
         this.oracle = new FleetOracle(truth, timeline.allowed());
-        this.chance = Chance.stream(seed, "fleet");
+        this.chance = RandomStreams.stream(seed, "fleet");
         this.sources = new Sources(timeline, truth, oracle, this::now);
-        IntStream.range(0, size.servers()).forEach(each -> sources.of(each).change(each, State.READY));
+        IntStream.range(0, size.servers()).forEach(each -> sources.of(each).change(each, EndpointStatus.READY));
         sources.settle();
         this.lists = timeline.relays().count() > 0 ? 1 : size.sources();
         this.relays = relays(seed);
@@ -190,7 +190,7 @@
         }
 
         StageResult result(String name, int made, int behind) {
-            Figures figures = fleet.figures();
+            HollowMetrics figures = fleet.figures();
             double took = now() - at;
             long[] cpuNow = sources.cpu();
             double busiest = IntStream.range(0, cpuNow.length)
@@ -273,7 +273,7 @@
             fleet.reading(each, false);
             stalled.add(each);
         });
-        if (stage.link().kind() != Link.Kind.OPEN) {
+        if (stage.link().kind() != SimulatedLink.Kind.OPEN) {
             if (relays == null) {
                 fleet.reachable(stage.zones()::contains, stage.link().answers());
             }
@@ -285,7 +285,7 @@
         reachable(stage, 0, false);
         if (stage.sourceDown() > 0) {
             fleet.reachable(zone -> true, false);
-            sources.all(Source::stop);
+            sources.all(SourceStandIn::stop);
         }
     }
 
@@ -297,8 +297,8 @@
     }
 
     private void mend(Stage stage) {
-        if (stage.link().kind() != Link.Kind.OPEN) {
-            sources.link(stage.zones(), Link.OPEN);
+        if (stage.link().kind() != SimulatedLink.Kind.OPEN) {
+            sources.link(stage.zones(), SimulatedLink.OPEN);
             sources.settle();
             if (relays == null) {
                 fleet.reachable(stage.zones()::contains, true);
@@ -310,8 +310,8 @@
 
     private Known[] known() {
         // Changes are made by this thread alone, so that nothing changes meanwhile.
-        Version[] versions = new Version[size.sources()];
-        Versions all = Versions.NONE;
+        SourceVersion[] versions = new SourceVersion[size.sources()];
+        VersionVector all = VersionVector.NONE;
         for (int i = 0; i < versions.length; i++) {
             versions[i] = sources.number(i).version();
             all = all.with("source-" + i, versions[i]);
@@ -319,18 +319,18 @@
         Known[] known = new Known[lists];
         for (int i = 0; i < lists; i++) {
             known[i] = relays == null
-                    ? Known.of(truth, versions[i].rev(), Versions.NONE, i, lists)
-                    : Known.of(truth, all.sum(), all, 0, 1);
+                    ? Known.of(truth, versions[i].revision(), VersionVector.NONE, i, lists)
+                    : Known.of(truth, all.revisionSum(), all, 0, 1);
         }
         return known;
     }
 
     /** A server's next state: serving, then draining, then gone, then serving anew. */
     private void change(int server) {
-        State next = switch (truth.state(truth.latest(server))) {
-            case READY -> State.DRAINING;
-            case DRAINING -> State.GONE;
-            case GONE -> State.READY;
+        EndpointStatus next = switch (truth.state(truth.latest(server))) {
+            case READY -> EndpointStatus.DRAINING;
+            case DRAINING -> EndpointStatus.REMOVED;
+            case REMOVED -> EndpointStatus.READY;
         };
         sources.of(server).change(server, next);
     }
--- a/fleet/src/main/java/topazvalve/fleet/run/PackagedSidecars.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/PackagedSidecars.java
@@ -1,4 +1,4 @@
-package topazvalve.fleet.run;
+package topazvalve.hollowfleet.run;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -10,7 +10,7 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import topazvalve.world.process.RunLine;
+import topazvalve.simulation.process.RunLine;
 
 /**
  * Packaged sidecars that follow the same source beside the hollow ones, from nothing and without requests:
--- a/fleet/src/main/java/topazvalve/fleet/run/Preflight.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/Preflight.java
@@ -1,12 +1,12 @@
-package topazvalve.fleet.run;
+package topazvalve.hollowfleet.run;
 
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import topazvalve.fleet.timeline.Timeline;
-import topazvalve.fleet.timeline.Timeline.Size;
+import topazvalve.hollowfleet.timeline.Timeline;
+import topazvalve.hollowfleet.timeline.Timeline.Size;
 
 /**
  * Whether the machine has room for a fleet: descriptors, ports, memory. What is short is told with what to
--- a/fleet/src/main/java/topazvalve/fleet/run/RelayProcesses.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/RelayProcesses.java
@@ -1,4 +1,4 @@
-package topazvalve.fleet.run;
+package topazvalve.hollowfleet.run;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -60,7 +60,7 @@
                 "name = \"%s\"%nlisten = \"%s\"%nmost_callers = %d%n",
                 settings.name(),
                 text(listen),
-                settings.mostCallers()));
+                settings.maxSubscribers()));
         settings.sources()
                 .forEach(each -> text.append(String.format(
                         Locale.ROOT,
--- a/fleet/src/main/java/topazvalve/fleet/run/RelayTier.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/RelayTier.java
@@ -1,4 +1,4 @@
-package topazvalve.fleet.run;
+package topazvalve.hollowfleet.run;
 
 import java.net.InetSocketAddress;
 import java.util.List;
--- a/fleet/src/main/java/topazvalve/fleet/run/Sources.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/Sources.java
@@ -1,4 +1,4 @@
-package topazvalve.fleet.run;
+package topazvalve.hollowfleet.run;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -12,21 +12,21 @@
 import java.util.function.LongSupplier;
 import java.util.function.ToLongFunction;
 import java.util.stream.IntStream;
-import topazvalve.fleet.oracle.FleetOracle;
-import topazvalve.fleet.source.Link;
-import topazvalve.fleet.source.Source;
-import topazvalve.fleet.source.SourceCounts;
-import topazvalve.fleet.timeline.Timeline;
-import topazvalve.fleet.truth.Truth;
+import topazvalve.hollowfleet.oracle.FleetOracle;
+import topazvalve.hollowfleet.source.SimulatedLink;
+import topazvalve.hollowfleet.source.SourceCounts;
+import topazvalve.hollowfleet.source.SourceStandIn;
+import topazvalve.hollowfleet.timeline.Timeline;
+import topazvalve.hollowfleet.truth.ChangeHistory;
 
 /** The sources of a run, each on a loop of its own. Servers belong to them in turn. */
 public final class Sources implements AutoCloseable {
-    private final List<Source> all = new ArrayList<>();
+    private final List<SourceStandIn> all = new ArrayList<>();
     private final List<InetSocketAddress[]> addresses = new ArrayList<>();
     private final List<Long> threads = new ArrayList<>();
     private final MultiThreadIoEventLoopGroup group;
 
-    Sources(Timeline timeline, Truth truth, FleetOracle oracle, LongSupplier clock) {
+    Sources(Timeline timeline, ChangeHistory truth, FleetOracle oracle, LongSupplier clock) {
         int count = timeline.size().sources();
         List<String> zones = IntStream.range(0, timeline.size().zones())
                 .mapToObj(each -> "z" + each)
@@ -35,7 +35,7 @@
         for (int i = 0; i < count; i++) {
             EventLoop loop = group.next();
             String name = "source " + i;
-            Source source = new Source(
+            SourceStandIn source = new SourceStandIn(
                     loop,
                     truth,
                     clock,
@@ -55,12 +55,12 @@
     }
 
     /** The source that tells of a server. */
-    Source of(int server) {
+    SourceStandIn of(int server) {
         return all.get(server % all.size());
     }
 
     /** One source by its number. */
-    public Source number(int source) {
+    public SourceStandIn number(int source) {
         return all.get(source);
     }
 
@@ -68,11 +68,11 @@
         return addresses.get(source)[zone];
     }
 
-    void all(Consumer<Source> work) {
+    void all(Consumer<SourceStandIn> work) {
         all.forEach(work);
     }
 
-    void link(List<Integer> zones, Link link) {
+    void link(List<Integer> zones, SimulatedLink link) {
         zones.forEach(zone -> all.forEach(each -> each.link(zone, link)));
     }
 
@@ -82,7 +82,7 @@
     }
 
     private long sum(ToLongFunction<SourceCounts> count) {
-        return all.stream().map(Source::counts).mapToLong(count).sum();
+        return all.stream().map(SourceStandIn::counts).mapToLong(count).sum();
     }
 
     long calls() {
@@ -105,7 +105,7 @@
     /** The most calls at one source in a second since this was last asked. */
     int busiest() {
         return all.stream()
-                .map(Source::counts)
+                .map(SourceStandIn::counts)
                 .mapToInt(SourceCounts::busiest)
                 .max()
                 .orElse(0);
--- a/fleet/src/main/java/topazvalve/fleet/run/StageResult.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/StageResult.java
@@ -1,8 +1,8 @@
-package topazvalve.fleet.run;
+package topazvalve.hollowfleet.run;
 
 import java.util.Map;
-import topazvalve.fleet.hollow.Figures;
-import topazvalve.fleet.oracle.Rule;
+import topazvalve.hollowfleet.hollow.HollowMetrics;
+import topazvalve.hollowfleet.oracle.Rule;
 
 /**
  * What came of one stage.
@@ -28,7 +28,7 @@
 public record StageResult(
         String name,
         int made,
-        Figures figures,
+        HollowMetrics figures,
         int behind,
         double seconds,
         long calls,
--- a/fleet/src/main/java/topazvalve/fleet/run/package-info.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/package-info.java
@@ -1,2 +1,2 @@
 /** Plays a timeline: sources, hollow sidecars, what happens to them, and what came of it. */
-package topazvalve.fleet.run;
+package topazvalve.hollowfleet.run;
--- a/fleet/src/main/java/topazvalve/fleet/source/CallQueue.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/CallQueue.java
@@ -1,4 +1,4 @@
-package topazvalve.fleet.source;
+package topazvalve.hollowfleet.source;
 
 /**
  * Calls in turn, as a service of bounded capacity answers them. A call takes one call's time, or as many as
--- a/fleet/src/main/java/topazvalve/fleet/source/Catalogue.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/Catalogue.java
@@ -1,4 +1,4 @@
-package topazvalve.fleet.source;
+package topazvalve.hollowfleet.source;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -11,8 +11,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import topazvalve.decisions.Balancer.State;
-import topazvalve.fleet.truth.Names;
+import topazvalve.hollowfleet.truth.Names;
+import topazvalve.policy.LoadBalancer.EndpointStatus;
 
 /**
  * The list of one source: each server's newest entry, a bounded log of changes, and every text that is sent,
@@ -44,9 +44,9 @@
     }
 
     /** Takes a change over, under the next version. */
-    void put(int server, State state, int number) {
+    void put(int server, EndpointStatus state, int number) {
         String entry = entry(server, state, number);
-        if (state == State.GONE) {
+        if (state == EndpointStatus.REMOVED) {
             entries.remove(server);
             gone.put(server, entry);
         } else {
@@ -164,11 +164,11 @@
         return Unpooled.directBuffer(bytes.length, bytes.length).writeBytes(bytes);
     }
 
-    private String entry(int server, State state, int number) {
+    private String entry(int server, EndpointStatus state, int number) {
         String word = switch (state) {
             case READY -> "SERVING";
             case DRAINING -> "DRAINING";
-            case GONE -> "DELETED";
+            case REMOVED -> "DELETED";
         };
         return "{\"uid\":\"" + Names.of(server) + "\",\"endpoint\":\"10." + (server >> 16 & 0xff) + '.'
                 + (server >> 8 & 0xff) + '.' + (server & 0xff) + ':' + HTTP_PORT + "\",\"az\":\""
--- a/fleet/src/main/java/topazvalve/fleet/source/Link.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/SimulatedLink.java
@@ -1,4 +1,4 @@
-package topazvalve.fleet.source;
+package topazvalve.hollowfleet.source;
 
 /**
  * The network between a source and those who ask from one zone.
@@ -6,7 +6,7 @@
  * @param kind what becomes of bytes
  * @param delay for {@link Kind#SLOW}: how late each write goes out, nanoseconds
  */
-public record Link(Kind kind, long delay) {
+public record SimulatedLink(Kind kind, long delay) {
     /** What a link does. */
     public enum Kind {
         /** Nothing is wrong. */
@@ -21,7 +21,7 @@
         REFUSING
     }
 
-    public static final Link OPEN = new Link(Kind.OPEN, 0);
+    public static final SimulatedLink OPEN = new SimulatedLink(Kind.OPEN, 0);
 
     /** Whether nothing gets through. */
     public boolean blocked() {
--- a/fleet/src/main/java/topazvalve/fleet/source/SourceSettings.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/SourceSettings.java
@@ -1,4 +1,4 @@
-package topazvalve.fleet.source;
+package topazvalve.hollowfleet.source;
 
 /**
  * What a source can do.
--- a/fleet/src/main/java/topazvalve/fleet/source/Source.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/SourceStandIn.java
@@ -1,4 +1,4 @@
-package topazvalve.fleet.source;
+package topazvalve.hollowfleet.source;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -26,9 +26,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntConsumer;
 import java.util.function.LongSupplier;
-import topazvalve.decisions.Balancer.State;
-import topazvalve.fleet.truth.Truth;
-import topazvalve.lists.Version;
+import topazvalve.discovery.state.SourceVersion;
+import topazvalve.hollowfleet.truth.ChangeHistory;
+import topazvalve.policy.LoadBalancer.EndpointStatus;
 
 /**
  * A source of lists on loopback: the whole list, and a watch on its changes, one JSON object a line, with an
@@ -38,7 +38,7 @@
  * <p>A watch that can't be written to is passed over until it can, and then brought to the newest state: it
  * holds a version, not a queue. What is told in one tick goes out in one write, shared by all watches.
  */
-public final class Source {
+public final class SourceStandIn {
     private static final long BEAT_MS = 2_000;
     private static final long TICK_MS = 20;
     private static final int BEAT_SLOTS = 20;
@@ -53,14 +53,14 @@
             text("HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n" + "connection: close\r\n\r\n");
 
     private final EventLoop loop;
-    private final Truth truth;
+    private final ChangeHistory truth;
     private final LongSupplier clock;
     private final SourceSettings settings;
     private final Catalogue catalogue;
     private final CallQueue queue;
     private final SourceCounts counts = new SourceCounts();
     private final InetSocketAddress[] addresses;
-    private final Link[] links;
+    private final SimulatedLink[] links;
     private final Channel[] listeners;
     private final IntConsumer busySecond;
     private final Set<Caller> callers = new HashSet<>();
@@ -78,9 +78,9 @@
      * @param clock nanoseconds, the one that {@code truth} is written by
      * @param busySecond told, on the loop, how many calls have come in a second, each time one comes
      */
-    public Source(
+    public SourceStandIn(
             EventLoop loop,
-            Truth truth,
+            ChangeHistory truth,
             LongSupplier clock,
             SourceSettings settings,
             List<String> zones,
@@ -93,9 +93,9 @@
         this.catalogue = new Catalogue(settings.kept(), settings.epoch(), 1, zones.toArray(new String[0]));
         this.queue = new CallQueue(settings.capacity(), settings.callLines(), settings.timeout());
         this.addresses = new InetSocketAddress[zones.size()];
-        this.links = new Link[zones.size()];
+        this.links = new SimulatedLink[zones.size()];
         this.listeners = new Channel[zones.size()];
-        Arrays.fill(links, Link.OPEN);
+        Arrays.fill(links, SimulatedLink.OPEN);
         loop.scheduleWithFixedDelay(this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
         loop.scheduleWithFixedDelay(this::beat, BEAT_MS / BEAT_SLOTS, BEAT_MS / BEAT_SLOTS, TimeUnit.MILLISECONDS);
     }
@@ -134,7 +134,7 @@
     }
 
     /** From now on a server is in this state; told at the next tick. */
-    public void change(int server, State state) {
+    public void change(int server, EndpointStatus state) {
         loop.execute(() -> {
             int number = truth.changed(server, state, clock.getAsLong());
             catalogue.put(server, state, number);
@@ -142,8 +142,8 @@
     }
 
     /** The list's version, once all that was asked of this source before is done. Not from the loop. */
-    public Version version() {
-        return loop.submit(() -> new Version(catalogue.epoch(), catalogue.rev()))
+    public SourceVersion version() {
+        return loop.submit(() -> new SourceVersion(catalogue.epoch(), catalogue.rev()))
                 .syncUninterruptibly()
                 .getNow();
     }
@@ -154,7 +154,7 @@
     }
 
     /** As {@link #change}, but nobody is ever told: a fault to be found. */
-    public void swallow(int server, State state) {
+    public void swallow(int server, EndpointStatus state) {
         loop.execute(() -> truth.changed(server, state, clock.getAsLong()));
     }
 
@@ -168,9 +168,9 @@
     }
 
     /** From now on the network to the callers of a zone is like this. */
-    public void link(int zone, Link link) {
+    public void link(int zone, SimulatedLink link) {
         loop.execute(() -> {
-            boolean heals = links[zone].kind() == Link.Kind.CUT && link.kind() != Link.Kind.CUT;
+            boolean heals = links[zone].kind() == SimulatedLink.Kind.CUT && link.kind() != SimulatedLink.Kind.CUT;
             links[zone] = link;
             for (Caller each : List.copyOf(callers)) {
                 if (each.zone == zone) {
@@ -336,7 +336,7 @@
             } catch (NumberFormatException e) {
                 from = 0;
             }
-            long at = !uri.path().equals("/discovery/hosts") || links[zone].kind() == Link.Kind.REFUSING
+            long at = !uri.path().equals("/discovery/hosts") || links[zone].kind() == SimulatedLink.Kind.REFUSING
                     ? -1
                     : queue.answered(came, catalogue.entriesFor(from, watching));
             if (at < 0) {
@@ -403,7 +403,7 @@
         ChannelFuture write(ByteBuf bytes) {
             counts.bytes.add(bytes.readableBytes());
             ByteBuf sent = bytes.retainedDuplicate();
-            if (links[zone].kind() != Link.Kind.SLOW) {
+            if (links[zone].kind() != SimulatedLink.Kind.SLOW) {
                 return channel.writeAndFlush(sent);
             }
             ChannelPromise later = channel.newPromise();
--- a/fleet/src/main/java/topazvalve/fleet/source/package-info.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/package-info.java
@@ -1,2 +1,2 @@
 /** The stand-in for the source of lists: the published form of discovery, with a capacity, and faults. */
-package topazvalve.fleet.source;
+package topazvalve.hollowfleet.source;
--- a/fleet/src/main/java/topazvalve/fleet/timeline/Timeline.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/timeline/Timeline.java
@@ -1,9 +1,9 @@
-package topazvalve.fleet.timeline;
+package topazvalve.hollowfleet.timeline;
 
 import java.util.List;
-import topazvalve.fleet.oracle.Allowed;
-import topazvalve.fleet.source.Link;
-import topazvalve.fleet.source.SourceSettings;
+import topazvalve.hollowfleet.oracle.Allowed;
+import topazvalve.hollowfleet.source.SimulatedLink;
+import topazvalve.hollowfleet.source.SourceSettings;
 
 /**
  * A fleet and what happens to it, stage after stage. Times are nanoseconds.
@@ -90,7 +90,7 @@
             int restart,
             From from,
             long down,
-            Link link,
+            SimulatedLink link,
             List<Integer> zones,
             long sourceDown,
             Versions versions,
--- a/fleet/src/main/java/topazvalve/fleet/timeline/TimelineFile.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/timeline/TimelineFile.java
@@ -1,4 +1,4 @@
-package topazvalve.fleet.timeline;
+package topazvalve.hollowfleet.timeline;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -8,14 +8,14 @@
 import java.util.List;
 import java.util.Set;
 import java.util.TreeSet;
-import topazvalve.fleet.oracle.Allowed;
-import topazvalve.fleet.source.Link;
-import topazvalve.fleet.source.SourceSettings;
-import topazvalve.fleet.timeline.Timeline.From;
-import topazvalve.fleet.timeline.Timeline.RelayCount;
-import topazvalve.fleet.timeline.Timeline.Size;
-import topazvalve.fleet.timeline.Timeline.Stage;
-import topazvalve.fleet.timeline.Timeline.Versions;
+import topazvalve.hollowfleet.oracle.Allowed;
+import topazvalve.hollowfleet.source.SimulatedLink;
+import topazvalve.hollowfleet.source.SourceSettings;
+import topazvalve.hollowfleet.timeline.Timeline.From;
+import topazvalve.hollowfleet.timeline.Timeline.RelayCount;
+import topazvalve.hollowfleet.timeline.Timeline.Size;
+import topazvalve.hollowfleet.timeline.Timeline.Stage;
+import topazvalve.hollowfleet.timeline.Timeline.Versions;
 import topazvalve.toml.Table;
 import topazvalve.toml.TomlFile;
 
@@ -25,7 +25,7 @@
 
     private TimelineFile() {}
 
-    /** Reads a file; {@link topazvalve.toml.BadFile} if it has faults. */
+    /** Reads a file; {@link topazvalve.toml.InvalidFileException} if it has faults. */
     public static Timeline read(Path file) throws IOException {
         return parse(file.toString(), Files.readString(file));
     }
@@ -86,9 +86,9 @@
     }
 
     private static Stage stage(Table table, Size size, RelayCount relays) {
-        Link.Kind kind = table.choice(Link.Kind.class, "link", Link.Kind.OPEN);
+        SimulatedLink.Kind kind = table.choice(SimulatedLink.Kind.class, "link", SimulatedLink.Kind.OPEN);
         long delay = table.duration("delay", "0", "0", "1m");
-        if (delay > 0 != (kind == Link.Kind.SLOW)) {
+        if (delay > 0 != (kind == SimulatedLink.Kind.SLOW)) {
             table.wrong("delay", "belongs to link = \"slow\", and has to be given there");
         }
         Set<Integer> zones = new TreeSet<>();
@@ -100,7 +100,7 @@
                 zones.add(zone);
             }
         }
-        if (zones.isEmpty() == (kind != Link.Kind.OPEN)) {
+        if (zones.isEmpty() == (kind != SimulatedLink.Kind.OPEN)) {
             table.wrong("link", "link and one of zones and regions belong together");
         }
         return new Stage(
@@ -114,7 +114,7 @@
                 table.whole("restart", 0, 0, size.hollow()),
                 table.choice(From.class, "from", From.KNOWN),
                 table.duration("down", "1s", "0", "10m"),
-                new Link(kind, delay),
+                new SimulatedLink(kind, delay),
                 List.copyOf(zones),
                 table.duration("source_down", "0", "0", "30m"),
                 table.choice(Versions.class, "versions", Versions.SAME),
--- a/fleet/src/main/java/topazvalve/fleet/timeline/package-info.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/timeline/package-info.java
@@ -1,2 +1,2 @@
 /** What is done to a fleet and when, read from an operator's file. */
-package topazvalve.fleet.timeline;
+package topazvalve.hollowfleet.timeline;
--- a/fleet/src/main/java/topazvalve/fleet/truth/Truth.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/truth/ChangeHistory.java
@@ -1,8 +1,8 @@
-package topazvalve.fleet.truth;
+package topazvalve.hollowfleet.truth;
 
 import java.util.concurrent.atomic.AtomicIntegerArray;
 import java.util.concurrent.atomic.AtomicLongArray;
-import topazvalve.decisions.Balancer.State;
+import topazvalve.policy.LoadBalancer.EndpointStatus;
 
 /**
  * Every change that any source ever made, numbered in one row over all sources and all their restarts. The
@@ -11,7 +11,7 @@
  *
  * <p>Sources add from their loops; anybody reads. Times are nanoseconds on one clock of the caller's.
  */
-public final class Truth {
+public final class ChangeHistory {
     private final int servers;
     private final AtomicLongArray times;
     /** Server, earlier change of it and state in one word. */
@@ -21,7 +21,7 @@
     private int last;
 
     /** Room for {@code most} changes, the first entry of each server among them. */
-    public Truth(int servers, int most) {
+    public ChangeHistory(int servers, int most) {
         this.servers = servers;
         this.times = new AtomicLongArray(most + 1);
         this.changes = new AtomicLongArray(most + 1);
@@ -29,7 +29,7 @@
     }
 
     /** Notes a change and returns its number; {@link IllegalStateException} if there is no more room. */
-    public synchronized int changed(int server, State state, long at) {
+    public synchronized int changed(int server, EndpointStatus state, long at) {
         if (last + 1 >= times.length()) {
             throw new IllegalStateException("more changes than the " + last + " there is room for");
         }
@@ -61,8 +61,8 @@
     }
 
     /** What a change made of its server. */
-    public State state(int number) {
-        return State.values()[(int) (changes.get(number) & 3)];
+    public EndpointStatus state(int number) {
+        return EndpointStatus.values()[(int) (changes.get(number) & 3)];
     }
 
     /** Whose change it was. */
--- a/fleet/src/main/java/topazvalve/fleet/truth/Names.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/truth/Names.java
@@ -1,4 +1,4 @@
-package topazvalve.fleet.truth;
+package topazvalve.hollowfleet.truth;
 
 /** The names of servers: their numbers, so that the oracle needs no table for each instance. */
 public final class Names {
--- a/fleet/src/main/java/topazvalve/fleet/truth/package-info.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/truth/package-info.java
@@ -1,2 +1,2 @@
 /** What the sources had at which time: what the oracle holds every instance against. No clock, no socket. */
-package topazvalve.fleet.truth;
+package topazvalve.hollowfleet.truth;
--- a/fleet/src/test/java/topazvalve/fleet/WallsTest.java
+++ b/hollow-fleet/src/test/java/topazvalve/hollowfleet/ArchitectureTest.java
@@ -1,4 +1,4 @@
-package topazvalve.fleet;
+package topazvalve.hollowfleet;
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
 import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
@@ -8,17 +8,17 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** Who judges knows neither clock nor socket, and the module's packages depend one way. */
-class WallsTest {
+/** The oracle uses neither clock nor socket, and the module's packages have no cycles. */
+class ArchitectureTest {
     private static final JavaClasses FLEET = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
-            .importPackages("topazvalve.fleet");
+            .importPackages("topazvalve.hollowfleet");
 
     @Test
-    void whoJudgesKnowsNeitherClockNorSocket() {
+    void oracleUsesNeitherClockNorSocket() {
         noClasses()
                 .that()
-                .resideInAnyPackage("..fleet.truth..", "..fleet.oracle..")
+                .resideInAnyPackage("..hollowfleet.truth..", "..hollowfleet.oracle..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("io.netty..", "java.net..")
@@ -31,6 +31,9 @@
 
     @Test
     void packagesHaveNoCycles() {
-        slices().matching("topazvalve.fleet.(*)..").should().beFreeOfCycles().check(FLEET);
+        slices().matching("topazvalve.hollowfleet.(*)..")
+                .should()
+                .beFreeOfCycles()
+                .check(FLEET);
     }
 }
--- a/fleet/src/test/java/topazvalve/fleet/oracle/FleetOracleTest.java
+++ b/hollow-fleet/src/test/java/topazvalve/hollowfleet/oracle/FleetOracleTest.java
@@ -1,4 +1,4 @@
-package topazvalve.fleet.oracle;
+package topazvalve.hollowfleet.oracle;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -7,42 +7,42 @@
 
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import topazvalve.decisions.Balancer.State;
-import topazvalve.fleet.truth.Truth;
+import topazvalve.hollowfleet.truth.ChangeHistory;
+import topazvalve.policy.LoadBalancer.EndpointStatus;
 
 /** Each rule with a fault that breaks it and no other, and what is no fault. */
 class FleetOracleTest {
     private static final long SECOND = 1_000_000_000L;
-    private final Truth truth = new Truth(2, 10);
+    private final ChangeHistory truth = new ChangeHistory(2, 10);
     private final FleetOracle oracle = new FleetOracle(truth, new Allowed(9 * SECOND, 6_000, 60));
-    private final int serving = truth.changed(0, State.READY, 0);
-    private final int draining = truth.changed(0, State.DRAINING, SECOND);
-    private final int gone = truth.changed(0, State.GONE, 2 * SECOND);
-    private final int back = truth.changed(0, State.READY, 20 * SECOND);
+    private final int serving = truth.changed(0, EndpointStatus.READY, 0);
+    private final int draining = truth.changed(0, EndpointStatus.DRAINING, SECOND);
+    private final int gone = truth.changed(0, EndpointStatus.REMOVED, 2 * SECOND);
+    private final int back = truth.changed(0, EndpointStatus.READY, 20 * SECOND);
 
     @Test
     void anOlderEntryInTheNewerOnesPlaceWentBack() {
-        oracle.replaced(1, 0, gone, State.GONE, draining, State.DRAINING, 3 * SECOND);
+        oracle.replaced(1, 0, gone, EndpointStatus.REMOVED, draining, EndpointStatus.DRAINING, 3 * SECOND);
         assertEquals(Map.of(Rule.WENT_BACK, 1), oracle.counts());
     }
 
     @Test
     void whoIsDrainedAndReadyByAnOlderEntryReturned() {
-        oracle.replaced(1, 0, draining, State.DRAINING, serving, State.READY, 3 * SECOND);
+        oracle.replaced(1, 0, draining, EndpointStatus.DRAINING, serving, EndpointStatus.READY, 3 * SECOND);
         assertEquals(Map.of(Rule.RETURNED, 1), oracle.counts());
     }
 
     @Test
     void whoIsGoneAndReadyUnderTheSameChangeReturned() {
-        oracle.replaced(1, 0, gone, State.GONE, gone, State.READY, 3 * SECOND);
+        oracle.replaced(1, 0, gone, EndpointStatus.REMOVED, gone, EndpointStatus.READY, 3 * SECOND);
         assertEquals(Map.of(Rule.RETURNED, 1), oracle.counts());
     }
 
     @Test
     void newerEntriesAndTheSourcesOwnReturnsAreNoFault() {
-        oracle.replaced(1, 0, 0, State.GONE, serving, State.READY, 0);
-        oracle.replaced(1, 0, serving, State.READY, gone, State.GONE, 3 * SECOND);
-        oracle.replaced(1, 0, gone, State.GONE, back, State.READY, 20 * SECOND);
+        oracle.replaced(1, 0, 0, EndpointStatus.REMOVED, serving, EndpointStatus.READY, 0);
+        oracle.replaced(1, 0, serving, EndpointStatus.READY, gone, EndpointStatus.REMOVED, 3 * SECOND);
+        oracle.replaced(1, 0, gone, EndpointStatus.REMOVED, back, EndpointStatus.READY, 20 * SECOND);
         assertEquals(Map.of(), oracle.counts());
     }
 
@@ -51,9 +51,10 @@
         assertArrayEquals(new int[] {gone, 0}, oracle.due(28 * SECOND, server -> 1));
         assertArrayEquals(new int[] {back, 0}, oracle.due(29 * SECOND, server -> 1));
         assertArrayEquals(new int[] {0, 0}, oracle.due(29 * SECOND, server -> 0));
-        assertFalse(oracle.inForce(gone, draining, State.DRAINING));
-        assertFalse(oracle.inForce(back, back, State.GONE), "left out of a whole list");
-        assertTrue(oracle.inForce(gone, gone, State.GONE) && oracle.inForce(gone, back, State.READY));
+        assertFalse(oracle.inForce(gone, draining, EndpointStatus.DRAINING));
+        assertFalse(oracle.inForce(back, back, EndpointStatus.REMOVED), "left out of a whole list");
+        assertTrue(
+                oracle.inForce(gone, gone, EndpointStatus.REMOVED) && oracle.inForce(gone, back, EndpointStatus.READY));
         oracle.late(1, gone, 1, 12 * SECOND);
         assertEquals(Map.of(Rule.CHANGE_LATE, 1), oracle.counts());
     }
--- a/fleet/src/test/java/topazvalve/fleet/run/FleetRunTest.java
+++ b/hollow-fleet/src/test/java/topazvalve/hollowfleet/run/FleetRunTest.java
@@ -1,4 +1,4 @@
-package topazvalve.fleet.run;
+package topazvalve.hollowfleet.run;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,10 +11,10 @@
 import java.util.logging.Logger;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
-import topazvalve.decisions.Balancer.State;
-import topazvalve.fleet.oracle.Rule;
-import topazvalve.fleet.timeline.TimelineFile;
-import topazvalve.fleet.truth.Names;
+import topazvalve.hollowfleet.oracle.Rule;
+import topazvalve.hollowfleet.timeline.TimelineFile;
+import topazvalve.hollowfleet.truth.Names;
+import topazvalve.policy.LoadBalancer.EndpointStatus;
 
 /**
  * Some hollow sidecars on real sockets. What a machine without time to spare does to the 9 s is no concern of
@@ -139,7 +139,7 @@
         assertEquals(Set.of(Rule.WENT_BACK), found(FLEET + ALLOWED + CHANGES, 1, run -> {
             // Server 2 has change 3; 1 was server 0's.
             run.sources().number(0).plant(serving(2, 1));
-            run.sources().number(0).change(2, State.DRAINING);
+            run.sources().number(0).change(2, EndpointStatus.DRAINING);
         }));
     }
 
@@ -152,17 +152,17 @@
     @Test
     void aDrainedServerThatIsBackIsFound() {
         assertEquals(Set.of(Rule.RETURNED), found(FLEET + ALLOWED + CHANGES + CHANGES, 2, run -> {
-            run.sources().number(0).change(2, State.DRAINING);
+            run.sources().number(0).change(2, EndpointStatus.DRAINING);
             run.sources().number(0).tellNow();
             run.sources().number(0).plant(serving(2, 3));
-            run.sources().number(0).change(2, State.READY);
+            run.sources().number(0).change(2, EndpointStatus.READY);
         }));
     }
 
     @Test
     void aChangeThatNobodyIsToldIsFound() {
         String text = FLEET + "[allowed]\nlate = \"2s\"\n" + CHANGES.replace("60s", "6s");
-        assertTrue(found(text, 1, run -> run.sources().number(0).swallow(2, State.DRAINING))
+        assertTrue(found(text, 1, run -> run.sources().number(0).swallow(2, EndpointStatus.DRAINING))
                 .contains(Rule.CHANGE_LATE));
     }
 
--- a/fleet/src/test/java/topazvalve/fleet/run/PreflightTest.java
+++ b/hollow-fleet/src/test/java/topazvalve/hollowfleet/run/PreflightTest.java
@@ -1,12 +1,12 @@
-package topazvalve.fleet.run;
+package topazvalve.hollowfleet.run;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import topazvalve.fleet.timeline.Timeline;
-import topazvalve.fleet.timeline.TimelineFile;
+import topazvalve.hollowfleet.timeline.Timeline;
+import topazvalve.hollowfleet.timeline.TimelineFile;
 
 class PreflightTest {
     private static final String PORTS = "32768\t60999\n";
--- a/fleet/src/test/java/topazvalve/fleet/source/CallQueueTest.java
+++ b/hollow-fleet/src/test/java/topazvalve/hollowfleet/source/CallQueueTest.java
@@ -1,4 +1,4 @@
-package topazvalve.fleet.source;
+package topazvalve.hollowfleet.source;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/fleet/src/test/java/topazvalve/fleet/timeline/TimelineFileTest.java
+++ b/hollow-fleet/src/test/java/topazvalve/hollowfleet/timeline/TimelineFileTest.java
@@ -1,4 +1,4 @@
-package topazvalve.fleet.timeline;
+package topazvalve.hollowfleet.timeline;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -8,7 +8,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import topazvalve.toml.BadFile;
+import topazvalve.toml.InvalidFileException;
 
 class TimelineFileTest {
     private static final String SOUND = """
@@ -26,7 +26,7 @@
             """;
 
     private static void faulty(String text, String... parts) {
-        String message = assertThrows(BadFile.class, () -> TimelineFile.parse("t.toml", text))
+        String message = assertThrows(InvalidFileException.class, () -> TimelineFile.parse("t.toml", text))
                 .getMessage();
         for (String each : parts) {
             assertTrue(message.contains(each), message);
@@ -52,7 +52,7 @@
 
     @Test
     void theFilesThatComeWithItAreSound() throws Exception {
-        Path folder = Path.of("../world/fleets");
+        Path folder = Path.of("../simulation/fleets");
         try (var files = Files.list(folder)) {
             for (Path each : files.toList()) {
                 assertTrue(TimelineFile.read(each).stages().size() > 0, each.toString());
--- a/logging/src/main/java/topazvalve/logging/Logging.java
+++ b/logging/src/main/java/topazvalve/logging/Logging.java
@@ -43,7 +43,7 @@
     }
 
     private static void install() {
-        System.setProperty("java.util.logging.manager", SteadyManager.class.getName());
+        System.setProperty("java.util.logging.manager", ShutdownSafeLogManager.class.getName());
         String format = System.getProperty(FORMAT, "text");
         String level = System.getProperty(LEVEL, "info");
         Handler handler = new FlushingHandler(format.equals("json"));
--- a/logging/src/main/java/topazvalve/logging/SteadyManager.java
+++ b/logging/src/main/java/topazvalve/logging/ShutdownSafeLogManager.java
@@ -7,9 +7,9 @@
  * ours, and so loses what an orderly end still has to tell. This one reads no file and takes nothing away.
  * Public since the JDK makes it, by the name in {@code java.util.logging.manager}.
  */
-public final class SteadyManager extends LogManager {
+public final class ShutdownSafeLogManager extends LogManager {
     /** Called by the JDK alone. */
-    public SteadyManager() {}
+    public ShutdownSafeLogManager() {}
 
     @Override
     public void readConfiguration() {}
--- a/decisions/src/main/java/topazvalve/decisions/FadingSum.java
+++ b/policy/src/main/java/topazvalve/policy/DecayingSum.java
@@ -1,14 +1,14 @@
-package topazvalve.decisions;
+package topazvalve.policy;
 
 /** A sum that forgets: what was added a window ago counts by 1/e. */
-final class FadingSum {
+final class DecayingSum {
     private double window;
     private double value;
     private long at;
     private long began;
 
     /** Starts at {@code first}, which counts in full until something is added. */
-    FadingSum(double window, double first) {
+    DecayingSum(double window, double first) {
         this.window = window;
         this.value = first;
     }
@@ -24,7 +24,7 @@
     }
 
     /** Forgets by another window from now on. */
-    void window(long now, double next) {
+    void setWindow(long now, double next) {
         if (at != 0) {
             add(now, 0);
         }
--- a/decisions/src/main/java/topazvalve/decisions/Options.java
+++ b/policy/src/main/java/topazvalve/policy/SettingsReader.java
@@ -1,31 +1,31 @@
-package topazvalve.decisions;
+package topazvalve.policy;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import topazvalve.decisions.Balancer.Allowed;
-import topazvalve.decisions.Balancer.Charges;
-import topazvalve.decisions.Balancer.Discovery;
-import topazvalve.decisions.Balancer.Limits;
-import topazvalve.decisions.Balancer.RequestClass;
-import topazvalve.decisions.Balancer.Scope;
-import topazvalve.decisions.Balancer.Semantics;
-import topazvalve.decisions.Balancer.Settings;
-import topazvalve.decisions.Balancer.Tenant;
-import topazvalve.decisions.Balancer.Weights;
+import topazvalve.policy.LoadBalancer.Capabilities;
+import topazvalve.policy.LoadBalancer.Costs;
+import topazvalve.policy.LoadBalancer.DiscoveryMode;
+import topazvalve.policy.LoadBalancer.Idempotency;
+import topazvalve.policy.LoadBalancer.KeyScope;
+import topazvalve.policy.LoadBalancer.Limits;
+import topazvalve.policy.LoadBalancer.RequestClass;
+import topazvalve.policy.LoadBalancer.Settings;
+import topazvalve.policy.LoadBalancer.Tenant;
+import topazvalve.policy.LoadBalancer.WeightKind;
 
 /**
  * The one reader of an instance's settings, for every host: turns path=value lines into {@link Settings} and
  * answers for what only hosts need (names, connection limits). Keys it does not know are skipped; what makes
  * no sense is an {@link IllegalArgumentException} naming the key.
  */
-public final class Options {
+public final class SettingsReader {
     private final Map<String, String> values = new HashMap<>();
 
     /** Reads one path=value a line. */
-    public Options(String text) {
+    public SettingsReader(String text) {
         for (String line : text.split("\n")) {
             int equals = line.indexOf('=');
             if (equals > 0) {
@@ -54,34 +54,34 @@
                 (int) number("replicasOfMe", 1),
                 (int) number("zone", 0),
                 (long) number("quantum", 0),
-                choice(Discovery.class, "discovery", Discovery.AUTOMATIC),
-                choice(Weights.class, "weights", Weights.SILENT),
+                choice(DiscoveryMode.class, "discovery", DiscoveryMode.AUTOMATIC),
+                choice(WeightKind.class, "weights", WeightKind.SILENT),
                 classes,
                 tenants,
                 allowed(),
                 limits(),
                 list("report.fields"),
-                new Charges(number("charges.probe", 0), number("charges.peer", 0)),
+                new Costs(number("charges.probe", 0), number("charges.peer", 0)),
                 "work".equals(values.get("valueBy")),
                 number("overShareWorth", 1));
     }
 
     private RequestClass requestClass(String path) {
-        Semantics semantics = choice(Semantics.class, path + "semantics", null);
+        Idempotency idempotency = idempotency(path + "semantics");
         return new RequestClass(
                 (long) required(path + "slo"),
                 number(path + "aimStretch", 0),
                 (long) required(path + "deadline"),
                 number(path + "worth", 1),
                 number(path + "lateShare", 0),
-                semantics,
-                choice(Scope.class, path + "keyScope", Scope.CELL),
+                idempotency,
+                choice(KeyScope.class, path + "keyScope", KeyScope.CELL),
                 (long) number(path + "keyTtl", 0),
                 flag(path + "stream"));
     }
 
-    private Allowed allowed() {
-        return new Allowed(
+    private Capabilities allowed() {
+        return new Capabilities(
                 flag("caps.mayCancel"),
                 flag("caps.mayProbe"),
                 flag("caps.peers"),
@@ -143,13 +143,23 @@
         }
     }
 
-    /** An enum setting; {@code absent} null makes it required. */
+    private Idempotency idempotency(String key) {
+        String text = values.get(key);
+        if (text == null) {
+            throw new IllegalArgumentException("setting missing: " + key);
+        }
+        return switch (text.toLowerCase(Locale.ROOT)) {
+            case "repeatable" -> Idempotency.IDEMPOTENT;
+            case "by_key" -> Idempotency.IDEMPOTENCY_KEY;
+            case "once" -> Idempotency.NON_IDEMPOTENT;
+            default -> throw new IllegalArgumentException("setting has an unknown value: " + key + "=" + text);
+        };
+    }
+
+    /** An enum setting. */
     private <E extends Enum<E>> E choice(Class<E> type, String key, E absent) {
         String text = values.get(key);
         if (text == null) {
-            if (absent == null) {
-                throw new IllegalArgumentException("setting missing: " + key);
-            }
             return absent;
         }
         try {
--- a/decisions/src/main/java/topazvalve/decisions/Rules.java
+++ b/policy/src/main/java/topazvalve/policy/SidecarPolicy.java
@@ -1,4 +1,4 @@
-package topazvalve.decisions;
+package topazvalve.policy;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -13,7 +13,7 @@
 import java.util.TreeSet;
 
 /** Every decision of one sidecar; {@code docs/design/policy.md} gives the reason for each rule. */
-public final class Rules implements Balancer {
+public final class SidecarPolicy implements LoadBalancer {
     private static final long NEWS_TIME = 6_000_000_000L; // fits two calls' waits of 2 s and a back-off
     private Settings settings;
     private final Actions actions;
@@ -24,13 +24,13 @@
     private final Health health;
     private final Admission admission;
     private final Reports reports;
-    private final Alarms alarms;
+    private final TimerQueue alarms;
 
-    public Rules(Settings settings, long seed, Actions actions) {
+    public SidecarPolicy(Settings settings, long seed, Actions actions) {
         this.settings = settings;
         this.actions = actions;
         this.random = new Random(seed);
-        this.alarms = new Alarms(actions);
+        this.alarms = new TimerQueue(actions);
         this.roster = new Roster();
         this.health = new Health();
         this.admission = new Admission();
@@ -40,48 +40,48 @@
     @Override
     public void start(long now) {
         roster.follow(now);
-        alarms.flush();
+        alarms.armTimer();
     }
 
     @Override
-    public void listChanged(long now, ListKind kind, List<Upstream> entries) {
+    public void endpointsUpdated(long now, UpdateKind kind, List<EndpointInfo> entries) {
         roster.listChanged(now, kind, entries);
         admission.drain(now);
-        alarms.flush();
+        alarms.armTimer();
     }
 
     @Override
-    public void request(long now, Request request) {
+    public void requestReceived(long now, Request request) {
         open(now, request, false);
     }
 
     @Override
-    public void requestBegun(long now, Request request) {
+    public void requestStarted(long now, Request request) {
         open(now, request, true);
     }
 
     private void open(long now, Request request, boolean arriving) {
-        if (request.requestClass() >= settings.classes().size()) {
+        if (request.requestClass() >= settings.requestClasses().size()) {
             throw new IllegalArgumentException("request of unknown class " + request.requestClass());
         }
         Call call = ledger.open(now, request, arriving);
         roster.offered.add(now, roster.work(call));
         admission.wanted.add(now, Admission.GOOD * call.aim);
         admission.admit(now, call);
-        alarms.flush();
+        alarms.armTimer();
     }
 
     @Override
-    public void requestWhole(long now, long request) {
+    public void requestBodyCompleted(long now, long request) {
         Call call = ledger.calls.get(request);
         if (call != null && call.arriving) {
             ledger.whole(now, call);
-            alarms.flush();
+            alarms.armTimer();
         }
     }
 
     @Override
-    public void unrepeatable(long now, long request) {
+    public void bodyNotReplayable(long now, long request) {
         Call call = ledger.calls.get(request);
         if (call != null) {
             call.unrepeatable = true;
@@ -89,18 +89,18 @@
     }
 
     @Override
-    public void firstByte(long now, long request, int attempt, long upstream, long elapsed) {
+    public void responseStarted(long now, long request, int attempt, long upstream, long elapsed) {
         Call call = ledger.calls.get(request);
         if (call != null && attempt < call.attempts.size()) {
             call.streaming = true;
             ledger.settle(now, call.attempts.get(attempt), Outcome.OK, call);
             admission.drain(now);
-            alarms.flush();
+            alarms.armTimer();
         }
     }
 
     @Override
-    public void outcome(
+    public void attemptCompleted(
             long now,
             long request,
             int attempt,
@@ -111,22 +111,22 @@
             float[] load) {
         ledger.outcome(now, request, attempt, outcome, ended);
         admission.drain(now);
-        alarms.flush();
+        alarms.armTimer();
     }
 
     @Override
-    public void probeResult(long now, long upstream, Outcome outcome, long elapsed, float[] load) {
+    public void healthCheckCompleted(long now, long upstream, Outcome outcome, long elapsed, float[] load) {
         Server server = roster.servers.get(upstream);
         if (server != null) {
             health.told(now, server, outcome);
             reports.told(now, server, outcome, load);
             admission.drain(now);
         }
-        alarms.flush();
+        alarms.armTimer();
     }
 
     @Override
-    public void hangup(long now, long request) {
+    public void clientDisconnected(long now, long request) {
         Call call = ledger.calls.get(request);
         if (call != null) {
             ledger.close(call);
@@ -134,25 +134,25 @@
     }
 
     @Override
-    public void timer(long now, long token) {
-        alarms.ring(now, token);
+    public void timerFired(long now, long token) {
+        alarms.fire(now, token);
         admission.drain(now);
-        alarms.flush();
+        alarms.armTimer();
     }
 
     @Override
-    public void retuned(long now, Settings next) {
+    public void settingsChanged(long now, Settings next) {
         settings = next;
         roster.retuned(now);
         health.retuned();
         admission.retuned(now);
         reports.retuned();
         admission.drain(now);
-        alarms.flush();
+        alarms.armTimer();
     }
 
     @Override
-    public int avoided(long now) {
+    public int ejectedCount(long now) {
         return (int) roster.ready.stream()
                 .filter(server -> health.shutToAll(now, server))
                 .count();
@@ -229,7 +229,7 @@
 
     /** What is known of one upstream. */
     private static final class Server {
-        Upstream entry;
+        EndpointInfo entry;
         int inFlight;
         int streams;
         long coldUntil;
@@ -254,7 +254,7 @@
         double holds = Double.MAX_VALUE;
         final List<Call> askers = new ArrayList<>(2);
 
-        Server(Upstream entry, long now) {
+        Server(EndpointInfo entry, long now) {
             this.entry = entry;
             this.integratedAt = now;
             this.coldAt = now;
@@ -315,14 +315,16 @@
             this.kind = kind;
             this.tryLimit = tryLimit;
             this.elapsed = elapsed;
-            this.aim = (long) Math.min(kind.aim() + kind.aimStretch() * request.costHint(), kind.deadline());
+            this.aim = (long) Math.min(
+                    kind.latencyObjectiveNanos() + kind.objectiveStretch() * request.costHintNanos(),
+                    kind.deadlineNanos());
             startClock(now);
         }
 
         /** The client's time runs from now on. */
         void startClock(long now) {
-            deadline = now + request.timeLeft();
-            aimAt = now - elapsed + Math.min(request.timeLeft() + elapsed, aim);
+            deadline = now + request.timeLeftNanos();
+            aimAt = now - elapsed + Math.min(request.timeLeftNanos() + elapsed, aim);
         }
 
         /** While its body is on its way to an upstream, the time is the client's own. */
@@ -349,12 +351,12 @@
         Call open(long now, Request request, boolean arriving) {
             Call call = new Call(
                     request,
-                    settings.classes().get(request.requestClass()),
-                    settings.allowed().tryLimit(),
+                    settings.requestClasses().get(request.requestClass()),
+                    settings.capabilities().maxAttempts(),
                     now,
                     admission.elapsed(request));
             call.expected = Math.max(
-                    call.aim / 1000.0, health.usual.get(request.requestClass()).expected(request.costHint()));
+                    call.aim / 1000.0, health.usual.get(request.requestClass()).expected(request.costHintNanos()));
             call.arriving = arriving;
             calls.put(request.id(), call);
             endAtDeadline(call);
@@ -362,7 +364,7 @@
         }
 
         private void endAtDeadline(Call call) {
-            alarms.set(call.deadline, at -> {
+            alarms.schedule(call.deadline, at -> {
                 if (!call.streaming && at >= call.deadline) {
                     answer(call);
                 }
@@ -403,7 +405,7 @@
             admission.landed(attempt);
             if (attempt.inFlight) {
                 attempt.server.inFlight--;
-                attempt.stream = call.streaming && call.kind.stream() && attempt.out;
+                attempt.stream = call.streaming && call.kind.streaming() && attempt.out;
                 attempt.server.streams += attempt.stream ? 1 : 0;
             }
             health.ended(now, attempt, outcome, call);
@@ -434,11 +436,12 @@
             }
             Attempt doubt = firstDoubt(call);
             return doubt == null
-                    || switch (call.kind.semantics()) {
-                        case REPEATABLE -> true;
-                        case ONCE -> false;
+                    || switch (call.kind.idempotency()) {
+                        case IDEMPOTENT -> true;
+                        case NON_IDEMPOTENT -> false;
                         // One quantum is kept back: the send takes effect at the end of this batch.
-                        case BY_KEY -> now + settings.quantum() < doubt.sentAt + call.kind.keyTtl();
+                        case IDEMPOTENCY_KEY ->
+                            now + settings.clockResolutionNanos() < doubt.sentAt + call.kind.keyTtlNanos();
                     };
         }
 
@@ -450,11 +453,11 @@
                 }
             }
             Attempt doubt = firstDoubt(call);
-            if (doubt == null || call.kind.semantics() != Semantics.BY_KEY) {
+            if (doubt == null || call.kind.idempotency() != Idempotency.IDEMPOTENCY_KEY) {
                 return true;
             }
-            Upstream first = doubt.server.entry;
-            return switch (call.kind.scope()) {
+            EndpointInfo first = doubt.server.entry;
+            return switch (call.kind.keyScope()) {
                 case ALL -> true;
                 case ZONE -> first.zone() == server.entry.zone();
                 case CELL -> first.cell() == server.entry.cell();
@@ -476,8 +479,8 @@
                 takeOff(now, attempt, call);
             }
             // Work past its objective is given up only where load probes show what an endpoint has in hand.
-            boolean worthless = reports.looks() && call.kind.lateShare() == 0 && call.aimAt > now;
-            actions.send(call.request.id(), server.entry.id(), worthless ? call.aimAt - now : 0);
+            boolean worthless = reports.looks() && call.kind.lateFraction() == 0 && call.aimAt > now;
+            actions.forward(call.request.id(), server.entry.id(), worthless ? call.aimAt - now : 0);
         }
 
         void outcome(long now, long id, int number, Outcome outcome, boolean ended) {
@@ -512,10 +515,10 @@
                 return;
             }
             boolean harmless = firstDoubt(call) == null
-                    || call.kind.semantics() == Semantics.REPEATABLE
-                    || (call.kind.semantics() == Semantics.BY_KEY && call.kind.scope() == Scope.ALL);
+                    || call.kind.idempotency() == Idempotency.IDEMPOTENT
+                    || (call.kind.idempotency() == Idempotency.IDEMPOTENCY_KEY && call.kind.keyScope() == KeyScope.ALL);
             if (harmless) {
-                actions.refuse(call.request.id(), admission.stayAway(call));
+                actions.reject(call.request.id(), admission.stayAway(call));
             } else {
                 actions.fail(call.request.id());
             }
@@ -527,8 +530,8 @@
             if (!call.closed
                     && call.waiting()
                     && !call.streaming
-                    && settings.allowed().cancel()) {
-                actions.cancel(call.request.id(), call.attempts.size() - 1);
+                    && settings.capabilities().cancellation()) {
+                actions.cancelAttempt(call.request.id(), call.attempts.size() - 1);
             }
             call.closed = true;
             call.held = false;
@@ -544,81 +547,81 @@
         private List<Server> ready = List.of();
         private boolean listed;
         /** Work of the requests that came, whatever became of them. */
-        private final FadingSum offered = new FadingSum(settings.limits().tipAfter(), 0);
+        private final DecayingSum offered = new DecayingSum(settings.limits().overloadWindowNanos(), 0);
 
         private long retryWait; // with jitter: the calls of many sidecars fail together
         private long asked;
 
         void retuned(long now) {
             retryWait = 0; // may name another discovery, whose news counts as told within seconds
-            offered.window(now, settings.limits().tipAfter());
+            offered.setWindow(now, settings.limits().overloadWindowNanos());
         }
 
         void follow(long now) {
-            if (settings.discovery() == Discovery.SUBSCRIBE) {
-                actions.subscribe(true);
-                followAgain(now + settings.limits().askWithin() / 2);
+            if (settings.discoveryMode() == DiscoveryMode.SUBSCRIBE) {
+                actions.watchEndpoints(true);
+                followAgain(now + settings.limits().pollIntervalNanos() / 2);
             }
         }
 
         private void followAgain(long at) {
             long mine = ++asked;
-            alarms.set(at, now -> {
+            alarms.schedule(at, now -> {
                 if (mine == asked) {
                     follow(now);
                 }
             });
         }
 
-        void listChanged(long now, ListKind kind, List<Upstream> entries) {
-            if (kind == ListKind.FAILED) {
-                long next = Math.max(retryWait * 2, settings.limits().askWithin() / 40);
-                long longest = Math.min(NEWS_TIME / 4, settings.limits().askWithin() / 2);
-                retryWait = Math.max(settings.quantum(), Math.min(next, longest));
+        void listChanged(long now, UpdateKind kind, List<EndpointInfo> entries) {
+            if (kind == UpdateKind.FAILED) {
+                long next = Math.max(retryWait * 2, settings.limits().pollIntervalNanos() / 40);
+                long longest = Math.min(NEWS_TIME / 4, settings.limits().pollIntervalNanos() / 2);
+                retryWait = Math.max(settings.clockResolutionNanos(), Math.min(next, longest));
                 followAgain(now + retryWait / 2 + random.nextLong(retryWait / 2 + 1));
                 return;
             }
-            if (kind != ListKind.CACHED) {
+            if (kind != UpdateKind.CACHED) {
                 asked++;
                 retryWait = 0;
             }
-            Set<Long> missing = new TreeSet<>(kind == ListKind.DELTA ? Set.of() : servers.keySet());
+            Set<Long> missing = new TreeSet<>(kind == UpdateKind.DELTA ? Set.of() : servers.keySet());
             boolean changed = false;
-            for (Upstream entry : entries) {
+            for (EndpointInfo entry : entries) {
                 missing.remove(entry.id());
                 changed |= update(now, entry);
             }
             for (long id : missing) {
                 Server server = servers.get(id);
-                changed |= server.entry.state() == State.READY;
-                server.entry = server.entry.gone();
+                changed |= server.entry.status() == EndpointStatus.READY;
+                server.entry = server.entry.asRemoved();
             }
             listed = true;
             if (changed) {
                 ready = servers.values().stream()
-                        .filter(s -> s.entry.state() == State.READY)
+                        .filter(s -> s.entry.status() == EndpointStatus.READY)
                         .toList();
                 pattern.redraw(ready);
             }
         }
 
         /** Takes one line over; true if the set of ready servers changed. */
-        private boolean update(long now, Upstream entry) {
+        private boolean update(long now, EndpointInfo entry) {
             Server server = servers.get(entry.id());
-            boolean wasReady = server != null && server.entry.state() == State.READY;
+            boolean wasReady = server != null && server.entry.status() == EndpointStatus.READY;
             // A restarted process shares nothing with the one before: not its load, nor its faults.
-            boolean fresh = server == null || entry.startedAt() > server.entry.startedAt();
+            boolean fresh = server == null || entry.startedAtNanos() > server.entry.startedAtNanos();
             if (fresh) {
-                long since = entry.startedAt() == 0 && listed ? now : entry.startedAt();
+                long since = entry.startedAtNanos() == 0 && listed ? now : entry.startedAtNanos();
                 server = new Server(entry, now);
                 server.credit = random.nextDouble();
                 servers.put(entry.id(), server);
-                if (since > 0 && now < since + settings.limits().rampTime()) {
-                    server.coldUntil = since + settings.limits().rampTime();
+                if (since > 0 && now < since + settings.limits().slowStartNanos()) {
+                    server.coldUntil = since + settings.limits().slowStartNanos();
                 }
             }
             server.entry = entry;
-            return fresh || wasReady != (entry.state() == State.READY);
+            return fresh || wasReady != (entry.status() == EndpointStatus.READY);
         }
 
         /** A token bucket: this sidecar's fraction of what a warming endpoint can do now. */
@@ -633,7 +636,7 @@
                 server.coldTokens =
                         ready.stream().allMatch(other -> now < other.coldUntil) ? 0 : -random.nextDouble() * work(call);
             }
-            double depth = rate * settings.limits().tipAfter() / 2;
+            double depth = rate * settings.limits().overloadWindowNanos() / 2;
             server.coldTokens = Math.min(depth, server.coldTokens + rate * (now - server.coldAt));
             server.coldAt = now;
             return server.coldTokens >= 0 && server.holds() <= 1 + server.limit / 2;
@@ -645,8 +648,8 @@
                 return 1;
             }
             double warm =
-                    1 - (server.coldUntil - now) / (double) settings.limits().rampTime();
-            double cold = settings.limits().coldShare();
+                    1 - (server.coldUntil - now) / (double) settings.limits().slowStartNanos();
+            double cold = settings.limits().coldCapacityFraction();
             return cold + (1 - cold) * Math.max(0, Math.min(1, warm));
         }
 
@@ -658,7 +661,7 @@
         }
 
         double work(Call call) {
-            return call.request.costHint() > 0 ? call.request.costHint() : call.expected;
+            return call.request.costHintNanos() > 0 ? call.request.costHintNanos() : call.expected;
         }
     }
 
@@ -721,7 +724,7 @@
         private double fastest = 1;
 
         Pace pace(Server server) {
-            return paces.computeIfAbsent(server.entry.kind(), kind -> new Pace());
+            return paces.computeIfAbsent(server.entry.machineKind(), kind -> new Pace());
         }
 
         /** The fraction of its turns that an endpoint takes: fewer where its machine kind is slow. */
@@ -753,11 +756,11 @@
 
         /** What is known of a class stays; one that is new starts like any other. */
         void retuned() {
-            for (int i = usual.size(); i < settings.classes().size(); i++) {
-                usual.add(new Usual(settings.classes().get(i).aim() / 10.0));
+            for (int i = usual.size(); i < settings.requestClasses().size(); i++) {
+                usual.add(new Usual(settings.requestClasses().get(i).latencyObjectiveNanos() / 10.0));
             }
-            firstBackoff = settings.classes().stream()
-                    .mapToLong(RequestClass::aim)
+            firstBackoff = settings.requestClasses().stream()
+                    .mapToLong(RequestClass::latencyObjectiveNanos)
                     .min()
                     .orElse(1);
         }
@@ -813,12 +816,12 @@
 
         /** Where health checks are allowed, one goes ahead of the request that tries an ejected endpoint. */
         private boolean vouched(Server server) {
-            if (!settings.allowed().probes() || server.vouched) {
+            if (!settings.capabilities().healthChecks() || server.vouched) {
                 return true;
             }
             if (!server.asked) {
                 server.asked = true;
-                actions.probe(server.entry.id());
+                actions.sendHealthCheck(server.entry.id());
             }
             return false;
         }
@@ -831,7 +834,7 @@
         boolean shutToAll(long now, Server server) {
             double exposure = server.exposure + server.load * (now - server.integratedAt);
             for (int i = 0; i < usual.size(); i++) {
-                double aim = settings.classes().get(i).aim();
+                double aim = settings.requestClasses().get(i).latencyObjectiveNanos();
                 if (!shut(server, slowness(server, exposure), usual.get(i).mean, aim)) {
                     return false;
                 }
@@ -859,7 +862,7 @@
                     long took = now - attempt.wholeAt;
                     reports.learn(attempt, took);
                     learnPace(server, took / call.expected);
-                    usual.get(call.request.requestClass()).learn(took, call.request.costHint());
+                    usual.get(call.request.requestClass()).learn(took, call.request.costHintNanos());
                     boolean quick = took / call.expected < current(server) / 2;
                     heard(server, quick || server.nextTrial > 0 ? 0.5 : 0.9);
                     if (server.nextTrial > 0 && took < call.aim) {
@@ -893,12 +896,12 @@
         private final ArrayDeque<Call> held = new ArrayDeque<>();
 
         private final double quota;
-        private final FadingSum spent;
+        private final DecayingSum spent;
         private long skippedAt;
 
         Share(double quota, double window) {
             this.quota = quota;
-            this.spent = new FadingSum(window, 0);
+            this.spent = new DecayingSum(window, 0);
         }
 
         double used(long now) {
@@ -920,10 +923,10 @@
         private final Share[] shares = new Share[Math.max(1, settings.tenants().size())];
         private int held;
         private long drains;
-        private long[] firstLeft = new long[settings.classes().size()];
-        private int[] firstVotes = new int[settings.classes().size()];
+        private long[] firstLeft = new long[settings.requestClasses().size()];
+        private int[] firstVotes = new int[settings.requestClasses().size()];
         /** Over eight aims: ten attempts at a few requests a second; one is taken for good at first. */
-        private final FadingSum tried = new FadingSum(8.0 * health.firstBackoff, 1);
+        private final DecayingSum tried = new DecayingSum(8.0 * health.firstBackoff, 1);
         /** In good time: what the servers are to be held to, well before they are late. */
         private static final double GOOD = 0.3;
         /** Part of the room that every class may use. */
@@ -936,11 +939,11 @@
 
         private int out;
         /** Good times of the requests that came; times of the answers, in good times; and their number. */
-        private final FadingSum wanted = new FadingSum(LATELY * health.firstBackoff, 0);
+        private final DecayingSum wanted = new DecayingSum(LATELY * health.firstBackoff, 0);
 
-        private final FadingSum times = new FadingSum(LATELY * health.firstBackoff, 0);
-        private final FadingSum answers = new FadingSum(LATELY * health.firstBackoff, 0);
-        private final FadingSum inTime = new FadingSum(8.0 * health.firstBackoff, 1);
+        private final DecayingSum times = new DecayingSum(LATELY * health.firstBackoff, 0);
+        private final DecayingSum answers = new DecayingSum(LATELY * health.firstBackoff, 0);
+        private final DecayingSum inTime = new DecayingSum(8.0 * health.firstBackoff, 1);
 
         Admission() {
             for (int i = 0; i < shares.length; i++) {
@@ -949,23 +952,24 @@
                         : settings.tenants().get(i).quotaPerSecond();
                 // Four aims: long against answers, short against a burst of some seconds.
                 shares[i] = new Share(
-                        quota > 0 ? quota : 1, 4.0 * settings.classes().get(0).aim());
+                        quota > 0 ? quota : 1,
+                        4.0 * settings.requestClasses().get(0).latencyObjectiveNanos());
             }
         }
 
         void retuned(long now) {
-            firstLeft = Arrays.copyOf(firstLeft, settings.classes().size());
-            firstVotes = Arrays.copyOf(firstVotes, settings.classes().size());
-            tried.window(now, 8.0 * health.firstBackoff);
-            inTime.window(now, 8.0 * health.firstBackoff);
-            List.of(wanted, times, answers).forEach(sum -> sum.window(now, LATELY * health.firstBackoff));
+            firstLeft = Arrays.copyOf(firstLeft, settings.requestClasses().size());
+            firstVotes = Arrays.copyOf(firstVotes, settings.requestClasses().size());
+            tried.setWindow(now, 8.0 * health.firstBackoff);
+            inTime.setWindow(now, 8.0 * health.firstBackoff);
+            List.of(wanted, times, answers).forEach(sum -> sum.setWindow(now, LATELY * health.firstBackoff));
         }
 
         /** Time the client has spent on earlier tries: the commonest time left marks the first ones. */
         long elapsed(Request request) {
             int kind = request.requestClass();
-            long left = request.timeLeft();
-            if (Math.abs(left - firstLeft[kind]) <= 2 * settings.quantum()) {
+            long left = request.timeLeftNanos();
+            if (Math.abs(left - firstLeft[kind]) <= 2 * settings.clockResolutionNanos()) {
                 firstVotes[kind] = Math.min(firstVotes[kind] + 1, MANY_VOTES);
                 return 0;
             }
@@ -974,7 +978,7 @@
                 firstVotes[kind] = 0;
                 return 0;
             }
-            return Math.max(0, settings.classes().get(kind).deadline() - left);
+            return Math.max(0, settings.requestClasses().get(kind).deadlineNanos() - left);
         }
 
         /** Sends a request now, or holds it while it can still be answered within its aim. */
@@ -1003,7 +1007,7 @@
         }
 
         void endWhenHopeless(long now, Call call) {
-            alarms.set(Math.max(now + 1, call.hopelessAt()), at -> {
+            alarms.schedule(Math.max(now + 1, call.hopelessAt()), at -> {
                 if (call.held && at >= call.hopelessAt()) {
                     ledger.answer(call);
                 }
@@ -1042,8 +1046,8 @@
         }
 
         private double worth(int kind) {
-            double worth = settings.classes().get(kind).worth();
-            return settings.valueByWork() ? worth : worth / health.usual.get(kind).mean;
+            double worth = settings.requestClasses().get(kind).priorityWeight();
+            return settings.weightByWork() ? worth : worth / health.usual.get(kind).mean;
         }
 
         /** The newest that is held or, where there is no room for such, the newest that is dear. */
@@ -1136,7 +1140,9 @@
         }
 
         long stayAway(Call call) {
-            return settings.allowed().retryAfter() ? Math.min(settings.allowed().maxRetryAfter(), call.aim / 2) : 0;
+            return settings.capabilities().retryAfter()
+                    ? Math.min(settings.capabilities().maxRetryAfterNanos(), call.aim / 2)
+                    : 0;
         }
     }
 
@@ -1162,15 +1168,15 @@
         }
 
         void retuned() {
-            field = settings.reportFields().indexOf("rif");
+            field = settings.loadReportFields().indexOf("rif");
             pays = field >= 0
-                    && settings.allowed().probes()
-                    && settings.charges().probe() * ASKED <= CHEAP;
+                    && settings.capabilities().healthChecks()
+                    && settings.costs().healthCheck() * ASKED <= CHEAP;
         }
 
         /** With no more sidecars than upstreams, own counts show enough of what an upstream holds. */
         boolean looks() {
-            return pays && settings.replicas() > roster.ready.size();
+            return pays && settings.instanceCount() > roster.ready.size();
         }
 
         /** Asks the entries next in turn; true if the request waits for what they tell. */
@@ -1183,10 +1189,10 @@
             for (Server server : call.looked) {
                 server.holds = Double.MAX_VALUE;
                 server.askers.add(call);
-                actions.probe(server.entry.id());
+                actions.sendHealthCheck(server.entry.id());
             }
             call.pending = call.looked.size();
-            alarms.set(now + call.aim / PATIENCE, at -> decide(at, call, call.pending));
+            alarms.schedule(now + call.aim / PATIENCE, at -> decide(at, call, call.pending));
             return call.pending > 0;
         }
 
--- a/decisions/src/main/java/topazvalve/decisions/Alarms.java
+++ b/policy/src/main/java/topazvalve/policy/TimerQueue.java
@@ -1,10 +1,10 @@
-package topazvalve.decisions;
+package topazvalve.policy;
 
 import java.util.PriorityQueue;
 import java.util.function.LongConsumer;
 
 /** Alarms of the module behind one timer of the host. A queue of times: it decides nothing. */
-final class Alarms {
+final class TimerQueue {
     private record Alarm(long at, long serial, LongConsumer what) {}
 
     private final PriorityQueue<Alarm> queue =
@@ -12,25 +12,25 @@
     private long serials;
     private long timerAt = Long.MAX_VALUE;
     private long timerToken;
-    private final Balancer.Actions actions;
+    private final LoadBalancer.Actions actions;
 
-    Alarms(Balancer.Actions actions) {
+    TimerQueue(LoadBalancer.Actions actions) {
         this.actions = actions;
     }
 
-    void set(long at, LongConsumer what) {
+    void schedule(long at, LongConsumer what) {
         queue.add(new Alarm(at, serials++, what));
     }
 
-    void flush() {
+    void armTimer() {
         if (!queue.isEmpty() && queue.peek().at < timerAt) {
             timerAt = queue.peek().at;
-            actions.timer(++timerToken, timerAt);
+            actions.setTimer(++timerToken, timerAt);
         }
     }
 
     /** Matched by token, not by time: a coarse host clock may ring early. */
-    void ring(long now, long token) {
+    void fire(long now, long token) {
         if (token == timerToken) {
             timerAt = Long.MAX_VALUE;
         }
--- a/decisions/src/test/java/topazvalve/decisions/FleetRulesTest.java
+++ b/policy/src/test/java/topazvalve/policy/FleetRulesTest.java
@@ -1,12 +1,12 @@
-package topazvalve.decisions;
+package topazvalve.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static topazvalve.decisions.Recorder.MS;
-import static topazvalve.decisions.Recorder.ONCE;
-import static topazvalve.decisions.Recorder.REPEATABLE;
-import static topazvalve.decisions.Recorder.settings;
-import static topazvalve.decisions.Recorder.upstream;
+import static topazvalve.policy.Recorder.MS;
+import static topazvalve.policy.Recorder.ONCE;
+import static topazvalve.policy.Recorder.REPEATABLE;
+import static topazvalve.policy.Recorder.settings;
+import static topazvalve.policy.Recorder.upstream;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -16,10 +16,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import topazvalve.decisions.Balancer.ListKind;
-import topazvalve.decisions.Balancer.Outcome;
-import topazvalve.decisions.Balancer.State;
-import topazvalve.decisions.Balancer.Upstream;
+import topazvalve.policy.LoadBalancer.EndpointInfo;
+import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.LoadBalancer.Outcome;
+import topazvalve.policy.LoadBalancer.UpdateKind;
 
 /** What is harmless from one sidecar, from many that each see little. */
 class FleetRulesTest {
@@ -33,12 +33,12 @@
         for (int seed = 0; seed < SIDECARS; seed++) {
             Recorder host = new Recorder(settings(REPEATABLE), seed).withUpstreams(SERVERS);
             host.serve(0, 50, 0, 10 * MS);
-            List<Upstream> changes = new ArrayList<>();
+            List<EndpointInfo> changes = new ArrayList<>();
             for (int i = 0; i < REPLACED; i++) {
-                changes.add(upstream(i, State.GONE, 0));
-                changes.add(upstream(100 + i, State.READY, host.now));
+                changes.add(upstream(i, EndpointStatus.REMOVED, 0));
+                changes.add(upstream(100 + i, EndpointStatus.READY, host.now));
             }
-            host.rules.listChanged(host.now, ListKind.DELTA, changes);
+            host.rules.endpointsUpdated(host.now, UpdateKind.DELTA, changes);
             fleet.add(host);
         }
         return fleet;
@@ -63,7 +63,7 @@
         /** While it is {@code down} a call takes {@code hang} to fail, 0 for one that is refused. */
         Discovery(int sidecars, int aSecond, long down, long hang, long seed) {
             for (int i = 0; i < sidecars; i++) {
-                fleet.add(new Recorder(settings(Balancer.Discovery.SUBSCRIBE, REPEATABLE), seed * 1_000 + i)
+                fleet.add(new Recorder(settings(LoadBalancer.DiscoveryMode.SUBSCRIBE, REPEATABLE), seed * 1_000 + i)
                         .withUpstreams(1));
                 seen.add(0);
                 heard.add(-1L);
@@ -94,7 +94,7 @@
                     heard.set(call.sidecar, call.answered ? now - downUntil : heard.get(call.sidecar));
                     fleet.get(call.sidecar)
                             .rules
-                            .listChanged(now, call.answered ? ListKind.DELTA : ListKind.FAILED, List.of());
+                            .endpointsUpdated(now, call.answered ? UpdateKind.DELTA : UpdateKind.FAILED, List.of());
                 }
                 now += STEP;
             }
@@ -196,22 +196,22 @@
         return probing(seed, ONCE);
     }
 
-    private static Recorder probing(long seed, Balancer.RequestClass requestClass) {
-        Balancer.Settings base = settings(requestClass);
+    private static Recorder probing(long seed, LoadBalancer.RequestClass requestClass) {
+        LoadBalancer.Settings base = settings(requestClass);
         return new Recorder(
-                new Balancer.Settings(
+                new LoadBalancer.Settings(
                         0,
                         SIDECARS,
                         0,
                         5 * MS,
-                        Balancer.Discovery.AUTOMATIC,
-                        Balancer.Weights.SILENT,
-                        base.classes(),
+                        LoadBalancer.DiscoveryMode.AUTOMATIC,
+                        LoadBalancer.WeightKind.SILENT,
+                        base.requestClasses(),
                         List.of(),
-                        new Balancer.Allowed(true, true, false, true, true, 3, 1_000 * MS, 250 * MS),
+                        new LoadBalancer.Capabilities(true, true, false, true, true, 3, 1_000 * MS, 250 * MS),
                         base.limits(),
                         List.of(),
-                        Balancer.Charges.NONE,
+                        LoadBalancer.Costs.NONE,
                         false,
                         1),
                 seed);
@@ -263,11 +263,11 @@
         assertEquals(1, probes, "one is out and not answered");
         load.play(5, 60, server -> server == 2 ? -1 : 60 * MS);
         assertEquals(0, host.sentTo(2, before));
-        host.rules.probeResult(host.now, 2, Outcome.TIMEOUT, 250 * MS, new float[0]);
+        host.rules.healthCheckCompleted(host.now, 2, Outcome.TIMEOUT, 250 * MS, new float[0]);
         load.play(10, 60, server -> server == 2 ? -1 : 60 * MS);
         assertEquals(0, host.sentTo(2, before), "the probe was not answered");
         assertEquals(2, host.log.stream().filter("probe 2"::equals).count(), "asked again, later");
-        host.rules.probeResult(host.now, 2, Outcome.OK, MS, new float[0]);
+        host.rules.healthCheckCompleted(host.now, 2, Outcome.OK, MS, new float[0]);
         load.play(5, 60, server -> 60 * MS);
         assertTrue(host.sentTo(2, before) > 5, "it takes its turns again");
     }
@@ -293,7 +293,7 @@
         int before = host.sends.size();
         for (int i = 0; i < 6; i++) {
             assertEquals(0, host.sentTo(2, before), "after " + i);
-            host.rules.probeResult(host.now, 2, Outcome.TIMEOUT, 250 * MS, new float[0]);
+            host.rules.healthCheckCompleted(host.now, 2, Outcome.TIMEOUT, 250 * MS, new float[0]);
             load.play(5, 60, server -> 60 * MS);
         }
         assertTrue(host.sentTo(2, before) > 0);
@@ -302,8 +302,8 @@
     /** Where two thirds can be served, the class that is worth five comes before that of two. */
     @Test
     void whereNotAllCanBeServedTheDearerClassComesFirst() {
-        Balancer.RequestClass cheap = worth(2);
-        Balancer.RequestClass dear = worth(5);
+        LoadBalancer.RequestClass cheap = worth(2);
+        LoadBalancer.RequestClass dear = worth(5);
         Recorder host = new Recorder(settings(cheap, dear), 5).withUpstreams(40);
         PriorityQueue<Recorder.Sent> due = new PriorityQueue<>(Comparator.comparingLong(Recorder.Sent::at));
         long busyUntil = 0;
@@ -322,7 +322,8 @@
             host.advance(16 * MS);
             while (!due.isEmpty() && due.peek().at() <= host.now) {
                 Recorder.Sent done = due.poll();
-                host.rules.outcome(host.now, done.request(), 0, done.upstream(), Outcome.OK, 0, true, new float[0]);
+                host.rules.attemptCompleted(
+                        host.now, done.request(), 0, done.upstream(), Outcome.OK, 0, true, new float[0]);
                 served[(int) (done.request() % 2)]++;
             }
         }
@@ -339,12 +340,14 @@
         return load;
     }
 
-    private static Balancer.RequestClass aimed(long ms) {
-        return new Balancer.RequestClass(ms * MS, 0, 1_000 * MS, 1, 0, ONCE.semantics(), ONCE.scope(), 0, false);
+    private static LoadBalancer.RequestClass aimed(long ms) {
+        return new LoadBalancer.RequestClass(
+                ms * MS, 0, 1_000 * MS, 1, 0, ONCE.idempotency(), ONCE.keyScope(), 0, false);
     }
 
-    private static Balancer.RequestClass worth(double worth) {
-        return new Balancer.RequestClass(500 * MS, 0, 1_000 * MS, worth, 0, ONCE.semantics(), ONCE.scope(), 0, false);
+    private static LoadBalancer.RequestClass worth(double worth) {
+        return new LoadBalancer.RequestClass(
+                500 * MS, 0, 1_000 * MS, worth, 0, ONCE.idempotency(), ONCE.keyScope(), 0, false);
     }
 
     private static long toCold(Recorder host, int since) {
@@ -370,11 +373,11 @@
     @Test
     void whereAllAreColdTheFirstRequestsAreServed() {
         Recorder host = new Recorder(settings(REPEATABLE), 1).withUpstreams(0);
-        List<Upstream> cold = new ArrayList<>();
+        List<EndpointInfo> cold = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            cold.add(upstream(i, State.READY, host.now));
+            cold.add(upstream(i, EndpointStatus.READY, host.now));
         }
-        host.rules.listChanged(host.now, ListKind.FULL, cold);
+        host.rules.endpointsUpdated(host.now, UpdateKind.FULL, cold);
         for (int i = 0; i < 5; i++) {
             host.request(i, 0);
             host.advance(20 * MS);
--- a/decisions/src/test/java/topazvalve/decisions/RandomEventsTest.java
+++ b/policy/src/test/java/topazvalve/policy/RandomEventsTest.java
@@ -1,8 +1,8 @@
-package topazvalve.decisions;
+package topazvalve.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static topazvalve.decisions.Recorder.MS;
+import static topazvalve.policy.Recorder.MS;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -13,13 +13,13 @@
 import java.util.Set;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import topazvalve.decisions.Balancer.ListKind;
-import topazvalve.decisions.Balancer.Outcome;
-import topazvalve.decisions.Balancer.RequestClass;
-import topazvalve.decisions.Balancer.Scope;
-import topazvalve.decisions.Balancer.Semantics;
-import topazvalve.decisions.Balancer.State;
-import topazvalve.decisions.Balancer.Upstream;
+import topazvalve.policy.LoadBalancer.EndpointInfo;
+import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.LoadBalancer.Idempotency;
+import topazvalve.policy.LoadBalancer.KeyScope;
+import topazvalve.policy.LoadBalancer.Outcome;
+import topazvalve.policy.LoadBalancer.RequestClass;
+import topazvalve.policy.LoadBalancer.UpdateKind;
 
 /** Long random legal event sequences, judged by an observer with books of its own. */
 class RandomEventsTest {
@@ -30,7 +30,7 @@
             Recorder.ONCE,
             Recorder.BY_CELL,
             Recorder.BY_ANY,
-            Recorder.requestClass(Semantics.BY_KEY, Scope.ZONE));
+            Recorder.requestClass(Idempotency.IDEMPOTENCY_KEY, KeyScope.ZONE));
 
     private static final class Book {
         final RequestClass kind;
@@ -51,7 +51,7 @@
     }
 
     private final Map<Long, Book> books = new HashMap<>();
-    private final Map<Long, State> states = new HashMap<>();
+    private final Map<Long, EndpointStatus> states = new HashMap<>();
     private final Set<Integer> judgedSends = new HashSet<>();
     private final List<Long> asked = new ArrayList<>();
     private int probes;
@@ -82,7 +82,7 @@
     private void judgeSend(Recorder.Sent sent) {
         Book book = books.get(sent.request());
         assertEquals(0, book.answers, "sent after its end: " + sent);
-        assertEquals(State.READY, states.get(sent.upstream()), "drain: " + sent);
+        assertEquals(EndpointStatus.READY, states.get(sent.upstream()), "drain: " + sent);
         assertTrue(book.sent.size() < 3, "try limit: " + sent);
         Recorder.Sent doubt = null;
         for (Recorder.Sent earlier : book.sent) {
@@ -91,12 +91,12 @@
             }
         }
         if (doubt != null) {
-            assertTrue(book.kind.semantics() != Semantics.ONCE, "once sent twice: " + sent);
-            if (book.kind.semantics() == Semantics.BY_KEY) {
-                assertTrue(sent.at() < doubt.at() + book.kind.keyTtl(), "key forgotten: " + sent);
+            assertTrue(book.kind.idempotency() != Idempotency.NON_IDEMPOTENT, "once sent twice: " + sent);
+            if (book.kind.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
+                assertTrue(sent.at() < doubt.at() + book.kind.keyTtlNanos(), "key forgotten: " + sent);
                 long a = doubt.upstream();
                 long b = sent.upstream();
-                switch (book.kind.scope()) {
+                switch (book.kind.keyScope()) {
                     case ZONE -> assertEquals(a % 2, b % 2, "zone: " + sent);
                     case CELL -> assertEquals(a / 3, b / 3, "cell: " + sent);
                     default -> {}
@@ -112,8 +112,8 @@
         assertTrue(host.now <= book.deadline + SLACK, "late answer: " + id);
         boolean doubt = book.sent.stream().anyMatch(s -> book.mayHaveRun(s.attempt()));
         boolean harmless = !doubt
-                || book.kind.semantics() == Semantics.REPEATABLE
-                || (book.kind.semantics() == Semantics.BY_KEY && book.kind.scope() == Scope.ALL);
+                || book.kind.idempotency() == Idempotency.IDEMPOTENT
+                || (book.kind.idempotency() == Idempotency.IDEMPOTENCY_KEY && book.kind.keyScope() == KeyScope.ALL);
         assertTrue(answer.equals("fail") || harmless, "refused though it may have run: " + id);
     }
 
@@ -138,22 +138,22 @@
             if (random.nextInt(20) > 0) {
                 Outcome outcome = random.nextInt(10) > 0 ? Outcome.OK : Outcome.TIMEOUT;
                 float[] load = random.nextInt(20) == 0 ? new float[0] : new float[] {0, random.nextInt(4)};
-                host.rules.probeResult(host.now, upstream, outcome, MS, load);
+                host.rules.healthCheckCompleted(host.now, upstream, outcome, MS, load);
                 judge();
             }
         }
     }
 
-    private void play(long seed, Balancer.Settings settings) {
+    private void play(long seed, LoadBalancer.Settings settings) {
         Random random = new Random(seed);
         host = new Recorder(settings, seed);
         int upstreams = 1 + random.nextInt(12);
-        List<Upstream> first = new ArrayList<>();
+        List<EndpointInfo> first = new ArrayList<>();
         for (int i = 0; i < upstreams; i++) {
             first.add(Recorder.upstream(i));
-            states.put((long) i, State.READY);
+            states.put((long) i, EndpointStatus.READY);
         }
-        host.rules.listChanged(host.now, ListKind.CACHED, first);
+        host.rules.endpointsUpdated(host.now, UpdateKind.CACHED, first);
         List<Recorder.Sent> out = new ArrayList<>();
         int collected = 0;
         long nextId = 0;
@@ -172,7 +172,7 @@
                 long id = nextId - 1 - random.nextInt((int) Math.min(nextId, 20));
                 if (books.get(id).answers == 0) {
                     books.get(id).answers++;
-                    host.rules.hangup(host.now, id);
+                    host.rules.clientDisconnected(host.now, id);
                 }
             } else {
                 tick(random.nextInt(8));
@@ -216,7 +216,7 @@
         if (outcome == Outcome.OK && !already) {
             book.answers++;
         }
-        host.rules.outcome(
+        host.rules.attemptCompleted(
                 host.now,
                 sent.request(),
                 sent.attempt(),
@@ -230,10 +230,11 @@
 
     private void change(Random random, int upstreams) {
         long id = random.nextInt(upstreams);
-        State state = State.values()[random.nextInt(3)];
-        long startedAt = state == State.READY && states.get(id) == State.GONE ? host.now - 100 * MS : 0;
+        EndpointStatus state = EndpointStatus.values()[random.nextInt(3)];
+        long startedAt =
+                state == EndpointStatus.READY && states.get(id) == EndpointStatus.REMOVED ? host.now - 100 * MS : 0;
         states.put(id, state);
-        host.rules.listChanged(host.now, ListKind.DELTA, List.of(Recorder.upstream(id, state, startedAt)));
+        host.rules.endpointsUpdated(host.now, UpdateKind.DELTA, List.of(Recorder.upstream(id, state, startedAt)));
         judge();
     }
 }
--- a/decisions/src/test/java/topazvalve/decisions/Recorder.java
+++ b/policy/src/test/java/topazvalve/policy/Recorder.java
@@ -1,31 +1,31 @@
-package topazvalve.decisions;
+package topazvalve.policy;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.PriorityQueue;
-import topazvalve.decisions.Balancer.Actions;
-import topazvalve.decisions.Balancer.Allowed;
-import topazvalve.decisions.Balancer.Discovery;
-import topazvalve.decisions.Balancer.Limits;
-import topazvalve.decisions.Balancer.ListKind;
-import topazvalve.decisions.Balancer.Outcome;
-import topazvalve.decisions.Balancer.Request;
-import topazvalve.decisions.Balancer.RequestClass;
-import topazvalve.decisions.Balancer.Scope;
-import topazvalve.decisions.Balancer.Semantics;
-import topazvalve.decisions.Balancer.Settings;
-import topazvalve.decisions.Balancer.State;
-import topazvalve.decisions.Balancer.Tenant;
-import topazvalve.decisions.Balancer.Upstream;
-import topazvalve.decisions.Balancer.Weights;
+import topazvalve.policy.LoadBalancer.Actions;
+import topazvalve.policy.LoadBalancer.Capabilities;
+import topazvalve.policy.LoadBalancer.DiscoveryMode;
+import topazvalve.policy.LoadBalancer.EndpointInfo;
+import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.LoadBalancer.Idempotency;
+import topazvalve.policy.LoadBalancer.KeyScope;
+import topazvalve.policy.LoadBalancer.Limits;
+import topazvalve.policy.LoadBalancer.Outcome;
+import topazvalve.policy.LoadBalancer.Request;
+import topazvalve.policy.LoadBalancer.RequestClass;
+import topazvalve.policy.LoadBalancer.Settings;
+import topazvalve.policy.LoadBalancer.Tenant;
+import topazvalve.policy.LoadBalancer.UpdateKind;
+import topazvalve.policy.LoadBalancer.WeightKind;
 
 /** A host for tests: it keeps the clock, rings timers and writes down what the module orders. */
 final class Recorder implements Actions {
     static final long MS = 1_000_000;
-    static final RequestClass REPEATABLE = requestClass(Semantics.REPEATABLE, Scope.ALL);
-    static final RequestClass ONCE = requestClass(Semantics.ONCE, Scope.ALL);
-    static final RequestClass BY_CELL = requestClass(Semantics.BY_KEY, Scope.CELL);
-    static final RequestClass BY_ANY = requestClass(Semantics.BY_KEY, Scope.ALL);
+    static final RequestClass REPEATABLE = requestClass(Idempotency.IDEMPOTENT, KeyScope.ALL);
+    static final RequestClass ONCE = requestClass(Idempotency.NON_IDEMPOTENT, KeyScope.ALL);
+    static final RequestClass BY_CELL = requestClass(Idempotency.IDEMPOTENCY_KEY, KeyScope.CELL);
+    static final RequestClass BY_ANY = requestClass(Idempotency.IDEMPOTENCY_KEY, KeyScope.ALL);
 
     record Sent(long request, int attempt, long upstream, long at) {}
 
@@ -35,37 +35,37 @@
     final List<Sent> sends = new ArrayList<>();
     final List<String> answers = new ArrayList<>();
     final PriorityQueue<Timer> timers = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
-    final Rules rules;
+    final SidecarPolicy rules;
     long now = 1_000 * MS;
     int subscriptions;
 
     Recorder(Settings settings, long seed) {
-        rules = new Rules(settings, seed, this);
+        rules = new SidecarPolicy(settings, seed, this);
         rules.start(now);
     }
 
-    static RequestClass requestClass(Semantics semantics, Scope scope) {
+    static RequestClass requestClass(Idempotency semantics, KeyScope scope) {
         return new RequestClass(500 * MS, 0, 1_000 * MS, 1, 0, semantics, scope, 700 * MS, false);
     }
 
     static Settings settings(RequestClass... classes) {
-        return settings(Discovery.AUTOMATIC, classes);
+        return settings(DiscoveryMode.AUTOMATIC, classes);
     }
 
-    static Settings settings(Discovery discovery, RequestClass... classes) {
+    static Settings settings(DiscoveryMode discovery, RequestClass... classes) {
         return new Settings(
                 0,
                 3,
                 0,
                 5 * MS,
                 discovery,
-                Weights.SILENT,
+                WeightKind.SILENT,
                 List.of(classes),
                 List.<Tenant>of(),
-                new Allowed(true, false, false, true, true, 3, 1_000 * MS, 250 * MS),
+                new Capabilities(true, false, false, true, true, 3, 1_000 * MS, 250 * MS),
                 new Limits(20 * MS, 10_000 * MS, 250 * MS, 0.3, 8_000 * MS, 3, 1_500 * MS),
                 List.of(),
-                Balancer.Charges.NONE,
+                LoadBalancer.Costs.NONE,
                 false,
                 1);
     }
@@ -78,33 +78,33 @@
                 replicas,
                 0,
                 MS,
-                Discovery.AUTOMATIC,
-                Weights.SILENT,
-                base.classes(),
+                DiscoveryMode.AUTOMATIC,
+                WeightKind.SILENT,
+                base.requestClasses(),
                 List.of(),
-                new Allowed(true, true, false, false, true, 3, 1_000 * MS, 250 * MS),
+                new Capabilities(true, true, false, false, true, 3, 1_000 * MS, 250 * MS),
                 base.limits(),
                 List.of("q", "rif"),
-                new Balancer.Charges(0.002, 0),
+                new LoadBalancer.Costs(0.002, 0),
                 false,
                 1);
     }
 
-    static Upstream upstream(long id) {
-        return upstream(id, State.READY, 0);
+    static EndpointInfo upstream(long id) {
+        return upstream(id, EndpointStatus.READY, 0);
     }
 
-    static Upstream upstream(long id, State state, long startedAt) {
-        return new Upstream(id, (int) (id % 2), 0, (int) (id / 3), state, 1, startedAt);
+    static EndpointInfo upstream(long id, EndpointStatus state, long startedAt) {
+        return new EndpointInfo(id, (int) (id % 2), 0, (int) (id / 3), state, 1, startedAt);
     }
 
     /** Lists upstreams 0 to count - 1 as ready and long started. */
     Recorder withUpstreams(int count) {
-        List<Upstream> list = new ArrayList<>();
+        List<EndpointInfo> list = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             list.add(upstream(i));
         }
-        rules.listChanged(now, ListKind.CACHED, list);
+        rules.endpointsUpdated(now, UpdateKind.CACHED, list);
         return this;
     }
 
@@ -113,11 +113,11 @@
     }
 
     void request(long id, int requestClass, long left) {
-        rules.request(now, new Request(id, requestClass, 0, 0, left, 0, false, false));
+        rules.requestReceived(now, new Request(id, requestClass, 0, 0, left, 0, false, false));
     }
 
     void outcome(Sent sent, Outcome outcome) {
-        rules.outcome(
+        rules.attemptCompleted(
                 now,
                 sent.request,
                 sent.attempt,
@@ -134,7 +134,7 @@
         while (!timers.isEmpty() && timers.peek().at <= end) {
             Timer timer = timers.poll();
             now = Math.max(now, timer.at);
-            rules.timer(now, timer.token);
+            rules.timerFired(now, timer.token);
         }
         now = end;
     }
@@ -170,13 +170,13 @@
     }
 
     @Override
-    public void send(long request, long upstream, long timeout) {
+    public void forward(long request, long upstream, long timeout) {
         log.add("send " + request + " " + upstream + " " + timeout);
         sends.add(new Sent(request, sendsOf(request).size(), upstream, now));
     }
 
     @Override
-    public void refuse(long request, long wait) {
+    public void reject(long request, long wait) {
         log.add("refuse " + request + " " + wait);
         answers.add("refuse " + request);
     }
@@ -188,28 +188,28 @@
     }
 
     @Override
-    public void cancel(long request, int attempt) {
+    public void cancelAttempt(long request, int attempt) {
         log.add("cancel " + request + " " + attempt);
     }
 
     @Override
-    public void timer(long token, long at) {
+    public void setTimer(long token, long at) {
         log.add("timer " + token + " " + at);
         timers.add(new Timer(at, token));
     }
 
     @Override
-    public void probe(long upstream) {
+    public void sendHealthCheck(long upstream) {
         log.add("probe " + upstream);
     }
 
     @Override
-    public void closeIdle(long upstream) {
+    public void closeIdleConnections(long upstream) {
         log.add("close " + upstream);
     }
 
     @Override
-    public void tell(int peer, byte[] message) {
+    public void sendGossip(int peer, byte[] message) {
         log.add("tell " + peer);
     }
 
@@ -219,13 +219,13 @@
     }
 
     @Override
-    public void subscribe(boolean on) {
+    public void watchEndpoints(boolean on) {
         log.add("subscribe " + on);
         subscriptions++;
     }
 
     @Override
-    public void fetchList() {
+    public void fetchEndpoints() {
         log.add("fetch");
     }
 }
--- a/decisions/src/test/java/topazvalve/decisions/RulesTest.java
+++ b/policy/src/test/java/topazvalve/policy/RulesTest.java
@@ -1,17 +1,17 @@
-package topazvalve.decisions;
+package topazvalve.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static topazvalve.decisions.Recorder.BY_ANY;
-import static topazvalve.decisions.Recorder.BY_CELL;
-import static topazvalve.decisions.Recorder.MS;
-import static topazvalve.decisions.Recorder.ONCE;
-import static topazvalve.decisions.Recorder.REPEATABLE;
-import static topazvalve.decisions.Recorder.settings;
-import static topazvalve.decisions.Recorder.upstream;
+import static topazvalve.policy.Recorder.BY_ANY;
+import static topazvalve.policy.Recorder.BY_CELL;
+import static topazvalve.policy.Recorder.MS;
+import static topazvalve.policy.Recorder.ONCE;
+import static topazvalve.policy.Recorder.REPEATABLE;
+import static topazvalve.policy.Recorder.settings;
+import static topazvalve.policy.Recorder.upstream;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -24,15 +24,15 @@
 import java.util.Set;
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
-import topazvalve.decisions.Balancer.Discovery;
-import topazvalve.decisions.Balancer.ListKind;
-import topazvalve.decisions.Balancer.Outcome;
-import topazvalve.decisions.Balancer.Settings;
-import topazvalve.decisions.Balancer.State;
+import topazvalve.policy.LoadBalancer.DiscoveryMode;
+import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.LoadBalancer.Outcome;
+import topazvalve.policy.LoadBalancer.Settings;
+import topazvalve.policy.LoadBalancer.UpdateKind;
 
 class RulesTest {
 
-    private static Recorder host(Balancer.RequestClass... classes) {
+    private static Recorder host(LoadBalancer.RequestClass... classes) {
         return new Recorder(settings(classes), 7);
     }
 
@@ -88,8 +88,16 @@
     /** An open stream tells nothing more of its server's pace, but it is there, until its outcome. */
     @Test
     void openStreamsCountAsInFlightUntilTheyEnd() {
-        Balancer.RequestClass stream = new Balancer.RequestClass(
-                ONCE.aim(), 0, ONCE.deadline(), 1, 0, ONCE.semantics(), ONCE.scope(), 0, true);
+        LoadBalancer.RequestClass stream = new LoadBalancer.RequestClass(
+                ONCE.latencyObjectiveNanos(),
+                0,
+                ONCE.deadlineNanos(),
+                1,
+                0,
+                ONCE.idempotency(),
+                ONCE.keyScope(),
+                0,
+                true);
         Recorder host = host(stream).withUpstreams(2);
         Map<Long, List<Recorder.Sent>> open = new HashMap<>();
         for (int i = 0; i < 12; i++) {
@@ -108,7 +116,7 @@
         host.request(id, 0);
         Recorder.Sent sent = host.last();
         host.advance(MS);
-        host.rules.firstByte(host.now, id, 0, sent.upstream(), MS);
+        host.rules.responseStarted(host.now, id, 0, sent.upstream(), MS);
         open.computeIfAbsent(sent.upstream(), none -> new ArrayList<>()).add(sent);
     }
 
@@ -116,9 +124,9 @@
     void redrawnOnlyWhenTheReadySetChanges() {
         Recorder host = host(REPEATABLE).withUpstreams(8);
         List<Long> before = turn(host, 8, 0);
-        host.rules.listChanged(host.now, ListKind.DELTA, List.of(upstream(3)));
+        host.rules.endpointsUpdated(host.now, UpdateKind.DELTA, List.of(upstream(3)));
         assertEquals(before, turn(host, 8, 20));
-        host.rules.listChanged(host.now, ListKind.DELTA, List.of(upstream(3, State.GONE, 0)));
+        host.rules.endpointsUpdated(host.now, UpdateKind.DELTA, List.of(upstream(3, EndpointStatus.REMOVED, 0)));
         List<Long> after = turn(host, 7, 40);
         assertFalse(after.contains(3L));
         before.remove(3L);
@@ -151,12 +159,12 @@
     /** Turns of a slow and a fast upstream of two kinds, by what each takes. */
     private static List<Long> turnsOfTwoKinds(long fast, long slow) {
         Recorder host = host(REPEATABLE);
-        host.rules.listChanged(
+        host.rules.endpointsUpdated(
                 host.now,
-                ListKind.CACHED,
+                UpdateKind.CACHED,
                 List.of(
-                        new Balancer.Upstream(0, 0, 0, 0, State.READY, 1, 0),
-                        new Balancer.Upstream(1, 0, 1, 0, State.READY, 1, 0)));
+                        new LoadBalancer.EndpointInfo(0, 0, 0, 0, EndpointStatus.READY, 1, 0),
+                        new LoadBalancer.EndpointInfo(1, 0, 1, 0, EndpointStatus.READY, 1, 0)));
         for (int i = 0; i < 200; i++) {
             host.request(i, 0);
             host.advance(host.last().upstream() == 0 ? fast : slow);
@@ -180,7 +188,7 @@
         host.request(1, 0);
         Recorder.Timer timer = host.timers.poll();
         host.now = timer.at() - 30;
-        host.rules.timer(host.now, timer.token());
+        host.rules.timerFired(host.now, timer.token());
         host.advance(2_000 * MS);
         assertEquals(List.of("fail 1"), host.answers);
     }
@@ -270,24 +278,24 @@
     @Test
     void drainingAndMissingUpstreamsGetNothingNew() {
         Recorder host = host(REPEATABLE).withUpstreams(4);
-        host.rules.listChanged(host.now, ListKind.DELTA, List.of(upstream(2, State.DRAINING, 0)));
+        host.rules.endpointsUpdated(host.now, UpdateKind.DELTA, List.of(upstream(2, EndpointStatus.DRAINING, 0)));
         assertFalse(turn(host, 12, 0).contains(2L));
-        host.rules.listChanged(host.now, ListKind.FULL, List.of(upstream(0), upstream(1)));
+        host.rules.endpointsUpdated(host.now, UpdateKind.FULL, List.of(upstream(0), upstream(1)));
         assertEquals(Set.of(0L, 1L), new HashSet<>(turn(host, 12, 20)));
     }
 
     @Test
     void failedSubscriptionKeepsTheListAndBacksOff() {
-        Recorder host = new Recorder(settings(Discovery.SUBSCRIBE, REPEATABLE), 7).withUpstreams(3);
+        Recorder host = new Recorder(settings(DiscoveryMode.SUBSCRIBE, REPEATABLE), 7).withUpstreams(3);
         assertEquals(1, host.subscriptions);
         for (int i = 0; i < 8; i++) {
-            host.rules.listChanged(host.now, ListKind.FAILED, List.of());
+            host.rules.endpointsUpdated(host.now, UpdateKind.FAILED, List.of());
             host.advance(5_000 * MS);
             assertEquals(i + 2, host.subscriptions);
         }
         host.request(1, 0);
         assertEquals(1, host.sends.size());
-        host.rules.listChanged(host.now, ListKind.FAILED, List.of());
+        host.rules.endpointsUpdated(host.now, UpdateKind.FAILED, List.of());
         host.advance(749 * MS);
         assertEquals(9, host.subscriptions, "after eight failures it waits");
         host.advance(751 * MS);
@@ -297,22 +305,22 @@
     /** New settings may come with another discovery: it does not pay for the old one's failures. */
     @Test
     void newSettingsEndALongWaitForDiscovery() {
-        Balancer.Settings settings = settings(Discovery.SUBSCRIBE, REPEATABLE);
+        LoadBalancer.Settings settings = settings(DiscoveryMode.SUBSCRIBE, REPEATABLE);
         Recorder host = new Recorder(settings, 7).withUpstreams(3);
         for (int i = 0; i < 8; i++) {
-            host.rules.listChanged(host.now, ListKind.FAILED, List.of());
+            host.rules.endpointsUpdated(host.now, UpdateKind.FAILED, List.of());
             host.advance(5_000 * MS);
         }
         int before = host.subscriptions;
-        host.rules.retuned(host.now, settings);
-        host.rules.listChanged(host.now, ListKind.FAILED, List.of());
+        host.rules.settingsChanged(host.now, settings);
+        host.rules.endpointsUpdated(host.now, UpdateKind.FAILED, List.of());
         host.advance(250 * MS);
         assertEquals(before + 1, host.subscriptions);
     }
 
     @Test
     void unansweredSubscriptionIsRepeated() {
-        Recorder host = new Recorder(settings(Discovery.SUBSCRIBE, REPEATABLE), 7).withUpstreams(3);
+        Recorder host = new Recorder(settings(DiscoveryMode.SUBSCRIBE, REPEATABLE), 7).withUpstreams(3);
         host.advance(6_000 * MS);
         assertEquals(2, host.subscriptions);
     }
@@ -323,7 +331,7 @@
     void coldUpstreamGetsNoMoreThanItsShareOfAWarmOne() {
         Recorder host = host(REPEATABLE).withUpstreams(4);
         host.serve(0, 2_000, 0, 5 * MS);
-        host.rules.listChanged(host.now, ListKind.DELTA, List.of(upstream(9, State.READY, host.now)));
+        host.rules.endpointsUpdated(host.now, UpdateKind.DELTA, List.of(upstream(9, EndpointStatus.READY, host.now)));
         int before = host.sends.size();
         host.serve(5_000, 5_300, 0, 5 * MS);
         long cold = host.sentTo(9, before);
@@ -338,7 +346,8 @@
         for (int seed = 0; seed < 100; seed++) {
             Recorder host = new Recorder(settings(REPEATABLE), seed).withUpstreams(4);
             host.serve(0, 20, 0, 500 * MS);
-            host.rules.listChanged(host.now, ListKind.DELTA, List.of(upstream(9, State.READY, host.now)));
+            host.rules.endpointsUpdated(
+                    host.now, UpdateKind.DELTA, List.of(upstream(9, EndpointStatus.READY, host.now)));
             int before = host.sends.size();
             host.serve(100, 105, 0, 300 * MS);
             cold += (int) host.sentTo(9, before);
@@ -352,7 +361,8 @@
     void aSidecarThatKnowsNothingYetLeavesColdUpstreamsAlone() {
         for (int seed = 0; seed < 20; seed++) {
             Recorder host = new Recorder(settings(REPEATABLE), seed).withUpstreams(2);
-            host.rules.listChanged(host.now, ListKind.DELTA, List.of(upstream(9, State.READY, host.now)));
+            host.rules.endpointsUpdated(
+                    host.now, UpdateKind.DELTA, List.of(upstream(9, EndpointStatus.READY, host.now)));
             host.burst(0, 3, 0);
             assertEquals(0, host.sentTo(9, 0));
         }
@@ -441,7 +451,8 @@
         host.log.clear();
         host.now += MS;
         for (int i = 0; i < asked.size(); i++) {
-            host.rules.probeResult(host.now, asked.get(i), Outcome.OK, MS, new float[] {0, i == idle ? 0 : inHand});
+            host.rules.healthCheckCompleted(
+                    host.now, asked.get(i), Outcome.OK, MS, new float[] {0, i == idle ? 0 : inHand});
         }
     }
 
@@ -514,7 +525,8 @@
                 host.outcome(last, Outcome.OK);
             }
             int before = host.sends.size();
-            host.rules.request(host.now, new Balancer.Request(100, 0, 0, 0, 1_000 * MS, 0, seed % 2 == 1, false));
+            host.rules.requestReceived(
+                    host.now, new LoadBalancer.Request(100, 0, 0, 0, 1_000 * MS, 0, seed % 2 == 1, false));
             sent[seed % 2] += host.sends.size() - before;
         }
         assertTrue(sent[0] > 15 && sent[1] < sent[0] / 2, "first tries " + sent[0] + ", retries " + sent[1]);
@@ -547,7 +559,7 @@
             host.request(id + 1, 0);
             Recorder.Sent left = host.last();
             host.advance(100 * MS);
-            host.rules.hangup(host.now, id + 1);
+            host.rules.clientDisconnected(host.now, id + 1);
             host.outcome(left, Outcome.CANCELLED);
         }
         assertEquals(200, host.sends.size());
@@ -563,7 +575,7 @@
         }
         host.advance(600 * MS);
         List.copyOf(host.sends).forEach(sent -> {
-            host.rules.hangup(host.now, sent.request());
+            host.rules.clientDisconnected(host.now, sent.request());
             host.outcome(sent, Outcome.CANCELLED);
         });
         int before = host.sends.size();
@@ -637,30 +649,30 @@
 
     @Test
     void tenantThatHadLeastOfItsQuotaGoesFirst() {
-        Balancer.Settings base = settings(ONCE);
+        LoadBalancer.Settings base = settings(ONCE);
         Recorder host = new Recorder(
-                        new Balancer.Settings(
+                        new LoadBalancer.Settings(
                                 0,
                                 1,
                                 0,
                                 5 * MS,
-                                Discovery.AUTOMATIC,
-                                Balancer.Weights.SILENT,
-                                base.classes(),
-                                List.of(new Balancer.Tenant(0.5, 10), new Balancer.Tenant(0.5, 10)),
-                                base.allowed(),
+                                DiscoveryMode.AUTOMATIC,
+                                LoadBalancer.WeightKind.SILENT,
+                                base.requestClasses(),
+                                List.of(new LoadBalancer.Tenant(0.5, 10), new LoadBalancer.Tenant(0.5, 10)),
+                                base.capabilities(),
                                 base.limits(),
                                 List.of(),
-                                Balancer.Charges.NONE,
+                                LoadBalancer.Costs.NONE,
                                 false,
                                 0.1),
                         7)
                 .withUpstreams(1);
         for (int i = 0; i < 4; i++) {
-            host.rules.request(host.now, new Balancer.Request(i, 0, 0, 0, 1_000 * MS, 0, false, false));
+            host.rules.requestReceived(host.now, new LoadBalancer.Request(i, 0, 0, 0, 1_000 * MS, 0, false, false));
         }
-        host.rules.request(host.now, new Balancer.Request(10, 0, 1, 0, 1_000 * MS, 0, false, false));
-        host.rules.request(host.now, new Balancer.Request(11, 0, 0, 0, 1_000 * MS, 0, false, false));
+        host.rules.requestReceived(host.now, new LoadBalancer.Request(10, 0, 1, 0, 1_000 * MS, 0, false, false));
+        host.rules.requestReceived(host.now, new LoadBalancer.Request(11, 0, 0, 0, 1_000 * MS, 0, false, false));
         int out = host.sends.size();
         host.advance(10 * MS);
         host.outcome(host.sends.get(0), Outcome.OK);
@@ -688,7 +700,7 @@
     @Test
     void senselessSettingsAreNamed() {
         IllegalArgumentException e =
-                assertThrows(IllegalArgumentException.class, () -> new Balancer.Limits(0, 0, 0, 1.5, 0, 3, 0));
+                assertThrows(IllegalArgumentException.class, () -> new LoadBalancer.Limits(0, 0, 0, 1.5, 0, 3, 0));
         assertTrue(e.getMessage().contains("cold share"));
         assertThrows(IllegalArgumentException.class, () -> settings());
     }
@@ -697,11 +709,11 @@
     void eventsAboutNothingHeldArePassedOver() {
         Recorder host = host(REPEATABLE).withUpstreams(2);
         int before = host.log.size();
-        host.rules.hangup(host.now, 99);
-        host.rules.outcome(host.now, 99, 0, 1, Outcome.OK, 0, true, new float[0]);
-        host.rules.firstByte(host.now, 99, 0, 1, 0);
-        host.rules.timer(host.now, 12345);
-        host.rules.peerMessage(host.now, 1, new byte[] {1});
+        host.rules.clientDisconnected(host.now, 99);
+        host.rules.attemptCompleted(host.now, 99, 0, 1, Outcome.OK, 0, true, new float[0]);
+        host.rules.responseStarted(host.now, 99, 0, 1, 0);
+        host.rules.timerFired(host.now, 12345);
+        host.rules.gossipReceived(host.now, 1, new byte[] {1});
         assertEquals(before, host.log.size());
     }
 
@@ -716,25 +728,26 @@
         host.outcome(host.last(), Outcome.CONNECT_FAILED);
         host.outcome(host.last(), Outcome.OK);
         Settings base = settings(REPEATABLE, ONCE);
-        Balancer.Allowed few = new Balancer.Allowed(true, false, false, true, true, 1, 1_000 * MS, 250 * MS);
-        host.rules.retuned(
+        LoadBalancer.Capabilities few =
+                new LoadBalancer.Capabilities(true, false, false, true, true, 1, 1_000 * MS, 250 * MS);
+        host.rules.settingsChanged(
                 host.now,
                 new Settings(
                         0,
                         3,
                         0,
                         5 * MS,
-                        base.discovery(),
-                        base.weights(),
-                        base.classes(),
+                        base.discoveryMode(),
+                        base.weightKind(),
+                        base.requestClasses(),
                         List.of(),
                         few,
                         base.limits(),
                         List.of(),
-                        base.charges(),
+                        base.costs(),
                         false,
                         1));
-        assertEquals(1, host.rules.avoided(host.now));
+        assertEquals(1, host.rules.ejectedCount(host.now));
         host.request(3, 0);
         assertNotEquals(first.upstream(), host.last().upstream(), "what is in flight still counts");
         assertNotEquals(ill, host.last().upstream());
@@ -753,15 +766,15 @@
     @Test
     void avoidedUpstreamsAreCounted() {
         Recorder host = host(REPEATABLE).withUpstreams(3);
-        assertEquals(0, host.rules.avoided(host.now));
+        assertEquals(0, host.rules.ejectedCount(host.now));
         host.request(1, 0);
         long shut = host.last().upstream();
         host.outcome(host.last(), Outcome.CONNECT_FAILED);
         int before = host.log.size();
-        assertEquals(1, host.rules.avoided(host.now));
+        assertEquals(1, host.rules.ejectedCount(host.now));
         assertEquals(before, host.log.size());
         host.outcome(host.last(), Outcome.OK);
-        for (int i = 2; host.rules.avoided(host.now) > 0; i++) {
+        for (int i = 2; host.rules.ejectedCount(host.now) > 0; i++) {
             host.advance(1_000 * MS);
             host.request(i, 0);
             host.outcome(host.last(), Outcome.OK);
