--- a/decisions/src/test/java/topazvalve/decisions/SettingsUnlikeTest.java
+++ b/policy/src/test/java/topazvalve/policy/SettingsUnlikeTest.java
@@ -1,29 +1,29 @@
-package topazvalve.decisions;
+package topazvalve.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static topazvalve.decisions.Recorder.MS;
+import static topazvalve.policy.Recorder.MS;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import topazvalve.decisions.Balancer.Allowed;
-import topazvalve.decisions.Balancer.Discovery;
-import topazvalve.decisions.Balancer.Limits;
-import topazvalve.decisions.Balancer.ListKind;
-import topazvalve.decisions.Balancer.Outcome;
-import topazvalve.decisions.Balancer.RequestClass;
-import topazvalve.decisions.Balancer.Scope;
-import topazvalve.decisions.Balancer.Semantics;
-import topazvalve.decisions.Balancer.Settings;
-import topazvalve.decisions.Balancer.State;
-import topazvalve.decisions.Balancer.Weights;
+import topazvalve.policy.LoadBalancer.Capabilities;
+import topazvalve.policy.LoadBalancer.DiscoveryMode;
+import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.LoadBalancer.Idempotency;
+import topazvalve.policy.LoadBalancer.KeyScope;
+import topazvalve.policy.LoadBalancer.Limits;
+import topazvalve.policy.LoadBalancer.Outcome;
+import topazvalve.policy.LoadBalancer.RequestClass;
+import topazvalve.policy.LoadBalancer.Settings;
+import topazvalve.policy.LoadBalancer.UpdateKind;
+import topazvalve.policy.LoadBalancer.WeightKind;
 
 /** Settings far from the three deployments: bare hosts, lone servers, large and vanishing lists. */
 class SettingsUnlikeTest {
 
     /** A host that allows nothing but sending, with the given try limit. */
     private static Recorder bare(int tryLimit, RequestClass... classes) {
-        Allowed allowed = new Allowed(false, false, false, false, false, tryLimit, 0, 0);
+        Capabilities allowed = new Capabilities(false, false, false, false, false, tryLimit, 0, 0);
         Limits limits = new Limits(20 * MS, 10_000 * MS, 250 * MS, 1, 0, 1, 0);
         return new Recorder(
                 new Settings(
@@ -31,14 +31,14 @@
                         1,
                         0,
                         0,
-                        Discovery.AUTOMATIC,
-                        Weights.SILENT,
+                        DiscoveryMode.AUTOMATIC,
+                        WeightKind.SILENT,
                         List.of(classes),
                         List.of(),
                         allowed,
                         limits,
                         List.of(),
-                        Balancer.Charges.NONE,
+                        LoadBalancer.Costs.NONE,
                         true,
                         0),
                 5);
@@ -84,7 +84,7 @@
         for (int i = 0; i < 40; i++) {
             host.request(i, i % 2);
         }
-        host.rules.hangup(host.now, host.last().request());
+        host.rules.clientDisconnected(host.now, host.last().request());
         host.advance(3_000 * MS);
         assertTrue(host.log.stream().noneMatch(l -> l.matches("(cancel|probe|tell|close).*")), "unasked");
         assertTrue(host.log.stream().anyMatch(l -> l.startsWith("refuse")));
@@ -95,7 +95,7 @@
     void aListThatEmptiesAndRefillsStartsAfresh() {
         Recorder host = bare(3, Recorder.REPEATABLE).withUpstreams(4);
         host.serve(0, 20, 0, 10 * MS);
-        host.rules.listChanged(host.now, ListKind.FULL, List.of());
+        host.rules.endpointsUpdated(host.now, UpdateKind.FULL, List.of());
         host.request(100, 0);
         assertEquals(List.of("refuse 100"), host.answers, "nothing ready");
         host.withUpstreams(4);
@@ -113,21 +113,22 @@
             one.advance(MS);
             other.advance(MS);
             Recorder.Sent sent = one.last();
-            one.rules.outcome(one.now, i, 0, sent.upstream(), Outcome.OK, MS, true, new float[0]);
+            one.rules.attemptCompleted(one.now, i, 0, sent.upstream(), Outcome.OK, MS, true, new float[0]);
             float[] report = {9, -1, 7e9f};
-            other.rules.outcome(other.now, i, 0, sent.upstream(), Outcome.OK, MS, true, report);
+            other.rules.attemptCompleted(other.now, i, 0, sent.upstream(), Outcome.OK, MS, true, report);
         }
         assertEquals(one.log, other.log);
     }
 
     @Test
     void aStreamThatHasBegunIsNeitherSentAgainNorCutAtTheDeadline() {
-        RequestClass stream = new RequestClass(500 * MS, 0, 1_000 * MS, 1, 0, Semantics.REPEATABLE, Scope.ALL, 0, true);
+        RequestClass stream =
+                new RequestClass(500 * MS, 0, 1_000 * MS, 1, 0, Idempotency.IDEMPOTENT, KeyScope.ALL, 0, true);
         Recorder host = new Recorder(Recorder.settings(stream), 3).withUpstreams(3);
         host.request(1, 0);
         Recorder.Sent sent = host.last();
         host.advance(100 * MS);
-        host.rules.firstByte(host.now, 1, 0, sent.upstream(), 100 * MS);
+        host.rules.responseStarted(host.now, 1, 0, sent.upstream(), 100 * MS);
         host.advance(2_000 * MS);
         assertEquals(List.of(), host.answers);
         host.outcome(sent, Outcome.RESET);
@@ -148,10 +149,12 @@
     @Test
     void drainingEverywhereStopsAllNewWork() {
         Recorder host = bare(3, Recorder.REPEATABLE).withUpstreams(2);
-        host.rules.listChanged(
+        host.rules.endpointsUpdated(
                 host.now,
-                ListKind.DELTA,
-                List.of(Recorder.upstream(0, State.DRAINING, 0), Recorder.upstream(1, State.DRAINING, 0)));
+                UpdateKind.DELTA,
+                List.of(
+                        Recorder.upstream(0, EndpointStatus.DRAINING, 0),
+                        Recorder.upstream(1, EndpointStatus.DRAINING, 0)));
         host.request(1, 0);
         assertEquals(0, host.sends.size());
         assertEquals(List.of("refuse 1"), host.answers);
--- a/relay/src/main/java/topazvalve/relay/Lines.java
+++ b/relay/src/main/java/topazvalve/relay/ChunkEncoder.java
@@ -4,11 +4,11 @@
 import io.netty.buffer.Unpooled;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import topazvalve.lists.ListState.Entry;
-import topazvalve.lists.Versions;
+import topazvalve.discovery.state.EndpointStore.Entry;
+import topazvalve.discovery.state.VersionVector;
 
 /** What callers are told, as it goes out: each line is one chunk (RFC 9112, 7.1) and encoded once for all. */
-final class Lines {
+final class ChunkEncoder {
     private static final byte[] CHUNK_END = {'\r', '\n'};
     /** The empty line that says that nothing is new. */
     static final ByteBuf EMPTY = Unpooled.unreleasableBuffer(bytes("1\r\n\n\r\n"));
@@ -17,17 +17,17 @@
             bytes("HTTP/1.1 200 OK\r\n" + "Content-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"));
     static final ByteBuf LAST = Unpooled.unreleasableBuffer(bytes("0\r\n\r\n"));
 
-    private Lines() {}
+    private ChunkEncoder() {}
 
     private static ByteBuf bytes(String text) {
         return Unpooled.wrappedBuffer(text.getBytes(StandardCharsets.US_ASCII));
     }
 
     /** A list, or a change of one. */
-    static ByteBuf list(Versions versions, boolean whole, List<Entry> entries) {
+    static ByteBuf list(VersionVector versions, boolean whole, List<Entry> entries) {
         StringBuilder text = new StringBuilder(64 + 192 * entries.size());
         text.append("{\"rev\":")
-                .append(versions.sum())
+                .append(versions.revisionSum())
                 .append(",\"all\":")
                 .append(whole)
                 .append(",\"versions\":\"")
--- a/relay/src/main/java/topazvalve/relay/Relay.java
+++ b/relay/src/main/java/topazvalve/relay/DiscoveryRelay.java
@@ -23,25 +23,25 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import topazvalve.lists.ListState;
-import topazvalve.lists.ListState.Lack;
-import topazvalve.lists.ListState.Taken;
-import topazvalve.lists.Version;
-import topazvalve.lists.Versions;
+import topazvalve.discovery.client.DiscoveryCall;
+import topazvalve.discovery.state.EndpointStore;
+import topazvalve.discovery.state.EndpointStore.CatchUp;
+import topazvalve.discovery.state.EndpointStore.UpdateResult;
+import topazvalve.discovery.state.SourceVersion;
+import topazvalve.discovery.state.VersionVector;
 import topazvalve.relay.RelaySettings.SourceSettings;
-import topazvalve.sidecar.discovery.ListCall;
 
 /**
  * One relay: follows its sources, and tells who watches. One event loop owns its state. What a caller
- * lacks is decided by {@link ListState}; here is when, and within which bounds.
+ * lacks is decided by {@link EndpointStore}; here is when, and within which bounds.
  *
  * <p>It vouches for its list while it hears a source. Once it hears none it says nothing more, closes who
  * follows, one after the other, and refuses calls: they find another relay, or keep the list they have.
  */
-public final class Relay {
+public final class DiscoveryRelay {
     private static final Logger LOG = LoggerFactory.getLogger("relay");
     /** A source brings a line every 2 s; a relay takes so long a silence for a break, as a sidecar does. */
-    private static final long VOUCH_NS = TimeUnit.MILLISECONDS.toNanos(ListCall.SILENCE_MS);
+    private static final long VOUCH_NS = TimeUnit.MILLISECONDS.toNanos(DiscoveryCall.IDLE_TIMEOUT_MILLIS);
 
     private static final long LINE_MS = 2_000;
     private static final long SWEEP_MS = 250;
@@ -60,37 +60,37 @@
 
     private final EventLoop loop;
     private final RelaySettings settings;
-    private final ListState lists;
-    private final List<SourceLink> links = new ArrayList<>();
-    private final Set<Caller> callers = new LinkedHashSet<>();
-    private final Figures figures = new Figures();
+    private final EndpointStore lists;
+    private final List<SourceSubscription> links = new ArrayList<>();
+    private final Set<Subscriber> callers = new LinkedHashSet<>();
+    private final RelayMetrics figures = new RelayMetrics();
     private final SplittableRandom random;
     /** The whole list as it is now, once somebody needed it, and older ones that are still being written. */
     private ByteBuf whole;
 
     private final List<ByteBuf> wholeBefore = new ArrayList<>();
     /** Changes that are still to be told, each server's newest line; from which versions on. */
-    private final Map<String, ListState.Entry> gathered = new LinkedHashMap<>();
+    private final Map<String, EndpointStore.Entry> gathered = new LinkedHashMap<>();
 
-    private Versions gatheredFrom;
+    private VersionVector gatheredFrom;
     private long toldAt = System.nanoTime() - GATHER_NS;
     private boolean vouched;
     private boolean closed;
     private Channel listening;
 
     /** Of these settings; {@code seed} is its own, so that relays that lost a source do not ask in step. */
-    public Relay(EventLoop loop, RelaySettings settings, long seed) {
+    public DiscoveryRelay(EventLoop loop, RelaySettings settings, long seed) {
         this.loop = loop;
         this.settings = settings;
         this.random = new SplittableRandom(seed);
         List<String> names =
                 settings.sources().stream().map(SourceSettings::name).toList();
-        this.lists = new ListState(names, settings.loggedEntries());
+        this.lists = new EndpointStore(names, settings.loggedEntries());
         for (SourceSettings each : settings.sources()) {
-            links.add(new SourceLink(loop, each, lists, random.nextLong(), new SourceLink.Listener() {
+            links.add(new SourceSubscription(loop, each, lists, random.nextLong(), new SourceSubscription.Listener() {
                 @Override
-                public void taken(Taken taken, Versions before) {
-                    Relay.this.taken(taken, before);
+                public void taken(UpdateResult taken, VersionVector before) {
+                    DiscoveryRelay.this.taken(taken, before);
                 }
 
                 @Override
@@ -103,7 +103,7 @@
 
     /** Listens, and follows its sources; the future is done once callers can come. */
     public ChannelFuture start() {
-        loop.execute(() -> links.forEach(SourceLink::start));
+        loop.execute(() -> links.forEach(SourceSubscription::start));
         loop.scheduleAtFixedRate(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
         loop.scheduleAtFixedRate(this::nothingNew, LINE_MS, LINE_MS, TimeUnit.MILLISECONDS);
         ChannelFuture opened = new ServerBootstrap()
@@ -114,14 +114,15 @@
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(
                         ChannelOption.WRITE_BUFFER_WATER_MARK,
-                        new WriteBufferWaterMark(settings.callerBytes() / 4, settings.callerBytes()))
+                        new WriteBufferWaterMark(
+                                settings.subscriberBufferBytes() / 4, settings.subscriberBufferBytes()))
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel made) {
                         made.pipeline()
                                 .addLast(
                                         new HttpRequestDecoder(LONGEST_HEAD, LONGEST_HEAD, LONGEST_HEAD),
-                                        new Caller(Relay.this, made));
+                                        new Subscriber(DiscoveryRelay.this, made));
                     }
                 })
                 .bind(settings.listen());
@@ -139,8 +140,8 @@
         return loop.submit(() -> {
             closed = true;
             listening.close();
-            links.forEach(SourceLink::close);
-            List.copyOf(callers).forEach(Caller::close);
+            links.forEach(SourceSubscription::close);
+            List.copyOf(callers).forEach(Subscriber::close);
         });
     }
 
@@ -155,30 +156,30 @@
 
     // Callers
 
-    void opened(Caller caller) {
+    void opened(Subscriber caller) {
         callers.add(caller);
         if (closed) {
             caller.close();
-        } else if (callers.size() > settings.mostCallers()) {
+        } else if (callers.size() > settings.maxSubscribers()) {
             figures.refusedFull++;
-            caller.end(Lines.answer("503 Service Unavailable", retryAfter(), "full\n"));
+            caller.end(ChunkEncoder.answer("503 Service Unavailable", retryAfter(), "full\n"));
         }
     }
 
-    void closed(Caller caller) {
+    void closed(Subscriber caller) {
         callers.remove(caller);
     }
 
-    void bad(Caller caller, String why) {
+    void bad(Subscriber caller, String why) {
         figures.refusedBad++;
-        caller.end(Lines.answer("400 Bad Request", "", why + "\n"));
+        caller.end(ChunkEncoder.answer("400 Bad Request", "", why + "\n"));
     }
 
-    void asked(Caller caller, Query query) {
+    void asked(Subscriber caller, DiscoveryRequest query) {
         figures.calls++;
         if (!vouches()) {
             figures.refusedUnheard++;
-            caller.end(Lines.answer("503 Service Unavailable", retryAfter(), "no source is heard\n"));
+            caller.end(ChunkEncoder.answer("503 Service Unavailable", retryAfter(), "no source is heard\n"));
         } else if (!query.watch()) {
             once(caller);
         } else {
@@ -187,8 +188,8 @@
         }
     }
 
-    private void once(Caller caller) {
-        ByteBuf list = lists.complete() ? whole() : null;
+    private void once(Subscriber caller) {
+        ByteBuf list = lists.isComplete() ? whole() : null;
         if (list == null) {
             figures.refusedBehind++;
             refuse(caller, "not every source was heard yet\n");
@@ -202,30 +203,30 @@
      * How far a caller has come. One that tells a number alone is taken at its word where that says all: with
      * one source that tells no epoch.
      */
-    private Versions versions(Query query) {
+    private VersionVector versions(DiscoveryRequest query) {
         if (!query.versions().isEmpty() || query.from() == 0 || links.size() > 1) {
             return query.versions();
         }
-        Version now = lists.versions().at(links.get(0).name());
+        SourceVersion now = lists.versions().versionOf(links.get(0).name());
         return now == null || now.epoch() > 0
-                ? Versions.NONE
-                : Versions.of(links.get(0).name(), new Version(0, query.from()));
+                ? VersionVector.NONE
+                : VersionVector.of(links.get(0).name(), new SourceVersion(0, query.from()));
     }
 
     /** Brings a caller to the newest state, if that can be done now. */
-    private void bring(Caller caller) {
-        Lack lack = lists.lack(caller.has());
-        if (lack == Lack.WHOLE
-                && links.stream().anyMatch(link -> link.fill(caller.has().at(link.name())))) {
+    private void bring(Subscriber caller) {
+        CatchUp lack = lists.catchUp(caller.has());
+        if (lack == CatchUp.SNAPSHOT
+                && links.stream().anyMatch(link -> link.fill(caller.has().versionOf(link.name())))) {
             caller.park(PARK_MS, () -> settle(caller));
-        } else if (lack == Lack.CHANGES) {
-            Versions now = lists.versions();
-            List<ListState.Entry> entries = lists.changes(caller.has());
+        } else if (lack == CatchUp.DELTA) {
+            VersionVector now = lists.versions();
+            List<EndpointStore.Entry> entries = lists.changesSince(caller.has());
             figures.changes++;
             caller.current(true);
-            caller.has(caller.has().after(now));
-            caller.tell(Lines.list(now, false, entries));
-        } else if (lack == Lack.WHOLE) {
+            caller.has(caller.has().merge(now));
+            caller.tell(ChunkEncoder.list(now, false, entries));
+        } else if (lack == CatchUp.SNAPSHOT) {
             tellWhole(caller);
         } else if (caller.begun()) {
             // It followed, and what this relay hears now is older: its next one is not behind, or is soon.
@@ -235,7 +236,7 @@
         }
     }
 
-    private void tellWhole(Caller caller) {
+    private void tellWhole(Subscriber caller) {
         ByteBuf list = whole();
         if (list == null) {
             figures.refusedFull++;
@@ -248,22 +249,22 @@
         }
     }
 
-    private void refuse(Caller caller, String why) {
+    private void refuse(Subscriber caller, String why) {
         if (caller.begun()) {
             caller.close();
         } else {
-            caller.end(Lines.answer("503 Service Unavailable", retryAfter(), why));
+            caller.end(ChunkEncoder.answer("503 Service Unavailable", retryAfter(), why));
         }
     }
 
     /** A parked caller's time is over. */
-    private void settle(Caller caller) {
-        Lack lack = lists.lack(caller.has());
+    private void settle(Subscriber caller) {
+        CatchUp lack = lists.catchUp(caller.has());
         long parked = TimeUnit.MILLISECONDS.toNanos(PARK_MS);
         boolean heard = links.stream().allMatch(link -> link.silentFor() < parked);
-        if (lists.complete() && (lack == Lack.WHOLE || (lack == Lack.AHEAD_OR_ANEW && heard))) {
+        if (lists.isComplete() && (lack == CatchUp.SNAPSHOT || (lack == CatchUp.AHEAD_OR_RESTARTED && heard))) {
             tellWhole(caller);
-        } else if (lack == Lack.CHANGES) {
+        } else if (lack == CatchUp.DELTA) {
             bring(caller);
         } else {
             figures.refusedBehind++;
@@ -284,14 +285,14 @@
             if (wholeBefore.size() >= MOST_WHOLE) {
                 return null;
             }
-            whole = Lines.list(lists.versions(), true, lists.whole());
+            whole = ChunkEncoder.list(lists.versions(), true, lists.snapshot());
         }
         return whole.retainedDuplicate();
     }
 
     /** A caller that was slow has taken what waited for it: it hears the newest state, not what it missed. */
-    void drained(Caller caller) {
-        if (caller.state() == Caller.State.FOLLOWING && !caller.current()) {
+    void drained(Subscriber caller) {
+        if (caller.state() == Subscriber.State.FOLLOWING && !caller.current()) {
             bring(caller);
         }
     }
@@ -302,9 +303,9 @@
 
     // Sources
 
-    private void taken(Taken taken, Versions before) {
-        Versions now = lists.versions();
-        if (taken == Taken.SAME && now.equals(before)) {
+    private void taken(UpdateResult taken, VersionVector before) {
+        VersionVector now = lists.versions();
+        if (taken == UpdateResult.UNCHANGED && now.equals(before)) {
             return;
         }
         if (whole != null) {
@@ -312,15 +313,15 @@
             whole = null;
         }
         waitingAgain();
-        if (taken == Taken.FIRST) {
-            for (Caller each : List.copyOf(callers)) {
-                if (each.state() == Caller.State.FOLLOWING) {
+        if (taken == UpdateResult.FIRST_UPDATE) {
+            for (Subscriber each : List.copyOf(callers)) {
+                if (each.state() == Subscriber.State.FOLLOWING) {
                     bring(each);
                 }
             }
             return;
         }
-        for (ListState.Entry each : lists.changed()) {
+        for (EndpointStore.Entry each : lists.changedEntries()) {
             gathered.remove(each.uid());
             gathered.put(each.uid(), each);
         }
@@ -337,21 +338,21 @@
 
     /** One line for all that changed since the last one; encoded once for all who are as far as that. */
     private void tellGathered() {
-        Versions before = gatheredFrom;
-        Versions now = lists.versions();
-        ByteBuf line = Lines.list(now, false, List.copyOf(gathered.values()));
+        VersionVector before = gatheredFrom;
+        VersionVector now = lists.versions();
+        ByteBuf line = ChunkEncoder.list(now, false, List.copyOf(gathered.values()));
         gathered.clear();
         gatheredFrom = null;
         toldAt = System.nanoTime();
-        for (Caller each : List.copyOf(callers)) {
-            if (each.state() == Caller.State.FOLLOWING) {
+        for (Subscriber each : List.copyOf(callers)) {
+            if (each.state() == Subscriber.State.FOLLOWING) {
                 tell(each, line, before, now);
             }
         }
         line.release();
     }
 
-    private void tell(Caller caller, ByteBuf line, Versions before, Versions now) {
+    private void tell(Subscriber caller, ByteBuf line, VersionVector before, VersionVector now) {
         if (!caller.ready()) {
             figures.overtaken += caller.current() ? 1 : 0;
             caller.current(false);
@@ -359,22 +360,22 @@
             bring(caller);
         } else if (!caller.has().equals(now)) {
             figures.changes++;
-            caller.has(caller.has().equals(before) ? now : caller.has().after(now));
+            caller.has(caller.has().equals(before) ? now : caller.has().merge(now));
             caller.tell(line.retainedDuplicate());
         }
     }
 
     private void waitingAgain() {
-        for (Caller each : List.copyOf(callers)) {
-            if (each.state() == Caller.State.PARKED) {
+        for (Subscriber each : List.copyOf(callers)) {
+            if (each.state() == Subscriber.State.PARKED) {
                 again(each);
             }
         }
     }
 
-    private void again(Caller caller) {
-        Lack lack = lists.lack(caller.has());
-        if (lack == Lack.CHANGES || lack == Lack.WHOLE) {
+    private void again(Subscriber caller) {
+        CatchUp lack = lists.catchUp(caller.has());
+        if (lack == CatchUp.DELTA || lack == CatchUp.SNAPSHOT) {
             bring(caller);
         }
     }
@@ -385,9 +386,9 @@
         if (!vouches()) {
             return;
         }
-        for (Caller each : List.copyOf(callers)) {
-            if (each.state() == Caller.State.FOLLOWING && each.ready()) {
-                each.tell(Lines.EMPTY.duplicate());
+        for (Subscriber each : List.copyOf(callers)) {
+            if (each.state() == Subscriber.State.FOLLOWING && each.ready()) {
+                each.tell(ChunkEncoder.EMPTY.duplicate());
             }
         }
     }
@@ -397,7 +398,7 @@
         if (vouched && !vouches) {
             LOG.warn("no source is heard: whoever follows is sent to another relay");
             List.copyOf(callers).forEach(each -> {
-                if (each.state() == Caller.State.FOLLOWING || each.state() == Caller.State.PARKED) {
+                if (each.state() == Subscriber.State.FOLLOWING || each.state() == Subscriber.State.PARKED) {
                     refuse(each, "no source is heard\n");
                 }
             });
@@ -407,11 +408,11 @@
                     settings.name(),
                     links.stream().filter(link -> link.silentFor() <= VOUCH_NS).count(),
                     links.size(),
-                    lists.live());
+                    lists.liveCount());
         }
         vouched = vouches;
-        for (Caller each : List.copyOf(callers)) {
-            if (each.stalledMs() > settings.stallMs()) {
+        for (Subscriber each : List.copyOf(callers)) {
+            if (each.stalledMs() > settings.stallTimeoutMillis()) {
                 figures.stalled++;
                 each.close();
             }
@@ -421,18 +422,19 @@
     /** All figures, as {@code key=value} lines. */
     String figures() {
         StringBuilder text = new StringBuilder();
-        Figures.line(text, "callers", callers.size());
-        Figures.line(
+        RelayMetrics.line(text, "callers", callers.size());
+        RelayMetrics.line(
                 text,
                 "following",
                 callers.stream()
-                        .filter(each -> each.state() == Caller.State.FOLLOWING)
+                        .filter(each -> each.state() == Subscriber.State.FOLLOWING)
                         .count());
-        Figures.line(text, "servers", lists.live());
-        Figures.line(text, "vouches", vouches() ? 1 : 0);
+        RelayMetrics.line(text, "servers", lists.liveCount());
+        RelayMetrics.line(text, "vouches", vouches() ? 1 : 0);
         text.append("versions=").append(lists.versions()).append('\n');
-        for (SourceLink each : links) {
-            Figures.line(text, "source." + each.name() + ".silent_ms", TimeUnit.NANOSECONDS.toMillis(each.silentFor()));
+        for (SourceSubscription each : links) {
+            RelayMetrics.line(
+                    text, "source." + each.name() + ".silent_ms", TimeUnit.NANOSECONDS.toMillis(each.silentFor()));
         }
         figures.print(text);
         return text.toString();
--- a/relay/src/main/java/topazvalve/relay/Query.java
+++ b/relay/src/main/java/topazvalve/relay/DiscoveryRequest.java
@@ -2,7 +2,7 @@
 
 import io.netty.handler.codec.http.QueryStringDecoder;
 import java.util.List;
-import topazvalve.lists.Versions;
+import topazvalve.discovery.state.VersionVector;
 
 /**
  * What a caller asks for.
@@ -11,14 +11,16 @@
  * @param from the version it has, as readers count that know of no sources; 0 for nothing
  * @param versions how far it has come at each source; empty where it does not say
  */
-record Query(boolean watch, long from, Versions versions) {
-    static Query of(QueryStringDecoder uri) {
+record DiscoveryRequest(boolean watch, long from, VersionVector versions) {
+    static DiscoveryRequest of(QueryStringDecoder uri) {
         String from = one(uri, "from", "0");
         if (!from.matches("[0-9]{1,18}")) {
             throw new IllegalArgumentException("from is not a version");
         }
-        return new Query(
-                one(uri, "watch", "0").equals("1"), Long.parseLong(from), Versions.parse(one(uri, "versions", "")));
+        return new DiscoveryRequest(
+                one(uri, "watch", "0").equals("1"),
+                Long.parseLong(from),
+                VersionVector.parse(one(uri, "versions", "")));
     }
 
     private static String one(QueryStringDecoder uri, String key, String absent) {
--- a/relay/src/main/java/topazvalve/relay/Main.java
+++ b/relay/src/main/java/topazvalve/relay/Main.java
@@ -31,7 +31,7 @@
             return;
         }
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        Relay relay = new Relay(group.next(), settings, new SecureRandom().nextLong());
+        DiscoveryRelay relay = new DiscoveryRelay(group.next(), settings, new SecureRandom().nextLong());
         relay.start().addListener(done -> {
             if (done.isSuccess()) {
                 LOG.info("{} listens at {}", settings.name(), relay.address());
--- a/relay/src/main/java/topazvalve/relay/RelayFile.java
+++ b/relay/src/main/java/topazvalve/relay/RelayFile.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Set;
 import topazvalve.core.net.Addresses;
-import topazvalve.lists.Versions;
+import topazvalve.discovery.state.VersionVector;
 import topazvalve.relay.RelaySettings.SourceSettings;
 import topazvalve.toml.Table;
 import topazvalve.toml.TomlFile;
@@ -18,7 +18,7 @@
 public final class RelayFile {
     private RelayFile() {}
 
-    /** Reads a file; {@link topazvalve.toml.BadFile} if it has faults. */
+    /** Reads a file; {@link topazvalve.toml.InvalidFileException} if it has faults. */
     public static RelaySettings read(Path file) throws IOException {
         return parse(file.toString(), Files.readString(file));
     }
@@ -34,12 +34,12 @@
         Set<String> names = new HashSet<>();
         List<SourceSettings> sources = new ArrayList<>();
         List<Table> tables = root.tables("source", 1);
-        if (tables.size() > Versions.MOST_SOURCES) {
-            root.wrong("source", tables.size() + " are more than " + Versions.MOST_SOURCES);
+        if (tables.size() > VersionVector.MAX_SOURCES) {
+            root.wrong("source", tables.size() + " are more than " + VersionVector.MAX_SOURCES);
         }
         for (Table table : tables) {
             String source = table.text("name", null);
-            if (!Versions.SOURCE.matcher(source).matches()) {
+            if (!VersionVector.SOURCE_NAME.matcher(source).matches()) {
                 table.wrong("name", "\"" + source + "\" is not 1 to 32 small letters, digits, - and _");
             } else if (!names.add(source)) {
                 table.wrong("name", "\"" + source + "\" is given twice");
@@ -54,9 +54,9 @@
                 name,
                 listen,
                 List.copyOf(sources),
-                root.whole("most_callers", RelaySettings.MOST_CALLERS, 1, 1_000_000),
-                root.whole("caller_bytes", RelaySettings.CALLER_BYTES, 1 << 10, 64 << 20),
-                root.whole("logged_entries", RelaySettings.LOGGED_ENTRIES, 1, 10_000_000),
+                root.whole("most_callers", RelaySettings.DEFAULT_MAX_SUBSCRIBERS, 1, 1_000_000),
+                root.whole("caller_bytes", RelaySettings.DEFAULT_SUBSCRIBER_BUFFER_BYTES, 1 << 10, 64 << 20),
+                root.whole("logged_entries", RelaySettings.DEFAULT_LOGGED_ENTRIES, 1, 10_000_000),
                 root.duration("stall", "10s", "100ms", "10m") / 1_000_000);
     }
 
--- a/relay/src/main/java/topazvalve/relay/Figures.java
+++ b/relay/src/main/java/topazvalve/relay/RelayMetrics.java
@@ -1,7 +1,7 @@
 package topazvalve.relay;
 
 /** What one relay has done since it started. On the loop alone. */
-final class Figures {
+final class RelayMetrics {
     long calls;
     long refusedFull;
     long refusedUnheard;
--- a/relay/src/main/java/topazvalve/relay/RelaySettings.java
+++ b/relay/src/main/java/topazvalve/relay/RelaySettings.java
@@ -9,19 +9,19 @@
  * @param name for log lines and figures
  * @param listen where sidecars call
  * @param sources whom it follows, one at least
- * @param mostCallers how many connections may be open at once
- * @param callerBytes how much may wait for one slow caller; then it is brought to the newest state
+ * @param maxSubscribers how many connections may be open at once
+ * @param subscriberBufferBytes how much may wait for one slow caller; then it is brought to the newest state
  * @param loggedEntries changed entries that are kept of each source, to tell changes from
- * @param stallMs after this long without a byte taken by its caller a connection is closed
+ * @param stallTimeoutMillis after this long without a byte taken by its caller a connection is closed
  */
 public record RelaySettings(
         String name,
         InetSocketAddress listen,
         List<SourceSettings> sources,
-        int mostCallers,
-        int callerBytes,
+        int maxSubscribers,
+        int subscriberBufferBytes,
         int loggedEntries,
-        long stallMs) {
+        long stallTimeoutMillis) {
     /**
      * One source of lists, a region's for example.
      *
@@ -30,13 +30,20 @@
      */
     public record SourceSettings(String name, List<InetSocketAddress> addresses) {}
 
-    public static final int MOST_CALLERS = 4_000;
-    public static final int CALLER_BYTES = 256 << 10;
-    public static final int LOGGED_ENTRIES = 16_384;
-    public static final long STALL_MS = 10_000;
+    public static final int DEFAULT_MAX_SUBSCRIBERS = 4_000;
+    public static final int DEFAULT_SUBSCRIBER_BUFFER_BYTES = 256 << 10;
+    public static final int DEFAULT_LOGGED_ENTRIES = 16_384;
+    public static final long DEFAULT_STALL_TIMEOUT_MILLIS = 10_000;
 
     /** With every bound at its default. */
     public static RelaySettings of(String name, InetSocketAddress listen, List<SourceSettings> sources) {
-        return new RelaySettings(name, listen, sources, MOST_CALLERS, CALLER_BYTES, LOGGED_ENTRIES, STALL_MS);
+        return new RelaySettings(
+                name,
+                listen,
+                sources,
+                DEFAULT_MAX_SUBSCRIBERS,
+                DEFAULT_SUBSCRIBER_BUFFER_BYTES,
+                DEFAULT_LOGGED_ENTRIES,
+                DEFAULT_STALL_TIMEOUT_MILLIS);
     }
 }
--- a/relay/src/main/java/topazvalve/relay/SourceReader.java
+++ b/relay/src/main/java/topazvalve/relay/SourceReader.java
@@ -11,9 +11,9 @@
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import topazvalve.lists.ListState.Entry;
-import topazvalve.lists.ListState.Update;
-import topazvalve.lists.Version;
+import topazvalve.discovery.state.EndpointStore.Entry;
+import topazvalve.discovery.state.EndpointStore.Update;
+import topazvalve.discovery.state.SourceVersion;
 
 /**
  * Reads what a source tells. An entry is passed on with all that it says, known here or not, in one line;
@@ -53,7 +53,7 @@
             }
         }
         require(rev >= 0 && epoch >= 0 && entries != null, "a line that is no list");
-        return new Update(new Version(epoch, rev), whole, entries);
+        return new Update(new SourceVersion(epoch, rev), whole, entries);
     }
 
     private static void require(boolean holds, String otherwise) throws IOException {
--- a/relay/src/main/java/topazvalve/relay/SourceLink.java
+++ b/relay/src/main/java/topazvalve/relay/SourceSubscription.java
@@ -7,17 +7,17 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import topazvalve.lists.Following;
-import topazvalve.lists.ListState;
-import topazvalve.lists.ListState.Taken;
-import topazvalve.lists.ListState.Update;
-import topazvalve.lists.Version;
-import topazvalve.lists.Versions;
+import topazvalve.discovery.client.DiscoveryCall;
+import topazvalve.discovery.state.EndpointStore;
+import topazvalve.discovery.state.EndpointStore.Update;
+import topazvalve.discovery.state.EndpointStore.UpdateResult;
+import topazvalve.discovery.state.FailoverStateMachine;
+import topazvalve.discovery.state.SourceVersion;
+import topazvalve.discovery.state.VersionVector;
 import topazvalve.relay.RelaySettings.SourceSettings;
-import topazvalve.sidecar.discovery.ListCall;
 
 /** Follows one source, by today's published form of discovery, into the state. On the loop alone. */
-final class SourceLink {
+final class SourceSubscription {
     /** How often a relay asks for changes from before its time, for followers with older versions. */
     static final int MOST_FILLS = 8;
 
@@ -26,7 +26,7 @@
     /** Hears what became of the state. */
     interface Listener {
         /** A line was taken: {@code before} is how far the state had come. */
-        void taken(Taken taken, Versions before);
+        void taken(UpdateResult taken, VersionVector before);
 
         /** Asked for earlier changes, the source has answered or failed. */
         void filled();
@@ -41,12 +41,12 @@
 
     private final EventLoop loop;
     private final SourceSettings settings;
-    private final ListState lists;
-    private final Following following;
+    private final EndpointStore lists;
+    private final FailoverStateMachine following;
     private final Listener listener;
     private State state = State.CLOSED;
-    private ListCall call;
-    private ListCall fill;
+    private DiscoveryCall call;
+    private DiscoveryCall fill;
     private int fillsLeft = MOST_FILLS;
     /** What is here does not follow on: the whole list is asked for. */
     private boolean anew = true;
@@ -54,11 +54,11 @@
     private long heardAt;
     private String fault = "";
 
-    SourceLink(EventLoop loop, SourceSettings settings, ListState lists, long seed, Listener listener) {
+    SourceSubscription(EventLoop loop, SourceSettings settings, EndpointStore lists, long seed, Listener listener) {
         this.loop = loop;
         this.settings = settings;
         this.lists = lists;
-        this.following = new Following(settings.addresses().size(), new SplittableRandom(seed));
+        this.following = new FailoverStateMachine(settings.addresses().size(), new SplittableRandom(seed));
         this.listener = listener;
         this.heardAt = System.nanoTime() - TimeUnit.DAYS.toNanos(1);
     }
@@ -68,7 +68,7 @@
     }
 
     void start() {
-        ask(following.begin());
+        ask(following.start());
     }
 
     void close() {
@@ -86,23 +86,23 @@
         return System.nanoTime() - heardAt;
     }
 
-    private Version version() {
-        return lists.versions().at(name());
+    private SourceVersion version() {
+        return lists.versions().versionOf(name());
     }
 
-    private void ask(Following.Ask next) {
+    private void ask(FailoverStateMachine.Connect next) {
         state = State.PAUSING;
         loop.schedule(
                 () -> {
                     if (state == State.PAUSING) {
                         state = State.ASKING;
-                        following.asks();
-                        long from = anew || version() == null ? 0 : version().rev();
-                        call = new ListCall(loop, settings.addresses().get(next.place()), true, new Watch(from));
-                        call.open(ListCall.CONNECT_TIMEOUT_MS, "?watch=1&from=" + from);
+                        following.connecting();
+                        long from = anew || version() == null ? 0 : version().revision();
+                        call = new DiscoveryCall(loop, settings.addresses().get(next.index()), true, new Watch(from));
+                        call.open(DiscoveryCall.CONNECT_TIMEOUT_MILLIS, "?watch=1&from=" + from);
                     }
                 },
-                next.after(),
+                next.delayNanos(),
                 TimeUnit.NANOSECONDS);
     }
 
@@ -110,16 +110,16 @@
      * Asks for changes from before this relay began if a follower comes with such a version; whether there is
      * an answer to wait for.
      */
-    boolean fill(Version from) {
-        if (!lists.beforeLog(name(), from) || from.rev() == 0) {
+    boolean fill(SourceVersion from) {
+        if (!lists.precedesLog(name(), from) || from.revision() == 0) {
             return false;
         }
         if (fill != null || fillsLeft == 0) {
             return fill != null;
         }
         fillsLeft--;
-        fill = new ListCall(loop, settings.addresses().get(following.place()), true, new Fill(from));
-        fill.open(ListCall.CONNECT_TIMEOUT_MS, "?watch=1&from=" + from.rev());
+        fill = new DiscoveryCall(loop, settings.addresses().get(following.currentIndex()), true, new Fill(from));
+        fill.open(DiscoveryCall.CONNECT_TIMEOUT_MILLIS, "?watch=1&from=" + from.revision());
         return true;
     }
 
@@ -136,7 +136,7 @@
         }
     }
 
-    private final class Watch implements ListCall.Owner {
+    private final class Watch implements DiscoveryCall.Listener {
         private final long from;
         private boolean first = true;
 
@@ -145,31 +145,31 @@
         }
 
         @Override
-        public void object(byte[] text) throws IOException {
+        public void objectReceived(byte[] text) throws IOException {
             Update update = SourceReader.read(text);
-            if (first && from == 0 && !update.whole()) {
+            if (first && from == 0 && !update.fullSnapshot()) {
                 // All that changed since nothing was there is all there is.
                 update = new Update(update.version(), true, update.entries());
             }
             boolean begins = first;
             first = false;
-            Versions before = lists.versions();
-            Taken taken = lists.take(name(), update);
+            VersionVector before = lists.versions();
+            UpdateResult taken = lists.apply(name(), update);
             switch (taken) {
-                case SAME, CHANGED, FIRST -> {
+                case UNCHANGED, CHANGED, FIRST_UPDATE -> {
                     anew = false;
                     heard();
                     listener.taken(taken, before);
                 }
-                case OLDER -> older(update, before, begins);
-                case APART -> apart(update, before);
+                case STALE -> older(update, before, begins);
+                case NOT_CONTIGUOUS -> apart(update, before);
                 default -> call.fail("the whole list is empty");
             }
         }
 
         /** Changes that an answer to {@link Fill} was ahead of are here already; a list must not be older. */
-        private void older(Update update, Versions before, boolean begins) {
-            if (update.whole()) {
+        private void older(Update update, VersionVector before, boolean begins) {
+            if (update.fullSnapshot()) {
                 call.fail("version " + update.version() + " is older than " + before);
             } else if (begins) {
                 apart(update, before);
@@ -178,13 +178,13 @@
             }
         }
 
-        private void apart(Update update, Versions before) {
+        private void apart(Update update, VersionVector before) {
             anew = true;
             call.fail("version " + update.version() + " does not follow on " + before);
         }
 
         @Override
-        public void empty() {
+        public void heartbeatReceived() {
             if (version() == null) {
                 call.fail("nothing has changed, but nothing is known");
             } else {
@@ -193,7 +193,7 @@
         }
 
         @Override
-        public void late() {
+        public void answerOverdue() {
             // Its place in the source's queue is worth more than a new one, unless there is another to ask.
             if (settings.addresses().size() > 1) {
                 call.fail("no whole answer in time");
@@ -201,8 +201,8 @@
         }
 
         @Override
-        public void silent() {
-            call.fail("no whole line for " + ListCall.SILENCE_MS + " ms");
+        public void watchIdle() {
+            call.fail("no whole line for " + DiscoveryCall.IDLE_TIMEOUT_MILLIS + " ms");
         }
 
         @Override
@@ -211,15 +211,15 @@
                 LOG.warn("{}: not followed: {}", name(), why);
             }
             fault = why;
-            ask(following.refused(TimeUnit.MILLISECONDS.toNanos(retryAfterMs)));
+            ask(following.rejected(TimeUnit.MILLISECONDS.toNanos(retryAfterMs)));
         }
     }
 
     /** One answer to the question what changed since an earlier version. */
-    private final class Fill implements ListCall.Owner {
-        private final Version from;
+    private final class Fill implements DiscoveryCall.Listener {
+        private final SourceVersion from;
 
-        Fill(Version from) {
+        Fill(SourceVersion from) {
             this.from = from;
         }
 
@@ -229,36 +229,36 @@
         }
 
         @Override
-        public void object(byte[] text) throws IOException {
+        public void objectReceived(byte[] text) throws IOException {
             take(SourceReader.read(text));
         }
 
         private void take(Update update) {
             fill.close();
-            Versions before = lists.versions();
-            Taken taken = lists.fill(name(), from, update);
-            if (update.whole()) {
+            VersionVector before = lists.versions();
+            UpdateResult taken = lists.backfill(name(), from, update);
+            if (update.fullSnapshot()) {
                 // Its log does not reach back so far.
                 fillsLeft = 0;
             }
-            if (taken == Taken.SAME || taken == Taken.CHANGED) {
+            if (taken == UpdateResult.UNCHANGED || taken == UpdateResult.CHANGED) {
                 listener.taken(taken, before);
             }
             over();
         }
 
         @Override
-        public void empty() {
+        public void heartbeatReceived() {
             take(new Update(version(), false, List.of()));
         }
 
         @Override
-        public void late() {
+        public void answerOverdue() {
             fill.fail("no answer in time");
         }
 
         @Override
-        public void silent() {
+        public void watchIdle() {
             fill.fail("no answer in time");
         }
 
--- a/relay/src/main/java/topazvalve/relay/Caller.java
+++ b/relay/src/main/java/topazvalve/relay/Subscriber.java
@@ -13,13 +13,13 @@
 import io.netty.handler.codec.http.QueryStringDecoder;
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import topazvalve.lists.Versions;
+import topazvalve.discovery.state.VersionVector;
 
 /**
  * One caller's connection: a call is read, within bounds, and answered; a watch stays. What it is told is
- * decided by {@link Relay}, which owns the state; here is how far this caller has come.
+ * decided by {@link DiscoveryRelay}, which owns the state; here is how far this caller has come.
  */
-final class Caller extends SimpleChannelInboundHandler<HttpObject> {
+final class Subscriber extends SimpleChannelInboundHandler<HttpObject> {
     /** A caller that has not asked by then is closed. */
     private static final long HEAD_MS = 2_000;
     /** What may follow a call's head: nothing is expected, and nothing is read for long. */
@@ -36,12 +36,12 @@
         ENDING
     }
 
-    private final Relay relay;
+    private final DiscoveryRelay relay;
     private final Channel channel;
     private State state = State.READING;
     private Future<?> timer;
     /** How far it has come. */
-    private Versions has = Versions.NONE;
+    private VersionVector has = VersionVector.NONE;
     /** It has all that this relay has, or what is missing is on its way. */
     private boolean current;
 
@@ -50,7 +50,7 @@
     /** When it last took bytes while some were waiting. */
     private long tookAt;
 
-    Caller(Relay relay, Channel channel) {
+    Subscriber(DiscoveryRelay relay, Channel channel) {
         this.relay = relay;
         this.channel = channel;
     }
@@ -59,11 +59,11 @@
         return state;
     }
 
-    Versions has() {
+    VersionVector has() {
         return has;
     }
 
-    void has(Versions now) {
+    void has(VersionVector now) {
         has = now;
     }
 
@@ -122,22 +122,22 @@
     private void asked(HttpRequest request) {
         QueryStringDecoder uri = new QueryStringDecoder(request.uri());
         if (!request.method().equals(HttpMethod.GET)) {
-            end(Lines.answer("405 Method Not Allowed", "", "only GET is served\n"));
+            end(ChunkEncoder.answer("405 Method Not Allowed", "", "only GET is served\n"));
         } else if (uri.path().equals("/discovery/hosts")) {
             try {
-                relay.asked(this, Query.of(uri));
+                relay.asked(this, DiscoveryRequest.of(uri));
             } catch (IllegalArgumentException e) {
                 relay.bad(this, e.getMessage());
             }
         } else if (uri.path().equals("/_ready")) {
             end(
                     relay.vouches()
-                            ? Lines.answer("200 OK", "", "ready\n")
-                            : Lines.answer("503 Service Unavailable", "", "no source is heard\n"));
+                            ? ChunkEncoder.answer("200 OK", "", "ready\n")
+                            : ChunkEncoder.answer("503 Service Unavailable", "", "no source is heard\n"));
         } else if (uri.path().equals("/_vars")) {
-            end(Lines.answer("200 OK", "", relay.figures()));
+            end(ChunkEncoder.answer("200 OK", "", relay.figures()));
         } else {
-            end(Lines.answer("404 Not Found", "", "not served here\n"));
+            end(ChunkEncoder.answer("404 Not Found", "", "not served here\n"));
         }
     }
 
@@ -171,7 +171,7 @@
         state = State.ENDING;
         head();
         write(line);
-        write(Lines.LAST.duplicate());
+        write(ChunkEncoder.LAST.duplicate());
         channel.flush();
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
     }
@@ -179,7 +179,7 @@
     private void head() {
         if (!headSent) {
             headSent = true;
-            write(Lines.HEAD.duplicate());
+            write(ChunkEncoder.HEAD.duplicate());
         }
     }
 
--- a/relay/src/test/java/topazvalve/relay/WallsTest.java
+++ b/relay/src/test/java/topazvalve/relay/ArchitectureTest.java
@@ -6,11 +6,11 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** A relay reads as a sidecar does and knows nothing else of it; nobody knows a relay. */
-class WallsTest {
+/** A relay shares the discovery client with sidecars and nothing else; no module depends on the relay. */
+class ArchitectureTest {
     @Test
-    void dependenciesGoOneWay() {
-        var house = new ClassFileImporter()
+    void dependenciesPointOneWay() {
+        var classes = new ClassFileImporter()
                 .withImportOption(new ImportOption.DoNotIncludeTests())
                 .importPackages("topazvalve");
         noClasses()
@@ -19,19 +19,18 @@
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
-                        "topazvalve.decisions..",
+                        "topazvalve.policy..",
                         "topazvalve.core.exchange..",
                         "topazvalve.core.pool..",
-                        "topazvalve.sidecar.front..",
-                        "topazvalve.sidecar.upstream..",
-                        "topazvalve.world..")
-                .check(house);
+                        "topazvalve.sidecar..",
+                        "topazvalve.simulation..")
+                .check(classes);
         noClasses()
                 .that()
-                .resideInAnyPackage("topazvalve.sidecar..", "topazvalve.core..", "topazvalve.lists..")
+                .resideInAnyPackage("topazvalve.sidecar..", "topazvalve.core..", "topazvalve.discovery..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAPackage("topazvalve.relay..")
-                .check(house);
+                .check(classes);
     }
 }
--- a/relay/src/test/java/topazvalve/relay/RelayFileTest.java
+++ b/relay/src/test/java/topazvalve/relay/RelayFileTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import topazvalve.toml.BadFile;
+import topazvalve.toml.InvalidFileException;
 
 /** A relay's file: what it leaves out, and what is refused, with its line and its key. */
 class RelayFileTest {
@@ -22,8 +22,8 @@
     void whatIsLeftOutHasItsDefault() {
         RelaySettings settings = RelayFile.parse("r.toml", GOOD);
         assertEquals("relay", settings.name());
-        assertEquals(RelaySettings.MOST_CALLERS, settings.mostCallers());
-        assertEquals(RelaySettings.STALL_MS, settings.stallMs());
+        assertEquals(RelaySettings.DEFAULT_MAX_SUBSCRIBERS, settings.maxSubscribers());
+        assertEquals(RelaySettings.DEFAULT_STALL_TIMEOUT_MILLIS, settings.stallTimeoutMillis());
         assertEquals(2, settings.sources().get(0).addresses().size());
     }
 
@@ -39,7 +39,7 @@
             })
     void aSourcesFaultIsToldWithItsLine(String line, String key) {
         String text = GOOD.replaceAll("(?m)^" + line.split(" ")[0] + " = .*\n", "") + line + "\n";
-        BadFile bad = assertThrows(BadFile.class, () -> RelayFile.parse("r.toml", text));
+        InvalidFileException bad = assertThrows(InvalidFileException.class, () -> RelayFile.parse("r.toml", text));
         assertTrue(bad.getMessage().contains("source.0." + key + ": "), bad.getMessage());
         assertTrue(bad.getMessage().startsWith("r.toml:"), bad.getMessage());
     }
@@ -54,15 +54,15 @@
             })
     void aKeysFaultIsToldWithItsLine(String line, String key) {
         String text = line + "\n" + (key.equals("listen") ? GOOD.substring(GOOD.indexOf('\n') + 1) : GOOD);
-        BadFile bad = assertThrows(BadFile.class, () -> RelayFile.parse("r.toml", text));
+        InvalidFileException bad = assertThrows(InvalidFileException.class, () -> RelayFile.parse("r.toml", text));
         assertTrue(bad.getMessage().startsWith("r.toml:1: " + key + ": "), bad.getMessage());
     }
 
     @Test
     void twoSourcesOfOneNameAreNone() {
         String twice = GOOD + "[[source]]\nname = \"eu\"\naddresses = [\"127.0.0.1:9\"]\n";
-        BadFile bad = assertThrows(BadFile.class, () -> RelayFile.parse("r.toml", twice));
+        InvalidFileException bad = assertThrows(InvalidFileException.class, () -> RelayFile.parse("r.toml", twice));
         assertTrue(bad.getMessage().startsWith("r.toml:6: source.1.name: "), bad.getMessage());
-        assertThrows(BadFile.class, () -> RelayFile.parse("r.toml", "listen = \"127.0.0.1:1\"\n"));
+        assertThrows(InvalidFileException.class, () -> RelayFile.parse("r.toml", "listen = \"127.0.0.1:1\"\n"));
     }
 }
--- a/relay/src/test/java/topazvalve/relay/RelayTest.java
+++ b/relay/src/test/java/topazvalve/relay/RelayTest.java
@@ -21,10 +21,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import topazvalve.core.servers.Target;
-import topazvalve.decisions.Balancer.State;
+import topazvalve.core.endpoint.Endpoint;
+import topazvalve.discovery.client.EndpointUpdate;
+import topazvalve.policy.LoadBalancer.EndpointStatus;
 import topazvalve.relay.RelaySettings.SourceSettings;
-import topazvalve.sidecar.discovery.Listing;
 
 /** Relays between a scripted source and a sidecar's real reader, over loopback, each on a loop of its own. */
 @Timeout(120)
@@ -61,31 +61,32 @@
         return RelaySettings.of("r", new InetSocketAddress("127.0.0.1", 0), of);
     }
 
-    private Relay relay(EventLoop loop, RelaySettings settings) throws Exception {
-        Relay relay = new Relay(loop, settings, 1);
+    private DiscoveryRelay relay(EventLoop loop, RelaySettings settings) throws Exception {
+        DiscoveryRelay relay = new DiscoveryRelay(loop, settings, 1);
         relay.start().sync();
         open.add(() -> relay.close().await(5, TimeUnit.SECONDS));
         awaitReady(relay);
         return relay;
     }
 
-    private Relay relay() throws Exception {
+    private DiscoveryRelay relay() throws Exception {
         return relay(group.next(), settings(source));
     }
 
-    private Follower follower(Relay... relays) {
+    private Follower follower(DiscoveryRelay... relays) {
         return with(new Follower(group.next(), relays));
     }
 
     /** What a sidecar was started with, at version 41. */
-    private static Listing listing(String uid) {
-        return new Listing(
+    private static EndpointUpdate listing(String uid) {
+        return new EndpointUpdate(
                 41,
                 true,
-                List.of(new Target(uid, new InetSocketAddress("127.0.0.1", 9), "", "", 0, State.READY, 1, 0)));
+                List.of(new Endpoint(
+                        uid, new InetSocketAddress("127.0.0.1", 9), "", "", 0, EndpointStatus.READY, 1, 0)));
     }
 
-    private static String get(Relay relay, String path) throws IOException {
+    private static String get(DiscoveryRelay relay, String path) throws IOException {
         try (Socket socket = new Socket()) {
             socket.connect(relay.address());
             socket.setSoTimeout(30_000);
@@ -96,7 +97,7 @@
     }
 
     /** The version is the source's own count alone. */
-    private static long figure(Relay relay, String key) throws IOException {
+    private static long figure(DiscoveryRelay relay, String key) throws IOException {
         if (key.equals("version")) {
             return Long.parseLong(get(relay, "/_vars").replaceAll("(?s).*versions=eu:0\\.([0-9]+)\n.*", "$1"));
         }
@@ -109,13 +110,13 @@
     }
 
     /** Asks until it is so: the answer itself is what is waited for. */
-    private static void awaitReady(Relay relay) throws IOException {
+    private static void awaitReady(DiscoveryRelay relay) throws IOException {
         while (!get(relay, "/_ready").startsWith("HTTP/1.1 200")) {
             LockSupport.parkNanos(5_000_000);
         }
     }
 
-    private static void awaitFigure(Relay relay, String key, long least) throws IOException {
+    private static void awaitFigure(DiscoveryRelay relay, String key, long least) throws IOException {
         while (figure(relay, key) < least) {
             LockSupport.parkNanos(5_000_000);
         }
@@ -123,14 +124,14 @@
 
     @Test
     void aListAndItsChangesArePassedOnAsTheyWereWritten() throws Exception {
-        Relay relay = relay();
+        DiscoveryRelay relay = relay();
         Follower follower = follower(relay);
-        follower.awaitState("b", State.READY);
+        follower.awaitState("b", EndpointStatus.READY);
         source.change("b", "DRAINING");
-        follower.awaitState("b", State.DRAINING);
+        follower.awaitState("b", EndpointStatus.DRAINING);
         source.change("b", "DELETED", "c", "SERVING");
-        follower.awaitState("b", State.GONE);
-        follower.awaitState("c", State.READY);
+        follower.awaitState("b", EndpointStatus.REMOVED);
+        follower.awaitState("c", EndpointStatus.READY);
         assertEquals("eu:0.43", follower.versions());
         String whole = get(relay, "/discovery/hosts");
         assertTrue(whole.contains("{\"rev\":43,\"all\":true,"), whole);
@@ -141,36 +142,36 @@
     /** Today's reader, which knows of no sources, is served by a number alone. */
     @Test
     void aReaderThatTellsANumberGetsChangesAfterIt() throws Exception {
-        Relay relay = relay();
+        DiscoveryRelay relay = relay();
         source.change("a", "DRAINING");
         Follower follower = with(new Follower(group.next(), listing("z"), relay));
-        follower.awaitState("a", State.DRAINING);
+        follower.awaitState("a", EndpointStatus.DRAINING);
         assertEquals(0, follower.wholes());
         assertEquals(List.of(), follower.history("b"), "nothing that had not changed");
     }
 
     @Test
     void aChangeThatARelayTookWithItIsHeardFromTheNext() throws Exception {
-        Relay first = relay();
-        Relay second = relay();
+        DiscoveryRelay first = relay();
+        DiscoveryRelay second = relay();
         Follower follower = follower(first, second);
-        follower.awaitState("a", State.READY);
+        follower.awaitState("a", EndpointStatus.READY);
         // The first takes the change, and is gone before it can pass it on: its callers are closed first.
         first.close().sync();
         source.change("a", "DRAINING");
-        follower.awaitState("a", State.DRAINING);
+        follower.awaitState("a", EndpointStatus.DRAINING);
         assertEquals(1, follower.wholes(), "the second tells what changed, not everything");
-        assertEquals(List.of(State.READY, State.DRAINING), follower.history("a"));
+        assertEquals(List.of(EndpointStatus.READY, EndpointStatus.DRAINING), follower.history("a"));
     }
 
     @Test
     void aHalfOpenRelayIsLeft() throws Exception {
         EventLoop stuck = group.next();
-        Relay first = relay(stuck, settings(source));
+        DiscoveryRelay first = relay(stuck, settings(source));
         EventLoop other = group.next();
-        Relay second = relay(other, settings(source));
+        DiscoveryRelay second = relay(other, settings(source));
         Follower follower = with(new Follower(group.next(), first, second));
-        follower.awaitState("a", State.READY);
+        follower.awaitState("a", EndpointStatus.READY);
         CountDownLatch over = new CountDownLatch(1);
         CountDownLatch began = new CountDownLatch(1);
         stuck.execute(() -> {
@@ -185,7 +186,7 @@
             began.await();
             source.change("a", "DRAINING");
             long since = System.nanoTime();
-            follower.awaitState("a", State.DRAINING);
+            follower.awaitState("a", EndpointStatus.DRAINING);
             assertTrue(System.nanoTime() - since < TimeUnit.SECONDS.toNanos(9), "within the plan's 9 s");
         } finally {
             over.countDown();
@@ -197,35 +198,36 @@
     void aRelayBehindItsSiblingTellsNothingOlder() throws Exception {
         SourceStub epochs = with(new SourceStub(true, 40));
         epochs.change("a", "SERVING");
-        Relay ahead = relay(group.next(), settings(epochs));
-        Relay behind = relay(group.next(), settings(epochs));
+        DiscoveryRelay ahead = relay(group.next(), settings(epochs));
+        DiscoveryRelay behind = relay(group.next(), settings(epochs));
         Follower follower = follower(ahead, behind);
-        follower.awaitState("a", State.READY);
+        follower.awaitState("a", EndpointStatus.READY);
         epochs.hold(1);
         epochs.change("a", "DRAINING");
-        follower.awaitState("a", State.DRAINING);
+        follower.awaitState("a", EndpointStatus.DRAINING);
         ahead.close().sync();
         awaitFigure(behind, "calls", 1);
-        assertEquals(List.of(State.READY, State.DRAINING), follower.history("a"));
+        assertEquals(List.of(EndpointStatus.READY, EndpointStatus.DRAINING), follower.history("a"));
         epochs.release();
         epochs.change("a", "SERVING");
-        follower.awaitState("a", State.READY);
-        assertEquals(List.of(State.READY, State.DRAINING, State.READY), follower.history("a"));
+        follower.awaitState("a", EndpointStatus.READY);
+        assertEquals(
+                List.of(EndpointStatus.READY, EndpointStatus.DRAINING, EndpointStatus.READY), follower.history("a"));
         assertEquals("eu:1.43", follower.versions());
     }
 
     @Test
     void aSourceThatBeginsAnewIsFollowedAndFollowersHearTheDifference() throws Exception {
-        Relay relay = relay();
+        DiscoveryRelay relay = relay();
         Follower follower = follower(relay);
-        follower.awaitState("b", State.READY);
+        follower.awaitState("b", EndpointStatus.READY);
         source.restart(3, "a", "SERVING", "c", "SERVING");
-        follower.awaitState("b", State.GONE);
-        follower.awaitState("c", State.READY);
+        follower.awaitState("b", EndpointStatus.REMOVED);
+        follower.awaitState("c", EndpointStatus.READY);
         assertEquals(1, follower.wholes());
-        assertEquals(List.of(State.READY), follower.history("a"), "who stayed is not told again");
+        assertEquals(List.of(EndpointStatus.READY), follower.history("a"), "who stayed is not told again");
         source.change("c", "DRAINING");
-        follower.awaitState("c", State.DRAINING);
+        follower.awaitState("c", EndpointStatus.DRAINING);
         assertEquals("eu:0.4", follower.versions());
     }
 
@@ -233,68 +235,68 @@
     @Test
     void aFollowerOfTheOldLifeGetsTheWholeListOnceTheRelayIsSureOfItsSource() throws Exception {
         source.restart(3, "c", "SERVING");
-        Relay relay = relay();
+        DiscoveryRelay relay = relay();
         Follower follower = with(new Follower(group.next(), listing("a"), relay));
-        follower.awaitState("c", State.READY);
+        follower.awaitState("c", EndpointStatus.READY);
         assertEquals(1, follower.wholes());
     }
 
     @Test
     void aRelayThatHearsNobodyStopsVouchingAndListsStay() throws Exception {
-        Relay first = relay();
-        Relay second = relay();
+        DiscoveryRelay first = relay();
+        DiscoveryRelay second = relay();
         Follower follower = follower(first, second);
-        follower.awaitState("a", State.READY);
+        follower.awaitState("a", EndpointStatus.READY);
         source.silent(true);
         awaitFigure(second, "refused.unheard", 1);
         // Whoever asks for figures is answered all the while.
         assertTrue(get(first, "/_ready").startsWith("HTTP/1.1 503"));
         assertTrue(get(first, "/discovery/hosts").contains("Retry-After: "));
         assertEquals(0, figure(first, "following"), "nobody is told that nothing is new");
-        follower.awaitState("a", State.READY);
+        follower.awaitState("a", EndpointStatus.READY);
         source.breakAll();
         source.silent(false);
         source.change("a", "DRAINING");
-        follower.awaitState("a", State.DRAINING);
+        follower.awaitState("a", EndpointStatus.DRAINING);
     }
 
     @Test
     void whileOneRelayIsCutOffItsFollowersGoToOneThatHears() throws Exception {
-        Relay cut = relay();
-        Relay hears = relay();
+        DiscoveryRelay cut = relay();
+        DiscoveryRelay hears = relay();
         Follower follower = follower(cut, hears);
-        follower.awaitState("a", State.READY);
+        follower.awaitState("a", EndpointStatus.READY);
         source.hold(0);
         long began = System.nanoTime();
         source.change("a", "DRAINING");
-        follower.awaitState("a", State.DRAINING);
+        follower.awaitState("a", EndpointStatus.DRAINING);
         assertTrue(System.nanoTime() - began < TimeUnit.SECONDS.toNanos(9), "within the plan's 9 s");
     }
 
     /** All relays begin anew while followers hold a version from before that: no whole list goes out. */
     @Test
     void relaysThatBeginAnewUnderTheirFollowersTellChangesAlone() throws Exception {
-        Relay before = relay();
+        DiscoveryRelay before = relay();
         List<Follower> followers = new ArrayList<>();
-        Relay after = new Relay(group.next(), settings(source), 2);
+        DiscoveryRelay after = new DiscoveryRelay(group.next(), settings(source), 2);
         after.start().sync();
         open.add(() -> after.close().await(5, TimeUnit.SECONDS));
         for (int i = 0; i < 50; i++) {
             followers.add(follower(before, after));
         }
         for (Follower each : followers) {
-            each.awaitState("a", State.READY);
+            each.awaitState("a", EndpointStatus.READY);
         }
         after.close().sync();
         before.close().sync();
         source.change("a", "DRAINING");
         RelaySettings same =
                 RelaySettings.of("r", after.address(), settings(source).sources());
-        Relay anew = relay(group.next(), same);
+        DiscoveryRelay anew = relay(group.next(), same);
         for (Follower each : followers) {
-            each.awaitState("a", State.DRAINING);
+            each.awaitState("a", EndpointStatus.DRAINING);
             assertEquals(1, each.wholes());
-            assertEquals(List.of(State.READY, State.DRAINING), each.history("a"));
+            assertEquals(List.of(EndpointStatus.READY, EndpointStatus.DRAINING), each.history("a"));
         }
         assertEquals(0, figure(anew, "whole_lists"));
     }
@@ -306,7 +308,7 @@
                 .toArray(String[]::new);
     }
 
-    private Socket watching(Relay relay) throws IOException {
+    private Socket watching(DiscoveryRelay relay) throws IOException {
         Socket watching = new Socket();
         watching.setReceiveBufferSize(4_096);
         watching.connect(relay.address());
@@ -316,7 +318,7 @@
         return watching;
     }
 
-    private Relay tight(long stallMs) throws Exception {
+    private DiscoveryRelay tight(long stallMs) throws Exception {
         return relay(
                 group.next(),
                 new RelaySettings(
@@ -331,7 +333,7 @@
 
     @Test
     void aSlowWatcherIsBroughtToTheNewestStateAndNotFedAQueue() throws Exception {
-        Relay relay = tight(60_000);
+        DiscoveryRelay relay = tight(60_000);
         try (Socket slow = watching(relay)) {
             awaitFigure(relay, "following", 1);
             int round = 0;
@@ -357,19 +359,19 @@
 
     @Test
     void aWatcherThatNeverReadsIsClosedAndOthersAreToldAllTheWhile() throws Exception {
-        Relay relay = tight(500);
+        DiscoveryRelay relay = tight(500);
         Follower reads = follower(relay);
-        reads.awaitState("a", State.READY);
+        reads.awaitState("a", EndpointStatus.READY);
         try (Socket never = watching(relay)) {
             awaitFigure(relay, "following", 2);
             assertTrue(never.isConnected());
             for (int round = 0; figure(relay, "stalled") == 0; round++) {
                 source.change(thousand(round));
-                reads.awaitState("s0", round % 2 == 1 ? State.DRAINING : State.READY);
+                reads.awaitState("s0", round % 2 == 1 ? EndpointStatus.DRAINING : EndpointStatus.READY);
             }
         }
         source.change("a", "DRAINING");
-        reads.awaitState("a", State.DRAINING);
+        reads.awaitState("a", EndpointStatus.DRAINING);
         assertEquals(1, reads.wholes());
     }
 
@@ -379,9 +381,9 @@
                 .mapToObj(i -> i % 2 == 0 ? "z" + i / 2 : "SERVING")
                 .toArray(String[]::new);
         source.change(zone);
-        Relay relay = relay();
+        DiscoveryRelay relay = relay();
         Follower follower = follower(relay);
-        follower.awaitState("z439", State.READY);
+        follower.awaitState("z439", EndpointStatus.READY);
         for (int i = 1; i < zone.length; i += 2) {
             zone[i] = "DELETED";
         }
@@ -393,15 +395,15 @@
     /** Changes that come one by one are told in a line each tenth of a second, the first one at once. */
     @Test
     void changesThatFollowEachOtherCloselyAreGathered() throws Exception {
-        Relay relay = relay();
+        DiscoveryRelay relay = relay();
         Follower follower = follower(relay);
-        follower.awaitState("a", State.READY);
+        follower.awaitState("a", EndpointStatus.READY);
         long began = System.nanoTime();
         for (int i = 0; i < 440; i++) {
             source.change("z" + i, "SERVING");
         }
         follower.await("all", servers -> servers.size() == 442);
-        long most = (System.nanoTime() - began) / Relay.GATHER_NS + 2;
+        long most = (System.nanoTime() - began) / DiscoveryRelay.GATHER_NS + 2;
         long lines = figure(relay, "changes");
         assertTrue(lines <= most, lines + " lines, not " + most);
         assertEquals(1, follower.wholes());
@@ -415,7 +417,7 @@
                 .toArray(String[]::new);
         source.change(all);
         source.cut(true);
-        Relay relay = new Relay(group.next(), settings(source), 1);
+        DiscoveryRelay relay = new DiscoveryRelay(group.next(), settings(source), 1);
         relay.start().sync();
         open.add(() -> relay.close().await(5, TimeUnit.SECONDS));
         source.asked.take();
@@ -430,19 +432,19 @@
     void aRegionThatIsCutOffKeepsItsEntriesAndTheOthersChangesFlow() throws Exception {
         SourceStub us = with(new SourceStub(true, 7));
         us.change("x", "SERVING");
-        Relay relay = relay(group.next(), settings(source, us));
+        DiscoveryRelay relay = relay(group.next(), settings(source, us));
         Follower follower = follower(relay);
-        follower.awaitState("a", State.READY);
-        follower.awaitState("x", State.READY);
+        follower.awaitState("a", EndpointStatus.READY);
+        follower.awaitState("x", EndpointStatus.READY);
         us.silent(true);
         awaitFigure(relay, "source.us.silent_ms", 3_100);
         us.change("x", "DRAINING");
         source.change("a", "DRAINING");
-        follower.awaitState("a", State.DRAINING);
-        assertEquals(List.of(State.READY), follower.history("x"));
+        follower.awaitState("a", EndpointStatus.DRAINING);
+        assertEquals(List.of(EndpointStatus.READY), follower.history("x"));
         us.breakAll();
         us.silent(false);
-        follower.awaitState("x", State.DRAINING);
+        follower.awaitState("x", EndpointStatus.DRAINING);
         assertEquals("eu:0.42,us:1.9", follower.versions());
     }
 
@@ -450,7 +452,7 @@
     void callersAreBoundedInTimeBytesAndCount() throws Exception {
         RelaySettings tight = new RelaySettings(
                 "r", new InetSocketAddress("127.0.0.1", 0), settings(source).sources(), 3, 65_536, 100, 1_000);
-        Relay relay = relay(group.next(), tight);
+        DiscoveryRelay relay = relay(group.next(), tight);
         assertTrue(get(relay, "/discovery/hosts?watch=1&from=x").startsWith("HTTP/1.1 400"));
         assertTrue(get(relay, "/discovery/hosts?watch=1&versions=eu").startsWith("HTTP/1.1 400"));
         assertTrue(get(relay, "/discovery/hosts?" + "x".repeat(9_000)).startsWith("HTTP/1.1 400"));
--- a/relay/src/test/java/topazvalve/relay/SourceReaderTest.java
+++ b/relay/src/test/java/topazvalve/relay/SourceReaderTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import topazvalve.lists.ListState.Update;
-import topazvalve.lists.Version;
+import topazvalve.discovery.state.EndpointStore.Update;
+import topazvalve.discovery.state.SourceVersion;
 
 /** What a source writes, in any layout. */
 class SourceReaderTest {
@@ -23,8 +23,8 @@
         Update update = read("{\n \"rev\": 4, \"epoch\": 2, \"note\": {\"x\": [1]}, \"all\": true,\n"
                 + "\"targets\": [\n  {\"uid\": \"a\",\n \"tags\": {\"uid\": \"inner\",\n"
                 + "\"n\": [1.50, null]},\n \"state\": \"DELETED\"}]}");
-        assertEquals(new Version(2, 4), update.version());
-        assertTrue(update.whole() && update.entries().get(0).gone());
+        assertEquals(new SourceVersion(2, 4), update.version());
+        assertTrue(update.fullSnapshot() && update.entries().get(0).removed());
         assertEquals("a", update.entries().get(0).uid());
         assertEquals(
                 "{\"uid\":\"a\",\"tags\":{\"uid\":\"inner\",\"n\":[1.50,null]},\"state\":\"DELETED\"}",
--- a/sidecar/src/main/java/topazvalve/sidecar/HttpSide.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/HttpProxy.java
@@ -4,30 +4,30 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import topazvalve.core.classes.ClassTable;
-import topazvalve.core.exchange.Exchanges;
+import topazvalve.core.exchange.ExchangeManager;
 import topazvalve.core.lifecycle.Lifecycle;
 import topazvalve.core.metrics.Metrics;
-import topazvalve.core.pool.Pools;
+import topazvalve.core.pool.ConnectionPools;
 import topazvalve.core.stream.ByteBudget;
-import topazvalve.core.time.LoopTime;
-import topazvalve.core.time.Time;
-import topazvalve.decisions.Rules;
+import topazvalve.core.time.EventLoopScheduler;
+import topazvalve.core.time.Scheduler;
+import topazvalve.discovery.client.DiscoveryClient;
+import topazvalve.discovery.client.PushedDiscovery;
+import topazvalve.discovery.client.RelaySelector;
+import topazvalve.policy.SidecarPolicy;
 import topazvalve.sidecar.config.Config;
-import topazvalve.sidecar.discovery.Discovery;
-import topazvalve.sidecar.discovery.Pushed;
-import topazvalve.sidecar.discovery.Relays;
-import topazvalve.sidecar.front.Frontend;
-import topazvalve.sidecar.http.Answer;
-import topazvalve.sidecar.http.Message;
+import topazvalve.sidecar.frontend.HttpFrontend;
+import topazvalve.sidecar.http.UpstreamRequest;
+import topazvalve.sidecar.http.UpstreamResponse;
 import topazvalve.sidecar.upstream.HttpCodec;
 
 /** HTTP plugged into the core: the front, the exchanges, the pools and the list of order servers. */
-final class HttpSide {
-    private final Exchanges<Message, Answer> exchanges;
-    private final Discovery discovery;
-    private final Frontend front;
+final class HttpProxy {
+    private final ExchangeManager<UpstreamRequest, UpstreamResponse> exchanges;
+    private final DiscoveryClient discovery;
+    private final HttpFrontend front;
 
-    HttpSide(
+    HttpProxy(
             EventLoop loop,
             Config config,
             int mostOpen,
@@ -37,47 +37,48 @@
             ByteBudget budget,
             List<InetSocketAddress> relays) {
         ClassTable classes = new ClassTable();
-        Time time = LoopTime.watched(loop);
-        exchanges = new Exchanges<>(
+        Scheduler time = EventLoopScheduler.detectingStalls(loop);
+        exchanges = new ExchangeManager<>(
                 time,
                 config.options(),
-                (settings, actions) -> new Rules(settings, config.seed(), actions),
-                new Pools<>(loop, time, config.options(), new HttpCodec(HttpCodec.REST), config.mostUpstream()),
+                (settings, actions) -> new SidecarPolicy(settings, config.seed(), actions),
+                new ConnectionPools<>(
+                        loop, time, config.options(), new HttpCodec(HttpCodec.REST), config.mostUpstream()),
                 mostOpen,
                 metrics,
                 classes);
-        discovery = new Discovery(
+        discovery = new DiscoveryClient(
                 loop,
                 config.discovery(),
                 config.known(),
-                Pushed.of(config.options()),
-                Relays.of(config.name(), relays, config.seed()),
+                PushedDiscovery.of(config.options()),
+                RelaySelector.of(config.name(), relays, config.seed()),
                 exchanges);
-        front = new Frontend(
+        front = new HttpFrontend(
                 loop, exchanges, classes, config.options().names("parties"), mostClients, lifecycle, budget);
     }
 
     void start(Config config) {
-        exchanges.start(discovery, config.known().targets());
+        exchanges.start(discovery, config.known().endpoints());
         discovery.followPushed();
     }
 
     /** Takes a new configuration over: the settings, and where discovery is. */
     void reconfigure(Config config) {
-        exchanges.retune(config.options());
-        discovery.move(config.discovery());
+        exchanges.settingsChanged(config.options());
+        discovery.changeAddress(config.discovery());
     }
 
     /** Adds the figures of the list, where relays tell it. */
     void print(StringBuilder to) {
-        discovery.print(to);
+        discovery.printMetrics(to);
     }
 
-    Exchanges<Message, Answer> exchanges() {
+    ExchangeManager<UpstreamRequest, UpstreamResponse> exchanges() {
         return exchanges;
     }
 
-    Frontend front() {
+    HttpFrontend front() {
         return front;
     }
 
--- a/sidecar/src/main/java/topazvalve/sidecar/OperatorFile.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/OperatorFile.java
@@ -25,7 +25,7 @@
     /** An order is drawn over all of them; more than any plan has. */
     private static final int MOST_RELAYS = 256;
 
-    /** Reads a file; {@link topazvalve.toml.BadFile} if it has faults, and nothing of it holds. */
+    /** Reads a file; {@link topazvalve.toml.InvalidFileException} if it has faults, and nothing of it holds. */
     public static OperatorFile read(Path file) throws IOException {
         return file == null ? NONE : parse(file.toString(), Files.readString(file));
     }
--- a/sidecar/src/main/java/topazvalve/sidecar/Sidecar.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/Sidecar.java
@@ -15,10 +15,10 @@
 import topazvalve.core.lifecycle.Lifecycle;
 import topazvalve.core.metrics.Metrics;
 import topazvalve.core.stream.ByteBudget;
-import topazvalve.decisions.Balancer.RequestClass;
+import topazvalve.policy.LoadBalancer.RequestClass;
 import topazvalve.sidecar.admin.AdminServer;
 import topazvalve.sidecar.config.Config;
-import topazvalve.sidecar.front.Frontend;
+import topazvalve.sidecar.frontend.HttpFrontend;
 import topazvalve.sidecar.listen.ClientListener;
 import topazvalve.tcp.TcpSettings;
 
@@ -49,8 +49,8 @@
     /** How many take clients from one socket while one takes over from the other. */
     private final int processes;
 
-    private final HttpSide http;
-    private final Streams streams = new Streams();
+    private final HttpProxy http;
+    private final TcpProxies streams = new TcpProxies();
     /** What all fronts may hold of bodies and streams. */
     private final ByteBudget budget;
 
@@ -74,7 +74,7 @@
         this.budget = new ByteBudget(config.bodyBytes());
         // Two processes on one socket count as one sidecar: together they keep no more idle clients than one.
         this.processes = clients.shared() ? 2 : 1;
-        this.http = new HttpSide(
+        this.http = new HttpProxy(
                 loop,
                 config,
                 config.sockets() / 2,
@@ -103,7 +103,7 @@
         WarmUp warmUp = WarmUp.begin(loop, config);
         if (clients.shared()) {
             warmUp.end(door, () -> {
-                if (!lifecycle.emptying()) {
+                if (!lifecycle.isDraining()) {
                     onceOpen(openClients(), "listen", at -> ready());
                 }
             });
@@ -113,11 +113,11 @@
     }
 
     private ChannelFuture openClients() {
-        Frontend front = http.front();
+        HttpFrontend front = http.front();
         int share = config.clientDescriptors();
         int spare = (share - config.mostClients()) / processes;
         front.whenMoreAreHeld(clients::resume);
-        return clients.open(group, front.connections(), () -> Math.min(share, front.mostHeld() + spare));
+        return clients.open(group, front.connectionInitializer(), () -> Math.min(share, front.mostHeld() + spare));
     }
 
     /** A sidecar that can't listen is of no use: it ends, so that whoever started it sees so. */
@@ -140,7 +140,7 @@
     }
 
     private void ready() {
-        lifecycle.started();
+        lifecycle.markStarted();
         streams.start(group, loop, listeners, config.seed(), budget, lifecycle);
         LOG.info("{} ready at {}", config.name(), config.listen());
         whenReady.run();
@@ -175,7 +175,7 @@
         LOG.info(
                 "new configuration taken: classes {}, attempts {}",
                 read.options().names("profiles"),
-                read.options().settings().allowed().tryLimit());
+                read.options().settings().capabilities().maxAttempts());
     }
 
     private void turnDown(Exception fault) {
@@ -187,12 +187,12 @@
     void end(CountDownLatch done) {
         LOG.info("{} ending, {} open requests", config.name(), http.exchanges().active());
         long killedAfterMs = Math.min(longestDeadlineMs(), LONGEST_COUNTED_MS) + KILL_SPARE_MS;
-        lifecycle.end(TimeUnit.MILLISECONDS.toNanos(killedAfterMs));
+        lifecycle.shutDown(TimeUnit.MILLISECONDS.toNanos(killedAfterMs));
         streams.end();
         loop.schedule(clients::stop, clients.shared() ? 0 : ACCEPT_MS, TimeUnit.MILLISECONDS);
         loop.scheduleWithFixedDelay(
                 () -> {
-                    if (http.front().empty()
+                    if (http.front().isIdle()
                             && streams.empty()
                             && http.exchanges().active() == 0) {
                         done.countDown();
@@ -205,12 +205,12 @@
 
     /** How long an end may take at the most; from any thread. */
     long longestEndMs() {
-        return Math.max(longestDeadlineMs() + SPARE_MS, Streams.longestEndMs(listeners));
+        return Math.max(longestDeadlineMs() + SPARE_MS, TcpProxies.longestEndMs(listeners));
     }
 
     private long longestDeadlineMs() {
-        return config.options().settings().classes().stream()
-                        .mapToLong(RequestClass::deadline)
+        return config.options().settings().requestClasses().stream()
+                        .mapToLong(RequestClass::deadlineNanos)
                         .max()
                         .orElse(0)
                 / 1_000_000;
--- a/sidecar/src/main/java/topazvalve/sidecar/Streams.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/TcpProxies.java
@@ -12,17 +12,17 @@
 import topazvalve.core.lifecycle.Lifecycle;
 import topazvalve.core.stream.ByteBudget;
 import topazvalve.sidecar.listen.ClientListener;
+import topazvalve.tcp.TcpProxy;
 import topazvalve.tcp.TcpSettings;
-import topazvalve.tcp.TcpSide;
 
 /** The listeners of the operator's file, beside the platform's one. On the event loop but for the reading. */
-final class Streams {
+final class TcpProxies {
     private static final Logger LOG = LoggerFactory.getLogger("tcp");
     private static final long SWEEP_MS = 100;
     /** After a grace, the time that an end in order takes. */
     private static final long ORDERLY_NS = 1_500_000_000L;
 
-    private record Open(TcpSide side, ClientListener listener) {}
+    private record Open(TcpProxy side, ClientListener listener) {}
 
     private final List<Open> open = new ArrayList<>();
 
@@ -35,7 +35,7 @@
             ByteBudget budget,
             Lifecycle lifecycle) {
         for (TcpSettings each : listeners) {
-            TcpSide side = new TcpSide(loop, each, seed, budget);
+            TcpProxy side = new TcpProxy(loop, each, seed, budget);
             side.start();
             ClientListener listener = ClientListener.beside(each.listen());
             ChannelFuture opened = listener.open(group, side.connections(), () -> Integer.MAX_VALUE);
@@ -51,8 +51,8 @@
         if (!open.isEmpty()) {
             loop.scheduleWithFixedDelay(
                     () -> {
-                        if (lifecycle.emptying()) {
-                            open.forEach(each -> each.side.empty());
+                        if (lifecycle.isDraining()) {
+                            open.forEach(each -> each.side.drain());
                         }
                     },
                     SWEEP_MS,
@@ -72,7 +72,7 @@
             if (found == null) {
                 LOG.warn("{}: a new listener or a new address waits for a restart", each.name());
             } else {
-                found.side.retune(each);
+                found.side.settingsChanged(each);
             }
         }
         String gone = open.stream()
@@ -87,12 +87,12 @@
     void end() {
         for (Open each : open) {
             each.listener.stop();
-            each.side.end();
+            each.side.shutDown();
         }
     }
 
     boolean empty() {
-        return open.stream().allMatch(each -> each.side.isEmpty());
+        return open.stream().allMatch(each -> each.side.isIdle());
     }
 
     /** How long an end may take, in milliseconds; 0 without listeners. From any thread. */
@@ -105,6 +105,6 @@
     }
 
     void print(StringBuilder to) {
-        open.forEach(each -> each.side.print(to));
+        open.forEach(each -> each.side.printMetrics(to));
     }
 }
--- a/sidecar/src/main/java/topazvalve/sidecar/WarmUp.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/WarmUp.java
@@ -11,23 +11,23 @@
 import java.util.List;
 import topazvalve.core.lifecycle.Lifecycle;
 import topazvalve.core.metrics.Metrics;
-import topazvalve.core.pool.Pools;
+import topazvalve.core.pool.ConnectionPools;
 import topazvalve.core.stream.ByteBudget;
 import topazvalve.core.stream.RequestBody;
-import topazvalve.core.time.LoopTime;
-import topazvalve.decisions.Balancer;
-import topazvalve.decisions.Balancer.ListKind;
-import topazvalve.decisions.Balancer.Outcome;
-import topazvalve.decisions.Balancer.Request;
-import topazvalve.decisions.Balancer.RequestClass;
-import topazvalve.decisions.Balancer.Semantics;
-import topazvalve.decisions.Balancer.Settings;
-import topazvalve.decisions.Balancer.State;
-import topazvalve.decisions.Balancer.Upstream;
-import topazvalve.decisions.Rules;
+import topazvalve.core.time.EventLoopScheduler;
+import topazvalve.policy.LoadBalancer;
+import topazvalve.policy.LoadBalancer.EndpointInfo;
+import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.LoadBalancer.Idempotency;
+import topazvalve.policy.LoadBalancer.Outcome;
+import topazvalve.policy.LoadBalancer.Request;
+import topazvalve.policy.LoadBalancer.RequestClass;
+import topazvalve.policy.LoadBalancer.Settings;
+import topazvalve.policy.LoadBalancer.UpdateKind;
+import topazvalve.policy.SidecarPolicy;
 import topazvalve.sidecar.config.Config;
-import topazvalve.sidecar.http.Answer;
-import topazvalve.sidecar.http.Message;
+import topazvalve.sidecar.http.UpstreamRequest;
+import topazvalve.sidecar.http.UpstreamResponse;
 import topazvalve.sidecar.upstream.HttpCodec;
 
 /**
@@ -44,13 +44,13 @@
 
     private static final long STEP = 10_000_000;
 
-    private final Pools<Message, Answer> self;
+    private final ConnectionPools<UpstreamRequest, UpstreamResponse> self;
     private final long began;
     private Runnable done;
 
     private WarmUp(long began, EventLoop loop, Config config) {
         this.began = began;
-        this.self = new Pools<>(loop, new LoopTime(loop), config.options(), new HttpCodec(0), 1);
+        this.self = new ConnectionPools<>(loop, new EventLoopScheduler(loop), config.options(), new HttpCodec(0), 1);
     }
 
     /**
@@ -68,7 +68,7 @@
     void end(InetSocketAddress listener, Runnable then) {
         done = then;
         if (listener != null) {
-            self.listed(0, listener, 0, true);
+            self.endpointUpdated(0, listener, 0, true);
         }
         ask(ROUNDS);
     }
@@ -84,9 +84,9 @@
             done.run();
             return;
         }
-        Message message =
-                new Message(HttpMethod.GET, "/up", new DefaultHttpHeaders().set(HttpHeaderNames.HOST, "app.svc"));
-        self.send(
+        UpstreamRequest message = new UpstreamRequest(
+                HttpMethod.GET, "/up", new DefaultHttpHeaders().set(HttpHeaderNames.HOST, "app.svc"));
+        self.startAttempt(
                 0,
                 message,
                 RequestBody.of(new byte[0]),
@@ -96,21 +96,21 @@
 
     /** A frontend that nobody can reach takes requests; the core, which knows no server, refuses them. */
     private static void answer(long began, EventLoop loop, Config config) {
-        HttpSide side = new HttpSide(
+        HttpProxy side = new HttpProxy(
                 loop, config, ROUNDS, 1, new Metrics(), new Lifecycle(), new ByteBudget(config.bodyBytes()), List.of());
         List<String> tenants = config.options().names("parties");
-        EmbeddedChannel client = new EmbeddedChannel(side.front().connections());
-        List<RequestClass> rules = config.options().settings().classes();
+        EmbeddedChannel client = new EmbeddedChannel(side.front().connectionInitializer());
+        List<RequestClass> rules = config.options().settings().requestClasses();
         List<String> names = config.options().names("profiles");
         for (int i = 0; i < ROUNDS && !late(began); i++) {
-            Semantics semantics = rules.get(i % rules.size()).semantics();
-            String request = (semantics == Semantics.REPEATABLE ? "GET" : "POST") + " /api/x HTTP/1.1\r\n"
+            Idempotency semantics = rules.get(i % rules.size()).idempotency();
+            String request = (semantics == Idempotency.IDEMPOTENT ? "GET" : "POST") + " /api/x HTTP/1.1\r\n"
                     + "Host: app.svc\r\nReq-Id: " + i + "\r\n"
                     + "Req-Kind: " + names.get(i % rules.size()) + "\r\n"
-                    + (semantics == Semantics.BY_KEY ? "Idempotency-Key: " + i + "\r\n" : "")
+                    + (semantics == Idempotency.IDEMPOTENCY_KEY ? "Idempotency-Key: " + i + "\r\n" : "")
                     + (tenants.isEmpty() ? "" : "Req-Owner: " + tenants.get(0) + "\r\n")
                     + "Req-Deadline-Ms: 1000\r\n"
-                    + (semantics == Semantics.REPEATABLE ? "\r\n" : "Content-Length: 2\r\n\r\nxx");
+                    + (semantics == Idempotency.IDEMPOTENT ? "\r\n" : "Content-Length: 2\r\n\r\nxx");
             client.writeInbound(Unpooled.copiedBuffer(request, StandardCharsets.US_ASCII));
             client.runPendingTasks();
             client.releaseOutbound();
@@ -120,53 +120,56 @@
     }
 
     private static void decide(long began, Settings settings) {
-        Balancer rules = new Rules(settings, 0, new Unheard());
+        LoadBalancer rules = new SidecarPolicy(settings, 0, new Unheard());
         long now = System.nanoTime() & Long.MAX_VALUE;
         rules.start(now);
-        rules.listChanged(
+        rules.endpointsUpdated(
                 now,
-                ListKind.CACHED,
-                List.of(new Upstream(1, 0, 0, 0, State.READY, 1, 0), new Upstream(2, 0, 0, 0, State.READY, 1, 0)));
+                UpdateKind.CACHED,
+                List.of(
+                        new EndpointInfo(1, 0, 0, 0, EndpointStatus.READY, 1, 0),
+                        new EndpointInfo(2, 0, 0, 0, EndpointStatus.READY, 1, 0)));
         for (int i = 0; i < ROUNDS && !late(began); i++) {
             now += STEP;
-            rules.request(now, new Request(i, i % settings.classes().size(), 0, 0, PATIENCE, 0, false, false));
-            rules.outcome(now + STEP / 2, i, 0, 1, Outcome.OK, STEP / 2, true, new float[0]);
-            rules.timer(now + STEP / 2, i);
+            rules.requestReceived(
+                    now, new Request(i, i % settings.requestClasses().size(), 0, 0, PATIENCE, 0, false, false));
+            rules.attemptCompleted(now + STEP / 2, i, 0, 1, Outcome.OK, STEP / 2, true, new float[0]);
+            rules.timerFired(now + STEP / 2, i);
         }
     }
 
-    private static final class Unheard implements Balancer.Actions {
+    private static final class Unheard implements LoadBalancer.Actions {
         @Override
-        public void send(long request, long upstream, long timeout) {}
+        public void forward(long request, long upstream, long timeout) {}
 
         @Override
-        public void refuse(long request, long wait) {}
+        public void reject(long request, long wait) {}
 
         @Override
         public void fail(long request) {}
 
         @Override
-        public void cancel(long request, int attempt) {}
+        public void cancelAttempt(long request, int attempt) {}
 
         @Override
-        public void timer(long token, long at) {}
+        public void setTimer(long token, long at) {}
 
         @Override
-        public void probe(long upstream) {}
+        public void sendHealthCheck(long upstream) {}
 
         @Override
-        public void closeIdle(long upstream) {}
+        public void closeIdleConnections(long upstream) {}
 
         @Override
-        public void tell(int peer, byte[] message) {}
+        public void sendGossip(int peer, byte[] message) {}
 
         @Override
         public void log(String line) {}
 
         @Override
-        public void subscribe(boolean on) {}
+        public void watchEndpoints(boolean on) {}
 
         @Override
-        public void fetchList() {}
+        public void fetchEndpoints() {}
     }
 }
--- a/sidecar/src/main/java/topazvalve/sidecar/admin/AdminCalls.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/admin/AdminCalls.java
@@ -43,13 +43,13 @@
     }
 
     private static Reply ready(Lifecycle lifecycle) {
-        return lifecycle.takesClients()
+        return lifecycle.acceptsClients()
                 ? new Reply(HttpResponseStatus.OK, "yes\n")
                 : new Reply(HttpResponseStatus.SERVICE_UNAVAILABLE, "no\n");
     }
 
     private static Reply lameDuck(Lifecycle lifecycle, boolean on) {
-        if (!lifecycle.lameDuck(on)) {
+        if (!lifecycle.setLameDuck(on)) {
             return new Reply(HttpResponseStatus.CONFLICT, "ending\n");
         }
         LOG.info("lame duck {}", on ? "on: emptying" : "off: taking clients again");
--- a/sidecar/src/main/java/topazvalve/sidecar/config/Config.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/config/Config.java
@@ -12,11 +12,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import topazvalve.core.net.Addresses;
-import topazvalve.decisions.Options;
+import topazvalve.discovery.client.EndpointUpdate;
+import topazvalve.discovery.json.JsonNode;
+import topazvalve.discovery.json.JsonReader;
+import topazvalve.policy.SettingsReader;
 import topazvalve.sidecar.admin.AdminServer;
-import topazvalve.sidecar.discovery.Listing;
-import topazvalve.sidecar.json.Json;
-import topazvalve.sidecar.json.Node;
 
 /** What one sidecar is told, checked whole; a mistake is an exception whose message names the key. */
 public record Config(
@@ -26,9 +26,9 @@
         InetSocketAddress discovery,
         long seed,
         int sockets,
-        Listing known,
-        Options options,
-        Node root) {
+        EndpointUpdate known,
+        SettingsReader options,
+        JsonNode root) {
     private static final Logger LOG = LoggerFactory.getLogger("sidecar");
     /** Settings that the module, or what it knows, can't change while it runs. */
     private static final List<String> FIXED = List.of("discovery", "parties");
@@ -41,21 +41,21 @@
     /** A file that is cut short or pasted together must not pass for what its first part says. */
     public static Config read(Path file) throws IOException {
         try {
-            return of(Json.readStrictly(Files.readAllBytes(file)));
+            return of(JsonReader.readStrictly(Files.readAllBytes(file)));
         } catch (JsonProcessingException e) {
             throw new IllegalArgumentException("not JSON: " + e.getOriginalMessage(), e);
         }
     }
 
-    public static Config of(Node root) {
-        Node settings = root.path("settings");
+    public static Config of(JsonNode root) {
+        JsonNode settings = root.path("settings");
         if (!settings.isObject()) {
             throw new IllegalArgumentException("missing: settings");
         }
         requireNumbers(settings);
         StringBuilder lines = new StringBuilder();
         flatten("", settings, lines);
-        Options options = new Options(lines.toString());
+        SettingsReader options = new SettingsReader(lines.toString());
         options.settings();
         List<String> names = options.names("profiles");
         if (Set.copyOf(names).size() < names.size()) {
@@ -65,7 +65,7 @@
         if (sockets < FEWEST_SOCKETS) {
             throw new IllegalArgumentException("too few: limits.sockets");
         }
-        Listing known = root.has("known") ? Listing.of(root.path("known")) : Listing.NONE;
+        EndpointUpdate known = root.has("known") ? EndpointUpdate.of(root.path("known")) : EndpointUpdate.NONE;
         return new Config(
                 root.path("name").asText("sidecar"),
                 address(root, "listen"),
@@ -79,10 +79,10 @@
     }
 
     /** What decides how long and how often is never guessed at. */
-    private static void requireNumbers(Node settings) {
+    private static void requireNumbers(JsonNode settings) {
         requireAboveNought(settings.path("caps"), "tryLimit", "caps.");
         int number = 0;
-        for (Node profile : settings.path("profiles")) {
+        for (JsonNode profile : settings.path("profiles")) {
             String path = "profiles." + number++ + ".";
             requireAboveNought(profile, "deadline", path);
             requireAboveNought(profile, "slo", path);
@@ -95,14 +95,14 @@
         }
     }
 
-    private static void requireAboveNought(Node holder, String key, String path) {
-        Node value = holder.path(key);
+    private static void requireAboveNought(JsonNode holder, String key, String path) {
+        JsonNode value = holder.path(key);
         if (!(value.asDouble(0) > 0)) {
             throw new IllegalArgumentException("not a number above 0: " + path + key);
         }
     }
 
-    private static void requireKeys(Node holder, String path, Iterable<String> keys) {
+    private static void requireKeys(JsonNode holder, String path, Iterable<String> keys) {
         for (String key : keys) {
             if (!holder.hasNonNull(key)) {
                 throw new IllegalArgumentException("missing: " + path + key);
@@ -129,7 +129,7 @@
     }
 
     /** Lists are not looked into: their entries come and go. */
-    private static void requireSameKeys(String path, Node inForce, Node next) {
+    private static void requireSameKeys(String path, JsonNode inForce, JsonNode next) {
         for (String key : inForce.keys()) {
             if (!inForce.path(key).isNull()) {
                 requireKeys(next, path, List.of(key));
@@ -160,7 +160,7 @@
     }
 
     /** Where operators call: the file's word, else the environment's; null if nobody has said. */
-    private static InetSocketAddress admin(Node root) {
+    private static InetSocketAddress admin(JsonNode root) {
         if (root.has("admin")) {
             return address(root, "admin");
         }
@@ -175,7 +175,7 @@
         return address;
     }
 
-    private static InetSocketAddress address(Node root, String key) {
+    private static InetSocketAddress address(JsonNode root, String key) {
         InetSocketAddress address = Addresses.parse(root.path(key).asText(""));
         if (address == null) {
             throw new IllegalArgumentException("not an address and port: " + key);
@@ -183,7 +183,7 @@
         return address;
     }
 
-    private static long seed(Node root) {
+    private static long seed(JsonNode root) {
         try {
             return Long.parseUnsignedLong(root.path("seed").asText(), 16);
         } catch (NumberFormatException e) {
@@ -191,8 +191,8 @@
         }
     }
 
-    /** Writes a JSON tree as the path=value lines of the simulator's wire, which {@link Options} reads. */
-    private static void flatten(String path, Node node, StringBuilder lines) {
+    /** Writes a JSON tree as the path=value lines of the simulator's wire, which {@link SettingsReader} reads. */
+    private static void flatten(String path, JsonNode node, StringBuilder lines) {
         if (node.isObject()) {
             for (String key : node.keys()) {
                 flatten(path.isEmpty() ? key : path + "." + key, node.path(key), lines);
@@ -200,7 +200,7 @@
         } else if (node.isArray() && node.size() > 0 && node.iterator().next().isContainer()) {
             lines.append(path).append(".count=").append(node.size()).append('\n');
             int number = 0;
-            for (Node each : node) {
+            for (JsonNode each : node) {
                 flatten(path + "." + number++, each, lines);
             }
         } else if (node.isArray()) {
--- a/sidecar/src/main/java/topazvalve/sidecar/front/ClientConnection.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/ClientConnection.java
@@ -1,4 +1,4 @@
-package topazvalve.sidecar.front;
+package topazvalve.sidecar.frontend;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -28,24 +28,25 @@
 import java.util.ArrayDeque;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import topazvalve.core.exchange.Client;
-import topazvalve.core.exchange.Intake;
-import topazvalve.core.exchange.Job;
+import topazvalve.core.exchange.ExchangeHandler;
+import topazvalve.core.exchange.ExchangeRequest;
+import topazvalve.core.exchange.ResponseListener;
 import topazvalve.core.lifecycle.Lifecycle;
 import topazvalve.core.stream.ByteBudget;
+import topazvalve.core.stream.FlowControl;
 import topazvalve.core.stream.RequestBody;
-import topazvalve.core.stream.Source;
-import topazvalve.core.time.LoopTime;
-import topazvalve.sidecar.http.Answer;
-import topazvalve.sidecar.http.Message;
+import topazvalve.core.time.EventLoopScheduler;
+import topazvalve.sidecar.http.UpstreamRequest;
+import topazvalve.sidecar.http.UpstreamResponse;
 
 /** One client's connection: one request at a time, each answered once. */
-final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> implements Client<Answer> {
+final class ClientConnection extends SimpleChannelInboundHandler<HttpObject>
+        implements ResponseListener<UpstreamResponse> {
     private static final Logger LOG = LoggerFactory.getLogger("frontend");
     private static final int LARGEST_BODY = 1 << 25;
     private static final int LINGER_BYTES = 1 << 20;
-    private final Frontend owner;
-    private final Intake<Message, Answer> intake;
+    private final HttpFrontend owner;
+    private final ExchangeHandler<UpstreamRequest, UpstreamResponse> intake;
     private final RequestReader reader;
     private final Lifecycle lifecycle;
     private final ByteBudget budget;
@@ -54,10 +55,10 @@
     private final ArrayDeque<HttpObject> waiting = new ArrayDeque<>(1);
 
     private final RequestDecoder decoder;
-    private Stage stage = Stage.NEW;
+    private ConnectionState stage = ConnectionState.NEW;
     private long since = System.nanoTime();
     private int lingered;
-    private Job<Message> job;
+    private ExchangeRequest<UpstreamRequest> job;
     private RequestBody body;
     /** Whether the end of the body is still to come. */
     private boolean incoming;
@@ -72,11 +73,11 @@
     private boolean idTaken;
     private long request;
     /** An answer that is passed on as it comes; null if none is. */
-    private AnswerFlow flow;
+    private StreamedResponse flow;
 
     ClientConnection(
-            Frontend owner,
-            Intake<Message, Answer> intake,
+            HttpFrontend owner,
+            ExchangeHandler<UpstreamRequest, UpstreamResponse> intake,
             RequestReader reader,
             Lifecycle lifecycle,
             ByteBudget budget,
@@ -96,17 +97,17 @@
 
     /** Bytes have come; false if they are to be dropped, since the client was turned away. */
     boolean heard(int bytes) {
-        if (stage == Stage.LINGERING) {
+        if (stage == ConnectionState.LINGERING) {
             lingered += bytes;
             if (lingered > LINGER_BYTES) {
                 readWhileRoom();
             }
             return false;
         }
-        if (stage == Stage.IDLE) {
-            enter(Stage.READING);
-        } else if (stage == Stage.NEW) {
-            stage = Stage.READING;
+        if (stage == ConnectionState.IDLE) {
+            enter(ConnectionState.READING);
+        } else if (stage == ConnectionState.NEW) {
+            stage = ConnectionState.READING;
         }
         return true;
     }
@@ -120,26 +121,26 @@
         channel.close();
     }
 
-    private void enter(Stage next) {
+    private void enter(ConnectionState next) {
         stage = next;
         since = System.nanoTime();
     }
 
-    Stage stage() {
+    ConnectionState stage() {
         return stage;
     }
 
     void checkTime(long now) {
-        if (lifecycle.closesIdle() && StageTimes.unusedForLong(stage, now - since)) {
+        if (lifecycle.closesIdleConnections() && ConnectionTimeouts.unusedForLong(stage, now - since)) {
             channel.close();
             return;
         }
         // Who is kept waiting by the sidecar is not late.
         boolean mute = incoming && channel.config().isAutoRead();
-        if (now - since <= StageTimes.limit(stage, mute, flow != null && flow.taken())) {
+        if (now - since <= ConnectionTimeouts.limit(stage, mute, flow != null && flow.taken())) {
             return;
         }
-        if (stage == Stage.READING || stage == Stage.ASKED) {
+        if (stage == ConnectionState.READING || stage == ConnectionState.ASKED) {
             reject(HttpResponseStatus.REQUEST_TIMEOUT, "no whole request in time");
         } else {
             channel.close();
@@ -147,7 +148,7 @@
     }
 
     private boolean occupied() {
-        return stage == Stage.ASKED || stage == Stage.ANSWERED;
+        return stage == ConnectionState.ASKED || stage == ConnectionState.ANSWERED;
     }
 
     /** Whether what comes now belongs to a later request. */
@@ -165,17 +166,17 @@
     }
 
     private void take(HttpObject message) {
-        if (stage == Stage.LINGERING || !channel.isActive()) {
+        if (stage == ConnectionState.LINGERING || !channel.isActive()) {
             return;
         }
         if (message.decoderResult().isFailure()) {
-            reject(Replies.status(message.decoderResult().cause()), "malformed request");
+            reject(LocalResponses.status(message.decoderResult().cause()), "malformed request");
             return;
         }
         if (message instanceof HttpRequest head) {
             begin(head);
         }
-        if (message instanceof HttpContent content && stage != Stage.LINGERING) {
+        if (message instanceof HttpContent content && stage != ConnectionState.LINGERING) {
             add(content);
         }
     }
@@ -186,7 +187,7 @@
      */
     private void add(HttpContent content) {
         since = System.nanoTime();
-        if (body.received() + content.content().readableBytes() > LARGEST_BODY) {
+        if (body.receivedBytes() + content.content().readableBytes() > LARGEST_BODY) {
             reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body too large");
             return;
         }
@@ -197,14 +198,14 @@
         body.add(content.content());
         if (content instanceof LastHttpContent) {
             incoming = false;
-            body.end();
-            if (stage == Stage.READING) {
+            body.complete();
+            if (stage == ConnectionState.READING) {
                 submit();
             }
-        } else if (body.full()) {
+        } else if (body.isFull()) {
             leftUnread = true;
             channel.config().setAutoRead(false);
-            if (stage == Stage.READING) {
+            if (stage == ConnectionState.READING) {
                 submit();
             }
         }
@@ -227,7 +228,7 @@
             }
             last.release();
         };
-        LoopTime.afterNextSelect(channel.eventLoop(), goOn);
+        EventLoopScheduler.afterNextSelect(channel.eventLoop(), goOn);
     }
 
     /** There is room for more of the body. */
@@ -243,21 +244,21 @@
      * room.
      */
     void readWhileRoom() {
-        boolean room = stage == Stage.LINGERING
+        boolean room = stage == ConnectionState.LINGERING
                 ? lingered <= LINGER_BYTES
-                : !decoder.flooded() && (!incoming || looking || !body.full());
+                : !decoder.flooded() && (!incoming || looking || !body.isFull());
         channel.config().setAutoRead(room);
     }
 
     /** Looks at all that a request's head tells, so that the body of a bad one need not come. */
     private void begin(HttpRequest head) {
-        stage = Stage.READING;
+        stage = ConnectionState.READING;
         since = System.nanoTime();
         keepAlive = HttpUtil.isKeepAlive(head);
         oldVersion = head.protocolVersion().minorVersion() == 0;
         job = null;
         body = new RequestBody(budget, HttpUtil.getContentLength(head, -1L));
-        body.onRoom(this::readOn);
+        body.onSpaceAvailable(this::readOn);
         incoming = true;
         try {
             RequestReader.framed(head);
@@ -285,8 +286,8 @@
     /** The request is whole, or has as much as may be held of it. */
     private void submit() {
         if (job == null) {
-            answer(Replies.plain(
-                    lifecycle.takesClients() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, ""));
+            answer(LocalResponses.plain(
+                    lifecycle.acceptsClients() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, ""));
             return;
         }
         idTaken = owner.takeId(id);
@@ -294,35 +295,35 @@
             reject(HttpResponseStatus.CONFLICT, "Req-Id in use");
             return;
         }
-        Job<Message> taken = job.within(lifecycle.longestWait());
+        ExchangeRequest<UpstreamRequest> taken = job.withTimeoutAtMost(lifecycle.maxRequestTimeoutNanos());
         job = null;
-        enter(Stage.ASKED);
+        enter(ConnectionState.ASKED);
         owner.requestChanged();
         long number = intake.submit(taken, this);
         // The answer may have come within that call.
-        if (stage == Stage.ASKED) {
+        if (stage == ConnectionState.ASKED) {
             request = number;
         }
     }
 
     @Override
-    public void served(Answer answer) {
-        answer(Replies.served(answer));
+    public void responseReceived(UpstreamResponse answer) {
+        answer(LocalResponses.served(answer));
     }
 
     @Override
-    public void refused(long wait) {
-        answer(Replies.refused(wait));
+    public void rejected(long wait) {
+        answer(LocalResponses.refused(wait));
     }
 
     @Override
     public void failed() {
-        answer(Replies.failed());
+        answer(LocalResponses.failed());
     }
 
     @Override
-    public void begun(Answer first, long length, Source rest) {
-        enter(Stage.ANSWERED);
+    public void responseStarted(UpstreamResponse first, long length, FlowControl rest) {
+        enter(ConnectionState.ANSWERED);
         HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, first.status());
         response.headers().set(first.headers()).remove(HttpHeaderNames.CONTENT_LENGTH);
         if (length >= 0) {
@@ -337,12 +338,12 @@
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
         channel.write(response);
-        flow = new AnswerFlow(channel, budget, rest, () -> since = System.nanoTime());
+        flow = new StreamedResponse(channel, budget, rest, () -> since = System.nanoTime());
         flow.pass(Unpooled.wrappedBuffer(first.body()));
     }
 
     @Override
-    public void more(ByteBuf bytes) {
+    public void responseData(ByteBuf bytes) {
         if (flow == null) {
             bytes.release();
         } else {
@@ -351,14 +352,14 @@
     }
 
     @Override
-    public void finished() {
+    public void responseCompleted() {
         endFlow();
         end(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT), keepAlive);
     }
 
     /** Short of its length or of its last chunk an answer is seen to be cut; else only a reset tells. */
     @Override
-    public void cut() {
+    public void responseAborted() {
         endFlow();
         if (oldVersion) {
             channel.config().setOption(ChannelOption.SO_LINGER, 0);
@@ -374,7 +375,7 @@
 
     /** Whether the connection stays: a request that has been read already must be answered first. */
     private boolean keeps() {
-        boolean takesMore = !lifecycle.emptying() && !decoder.overflowed();
+        boolean takesMore = !lifecycle.isDraining() && !decoder.overflowed();
         return keepAlive && (takesMore || !waiting.isEmpty() || decoder.keeps());
     }
 
@@ -385,7 +386,7 @@
             return;
         }
         forget();
-        enter(Stage.ANSWERED);
+        enter(ConnectionState.ANSWERED);
         boolean keep = keeps();
         HttpUtil.setContentLength(response, response.content().readableBytes());
         if (!keep) {
@@ -404,7 +405,7 @@
             return;
         }
         written.addListener(done -> {
-            enter(Stage.IDLE);
+            enter(ConnectionState.IDLE);
             owner.requestChanged();
             // Not from within this call: a row of requests would nest as deep as it is long.
             channel.eventLoop().execute(this::proceed);
@@ -439,27 +440,27 @@
 
     private void reject(HttpResponseStatus status, String text) {
         long open = request;
-        end(Replies.plain(status, text));
+        end(LocalResponses.plain(status, text));
         if (open != 0) {
-            intake.hangup(open);
+            intake.clientDisconnected(open);
         }
     }
 
     /** Far more has come behind the open request than there is room for; an answer that has begun goes on. */
     void flooded() {
         readWhileRoom();
-        if (stage == Stage.ASKED) {
+        if (stage == ConnectionState.ASKED) {
             long open = request;
-            end(Replies.failed());
-            intake.hangup(open);
+            end(LocalResponses.failed());
+            intake.clientDisconnected(open);
         }
     }
 
     /** The last request that was kept whole is answered, and what came behind it was dropped. */
     void endRow() {
-        if (stage == Stage.ASKED) {
+        if (stage == ConnectionState.ASKED) {
             flooded(); // a body whose rest was dropped
-        } else if (stage == Stage.IDLE || stage == Stage.READING) {
+        } else if (stage == ConnectionState.IDLE || stage == ConnectionState.READING) {
             linger(channel.writeAndFlush(Unpooled.EMPTY_BUFFER));
         }
     }
@@ -473,7 +474,7 @@
 
     /** Sends no more behind the last words, and for a while reads on what is dropped unseen. */
     private void linger(ChannelFuture lastWords) {
-        enter(Stage.LINGERING);
+        enter(ConnectionState.LINGERING);
         forgetInput();
         readWhileRoom();
         lastWords.addListener(done -> ((DuplexChannel) channel).shutdownOutput());
@@ -497,10 +498,10 @@
         if (flow != null) {
             endFlow();
         }
-        enter(Stage.LINGERING);
+        enter(ConnectionState.LINGERING);
         forgetInput();
         if (open != 0) {
-            intake.hangup(open);
+            intake.clientDisconnected(open);
         }
     }
 
--- a/sidecar/src/main/java/topazvalve/sidecar/front/Stage.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/ConnectionState.java
@@ -1,7 +1,7 @@
-package topazvalve.sidecar.front;
+package topazvalve.sidecar.frontend;
 
 /** Where a connection is. Those before {@link #READING} hold nothing of a request. */
-enum Stage {
+enum ConnectionState {
     LINGERING,
     IDLE,
     NEW,
--- a/sidecar/src/main/java/topazvalve/sidecar/front/StageTimes.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/ConnectionTimeouts.java
@@ -1,7 +1,7 @@
-package topazvalve.sidecar.front;
+package topazvalve.sidecar.frontend;
 
 /** How long a client's connection may stay in a stage; all in nanoseconds. */
-final class StageTimes {
+final class ConnectionTimeouts {
     /** From the connecting, or a used connection's first byte, to a head's end; then without a byte. */
     private static final long REQUEST = 2_500_000_000L;
     /** Clients keep connections; one that is not used for so long is not missed. */
@@ -13,11 +13,11 @@
     /** A connection made while the sidecar empties is given so long for its request. */
     private static final long FIRST = 300_000_000;
 
-    private StageTimes() {}
+    private ConnectionTimeouts() {}
 
     /** Whether a connection that a sidecar which ends may close has waited long enough for its request. */
-    static boolean unusedForLong(Stage stage, long age) {
-        return stage.compareTo(Stage.READING) < 0 && stage != Stage.LINGERING && age > FIRST;
+    static boolean unusedForLong(ConnectionState stage, long age) {
+        return stage.compareTo(ConnectionState.READING) < 0 && stage != ConnectionState.LINGERING && age > FIRST;
     }
 
     /**
@@ -26,7 +26,7 @@
      * @param mute the rest of a body is awaited, and the client could send it
      * @param taken the client has taken all that there is of an answer passed on as it comes
      */
-    static long limit(Stage stage, boolean mute, boolean taken) {
+    static long limit(ConnectionState stage, boolean mute, boolean taken) {
         return switch (stage) {
             case LINGERING -> LINGER;
             case IDLE -> IDLE;
--- a/sidecar/src/main/java/topazvalve/sidecar/front/Room.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/EvictionPolicy.java
@@ -1,4 +1,4 @@
-package topazvalve.sidecar.front;
+package topazvalve.sidecar.frontend;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -10,14 +10,14 @@
  * said nothing may hold half of the room, so that a flood of them closes no client that works, and one that
  * comes in the midst of a flood has a while for its first request.
  */
-final class Room {
+final class EvictionPolicy {
     /** A new connection's request comes at once; one that is silent for longer makes room first. */
     static final long SILENT_TIME = 100_000_000;
 
     private final int most;
 
     /** For so many connections; those with requests may be more. */
-    Room(int most) {
+    EvictionPolicy(int most) {
         this.most = most;
     }
 
@@ -29,7 +29,7 @@
     static int requests(Collection<ClientConnection> connections) {
         int requests = 0;
         for (ClientConnection each : connections) {
-            requests += each.stage().compareTo(Stage.READING) >= 0 || each.busy() ? 1 : 0;
+            requests += each.stage().compareTo(ConnectionState.READING) >= 0 || each.busy() ? 1 : 0;
         }
         return requests;
     }
@@ -48,7 +48,7 @@
         all.sort((one, other) -> Long.signum(one.since() - other.since()));
         int silentCount = 0;
         for (ClientConnection each : all) {
-            silentCount += each.stage() == Stage.NEW ? 1 : 0;
+            silentCount += each.stage() == ConnectionState.NEW ? 1 : 0;
             if (each.since() - heardUntil > 0 || each.busy()) {
                 continue;
             }
--- a/sidecar/src/main/java/topazvalve/sidecar/front/Frontend.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/HttpFrontend.java
@@ -1,4 +1,4 @@
-package topazvalve.sidecar.front;
+package topazvalve.sidecar.frontend;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandler;
@@ -12,21 +12,21 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import topazvalve.core.Front;
+import topazvalve.core.Frontend;
 import topazvalve.core.classes.ClassTable;
-import topazvalve.core.exchange.Intake;
+import topazvalve.core.exchange.ExchangeHandler;
 import topazvalve.core.lifecycle.Lifecycle;
 import topazvalve.core.stream.ByteBudget;
-import topazvalve.core.time.LoopTime;
-import topazvalve.sidecar.http.Answer;
-import topazvalve.sidecar.http.Message;
+import topazvalve.core.time.EventLoopScheduler;
+import topazvalve.sidecar.http.UpstreamRequest;
+import topazvalve.sidecar.http.UpstreamResponse;
 
 /**
  * The application's side: reads requests, answers each once, and tells malformed ones so itself. A client
  * that sends what can't be used is told at once, and its connection ends; nobody holds one for longer than a
  * request takes.
  */
-public final class Frontend implements Front {
+public final class HttpFrontend implements Frontend {
     /** A request's id is held to be in use for a while after its answer: clients never use one again. */
     private static final long ID_TIME = 2_000_000_000L;
 
@@ -34,10 +34,10 @@
 
     private record Past(String id, long at) {}
 
-    private final Intake<Message, Answer> intake;
+    private final ExchangeHandler<UpstreamRequest, UpstreamResponse> intake;
     private final RequestReader reader;
     private final EventLoop loop;
-    private final Room room;
+    private final EvictionPolicy room;
     private boolean makingRoom;
     private int mostHeld;
     private Runnable whenMoreAreHeld = () -> {};
@@ -49,9 +49,9 @@
     private final Future<?> sweeping;
 
     /** Serves on this loop. */
-    public Frontend(
+    public HttpFrontend(
             EventLoop loop,
-            Intake<Message, Answer> intake,
+            ExchangeHandler<UpstreamRequest, UpstreamResponse> intake,
             ClassTable classes,
             List<String> tenantNames,
             int mostConnections,
@@ -62,19 +62,19 @@
         this.lifecycle = lifecycle;
         this.reader = new RequestReader(classes, tenantNames);
         this.loop = loop;
-        this.room = new Room(mostConnections);
+        this.room = new EvictionPolicy(mostConnections);
         this.mostHeld = mostConnections;
         sweeping = loop.scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
     }
 
     /** There are requests on a connection at once, whatever {@code /up} says. */
     @Override
-    public ChannelHandler connections() {
+    public ChannelHandler connectionInitializer() {
         return new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel made) {
                 ClientConnection connection =
-                        new ClientConnection(Frontend.this, intake, reader, lifecycle, budget, made);
+                        new ClientConnection(HttpFrontend.this, intake, reader, lifecycle, budget, made);
                 connections.add(connection);
                 made.pipeline().addLast(new HttpResponseEncoder(), connection.decoder(), connection);
                 requireRoom();
@@ -88,7 +88,7 @@
     }
 
     @Override
-    public boolean empty() {
+    public boolean isIdle() {
         return connections.isEmpty();
     }
 
@@ -103,7 +103,7 @@
         makingRoom = true;
         loop.execute(() -> {
             long heardUntil = System.nanoTime();
-            LoopTime.afterNextSelect(loop, () -> makeRoom(heardUntil));
+            EventLoopScheduler.afterNextSelect(loop, () -> makeRoom(heardUntil));
         });
     }
 
@@ -117,7 +117,7 @@
             }
         }
         int before = mostHeld;
-        mostHeld = Math.max(room.most(), Room.requests(connections));
+        mostHeld = Math.max(room.most(), EvictionPolicy.requests(connections));
         if (mostHeld > before) {
             whenMoreAreHeld.run();
         }
--- a/sidecar/src/main/java/topazvalve/sidecar/front/Replies.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/LocalResponses.java
@@ -1,4 +1,4 @@
-package topazvalve.sidecar.front;
+package topazvalve.sidecar.frontend;
 
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.DefaultFullHttpResponse;
@@ -12,11 +12,11 @@
 import java.math.BigDecimal;
 import java.math.RoundingMode;
 import java.nio.charset.StandardCharsets;
-import topazvalve.sidecar.http.Answer;
+import topazvalve.sidecar.http.UpstreamResponse;
 
 /** The answers that the sidecar words itself. */
-final class Replies {
-    private Replies() {}
+final class LocalResponses {
+    private LocalResponses() {}
 
     static HttpResponseStatus status(Throwable cause) {
         if (cause instanceof TooLongHttpHeaderException) {
@@ -28,7 +28,7 @@
     }
 
     /** An order server's answer. */
-    static FullHttpResponse served(Answer answer) {
+    static FullHttpResponse served(UpstreamResponse answer) {
         FullHttpResponse response = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1, answer.status(), Unpooled.wrappedBuffer(answer.body()));
         response.headers().set(answer.headers());
--- a/sidecar/src/main/java/topazvalve/sidecar/front/RequestDecoder.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/RequestDecoder.java
@@ -1,4 +1,4 @@
-package topazvalve.sidecar.front;
+package topazvalve.sidecar.frontend;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -53,7 +53,7 @@
 
     /** Keeps it, or drops it where there is no room; what is kept may lie over the share by one read. */
     private void keep(ByteBuf bytes) {
-        if (overflowed() || (kept != null && kept.readableBytes() >= budget.share())) {
+        if (overflowed() || (kept != null && kept.readableBytes() >= budget.quotaBytes())) {
             dropped += bytes.readableBytes();
             if (flooded()) {
                 drop();
@@ -62,7 +62,7 @@
         } else {
             if (kept == null) {
                 kept = Unpooled.buffer(bytes.readableBytes());
-                budget.enter();
+                budget.register();
             }
             kept.discardSomeReadBytes().writeBytes(bytes);
         }
@@ -111,7 +111,7 @@
         if (kept != null) {
             kept.release();
             kept = null;
-            budget.leave();
+            budget.unregister();
         }
     }
 
--- a/sidecar/src/main/java/topazvalve/sidecar/front/RequestReader.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/RequestReader.java
@@ -1,4 +1,4 @@
-package topazvalve.sidecar.front;
+package topazvalve.sidecar.frontend;
 
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
@@ -8,11 +8,11 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.util.List;
 import topazvalve.core.classes.ClassTable;
-import topazvalve.core.exchange.Job;
+import topazvalve.core.exchange.ExchangeRequest;
 import topazvalve.core.stream.RequestBody;
-import topazvalve.decisions.Balancer.Semantics;
+import topazvalve.policy.LoadBalancer.Idempotency;
 import topazvalve.sidecar.http.Headers;
-import topazvalve.sidecar.http.Message;
+import topazvalve.sidecar.http.UpstreamRequest;
 
 /** Reads what a request's head tells; what can't be used is an {@link IllegalArgumentException}. */
 final class RequestReader {
@@ -78,11 +78,11 @@
         }
     }
 
-    Job<Message> job(HttpRequest message, String path, RequestBody body) {
+    ExchangeRequest<UpstreamRequest> job(HttpRequest message, String path, RequestBody body) {
         if (header(message, "Req-Id").length() > LONGEST_ID) {
             throw new IllegalArgumentException("Req-Id too long");
         }
-        ClassTable.Entry kind = classes.named(header(message, "Req-Kind"));
+        ClassTable.Entry kind = classes.find(header(message, "Req-Kind"));
         if (kind == null) {
             throw new IllegalArgumentException("unknown Req-Kind");
         }
@@ -94,24 +94,25 @@
             }
         }
         String idempotencyKey = message.headers().get(KEY);
-        Semantics semantics = kind.rules().semantics();
-        HttpMethod method = semantics == Semantics.REPEATABLE ? HttpMethod.GET : HttpMethod.POST;
+        Idempotency semantics = kind.rules().idempotency();
+        HttpMethod method = semantics == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
         if (!message.method().equals(method)
-                || (semantics == Semantics.BY_KEY) != (idempotencyKey != null && !idempotencyKey.isEmpty())) {
+                || (semantics == Idempotency.IDEMPOTENCY_KEY)
+                        != (idempotencyKey != null && !idempotencyKey.isEmpty())) {
             throw new IllegalArgumentException("method or Idempotency-Key does not fit the class");
         }
         // Nobody waits for longer than the class allows, whatever the header says.
-        long wait = Math.min(number(message, "Req-Deadline-Ms"), kind.rules().deadline() / 1_000_000);
+        long wait = Math.min(number(message, "Req-Deadline-Ms"), kind.rules().deadlineNanos() / 1_000_000);
         long cost = message.headers().contains("Req-Cost") ? number(message, "Req-Cost") * 1000 : 0;
-        return new Job<>(
+        return new ExchangeRequest<>(
                 kind,
                 tenant,
                 key(path),
                 wait,
                 cost,
                 "1".equals(message.headers().get("Req-Retry")),
-                semantics != Semantics.REPEATABLE,
-                new Message(method, message.uri(), message.headers()),
+                semantics != Idempotency.IDEMPOTENT,
+                new UpstreamRequest(method, message.uri(), message.headers()),
                 body);
     }
 
--- a/sidecar/src/main/java/topazvalve/sidecar/front/AnswerFlow.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/StreamedResponse.java
@@ -1,27 +1,27 @@
-package topazvalve.sidecar.front;
+package topazvalve.sidecar.frontend;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.handler.codec.http.DefaultHttpContent;
 import topazvalve.core.stream.ByteBudget;
-import topazvalve.core.stream.Source;
+import topazvalve.core.stream.FlowControl;
 
 /** An answer on its way to a client as it comes, which holds no more than its share of the budget. */
-final class AnswerFlow {
+final class StreamedResponse {
     private final Channel channel;
     private final ByteBudget budget;
     private final Runnable onTaken;
-    private Source source;
+    private FlowControl source;
     private boolean paused;
     private long unsent;
 
     /** Calls {@code onTaken} whenever the client's side has taken some. */
-    AnswerFlow(Channel channel, ByteBudget budget, Source source, Runnable onTaken) {
+    StreamedResponse(Channel channel, ByteBudget budget, FlowControl source, Runnable onTaken) {
         this.channel = channel;
         this.budget = budget;
         this.source = source;
         this.onTaken = onTaken;
-        budget.enter();
+        budget.register();
     }
 
     /** Takes over the buffer. */
@@ -29,7 +29,7 @@
         int size = bytes.readableBytes();
         unsent += size;
         channel.writeAndFlush(new DefaultHttpContent(bytes)).addListener(done -> taken(size));
-        if (unsent > budget.share() && source != null && !paused) {
+        if (unsent > budget.quotaBytes() && source != null && !paused) {
             paused = true;
             source.pause();
         }
@@ -38,7 +38,7 @@
     private void taken(int size) {
         unsent -= size;
         onTaken.run();
-        if (paused && source != null && unsent <= budget.share() / 2) {
+        if (paused && source != null && unsent <= budget.quotaBytes() / 2) {
             paused = false;
             source.resume();
         }
@@ -52,6 +52,6 @@
     /** No more will come. */
     void end() {
         source = null;
-        budget.leave();
+        budget.unregister();
     }
 }
--- a/sidecar/src/main/java/topazvalve/sidecar/front/package-info.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/package-info.java
@@ -1,2 +1,2 @@
 /** The application's side: reads requests and answers each once. */
-package topazvalve.sidecar.front;
+package topazvalve.sidecar.frontend;
--- a/sidecar/src/main/java/topazvalve/sidecar/http/Message.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/http/UpstreamRequest.java
@@ -4,4 +4,4 @@
 import io.netty.handler.codec.http.HttpMethod;
 
 /** What a client asked, in HTTP's terms: for the upstreams' side alone. */
-public record Message(HttpMethod method, String uri, HttpHeaders headers) {}
+public record UpstreamRequest(HttpMethod method, String uri, HttpHeaders headers) {}
--- a/sidecar/src/main/java/topazvalve/sidecar/http/Answer.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/http/UpstreamResponse.java
@@ -4,4 +4,4 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 
 /** What an upstream answered; of a large answer, {@code body} is its first bytes. */
-public record Answer(HttpResponseStatus status, HttpHeaders headers, byte[] body) {}
+public record UpstreamResponse(HttpResponseStatus status, HttpHeaders headers, byte[] body) {}
--- a/sidecar/src/main/java/topazvalve/sidecar/listen/AcceptLimit.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/listen/AcceptLimit.java
@@ -10,7 +10,7 @@
 import java.util.function.IntSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import topazvalve.core.time.LoopTime;
+import topazvalve.core.time.EventLoopScheduler;
 
 /**
  * Keeps the descriptors of a listener's connections within a count: at the limit it stops accepting, and
@@ -54,7 +54,7 @@
         Channel server = context.channel();
         Channel made = (Channel) message;
         made.closeFuture()
-                .addListener(closed -> LoopTime.afterNextSelect(server.eventLoop(), () -> {
+                .addListener(closed -> EventLoopScheduler.afterNextSelect(server.eventLoop(), () -> {
                     // Only now is its descriptor released.
                     open--;
                     resume(server);
--- a/sidecar/src/main/java/topazvalve/sidecar/listen/ClientListener.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/listen/ClientListener.java
@@ -83,7 +83,8 @@
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(
-                        ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator(64, 2048, ByteBudget.LEAST))
+                        ChannelOption.RECVBUF_ALLOCATOR,
+                        new AdaptiveRecvByteBufAllocator(64, 2048, ByteBudget.MIN_QUOTA_BYTES))
                 .childHandler(each);
         if (beside) {
             bootstrap.option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true);
--- a/sidecar/src/main/java/topazvalve/sidecar/upstream/HttpCodec.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/upstream/HttpCodec.java
@@ -3,15 +3,15 @@
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpMethod;
-import topazvalve.core.pool.Carrier;
 import topazvalve.core.pool.Codec;
+import topazvalve.core.pool.ConnectionHandler;
 import topazvalve.core.pool.PooledConnection;
-import topazvalve.decisions.Options;
-import topazvalve.sidecar.http.Answer;
-import topazvalve.sidecar.http.Message;
+import topazvalve.policy.SettingsReader;
+import topazvalve.sidecar.http.UpstreamRequest;
+import topazvalve.sidecar.http.UpstreamResponse;
 
 /** HTTP/1.1 towards order servers. */
-public final class HttpCodec implements Codec<Message, Answer> {
+public final class HttpCodec implements Codec<UpstreamRequest, UpstreamResponse> {
     /**
      * Danger: a second answer that a server sends some milliseconds behind the first would be taken for the
      * next request's; on a connection that rests it shows, and closes it. Longer would keep more connections
@@ -30,26 +30,27 @@
     }
 
     @Override
-    public Carrier<Message, Answer> carrier(PooledConnection<Message, Answer> connection) {
-        return new HttpCarrier(reports, connection);
+    public ConnectionHandler<UpstreamRequest, UpstreamResponse> newConnectionHandler(
+            PooledConnection<UpstreamRequest, UpstreamResponse> connection) {
+        return new HttpConnectionHandler(reports, connection);
     }
 
     /** For a server's load report where the deployment has reports, else for its health. */
     @Override
-    public Probe<Message> probe() {
-        return new Probe<>(
-                new Message(
+    public HealthCheck<UpstreamRequest> healthCheck() {
+        return new HealthCheck<>(
+                new UpstreamRequest(
                         HttpMethod.GET, reports.path(), new DefaultHttpHeaders().set(HttpHeaderNames.HOST, "app.svc")),
                 PROBE_TIMEOUT);
     }
 
     @Override
-    public long rest() {
+    public long reuseDelayNanos() {
         return rest;
     }
 
     @Override
-    public void retune(Options options) {
+    public void settingsChanged(SettingsReader options) {
         reports.take(options.list("report.fields"));
     }
 }
--- a/sidecar/src/main/java/topazvalve/sidecar/upstream/HttpCarrier.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/upstream/HttpConnectionHandler.java
@@ -24,19 +24,20 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import topazvalve.core.pool.Attempt;
-import topazvalve.core.pool.Carrier;
+import topazvalve.core.pool.ConnectionHandler;
 import topazvalve.core.pool.PooledConnection;
-import topazvalve.core.stream.Source;
-import topazvalve.decisions.Balancer.Outcome;
-import topazvalve.sidecar.http.Answer;
+import topazvalve.core.stream.FlowControl;
+import topazvalve.policy.LoadBalancer.Outcome;
 import topazvalve.sidecar.http.Headers;
-import topazvalve.sidecar.http.Message;
+import topazvalve.sidecar.http.UpstreamRequest;
+import topazvalve.sidecar.http.UpstreamResponse;
 
 /**
  * HTTP on one connection, one request at a time. An answer counts once all that came with it has been read:
  * only then is it known whether more has come than was asked for, and whether the next request may follow.
  */
-final class HttpCarrier extends SimpleChannelInboundHandler<HttpObject> implements Carrier<Message, Answer>, Source {
+final class HttpConnectionHandler extends SimpleChannelInboundHandler<HttpObject>
+        implements ConnectionHandler<UpstreamRequest, UpstreamResponse>, FlowControl {
     private static final Logger LOG = LoggerFactory.getLogger("upstream");
     /** Up to here an answer is held until it is whole, and a spoilt one can be tried again elsewhere. */
     private static final int LARGEST_HELD = 1 << 16;
@@ -50,10 +51,10 @@
     private static final int MOST_INTERIM = 16;
 
     private final LoadReports reports;
-    private final PooledConnection<Message, Answer> connection;
-    private final AnswerDecoder decoder = new AnswerDecoder();
+    private final PooledConnection<UpstreamRequest, UpstreamResponse> connection;
+    private final ResponseDecoder decoder = new ResponseDecoder();
     private Channel channel;
-    private Attempt<Message, Answer> current;
+    private Attempt<UpstreamRequest, UpstreamResponse> current;
     private HttpResponse head;
     private HttpHeaders headers;
     private ByteArrayOutputStream body;
@@ -69,41 +70,41 @@
     private boolean whole;
     private boolean soiled;
 
-    HttpCarrier(LoadReports reports, PooledConnection<Message, Answer> connection) {
+    HttpConnectionHandler(LoadReports reports, PooledConnection<UpstreamRequest, UpstreamResponse> connection) {
         this.reports = reports;
         this.connection = connection;
     }
 
     @Override
-    public void prepare(Channel made) {
+    public void configure(Channel made) {
         channel = made;
         made.pipeline().addLast(new HttpRequestEncoder(), decoder, this);
     }
 
     @Override
-    public void carry(Attempt<Message, Answer> attempt) {
+    public void startAttempt(Attempt<UpstreamRequest, UpstreamResponse> attempt) {
         current = attempt;
-        attempt.writing();
+        attempt.writeStarted();
         interim = 0;
-        channel.write(Heads.head(attempt));
-        attempt.body().read(this::pump);
+        channel.write(HttpHeads.head(attempt));
+        attempt.body().startReading(this::pump);
         moved();
         pump();
-        if (!attempt.handedOn()) {
+        if (!attempt.isHandedOver()) {
             watchStall(STALL);
         }
     }
 
     /** Writes what there is of the request's body, as long as the upstream takes it. */
     private void pump() {
-        Attempt<Message, Answer> attempt = current;
-        if (attempt == null || attempt.over() || attempt.handedOn() || pumping) {
+        Attempt<UpstreamRequest, UpstreamResponse> attempt = current;
+        if (attempt == null || attempt.isCompleted() || attempt.isHandedOver() || pumping) {
             return;
         }
         // A write tells of a change of writability from within the encoder: not to be entered again.
         pumping = true;
         while (channel.isWritable()) {
-            ByteBuf piece = attempt.body().next();
+            ByteBuf piece = attempt.body().nextChunk();
             if (piece == null) {
                 break;
             }
@@ -111,16 +112,16 @@
             channel.write(new DefaultHttpContent(piece));
         }
         pumping = false;
-        if (!attempt.body().drained()) {
+        if (!attempt.body().isFullyRead()) {
             channel.flush();
             return;
         }
-        attempt.handOn();
+        attempt.handedOver();
         channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener(done -> {
             if (done.isSuccess()) {
-                attempt.wrote();
+                attempt.requestWritten();
             } else {
-                attempt.broken();
+                attempt.connectionLost();
             }
         });
     }
@@ -137,14 +138,14 @@
 
     /** An upstream that could go on with a body and does not for long ends the attempt. */
     private void checkStall() {
-        Attempt<Message, Answer> attempt = current;
-        if (attempt == null || attempt.over() || (attempt.handedOn() && !passing)) {
+        Attempt<UpstreamRequest, UpstreamResponse> attempt = current;
+        if (attempt == null || attempt.isCompleted() || (attempt.isHandedOver() && !passing)) {
             return;
         }
         boolean waits = passing ? channel.config().isAutoRead() : !channel.isWritable();
         long still = System.nanoTime() - movedAt;
         if (waits && still >= STALL) {
-            attempt.broken();
+            attempt.connectionLost();
         } else {
             watchStall(waits ? STALL - still : STALL);
         }
@@ -162,7 +163,7 @@
     }
 
     @Override
-    public boolean spoilt() {
+    public boolean hasUnexpectedData() {
         return decoder.holds();
     }
 
@@ -175,7 +176,7 @@
     @Override
     protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
         if (current == null
-                || current.over()
+                || current.isCompleted()
                 || whole
                 || message.decoderResult().isFailure()) {
             spoil();
@@ -194,7 +195,7 @@
                 whole = false;
                 spoil();
             } else if (passing) {
-                current.more(bytes.retain());
+                current.responseData(bytes.retain());
             } else {
                 body.writeBytes(ByteBufUtil.getBytes(bytes));
                 if (!whole && mayPass() && body.size() > 0) {
@@ -204,7 +205,7 @@
         }
     }
 
-    private void holdOrPass(Attempt<Message, Answer> attempt) {
+    private void holdOrPass(Attempt<UpstreamRequest, UpstreamResponse> attempt) {
         long length = HttpUtil.getContentLength(head, -1L);
         if (Math.max(received, length) > LARGEST_HELD) {
             pass();
@@ -212,7 +213,7 @@
             held = channel.eventLoop()
                     .schedule(
                             () -> {
-                                if (current == attempt && !attempt.over() && !passing && !whole) {
+                                if (current == attempt && !attempt.isCompleted() && !passing && !whole) {
                                     pass();
                                 }
                             },
@@ -223,17 +224,17 @@
 
     /** Whether this is an answer to the request: it was served, and all of it had been sent. */
     private boolean mayPass() {
-        return current.written() && head.status().code() == 200;
+        return current.isWritten() && head.status().code() == 200;
     }
 
     /** From now on the answer goes on as it comes, and only a stand-still ends it. */
     private void pass() {
         passing = true;
         unhold();
-        Answer first = new Answer(head.status(), headers, body.toByteArray());
+        UpstreamResponse first = new UpstreamResponse(head.status(), headers, body.toByteArray());
         body = null;
         watchStall(STALL);
-        current.begin(first, HttpUtil.getContentLength(head, -1L), this);
+        current.responseStarted(first, HttpUtil.getContentLength(head, -1L), this);
     }
 
     private void unhold() {
@@ -287,23 +288,24 @@
         if (!whole) {
             return;
         }
-        Attempt<Message, Answer> attempt = current;
-        if (attempt.over()) {
+        Attempt<UpstreamRequest, UpstreamResponse> attempt = current;
+        if (attempt.isCompleted()) {
             connection.close();
             return;
         }
         HttpResponse response = head;
         // Served before it had all been sent: that can't be.
         Outcome outcome =
-                attempt.written() || response.status().code() != 200 ? Heads.outcome(response) : Outcome.ERROR;
+                attempt.isWritten() || response.status().code() != 200 ? HttpHeads.outcome(response) : Outcome.ERROR;
         float[] load = reports.read(
                 response,
                 attempt.message().uri().equals(LoadReports.PATH) && body != null
                         ? body.toString(StandardCharsets.UTF_8)
                         : null);
-        Answer answer =
-                outcome == Outcome.OK && !passing ? new Answer(response.status(), headers, body.toByteArray()) : null;
-        boolean reusable = HttpUtil.isKeepAlive(response) && attempt.written() && !soiled && !decoder.holds();
+        UpstreamResponse answer = outcome == Outcome.OK && !passing
+                ? new UpstreamResponse(response.status(), headers, body.toByteArray())
+                : null;
+        boolean reusable = HttpUtil.isKeepAlive(response) && attempt.isWritten() && !soiled && !decoder.holds();
         current = null;
         head = null;
         headers = null;
@@ -316,11 +318,11 @@
             channel.config().setAutoRead(true);
         }
         if (reusable) {
-            connection.giveBack();
+            connection.release();
         } else {
             connection.close();
         }
-        attempt.end(outcome, answer, load);
+        attempt.complete(outcome, answer, load);
     }
 
     /** Something came that is no answer or not asked for. What is whole already stays good. */
@@ -328,7 +330,7 @@
         if (whole) {
             soiled = true;
         } else if (current != null) {
-            current.end(Outcome.ERROR);
+            current.complete(Outcome.ERROR);
         }
         if (!whole) {
             connection.close();
@@ -355,7 +357,7 @@
     private void lost() {
         connection.close();
         if (current != null) {
-            current.broken();
+            current.connectionLost();
         }
     }
 }
--- a/sidecar/src/main/java/topazvalve/sidecar/upstream/Heads.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/upstream/HttpHeads.java
@@ -8,23 +8,23 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
 import topazvalve.core.pool.Attempt;
-import topazvalve.decisions.Balancer.Outcome;
-import topazvalve.sidecar.http.Answer;
+import topazvalve.policy.LoadBalancer.Outcome;
 import topazvalve.sidecar.http.Headers;
-import topazvalve.sidecar.http.Message;
+import topazvalve.sidecar.http.UpstreamRequest;
+import topazvalve.sidecar.http.UpstreamResponse;
 
 /** An attempt in HTTP's terms: the head that is sent to an upstream, and what an answer's head says. */
-final class Heads {
-    private Heads() {}
+final class HttpHeads {
+    private HttpHeads() {}
 
-    static HttpRequest head(Attempt<Message, Answer> attempt) {
+    static HttpRequest head(Attempt<UpstreamRequest, UpstreamResponse> attempt) {
         HttpRequest request = new DefaultHttpRequest(
                 HttpVersion.HTTP_1_1,
                 attempt.message().method(),
                 attempt.message().uri());
         Headers.copyEndToEnd(attempt.message().headers(), request.headers());
         request.headers()
-                .set("Req-Deadline-Ms", Math.max(1, attempt.waitTime() / 1_000_000))
+                .set("Req-Deadline-Ms", Math.max(1, attempt.timeoutNanos() / 1_000_000))
                 .remove(HttpHeaderNames.CONTENT_LENGTH);
         long length = attempt.body().length();
         if (length < 0) {
--- a/sidecar/src/main/java/topazvalve/sidecar/upstream/LoadReports.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/upstream/LoadReports.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import io.netty.handler.codec.http.HttpResponse;
 import java.util.List;
-import topazvalve.sidecar.json.Json;
-import topazvalve.sidecar.json.Node;
+import topazvalve.discovery.json.JsonNode;
+import topazvalve.discovery.json.JsonReader;
 
 /**
  * The load reports of a deployment: the names of their values, in the order that the settings give, and how
@@ -36,10 +36,10 @@
             return NONE;
         }
         try {
-            Node node = Json.read(text);
+            JsonNode node = JsonReader.read(text);
             float[] values = new float[fields.size()];
             for (int i = 0; i < values.length; i++) {
-                Node value = node.path(fields.get(i));
+                JsonNode value = node.path(fields.get(i));
                 if (!value.isNumber()) {
                     return NONE;
                 }
--- a/sidecar/src/main/java/topazvalve/sidecar/upstream/AnswerDecoder.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/upstream/ResponseDecoder.java
@@ -15,12 +15,12 @@
  * Reads answers. What can't be one is told at its first bytes: left to itself the decoder skips control
  * characters and waits for the end of a line that may never come.
  */
-final class AnswerDecoder extends HttpResponseDecoder {
+final class ResponseDecoder extends HttpResponseDecoder {
     private static final byte[] START = "HTTP/1.".getBytes(StandardCharsets.US_ASCII);
     private boolean begun;
 
     /** Headers are looked at later: a load report may hold anything and spoils only itself. */
-    AnswerDecoder() {
+    ResponseDecoder() {
         super(new HttpDecoderConfig().setValidateHeaders(false));
     }
 
--- a/sidecar/src/test/java/topazvalve/sidecar/AdminTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/AdminTest.java
@@ -32,9 +32,9 @@
     void readyFollowsTheLifeCycle() throws Exception {
         try (Bed bed = Bed.with()) {
             assertEquals(503, status(bed, call("GET", "/_ready")), "not yet");
-            bed.loop.submit(bed.lifecycle::started).sync();
+            bed.loop.submit(bed.lifecycle::markStarted).sync();
             assertEquals(200, status(bed, call("GET", "/_ready")));
-            bed.loop.submit(() -> bed.lifecycle.end(Long.MAX_VALUE / 2)).sync();
+            bed.loop.submit(() -> bed.lifecycle.shutDown(Long.MAX_VALUE / 2)).sync();
             assertEquals(503, status(bed, call("GET", "/_ready")));
             assertEquals(409, status(bed, call("POST", "/_lameduck/off")), "the end is not turned back");
         }
@@ -52,7 +52,7 @@
                 String large = "POST /_lameduck/on HTTP/1.1\r\nContent-Length: 9999\r\n\r\n";
                 assertEquals(413, client.ask(large).status());
             }
-            assertFalse(bed.loop.submit(bed.lifecycle::emptying).get(), "none of it emptied the sidecar");
+            assertFalse(bed.loop.submit(bed.lifecycle::isDraining).get(), "none of it emptied the sidecar");
         }
     }
 
@@ -161,7 +161,7 @@
                 Bed bed = Bed.with(upstream);
                 Bed.Client idle = new Bed.Client(bed.address);
                 Bed.Client busy = new Bed.Client(bed.address)) {
-            bed.loop.submit(bed.lifecycle::started).sync();
+            bed.loop.submit(bed.lifecycle::markStarted).sync();
             assertEquals(200, idle.ask(UP).status());
             Stub.write(busy.socket, Bed.look("a"));
             Stub.next(upstream.heads);
--- a/sidecar/src/test/java/topazvalve/sidecar/WallsTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/ArchitectureTest.java
@@ -11,30 +11,25 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** The walls that Maven's modules can't hold: inside the decisions, and between the sidecar's packages. */
-class WallsTest {
-    private static final JavaClasses HOUSE = new ClassFileImporter()
+/** Dependency rules that Maven modules cannot express: inside the policy, and between the sidecar's packages. */
+class ArchitectureTest {
+    private static final JavaClasses CLASSES = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("topazvalve");
 
     @Test
-    void decisionsKnowNoLibraryInputClockOrThread() {
+    void policyUsesNoLibraryInputClockOrThread() {
         noClasses()
                 .that()
-                .resideInAPackage("topazvalve.decisions..")
+                .resideInAPackage("topazvalve.policy..")
                 .should()
                 .dependOnClassesThat()
                 .resideOutsideOfPackages(
-                        "topazvalve.decisions..",
-                        "java.lang..",
-                        "java.util",
-                        "java.util.function",
-                        "java.util.stream",
-                        "")
-                .check(HOUSE);
+                        "topazvalve.policy..", "java.lang..", "java.util", "java.util.function", "java.util.stream", "")
+                .check(CLASSES);
         noClasses()
                 .that()
-                .resideInAPackage("topazvalve.decisions..")
+                .resideInAPackage("topazvalve.policy..")
                 .should()
                 .callMethod(System.class, "nanoTime")
                 .orShould()
@@ -42,93 +37,93 @@
                 .orShould()
                 .dependOnClassesThat()
                 .areAssignableTo(Thread.class)
-                .check(HOUSE);
+                .check(CLASSES);
     }
 
     @Test
-    void packagesOfTheSidecarHaveNoCycles() {
-        slices().matching("topazvalve.sidecar.(*)..").should().beFreeOfCycles().check(HOUSE);
+    void sidecarPackagesHaveNoCycles() {
+        slices().matching("topazvalve.sidecar.(*)..").should().beFreeOfCycles().check(CLASSES);
     }
 
     @Test
-    void coreKnowsNoProtocolAndNobodyAbove() {
+    void coreDependsOnNoProtocolAndNoHigherModule() {
         noClasses()
                 .that()
                 .resideInAPackage("topazvalve.core..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("io.netty.handler..", "com.fasterxml..", "topazvalve.sidecar..", "topazvalve.tcp..")
-                .check(HOUSE);
-        slices().matching("topazvalve.core.(*)..").should().beFreeOfCycles().check(HOUSE);
+                .check(CLASSES);
+        slices().matching("topazvalve.core.(*)..").should().beFreeOfCycles().check(CLASSES);
     }
 
     @Test
-    void exchangesReachServersByInterfacesAlone() {
+    void exchangesReachServersThroughInterfacesOnly() {
         noClasses()
                 .that()
                 .resideInAPackage("..core.exchange..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("io.netty.channel..")
-                .check(HOUSE);
+                .check(CLASSES);
         noClasses()
                 .that()
                 .resideInAPackage("..core.exchange..")
                 .should()
                 .dependOnClassesThat()
-                .haveSimpleName("Pools")
+                .haveSimpleName("ConnectionPools")
                 .orShould()
                 .dependOnClassesThat()
                 .haveSimpleName("PooledConnection")
-                .check(HOUSE);
+                .check(CLASSES);
     }
 
     @Test
-    void upstreamsAndFrontKnowNothingOfEachOther() {
+    void upstreamAndFrontendAreIndependent() {
         noClasses()
                 .that()
                 .resideInAPackage("..sidecar.upstream..")
                 .should()
                 .dependOnClassesThat()
-                .resideInAnyPackage("..sidecar.front..", "..core.exchange..")
-                .check(HOUSE);
+                .resideInAnyPackage("..sidecar.frontend..", "..core.exchange..")
+                .check(CLASSES);
         noClasses()
                 .that()
-                .resideInAPackage("..sidecar.front..")
+                .resideInAPackage("..sidecar.frontend..")
                 .should()
                 .dependOnClassesThat()
-                .resideInAnyPackage("..sidecar.upstream..", "..sidecar.discovery..")
-                .check(HOUSE);
+                .resideInAnyPackage("..sidecar.upstream..", "topazvalve.discovery..")
+                .check(CLASSES);
     }
 
     @Test
-    void onlyWhoPutsThePartsTogetherNamesTheModule() {
+    void onlyAssemblyClassesDependOnThePolicyImplementation() {
         noClasses()
                 .that()
                 .resideInAnyPackage("topazvalve.sidecar..", "topazvalve.core..", "topazvalve.tcp..")
                 .and()
                 .doNotHaveSimpleName("WarmUp")
                 .and()
-                .doNotHaveSimpleName("HttpSide")
+                .doNotHaveSimpleName("HttpProxy")
                 .and()
-                .doNotHaveSimpleName("TcpSide")
+                .doNotHaveSimpleName("TcpProxy")
                 .should()
                 .dependOnClassesThat()
-                .haveFullyQualifiedName("topazvalve.decisions.Rules")
-                .check(HOUSE);
+                .haveFullyQualifiedName("topazvalve.policy.SidecarPolicy")
+                .check(CLASSES);
         noClasses()
                 .that()
                 .resideOutsideOfPackages(
                         "topazvalve.core.exchange..",
-                        "topazvalve.decisions..",
-                        "topazvalve.simhost..",
-                        "topazvalve.world..",
-                        "topazvalve.command..")
+                        "topazvalve.policy..",
+                        "topazvalve.simulator..",
+                        "topazvalve.simulation..",
+                        "topazvalve.cli..")
                 .and()
                 .doNotHaveSimpleName("WarmUp")
                 .should()
                 .callMethodWhere(JavaCall.Predicates.target(HasOwner.Predicates.With.owner(DescribedPredicate.describe(
-                        "the module", owner -> owner.getName().equals("topazvalve.decisions.Balancer")))))
-                .check(HOUSE);
+                        "the policy", owner -> owner.getName().equals("topazvalve.policy.LoadBalancer")))))
+                .check(CLASSES);
     }
 }
--- a/sidecar/src/test/java/topazvalve/sidecar/Bed.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/Bed.java
@@ -14,15 +14,15 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import topazvalve.core.exchange.Exchanges;
+import topazvalve.core.exchange.ExchangeManager;
 import topazvalve.core.lifecycle.Lifecycle;
 import topazvalve.core.metrics.Metrics;
 import topazvalve.core.stream.ByteBudget;
+import topazvalve.discovery.json.JsonReader;
 import topazvalve.sidecar.admin.AdminServer;
 import topazvalve.sidecar.config.Config;
-import topazvalve.sidecar.front.Frontend;
-import topazvalve.sidecar.http.Message;
-import topazvalve.sidecar.json.Json;
+import topazvalve.sidecar.frontend.HttpFrontend;
+import topazvalve.sidecar.http.UpstreamRequest;
 import topazvalve.sidecar.listen.ClientListener;
 
 /** A sidecar in this process, with its upstreams known from the start, and a client for it. */
@@ -37,10 +37,10 @@
     final EventLoop loop = group.next();
     final Lifecycle lifecycle = new Lifecycle();
     final Metrics metrics = new Metrics();
-    final Frontend frontend;
+    final HttpFrontend frontend;
     final ClientListener clients;
-    final HttpSide side;
-    final Exchanges<Message, topazvalve.sidecar.http.Answer> engine;
+    final HttpProxy side;
+    final ExchangeManager<UpstreamRequest, topazvalve.sidecar.http.UpstreamResponse> engine;
     final InetSocketAddress address;
     final InetSocketAddress admin;
 
@@ -57,14 +57,14 @@
     /** With room for so many clients. */
     Bed(ObjectNode json, int mostClients) throws Exception {
         Config config = config(json);
-        side = new HttpSide(
+        side = new HttpProxy(
                 loop, config, MOST, mostClients, metrics, lifecycle, new ByteBudget(config.bodyBytes()), List.of());
         frontend = side.front();
         engine = side.exchanges();
         loop.submit(() -> side.start(config)).sync();
         clients = ClientListener.binding(config.listen());
         address = (InetSocketAddress)
-                clients.open(group, open.counting(frontend.connections()), () -> mostClients + SPARE)
+                clients.open(group, open.counting(frontend.connectionInitializer()), () -> mostClients + SPARE)
                         .sync()
                         .channel()
                         .localAddress();
@@ -81,7 +81,7 @@
 
     /** A configuration with classes look (safe), hold (keyed) and book (unsafe), and one tenant. */
     static Config config(ObjectNode json) throws IOException {
-        return Config.of(Json.read(json.toString()));
+        return Config.of(JsonReader.read(json.toString()));
     }
 
     static ObjectNode json(Stub... upstreams) throws IOException {
--- a/sidecar/src/test/java/topazvalve/sidecar/ConfigTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/ConfigTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import topazvalve.core.net.Addresses;
-import topazvalve.decisions.Balancer.Semantics;
-import topazvalve.decisions.Balancer.Settings;
+import topazvalve.policy.LoadBalancer.Idempotency;
+import topazvalve.policy.LoadBalancer.Settings;
 import topazvalve.sidecar.config.Config;
 
 /** The configuration, and the settings in it as the module is told them. */
@@ -23,13 +23,14 @@
     void settingsReadAsOnTheSimulatorsWire() throws Exception {
         Config config = Bed.config(Bed.json());
         Settings settings = config.options().settings();
-        assertEquals(List.of("rate", "q"), settings.reportFields());
-        assertEquals(Semantics.ONCE, settings.classes().get(2).semantics());
-        assertEquals(750_000_000, settings.allowed().maxRetryAfter());
+        assertEquals(List.of("rate", "q"), settings.loadReportFields());
+        assertEquals(
+                Idempotency.NON_IDEMPOTENT, settings.requestClasses().get(2).idempotency());
+        assertEquals(750_000_000, settings.capabilities().maxRetryAfterNanos());
         assertEquals(List.of("look", "hold", "book"), config.options().names("profiles"));
         assertEquals(List.of("acme"), config.options().names("parties"));
         assertEquals(0x8c1f30d27a5be964L, config.seed());
-        assertEquals(41, config.known().rev());
+        assertEquals(41, config.known().revision());
     }
 
     /** Who runs it must see from one line what to mend. */
--- a/sidecar/src/test/java/topazvalve/sidecar/CrossingsTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/CrossingsTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import topazvalve.decisions.Balancer.State;
+import topazvalve.policy.LoadBalancer.EndpointStatus;
 import topazvalve.sidecar.upstream.HttpCodec;
 
 /** Two events that cross, each in the order that hurts; docs/design/crossings.md has the list. */
@@ -365,7 +365,7 @@
                             bed.ask(Bed.look("a" + i)).body(),
                             bed.ask(Bed.look("b" + i)).body());
                 }
-                assertEquals(List.of("two", "two"), bodies, State.DRAINING + " servers take nothing");
+                assertEquals(List.of("two", "two"), bodies, EndpointStatus.DRAINING + " servers take nothing");
             }
         }
     }
@@ -377,7 +377,7 @@
         try (Stub upstream = new Stub(until(never));
                 Bed bed = Bed.with(upstream)) {
             bed.loop
-                    .submit(() -> bed.lifecycle.end(TimeUnit.MILLISECONDS.toNanos(KILL_MS)))
+                    .submit(() -> bed.lifecycle.shutDown(TimeUnit.MILLISECONDS.toNanos(KILL_MS)))
                     .sync();
             long killed = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(KILL_MS);
             bed.loop.schedule(() -> {}, LATE_MS, TimeUnit.MILLISECONDS).sync();
--- a/sidecar/src/test/java/topazvalve/sidecar/DiscoveryTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/DiscoveryTest.java
@@ -16,12 +16,12 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import topazvalve.core.servers.Target;
-import topazvalve.decisions.Balancer.ListKind;
-import topazvalve.decisions.Balancer.State;
-import topazvalve.sidecar.discovery.Discovery;
-import topazvalve.sidecar.discovery.Listing;
-import topazvalve.sidecar.discovery.Pushed;
+import topazvalve.core.endpoint.Endpoint;
+import topazvalve.discovery.client.DiscoveryClient;
+import topazvalve.discovery.client.EndpointUpdate;
+import topazvalve.discovery.client.PushedDiscovery;
+import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.LoadBalancer.UpdateKind;
 
 /** The list and its watch against a discovery that answers in awkward ways. */
 class DiscoveryTest {
@@ -29,7 +29,7 @@
     private static final String HALF_1 = "{\"rev\":43,\"all\":false,\"targets\":[" + entry("DRAINING") + ",";
     private static final String HALF_2 = "{\"uid\":\"odd\",\"state\":\"???\"}]}\n";
 
-    private record Told(ListKind kind, List<Target> targets) {}
+    private record Told(UpdateKind kind, List<Endpoint> targets) {}
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
@@ -48,16 +48,17 @@
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    private Discovery discovery(Stub stub) {
-        return discovery(stub, new Listing(41, true, List.of()));
+    private DiscoveryClient discovery(Stub stub) {
+        return discovery(stub, new EndpointUpdate(41, true, List.of()));
     }
 
-    private Discovery discovery(Stub stub, Listing known) {
+    private DiscoveryClient discovery(Stub stub, EndpointUpdate known) {
         return discovery(stub, known, null);
     }
 
-    private Discovery discovery(Stub stub, Listing known, Pushed pushed) {
-        return new Discovery(loop, stub.address(), known, pushed, (kind, targets) -> told.add(new Told(kind, targets)));
+    private DiscoveryClient discovery(Stub stub, EndpointUpdate known, PushedDiscovery pushed) {
+        return new DiscoveryClient(
+                loop, stub.address(), known, pushed, (kind, targets) -> told.add(new Told(kind, targets)));
     }
 
     /** An object over several lines, cut anywhere; its empty lines and braces within words say nothing. */
@@ -79,14 +80,14 @@
             Stub.write(socket, chunk("\n{\"rev\":44,\n \"all\":false,\n\"targets\":[]}\n"));
             return true;
         })) {
-            Discovery discovery = discovery(stub);
+            DiscoveryClient discovery = discovery(stub);
             loop.execute(discovery::fetch);
             Told list = Stub.next(told);
-            assertEquals(ListKind.FULL, list.kind);
-            assertEquals("m}\"{", list.targets.get(0).kind());
+            assertEquals(UpdateKind.FULL, list.kind);
+            assertEquals("m}\"{", list.targets.get(0).machineKind());
             loop.execute(() -> discovery.watch(true));
             assertEquals(list, Stub.next(told), "the same on a watch");
-            assertEquals(new Told(ListKind.DELTA, List.of()), Stub.next(told));
+            assertEquals(new Told(UpdateKind.DELTA, List.of()), Stub.next(told));
         }
     }
 
@@ -97,15 +98,15 @@
             Stub.write(socket, CHUNKED + chunk("\n"));
             return true;
         })) {
-            Discovery discovery = discovery(stub);
+            DiscoveryClient discovery = discovery(stub);
             loop.execute(() -> discovery.watch(true));
             Stub.next(stub.heads);
             long began = System.nanoTime();
-            assertEquals(new Told(ListKind.DELTA, List.of()), Stub.next(told));
+            assertEquals(new Told(UpdateKind.DELTA, List.of()), Stub.next(told));
             Stub.next(stub.heads);
             assertEquals("end", Stub.next(stub.ended), "the old one is closed");
             assertTrue(System.nanoTime() - began >= TimeUnit.SECONDS.toNanos(2), "after a missed line");
-            assertEquals(new Told(ListKind.DELTA, List.of()), Stub.next(told), "no failure is told");
+            assertEquals(new Told(UpdateKind.DELTA, List.of()), Stub.next(told), "no failure is told");
         }
     }
 
@@ -120,9 +121,10 @@
             Stub.write(socket, CHUNKED + chunk("{\"rev\":43,\"all\":true,\"targets\":[" + entry("DRAINING") + "]}\n"));
             return true;
         })) {
-            Discovery discovery = discovery(stub, new Listing(41, true, List.of()), new Pushed(10, 1000));
+            DiscoveryClient discovery =
+                    discovery(stub, new EndpointUpdate(41, true, List.of()), new PushedDiscovery(10, 1000));
             loop.execute(discovery::followPushed);
-            assertEquals(ListKind.FULL, Stub.next(told).kind);
+            assertEquals(UpdateKind.FULL, Stub.next(told).kind);
             assertEquals(4, calls.get());
         }
     }
@@ -144,13 +146,13 @@
                             + chunk("{\"rev\":46,\"all\":false,\"targets\":[]}\n"));
             return true;
         })) {
-            Discovery discovery = discovery(stub);
+            DiscoveryClient discovery = discovery(stub);
             loop.execute(() -> discovery.watch(true));
-            assertEquals(new Told(ListKind.DELTA, List.of()), Stub.next(told));
+            assertEquals(new Told(UpdateKind.DELTA, List.of()), Stub.next(told));
             loop.execute(discovery::fetch);
-            assertEquals(ListKind.FULL, Stub.next(told).kind);
+            assertEquals(UpdateKind.FULL, Stub.next(told).kind);
             fetched.countDown();
-            assertEquals(new Told(ListKind.DELTA, List.of()), Stub.next(told), "only what is newer");
+            assertEquals(new Told(UpdateKind.DELTA, List.of()), Stub.next(told), "only what is newer");
         }
     }
 
@@ -170,19 +172,19 @@
             Stub.write(socket, chunk(HALF_2 + "{\"rev\":44,\"all\":true,\"targets\":[" + entry("SERVING") + "]}\n"));
             return false;
         })) {
-            Discovery discovery = discovery(stub);
+            DiscoveryClient discovery = discovery(stub);
             loop.execute(() -> discovery.watch(true));
             assertTrue(Stub.next(stub.heads).startsWith("GET /discovery/hosts?watch=1&from=41 HTTP/1.1"));
-            assertEquals(new Told(ListKind.DELTA, List.of()), Stub.next(told), "an empty line: no news");
+            assertEquals(new Told(UpdateKind.DELTA, List.of()), Stub.next(told), "an empty line: no news");
             Told delta = Stub.next(told);
-            assertEquals(ListKind.DELTA, delta.kind);
+            assertEquals(UpdateKind.DELTA, delta.kind);
             assertEquals(
-                    List.of(State.DRAINING),
-                    delta.targets.stream().map(Target::state).toList());
+                    List.of(EndpointStatus.DRAINING),
+                    delta.targets.stream().map(Endpoint::status).toList());
             assertEquals(
-                    List.of(State.READY),
-                    Stub.next(told).targets.stream().map(Target::state).toList());
-            assertEquals(new Told(ListKind.FAILED, List.of()), Stub.next(told));
+                    List.of(EndpointStatus.READY),
+                    Stub.next(told).targets.stream().map(Endpoint::status).toList());
+            assertEquals(new Told(UpdateKind.FAILED, List.of()), Stub.next(told));
             loop.execute(() -> discovery.watch(true));
             assertTrue(Stub.next(stub.heads).contains("from=44 "), "goes on from the last version");
         }
@@ -202,11 +204,11 @@
                 Stub.write(socket, reply);
                 return false;
             })) {
-                Discovery discovery = discovery(stub);
+                DiscoveryClient discovery = discovery(stub);
                 loop.execute(() -> discovery.watch(true));
-                assertEquals(ListKind.FAILED, Stub.next(told).kind, reply);
+                assertEquals(UpdateKind.FAILED, Stub.next(told).kind, reply);
                 loop.execute(discovery::fetch);
-                assertEquals(ListKind.FAILED, Stub.next(told).kind, reply);
+                assertEquals(UpdateKind.FAILED, Stub.next(told).kind, reply);
                 loop.submit(() -> {}).sync();
                 assertEquals(0, told.size(), reply);
             }
@@ -216,7 +218,8 @@
     /** Nobody believes at once that every server is gone. */
     @Test
     void anEmptyListOrAnOlderOneIsNotTaken() throws Exception {
-        Listing known = new Listing(41, true, List.of(new Target("s-1", null, "", "", 0, State.READY, 1, 0)));
+        EndpointUpdate known =
+                new EndpointUpdate(41, true, List.of(new Endpoint("s-1", null, "", "", 0, EndpointStatus.READY, 1, 0)));
         String empty = "{\"rev\":42,\"all\":true,\"targets\":[]}\n";
         String older = "{\"rev\":40,\"all\":true,\"targets\":[" + entry("SERVING") + "]}\n";
         for (String line : List.of(empty, older)) {
@@ -224,11 +227,11 @@
                 Stub.write(socket, CHUNKED + chunk(line));
                 return true;
             })) {
-                Discovery discovery = discovery(stub, known);
+                DiscoveryClient discovery = discovery(stub, known);
                 loop.execute(discovery::fetch);
-                assertEquals(new Told(ListKind.FAILED, List.of()), Stub.next(told), line);
+                assertEquals(new Told(UpdateKind.FAILED, List.of()), Stub.next(told), line);
                 loop.execute(() -> discovery.watch(true));
-                ListKind taken = line.equals(empty) ? ListKind.FAILED : ListKind.FULL;
+                UpdateKind taken = line.equals(empty) ? UpdateKind.FAILED : UpdateKind.FULL;
                 assertEquals(taken, Stub.next(told).kind, line);
                 loop.submit(discovery::close).sync();
             }
@@ -251,9 +254,9 @@
             }
             return true;
         })) {
-            Discovery discovery = discovery(stub);
+            DiscoveryClient discovery = discovery(stub);
             loop.execute(() -> discovery.watch(true));
-            assertEquals(new Told(ListKind.FAILED, List.of()), Stub.next(told));
+            assertEquals(new Told(UpdateKind.FAILED, List.of()), Stub.next(told));
         }
     }
 
@@ -265,14 +268,14 @@
     void callThatHangsDoesNotHoldUpTheNext() throws Exception {
         BlockingQueue<Socket> asked = new LinkedBlockingQueue<>();
         try (Stub stub = new Stub((socket, head) -> asked.add(socket))) {
-            Discovery discovery = discovery(stub);
-            Told mark = new Told(ListKind.CACHED, List.of());
+            DiscoveryClient discovery = discovery(stub);
+            Told mark = new Told(UpdateKind.CACHED, List.of());
             loop.submit(() -> {
                         loop.schedule(() -> told.add(mark), 3, TimeUnit.SECONDS);
                         discovery.watch(true);
                     })
                     .sync();
-            assertEquals(new Told(ListKind.FAILED, List.of()), Stub.next(told));
+            assertEquals(new Told(UpdateKind.FAILED, List.of()), Stub.next(told));
             loop.submit(() -> discovery.watch(true)).sync();
             Socket first = Stub.next(asked);
             Stub.next(asked);
@@ -280,7 +283,7 @@
             assertEquals("end", Stub.next(stub.ended), "the second is not needed any more");
             List<Told> both = List.of(Stub.next(told), Stub.next(told));
             assertTrue(both.contains(mark), both.toString());
-            assertTrue(both.contains(new Told(ListKind.DELTA, List.of())), both.toString());
+            assertTrue(both.contains(new Told(UpdateKind.DELTA, List.of())), both.toString());
         }
     }
 
@@ -289,15 +292,15 @@
     void answerThatComesAfterTheNextOnesIsNotHeard() throws Exception {
         BlockingQueue<Socket> asked = new LinkedBlockingQueue<>();
         try (Stub stub = new Stub((socket, head) -> asked.add(socket))) {
-            Discovery discovery = discovery(stub);
+            DiscoveryClient discovery = discovery(stub);
             long began = System.nanoTime();
             loop.submit(() -> discovery.watch(true)).sync();
-            assertEquals(new Told(ListKind.FAILED, List.of()), Stub.next(told));
+            assertEquals(new Told(UpdateKind.FAILED, List.of()), Stub.next(told));
             loop.submit(() -> discovery.watch(true)).sync();
             Socket late = Stub.next(asked);
             Socket next = Stub.next(asked);
             Stub.write(next, CHUNKED + chunk("\n"));
-            assertEquals(new Told(ListKind.DELTA, List.of()), Stub.next(told));
+            assertEquals(new Told(UpdateKind.DELTA, List.of()), Stub.next(told));
             try {
                 Stub.write(late, CHUNKED + chunk("{\"rev\":40,\"all\":true,\"targets\":[" + entry("SERVING") + "]}\n"));
             } catch (IOException ended) {
@@ -307,7 +310,7 @@
             assertEquals("end", Stub.next(stub.ended));
             assertEquals(0, told.size());
             Stub.write(next, chunk("{\"rev\":42,\"all\":false,\"targets\":[]}\n"));
-            assertEquals(new Told(ListKind.DELTA, List.of()), Stub.next(told), "the next one is followed");
+            assertEquals(new Told(UpdateKind.DELTA, List.of()), Stub.next(told), "the next one is followed");
         }
     }
 
@@ -315,12 +318,12 @@
     void wholeListIsFetchedOnce() throws Exception {
         String body = "{\"rev\":41,\"all\":true,\"targets\":[" + entry("SERVING") + "]}";
         try (Stub stub = new Stub((socket, head) -> Stub.reply(socket, "200 OK", "", body))) {
-            Discovery discovery = discovery(stub);
+            DiscoveryClient discovery = discovery(stub);
             loop.execute(discovery::fetch);
             assertTrue(Stub.next(stub.heads).startsWith("GET /discovery/hosts HTTP/1.1"));
             Told list = Stub.next(told);
-            assertEquals(ListKind.FULL, list.kind);
-            assertEquals(9, list.targets.get(0).endpoint().getPort());
+            assertEquals(UpdateKind.FULL, list.kind);
+            assertEquals(9, list.targets.get(0).address().getPort());
             Stub.next(stub.ended);
             assertEquals(0, told.size());
         }
@@ -339,14 +342,14 @@
                     Stub.write(socket, CHUNKED + chunk(whole));
                     return true;
                 })) {
-            Discovery discovery = discovery(old);
+            DiscoveryClient discovery = discovery(old);
             loop.execute(() -> discovery.watch(true));
-            assertEquals(ListKind.FULL, Stub.next(told).kind);
-            loop.execute(() -> discovery.move(next.address()));
+            assertEquals(UpdateKind.FULL, Stub.next(told).kind);
+            loop.execute(() -> discovery.changeAddress(next.address()));
             assertEquals("end", Stub.next(old.ended), "the old watch is closed");
             assertTrue(Stub.next(next.heads).startsWith("GET /discovery/hosts?watch=1&from=0 HTTP/1.1"));
             Told list = Stub.next(told);
-            assertEquals(ListKind.FULL, list.kind);
+            assertEquals(UpdateKind.FULL, list.kind);
             assertEquals(1, list.targets.size());
             old.die();
             loop.submit(() -> {}).sync();
@@ -366,12 +369,12 @@
                     Stub.write(socket, CHUNKED + chunk("{\"rev\":3,\"all\":false,\"targets\":[]}\n"));
                     return true;
                 })) {
-            Discovery discovery = discovery(old);
+            DiscoveryClient discovery = discovery(old);
             loop.execute(() -> discovery.watch(true));
             Stub.next(old.heads);
-            loop.execute(() -> discovery.move(next.address()));
-            assertEquals(ListKind.DELTA, Stub.next(told).kind);
-            assertEquals(ListKind.FULL, Stub.next(told).kind);
+            loop.execute(() -> discovery.changeAddress(next.address()));
+            assertEquals(UpdateKind.DELTA, Stub.next(told).kind);
+            assertEquals(UpdateKind.FULL, Stub.next(told).kind);
         }
     }
 }
--- a/sidecar/src/test/java/topazvalve/sidecar/FrontTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/FrontTest.java
@@ -83,7 +83,7 @@
             assertTrue(
                     head.startsWith("GET " + path + " ") && head.contains("other.svc:81") && !head.contains("app.svc"),
                     head);
-            bed.lifecycle.started();
+            bed.lifecycle.markStarted();
             assertEquals(
                     200,
                     bed.ask("GET http://app.svc/up HTTP/1.1\r\nHost: app.svc\r\n\r\n")
--- a/sidecar/src/test/java/topazvalve/sidecar/OpenConnections.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/OpenConnections.java
@@ -4,7 +4,7 @@
 import io.netty.channel.ChannelHandler;
 import io.netty.channel.ChannelInitializer;
 import java.util.concurrent.atomic.AtomicInteger;
-import topazvalve.core.time.LoopTime;
+import topazvalve.core.time.EventLoopScheduler;
 
 /** Counts the descriptors that a listener's connections hold: a closed one's until the loop's next look. */
 final class OpenConnections {
@@ -19,7 +19,8 @@
                 now++;
                 taken.incrementAndGet();
                 most = Math.max(most, now);
-                made.closeFuture().addListener(closed -> LoopTime.afterNextSelect(made.eventLoop(), () -> now--));
+                made.closeFuture()
+                        .addListener(closed -> EventLoopScheduler.afterNextSelect(made.eventLoop(), () -> now--));
                 made.pipeline().addLast(each);
             }
         };
--- a/sidecar/src/test/java/topazvalve/sidecar/RelaysTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/RelaysTest.java
@@ -18,20 +18,20 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import topazvalve.core.servers.Target;
-import topazvalve.decisions.Balancer.ListKind;
-import topazvalve.lists.Versions;
-import topazvalve.sidecar.discovery.Discovery;
-import topazvalve.sidecar.discovery.Listing;
-import topazvalve.sidecar.discovery.Relays;
-import topazvalve.toml.BadFile;
+import topazvalve.core.endpoint.Endpoint;
+import topazvalve.discovery.client.DiscoveryClient;
+import topazvalve.discovery.client.EndpointUpdate;
+import topazvalve.discovery.client.RelaySelector;
+import topazvalve.discovery.state.VersionVector;
+import topazvalve.policy.LoadBalancer.UpdateKind;
+import topazvalve.toml.InvalidFileException;
 
 /** Relays asked in discovery's place: the next at once, versions told and held to, and the file's keys. */
 class RelaysTest {
     private static final String CHUNKED = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private static final InetSocketAddress NOBODY = new InetSocketAddress("127.0.0.1", 1);
 
-    private record Told(ListKind kind, List<Target> targets) {}
+    private record Told(UpdateKind kind, List<Endpoint> targets) {}
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
@@ -59,14 +59,15 @@
         });
     }
 
-    private Discovery following(Listing known, Stub... relays) {
+    private DiscoveryClient following(EndpointUpdate known, Stub... relays) {
         List<InetSocketAddress> order = new ArrayList<>();
         for (Stub each : relays) {
             order.add(each.address());
         }
-        Relays of = new Relays(order, Relays.of("n", order, 1).following());
-        Discovery discovery =
-                new Discovery(loop, NOBODY, known, null, of, (kind, targets) -> told.add(new Told(kind, targets)));
+        RelaySelector of =
+                new RelaySelector(order, RelaySelector.of("n", order, 1).following());
+        DiscoveryClient discovery = new DiscoveryClient(
+                loop, NOBODY, known, null, of, (kind, targets) -> told.add(new Told(kind, targets)));
         loop.execute(() -> discovery.watch(true));
         return discovery;
     }
@@ -75,11 +76,11 @@
     void theNextRelayIsAskedAtOnceAndSaidHowFarTheListHasCome() throws Exception {
         try (Stub first = telling(line(41, true, "eu:1.41", "SERVING"));
                 Stub second = telling(line(42, false, "eu:1.42", "DRAINING"))) {
-            following(Listing.NONE, first, second);
-            assertEquals(ListKind.FULL, Stub.next(told).kind);
+            following(EndpointUpdate.NONE, first, second);
+            assertEquals(UpdateKind.FULL, Stub.next(told).kind);
             assertTrue(Stub.next(first.heads).contains("?watch=1&from=0 "), "nothing is known yet");
             first.die();
-            assertEquals(ListKind.DELTA, Stub.next(told).kind, "the module hears of no failure");
+            assertEquals(UpdateKind.DELTA, Stub.next(told).kind, "the module hears of no failure");
             String head = Stub.next(second.heads);
             assertTrue(head.contains("?watch=1&from=41&versions=eu:1.41 "), head);
         }
@@ -90,13 +91,14 @@
         try (Stub first = telling(line(900, true, "eu:2.900", "DRAINING"));
                 Stub older = telling(line(899, true, "eu:2.899", "SERVING"));
                 Stub third = telling(line(5, false, "eu:3.5", "SERVING"))) {
-            Discovery discovery = following(Listing.NONE, first, older, third);
-            assertEquals(ListKind.FULL, Stub.next(told).kind);
+            DiscoveryClient discovery = following(EndpointUpdate.NONE, first, older, third);
+            assertEquals(UpdateKind.FULL, Stub.next(told).kind);
             first.die();
-            assertEquals(ListKind.DELTA, Stub.next(told).kind, "the third's word, not the second's");
+            assertEquals(UpdateKind.DELTA, Stub.next(told).kind, "the third's word, not the second's");
             Stub.next(older.heads);
             assertEquals(
-                    Versions.parse("eu:3.5"), loop.submit(discovery::versions).get());
+                    VersionVector.parse("eu:3.5"),
+                    loop.submit(discovery::versions).get());
         }
     }
 
@@ -104,8 +106,8 @@
     void aRelayThatFallsSilentIsLeftForTheNext() throws Exception {
         try (Stub silent = telling(chunk("\n"));
                 Stub next = telling(chunk("\n"))) {
-            following(Listing.NONE, silent, next);
-            assertEquals(ListKind.DELTA, Stub.next(told).kind);
+            following(EndpointUpdate.NONE, silent, next);
+            assertEquals(UpdateKind.DELTA, Stub.next(told).kind);
             long began = System.nanoTime();
             Stub.next(next.heads);
             assertTrue(System.nanoTime() - began >= TimeUnit.SECONDS.toNanos(2), "not before it missed one");
@@ -118,8 +120,8 @@
         try (Stub full = new Stub(
                         (socket, head) -> Stub.reply(socket, "503 Service Unavailable", "Retry-After: 2\r\n", ""));
                 Stub next = telling(line(41, true, "eu:1.41", "SERVING"))) {
-            following(Listing.NONE, full, next);
-            assertEquals(ListKind.FULL, Stub.next(told).kind);
+            following(EndpointUpdate.NONE, full, next);
+            assertEquals(UpdateKind.FULL, Stub.next(told).kind);
             Stub.next(full.heads);
             Stub.next(next.heads);
         }
@@ -137,10 +139,10 @@
             Stub.write(socket, CHUNKED + chunk("\n"));
             return true;
         })) {
-            Discovery discovery = following(new Listing(41, true, List.of()), relay);
-            assertEquals(new Told(ListKind.DELTA, List.of()), Stub.next(told));
+            DiscoveryClient discovery = following(new EndpointUpdate(41, true, List.of()), relay);
+            assertEquals(new Told(UpdateKind.DELTA, List.of()), Stub.next(told));
             assertEquals(4, asked.size());
-            assertEquals(41, loop.submit(discovery::rev).get());
+            assertEquals(41, loop.submit(discovery::revision).get());
         }
     }
 
@@ -148,8 +150,8 @@
     void versionsThatCantBeReadAreNotTaken() throws Exception {
         try (Stub odd = telling(line(41, true, "eu=41", "SERVING"));
                 Stub next = telling(line(41, true, "eu:1.41", "DRAINING"))) {
-            following(Listing.NONE, odd, next);
-            assertEquals("DRAINING", Stub.next(told).targets.get(0).state().name());
+            following(EndpointUpdate.NONE, odd, next);
+            assertEquals("DRAINING", Stub.next(told).targets.get(0).status().name());
         }
     }
 
@@ -178,7 +180,8 @@
                 "addresses = [\"10.0.0.1:1\", \"10.0.0.1:1\"]|addresses", "adresses = [\"10.0.0.1:1\"]|adresses"
             })
     void whatIsNoRelayIsRefusedWithLineAndKey(String line, String key) {
-        BadFile bad = assertThrows(BadFile.class, () -> OperatorFile.parse("o.toml", "[relays]\n" + line + "\n"));
+        InvalidFileException bad = assertThrows(
+                InvalidFileException.class, () -> OperatorFile.parse("o.toml", "[relays]\n" + line + "\n"));
         assertTrue(bad.getMessage().startsWith("o.toml:2: relays." + key + ": "), bad.getMessage());
     }
 }
--- a/sidecar/src/test/java/topazvalve/sidecar/SidecarTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/SidecarTest.java
@@ -19,13 +19,13 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import topazvalve.core.classes.ClassTable;
-import topazvalve.core.exchange.Client;
-import topazvalve.core.exchange.Job;
+import topazvalve.core.exchange.ExchangeRequest;
+import topazvalve.core.exchange.ResponseListener;
+import topazvalve.core.stream.FlowControl;
 import topazvalve.core.stream.RequestBody;
-import topazvalve.core.stream.Source;
 import topazvalve.sidecar.config.Config;
-import topazvalve.sidecar.http.Answer;
-import topazvalve.sidecar.http.Message;
+import topazvalve.sidecar.http.UpstreamRequest;
+import topazvalve.sidecar.http.UpstreamResponse;
 
 /** The whole sidecar between a client and upstreams on loopback. */
 class SidecarTest {
@@ -346,14 +346,14 @@
             assertEquals(503, idle.ask("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status());
             Stub.write(busy.socket, Bed.look("a"));
             Stub.next(upstream.heads);
-            bed.loop.submit(() -> bed.lifecycle.end(Long.MAX_VALUE / 2)).sync();
+            bed.loop.submit(() -> bed.lifecycle.shutDown(Long.MAX_VALUE / 2)).sync();
             assertEquals(-1, idle.socket.getInputStream().read(), "an idle connection is ended");
             Bed.Answer meanwhile = bed.ask("GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
             assertEquals(503, meanwhile.status(), "and its client still gets in");
             assertEquals("close", Stub.header(meanwhile.head(), "Connection"));
             bed.loop.submit(bed.clients::stop).sync();
             assertThrows(IOException.class, () -> bed.ask(Bed.look("b")), "until the listening ends");
-            assertFalse(bed.loop.submit(bed.frontend::empty).get());
+            assertFalse(bed.loop.submit(bed.frontend::isIdle).get());
             go.countDown();
             Bed.Answer answer = busy.read();
             assertEquals("late", answer.body());
@@ -381,7 +381,7 @@
     private static WeakReference<RequestBody> answered(Bed bed) throws Exception {
         RequestBody body = RequestBody.of(new byte[1000]);
         CountDownLatch done = new CountDownLatch(1);
-        Job<Message> job = new Job<>(
+        ExchangeRequest<UpstreamRequest> job = new ExchangeRequest<>(
                 new ClassTable.Entry(2, "book", null),
                 0,
                 0,
@@ -389,28 +389,28 @@
                 0,
                 false,
                 true,
-                new Message(HttpMethod.POST, "/api/x", new DefaultHttpHeaders()),
+                new UpstreamRequest(HttpMethod.POST, "/api/x", new DefaultHttpHeaders()),
                 body);
-        bed.loop.execute(() -> bed.engine.submit(job, new Client<Answer>() {
+        bed.loop.execute(() -> bed.engine.submit(job, new ResponseListener<UpstreamResponse>() {
             @Override
-            public void served(Answer answer) {
+            public void responseReceived(UpstreamResponse answer) {
                 done.countDown();
             }
 
             @Override
-            public void begun(Answer first, long length, Source rest) {}
+            public void responseStarted(UpstreamResponse first, long length, FlowControl rest) {}
 
             @Override
-            public void more(ByteBuf bytes) {}
+            public void responseData(ByteBuf bytes) {}
 
             @Override
-            public void finished() {}
+            public void responseCompleted() {}
 
             @Override
-            public void cut() {}
+            public void responseAborted() {}
 
             @Override
-            public void refused(long wait) {}
+            public void rejected(long wait) {}
 
             @Override
             public void failed() {}
