--- a/sidecar/src/test/java/topazvalve/sidecar/UpstreamsTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/UpstreamsTest.java
@@ -25,13 +25,13 @@
 import org.junit.jupiter.api.Test;
 import topazvalve.core.pool.Attempt;
 import topazvalve.core.pool.AttemptListener;
-import topazvalve.core.pool.Pools;
+import topazvalve.core.pool.ConnectionPools;
 import topazvalve.core.stream.RequestBody;
-import topazvalve.core.time.LoopTime;
-import topazvalve.decisions.Balancer.Outcome;
-import topazvalve.decisions.Options;
-import topazvalve.sidecar.http.Answer;
-import topazvalve.sidecar.http.Message;
+import topazvalve.core.time.EventLoopScheduler;
+import topazvalve.policy.LoadBalancer.Outcome;
+import topazvalve.policy.SettingsReader;
+import topazvalve.sidecar.http.UpstreamRequest;
+import topazvalve.sidecar.http.UpstreamResponse;
 import topazvalve.sidecar.upstream.HttpCodec;
 
 /** Attempts and probes on real connections, and what they end as. */
@@ -47,34 +47,37 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    private Pools<Message, Answer> upstreams(InetSocketAddress address, long connectTimeout, int most)
-            throws Exception {
+    private ConnectionPools<UpstreamRequest, UpstreamResponse> upstreams(
+            InetSocketAddress address, long connectTimeout, int most) throws Exception {
         return upstreams(address, connectTimeout, most, 0);
     }
 
-    private Pools<Message, Answer> upstreams(InetSocketAddress address, long connectTimeout, int most, long rest)
-            throws Exception {
-        Options options = new Options(
+    private ConnectionPools<UpstreamRequest, UpstreamResponse> upstreams(
+            InetSocketAddress address, long connectTimeout, int most, long rest) throws Exception {
+        SettingsReader options = new SettingsReader(
                 "caps.connectTimeout=" + connectTimeout + "\ncaps.connIdle=60000000000\nreport.fields=rate,q");
         return loop.submit(() -> {
-                    Pools<Message, Answer> made =
-                            new Pools<>(loop, new LoopTime(loop), options, new HttpCodec(rest), most);
-                    made.listed(1, address, 0, true);
+                    ConnectionPools<UpstreamRequest, UpstreamResponse> made = new ConnectionPools<>(
+                            loop, new EventLoopScheduler(loop), options, new HttpCodec(rest), most);
+                    made.endpointUpdated(1, address, 0, true);
                     return made;
                 })
                 .get();
     }
 
-    private void send(Pools<Message, Answer> upstreams) {
+    private void send(ConnectionPools<UpstreamRequest, UpstreamResponse> upstreams) {
         loop.execute(() -> send(upstreams, 1, get("/api/x"), this::ended));
     }
 
-    private static Attempt<Message, Answer> send(
-            Pools<Message, Answer> upstreams, long to, Message message, AttemptListener<Message, Answer> listener) {
-        return upstreams.send(to, message, RequestBody.of(new byte[0]), LONG, listener);
+    private static Attempt<UpstreamRequest, UpstreamResponse> send(
+            ConnectionPools<UpstreamRequest, UpstreamResponse> upstreams,
+            long to,
+            UpstreamRequest message,
+            AttemptListener<UpstreamRequest, UpstreamResponse> listener) {
+        return upstreams.startAttempt(to, message, RequestBody.of(new byte[0]), LONG, listener);
     }
 
-    private void ended(Outcome outcome, Answer answer, float[] load) {
+    private void ended(Outcome outcome, UpstreamResponse answer, float[] load) {
         reports.add(load);
         outcomes.add(outcome);
     }
@@ -87,7 +90,8 @@
             sockets.add(socket);
             return Stub.reply(socket, "200 OK", "", "x");
         })) {
-            Pools<Message, Answer> upstreams = upstreams(upstream.address(), LONG, 10, LONG);
+            ConnectionPools<UpstreamRequest, UpstreamResponse> upstreams =
+                    upstreams(upstream.address(), LONG, 10, LONG);
             send(upstreams);
             assertEquals(Outcome.OK, Stub.next(outcomes));
             send(upstreams);
@@ -110,7 +114,8 @@
             sockets.add(socket);
             return Stub.reply(socket, "200 OK", "", "x");
         })) {
-            Pools<Message, Answer> upstreams = upstreams(upstream.address(), LONG, 10, 50_000_000);
+            ConnectionPools<UpstreamRequest, UpstreamResponse> upstreams =
+                    upstreams(upstream.address(), LONG, 10, 50_000_000);
             send(upstreams);
             assertEquals(Outcome.OK, Stub.next(outcomes));
             send(upstreams);
@@ -118,7 +123,7 @@
             assertEquals(Stub.next(sockets), Stub.next(sockets));
             loop.submit(() -> {
                         send(upstreams, 1, get("/api/x"), this::ended);
-                        upstreams.listed(1, upstream.address(), 0, false);
+                        upstreams.endpointUpdated(1, upstream.address(), 0, false);
                     })
                     .sync();
             assertEquals(Outcome.CONNECT_FAILED, Stub.next(outcomes));
@@ -146,9 +151,9 @@
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             List<Socket> fillers = fill(full);
             InetSocketAddress address = (InetSocketAddress) full.getLocalSocketAddress();
-            Pools<Message, Answer> upstreams = upstreams(address, LONG, 10);
+            ConnectionPools<UpstreamRequest, UpstreamResponse> upstreams = upstreams(address, LONG, 10);
             send(upstreams);
-            loop.execute(() -> upstreams.listed(1, address, 0, false));
+            loop.execute(() -> upstreams.endpointUpdated(1, address, 0, false));
             assertEquals(Outcome.CONNECT_FAILED, Stub.next(outcomes));
             send(upstreams);
             assertEquals(Outcome.CONNECT_FAILED, Stub.next(outcomes), "nor does a later one");
@@ -175,10 +180,10 @@
     @Test
     void connectionsToTheProcessBeforeARestartAreClosed() throws Exception {
         try (Stub upstream = Stub.serving("x")) {
-            Pools<Message, Answer> upstreams = upstreams(upstream.address(), LONG, 10);
+            ConnectionPools<UpstreamRequest, UpstreamResponse> upstreams = upstreams(upstream.address(), LONG, 10);
             send(upstreams);
             assertEquals(Outcome.OK, Stub.next(outcomes));
-            loop.execute(() -> upstreams.listed(1, upstream.address(), 1_700_000_000_000L, true));
+            loop.execute(() -> upstreams.endpointUpdated(1, upstream.address(), 1_700_000_000_000L, true));
             Stub.next(upstream.ended);
             send(upstreams);
             assertEquals(Outcome.OK, Stub.next(outcomes), "on a new one");
@@ -189,7 +194,7 @@
     @Test
     void connectionsAreBounded() throws Exception {
         try (Stub silent = new Stub((socket, head) -> true)) {
-            Pools<Message, Answer> upstreams = upstreams(silent.address(), LONG, 2);
+            ConnectionPools<UpstreamRequest, UpstreamResponse> upstreams = upstreams(silent.address(), LONG, 2);
             send(upstreams);
             send(upstreams);
             Stub.next(silent.heads);
@@ -206,15 +211,15 @@
         try (Stub upstream = new Stub((socket, head) -> head.startsWith("GET /metrics/load")
                 ? Stub.reply(socket, "200 OK", "", "{\"rate\":7,\"q\":0}")
                 : Stub.reply(socket, "200 OK", "Srv-Load: " + Stub.header(head, "Say") + "\r\n", "x"))) {
-            Pools<Message, Answer> upstreams = upstreams(upstream.address(), LONG, 10);
+            ConnectionPools<UpstreamRequest, UpstreamResponse> upstreams = upstreams(upstream.address(), LONG, 10);
             for (String text : texts) {
-                Message message = get("/");
+                UpstreamRequest message = get("/");
                 message.headers().set("Say", text);
                 loop.execute(() -> send(upstreams, 1, message, this::ended));
                 assertEquals(Outcome.OK, Stub.next(outcomes));
                 assertArrayEquals(text.contains("rate") ? new float[] {1.5f, 2} : new float[0], Stub.next(reports));
             }
-            loop.execute(() -> upstreams.probe(1, this::ended));
+            loop.execute(() -> upstreams.sendHealthCheck(1, this::ended));
             assertArrayEquals(new float[] {7, 0}, Stub.next(reports));
         }
     }
@@ -247,7 +252,7 @@
             try (Stub upstream = new Stub((socket, head) -> head.startsWith("GET /first")
                     ? Stub.reply(socket, "200 OK", "", "first" + extra, 5)
                     : Stub.reply(socket, "200 OK", "", "second"))) {
-                Pools<Message, Answer> upstreams = upstreams(upstream.address(), LONG, 10);
+                ConnectionPools<UpstreamRequest, UpstreamResponse> upstreams = upstreams(upstream.address(), LONG, 10);
                 BlockingQueue<String> bodies = new LinkedBlockingQueue<>();
                 loop.execute(() -> send(upstreams, 1, get("/first"), (outcome, answer, load) -> {
                     bodies.add(text(answer));
@@ -301,7 +306,7 @@
             Stub.write(socket, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n");
             return Stub.reply(socket, "200 OK", "Srv-Load: \u0001{\"rate\":1e99,\"q\":-3}\r\n", "x");
         })) {
-            Pools<Message, Answer> upstreams = upstreams(upstream.address(), LONG, 10);
+            ConnectionPools<UpstreamRequest, UpstreamResponse> upstreams = upstreams(upstream.address(), LONG, 10);
             for (int i = 0; i < 3; i++) {
                 send(upstreams);
                 assertEquals(Outcome.OK, Stub.next(outcomes));
@@ -316,11 +321,11 @@
     void idleConnectionsMakeRoom() throws Exception {
         try (Stub first = Stub.serving("x");
                 Stub second = Stub.serving("y")) {
-            Pools<Message, Answer> upstreams = upstreams(first.address(), LONG, 1);
+            ConnectionPools<UpstreamRequest, UpstreamResponse> upstreams = upstreams(first.address(), LONG, 1);
             send(upstreams);
             assertEquals(Outcome.OK, Stub.next(outcomes));
             loop.execute(() -> {
-                upstreams.listed(2, second.address(), 0, true);
+                upstreams.endpointUpdated(2, second.address(), 0, true);
                 send(upstreams, 2, get("/api/x"), this::ended);
             });
             assertEquals(Outcome.OK, Stub.next(outcomes));
@@ -331,19 +336,19 @@
     @Test
     void goneUpstreamTakesNothing() throws Exception {
         try (Stub upstream = Stub.serving("x")) {
-            Pools<Message, Answer> upstreams = upstreams(upstream.address(), LONG, 10);
-            loop.execute(() -> upstreams.gone(1));
+            ConnectionPools<UpstreamRequest, UpstreamResponse> upstreams = upstreams(upstream.address(), LONG, 10);
+            loop.execute(() -> upstreams.endpointRemoved(1));
             send(upstreams);
             assertEquals(Outcome.CONNECT_FAILED, Stub.next(outcomes));
             assertEquals(0, upstream.heads.size());
         }
     }
 
-    private static Message get(String path) {
-        return new Message(HttpMethod.GET, path, new DefaultHttpHeaders());
+    private static UpstreamRequest get(String path) {
+        return new UpstreamRequest(HttpMethod.GET, path, new DefaultHttpHeaders());
     }
 
-    private static String text(Answer answer) {
+    private static String text(UpstreamResponse answer) {
         return answer == null ? "none" : new String(answer.body(), StandardCharsets.ISO_8859_1);
     }
 }
--- a/world/src/main/java/topazvalve/world/experiment/Comparison.java
+++ b/simulation/src/main/java/topazvalve/simulation/experiment/Comparison.java
@@ -1,4 +1,4 @@
-package topazvalve.world.experiment;
+package topazvalve.simulation.experiment;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/world/src/main/java/topazvalve/world/experiment/Plan.java
+++ b/simulation/src/main/java/topazvalve/simulation/experiment/ExperimentPlan.java
@@ -1,19 +1,20 @@
-package topazvalve.world.experiment;
+package topazvalve.simulation.experiment;
 
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import topazvalve.world.scenario.Scenario;
-import topazvalve.world.virtual.Arm;
+import topazvalve.simulation.scenario.Scenario;
+import topazvalve.simulation.virtual.ExperimentArm;
 
 /** What is to be run: every arm on every scenario with every seed. */
-public record Plan(String name, List<Setting> scenarios, List<Arm> arms, long firstSeed, long lastSeed) {
+public record ExperimentPlan(
+        String name, List<Setting> scenarios, List<ExperimentArm> arms, long firstSeed, long lastSeed) {
 
     /** A scenario and the file that it came from. */
     public record Setting(Path file, Scenario scenario) {}
 
     /** One run of it. */
-    public record Cell(Scenario scenario, Arm arm, long seed) {
+    public record Cell(Scenario scenario, ExperimentArm arm, long seed) {
         /** What tells it from the others in a file of results. */
         public String key() {
             return scenario.name() + "/" + arm.name() + "/" + seed;
@@ -21,8 +22,8 @@
     }
 
     /** The same with other seeds, both included. */
-    public Plan withSeeds(long first, long last) {
-        return new Plan(name, scenarios, arms, first, last);
+    public ExperimentPlan withSeeds(long first, long last) {
+        return new ExperimentPlan(name, scenarios, arms, first, last);
     }
 
     /** All runs, seed by seed, so that what is there after a stop can be compared. */
@@ -30,7 +31,7 @@
         List<Cell> cells = new ArrayList<>();
         for (long seed = firstSeed; seed <= lastSeed; seed++) {
             for (Setting each : scenarios) {
-                for (Arm arm : arms) {
+                for (ExperimentArm arm : arms) {
                     cells.add(new Cell(each.scenario(), arm, seed));
                 }
             }
--- a/world/src/main/java/topazvalve/world/experiment/Report.java
+++ b/simulation/src/main/java/topazvalve/simulation/experiment/Report.java
@@ -1,4 +1,4 @@
-package topazvalve.world.experiment;
+package topazvalve.simulation.experiment;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -16,7 +16,7 @@
 import java.util.Map;
 import java.util.Set;
 import org.apache.commons.math3.stat.descriptive.SummaryStatistics;
-import topazvalve.world.tally.Tally;
+import topazvalve.simulation.tally.RunStatistics;
 
 /**
  * One self-contained HTML file: a table of the arms, and for each scenario plots over time (uPlot, which is
@@ -183,7 +183,7 @@
     }
 
     private interface Figure {
-        double of(Tally.Second second, Tally.Sums sums);
+        double of(RunStatistics.Second second, RunStatistics.Sums sums);
     }
 
     private static void plot(StringBuilder html, String title, List<Result> results, Figure figure) {
--- a/world/src/main/java/topazvalve/world/experiment/Result.java
+++ b/simulation/src/main/java/topazvalve/simulation/experiment/Result.java
@@ -1,13 +1,13 @@
-package topazvalve.world.experiment;
+package topazvalve.simulation.experiment;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import topazvalve.world.scenario.Fault;
-import topazvalve.world.scenario.Scenario;
-import topazvalve.world.tally.Run;
-import topazvalve.world.tally.Tally;
+import topazvalve.simulation.scenario.Fault;
+import topazvalve.simulation.scenario.Scenario;
+import topazvalve.simulation.tally.Run;
+import topazvalve.simulation.tally.RunStatistics;
 
 /** One run as a line of a file of results; times in milliseconds, fault times in seconds. */
 public record Result(
@@ -19,11 +19,11 @@
         double worstWindow,
         double worstClass,
         List<OfClass> classes,
-        Tally.Sums sums,
+        RunStatistics.Sums sums,
         Map<String, Integer> broken,
         String digest,
         double wallS,
-        List<Tally.Second> seconds,
+        List<RunStatistics.Second> seconds,
         List<Trouble> faults,
         long[] attemptsByServer,
         List<String> breaches) {
@@ -36,7 +36,7 @@
 
     /** Of a run. */
     public static Result of(Scenario scenario, Run run) {
-        Tally tally = run.tally();
+        RunStatistics tally = run.tally();
         List<OfClass> classes = new ArrayList<>();
         for (int i = 0; i < scenario.classes().size(); i++) {
             var latency = tally.latency(i);
@@ -48,7 +48,7 @@
                     latency.getValueAtPercentile(99) / 1e6,
                     latency.getValueAtPercentile(99.9) / 1e6));
         }
-        List<Tally.Second> seconds = new ArrayList<>();
+        List<RunStatistics.Second> seconds = new ArrayList<>();
         for (int i = 0; i < tally.seconds() - 1; i++) {
             seconds.add(tally.second(i));
         }
--- a/world/src/main/java/topazvalve/world/experiment/Results.java
+++ b/simulation/src/main/java/topazvalve/simulation/experiment/Results.java
@@ -1,4 +1,4 @@
-package topazvalve.world.experiment;
+package topazvalve.simulation.experiment;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
--- a/world/src/main/java/topazvalve/world/experiment/Runner.java
+++ b/simulation/src/main/java/topazvalve/simulation/experiment/Runner.java
@@ -1,4 +1,4 @@
-package topazvalve.world.experiment;
+package topazvalve.simulation.experiment;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -14,20 +14,20 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import topazvalve.world.tally.Run;
-import topazvalve.world.virtual.VirtualWorld;
+import topazvalve.simulation.tally.Run;
+import topazvalve.simulation.virtual.VirtualWorld;
 
 /** Runs a plan, several runs at once, each in virtual time on one thread of its own. */
 public final class Runner {
     private static final long LOOK_MS = 200;
 
-    private final Plan plan;
+    private final ExperimentPlan plan;
     private final Path folder;
     private final int jobs;
     private volatile boolean stopped;
 
     /** Results go into {@code folder}, which is made. */
-    public Runner(Plan plan, Path folder, int jobs) {
+    public Runner(ExperimentPlan plan, Path folder, int jobs) {
         this.plan = plan;
         this.folder = folder;
         this.jobs = jobs;
@@ -49,8 +49,9 @@
      */
     public List<Result> run(boolean resume, Consumer<Progress> listener) throws IOException, InterruptedException {
         Files.createDirectories(folder);
-        List<Plan.Cell> cells = plan.cells();
-        Set<String> wanted = new HashSet<>(cells.stream().map(Plan.Cell::key).toList());
+        List<ExperimentPlan.Cell> cells = plan.cells();
+        Set<String> wanted =
+                new HashSet<>(cells.stream().map(ExperimentPlan.Cell::key).toList());
         List<Result> kept = resume
                 ? Results.read(folder).stream()
                         .filter(each -> wanted.contains(each.key()))
@@ -58,7 +59,7 @@
                 : List.of();
         Results.rewrite(folder, kept);
         Set<String> done = new HashSet<>(kept.stream().map(Result::key).toList());
-        List<Plan.Cell> left =
+        List<ExperimentPlan.Cell> left =
                 cells.stream().filter(each -> !done.contains(each.key())).toList();
         ExecutorService threads = Executors.newFixedThreadPool(jobs);
         try {
@@ -66,13 +67,14 @@
         } finally {
             threads.shutdownNow();
         }
-        List<String> order = cells.stream().map(Plan.Cell::key).toList();
+        List<String> order = cells.stream().map(ExperimentPlan.Cell::key).toList();
         List<Result> all = new ArrayList<>(Results.read(folder));
         all.sort((a, b) -> Integer.compare(order.indexOf(a.key()), order.indexOf(b.key())));
         return all;
     }
 
-    private void runAll(List<Plan.Cell> left, ExecutorService threads, int before, int all, Consumer<Progress> listener)
+    private void runAll(
+            List<ExperimentPlan.Cell> left, ExecutorService threads, int before, int all, Consumer<Progress> listener)
             throws IOException, InterruptedException {
         ExecutorCompletionService<Result> running = new ExecutorCompletionService<>(threads);
         long began = System.nanoTime();
@@ -82,7 +84,7 @@
         int broken = 0;
         while (out > 0 || (next < left.size() && !stopped)) {
             while (out < jobs && next < left.size() && !stopped) {
-                Plan.Cell cell = left.get(next++);
+                ExperimentPlan.Cell cell = left.get(next++);
                 running.submit(() -> play(cell));
                 out++;
             }
@@ -111,7 +113,7 @@
         }
     }
 
-    private static Result play(Plan.Cell cell) {
+    private static Result play(ExperimentPlan.Cell cell) {
         Run run = new VirtualWorld(cell.scenario(), cell.arm(), cell.seed()).play();
         return Result.of(cell.scenario(), run);
     }
--- a/world/src/main/java/topazvalve/world/experiment/package-info.java
+++ b/simulation/src/main/java/topazvalve/simulation/experiment/package-info.java
@@ -1,2 +1,2 @@
 /** Arms, scenarios and seeds; results, comparisons and reports. */
-package topazvalve.world.experiment;
+package topazvalve.simulation.experiment;
--- a/world/src/main/java/topazvalve/world/measure/EchoServer.java
+++ b/simulation/src/main/java/topazvalve/simulation/measure/EchoServer.java
@@ -1,4 +1,4 @@
-package topazvalve.world.measure;
+package topazvalve.simulation.measure;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
--- a/world/src/main/java/topazvalve/world/measure/OpenLoop.java
+++ b/simulation/src/main/java/topazvalve/simulation/measure/OpenLoop.java
@@ -1,4 +1,4 @@
-package topazvalve.world.measure;
+package topazvalve.simulation.measure;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
@@ -19,7 +19,7 @@
 import java.util.ArrayDeque;
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
-import topazvalve.world.model.Chance;
+import topazvalve.simulation.model.RandomStreams;
 
 /**
  * Poisson arrivals at a set rate to one port, whatever becomes of them; latency from the time that each was
@@ -34,7 +34,7 @@
     private final String name;
     private final double rate;
     private final long end;
-    private final Chance chance;
+    private final RandomStreams chance;
     private final Histogram latency = new Histogram(1_000, LONGEST, 3);
     private final ArrayDeque<Channel> idle = new ArrayDeque<>();
     private final ArrayDeque<Long> waiting = new ArrayDeque<>();
@@ -51,7 +51,7 @@
         this.rate = rate;
         this.planned = System.nanoTime();
         this.end = planned + lengthNanos;
-        this.chance = Chance.stream(seed, name);
+        this.chance = RandomStreams.stream(seed, name);
     }
 
     /** Begins. */
--- a/world/src/main/java/topazvalve/world/measure/RateMeasurement.java
+++ b/simulation/src/main/java/topazvalve/simulation/measure/RateMeasurement.java
@@ -1,4 +1,4 @@
-package topazvalve.world.measure;
+package topazvalve.simulation.measure;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -52,7 +52,7 @@
         for (int i = 0; i < SERVERS; i++) {
             echoes.add(new EchoServer(servers));
         }
-        Launch sidecar = Launch.of(home, folder, config(echoes), core);
+        SidecarLaunch sidecar = SidecarLaunch.of(home, folder, config(echoes), core);
         try {
             sidecar.awaitReady(Duration.ofSeconds(30));
             step(clients, echoes, sidecar, first, length, 0);
@@ -75,7 +75,7 @@
     private static Step step(
             MultiThreadIoEventLoopGroup clients,
             List<EchoServer> echoes,
-            Launch sidecar,
+            SidecarLaunch sidecar,
             double rate,
             Duration length,
             int number)
@@ -101,7 +101,7 @@
     }
 
     private static ObjectNode config(List<EchoServer> echoes) {
-        ObjectNode config = Launch.config(JSON);
+        ObjectNode config = SidecarLaunch.config(JSON);
         ArrayNode targets =
                 config.putObject("known").put("rev", 1).put("all", true).putArray("targets");
         for (int i = 0; i < echoes.size(); i++) {
--- a/world/src/main/java/topazvalve/world/measure/Launch.java
+++ b/simulation/src/main/java/topazvalve/simulation/measure/SidecarLaunch.java
@@ -1,4 +1,4 @@
-package topazvalve.world.measure;
+package topazvalve.simulation.measure;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -10,15 +10,15 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import topazvalve.world.process.RunLine;
+import topazvalve.simulation.process.RunLine;
 
 /** One sidecar process of the deploy file's {@code run} line, on one core where the system can pin it. */
-final class Launch {
+final class SidecarLaunch {
     private final Process process;
     private final int port;
     private final long startedAt = System.nanoTime();
 
-    private Launch(Process process, int port) {
+    private SidecarLaunch(Process process, int port) {
         this.process = process;
         this.port = port;
     }
@@ -60,12 +60,12 @@
     }
 
     /** Starts it; {@code core} below 0 pins it to none. */
-    static Launch of(Path home, Path folder, ObjectNode config, int core) throws IOException {
+    static SidecarLaunch of(Path home, Path folder, ObjectNode config, int core) throws IOException {
         Files.createDirectories(folder);
         int port = RunLine.freePort();
         Path file = folder.resolve("measured.json");
         Files.writeString(file, config.put("listen", "127.0.0.1:" + port).toString());
-        return new Launch(RunLine.of(home, file, pinned(core)).start(), port);
+        return new SidecarLaunch(RunLine.of(home, file, pinned(core)).start(), port);
     }
 
     /** A command on one core, by util-linux' {@code taskset}. */
--- a/world/src/main/java/topazvalve/world/measure/StartMeasurement.java
+++ b/simulation/src/main/java/topazvalve/simulation/measure/StartMeasurement.java
@@ -1,4 +1,4 @@
-package topazvalve.world.measure;
+package topazvalve.simulation.measure;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
@@ -37,10 +37,11 @@
         List<Double> cpu = new ArrayList<>();
         try {
             for (int i = 1; i < parts; i++) {
-                busy.add(new ProcessBuilder(Launch.pinned(core, "/bin/sh", "-c", "while :; do :; done")).start());
+                busy.add(
+                        new ProcessBuilder(SidecarLaunch.pinned(core, "/bin/sh", "-c", "while :; do :; done")).start());
             }
             for (int i = 0; i < times; i++) {
-                Launch sidecar = Launch.of(home, folder, Launch.config(JSON), core);
+                SidecarLaunch sidecar = SidecarLaunch.of(home, folder, SidecarLaunch.config(JSON), core);
                 try {
                     seconds.add(sidecar.awaitReady(Duration.ofSeconds(60)) / 1e9);
                     cpu.add(sidecar.cpu().toNanos() / 1e9);
--- a/world/src/main/java/topazvalve/world/measure/package-info.java
+++ b/simulation/src/main/java/topazvalve/simulation/measure/package-info.java
@@ -1,2 +1,2 @@
 /** Measurements of the packaged sidecar beside the direct path, on loopback. */
-package topazvalve.world.measure;
+package topazvalve.simulation.measure;
--- a/world/src/main/java/topazvalve/world/model/Clock.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/Clock.java
@@ -1,4 +1,4 @@
-package topazvalve.world.model;
+package topazvalve.simulation.model;
 
 /** The time of a world, and what is to happen in it. One thread; nanoseconds that never run back. */
 public interface Clock {
--- a/world/src/main/java/topazvalve/world/model/ColdBudget.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/ColdCapacityBudget.java
@@ -1,10 +1,10 @@
-package topazvalve.world.model;
+package topazvalve.simulation.model;
 
 /**
  * What a cold server is sent, against what it can do: more than so many times its capacity over a window of
  * this length pushes it over. Both are kept in slices of a tenth of the window.
  */
-final class ColdBudget {
+final class ColdCapacityBudget {
     private static final int SLICES = 10;
     private final long slice;
     private final double factor;
@@ -13,7 +13,7 @@
     private final double[] room = new double[SLICES];
     private long current = Long.MIN_VALUE;
 
-    ColdBudget(long window, double factor) {
+    ColdCapacityBudget(long window, double factor) {
         this.slice = Math.max(1, window / SLICES);
         this.factor = factor;
     }
--- a/world/src/main/java/topazvalve/world/model/ColdWatch.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/ColdServerMonitor.java
@@ -1,7 +1,7 @@
-package topazvalve.world.model;
+package topazvalve.simulation.model;
 
 /** Is told of each window of a cold server as work comes in. */
-public interface ColdWatch {
+public interface ColdServerMonitor {
     /**
      * The window that ends now.
      *
--- a/world/src/main/java/topazvalve/world/model/Directory.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/EndpointDirectory.java
@@ -1,26 +1,26 @@
-package topazvalve.world.model;
+package topazvalve.simulation.model;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import topazvalve.decisions.Balancer.State;
-import topazvalve.world.scenario.Scenario.News;
+import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.simulation.scenario.Scenario.News;
 
 /**
  * What discovery knows of the servers, which is late: a process that ends or drains is noticed after a while,
  * a machine that falls silent after a longer one. How it is asked is not its concern.
  */
-public final class Directory {
+public final class EndpointDirectory {
     /** One line of the list. */
-    public record Entry(OrderServer server, State state, long startedAt, long changedAtRevision) {}
+    public record Entry(OrderServer server, EndpointStatus state, long startedAt, long changedAtRevision) {}
 
     private static final int REMEMBERED = 4096;
 
     private final Clock clock;
     private final News news;
-    private final Chance chance;
+    private final RandomStreams chance;
     private final Map<Long, Entry> entries = new LinkedHashMap<>();
     private final List<Entry> log = new ArrayList<>();
     private final List<Consumer<Entry>> followers = new ArrayList<>();
@@ -28,7 +28,7 @@
     private boolean down;
 
     /** An empty list. */
-    public Directory(Clock clock, News news, Chance chance) {
+    public EndpointDirectory(Clock clock, News news, RandomStreams chance) {
         this.clock = clock;
         this.news = news;
         this.chance = chance;
@@ -36,11 +36,11 @@
 
     /** Lists a server as it is, at once. */
     public void list(OrderServer server) {
-        put(server, State.READY);
+        put(server, EndpointStatus.READY);
     }
 
     /** A server's state has changed, which is noticed after a while; {@code silently} after a longer one. */
-    public void happened(OrderServer server, State state, boolean silently) {
+    public void happened(OrderServer server, EndpointStatus state, boolean silently) {
         double delay = (silently ? news.silentNotice() : news.notice()).at(chance.part());
         long started = server.startedAt();
         clock.at(clock.now() + (long) (delay * 1e9), () -> {
@@ -51,9 +51,9 @@
         });
     }
 
-    private void put(OrderServer server, State state) {
+    private void put(OrderServer server, EndpointStatus state) {
         Entry entry = new Entry(server, state, server.startedAt(), ++revision);
-        if (state == State.GONE) {
+        if (state == EndpointStatus.REMOVED) {
             entries.remove(server.id());
         } else {
             entries.put(server.id(), entry);
--- a/world/src/main/java/topazvalve/world/model/FaultPlayer.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/FaultPlayer.java
@@ -1,32 +1,32 @@
-package topazvalve.world.model;
+package topazvalve.simulation.model;
 
 import java.util.ArrayList;
 import java.util.List;
-import topazvalve.decisions.Balancer.State;
-import topazvalve.world.model.OrderServer.Mode;
-import topazvalve.world.scenario.Fault;
-import topazvalve.world.scenario.Scenario;
-import topazvalve.world.scenario.Scenario.Chaos;
+import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.simulation.model.OrderServer.Mode;
+import topazvalve.simulation.scenario.Fault;
+import topazvalve.simulation.scenario.Scenario;
+import topazvalve.simulation.scenario.Scenario.Chaos;
 
 /** Plays faults on a stage at their times. Each fault draws whom it strikes from a stream of its own. */
 public final class FaultPlayer {
     /** When the process of a machine that was drained or restarted is back, at the least. */
     private static final long SHORTEST_STOP = 50_000_000;
 
-    private final Stage stage;
+    private final FaultTarget stage;
 
-    private FaultPlayer(Stage stage) {
+    private FaultPlayer(FaultTarget stage) {
         this.stage = stage;
     }
 
     /** Schedules all faults of a scenario, written and drawn; returns them for the report. */
-    public static List<Fault> play(Stage stage, Scenario scenario, long seed) {
+    public static List<Fault> play(FaultTarget stage, Scenario scenario, long seed) {
         FaultPlayer player = new FaultPlayer(stage);
         List<Fault> all = plan(scenario, seed);
         long start = stage.clock().now();
         for (int i = 0; i < all.size(); i++) {
             Fault fault = all.get(i);
-            Chance chance = Chance.stream(seed, "fault." + i);
+            RandomStreams chance = RandomStreams.stream(seed, "fault." + i);
             stage.clock().at(start + fault.start(), () -> player.begin(fault, chance));
         }
         return all;
@@ -37,7 +37,7 @@
         List<Fault> all = new ArrayList<>(scenario.faults());
         Chaos chaos = scenario.chaos();
         for (int i = 0; i < chaos.count(); i++) {
-            Chance chance = Chance.stream(seed, "chaos." + i);
+            RandomStreams chance = RandomStreams.stream(seed, "chaos." + i);
             Fault.Kind kind = chaos.kinds().get(chance.below(chaos.kinds().size()));
             long length = (long) (chaos.length().at(chance.part()) * 1e9);
             long start = (long) (chance.part() * Math.max(0, scenario.length() - length));
@@ -54,7 +54,7 @@
         return all;
     }
 
-    private void begin(Fault fault, Chance chance) {
+    private void begin(Fault fault, RandomStreams chance) {
         stage.note("begins: " + describe(fault));
         Clock clock = stage.clock();
         switch (fault.kind()) {
@@ -129,7 +129,7 @@
     }
 
     /** Servers that serve now, drawn without repeats. */
-    private List<OrderServer> struck(Fault fault, Chance chance) {
+    private List<OrderServer> struck(Fault fault, RandomStreams chance) {
         List<OrderServer> left = new ArrayList<>(
                 stage.servers().stream().filter(each -> each.mode() == Mode.UP).toList());
         List<OrderServer> struck = new ArrayList<>();
@@ -145,17 +145,17 @@
         later(fault, () -> servers.forEach(each -> each.slower(1)));
     }
 
-    private void inMode(Fault fault, Chance chance, Mode mode) {
+    private void inMode(Fault fault, RandomStreams chance, Mode mode) {
         List<OrderServer> struck = struck(fault, chance);
         struck.forEach(each -> each.mode(mode));
         later(fault, () -> struck.stream().filter(each -> each.mode() == mode).forEach(each -> each.mode(Mode.UP)));
     }
 
-    private void stop(Fault fault, Chance chance, boolean silently) {
+    private void stop(Fault fault, RandomStreams chance, boolean silently) {
         List<OrderServer> struck = struck(fault, chance);
         for (OrderServer each : struck) {
             each.stop(silently);
-            stage.directory().happened(each, State.GONE, silently);
+            stage.directory().happened(each, EndpointStatus.REMOVED, silently);
         }
         later(fault, () -> struck.forEach(this::startAgain));
     }
@@ -163,23 +163,23 @@
     private void startAgain(OrderServer server) {
         server.start();
         if (!server.fallen()) {
-            stage.directory().happened(server, State.READY, false);
+            stage.directory().happened(server, EndpointStatus.READY, false);
         }
     }
 
     private void replace(Fault fault, OrderServer old) {
         old.remove();
-        stage.directory().happened(old, State.GONE, false);
+        stage.directory().happened(old, EndpointStatus.REMOVED, false);
         stage.clock().at(stage.clock().now() + Math.max(SHORTEST_STOP, fault.length()), () -> {
             OrderServer fresh = stage.replace(old, fault.kind() == Fault.Kind.REPLACE_IN_PLACE);
             fresh.start();
-            stage.directory().happened(fresh, State.READY, false);
+            stage.directory().happened(fresh, EndpointStatus.READY, false);
         });
     }
 
     /** Told as draining; it goes on until everybody has heard, declines what is new, and starts anew. */
     private void drain(Fault fault, OrderServer server) {
-        stage.directory().happened(server, State.DRAINING, false);
+        stage.directory().happened(server, EndpointStatus.DRAINING, false);
         long end = stage.clock().now() + Math.max(SHORTEST_STOP, fault.length());
         stage.clock().at(end - fault.length() / 3, server::drain);
         stage.clock().at(end, () -> {
--- a/world/src/main/java/topazvalve/world/model/Stage.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/FaultTarget.java
@@ -1,14 +1,14 @@
-package topazvalve.world.model;
+package topazvalve.simulation.model;
 
 import java.util.List;
 
 /** What faults act upon: the same in virtual time and on real sockets. */
-public interface Stage {
+public interface FaultTarget {
     /** The clock. */
     Clock clock();
 
     /** What stands on it. */
-    Scene scene();
+    Topology scene();
 
     /** Kills an instance and starts it anew. */
     void restartInstance(int number);
@@ -30,7 +30,7 @@
     }
 
     /** What discovery knows. */
-    default Directory directory() {
+    default EndpointDirectory directory() {
         return scene().directory();
     }
 
--- a/world/src/main/java/topazvalve/world/model/Fleet.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/Fleet.java
@@ -1,9 +1,9 @@
-package topazvalve.world.model;
+package topazvalve.simulation.model;
 
 import java.util.ArrayList;
 import java.util.List;
-import topazvalve.world.scenario.MachineKind;
-import topazvalve.world.scenario.Scenario;
+import topazvalve.simulation.scenario.MachineKind;
+import topazvalve.simulation.scenario.Scenario;
 
 /** The order servers of a world: who stands where, drawn from the seed. */
 public final class Fleet {
@@ -24,16 +24,16 @@
         int perZone = (spec.servers() + zones - 1) / zones;
         int podsOfZone = Math.max(1, (perZone + spec.podSize() - 1) / spec.podSize());
         for (int i = 0; i < podsOfZone * zones; i++) {
-            Chance chance = Chance.stream(seed, "pod." + i);
+            RandomStreams chance = RandomStreams.stream(seed, "pod." + i);
             boolean limited = chance.happens(spec.limitedPods());
             pods.add(new Pod(clock, i, i % zones, limited ? spec.podLimit().at(chance.part()) : 1));
         }
         for (int i = 0; i < spec.servers(); i++) {
-            servers.add(make(pods.get(i % pods.size()), kind(Chance.stream(seed, "kind." + i))));
+            servers.add(make(pods.get(i % pods.size()), kind(RandomStreams.stream(seed, "kind." + i))));
         }
     }
 
-    private int kind(Chance chance) {
+    private int kind(RandomStreams chance) {
         double all =
                 scenario.machines().stream().mapToDouble(MachineKind::share).sum();
         double at = chance.part() * all;
@@ -56,7 +56,7 @@
                 pod,
                 scenario.limits(),
                 scenario.meanWork(),
-                Chance.stream(seed, "server." + id));
+                RandomStreams.stream(seed, "server." + id));
     }
 
     /** Those that are there now. */
--- a/world/src/main/java/topazvalve/world/model/KeyMemory.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/IdempotencyCache.java
@@ -1,14 +1,14 @@
-package topazvalve.world.model;
+package topazvalve.simulation.model;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
 
 /** The keys that an order server has met of late: the least lately met one goes first. */
-final class KeyMemory {
+final class IdempotencyCache {
     private final long keep;
     private final Map<Long, Long> met;
 
-    KeyMemory(int most, long keep) {
+    IdempotencyCache(int most, long keep) {
         this.keep = keep;
         this.met = new LinkedHashMap<>(16, 0.75f, true) {
             private static final long serialVersionUID = 1;
--- a/world/src/main/java/topazvalve/world/model/Link.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/Link.java
@@ -1,6 +1,6 @@
-package topazvalve.world.model;
+package topazvalve.simulation.model;
 
-import topazvalve.world.scenario.Scenario.Network;
+import topazvalve.simulation.scenario.Scenario.Network;
 
 /** One-way delays between instances and servers, with what a fault adds. */
 public final class Link {
@@ -9,12 +9,12 @@
 
     private static final int MOST_RESENDS = 6;
     private final Network network;
-    private final Chance chance;
+    private final RandomStreams chance;
     private double loss;
     private long extra;
 
     /** A link without faults. */
-    public Link(Network network, Chance chance) {
+    public Link(Network network, RandomStreams chance) {
         this.network = network;
         this.chance = chance;
     }
--- a/world/src/main/java/topazvalve/world/model/OrderServer.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/OrderServer.java
@@ -1,13 +1,13 @@
-package topazvalve.world.model;
+package topazvalve.simulation.model;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.BiConsumer;
-import topazvalve.world.scenario.MachineKind;
-import topazvalve.world.scenario.MachineKind.Cancel;
-import topazvalve.world.scenario.MachineKind.WarmBy;
-import topazvalve.world.scenario.Scenario.Limits;
+import topazvalve.simulation.scenario.MachineKind;
+import topazvalve.simulation.scenario.MachineKind.Cancel;
+import topazvalve.simulation.scenario.MachineKind.WarmBy;
+import topazvalve.simulation.scenario.Scenario.Limits;
 
 /**
  * One order server, on whatever clock: what it does with the attempts that reach it, and what its troubles
@@ -42,17 +42,17 @@
     private final long id;
     private final Pod pod;
     private final double speed;
-    private final Chance chance;
+    private final RandomStreams chance;
     private final Limits limits;
     private final double meanWork;
     private final int slots;
     private final int room;
-    private final KeyMemory keys;
-    private final List<Job> running = new ArrayList<>();
-    private final ArrayDeque<Job> waiting = new ArrayDeque<>();
+    private final IdempotencyCache keys;
+    private final List<ServerAttempt> running = new ArrayList<>();
+    private final ArrayDeque<ServerAttempt> waiting = new ArrayDeque<>();
     private BiConsumer<OrderServer, Double> whenFallen = (server, informed) -> {};
 
-    private ColdWatch coldWatch;
+    private ColdServerMonitor coldWatch;
 
     private Mode mode = Mode.UP;
     private double slower = 1;
@@ -62,7 +62,7 @@
     private long startedAt;
     private boolean cold;
     private double workSinceStart;
-    private ColdBudget budget;
+    private ColdCapacityBudget budget;
     private boolean fallen;
     private boolean crowded;
     private long crowdedSince = -1;
@@ -88,7 +88,7 @@
             Pod pod,
             Limits limits,
             double meanWork,
-            Chance chance) {
+            RandomStreams chance) {
         this.clock = clock;
         this.id = id;
         this.kind = kind;
@@ -100,7 +100,7 @@
         this.speed = kind.speed().at(chance.part());
         this.slots = Math.max(1, (int) Math.round(kind.slots() * kind.cores()));
         this.room = slots + (int) Math.round(kind.queue() * kind.cores());
-        this.keys = kind.knownKeys() > 0 ? new KeyMemory(kind.knownKeys() * kind.cores(), kind.keyTime()) : null;
+        this.keys = kind.knownKeys() > 0 ? new IdempotencyCache(kind.knownKeys() * kind.cores(), kind.keyTime()) : null;
         this.progressAt = clock.now();
         pod.add(this);
         if (kind.pauseEvery() > 0) {
@@ -191,7 +191,7 @@
     }
 
     /** Measures what this server is sent while it is cold, in place of letting it fall. */
-    public void watchCold(ColdWatch watch) {
+    public void watchCold(ColdServerMonitor watch) {
         coldWatch = watch;
     }
 
@@ -206,7 +206,7 @@
      *
      * @param informed whether its sender knew when this server last started
      */
-    public void offer(Job job, boolean informed) {
+    public void offer(ServerAttempt job, boolean informed) {
         if (mode == Mode.DOWN || mode == Mode.VANISHED || mode == Mode.SILENT) {
             return;
         }
@@ -238,7 +238,7 @@
     }
 
     /** The sender has given an attempt up; what that stops is up to the kind. */
-    public void cancel(Job job) {
+    public void cancel(ServerAttempt job) {
         if (job.holder != this || kind.cancel() == Cancel.NOTHING || (job.running && kind.cancel() == Cancel.WAITING)) {
             return;
         }
@@ -254,7 +254,7 @@
         replan();
     }
 
-    private void begin(Job job) {
+    private void begin(ServerAttempt job) {
         double work = job.work + owedWork;
         owedWork = 0;
         if (keys != null && job.key != 0 && keys.meet(job.key, clock.now())) {
@@ -268,7 +268,7 @@
 
     private void refill() {
         while (running.size() < slots && !waiting.isEmpty()) {
-            Job next = waiting.poll();
+            ServerAttempt next = waiting.poll();
             if (kind.honoursDeadline() && clock.now() > next.deadline) {
                 next.holder = null;
                 next.dropped();
@@ -340,7 +340,7 @@
         planned = Long.MAX_VALUE;
         settle();
         for (int i = running.size() - 1; i >= 0; i--) {
-            Job job = running.get(i);
+            ServerAttempt job = running.get(i);
             if (job.finish <= progress + DONE) {
                 running.remove(i);
                 job.holder = null;
@@ -412,10 +412,10 @@
     /** Breaks every attempt that it holds. */
     public void breakAll() {
         settle();
-        List<Job> held = new ArrayList<>(running);
+        List<ServerAttempt> held = new ArrayList<>(running);
         held.addAll(waiting);
         forget();
-        held.forEach(Job::broken);
+        held.forEach(ServerAttempt::broken);
         replan();
     }
 
@@ -447,7 +447,7 @@
         crowded = false;
         crowdedSince = -1;
         cold = kind.coldShare() < 1;
-        budget = new ColdBudget(limits.tipAfter(), limits.overloadFactor());
+        budget = new ColdCapacityBudget(limits.tipAfter(), limits.overloadFactor());
         if (keys != null) {
             keys.clear();
         }
--- a/world/src/main/java/topazvalve/world/model/Pod.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/Pod.java
@@ -1,4 +1,4 @@
-package topazvalve.world.model;
+package topazvalve.simulation.model;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/world/src/main/java/topazvalve/world/model/Chance.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/RandomStreams.java
@@ -1,4 +1,4 @@
-package topazvalve.world.model;
+package topazvalve.simulation.model;
 
 import java.nio.charset.StandardCharsets;
 import org.apache.commons.codec.digest.MurmurHash3;
@@ -10,22 +10,22 @@
  * Randomness by name: each purpose has a stream of its own, made of the run's seed and that name alone, so
  * that a fault that is changed shifts no arrival and no work.
  */
-public final class Chance {
+public final class RandomStreams {
     private final UniformRandomProvider random;
     private final ZigguratSampler.Exponential exponential;
     private final ZigguratSampler.NormalizedGaussian gaussian;
 
-    private Chance(UniformRandomProvider random) {
+    private RandomStreams(UniformRandomProvider random) {
         this.random = random;
         this.exponential = ZigguratSampler.Exponential.of(random);
         this.gaussian = ZigguratSampler.NormalizedGaussian.of(random);
     }
 
     /** The stream of this name: xoroshiro128++, seeded by MurmurHash3 of seed and name. */
-    public static Chance stream(long seed, String name) {
+    public static RandomStreams stream(long seed, String name) {
         byte[] bytes = (seed + ":" + name).getBytes(StandardCharsets.UTF_8);
         long[] state = MurmurHash3.hash128x64(bytes);
-        return new Chance(RandomSource.XO_RO_SHI_RO_128_PP.create(state));
+        return new RandomStreams(RandomSource.XO_RO_SHI_RO_128_PP.create(state));
     }
 
     /** From 0 (included) to 1. */
--- a/world/src/main/java/topazvalve/world/model/Asker.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/RequestGenerator.java
@@ -1,16 +1,16 @@
-package topazvalve.world.model;
+package topazvalve.simulation.model;
 
 import java.util.List;
 import org.apache.commons.rng.sampling.distribution.DiscreteSampler;
 import org.apache.commons.rng.sampling.distribution.RejectionInversionZipfSampler;
-import topazvalve.world.scenario.Scenario;
-import topazvalve.world.scenario.WorkClass;
+import topazvalve.simulation.scenario.Scenario;
+import topazvalve.simulation.scenario.WorkClass;
 
 /**
  * The clients of one instance: when the next request comes, whatever became of the last (an open loop), and
  * what it is. Draws from a stream of its own, in an order that nothing else can shift.
  */
-public final class Asker {
+public final class RequestGenerator {
     /** One request as meant. */
     public record Wish(
             int requestClass,
@@ -22,16 +22,16 @@
             boolean heeds) {}
 
     private final Scenario scenario;
-    private final Chance chance;
-    private final Rhythm rhythm;
+    private final RandomStreams chance;
+    private final TrafficPattern rhythm;
     private final double rate;
     private final double shares;
     private final DiscreteSampler keys;
 
     /** Askers of instance {@code number}; all share one rhythm. */
-    public Asker(Scenario scenario, long seed, int number, Rhythm rhythm) {
+    public RequestGenerator(Scenario scenario, long seed, int number, TrafficPattern rhythm) {
         this.scenario = scenario;
-        this.chance = Chance.stream(seed, "asker." + number);
+        this.chance = RandomStreams.stream(seed, "asker." + number);
         this.rhythm = rhythm;
         this.rate = scenario.instanceRate() * chance.lognormal(scenario.load().instanceSpread()) / 1e9;
         this.shares = scenario.classes().stream().mapToDouble(WorkClass::share).sum();
--- a/world/src/main/java/topazvalve/world/model/Job.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/ServerAttempt.java
@@ -1,11 +1,11 @@
-package topazvalve.world.model;
+package topazvalve.simulation.model;
 
 /**
  * One attempt as an order server holds it. Whoever carries the answer back extends it. A server tells exactly
  * one of {@link #served}, {@link #declined}, {@link #broken} and {@link #dropped}, or nothing at all: a
  * silent one never does.
  */
-public abstract class Job {
+public abstract class ServerAttempt {
     final double work;
     final int requestClass;
     final long key;
@@ -23,7 +23,7 @@
      * @param work nanoseconds of one standard core
      * @param deadline until when its client waits, on the world's clock
      */
-    protected Job(double work, int requestClass, long key, long deadline) {
+    protected ServerAttempt(double work, int requestClass, long key, long deadline) {
         this.work = work;
         this.requestClass = requestClass;
         this.key = key;
--- a/world/src/main/java/topazvalve/world/model/Scene.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/Topology.java
@@ -1,27 +1,27 @@
-package topazvalve.world.model;
+package topazvalve.simulation.model;
 
 import java.util.ArrayList;
 import java.util.List;
-import topazvalve.world.scenario.Scenario;
+import topazvalve.simulation.scenario.Scenario;
 
 /** What stands on a stage, drawn from scenario and seed: the same on either clock. */
-public final class Scene {
+public final class Topology {
     private static final int NOTES = 500;
 
     private final Scenario scenario;
     private final Fleet fleet;
-    private final Directory directory;
+    private final EndpointDirectory directory;
     private final Link link;
-    private final Rhythm rhythm;
+    private final TrafficPattern rhythm;
     private final List<String> notes = new ArrayList<>();
 
     /** Servers that run for long, an empty list, links without faults. */
-    public Scene(Scenario scenario, Clock clock, long seed) {
+    public Topology(Scenario scenario, Clock clock, long seed) {
         this.scenario = scenario;
         this.fleet = new Fleet(scenario, clock, seed);
-        this.directory = new Directory(clock, scenario.news(), Chance.stream(seed, "directory"));
-        this.link = new Link(scenario.network(), Chance.stream(seed, "link"));
-        this.rhythm = new Rhythm(scenario.load(), Chance.stream(seed, "rhythm"));
+        this.directory = new EndpointDirectory(clock, scenario.news(), RandomStreams.stream(seed, "directory"));
+        this.link = new Link(scenario.network(), RandomStreams.stream(seed, "link"));
+        this.rhythm = new TrafficPattern(scenario.load(), RandomStreams.stream(seed, "rhythm"));
     }
 
     /** What was read. */
@@ -35,7 +35,7 @@
     }
 
     /** What discovery knows. */
-    public Directory directory() {
+    public EndpointDirectory directory() {
         return directory;
     }
 
@@ -45,7 +45,7 @@
     }
 
     /** How all clients' rates go up and down. */
-    public Rhythm rhythm() {
+    public TrafficPattern rhythm() {
         return rhythm;
     }
 
--- a/world/src/main/java/topazvalve/world/model/Rhythm.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/TrafficPattern.java
@@ -1,17 +1,17 @@
-package topazvalve.world.model;
+package topazvalve.simulation.model;
 
-import topazvalve.world.scenario.Scenario.Load;
+import topazvalve.simulation.scenario.Scenario.Load;
 
 /** How the rate of all clients goes up and down together, as a part of the mean. */
-public final class Rhythm {
+public final class TrafficPattern {
     private final Load load;
-    private final Chance chance;
+    private final RandomStreams chance;
     private boolean high;
     private long until;
     private double overload = 1;
 
     /** Draws bursts from this stream. */
-    public Rhythm(Load load, Chance chance) {
+    public TrafficPattern(Load load, RandomStreams chance) {
         this.load = load;
         this.chance = chance;
     }
--- a/world/src/main/java/topazvalve/world/model/package-info.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/package-info.java
@@ -1,2 +1,2 @@
 /** Order servers, pods, randomness: the model itself, on whatever clock. */
-package topazvalve.world.model;
+package topazvalve.simulation.model;
--- a/world/src/main/java/topazvalve/world/oracle/Oracle.java
+++ b/simulation/src/main/java/topazvalve/simulation/oracle/Oracle.java
@@ -1,13 +1,13 @@
-package topazvalve.world.oracle;
+package topazvalve.simulation.oracle;
 
 import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import topazvalve.world.scenario.Scenario.Limits;
-import topazvalve.world.scenario.WorkClass.Repeats;
-import topazvalve.world.scenario.WorkClass.Scope;
+import topazvalve.simulation.scenario.Scenario.Limits;
+import topazvalve.simulation.scenario.WorkClass.Repeats;
+import topazvalve.simulation.scenario.WorkClass.Scope;
 
 /**
  * Judges a run by what servers received and clients were answered. It is told nothing by the program and
@@ -35,7 +35,7 @@
     private final long tolerance;
     private final long flight;
     private final Map<Rule, Integer> counts = new EnumMap<>(Rule.class);
-    private final List<Breach> breaches = new ArrayList<>();
+    private final List<Violation> breaches = new ArrayList<>();
     private final Map<Long, Long> drains = new HashMap<>();
     private long requests;
 
@@ -54,7 +54,7 @@
     private void broken(Rule rule, long at, String what) {
         counts.merge(rule, 1, Integer::sum);
         if (breaches.size() < KEPT) {
-            breaches.add(new Breach(rule, at, what));
+            breaches.add(new Violation(rule, at, what));
         }
     }
 
@@ -228,7 +228,7 @@
     }
 
     /** The first breaches, with what broke the rule. */
-    public List<Breach> breaches() {
+    public List<Violation> breaches() {
         return List.copyOf(breaches);
     }
 }
--- a/world/src/main/java/topazvalve/world/oracle/Rule.java
+++ b/simulation/src/main/java/topazvalve/simulation/oracle/Rule.java
@@ -1,4 +1,4 @@
-package topazvalve.world.oracle;
+package topazvalve.simulation.oracle;
 
 /** What must hold, whatever goes wrong. */
 public enum Rule {
--- a/world/src/main/java/topazvalve/world/oracle/Trace.java
+++ b/simulation/src/main/java/topazvalve/simulation/oracle/Trace.java
@@ -1,6 +1,6 @@
-package topazvalve.world.oracle;
+package topazvalve.simulation.oracle;
 
-import topazvalve.world.scenario.WorkClass;
+import topazvalve.simulation.scenario.WorkClass;
 
 /**
  * What servers and the client saw of one request; times in nanoseconds of the world's clock. Written by the
--- a/world/src/main/java/topazvalve/world/oracle/Breach.java
+++ b/simulation/src/main/java/topazvalve/simulation/oracle/Violation.java
@@ -1,7 +1,7 @@
-package topazvalve.world.oracle;
+package topazvalve.simulation.oracle;
 
 /** A rule that was broken: when, and by what. */
-public record Breach(Rule rule, long at, String what) {
+public record Violation(Rule rule, long at, String what) {
     @Override
     public String toString() {
         return rule + " at " + at / 1_000_000 + " ms: " + what;
--- a/world/src/main/java/topazvalve/world/oracle/package-info.java
+++ b/simulation/src/main/java/topazvalve/simulation/oracle/package-info.java
@@ -1,2 +1,2 @@
 /** Judges from what servers and clients saw, never from the program's word. */
-package topazvalve.world.oracle;
+package topazvalve.simulation.oracle;
--- a/world/src/main/java/topazvalve/world/policy/Policy.java
+++ b/simulation/src/main/java/topazvalve/simulation/policy/Policy.java
@@ -1,22 +1,22 @@
-package topazvalve.world.policy;
+package topazvalve.simulation.policy;
 
 import java.util.SplittableRandom;
-import topazvalve.decisions.Balancer;
-import topazvalve.decisions.Rules;
+import topazvalve.policy.LoadBalancer;
+import topazvalve.policy.SidecarPolicy;
 
 /** Who decides: the project's module, or a textbook policy to hold it against. */
 public enum Policy {
     /** The decision module. */
     MODULE {
         @Override
-        public Balancer make(Balancer.Settings settings, long seed, Balancer.Actions actions) {
-            return new Rules(settings, seed, actions);
+        public LoadBalancer make(LoadBalancer.Settings settings, long seed, LoadBalancer.Actions actions) {
+            return new SidecarPolicy(settings, seed, actions);
         }
     },
     /** Any ready server, each as likely. */
     RANDOM {
         @Override
-        public Balancer make(Balancer.Settings settings, long seed, Balancer.Actions actions) {
+        public LoadBalancer make(LoadBalancer.Settings settings, long seed, LoadBalancer.Actions actions) {
             SplittableRandom random = new SplittableRandom(seed);
             return new Textbook(settings, actions, (servers, turn) -> random.nextInt(servers.size()));
         }
@@ -24,7 +24,7 @@
     /** One ready server after the other, beginning anywhere. */
     ROUND_ROBIN {
         @Override
-        public Balancer make(Balancer.Settings settings, long seed, Balancer.Actions actions) {
+        public LoadBalancer make(LoadBalancer.Settings settings, long seed, LoadBalancer.Actions actions) {
             long first = new SplittableRandom(seed).nextInt(1 << 20);
             return new Textbook(settings, actions, (servers, turn) -> (int) ((first + turn) % servers.size()));
         }
@@ -32,7 +32,7 @@
     /** The ready server with the fewest of this instance's own requests; the first after a random place. */
     LEAST_IN_FLIGHT {
         @Override
-        public Balancer make(Balancer.Settings settings, long seed, Balancer.Actions actions) {
+        public LoadBalancer make(LoadBalancer.Settings settings, long seed, LoadBalancer.Actions actions) {
             SplittableRandom random = new SplittableRandom(seed);
             return new Textbook(settings, actions, (servers, turn) -> {
                 int start = random.nextInt(servers.size());
@@ -50,7 +50,7 @@
     /** Of two random ready servers the one with fewer of this instance's own requests. */
     TWO_CHOICES {
         @Override
-        public Balancer make(Balancer.Settings settings, long seed, Balancer.Actions actions) {
+        public LoadBalancer make(LoadBalancer.Settings settings, long seed, LoadBalancer.Actions actions) {
             SplittableRandom random = new SplittableRandom(seed);
             return new Textbook(settings, actions, (servers, turn) -> {
                 int one = random.nextInt(servers.size());
@@ -61,5 +61,5 @@
     };
 
     /** A new instance's decisions; the same settings, seed and events give the same actions. */
-    public abstract Balancer make(Balancer.Settings settings, long seed, Balancer.Actions actions);
+    public abstract LoadBalancer make(LoadBalancer.Settings settings, long seed, LoadBalancer.Actions actions);
 }
--- a/world/src/main/java/topazvalve/world/policy/Textbook.java
+++ b/simulation/src/main/java/topazvalve/simulation/policy/Textbook.java
@@ -1,17 +1,17 @@
-package topazvalve.world.policy;
+package topazvalve.simulation.policy;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Objects;
-import topazvalve.decisions.Balancer;
+import topazvalve.policy.LoadBalancer;
 
 /**
  * What every textbook policy shares: it follows the list, sends at once, and tries again on another choice as
  * often as the class and the limit allow. It looks at no health and spares no cold server, as the textbook's.
  */
-final class Textbook implements Balancer {
+final class Textbook implements LoadBalancer {
     private static final long ASK_AGAIN = 1_000_000_000L;
 
     /** A ready server and what this instance has out there. */
@@ -21,7 +21,7 @@
         final int cell;
         int inFlight;
 
-        Server(Upstream upstream) {
+        Server(EndpointInfo upstream) {
             this.id = upstream.id();
             this.zone = upstream.zone();
             this.cell = upstream.cell();
@@ -48,7 +48,7 @@
     private Settings settings;
     private final Actions actions;
     private final Choice choice;
-    private final Map<Long, Upstream> listed = new HashMap<>();
+    private final Map<Long, EndpointInfo> listed = new HashMap<>();
     private final Map<Long, Server> servers = new HashMap<>();
     private final List<Server> ready = new ArrayList<>();
     private final Map<Long, Call> calls = new HashMap<>();
@@ -62,74 +62,74 @@
 
     @Override
     public void start(long now) {
-        if (settings.discovery() == Discovery.SUBSCRIBE) {
-            actions.subscribe(true);
+        if (settings.discoveryMode() == DiscoveryMode.SUBSCRIBE) {
+            actions.watchEndpoints(true);
         }
     }
 
     @Override
-    public void listChanged(long now, ListKind kind, List<Upstream> entries) {
-        if (kind == ListKind.FAILED) {
-            actions.timer(1, now + ASK_AGAIN);
+    public void endpointsUpdated(long now, UpdateKind kind, List<EndpointInfo> entries) {
+        if (kind == UpdateKind.FAILED) {
+            actions.setTimer(1, now + ASK_AGAIN);
             return;
         }
-        if (kind != ListKind.DELTA) {
+        if (kind != UpdateKind.DELTA) {
             listed.clear();
         }
         entries.forEach(each -> listed.put(each.id(), each));
         ready.clear();
         listed.values().stream()
-                .filter(each -> each.state() == State.READY)
+                .filter(each -> each.status() == EndpointStatus.READY)
                 .sorted((a, b) -> Long.compare(a.id(), b.id()))
                 .forEach(each -> ready.add(servers.computeIfAbsent(each.id(), id -> new Server(each))));
         servers.values().removeIf(each -> each.inFlight == 0 && !listed.containsKey(each.id));
     }
 
     @Override
-    public void request(long now, Request request) {
-        Call call = new Call(request, now + request.timeLeft());
+    public void requestReceived(long now, Request request) {
+        Call call = new Call(request, now + request.timeLeftNanos());
         calls.put(request.id(), call);
         place(now, call);
     }
 
     @Override
-    public void requestBegun(long now, Request request) {
-        request(now, request);
+    public void requestStarted(long now, Request request) {
+        requestReceived(now, request);
     }
 
     @Override
-    public void requestWhole(long now, long request) {}
+    public void requestBodyCompleted(long now, long request) {}
 
     @Override
-    public void unrepeatable(long now, long request) {}
+    public void bodyNotReplayable(long now, long request) {}
 
     @Override
-    public void firstByte(long now, long request, int attempt, long upstream, long elapsed) {}
+    public void responseStarted(long now, long request, int attempt, long upstream, long elapsed) {}
 
     private void place(long now, Call call) {
-        if (ready.isEmpty() || call.tries >= settings.allowed().tryLimit() || now >= call.deadline) {
+        if (ready.isEmpty() || call.tries >= settings.capabilities().maxAttempts() || now >= call.deadline) {
             giveUp(call);
             return;
         }
         Server server = ready.get(choice.pick(ready, turn++));
         server.inFlight++;
         call.tries++;
-        actions.send(call.request.id(), server.id, 0);
+        actions.forward(call.request.id(), server.id, 0);
     }
 
     private void giveUp(Call call) {
         calls.remove(call.request.id());
-        RequestClass kind = settings.classes().get(call.request.requestClass());
-        boolean harmless = !call.mayHaveRun || kind.semantics() == Semantics.REPEATABLE;
+        RequestClass kind = settings.requestClasses().get(call.request.requestClass());
+        boolean harmless = !call.mayHaveRun || kind.idempotency() == Idempotency.IDEMPOTENT;
         if (harmless) {
-            actions.refuse(call.request.id(), 0);
+            actions.reject(call.request.id(), 0);
         } else {
             actions.fail(call.request.id());
         }
     }
 
     @Override
-    public void outcome(
+    public void attemptCompleted(
             long now,
             long request,
             int attempt,
@@ -151,8 +151,8 @@
             return;
         }
         call.mayHaveRun |= !outcome.provesNeverRan();
-        RequestClass kind = settings.classes().get(call.request.requestClass());
-        if (!call.mayHaveRun || kind.semantics() == Semantics.REPEATABLE) {
+        RequestClass kind = settings.requestClasses().get(call.request.requestClass());
+        if (!call.mayHaveRun || kind.idempotency() == Idempotency.IDEMPOTENT) {
             place(now, call);
         } else {
             giveUp(call);
@@ -160,22 +160,22 @@
     }
 
     @Override
-    public void hangup(long now, long request) {
+    public void clientDisconnected(long now, long request) {
         calls.remove(request);
     }
 
     @Override
-    public void timer(long now, long token) {
-        actions.subscribe(true);
+    public void timerFired(long now, long token) {
+        actions.watchEndpoints(true);
     }
 
     @Override
-    public void retuned(long now, Settings next) {
+    public void settingsChanged(long now, Settings next) {
         settings = Objects.requireNonNull(next);
     }
 
     @Override
-    public int avoided(long now) {
+    public int ejectedCount(long now) {
         return 0;
     }
 }
--- a/world/src/main/java/topazvalve/world/policy/package-info.java
+++ b/simulation/src/main/java/topazvalve/simulation/policy/package-info.java
@@ -1,2 +1,2 @@
 /** Textbook balancers to compare with, and faulty ones to test the oracle with. */
-package topazvalve.world.policy;
+package topazvalve.simulation.policy;
--- a/world/src/main/java/topazvalve/world/process/RunLine.java
+++ b/simulation/src/main/java/topazvalve/simulation/process/RunLine.java
@@ -1,4 +1,4 @@
-package topazvalve.world.process;
+package topazvalve.simulation.process;
 
 import java.io.IOException;
 import java.net.InetAddress;
--- a/world/src/main/java/topazvalve/world/process/package-info.java
+++ b/simulation/src/main/java/topazvalve/simulation/process/package-info.java
@@ -1,2 +1,2 @@
 /** The packaged sidecar as a process: how it is started, and on what port. */
-package topazvalve.world.process;
+package topazvalve.simulation.process;
--- a/world/src/main/java/topazvalve/world/real/DiscoveryStand.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/DiscoveryStandIn.java
@@ -1,4 +1,4 @@
-package topazvalve.world.real;
+package topazvalve.simulation.real;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -31,16 +31,16 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import topazvalve.decisions.Balancer.State;
-import topazvalve.world.model.Directory;
-import topazvalve.world.model.Directory.Entry;
-import topazvalve.world.scenario.Scenario.News;
+import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.simulation.model.EndpointDirectory;
+import topazvalve.simulation.model.EndpointDirectory.Entry;
+import topazvalve.simulation.scenario.Scenario.News;
 
 /**
  * Discovery on loopback: the whole list, and a watch on its changes as JSON lines in chunks, with an empty
  * line every 2 s. Each instance has a port of its own, which is how its calls are told from the others'.
  */
-final class DiscoveryStand {
+final class DiscoveryStandIn {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int LARGEST = 1 << 16;
     private static final long BEAT_S = 2;
@@ -53,7 +53,7 @@
 
     private record Watch(int instance, Channel channel) {}
 
-    DiscoveryStand(EventLoop loop, RealWorld world, News news) {
+    DiscoveryStandIn(EventLoop loop, RealWorld world, News news) {
         this.world = world;
         this.news = news;
         world.directory().follow(this::changed);
@@ -116,7 +116,7 @@
 
     /** The list as an instance had it before it started. */
     ObjectNode known() {
-        Directory directory = world.directory();
+        EndpointDirectory directory = world.directory();
         return listing(directory.all(), directory.revision(), true);
     }
 
@@ -146,7 +146,7 @@
         }
 
         private void answer(Channel channel, boolean watching, long from) {
-            Directory directory = world.directory();
+            EndpointDirectory directory = world.directory();
             HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
             List<Entry> changes = watching && from > 0 ? directory.since(from) : null;
             List<Entry> entries = changes != null ? changes : directory.all();
@@ -175,11 +175,11 @@
         }
     }
 
-    static String word(State state) {
+    static String word(EndpointStatus state) {
         return switch (state) {
             case READY -> "SERVING";
             case DRAINING -> "DRAINING";
-            case GONE -> "DELETED";
+            case REMOVED -> "DELETED";
         };
     }
 }
--- a/world/src/main/java/topazvalve/world/real/LoopClock.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/LoopClock.java
@@ -1,8 +1,8 @@
-package topazvalve.world.real;
+package topazvalve.simulation.real;
 
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
-import topazvalve.world.model.Clock;
+import topazvalve.simulation.model.Clock;
 
 /** The system's monotonic time, and an event loop's timers. Nanoseconds, from far above 0. */
 final class LoopClock implements Clock {
--- a/world/src/main/java/topazvalve/world/real/RealClients.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/RealClients.java
@@ -1,4 +1,4 @@
-package topazvalve.world.real;
+package topazvalve.simulation.real;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -22,15 +22,15 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import topazvalve.world.model.Asker;
-import topazvalve.world.model.Chance;
-import topazvalve.world.model.Rhythm;
-import topazvalve.world.oracle.Oracle.Answer;
-import topazvalve.world.oracle.Trace;
-import topazvalve.world.scenario.Scenario;
-import topazvalve.world.scenario.WorkClass;
-import topazvalve.world.scenario.WorkClass.Repeats;
-import topazvalve.world.scenario.WorkClass.Scope;
+import topazvalve.simulation.model.RandomStreams;
+import topazvalve.simulation.model.RequestGenerator;
+import topazvalve.simulation.model.TrafficPattern;
+import topazvalve.simulation.oracle.Oracle.Answer;
+import topazvalve.simulation.oracle.Trace;
+import topazvalve.simulation.scenario.Scenario;
+import topazvalve.simulation.scenario.WorkClass;
+import topazvalve.simulation.scenario.WorkClass.Repeats;
+import topazvalve.simulation.scenario.WorkClass.Scope;
 
 /**
  * The applications beside the sidecars: an open loop over real connections. Latency counts from the time a
@@ -44,18 +44,18 @@
     private final RealWorld world;
     private final Scenario scenario;
     private final EventLoop loop;
-    private final Chance chance;
-    private final List<Asker> askers = new ArrayList<>();
+    private final RandomStreams chance;
+    private final List<RequestGenerator> askers = new ArrayList<>();
     private final List<ArrayDeque<Channel>> idle = new ArrayList<>();
     private long lastId;
 
-    RealClients(RealWorld world, EventLoop loop, long seed, Rhythm rhythm) {
+    RealClients(RealWorld world, EventLoop loop, long seed, TrafficPattern rhythm) {
         this.world = world;
         this.scenario = world.scenario();
         this.loop = loop;
-        this.chance = Chance.stream(seed, "clients");
+        this.chance = RandomStreams.stream(seed, "clients");
         for (int i = 0; i < scenario.fleet().instances(); i++) {
-            askers.add(new Asker(scenario, seed, i, rhythm));
+            askers.add(new RequestGenerator(scenario, seed, i, rhythm));
             idle.add(new ArrayDeque<>());
         }
     }
@@ -73,12 +73,12 @@
 
     /** Times come from the plan, not from when the loop got round to them. */
     private void next(int number, long planned) {
-        Asker asker = askers.get(number);
+        RequestGenerator asker = askers.get(number);
         long at = planned + Math.max(1, asker.gap());
         if (at < world.end()) {
             world.clock().at(at, () -> {
                 if (asker.comes(world.sinceStart(at))) {
-                    Asker.Wish wish = asker.wish();
+                    RequestGenerator.Wish wish = asker.wish();
                     world.tally().asked(wish.requestClass(), world.sinceStart(at));
                     new Try(number, wish, at, false).send();
                 }
@@ -90,7 +90,7 @@
     /** One request on its way, and what the client does about its end. */
     private final class Try {
         private final int number;
-        private final Asker.Wish wish;
+        private final RequestGenerator.Wish wish;
         private final long firstAt;
         private final boolean retry;
         private final WorkClass kind;
@@ -102,7 +102,7 @@
         private boolean onceMore;
         private boolean over;
 
-        Try(int number, Asker.Wish wish, long firstAt, boolean retry) {
+        Try(int number, RequestGenerator.Wish wish, long firstAt, boolean retry) {
             this.number = number;
             this.wish = wish;
             this.firstAt = firstAt;
--- a/world/src/main/java/topazvalve/world/real/RealWorld.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/RealWorld.java
@@ -1,4 +1,4 @@
-package topazvalve.world.real;
+package topazvalve.simulation.real;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -22,27 +22,27 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
 import java.util.zip.CRC32C;
-import topazvalve.decisions.Balancer.State;
-import topazvalve.world.model.Chance;
-import topazvalve.world.model.Clock;
-import topazvalve.world.model.Directory.Entry;
-import topazvalve.world.model.FaultPlayer;
-import topazvalve.world.model.OrderServer;
-import topazvalve.world.model.Scene;
-import topazvalve.world.model.Stage;
-import topazvalve.world.oracle.Oracle;
-import topazvalve.world.oracle.Oracle.Answer;
-import topazvalve.world.oracle.Trace;
-import topazvalve.world.scenario.Fault;
-import topazvalve.world.scenario.Scenario;
-import topazvalve.world.tally.Run;
-import topazvalve.world.tally.Tally;
+import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.simulation.model.Clock;
+import topazvalve.simulation.model.EndpointDirectory.Entry;
+import topazvalve.simulation.model.FaultPlayer;
+import topazvalve.simulation.model.FaultTarget;
+import topazvalve.simulation.model.OrderServer;
+import topazvalve.simulation.model.RandomStreams;
+import topazvalve.simulation.model.Topology;
+import topazvalve.simulation.oracle.Oracle;
+import topazvalve.simulation.oracle.Oracle.Answer;
+import topazvalve.simulation.oracle.Trace;
+import topazvalve.simulation.scenario.Fault;
+import topazvalve.simulation.scenario.Scenario;
+import topazvalve.simulation.tally.Run;
+import topazvalve.simulation.tally.RunStatistics;
 
 /**
  * A scenario on real sockets: stand-ins and clients on one event loop of this process, and the packaged
  * sidecar as processes between them. Loopback addresses only. All state belongs to the loop.
  */
-public final class RealWorld implements Stage {
+public final class RealWorld implements FaultTarget {
     private static final ObjectMapper JSON = new ObjectMapper();
     /** What scheduling and the kernel may add to every limit. */
     private static final long TOLERANCE = 50_000_000;
@@ -58,20 +58,20 @@
     private final EventLoop loop = group.next();
     private final LoopClock clock = new LoopClock(loop);
     private final Oracle oracle;
-    private final Tally tally;
+    private final RunStatistics tally;
     private final Traces traces = new Traces();
-    private final Chance noise;
-    private final Chance spread;
-    private final Chance restarts;
-    private final Scene scene;
-    private final Map<Long, ServerStand> stands = new HashMap<>();
+    private final RandomStreams noise;
+    private final RandomStreams spread;
+    private final RandomStreams restarts;
+    private final Topology scene;
+    private final Map<Long, ServerStandIn> stands = new HashMap<>();
     private final List<SidecarProcess> sidecars = new ArrayList<>();
     private final List<Integer> discoveryPorts = new ArrayList<>();
     private final Map<Integer, Long> killedAt = new HashMap<>();
     private final Map<Long, Long> toldStarts = new HashMap<>();
     private final List<String> now = new ArrayList<>();
     private final CRC32C digest = new CRC32C();
-    private DiscoveryStand discovery;
+    private DiscoveryStandIn discovery;
     private long start;
     private long requests;
     private long[] attemptsByServer;
@@ -89,11 +89,11 @@
         this.folder = folder;
         this.oracle = new Oracle(
                 scenario.limits(), TOLERANCE, FLIGHT + 4 * scenario.network().crossZone());
-        this.tally = new Tally(scenario);
-        this.noise = Chance.stream(seed, "noise");
-        this.spread = Chance.stream(seed, "spread");
-        this.restarts = Chance.stream(seed, "restarts");
-        this.scene = onLoop(() -> new Scene(scenario, clock, seed));
+        this.tally = new RunStatistics(scenario);
+        this.noise = RandomStreams.stream(seed, "noise");
+        this.spread = RandomStreams.stream(seed, "spread");
+        this.restarts = RandomStreams.stream(seed, "restarts");
+        this.scene = onLoop(() -> new Topology(scenario, clock, seed));
         this.attemptsByServer = new long[4 * servers().size() + 64];
     }
 
@@ -112,7 +112,7 @@
      * Plays it in real time, with {@code eachSecond} told what the second before looked like and what is
      * going wrong.
      */
-    public Run play(BiConsumer<Tally.Second, String> eachSecond) throws IOException, InterruptedException {
+    public Run play(BiConsumer<RunStatistics.Second, String> eachSecond) throws IOException, InterruptedException {
         Files.createDirectories(folder);
         // Whoever ends this process must not leave sidecars behind.
         Thread hook = new Thread(() -> sidecars.forEach(SidecarProcess::kill));
@@ -132,7 +132,8 @@
                 int second = i;
                 long until = began + (i + 2) * 1_000_000_000L;
                 TimeUnit.NANOSECONDS.sleep(Math.max(0, until - System.nanoTime()));
-                Map.Entry<Tally.Second, String> seen = onLoop(() -> Map.entry(tally.second(second), wrongNow()));
+                Map.Entry<RunStatistics.Second, String> seen =
+                        onLoop(() -> Map.entry(tally.second(second), wrongNow()));
                 eachSecond.accept(seen.getKey(), seen.getValue());
             }
             long rest = scenario.classes().stream()
@@ -184,14 +185,14 @@
             for (OrderServer each : servers()) {
                 CompletableFuture<Void> opened = new CompletableFuture<>();
                 open.add(opened);
-                introduce(each, ServerStand.ANY, () -> opened.complete(null));
+                introduce(each, ServerStandIn.ANY, () -> opened.complete(null));
             }
             return null;
         });
         open.forEach(CompletableFuture::join);
         onLoop(() -> {
             servers().forEach(directory()::list);
-            discovery = new DiscoveryStand(loop, this, scenario.news());
+            discovery = new DiscoveryStandIn(loop, this, scenario.news());
             return null;
         });
         for (int i = 0; i < scenario.fleet().instances(); i++) {
@@ -205,7 +206,7 @@
             oracle.fell(fallen.id(), informed, elapsed());
             note("server " + fallen.id() + " was pushed over while cold");
         });
-        stands.put(server.id(), ServerStand.open(loop, this, server, where, open));
+        stands.put(server.id(), ServerStandIn.open(loop, this, server, where, open));
     }
 
     private void startSidecars() throws IOException, InterruptedException {
@@ -252,7 +253,7 @@
             each.end(5_000);
         }
         onLoop(() -> {
-            stands.values().forEach(ServerStand::close);
+            stands.values().forEach(ServerStandIn::close);
             return null;
         });
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
@@ -276,7 +277,7 @@
         return oracle;
     }
 
-    Tally tally() {
+    RunStatistics tally() {
         return tally;
     }
 
@@ -325,7 +326,7 @@
     void told(int instance, List<Entry> entries) {
         for (Entry each : entries) {
             toldStarts.put(each.server().id() * 100_000 + instance, each.startedAt());
-            if (each.state() == State.READY) {
+            if (each.state() == EndpointStatus.READY) {
                 oracle.readyTold(instance, each.server().id());
             } else {
                 oracle.drainTold(instance, each.server().id(), elapsed());
@@ -350,7 +351,7 @@
                 .put("az", scenario.fleet().zones().get(server.pod().zone()))
                 .put("model", server.kind().name())
                 .put("pod_group", server.pod().number())
-                .put("state", DiscoveryStand.word(entry.state()))
+                .put("state", DiscoveryStandIn.word(entry.state()))
                 .put("capacity_hint", 1.0)
                 .put("boot_ms", clock.unixMs(entry.startedAt()));
     }
@@ -368,7 +369,7 @@
     }
 
     @Override
-    public Scene scene() {
+    public Topology scene() {
         return scene;
     }
 
@@ -385,7 +386,7 @@
                     try {
                         sidecars.get(number).start(scenario, discoveryPorts.get(number), known, fresh);
                         directory().all().stream()
-                                .filter(each -> each.state() != State.READY)
+                                .filter(each -> each.state() != EndpointStatus.READY)
                                 .forEach(each ->
                                         oracle.drainTold(number, each.server().id(), elapsed()));
                     } catch (IOException e) {
@@ -399,7 +400,7 @@
     @Override
     public OrderServer replace(OrderServer old, boolean sameAddress) {
         OrderServer fresh = scene.fleet().replace(old);
-        introduce(fresh, sameAddress ? stands.get(old.id()).address() : ServerStand.ANY, () -> {});
+        introduce(fresh, sameAddress ? stands.get(old.id()).address() : ServerStandIn.ANY, () -> {});
         return fresh;
     }
 
--- a/world/src/main/java/topazvalve/world/real/ServerStand.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/ServerStandIn.java
@@ -1,4 +1,4 @@
-package topazvalve.world.real;
+package topazvalve.simulation.real;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
@@ -26,15 +26,15 @@
 import java.util.HashSet;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import topazvalve.world.model.Job;
-import topazvalve.world.model.OrderServer;
-import topazvalve.world.model.OrderServer.Mode;
+import topazvalve.simulation.model.OrderServer;
+import topazvalve.simulation.model.OrderServer.Mode;
+import topazvalve.simulation.model.ServerAttempt;
 
 /**
  * An order server on a loopback port: the protocol's HTTP/1.1 around the model. A machine that vanished reads
  * and closes nothing; loopback can't keep the kernel from completing handshakes on its behalf.
  */
-final class ServerStand {
+final class ServerStandIn {
     /** Loopback, on a port that the system picks. */
     static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
 
@@ -50,7 +50,7 @@
     private Mode seen = Mode.UP;
     private int life;
 
-    private ServerStand(EventLoop loop, RealWorld world, OrderServer server) {
+    private ServerStandIn(EventLoop loop, RealWorld world, OrderServer server) {
         this.world = world;
         this.server = server;
         this.life = server.life();
@@ -58,9 +58,9 @@
     }
 
     /** Opens one at an address, or at {@link #ANY}; on the loop. {@code open} is told once it listens. */
-    static ServerStand open(
+    static ServerStandIn open(
             EventLoop loop, RealWorld world, OrderServer server, InetSocketAddress where, Runnable open) {
-        ServerStand stand = new ServerStand(loop, world, server);
+        ServerStandIn stand = new ServerStandIn(loop, world, server);
         ChannelFuture bound = stand.bootstrap().bind(where);
         stand.listening = bound.channel();
         bound.addListener(done -> {
@@ -102,7 +102,7 @@
         if (server.life() != life) {
             life = server.life();
             if (mode != Mode.VANISHED) {
-                Set.copyOf(connections).forEach(ServerStand::reset);
+                Set.copyOf(connections).forEach(ServerStandIn::reset);
             }
         }
         if (mode == seen) {
@@ -119,7 +119,7 @@
             connections.forEach(each -> each.config().setAutoRead(false));
         } else if (seen == Mode.VANISHED) {
             // Back again, it knows nothing of old connections.
-            Set.copyOf(connections).forEach(ServerStand::reset);
+            Set.copyOf(connections).forEach(ServerStandIn::reset);
         } else {
             connections.forEach(each -> each.config().setAutoRead(true));
         }
@@ -232,7 +232,7 @@
     }
 
     /** An attempt, and the connection that its answer goes back on. */
-    private final class RealJob extends Job {
+    private final class RealJob extends ServerAttempt {
         private final Channel channel;
         private final String id;
         private final Traces.Sent sent;
@@ -317,7 +317,7 @@
         }
     }
 
-    private static final class ProbeJob extends Job {
+    private static final class ProbeJob extends ServerAttempt {
         private final Channel channel;
 
         ProbeJob(Channel channel) {
--- a/world/src/main/java/topazvalve/world/real/SidecarProcess.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/SidecarProcess.java
@@ -1,4 +1,4 @@
-package topazvalve.world.real;
+package topazvalve.simulation.real;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -9,9 +9,9 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import topazvalve.world.process.RunLine;
-import topazvalve.world.scenario.Scenario;
-import topazvalve.world.scenario.WorkClass;
+import topazvalve.simulation.process.RunLine;
+import topazvalve.simulation.scenario.Scenario;
+import topazvalve.simulation.scenario.WorkClass;
 
 /** The packaged sidecar as a process of its own, started by the deploy file's {@code run} line. */
 final class SidecarProcess {
--- a/world/src/main/java/topazvalve/world/real/Traces.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/Traces.java
@@ -1,8 +1,8 @@
-package topazvalve.world.real;
+package topazvalve.simulation.real;
 
 import java.util.HashMap;
 import java.util.Map;
-import topazvalve.world.oracle.Trace;
+import topazvalve.simulation.oracle.Trace;
 
 /** The requests that clients have sent, by the id that travels with them. */
 final class Traces {
--- a/world/src/main/java/topazvalve/world/real/package-info.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/package-info.java
@@ -1,2 +1,2 @@
 /** The world on real sockets, around the packaged sidecar. */
-package topazvalve.world.real;
+package topazvalve.simulation.real;
--- a/world/src/main/java/topazvalve/world/scenario/ExperimentFile.java
+++ b/simulation/src/main/java/topazvalve/simulation/scenario/ExperimentFile.java
@@ -1,4 +1,4 @@
-package topazvalve.world.scenario;
+package topazvalve.simulation.scenario;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -9,10 +9,10 @@
 import java.util.Set;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import topazvalve.toml.BadFile;
+import topazvalve.simulation.policy.Policy;
+import topazvalve.toml.InvalidFileException;
 import topazvalve.toml.Table;
 import topazvalve.toml.TomlFile;
-import topazvalve.world.policy.Policy;
 
 /** Reads an experiment from TOML: which scenarios, arms and seeds. Strict, as {@link ScenarioFile} is. */
 public final class ExperimentFile {
@@ -28,7 +28,7 @@
 
     private ExperimentFile() {}
 
-    /** Reads a file; {@link BadFile} if it has faults. */
+    /** Reads a file; {@link InvalidFileException} if it has faults. */
     public static Experiment read(Path file) throws IOException {
         return TomlFile.parse(file.toString(), Files.readString(file), table -> experiment(file, table));
     }
--- a/world/src/main/java/topazvalve/world/scenario/Fault.java
+++ b/simulation/src/main/java/topazvalve/simulation/scenario/Fault.java
@@ -1,4 +1,4 @@
-package topazvalve.world.scenario;
+package topazvalve.simulation.scenario;
 
 import java.util.EnumSet;
 import java.util.Set;
--- a/world/src/main/java/topazvalve/world/scenario/ScenarioFile.java
+++ b/simulation/src/main/java/topazvalve/simulation/scenario/ScenarioFile.java
@@ -1,4 +1,4 @@
-package topazvalve.world.scenario;
+package topazvalve.simulation.scenario;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -7,18 +7,18 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import topazvalve.toml.BadFile;
+import topazvalve.simulation.scenario.Scenario.Chaos;
+import topazvalve.simulation.scenario.Scenario.Clients;
+import topazvalve.simulation.scenario.Scenario.Fleet;
+import topazvalve.simulation.scenario.Scenario.Limits;
+import topazvalve.simulation.scenario.Scenario.Load;
+import topazvalve.simulation.scenario.Scenario.Network;
+import topazvalve.simulation.scenario.Scenario.News;
+import topazvalve.simulation.scenario.Scenario.Shape;
+import topazvalve.toml.InvalidFileException;
 import topazvalve.toml.Range;
 import topazvalve.toml.Table;
 import topazvalve.toml.TomlFile;
-import topazvalve.world.scenario.Scenario.Chaos;
-import topazvalve.world.scenario.Scenario.Clients;
-import topazvalve.world.scenario.Scenario.Fleet;
-import topazvalve.world.scenario.Scenario.Limits;
-import topazvalve.world.scenario.Scenario.Load;
-import topazvalve.world.scenario.Scenario.Network;
-import topazvalve.world.scenario.Scenario.News;
-import topazvalve.world.scenario.Scenario.Shape;
 
 /**
  * Reads a scenario from TOML 1.0. All faults of a file are told at once, each with its line; a file with a
@@ -27,7 +27,7 @@
 public final class ScenarioFile {
     private ScenarioFile() {}
 
-    /** Reads a file; {@link BadFile} if it has faults. */
+    /** Reads a file; {@link InvalidFileException} if it has faults. */
     public static Scenario read(Path file) throws IOException {
         return parse(file.toString(), Files.readString(file));
     }
--- a/world/src/main/java/topazvalve/world/scenario/WorkClass.java
+++ b/simulation/src/main/java/topazvalve/simulation/scenario/WorkClass.java
@@ -1,4 +1,4 @@
-package topazvalve.world.scenario;
+package topazvalve.simulation.scenario;
 
 import topazvalve.toml.Table;
 
--- a/world/src/main/java/topazvalve/world/scenario/package-info.java
+++ b/simulation/src/main/java/topazvalve/simulation/scenario/package-info.java
@@ -1,2 +1,2 @@
 /** What a scenario file says, read strictly. */
-package topazvalve.world.scenario;
+package topazvalve.simulation.scenario;
--- a/world/src/main/java/topazvalve/world/stream/Bytes.java
+++ b/simulation/src/main/java/topazvalve/simulation/stream/Bytes.java
@@ -1,4 +1,4 @@
-package topazvalve.world.stream;
+package topazvalve.simulation.stream;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
--- a/world/src/main/java/topazvalve/world/stream/End.java
+++ b/simulation/src/main/java/topazvalve/simulation/stream/StreamEnd.java
@@ -1,4 +1,4 @@
-package topazvalve.world.stream;
+package topazvalve.simulation.stream;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -10,13 +10,13 @@
 import io.netty.channel.socket.DuplexChannel;
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
-import topazvalve.world.stream.Plan.Fault;
-import topazvalve.world.stream.Plan.Order;
-import topazvalve.world.stream.StreamLog.Half;
-import topazvalve.world.stream.StreamLog.Seen;
+import topazvalve.simulation.stream.StreamLog.Half;
+import topazvalve.simulation.stream.StreamLog.Seen;
+import topazvalve.simulation.stream.StreamPlan.Fault;
+import topazvalve.simulation.stream.StreamPlan.Order;
 
 /** One end of one stream: sends its bytes as planned, compares what comes, ends its half. */
-class End extends ChannelInboundHandlerAdapter {
+class StreamEnd extends ChannelInboundHandlerAdapter {
     private static final int PIECE = 16 << 10;
     private static final long STALL_MS = 1_500;
 
@@ -32,7 +32,7 @@
     private boolean ended;
     private boolean peerEnded;
 
-    End(boolean client, Runnable onClosed) {
+    StreamEnd(boolean client, Runnable onClosed) {
         this.client = client;
         this.onClosed = onClosed;
     }
@@ -176,7 +176,7 @@
     }
 
     /** Whether the order of ends has this end wait for the other's. */
-    static boolean halfCloses(Plan plan) {
+    static boolean halfCloses(StreamPlan plan) {
         return plan.order() != Order.EACH;
     }
 }
--- a/world/src/main/java/topazvalve/world/stream/StreamLog.java
+++ b/simulation/src/main/java/topazvalve/simulation/stream/StreamLog.java
@@ -1,4 +1,4 @@
-package topazvalve.world.stream;
+package topazvalve.simulation.stream;
 
 import java.util.concurrent.CountDownLatch;
 
@@ -22,7 +22,7 @@
     }
 
     final long number;
-    final Plan plan;
+    final StreamPlan plan;
     final Half client = new Half();
     final Half server = new Half();
     final CountDownLatch over = new CountDownLatch(1);
@@ -31,7 +31,7 @@
     /** Something outside broke it: its server was killed. */
     volatile boolean killed;
 
-    StreamLog(long number, Plan plan) {
+    StreamLog(long number, StreamPlan plan) {
         this.number = number;
         this.plan = plan;
     }
--- a/world/src/main/java/topazvalve/world/stream/Plan.java
+++ b/simulation/src/main/java/topazvalve/simulation/stream/StreamPlan.java
@@ -1,4 +1,4 @@
-package topazvalve.world.stream;
+package topazvalve.simulation.stream;
 
 import java.util.Random;
 
@@ -12,7 +12,7 @@
  * @param fault what breaks it
  * @param faultAt the bytes sent by whoever breaks it, or stalls, before that
  */
-record Plan(long up, long down, Order order, int pauseMs, Fault fault, long faultAt) {
+record StreamPlan(long up, long down, Order order, int pauseMs, Fault fault, long faultAt) {
     /** A half that ends while the other still has all of its bytes to send, or both as they come. */
     enum Order {
         CLIENT_FIRST,
@@ -30,7 +30,7 @@
     }
 
     /** A third each way with a half-close, a third without; four in twenty-five reset or stall. */
-    static Plan of(long seed, long stream, int largest) {
+    static StreamPlan of(long seed, long stream, int largest) {
         Random random = new Random(seed * 1_000_003 + stream);
         long up = 8 + size(random, largest);
         long down = size(random, largest);
@@ -38,7 +38,7 @@
         int drawn = random.nextInt(25);
         Fault fault = drawn < Fault.values().length ? Fault.values()[drawn] : Fault.NONE;
         long breaker = fault == Fault.CLIENT_RESETS || fault == Fault.SERVER_STALLS ? up : down;
-        return new Plan(
+        return new StreamPlan(
                 up, down, order, random.nextInt(4) == 0 ? 20 : 0, fault, 8 + (long) (random.nextDouble() * breaker));
     }
 
--- a/world/src/main/java/topazvalve/world/stream/StreamStandIn.java
+++ b/simulation/src/main/java/topazvalve/simulation/stream/StreamStandIn.java
@@ -1,4 +1,4 @@
-package topazvalve.world.stream;
+package topazvalve.simulation.stream;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -62,7 +62,7 @@
         }
     }
 
-    private final class Served extends End {
+    private final class Served extends StreamEnd {
         private final ByteBuf name = Unpooled.buffer(8, 8);
         private Channel channel;
         private StreamLog log;
--- a/world/src/main/java/topazvalve/world/stream/StreamTrial.java
+++ b/simulation/src/main/java/topazvalve/simulation/stream/StreamTrial.java
@@ -1,4 +1,4 @@
-package topazvalve.world.stream;
+package topazvalve.simulation.stream;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
@@ -84,7 +84,7 @@
             if (!room.tryAcquire(LIMIT_S, TimeUnit.SECONDS)) {
                 throw new IllegalStateException("streams hang: " + hanging());
             }
-            StreamLog log = new StreamLog(i, Plan.of(seed, i, LARGEST));
+            StreamLog log = new StreamLog(i, StreamPlan.of(seed, i, LARGEST));
             logs.put(i, log);
             open(listener, log, room);
         }
@@ -122,7 +122,7 @@
                     protected void initChannel(Channel made) {
                         made.pipeline()
                                 .addLast(
-                                        new End(true, () -> {
+                                        new StreamEnd(true, () -> {
                                             log.over.countDown();
                                             room.release();
                                         }) {
@@ -204,7 +204,7 @@
         int refused = 0;
         long bytes = 0;
         for (StreamLog log : logs.values()) {
-            halves += End.halfCloses(log.plan) ? 1 : 0;
+            halves += StreamEnd.halfCloses(log.plan) ? 1 : 0;
             broken += log.killed || log.client.reset || log.server.reset ? 1 : 0;
             refused += log.at < 0 && !log.client.reset ? 1 : 0;
             bytes += log.client.received + log.server.received;
--- a/world/src/main/java/topazvalve/world/stream/package-info.java
+++ b/simulation/src/main/java/topazvalve/simulation/stream/package-info.java
@@ -2,4 +2,4 @@
  * Opaque streams to try a listener with: both ends are played here, so that every byte and every end can be
  * compared with what was sent. Knows nothing of what carries them.
  */
-package topazvalve.world.stream;
+package topazvalve.simulation.stream;
--- a/world/src/main/java/topazvalve/world/tally/Run.java
+++ b/simulation/src/main/java/topazvalve/simulation/tally/Run.java
@@ -1,10 +1,10 @@
-package topazvalve.world.tally;
+package topazvalve.simulation.tally;
 
 import java.util.List;
 import java.util.Map;
-import topazvalve.world.oracle.Breach;
-import topazvalve.world.oracle.Rule;
-import topazvalve.world.scenario.Fault;
+import topazvalve.simulation.oracle.Rule;
+import topazvalve.simulation.oracle.Violation;
+import topazvalve.simulation.scenario.Fault;
 
 /**
  * What one run came to.
@@ -19,9 +19,9 @@
         String scenario,
         String arm,
         long seed,
-        Tally tally,
+        RunStatistics tally,
         Map<Rule, Integer> broken,
-        List<Breach> breaches,
+        List<Violation> breaches,
         List<Fault> faults,
         List<String> notes,
         long digest,
--- a/world/src/main/java/topazvalve/world/tally/Tally.java
+++ b/simulation/src/main/java/topazvalve/simulation/tally/RunStatistics.java
@@ -1,17 +1,17 @@
-package topazvalve.world.tally;
+package topazvalve.simulation.tally;
 
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
 import org.HdrHistogram.Histogram;
-import topazvalve.world.scenario.Scenario;
-import topazvalve.world.scenario.WorkClass;
+import topazvalve.simulation.scenario.Scenario;
+import topazvalve.simulation.scenario.WorkClass;
 
 /**
  * Adds a run up: by class and by second, latencies from the time a request was meant to be sent. A client's
  * retry belongs to its first try. One thread.
  */
-public final class Tally {
+public final class RunStatistics {
     private static final long SECOND = 1_000_000_000L;
     private static final int WORST_WINDOW = 10;
     private static final long LONGEST = 600_000_000_000L;
@@ -34,7 +34,7 @@
     private long retries;
 
     /** Nothing yet. */
-    public Tally(Scenario scenario) {
+    public RunStatistics(Scenario scenario) {
         this.scenario = scenario;
         this.classes = scenario.classes().size();
         this.seconds = (int) (scenario.length() / SECOND) + 1;
--- /dev/null
+++ b/simulation/src/main/java/topazvalve/simulation/tally/package-info.java
@@ -0,0 +1,2 @@
+/** What a run adds up to. */
+package topazvalve.simulation.tally;
--- a/world/src/main/java/topazvalve/world/virtual/ColdSums.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/ColdLoadExperiment.java
@@ -1,21 +1,21 @@
-package topazvalve.world.virtual;
+package topazvalve.simulation.virtual;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import topazvalve.world.model.ColdWatch;
-import topazvalve.world.model.OrderServer;
-import topazvalve.world.policy.Policy;
-import topazvalve.world.scenario.ScenarioFile;
+import topazvalve.simulation.model.ColdServerMonitor;
+import topazvalve.simulation.model.OrderServer;
+import topazvalve.simulation.policy.Policy;
+import topazvalve.simulation.scenario.ScenarioFile;
 
 /**
  * Measures what whole fleets send to cold servers, over any window of the settings' time, against the N + 2 x
  * root of N + 2 requests of mean work from which the operators' standing page lets one fall. N is the
  * settings' factor times the server's present capacity over that window.
  */
-public final class ColdSums implements ColdWatch {
+public final class ColdLoadExperiment implements ColdServerMonitor {
     /** Part of a window's work from those who knew, from which a fall is their fault. */
     private static final double INFORMED = 2.0 / 3;
 
@@ -128,7 +128,7 @@
      */
     public record Result(List<Double> peaks, long faults) {}
 
-    private ColdSums() {}
+    private ColdLoadExperiment() {}
 
     @Override
     public void window(OrderServer server, double offered, double allowed, double informed) {
@@ -150,13 +150,13 @@
 
     /** Plays one fleet in virtual time. */
     static Result play(Policy policy, Fleet fleet, long seed) {
-        ColdSums sums = new ColdSums();
+        ColdLoadExperiment sums = new ColdLoadExperiment();
         VirtualWorld world = new VirtualWorld(
                 ScenarioFile.parse(
                         "cold-sums.toml",
                         SCENARIO.formatted(
                                 fleet.servers, fleet.instances, fleet.utilisation, fleet.factor, fleet.replaced)),
-                Arm.of(policy),
+                ExperimentArm.of(policy),
                 seed);
         world.watchCold(sums);
         world.play();
--- a/world/src/main/java/topazvalve/world/virtual/DelayLine.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/DelayLine.java
@@ -1,8 +1,8 @@
-package topazvalve.world.virtual;
+package topazvalve.simulation.virtual;
 
 import java.util.Arrays;
 import java.util.function.Consumer;
-import topazvalve.world.model.Clock;
+import topazvalve.simulation.model.Clock;
 
 /**
  * Things that are all due after the same delay: a ring in place of a place in the clock's heap for each. What
--- a/world/src/main/java/topazvalve/world/virtual/EventHeap.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/EventHeap.java
@@ -1,4 +1,4 @@
-package topazvalve.world.virtual;
+package topazvalve.simulation.virtual;
 
 import java.util.Arrays;
 
--- a/world/src/main/java/topazvalve/world/virtual/Peer.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/Peer.java
@@ -1,7 +1,7 @@
-package topazvalve.world.virtual;
+package topazvalve.simulation.virtual;
 
 import java.util.ArrayDeque;
-import topazvalve.world.model.OrderServer;
+import topazvalve.simulation.model.OrderServer;
 
 /** What one instance has to do with one server: connections, and what it was told of its start. */
 final class Peer {
--- a/world/src/main/java/topazvalve/world/virtual/VirtualAttempt.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualAttempt.java
@@ -1,10 +1,10 @@
-package topazvalve.world.virtual;
+package topazvalve.simulation.virtual;
 
-import topazvalve.decisions.Balancer.Outcome;
-import topazvalve.world.model.Job;
+import topazvalve.policy.LoadBalancer.Outcome;
+import topazvalve.simulation.model.ServerAttempt;
 
 /** One attempt on its way to a server, there, and back. */
-final class VirtualAttempt extends Job {
+final class VirtualAttempt extends ServerAttempt {
     final VirtualInstance instance;
     final VirtualCall call;
     final int number;
--- a/world/src/main/java/topazvalve/world/virtual/VirtualCall.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualCall.java
@@ -1,7 +1,7 @@
-package topazvalve.world.virtual;
+package topazvalve.simulation.virtual;
 
-import topazvalve.world.oracle.Oracle.Answer;
-import topazvalve.world.oracle.Trace;
+import topazvalve.simulation.oracle.Oracle.Answer;
+import topazvalve.simulation.oracle.Trace;
 
 /** One try of a client at an instance, with what the instance needs for its attempts. */
 final class VirtualCall {
--- a/world/src/main/java/topazvalve/world/virtual/VirtualClients.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualClients.java
@@ -1,15 +1,15 @@
-package topazvalve.world.virtual;
+package topazvalve.simulation.virtual;
 
 import java.util.ArrayList;
 import java.util.List;
-import topazvalve.world.model.Asker;
-import topazvalve.world.model.Rhythm;
-import topazvalve.world.oracle.Oracle.Answer;
-import topazvalve.world.oracle.Trace;
-import topazvalve.world.scenario.Scenario;
-import topazvalve.world.scenario.WorkClass;
-import topazvalve.world.scenario.WorkClass.Repeats;
-import topazvalve.world.scenario.WorkClass.Scope;
+import topazvalve.simulation.model.RequestGenerator;
+import topazvalve.simulation.model.TrafficPattern;
+import topazvalve.simulation.oracle.Oracle.Answer;
+import topazvalve.simulation.oracle.Trace;
+import topazvalve.simulation.scenario.Scenario;
+import topazvalve.simulation.scenario.WorkClass;
+import topazvalve.simulation.scenario.WorkClass.Repeats;
+import topazvalve.simulation.scenario.WorkClass.Scope;
 
 /** All clients: they ask whatever became of earlier requests, wait, give up, and some try once more. */
 final class VirtualClients {
@@ -19,10 +19,10 @@
     private final VirtualWorld world;
     private final Scenario scenario;
     private final List<DelayLine<VirtualCall>> expiries = new ArrayList<>();
-    private final List<Asker> askers = new ArrayList<>();
+    private final List<RequestGenerator> askers = new ArrayList<>();
     private long lastId;
 
-    VirtualClients(VirtualWorld world, long seed, Rhythm rhythm) {
+    VirtualClients(VirtualWorld world, long seed, TrafficPattern rhythm) {
         this.world = world;
         this.scenario = world.scenario();
         scenario.classes().forEach(kind -> {
@@ -30,7 +30,7 @@
             expiries.add(new DelayLine<>(world.clock(), room, this::expire));
         });
         for (int i = 0; i < scenario.fleet().instances(); i++) {
-            askers.add(new Asker(scenario, seed, i, rhythm));
+            askers.add(new RequestGenerator(scenario, seed, i, rhythm));
         }
     }
 
@@ -41,7 +41,7 @@
     }
 
     private void next(int number) {
-        Asker asker = askers.get(number);
+        RequestGenerator asker = askers.get(number);
         long at = world.clock().now() + Math.max(1, asker.gap());
         if (at < world.end()) {
             world.clock().at(at, () -> {
@@ -53,12 +53,12 @@
         }
     }
 
-    private void ask(int number, Asker.Wish wish) {
+    private void ask(int number, RequestGenerator.Wish wish) {
         world.tally().asked(wish.requestClass(), world.elapsed());
         submit(number, wish, world.clock().now(), false);
     }
 
-    private void submit(int number, Asker.Wish wish, long firstAt, boolean retry) {
+    private void submit(int number, RequestGenerator.Wish wish, long firstAt, boolean retry) {
         VirtualInstance instance = world.instances().get(number);
         long now = world.clock().now();
         if (!instance.running()) {
@@ -128,7 +128,7 @@
         }
     }
 
-    private void answered(VirtualCall call, Answer answer, long wait, Asker.Wish wish) {
+    private void answered(VirtualCall call, Answer answer, long wait, RequestGenerator.Wish wish) {
         world.oracle().answered(call.trace, answer, world.elapsed());
         world.digest(call.id, answer);
         if (answer == Answer.SERVED) {
@@ -139,7 +139,7 @@
         }
     }
 
-    private void ended(int number, Asker.Wish wish, Answer answer, long wait, long firstAt, boolean retry) {
+    private void ended(int number, RequestGenerator.Wish wish, Answer answer, long wait, long firstAt, boolean retry) {
         WorkClass kind = scenario.classes().get(wish.requestClass());
         boolean harmless = answer == Answer.REFUSED
                 || kind.repeats() == Repeats.FREE
--- a/world/src/main/java/topazvalve/world/virtual/VirtualClock.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualClock.java
@@ -1,7 +1,7 @@
-package topazvalve.world.virtual;
+package topazvalve.simulation.virtual;
 
 import java.util.Arrays;
-import topazvalve.world.model.Clock;
+import topazvalve.simulation.model.Clock;
 
 /**
  * Virtual time: events in order of their time, and of their making where that is the same.
--- a/world/src/main/java/topazvalve/world/virtual/VirtualDiscovery.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualDiscovery.java
@@ -1,18 +1,18 @@
-package topazvalve.world.virtual;
+package topazvalve.simulation.virtual;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import topazvalve.decisions.Balancer.ListKind;
-import topazvalve.decisions.Balancer.State;
-import topazvalve.decisions.Balancer.Upstream;
-import topazvalve.world.model.Chance;
-import topazvalve.world.model.Clock;
-import topazvalve.world.model.Directory;
-import topazvalve.world.model.Directory.Entry;
-import topazvalve.world.oracle.Oracle;
-import topazvalve.world.scenario.Scenario.News;
+import topazvalve.policy.LoadBalancer.EndpointInfo;
+import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.LoadBalancer.UpdateKind;
+import topazvalve.simulation.model.Clock;
+import topazvalve.simulation.model.EndpointDirectory;
+import topazvalve.simulation.model.EndpointDirectory.Entry;
+import topazvalve.simulation.model.RandomStreams;
+import topazvalve.simulation.oracle.Oracle;
+import topazvalve.simulation.scenario.Scenario.News;
 
 /** Discovery as instances meet it: one service for all, calls in turn, watches on changes. */
 final class VirtualDiscovery {
@@ -26,9 +26,9 @@
 
     private final Clock clock;
     private final News news;
-    private final Directory directory;
+    private final EndpointDirectory directory;
     private final Oracle oracle;
-    private final Chance chance;
+    private final RandomStreams chance;
     private final Map<Integer, Watch> watches = new HashMap<>();
     private final List<VirtualInstance> instances;
     private long busyUntil;
@@ -36,9 +36,9 @@
     VirtualDiscovery(
             Clock clock,
             News news,
-            Directory directory,
+            EndpointDirectory directory,
             Oracle oracle,
-            Chance chance,
+            RandomStreams chance,
             List<VirtualInstance> instances) {
         this.clock = clock;
         this.news = news;
@@ -54,7 +54,7 @@
         if (directory.down() && news.subscribe() && !watches.isEmpty()) {
             List<Integer> cut = new ArrayList<>(watches.keySet());
             watches.clear();
-            cut.forEach(number -> instances.get(number).listed(ListKind.FAILED, List.of()));
+            cut.forEach(number -> instances.get(number).listed(UpdateKind.FAILED, List.of()));
         }
         clock.at(clock.now() + LOOK, this::lookWhetherDown);
     }
@@ -98,7 +98,7 @@
                 return;
             }
             if (fails || directory.down()) {
-                instance.listed(ListKind.FAILED, List.of());
+                instance.listed(UpdateKind.FAILED, List.of());
             } else {
                 answer(instance, lists, watching);
             }
@@ -112,7 +112,7 @@
             watch.toldUntil = directory.revision();
             watches.put(instance.number(), watch);
         }
-        ListKind kind = changes == null && lists ? ListKind.FULL : ListKind.DELTA;
+        UpdateKind kind = changes == null && lists ? UpdateKind.FULL : UpdateKind.DELTA;
         tell(instance, kind, changes != null ? changes : lists ? directory.all() : List.of());
     }
 
@@ -126,16 +126,16 @@
                     && instance.life() == life
                     && entry.changedAtRevision() > watch.toldUntil) {
                 watch.toldUntil = entry.changedAtRevision();
-                tell(instance, ListKind.DELTA, List.of(entry));
+                tell(instance, UpdateKind.DELTA, List.of(entry));
             }
         });
     }
 
-    private void tell(VirtualInstance instance, ListKind kind, List<Entry> entries) {
-        List<Upstream> lines = new ArrayList<>(entries.size());
+    private void tell(VirtualInstance instance, UpdateKind kind, List<Entry> entries) {
+        List<EndpointInfo> lines = new ArrayList<>(entries.size());
         for (Entry each : entries) {
             lines.add(line(each));
-            if (each.state() == State.READY) {
+            if (each.state() == EndpointStatus.READY) {
                 oracle.readyTold(instance.number(), each.server().id());
             } else {
                 oracle.drainTold(instance.number(), each.server().id(), instance.world.elapsed());
@@ -145,8 +145,8 @@
         instance.listed(kind, lines);
     }
 
-    static Upstream line(Entry entry) {
-        return new Upstream(
+    static EndpointInfo line(Entry entry) {
+        return new EndpointInfo(
                 entry.server().id(),
                 entry.server().pod().zone(),
                 entry.server().kindNumber(),
--- a/world/src/main/java/topazvalve/world/virtual/VirtualInstance.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualInstance.java
@@ -1,27 +1,27 @@
-package topazvalve.world.virtual;
+package topazvalve.simulation.virtual;
 
 import java.util.ArrayDeque;
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import topazvalve.decisions.Balancer;
-import topazvalve.decisions.Balancer.ListKind;
-import topazvalve.decisions.Balancer.Outcome;
-import topazvalve.decisions.Balancer.Request;
-import topazvalve.decisions.Balancer.State;
-import topazvalve.decisions.Balancer.Upstream;
-import topazvalve.world.model.Directory.Entry;
-import topazvalve.world.model.Job;
-import topazvalve.world.model.OrderServer;
-import topazvalve.world.model.OrderServer.Mode;
-import topazvalve.world.oracle.Oracle.Answer;
+import topazvalve.policy.LoadBalancer;
+import topazvalve.policy.LoadBalancer.EndpointInfo;
+import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.LoadBalancer.Outcome;
+import topazvalve.policy.LoadBalancer.Request;
+import topazvalve.policy.LoadBalancer.UpdateKind;
+import topazvalve.simulation.model.EndpointDirectory.Entry;
+import topazvalve.simulation.model.OrderServer;
+import topazvalve.simulation.model.OrderServer.Mode;
+import topazvalve.simulation.model.ServerAttempt;
+import topazvalve.simulation.oracle.Oracle.Answer;
 
 /**
- * One sidecar in virtual time: hosts a {@link Balancer} as the real one's engine does, and carries out what
+ * One sidecar in virtual time: hosts a {@link LoadBalancer} as the real one's engine does, and carries out what
  * it orders, over links that take time. Each send has one outcome, each request one final answer.
  */
-class VirtualInstance implements Balancer.Actions {
+class VirtualInstance implements LoadBalancer.Actions {
     private static final float[] NO_REPORT = {};
     private static final long PROBE_TIMEOUT = 250_000_000;
     private static final double PROBE_WORK = 130_000;
@@ -29,7 +29,7 @@
     final VirtualWorld world;
     private final int number;
     private final int zone;
-    private Balancer balancer;
+    private LoadBalancer balancer;
     /** By the server's id, which is small and given out in turn. */
     private Peer[] peers = new Peer[16];
 
@@ -64,13 +64,13 @@
     }
 
     /** Begins with the list that it had when it last ran. */
-    void start(Balancer made, List<Entry> known, long knownRevision) {
+    void start(LoadBalancer made, List<Entry> known, long knownRevision) {
         balancer = made;
         running = true;
         revision = knownRevision;
         heard(known, knownRevision);
         tell(() -> balancer.start(now()));
-        listed(ListKind.CACHED, known.stream().map(VirtualDiscovery::line).toList());
+        listed(UpdateKind.CACHED, known.stream().map(VirtualDiscovery::line).toList());
     }
 
     /** Killed: nothing of it is left but for what servers still hold. */
@@ -128,7 +128,7 @@
                 peer.toldStart = each.startedAt();
                 peer.closeIdle();
             }
-            if (each.state() != State.READY) {
+            if (each.state() != EndpointStatus.READY) {
                 peer.closeIdle();
             }
         }
@@ -149,8 +149,8 @@
         return id < peers.length ? peers[(int) id] : null;
     }
 
-    void listed(ListKind kind, List<Upstream> lines) {
-        tell(() -> balancer.listChanged(now(), kind, lines));
+    void listed(UpdateKind kind, List<EndpointInfo> lines) {
+        tell(() -> balancer.endpointsUpdated(now(), kind, lines));
     }
 
     // Requests.
@@ -160,7 +160,7 @@
         calls.put(call.id, call);
         Request request =
                 new Request(call.id, call.requestClass, 0, call.key, call.deadline - now(), 0, call.retry, true);
-        tell(() -> balancer.request(now(), request));
+        tell(() -> balancer.requestReceived(now(), request));
     }
 
     /** The client's time is over for all that this instance can still do. */
@@ -182,7 +182,7 @@
         if (!call.over) {
             call.over = true;
             forget(call);
-            tell(() -> balancer.hangup(now(), call.id));
+            tell(() -> balancer.clientDisconnected(now(), call.id));
             for (VirtualAttempt attempt : call.attempts) {
                 if (attempt != null && !attempt.ended && !attempt.written) {
                     giveUp(attempt);
@@ -212,7 +212,7 @@
     }
 
     @Override
-    public void refuse(long request, long wait) {
+    public void reject(long request, long wait) {
         VirtualCall call = calls.get(request);
         if (call != null) {
             finish(call, Answer.REFUSED, wait);
@@ -228,7 +228,7 @@
     }
 
     @Override
-    public void send(long request, long upstream, long timeout) {
+    public void forward(long request, long upstream, long timeout) {
         VirtualCall call = calls.get(request);
         if (call != null) {
             send(call, upstream, timeout);
@@ -367,12 +367,12 @@
         if (outcome == Outcome.OK) {
             finish(call, Answer.SERVED, 0);
         }
-        balancer.outcome(now(), call.id, attempt, upstream, outcome, elapsed, call.over, NO_REPORT);
+        balancer.attemptCompleted(now(), call.id, attempt, upstream, outcome, elapsed, call.over, NO_REPORT);
         forget(call);
     }
 
     @Override
-    public void cancel(long request, int attempt) {
+    public void cancelAttempt(long request, int attempt) {
         VirtualCall call = calls.get(request);
         if (call != null
                 && attempt < call.attempts.length
@@ -385,17 +385,17 @@
     }
 
     @Override
-    public void timer(long token, long at) {
+    public void setTimer(long token, long at) {
         int mine = life;
         world.clock().at(at, () -> {
             if (life == mine) {
-                tell(() -> balancer.timer(now(), token));
+                tell(() -> balancer.timerFired(now(), token));
             }
         });
     }
 
     @Override
-    public void probe(long upstream) {
+    public void sendHealthCheck(long upstream) {
         Peer peer = peer(upstream);
         if (peer != null) {
             new Probe(peer).send();
@@ -403,7 +403,7 @@
     }
 
     /** A probe waits and is served like a request. */
-    private final class Probe extends Job {
+    private final class Probe extends ServerAttempt {
         private final Peer peer;
         private final long sentAt = now();
         private final int mine = life;
@@ -434,7 +434,7 @@
         private void end(Outcome outcome) {
             if (!ended && life == mine) {
                 ended = true;
-                tell(() -> balancer.probeResult(now(), peer.server.id(), outcome, now() - sentAt, NO_REPORT));
+                tell(() -> balancer.healthCheckCompleted(now(), peer.server.id(), outcome, now() - sentAt, NO_REPORT));
             }
         }
 
@@ -461,7 +461,7 @@
     }
 
     @Override
-    public void closeIdle(long upstream) {
+    public void closeIdleConnections(long upstream) {
         Peer peer = peer(upstream);
         if (peer != null) {
             peer.closeIdle();
@@ -470,7 +470,7 @@
 
     /** Instances share nothing. */
     @Override
-    public void tell(int peer, byte[] message) {
+    public void sendGossip(int peer, byte[] message) {
         throw new UnsupportedOperationException("peers");
     }
 
@@ -480,12 +480,12 @@
     }
 
     @Override
-    public void subscribe(boolean on) {
+    public void watchEndpoints(boolean on) {
         world.discovery().subscribe(this, on);
     }
 
     @Override
-    public void fetchList() {
+    public void fetchEndpoints() {
         world.discovery().fetch(this);
     }
 }
--- a/world/src/main/java/topazvalve/world/virtual/VirtualWorld.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualWorld.java
@@ -1,4 +1,4 @@
-package topazvalve.world.virtual;
+package topazvalve.simulation.virtual;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -6,39 +6,39 @@
 import java.util.List;
 import java.util.function.IntFunction;
 import java.util.zip.CRC32C;
-import topazvalve.decisions.Balancer.State;
-import topazvalve.world.model.Chance;
-import topazvalve.world.model.Clock;
-import topazvalve.world.model.ColdWatch;
-import topazvalve.world.model.FaultPlayer;
-import topazvalve.world.model.OrderServer;
-import topazvalve.world.model.Scene;
-import topazvalve.world.model.Stage;
-import topazvalve.world.oracle.Oracle;
-import topazvalve.world.oracle.Oracle.Answer;
-import topazvalve.world.scenario.Fault;
-import topazvalve.world.scenario.Scenario;
-import topazvalve.world.tally.Run;
-import topazvalve.world.tally.Tally;
+import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.simulation.model.Clock;
+import topazvalve.simulation.model.ColdServerMonitor;
+import topazvalve.simulation.model.FaultPlayer;
+import topazvalve.simulation.model.FaultTarget;
+import topazvalve.simulation.model.OrderServer;
+import topazvalve.simulation.model.RandomStreams;
+import topazvalve.simulation.model.Topology;
+import topazvalve.simulation.oracle.Oracle;
+import topazvalve.simulation.oracle.Oracle.Answer;
+import topazvalve.simulation.scenario.Fault;
+import topazvalve.simulation.scenario.Scenario;
+import topazvalve.simulation.tally.Run;
+import topazvalve.simulation.tally.RunStatistics;
 
 /** One scenario, one arm, one seed, in virtual time: the same three give the same run to the last event. */
-public final class VirtualWorld implements Stage {
+public final class VirtualWorld implements FaultTarget {
     /** A start far from 0, since a server that started at 0 counts as started long ago. */
     private static final long START = 1_000_000_000_000L;
 
     private static final double IDLE_SHARE = 0.9;
 
     private final Scenario scenario;
-    private final Arm arm;
+    private final ExperimentArm arm;
     private final long seed;
     private final VirtualClock clock = new VirtualClock(START);
     private final Oracle oracle;
-    private ColdWatch coldWatch;
-    private final Tally tally;
-    private final Scene scene;
+    private ColdServerMonitor coldWatch;
+    private final RunStatistics tally;
+    private final Topology scene;
     private final VirtualDiscovery discovery;
-    private final Chance noise;
-    private final Chance restarts;
+    private final RandomStreams noise;
+    private final RandomStreams restarts;
     private final List<VirtualInstance> instances = new ArrayList<>();
     private final VirtualClients clients;
     private final DelayLine<Peer.Connection> idleConnections;
@@ -48,25 +48,25 @@
     private long[] attemptsByServer;
 
     /** Sets the scene. */
-    public VirtualWorld(Scenario scenario, Arm arm, long seed) {
+    public VirtualWorld(Scenario scenario, ExperimentArm arm, long seed) {
         this(scenario, arm, seed, null);
     }
 
     /** For the oracle's tests: with sidecars of another make. */
-    VirtualWorld(Scenario scenario, Arm arm, long seed, Make others) {
+    VirtualWorld(Scenario scenario, ExperimentArm arm, long seed, Make others) {
         this.scenario = scenario;
         this.arm = arm;
         this.seed = seed;
         this.oracle = new Oracle(scenario.limits(), 0, flight(scenario));
-        this.tally = new Tally(scenario);
-        this.scene = new Scene(scenario, clock, seed);
+        this.tally = new RunStatistics(scenario);
+        this.scene = new Topology(scenario, clock, seed);
         this.attemptsByServer = new long[servers().size() + 1];
-        this.noise = Chance.stream(seed, "noise");
-        this.restarts = Chance.stream(seed, "restarts");
+        this.noise = RandomStreams.stream(seed, "noise");
+        this.restarts = RandomStreams.stream(seed, "restarts");
         servers().forEach(this::introduce);
         servers().forEach(directory()::list);
         this.discovery = new VirtualDiscovery(
-                clock, scenario.news(), directory(), oracle, Chance.stream(seed, "discovery"), instances);
+                clock, scenario.news(), directory(), oracle, RandomStreams.stream(seed, "discovery"), instances);
         this.keepIdle = (long) (scenario.machines().stream()
                         .mapToLong(each -> each.idleClose())
                         .min()
@@ -115,7 +115,7 @@
     }
 
     /** Cold servers are watched and don't fall; before the run is played. */
-    void watchCold(ColdWatch watch) {
+    void watchCold(ColdServerMonitor watch) {
         coldWatch = watch;
         servers().forEach(each -> each.watchCold(watch));
     }
@@ -172,7 +172,7 @@
     }
 
     @Override
-    public Scene scene() {
+    public Topology scene() {
         return scene;
     }
 
@@ -184,7 +184,7 @@
         servers().forEach(each -> oracle.readyTold(number, each.id()));
         begin(instance);
         directory().all().stream()
-                .filter(each -> each.state() != State.READY)
+                .filter(each -> each.state() != EndpointStatus.READY)
                 .forEach(each -> oracle.drainTold(number, each.server().id(), elapsed()));
     }
 
@@ -208,7 +208,7 @@
         return oracle;
     }
 
-    Tally tally() {
+    RunStatistics tally() {
         return tally;
     }
 
--- a/world/src/main/java/topazvalve/world/virtual/package-info.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/package-info.java
@@ -1,2 +1,2 @@
 /** The world in virtual time, with the decision module hosted directly. */
-package topazvalve.world.virtual;
+package topazvalve.simulation.virtual;
--- a/world/src/test/java/topazvalve/world/WallsTest.java
+++ b/simulation/src/test/java/topazvalve/simulation/ArchitectureTest.java
@@ -1,4 +1,4 @@
-package topazvalve.world;
+package topazvalve.simulation;
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
 import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
@@ -8,45 +8,48 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** One model on two clocks: it may know neither of them. */
-class WallsTest {
-    private static final JavaClasses WORLD = new ClassFileImporter()
+/** The model runs on two clocks and depends on neither of them. */
+class ArchitectureTest {
+    private static final JavaClasses CLASSES = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
-            .importPackages("topazvalve.world");
+            .importPackages("topazvalve.simulation");
 
     @Test
-    void theModelKnowsNeitherClockNorSocket() {
+    void modelUsesNeitherClockNorSocket() {
         noClasses()
                 .that()
                 .resideInAnyPackage(
-                        "..world.model..",
-                        "..world.oracle..",
-                        "..world.policy..",
-                        "..world.scenario..",
-                        "..world.tally..")
+                        "..simulation.model..",
+                        "..simulation.oracle..",
+                        "..simulation.policy..",
+                        "..simulation.scenario..",
+                        "..simulation.tally..")
                 .should()
                 .dependOnClassesThat()
-                .resideInAnyPackage("io.netty..", "java.net..", "..world.real..", "..world.virtual..")
+                .resideInAnyPackage("io.netty..", "java.net..", "..simulation.real..", "..simulation.virtual..")
                 .orShould()
                 .callMethod(System.class, "nanoTime")
                 .orShould()
                 .callMethod(System.class, "currentTimeMillis")
-                .check(WORLD);
+                .check(CLASSES);
     }
 
     @Test
     void virtualTimeOpensNoSocket() {
         noClasses()
                 .that()
-                .resideInAnyPackage("..world.virtual..", "..world.experiment..")
+                .resideInAnyPackage("..simulation.virtual..", "..simulation.experiment..")
                 .should()
                 .dependOnClassesThat()
-                .resideInAnyPackage("io.netty..", "java.net..", "..world.real..")
-                .check(WORLD);
+                .resideInAnyPackage("io.netty..", "java.net..", "..simulation.real..")
+                .check(CLASSES);
     }
 
     @Test
     void packagesHaveNoCycles() {
-        slices().matching("topazvalve.world.(*)..").should().beFreeOfCycles().check(WORLD);
+        slices().matching("topazvalve.simulation.(*)..")
+                .should()
+                .beFreeOfCycles()
+                .check(CLASSES);
     }
 }
--- a/world/src/test/java/topazvalve/world/experiment/RunnerTest.java
+++ b/simulation/src/test/java/topazvalve/simulation/experiment/RunnerTest.java
@@ -1,4 +1,4 @@
-package topazvalve.world.experiment;
+package topazvalve.simulation.experiment;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,16 +11,16 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import topazvalve.world.policy.Policy;
-import topazvalve.world.scenario.Scenario;
-import topazvalve.world.scenario.ScenarioFile;
-import topazvalve.world.virtual.Arm;
+import topazvalve.simulation.policy.Policy;
+import topazvalve.simulation.scenario.Scenario;
+import topazvalve.simulation.scenario.ScenarioFile;
+import topazvalve.simulation.virtual.ExperimentArm;
 
 class RunnerTest {
     @TempDir
     private Path folder;
 
-    private static Plan plan(long seeds) {
+    private static ExperimentPlan plan(long seeds) {
         Scenario scenario = ScenarioFile.parse("tiny.toml", """
                 name = "tiny"
                 length = "5s"
@@ -39,10 +39,10 @@
                 deadline = "1s"
                 repeats = "free"
                 """);
-        return new Plan(
+        return new ExperimentPlan(
                 "tiny",
-                List.of(new Plan.Setting(Path.of("tiny.toml"), scenario)),
-                List.of(Arm.of(Policy.LEAST_IN_FLIGHT), Arm.of(Policy.RANDOM)),
+                List.of(new ExperimentPlan.Setting(Path.of("tiny.toml"), scenario)),
+                List.of(ExperimentArm.of(Policy.LEAST_IN_FLIGHT), ExperimentArm.of(Policy.RANDOM)),
                 1,
                 seeds);
     }
--- a/world/src/test/java/topazvalve/world/oracle/ClientLeftTest.java
+++ b/simulation/src/test/java/topazvalve/simulation/oracle/ClientLeftTest.java
@@ -1,12 +1,12 @@
-package topazvalve.world.oracle;
+package topazvalve.simulation.oracle;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.Map;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import topazvalve.world.scenario.Scenario;
-import topazvalve.world.scenario.ScenarioFile;
+import topazvalve.simulation.scenario.Scenario;
+import topazvalve.simulation.scenario.ScenarioFile;
 
 /** An attempt for a client that has left: 0.1 s and the way to the server are granted, to each attempt. */
 class ClientLeftTest {
--- a/world/src/test/java/topazvalve/world/scenario/ScenarioFileTest.java
+++ b/simulation/src/test/java/topazvalve/simulation/scenario/ScenarioFileTest.java
@@ -1,4 +1,4 @@
-package topazvalve.world.scenario;
+package topazvalve.simulation.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
-import topazvalve.toml.BadFile;
+import topazvalve.toml.InvalidFileException;
 import topazvalve.toml.Problem;
 
 class ScenarioFileTest {
@@ -34,9 +34,9 @@
         assertTrue(read.instanceRate() > 0);
     }
 
-    private static BadFile refused(List<String> lines) {
+    private static InvalidFileException refused(List<String> lines) {
         return assertThrows(
-                BadFile.class,
+                InvalidFileException.class,
                 () -> ScenarioFile.parse("x.toml", String.join("\n", lines)),
                 () -> String.join("\n", lines));
     }
@@ -80,7 +80,8 @@
 
     @Test
     void allFaultsAreToldAtOnceAndInOrder() {
-        BadFile bad = refused(List.of("nam = \"x\"", "length = \"10\"", "[load]", "rate = 1", "rhythm = 2"));
+        InvalidFileException bad =
+                refused(List.of("nam = \"x\"", "length = \"10\"", "[load]", "rate = 1", "rhythm = 2"));
         List<String> told = bad.problems().stream().map(Problem::key).toList();
         assertTrue(
                 told.containsAll(List.of("name", "nam", "length", "load.rhythm", "machine", "class")), told.toString());
@@ -91,7 +92,7 @@
 
     @Test
     void whatIsNoTomlIsOneFaultWithItsLine() {
-        BadFile bad = refused(List.of("name = \"x\"", "length = "));
+        InvalidFileException bad = refused(List.of("name = \"x\"", "length = "));
         assertEquals(1, bad.problems().size());
         assertFalse(bad.getMessage().contains("\n"), bad.getMessage());
         assertTrue(bad.getMessage().startsWith("x.toml:"), bad.getMessage());
--- a/world/src/test/java/topazvalve/world/virtual/ColdSumsTest.java
+++ b/simulation/src/test/java/topazvalve/simulation/virtual/ColdSumsTest.java
@@ -1,4 +1,4 @@
-package topazvalve.world.virtual;
+package topazvalve.simulation.virtual;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import topazvalve.world.policy.Policy;
+import topazvalve.simulation.policy.Policy;
 
 /** What a whole fleet sends to a cold server stays under N + 2 x root of N + 2, whoever sends how much. */
 class ColdSumsTest {
@@ -20,15 +20,15 @@
     private static final double REPLACED = 0.6;
     private static final int SEEDS = 2;
 
-    private static ColdSums.Fleet fleet(int instances, int servers) {
-        return new ColdSums.Fleet(instances, servers, UTILISATION, FACTOR, REPLACED);
+    private static ColdLoadExperiment.Fleet fleet(int instances, int servers) {
+        return new ColdLoadExperiment.Fleet(instances, servers, UTILISATION, FACTOR, REPLACED);
     }
 
     @ParameterizedTest
     @CsvSource({"5, 12", "14, 60", "30, 40", "100, 200"})
     void fleetKeepsToWhatColdServersBear(int instances, int servers) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            ColdSums.Result result = ColdSums.play(Policy.MODULE, fleet(instances, servers), seed);
+            ColdLoadExperiment.Result result = ColdLoadExperiment.play(Policy.MODULE, fleet(instances, servers), seed);
             assertTrue(result.peaks().size() > servers / 2, "cold ones were sent something");
             assertTrue(result.peaks().stream().allMatch(each -> each < MOST), "seed " + seed + ": " + result.peaks());
             assertEquals(0, result.faults());
@@ -38,7 +38,7 @@
     /** The measurement can tell: who knows nothing of cold servers sends far more. */
     @Test
     void policyThatSparesNoColdServerIsSeen() {
-        ColdSums.Result result = ColdSums.play(Policy.RANDOM, fleet(30, 40), 1);
+        ColdLoadExperiment.Result result = ColdLoadExperiment.play(Policy.RANDOM, fleet(30, 40), 1);
         assertTrue(result.faults() > 0, "over: " + result.peaks());
     }
 }
--- a/world/src/test/java/topazvalve/world/virtual/FaultySidecar.java
+++ b/simulation/src/test/java/topazvalve/simulation/virtual/FaultySidecar.java
@@ -1,13 +1,13 @@
-package topazvalve.world.virtual;
+package topazvalve.simulation.virtual;
 
 import java.util.List;
-import topazvalve.decisions.Balancer.ListKind;
-import topazvalve.decisions.Balancer.State;
-import topazvalve.decisions.Balancer.Upstream;
-import topazvalve.world.model.Directory.Entry;
-import topazvalve.world.oracle.Oracle.Answer;
-import topazvalve.world.oracle.Rule;
-import topazvalve.world.scenario.WorkClass.Repeats;
+import topazvalve.policy.LoadBalancer.EndpointInfo;
+import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.LoadBalancer.UpdateKind;
+import topazvalve.simulation.model.EndpointDirectory.Entry;
+import topazvalve.simulation.oracle.Oracle.Answer;
+import topazvalve.simulation.oracle.Rule;
+import topazvalve.simulation.scenario.WorkClass.Repeats;
 
 /** A sidecar that breaks one rule now and then, for the oracle to find. */
 final class FaultySidecar extends VirtualInstance {
@@ -92,7 +92,7 @@
     void heard(List<Entry> entries, long listRevision) {
         super.heard(entries, listRevision);
         for (Entry each : entries) {
-            if (each.state() == State.READY && each.startedAt() > newestStart) {
+            if (each.state() == EndpointStatus.READY && each.startedAt() > newestStart) {
                 newestStart = each.startedAt();
                 newest = each.server().id();
             }
@@ -100,19 +100,19 @@
     }
 
     @Override
-    void listed(ListKind kind, List<Upstream> lines) {
-        boolean deaf = breaks == Rule.DRAIN && kind != ListKind.CACHED;
+    void listed(UpdateKind kind, List<EndpointInfo> lines) {
+        boolean deaf = breaks == Rule.DRAIN && kind != UpdateKind.CACHED;
         super.listed(
-                deaf ? ListKind.DELTA : kind,
+                deaf ? UpdateKind.DELTA : kind,
                 deaf
                         ? lines.stream()
-                                .filter(each -> each.state() == State.READY)
+                                .filter(each -> each.status() == EndpointStatus.READY)
                                 .toList()
                         : lines);
     }
 
     @Override
-    public void send(long request, long upstream, long timeout) {
-        super.send(request, breaks == Rule.COLD && newestStart > 0 ? newest : upstream, timeout);
+    public void forward(long request, long upstream, long timeout) {
+        super.forward(request, breaks == Rule.COLD && newestStart > 0 ? newest : upstream, timeout);
     }
 }
--- a/world/src/test/java/topazvalve/world/virtual/OracleTest.java
+++ b/simulation/src/test/java/topazvalve/simulation/virtual/OracleTest.java
@@ -1,4 +1,4 @@
-package topazvalve.world.virtual;
+package topazvalve.simulation.virtual;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,10 +7,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import topazvalve.world.oracle.Rule;
-import topazvalve.world.policy.Policy;
-import topazvalve.world.scenario.Scenario;
-import topazvalve.world.tally.Run;
+import topazvalve.simulation.oracle.Rule;
+import topazvalve.simulation.policy.Policy;
+import topazvalve.simulation.scenario.Scenario;
+import topazvalve.simulation.tally.Run;
 
 /** The oracle finds each rule's breach by a sidecar that breaks it, and none where none is. */
 class OracleTest {
@@ -26,7 +26,7 @@
     void aBrokenRuleIsFound(Rule rule) {
         Run run = new VirtualWorld(
                         scenarioFor(rule),
-                        Arm.of(Policy.RANDOM),
+                        ExperimentArm.of(Policy.RANDOM),
                         SEED,
                         (world, number) -> new FaultySidecar(world, number, rule))
                 .play();
@@ -41,7 +41,8 @@
     @Test
     void noneIsFoundWhereNoneIsBroken() {
         for (long seed = 1; seed <= 5; seed++) {
-            Run run = new VirtualWorld(SmallWorld.with(SmallWorld.TROUBLE), Arm.of(Policy.MODULE), seed).play();
+            Run run =
+                    new VirtualWorld(SmallWorld.with(SmallWorld.TROUBLE), ExperimentArm.of(Policy.MODULE), seed).play();
             assertEquals(Map.of(), run.broken(), run.breaches().toString());
         }
     }
--- a/world/src/test/java/topazvalve/world/virtual/SmallWorld.java
+++ b/simulation/src/test/java/topazvalve/simulation/virtual/SmallWorld.java
@@ -1,7 +1,7 @@
-package topazvalve.world.virtual;
+package topazvalve.simulation.virtual;
 
-import topazvalve.world.scenario.Scenario;
-import topazvalve.world.scenario.ScenarioFile;
+import topazvalve.simulation.scenario.Scenario;
+import topazvalve.simulation.scenario.ScenarioFile;
 
 /** A scenario of a few seconds, with a class of each kind, for tests to add faults to. */
 final class SmallWorld {
--- a/world/src/test/java/topazvalve/world/virtual/VirtualClockTest.java
+++ b/simulation/src/test/java/topazvalve/simulation/virtual/VirtualClockTest.java
@@ -1,4 +1,4 @@
-package topazvalve.world.virtual;
+package topazvalve.simulation.virtual;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/world/src/test/java/topazvalve/world/virtual/VirtualWorldTest.java
+++ b/simulation/src/test/java/topazvalve/simulation/virtual/VirtualWorldTest.java
@@ -1,4 +1,4 @@
-package topazvalve.world.virtual;
+package topazvalve.simulation.virtual;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -12,16 +12,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import topazvalve.world.oracle.Rule;
-import topazvalve.world.policy.Policy;
-import topazvalve.world.scenario.Fault;
-import topazvalve.world.scenario.Scenario;
-import topazvalve.world.scenario.ScenarioFile;
-import topazvalve.world.tally.Run;
+import topazvalve.simulation.oracle.Rule;
+import topazvalve.simulation.policy.Policy;
+import topazvalve.simulation.scenario.Fault;
+import topazvalve.simulation.scenario.Scenario;
+import topazvalve.simulation.scenario.ScenarioFile;
+import topazvalve.simulation.tally.Run;
 
 class VirtualWorldTest {
     private static Run play(Scenario scenario, long seed) {
-        return new VirtualWorld(scenario, Arm.of(Policy.MODULE), seed).play();
+        return new VirtualWorld(scenario, ExperimentArm.of(Policy.MODULE), seed).play();
     }
 
     @Test
@@ -89,7 +89,7 @@
     }
 
     /** What a killed sidecar held has no end of any kind. */
-    private static long killed(Fault.Kind kind, topazvalve.world.tally.Tally.Sums sums) {
+    private static long killed(Fault.Kind kind, topazvalve.simulation.tally.RunStatistics.Sums sums) {
         long without = sums.asked() - sums.good() - sums.late() - sums.refused() - sums.failed() - sums.unanswered();
         return kind == Fault.Kind.INSTANCE_RESTART && without >= 0 && without < 20 ? without : 0;
     }
@@ -126,7 +126,7 @@
                 deadline = "1m"
                 repeats = "free"
                 """);
-        Run run = new VirtualWorld(scenario, Arm.of(Policy.RANDOM), 5).play();
+        Run run = new VirtualWorld(scenario, ExperimentArm.of(Policy.RANDOM), 5).play();
         double mean = run.tally().latency(0).getMean() / 1e6;
         assertEquals(10 / (1 - 0.6), mean, 1.5, "mean response in ms");
     }
--- a/simhost/src/main/java/topazvalve/simhost/Cursor.java
+++ b/simulator-adapter/src/main/java/topazvalve/simulator/FrameReader.java
@@ -1,16 +1,16 @@
-package topazvalve.simhost;
+package topazvalve.simulator;
 
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
 import java.nio.charset.StandardCharsets;
 
 /** Reads little-endian fields of one frame's body and never runs past the end of the current record. */
-final class Cursor {
+final class FrameReader {
     private final ByteBuffer buffer;
     private int recordStart;
     private int recordEnd;
 
-    Cursor(byte[] bytes, int length) {
+    FrameReader(byte[] bytes, int length) {
         buffer = ByteBuffer.wrap(bytes, 0, length).order(ByteOrder.LITTLE_ENDIAN);
     }
 
@@ -18,12 +18,12 @@
     int nextRecord() {
         recordStart = buffer.position();
         if (buffer.remaining() < 5) {
-            throw new WireException("record header cut short at byte " + recordStart);
+            throw new ProtocolException("record header cut short at byte " + recordStart);
         }
         int code = buffer.get() & 0xff;
         long length = buffer.getInt() & 0xffffffffL;
         if (length > buffer.remaining()) {
-            throw new WireException("record at byte " + recordStart + " states " + length + " bytes, "
+            throw new ProtocolException("record at byte " + recordStart + " states " + length + " bytes, "
                     + buffer.remaining() + " are left");
         }
         recordEnd = buffer.position() + (int) length;
@@ -45,7 +45,7 @@
 
     private void need(long bytes) {
         if (bytes > recordEnd - buffer.position()) {
-            throw new WireException("field cut short in the record at byte " + recordStart);
+            throw new ProtocolException("field cut short in the record at byte " + recordStart);
         }
     }
 
@@ -78,7 +78,7 @@
     long time(String field) {
         long value = i64();
         if (value < 0) {
-            throw new WireException(field + " out of range in the record at byte " + recordStart);
+            throw new ProtocolException(field + " out of range in the record at byte " + recordStart);
         }
         return value;
     }
@@ -103,7 +103,7 @@
     float[] report() {
         int count = u8();
         if (count == 0) {
-            return Replies.NO_REPORT;
+            return ReplyFrame.NO_REPORT;
         }
         float[] values = new float[count];
         for (int i = 0; i < count; i++) {
@@ -115,7 +115,7 @@
     /** The value an ordinal names, or an error saying which field was out of range. */
     <T> T choice(T[] values, int ordinal, String field) {
         if (ordinal >= values.length) {
-            throw new WireException(field + " " + ordinal + " out of range in the record at byte " + recordStart);
+            throw new ProtocolException(field + " " + ordinal + " out of range in the record at byte " + recordStart);
         }
         return values[ordinal];
     }
--- a/simhost/src/main/java/topazvalve/simhost/WireException.java
+++ b/simulator-adapter/src/main/java/topazvalve/simulator/ProtocolException.java
@@ -1,10 +1,10 @@
-package topazvalve.simhost;
+package topazvalve.simulator;
 
 /** Input that breaks the wire's format; the message says what and where. */
-final class WireException extends RuntimeException {
+final class ProtocolException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    WireException(String message) {
+    ProtocolException(String message) {
         super(message);
     }
 }
--- a/simhost/src/main/java/topazvalve/simhost/Replies.java
+++ b/simulator-adapter/src/main/java/topazvalve/simulator/ReplyFrame.java
@@ -1,4 +1,4 @@
-package topazvalve.simhost;
+package topazvalve.simulator;
 
 import java.io.IOException;
 import java.io.OutputStream;
@@ -6,10 +6,10 @@
 import java.nio.ByteOrder;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
-import topazvalve.decisions.Balancer.Actions;
+import topazvalve.policy.LoadBalancer.Actions;
 
 /** Collects the actions of one batch as a reply frame; written whole or not at all. */
-final class Replies {
+final class ReplyFrame {
     static final float[] NO_REPORT = {};
     private static final int HEADER = 8;
 
@@ -17,7 +17,7 @@
     private ByteBuffer buffer = ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN);
     private int count;
 
-    Replies() {
+    ReplyFrame() {
         clear();
     }
 
@@ -65,7 +65,7 @@
         }
 
         @Override
-        public void send(long request, long upstream, long timeout) {
+        public void forward(long request, long upstream, long timeout) {
             begin(1, 20, sidecar);
             buffer.putInt((int) request);
             upstream(upstream);
@@ -73,7 +73,7 @@
         }
 
         @Override
-        public void refuse(long request, long wait) {
+        public void reject(long request, long wait) {
             begin(2, 14, sidecar);
             buffer.putInt((int) request).putLong(wait);
         }
@@ -85,31 +85,31 @@
         }
 
         @Override
-        public void cancel(long request, int attempt) {
+        public void cancelAttempt(long request, int attempt) {
             begin(4, 7, sidecar);
             buffer.putInt((int) request).put((byte) attempt);
         }
 
         @Override
-        public void timer(long token, long at) {
+        public void setTimer(long token, long at) {
             begin(5, 18, sidecar);
             buffer.putLong(token).putLong(at);
         }
 
         @Override
-        public void probe(long upstream) {
+        public void sendHealthCheck(long upstream) {
             begin(6, 8, sidecar);
             upstream(upstream);
         }
 
         @Override
-        public void closeIdle(long upstream) {
+        public void closeIdleConnections(long upstream) {
             begin(7, 8, sidecar);
             upstream(upstream);
         }
 
         @Override
-        public void tell(int peer, byte[] message) {
+        public void sendGossip(int peer, byte[] message) {
             text(8, 4, message);
             buffer.putShort((short) peer).putShort((short) message.length).put(message);
         }
@@ -122,13 +122,13 @@
         }
 
         @Override
-        public void subscribe(boolean on) {
+        public void watchEndpoints(boolean on) {
             begin(11, 3, sidecar);
             buffer.put((byte) (on ? 1 : 0));
         }
 
         @Override
-        public void fetchList() {
+        public void fetchEndpoints() {
             begin(12, 2, sidecar);
         }
     }
--- a/simhost/src/main/java/topazvalve/simhost/package-info.java
+++ b/simulator-adapter/src/main/java/topazvalve/simulator/package-info.java
@@ -1,2 +1,2 @@
 /** The simulator's wire: reads event frames, drives one module instance a sidecar, writes action frames. */
-package topazvalve.simhost;
+package topazvalve.simulator;
--- a/simhost/src/test/java/topazvalve/simhost/PackagedJarIT.java
+++ b/simulator-adapter/src/test/java/topazvalve/simulator/PackagedJarIT.java
@@ -1,4 +1,4 @@
-package topazvalve.simhost;
+package topazvalve.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -22,7 +22,7 @@
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-jar",
-                "simhost/target/topazvalve-simhost.jar"));
+                "simulator-adapter/target/topazvalve-simulator-adapter.jar"));
         command.addAll(List.of(args));
         Process process = new ProcessBuilder(command).start();
         try (OutputStream in = process.getOutputStream()) {
--- a/simhost/src/test/java/topazvalve/simhost/WireTest.java
+++ b/simulator-adapter/src/test/java/topazvalve/simulator/WireTest.java
@@ -1,4 +1,4 @@
-package topazvalve.simhost;
+package topazvalve.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -12,10 +12,10 @@
 import java.nio.ByteOrder;
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
-import topazvalve.decisions.Balancer.Actions;
-import topazvalve.decisions.Balancer.Semantics;
-import topazvalve.decisions.Balancer.Settings;
-import topazvalve.decisions.Options;
+import topazvalve.policy.LoadBalancer.Actions;
+import topazvalve.policy.LoadBalancer.Idempotency;
+import topazvalve.policy.LoadBalancer.Settings;
+import topazvalve.policy.SettingsReader;
 
 class WireTest {
     static final String OPTIONS = String.join(
@@ -131,7 +131,7 @@
     }
 
     private static void fails(String part, byte[]... frames) {
-        WireException e = assertThrows(WireException.class, () -> play(frames));
+        ProtocolException e = assertThrows(ProtocolException.class, () -> play(frames));
         assertTrue(e.getMessage().contains(part), e.getMessage());
     }
 
@@ -207,10 +207,11 @@
 
     @Test
     void settingsAreReadAndMissingOnesNamed() {
-        Settings settings = new Options(OPTIONS).settings();
-        assertEquals(Semantics.ONCE, settings.classes().get(0).semantics());
-        assertEquals(2.5, settings.classes().get(0).worth());
-        assertEquals(2, settings.reportFields().size());
+        Settings settings = new SettingsReader(OPTIONS).settings();
+        assertEquals(
+                Idempotency.NON_IDEMPOTENT, settings.requestClasses().get(0).idempotency());
+        assertEquals(2.5, settings.requestClasses().get(0).priorityWeight());
+        assertEquals(2, settings.loadReportFields().size());
         assertEquals(50, settings.tenants().get(0).quotaPerSecond());
         fails(
                 "setting missing: rules.rampTime",
@@ -227,16 +228,16 @@
 
     @Test
     void everyActionHasItsLayout() throws IOException {
-        Replies replies = new Replies();
+        ReplyFrame replies = new ReplyFrame();
         Actions sink = replies.sink(2);
-        sink.refuse(1, 5);
+        sink.reject(1, 5);
         sink.fail(1);
-        sink.cancel(1, 3);
-        sink.probe(0x0000_0001_0050L);
-        sink.closeIdle(1);
-        sink.tell(Actions.ALL_PEERS, new byte[] {9});
+        sink.cancelAttempt(1, 3);
+        sink.sendHealthCheck(0x0000_0001_0050L);
+        sink.closeIdleConnections(1);
+        sink.sendGossip(Actions.ALL_PEERS, new byte[] {9});
         sink.log("hi");
-        sink.fetchList();
+        sink.fetchEndpoints();
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         replies.writeTo(out);
         ByteBuffer in = ByteBuffer.wrap(out.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
--- a/tcp/src/main/java/topazvalve/tcp/ClientStream.java
+++ b/tcp/src/main/java/topazvalve/tcp/ClientStream.java
@@ -16,17 +16,17 @@
 import java.util.ArrayDeque;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import topazvalve.core.exchange.Client;
-import topazvalve.core.stream.Source;
-import topazvalve.core.time.Time;
-import topazvalve.tcp.StreamCounts.Ended;
-import topazvalve.tcp.StreamCounts.Refused;
+import topazvalve.core.exchange.ResponseListener;
+import topazvalve.core.stream.FlowControl;
+import topazvalve.core.time.Scheduler;
+import topazvalve.tcp.StreamCounters.Ended;
+import topazvalve.tcp.StreamCounters.Refused;
 
 /**
  * The client's side of one stream: HEADER until its PROXY header has come, OPENING while a server is found,
  * OPEN, and CLOSED from any of these. What the client sends before it is open is held, within the bound.
  */
-final class ClientStream extends ChannelInboundHandlerAdapter implements Client<Link> {
+final class ClientStream extends ChannelInboundHandlerAdapter implements ResponseListener<ServerLink> {
     private static final Logger LOG = LoggerFactory.getLogger("tcp");
     /** A PROXY header comes with the connection. */
     private static final long HEADER_TIME = 3_000_000_000L;
@@ -38,22 +38,27 @@
         CLOSED
     }
 
-    private final TcpFront owner;
+    private final TcpFrontend owner;
     private final TcpSettings settings;
-    private final StreamCounts counts;
-    private final Time time;
+    private final StreamCounters counts;
+    private final Scheduler time;
     private final Channel channel;
     private final InetAddress client;
     private final ArrayDeque<ByteBuf> early = new ArrayDeque<>(1);
     private State state = State.HEADER;
     private long earlyBytes;
     private boolean earlyEnd;
-    private Time.Alarm headerAlarm;
+    private Scheduler.Timer headerAlarm;
     private long exchange;
-    private Relay relay;
+    private StreamSplice relay;
 
     ClientStream(
-            TcpFront owner, TcpSettings settings, StreamCounts counts, Time time, Channel channel, InetAddress client) {
+            TcpFrontend owner,
+            TcpSettings settings,
+            StreamCounters counts,
+            Scheduler time,
+            Channel channel,
+            InetAddress client) {
         this.owner = owner;
         this.settings = settings;
         this.counts = counts;
@@ -67,7 +72,7 @@
         if (settings.proxyIn()) {
             // The codec closes by itself, at once, where a header is malformed.
             linger(settings.refusal() == TcpSettings.Refusal.RESET ? 0 : -1);
-            headerAlarm = time.after(HEADER_TIME, () -> {
+            headerAlarm = time.schedule(HEADER_TIME, () -> {
                 if (state == State.HEADER) {
                     refuse(Refused.PROXY_HEADER_LATE);
                 }
@@ -81,11 +86,12 @@
         channel.config().setOption(ChannelOption.SO_LINGER, seconds);
     }
 
-    private Opening direct() {
-        return new Opening((InetSocketAddress) channel.remoteAddress(), (InetSocketAddress) channel.localAddress());
+    private StreamRequest direct() {
+        return new StreamRequest(
+                (InetSocketAddress) channel.remoteAddress(), (InetSocketAddress) channel.localAddress());
     }
 
-    private void submit(Opening opening) {
+    private void submit(StreamRequest opening) {
         state = State.OPENING;
         long number = owner.submit(opening, this);
         // It may have been refused, or even opened, within that call.
@@ -98,7 +104,7 @@
     public void channelRead(ChannelHandlerContext context, Object message) {
         if (message instanceof HAProxyMessage header) {
             headerAlarm.cancel();
-            Opening told = ProxyHeader.read(header);
+            StreamRequest told = ProxyHeader.read(header);
             header.release();
             if (state == State.HEADER) {
                 linger(-1);
@@ -139,9 +145,9 @@
     }
 
     @Override
-    public void begun(Link link, long length, Source rest) {
+    public void responseStarted(ServerLink link, long length, FlowControl rest) {
         state = State.OPEN;
-        relay = new Relay(time, settings, owner.budget(), counts, channel, link.channel(), how -> {
+        relay = new StreamSplice(time, settings, owner.budget(), counts, channel, link.channel(), how -> {
             state = State.CLOSED;
             link.ended(how);
         });
@@ -185,11 +191,11 @@
     void refuse(Refused why) {
         counts.refused(why);
         state = State.CLOSED;
-        Relay.end(channel, settings.refusal() == TcpSettings.Refusal.RESET);
+        StreamSplice.end(channel, settings.refusal() == TcpSettings.Refusal.RESET);
     }
 
     @Override
-    public void refused(long wait) {
+    public void rejected(long wait) {
         refuse(owner.serverReady() ? Refused.CONNECT_FAILED : Refused.NO_SERVER);
     }
 
@@ -200,23 +206,23 @@
 
     /** The relay has seen to it already. */
     @Override
-    public void finished() {}
+    public void responseCompleted() {}
 
     /** The server's connection was taken away under the stream. */
     @Override
-    public void cut() {
+    public void responseAborted() {
         if (state == State.OPEN) {
             relay.serverReset();
         }
     }
 
     @Override
-    public void served(Link answer) {
+    public void responseReceived(ServerLink answer) {
         throw new IllegalStateException("a stream that never began");
     }
 
     @Override
-    public void more(ByteBuf bytes) {
+    public void responseData(ByteBuf bytes) {
         bytes.release();
     }
 
--- a/tcp/src/main/java/topazvalve/tcp/Direction.java
+++ b/tcp/src/main/java/topazvalve/tcp/HalfStream.java
@@ -12,7 +12,7 @@
  * One direction of a stream: FLOWING, then ENDING once its sender has no more and what is held still has to
  * go, then ENDED. Reading stops while more than the bound is held.
  */
-final class Direction {
+final class HalfStream {
     private enum State {
         FLOWING,
         ENDING,
@@ -29,7 +29,7 @@
     private boolean paused;
 
     /** From one connection to the other, holding {@code most} bytes and what one read may bring. */
-    Direction(Channel from, Channel to, IntSupplier most, LongConsumer onMoved, Runnable onEnded) {
+    HalfStream(Channel from, Channel to, IntSupplier most, LongConsumer onMoved, Runnable onEnded) {
         this.from = from;
         this.to = to;
         this.most = most;
--- a/tcp/src/main/java/topazvalve/tcp/ProxyHeader.java
+++ b/tcp/src/main/java/topazvalve/tcp/ProxyHeader.java
@@ -14,7 +14,7 @@
     private ProxyHeader() {}
 
     /** Tells a server who called whom; both addresses in one family, as the header wants them. */
-    static HAProxyMessage of(Opening opening, int version) {
+    static HAProxyMessage of(StreamRequest opening, int version) {
         boolean six = opening.caller().getAddress() instanceof Inet6Address
                 || opening.called().getAddress() instanceof Inet6Address;
         return new HAProxyMessage(
@@ -35,13 +35,13 @@
     }
 
     /** Who called whom, as a header says; null where it says nothing (LOCAL, UNKNOWN, unix sockets). */
-    static Opening read(HAProxyMessage header) {
+    static StreamRequest read(HAProxyMessage header) {
         if (header.command() != HAProxyCommand.PROXY || header.sourceAddress() == null) {
             return null;
         }
         return switch (header.proxiedProtocol()) {
             case TCP4, TCP6 ->
-                new Opening(
+                new StreamRequest(
                         address(header.sourceAddress(), header.sourcePort()),
                         address(header.destinationAddress(), header.destinationPort()));
             default -> null;
--- a/tcp/src/main/java/topazvalve/tcp/StreamCounts.java
+++ b/tcp/src/main/java/topazvalve/tcp/StreamCounters.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /** What one listener did since it began; on the event loop alone. */
-public final class StreamCounts {
+public final class StreamCounters {
     /** Why a stream was not taken. */
     public enum Refused {
         STREAMS_FULL,
--- a/tcp/src/main/java/topazvalve/tcp/Relay.java
+++ b/tcp/src/main/java/topazvalve/tcp/StreamSplice.java
@@ -5,29 +5,29 @@
 import io.netty.channel.ChannelFutureListener;
 import io.netty.channel.ChannelOption;
 import topazvalve.core.stream.ByteBudget;
-import topazvalve.core.time.Time;
-import topazvalve.tcp.StreamCounts.Ended;
+import topazvalve.core.time.Scheduler;
+import topazvalve.tcp.StreamCounters.Ended;
 
 /**
  * An open stream: two connections and a direction each way. OPEN, then CLOSED once; its end is told once.
  * A half that ends in order is passed on as such, a reset as a reset.
  */
-final class Relay {
+final class StreamSplice {
     /** After an order to end, so long for the far sides to end theirs. */
     private static final long LINGER = 1_000_000_000;
 
-    private final Time time;
+    private final Scheduler time;
     private final TcpSettings settings;
     private final ByteBudget budget;
-    private final StreamCounts counts;
+    private final StreamCounters counts;
     private final Channel client;
     private final Channel server;
-    private final Direction up;
-    private final Direction down;
+    private final HalfStream up;
+    private final HalfStream down;
     private final EndListener listener;
-    private Time.Alarm idleAlarm;
-    private Time.Alarm totalAlarm;
-    private Time.Alarm graceAlarm;
+    private Scheduler.Timer idleAlarm;
+    private Scheduler.Timer totalAlarm;
+    private Scheduler.Timer graceAlarm;
     private long movedAt;
     /** Why both halves are being ended; null if nobody has said so. */
     private Ended ordered;
@@ -39,11 +39,11 @@
         void ended(Ended how);
     }
 
-    Relay(
-            Time time,
+    StreamSplice(
+            Scheduler time,
             TcpSettings settings,
             ByteBudget budget,
-            StreamCounts counts,
+            StreamCounters counts,
             Channel client,
             Channel server,
             EndListener listener) {
@@ -54,23 +54,23 @@
         this.client = client;
         this.server = server;
         this.listener = listener;
-        up = new Direction(client, server, this::most, size -> moved(size, true), this::half);
-        down = new Direction(server, client, this::most, size -> moved(size, false), this::half);
+        up = new HalfStream(client, server, this::most, size -> moved(size, true), this::half);
+        down = new HalfStream(server, client, this::most, size -> moved(size, false), this::half);
     }
 
     /** What a direction may hold now: its own bound, or its share where many streams are open. */
     private int most() {
-        return Math.min(settings.buffer(), budget.share());
+        return Math.min(settings.buffer(), budget.quotaBytes());
     }
 
     void open() {
-        budget.enter();
+        budget.register();
         movedAt = time.now();
         if (settings.idle() > 0) {
-            idleAlarm = time.after(settings.idle(), this::checkIdle);
+            idleAlarm = time.schedule(settings.idle(), this::checkIdle);
         }
         if (settings.total() > 0) {
-            totalAlarm = time.after(settings.total(), () -> endInOrder(Ended.TOTAL));
+            totalAlarm = time.schedule(settings.total(), () -> endInOrder(Ended.TOTAL));
         }
     }
 
@@ -88,7 +88,7 @@
         if (still >= settings.idle()) {
             endInOrder(Ended.IDLE);
         } else if (!closed) {
-            idleAlarm = time.after(settings.idle() - still, this::checkIdle);
+            idleAlarm = time.schedule(settings.idle() - still, this::checkIdle);
         }
     }
 
@@ -136,7 +136,7 @@
     /** The server or this process takes no more: the stream may run on for the grace. */
     void draining(long grace) {
         if (graceAlarm == null && !closed) {
-            graceAlarm = time.after(grace, () -> endInOrder(Ended.DRAINED));
+            graceAlarm = time.schedule(grace, () -> endInOrder(Ended.DRAINED));
         }
     }
 
@@ -153,7 +153,7 @@
         down.end();
         client.config().setAutoRead(true);
         server.config().setAutoRead(true);
-        time.after(LINGER, () -> close(how, !down.over(), !up.over()));
+        time.schedule(LINGER, () -> close(how, !down.over(), !up.over()));
     }
 
     /** Closes both, as a reset where the other side has been seen to reset. */
@@ -162,7 +162,7 @@
             return;
         }
         closed = true;
-        budget.leave();
+        budget.unregister();
         cancel(idleAlarm);
         cancel(totalAlarm);
         cancel(graceAlarm);
@@ -172,7 +172,7 @@
         listener.ended(how);
     }
 
-    private static void cancel(Time.Alarm alarm) {
+    private static void cancel(Scheduler.Timer alarm) {
         if (alarm != null) {
             alarm.cancel();
         }
--- a/tcp/src/main/java/topazvalve/tcp/TcpCarrier.java
+++ b/tcp/src/main/java/topazvalve/tcp/TcpConnectionHandler.java
@@ -12,17 +12,18 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import topazvalve.core.pool.Attempt;
-import topazvalve.core.pool.Carrier;
+import topazvalve.core.pool.ConnectionHandler;
 import topazvalve.core.pool.PooledConnection;
-import topazvalve.core.stream.Source;
-import topazvalve.decisions.Balancer.Outcome;
-import topazvalve.tcp.StreamCounts.Ended;
+import topazvalve.core.stream.FlowControl;
+import topazvalve.policy.LoadBalancer.Outcome;
+import topazvalve.tcp.StreamCounters.Ended;
 
 /** The server's side of one stream: a connection that comes up is the answer's beginning. */
-final class TcpCarrier extends ChannelInboundHandlerAdapter implements Carrier<Opening, Link>, Link {
+final class TcpConnectionHandler extends ChannelInboundHandlerAdapter
+        implements ConnectionHandler<StreamRequest, ServerLink>, ServerLink {
     private static final Logger LOG = LoggerFactory.getLogger("tcp");
     /** A relay stops and starts its two connections itself. */
-    private static final Source NOT_ASKED = new Source() {
+    private static final FlowControl NOT_ASKED = new FlowControl() {
         @Override
         public void pause() {}
 
@@ -31,18 +32,18 @@
     };
 
     private final TcpSettings settings;
-    private final PooledConnection<Opening, Link> connection;
+    private final PooledConnection<StreamRequest, ServerLink> connection;
     private Channel channel;
-    private Attempt<Opening, Link> attempt;
-    private Relay relay;
+    private Attempt<StreamRequest, ServerLink> attempt;
+    private StreamSplice relay;
 
-    TcpCarrier(TcpSettings settings, PooledConnection<Opening, Link> connection) {
+    TcpConnectionHandler(TcpSettings settings, PooledConnection<StreamRequest, ServerLink> connection) {
         this.settings = settings;
         this.connection = connection;
     }
 
     @Override
-    public void prepare(Channel made) {
+    public void configure(Channel made) {
         channel = made;
         made.config().setAutoRead(false);
         made.config().setOption(ChannelOption.ALLOW_HALF_CLOSURE, true);
@@ -51,17 +52,17 @@
     }
 
     @Override
-    public void carry(Attempt<Opening, Link> opening) {
+    public void startAttempt(Attempt<StreamRequest, ServerLink> opening) {
         attempt = opening;
-        opening.writing();
+        opening.writeStarted();
         if (settings.proxyOut() > 0) {
             channel.pipeline().addFirst(HAProxyMessageEncoder.INSTANCE);
             channel.writeAndFlush(ProxyHeader.of(opening.message(), settings.proxyOut()));
             channel.pipeline().remove(HAProxyMessageEncoder.INSTANCE);
         }
-        opening.handOn();
-        opening.wrote();
-        opening.begin(this, -1, NOT_ASKED);
+        opening.handedOver();
+        opening.requestWritten();
+        opening.responseStarted(this, -1, NOT_ASKED);
     }
 
     @Override
@@ -70,7 +71,7 @@
     }
 
     @Override
-    public void join(Relay with) {
+    public void join(StreamSplice with) {
         relay = with;
     }
 
@@ -78,16 +79,16 @@
     public void ended(Ended how) {
         relay = null;
         if (how == Ended.SERVER_RESET) {
-            attempt.end(Outcome.RESET, null, Attempt.NO_LOAD);
+            attempt.complete(Outcome.RESET, null, Attempt.NO_LOAD);
         } else {
-            attempt.end(Outcome.OK, null, Attempt.NO_LOAD);
+            attempt.complete(Outcome.OK, null, Attempt.NO_LOAD);
         }
         connection.close();
     }
 
     /** A stream leaves nothing behind that another could use. */
     @Override
-    public boolean spoilt() {
+    public boolean hasUnexpectedData() {
         return true;
     }
 
@@ -142,7 +143,7 @@
             relay.serverReset();
         } else if (attempt != null) {
             connection.close();
-            attempt.broken();
+            attempt.connectionLost();
         }
     }
 }
--- a/tcp/src/main/java/topazvalve/tcp/TcpFile.java
+++ b/tcp/src/main/java/topazvalve/tcp/TcpFile.java
@@ -23,7 +23,7 @@
 
     private TcpFile() {}
 
-    /** Reads a file; {@link topazvalve.toml.BadFile} if it has faults, and nothing of it holds. */
+    /** Reads a file; {@link topazvalve.toml.InvalidFileException} if it has faults, and nothing of it holds. */
     public static List<TcpSettings> read(Path file) throws IOException {
         return parse(file.toString(), Files.readString(file));
     }
--- a/tcp/src/main/java/topazvalve/tcp/TcpFront.java
+++ b/tcp/src/main/java/topazvalve/tcp/TcpFrontend.java
@@ -13,36 +13,36 @@
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
-import topazvalve.core.Front;
+import topazvalve.core.Frontend;
 import topazvalve.core.classes.ClassTable;
-import topazvalve.core.exchange.Exchanges;
-import topazvalve.core.exchange.Job;
+import topazvalve.core.exchange.ExchangeManager;
+import topazvalve.core.exchange.ExchangeRequest;
 import topazvalve.core.stream.ByteBudget;
 import topazvalve.core.stream.RequestBody;
-import topazvalve.core.time.Time;
-import topazvalve.tcp.StreamCounts.Refused;
+import topazvalve.core.time.Scheduler;
+import topazvalve.tcp.StreamCounters.Refused;
 
 /** Takes streams, within a listener's limits, and hands each to the core as an exchange that runs once. */
-final class TcpFront implements Front {
+final class TcpFrontend implements Frontend {
     /** The one class of a listener's streams. */
     static final String CLASS = "stream";
 
-    private final Exchanges<Opening, Link> exchanges;
+    private final ExchangeManager<StreamRequest, ServerLink> exchanges;
     private final ClassTable classes;
     private final Supplier<TcpSettings> settings;
-    private final StreamCounts counts;
-    private final Time time;
+    private final StreamCounters counts;
+    private final Scheduler time;
     private final ByteBudget budget;
     private final BooleanSupplier ending;
     private final Set<ClientStream> streams = new LinkedHashSet<>();
     private final Map<InetAddress, Integer> perClient = new HashMap<>();
 
-    TcpFront(
-            Exchanges<Opening, Link> exchanges,
+    TcpFrontend(
+            ExchangeManager<StreamRequest, ServerLink> exchanges,
             ClassTable classes,
             Supplier<TcpSettings> settings,
-            StreamCounts counts,
-            Time time,
+            StreamCounters counts,
+            Scheduler time,
             ByteBudget budget,
             BooleanSupplier ending) {
         this.exchanges = exchanges;
@@ -55,7 +55,7 @@
     }
 
     @Override
-    public ChannelHandler connections() {
+    public ChannelHandler connectionInitializer() {
         return new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel made) {
@@ -67,7 +67,7 @@
                     return;
                 }
                 InetAddress client = caller.getAddress();
-                ClientStream stream = new ClientStream(TcpFront.this, now, counts, time, made, client);
+                ClientStream stream = new ClientStream(TcpFrontend.this, now, counts, time, made, client);
                 Refused why = ending.getAsBoolean()
                         ? Refused.ENDING
                         : streams.size() >= now.mostStreams()
@@ -90,10 +90,10 @@
         };
     }
 
-    long submit(Opening opening, ClientStream stream) {
-        ClassTable.Entry kind = classes.named(CLASS);
+    long submit(StreamRequest opening, ClientStream stream) {
+        ClassTable.Entry kind = classes.find(CLASS);
         return exchanges.submit(
-                new Job<>(
+                new ExchangeRequest<>(
                         kind,
                         0,
                         0,
@@ -108,7 +108,7 @@
 
     void hangup(long exchange) {
         if (exchange != 0) {
-            exchanges.hangup(exchange);
+            exchanges.clientDisconnected(exchange);
         }
     }
 
@@ -144,7 +144,7 @@
     }
 
     @Override
-    public boolean empty() {
+    public boolean isIdle() {
         return streams.isEmpty();
     }
 
--- a/tcp/src/main/java/topazvalve/tcp/TcpSide.java
+++ b/tcp/src/main/java/topazvalve/tcp/TcpProxy.java
@@ -6,20 +6,20 @@
 import java.util.ArrayList;
 import java.util.List;
 import topazvalve.core.classes.ClassTable;
-import topazvalve.core.exchange.Exchanges;
+import topazvalve.core.endpoint.Endpoint;
+import topazvalve.core.endpoint.EndpointDiscovery;
+import topazvalve.core.exchange.ExchangeManager;
 import topazvalve.core.metrics.Metrics;
-import topazvalve.core.pool.Pools;
-import topazvalve.core.servers.ServerList;
-import topazvalve.core.servers.Target;
+import topazvalve.core.pool.ConnectionPools;
 import topazvalve.core.stream.ByteBudget;
-import topazvalve.core.time.LoopTime;
-import topazvalve.core.time.Time;
-import topazvalve.decisions.Balancer.State;
-import topazvalve.decisions.Options;
-import topazvalve.decisions.Rules;
+import topazvalve.core.time.EventLoopScheduler;
+import topazvalve.core.time.Scheduler;
+import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.SettingsReader;
+import topazvalve.policy.SidecarPolicy;
 
 /** One listener's streams plugged into the core, with a decision module of their own for their servers. */
-public final class TcpSide {
+public final class TcpProxy {
     /**
      * What the module is set to. An aim is a part of the connect deadline; a stream runs once; servers are
      * given half a share while they warm up, which is taken to be 5 s.
@@ -46,57 +46,57 @@
             profiles.0.stream=true
             """;
 
-    private final StreamCounts counts = new StreamCounts();
-    private final Exchanges<Opening, Link> exchanges;
-    private final TcpFront front;
+    private final StreamCounters counts = new StreamCounters();
+    private final ExchangeManager<StreamRequest, ServerLink> exchanges;
+    private final TcpFrontend front;
     private TcpSettings settings;
-    private ServerList servers;
+    private EndpointDiscovery servers;
     private boolean ending;
 
     /** On this loop; {@code budget} bounds the bytes that all streams hold. */
-    public TcpSide(EventLoop loop, TcpSettings settings, long seed, ByteBudget budget) {
+    public TcpProxy(EventLoop loop, TcpSettings settings, long seed, ByteBudget budget) {
         this.settings = settings;
         ClassTable classes = new ClassTable();
-        Time time = LoopTime.watched(loop);
-        Options options = options(settings);
+        Scheduler time = EventLoopScheduler.detectingStalls(loop);
+        SettingsReader options = options(settings);
         // How many there may be is the front's to say, by settings that can change.
-        exchanges = new Exchanges<>(
+        exchanges = new ExchangeManager<>(
                 time,
                 options,
-                (given, actions) -> new Rules(given, seed, actions),
-                new Pools<>(loop, time, options, new TcpCodec(() -> this.settings), Integer.MAX_VALUE),
+                (given, actions) -> new SidecarPolicy(given, seed, actions),
+                new ConnectionPools<>(loop, time, options, new TcpCodec(() -> this.settings), Integer.MAX_VALUE),
                 Integer.MAX_VALUE,
                 new Metrics(),
                 classes);
-        front = new TcpFront(exchanges, classes, () -> this.settings, counts, time, budget, () -> ending);
+        front = new TcpFrontend(exchanges, classes, () -> this.settings, counts, time, budget, () -> ending);
     }
 
-    private static Options options(TcpSettings settings) {
-        return new Options(SETTINGS.formatted(
+    private static SettingsReader options(TcpSettings settings) {
+        return new SettingsReader(SETTINGS.formatted(
                 settings.attempts(),
                 settings.connectTimeout(),
-                TcpFront.CLASS,
+                TcpFrontend.CLASS,
                 settings.connectTimeout(),
                 settings.connectDeadline()));
     }
 
     /** Begins; on the loop, like all that follows. */
     public void start() {
-        servers = ServerList.named(() -> targets(settings), exchanges);
+        servers = EndpointDiscovery.fixed(() -> targets(settings), exchanges);
         exchanges.start(servers, targets(settings));
     }
 
-    private static List<Target> targets(TcpSettings settings) {
-        List<Target> targets = new ArrayList<>();
+    private static List<Endpoint> targets(TcpSettings settings) {
+        List<Endpoint> targets = new ArrayList<>();
         int number = 0;
         for (InetSocketAddress each : settings.servers()) {
-            targets.add(new Target(
+            targets.add(new Endpoint(
                     each.getAddress().getHostAddress() + ":" + each.getPort(),
                     each,
                     "",
                     "",
                     number++,
-                    settings.draining().contains(each) ? State.DRAINING : State.READY,
+                    settings.draining().contains(each) ? EndpointStatus.DRAINING : EndpointStatus.READY,
                     1,
                     0));
         }
@@ -105,42 +105,42 @@
 
     /** Takes up each connection that the listener makes. */
     public ChannelHandler connections() {
-        return front.connections();
+        return front.connectionInitializer();
     }
 
     public TcpSettings settings() {
         return settings;
     }
 
-    public StreamCounts counts() {
+    public StreamCounters counts() {
         return counts;
     }
 
     /** New settings: streams that are open keep theirs; a server that is not named any more is left. */
-    public void retune(TcpSettings next) {
+    public void settingsChanged(TcpSettings next) {
         settings = next;
-        exchanges.retune(options(next));
+        exchanges.settingsChanged(options(next));
         servers.fetch();
     }
 
     /** Takes no more streams; those that are open may run on for their grace. */
-    public void end() {
+    public void shutDown() {
         ending = true;
         front.end();
     }
 
     /** As a lame duck: those that are open are to end within their grace, new ones are still taken. */
-    public void empty() {
+    public void drain() {
         front.drain();
     }
 
     /** Whether no stream is there any more. */
-    public boolean isEmpty() {
-        return front.empty();
+    public boolean isIdle() {
+        return front.isIdle();
     }
 
     /** Figures for operators. */
-    public void print(StringBuilder to) {
+    public void printMetrics(StringBuilder to) {
         counts.print(settings.name(), to);
     }
 }
--- a/tcp/src/main/java/topazvalve/tcp/package-info.java
+++ b/tcp/src/main/java/topazvalve/tcp/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Opaque TCP streams: {@link topazvalve.tcp.TcpFront} takes them, {@link topazvalve.tcp.TcpCodec} carries
- * them, and a {@link topazvalve.tcp.Relay} moves the bytes of one between its two connections.
+ * Opaque TCP streams: {@link topazvalve.tcp.TcpFrontend} takes them, {@link topazvalve.tcp.TcpCodec} carries
+ * them, and a {@link topazvalve.tcp.StreamSplice} moves the bytes of one between its two connections.
  */
 package topazvalve.tcp;
--- a/tcp/src/test/java/topazvalve/tcp/ListenerTest.java
+++ b/tcp/src/test/java/topazvalve/tcp/ListenerTest.java
@@ -17,8 +17,8 @@
 import java.util.function.UnaryOperator;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import topazvalve.tcp.StreamCounts.Ended;
-import topazvalve.tcp.StreamCounts.Refused;
+import topazvalve.tcp.StreamCounters.Ended;
+import topazvalve.tcp.StreamCounters.Refused;
 
 /** One listener's limits, refusals, headers and ends, each seen from both sides. */
 @Timeout(60)
--- a/tcp/src/test/java/topazvalve/tcp/Listening.java
+++ b/tcp/src/test/java/topazvalve/tcp/Listening.java
@@ -28,7 +28,7 @@
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     final EventLoop loop = group.next();
-    final TcpSide side;
+    final TcpProxy side;
     final InetSocketAddress address;
     private final UnaryOperator<String> change;
     private final List<InetSocketAddress> servers;
@@ -37,7 +37,7 @@
     Listening(List<InetSocketAddress> servers, UnaryOperator<String> change) throws Exception {
         this.servers = servers;
         this.change = change;
-        side = new TcpSide(loop, settings(List.of()), 7, new ByteBudget(64 << 20));
+        side = new TcpProxy(loop, settings(List.of()), 7, new ByteBudget(64 << 20));
         loop.submit(side::start).sync();
         address = (InetSocketAddress) new ServerBootstrap()
                 .group(group)
@@ -67,10 +67,10 @@
     /** Tells of servers that drain, as a reload of the file does. */
     void draining(List<InetSocketAddress> drained) {
         TcpSettings next = settings(drained);
-        loop.submit(() -> side.retune(next)).syncUninterruptibly();
+        loop.submit(() -> side.settingsChanged(next)).syncUninterruptibly();
     }
 
-    long count(java.util.function.ToLongFunction<StreamCounts> what) throws Exception {
+    long count(java.util.function.ToLongFunction<StreamCounters> what) throws Exception {
         return loop.submit(() -> what.applyAsLong(side.counts())).get();
     }
 
--- a/tcp/src/test/java/topazvalve/tcp/StreamsTest.java
+++ b/tcp/src/test/java/topazvalve/tcp/StreamsTest.java
@@ -5,7 +5,7 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import topazvalve.world.stream.StreamTrial;
+import topazvalve.simulation.stream.StreamTrial;
 
 /** Many streams under drains, kills, resets and stalls: every byte and every end compared. */
 class StreamsTest {
@@ -36,10 +36,10 @@
             assertTrue(result.broken() > STREAMS / 100, "faults were played");
             assertTrue(result.refused() <= STREAMS / 100, "refused: " + result.refused());
             long until = System.nanoTime() + 5_000_000_000L;
-            while (listening.count(StreamCounts::open) > 0 && System.nanoTime() < until) {
+            while (listening.count(StreamCounters::open) > 0 && System.nanoTime() < until) {
                 Thread.sleep(10);
             }
-            assertEquals(0, listening.count(StreamCounts::open), "streams left over");
+            assertEquals(0, listening.count(StreamCounters::open), "streams left over");
         }
     }
 }
--- a/tcp/src/test/java/topazvalve/tcp/TcpFileTest.java
+++ b/tcp/src/test/java/topazvalve/tcp/TcpFileTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import topazvalve.toml.BadFile;
+import topazvalve.toml.InvalidFileException;
 
 /** The operator's file: what it leaves out, and what is refused, with its line and its key. */
 class TcpFileTest {
@@ -63,7 +63,7 @@
                 GOOD.lines().filter(each -> !each.startsWith(name + " ")).reduce("", (all, each) -> all + each + "\n")
                         + line + "\n";
         int number = (int) text.lines().count();
-        BadFile bad = assertThrows(BadFile.class, () -> TcpFile.parse("o.toml", text));
+        InvalidFileException bad = assertThrows(InvalidFileException.class, () -> TcpFile.parse("o.toml", text));
         assertTrue(
                 bad.problems().stream()
                         .anyMatch(each -> each.line() == number && each.key().equals("listener.0." + key)),
@@ -72,7 +72,7 @@
 
     @Test
     void twoListenersMayNotShareNameOrPlace() {
-        BadFile bad = assertThrows(BadFile.class, () -> TcpFile.parse("o.toml", GOOD + GOOD));
+        InvalidFileException bad = assertThrows(InvalidFileException.class, () -> TcpFile.parse("o.toml", GOOD + GOOD));
         assertEquals(2, bad.problems().size(), bad.getMessage());
     }
 }
--- a/toml/src/main/java/topazvalve/toml/TomlFile.java
+++ b/toml/src/main/java/topazvalve/toml/TomlFile.java
@@ -14,7 +14,7 @@
 
     private TomlFile() {}
 
-    /** Reads a text; {@code name} stands for it in messages. {@link BadFile} if it has faults. */
+    /** Reads a text; {@code name} stands for it in messages. {@link InvalidFileException} if it has faults. */
     public static <T> T parse(String name, String text, Function<Table, T> reader) {
         List<Problem> problems = new ArrayList<>();
         JsonNode root;
@@ -22,7 +22,7 @@
             root = TOML.readTree(text);
         } catch (JsonProcessingException e) {
             int line = e.getLocation() == null ? 1 : Math.max(1, e.getLocation().getLineNr());
-            throw new BadFile(List.of(new Problem(
+            throw new InvalidFileException(List.of(new Problem(
                     name, line, "", "not TOML: " + e.getOriginalMessage().replaceAll("\\s*\\R.*", ""))));
         }
         Table table = new Table(name, new KeyLines(text), problems, "", root);
@@ -30,7 +30,7 @@
         table.finish();
         if (!problems.isEmpty()) {
             problems.sort(Comparator.comparingInt(Problem::line));
-            throw new BadFile(problems);
+            throw new InvalidFileException(problems);
         }
         return read;
     }
--- a/world/src/main/java/topazvalve/world/tally/package-info.java
+++ /dev/null
@@ -1,2 +0,0 @@
-/** What a run adds up to. */
-package topazvalve.world.tally;
