--- a/discovery-state/src/main/java/topazvalve/discovery/state/FailoverStateMachine.java
+++ b/discovery-state/src/main/java/topazvalve/discovery/state/FailoverStateMachine.java
@@ -9,7 +9,8 @@
  *
  * <p>A place that fails is passed over at once: its followers have different next ones, so that nobody
  * is met by a herd. Once a whole round of places has failed they are in trouble together, and each follower
- * waits half of a time that doubles from {@link #INITIAL_BACKOFF_NANOS} to {@link #MAX_BACKOFF_NANOS}, and a random part of
+ * waits half of a time that doubles from {@link #INITIAL_BACKOFF_NANOS} to {@link #MAX_BACKOFF_NANOS}, and a
+ * random part of
  * the other half. The longest is short enough that, with a connect and a call, a change is in force 9 s
  * after places answer again.
  */
--- a/policy/src/main/java/topazvalve/policy/LoadBalancer.java
+++ b/policy/src/main/java/topazvalve/policy/LoadBalancer.java
@@ -113,8 +113,8 @@
      * @param deadlineNanos the longest a client waits over all its tries
      * @param lateFraction part of the worth earned between aim and deadline
      * @param keyTtlNanos for BY_KEY: how long repeats are dropped, from the first send that may have run
-     * @param streaming the answer streams: {@link LoadBalancer#responseStarted} tells of its start, and its attempt counts
-     *     as in flight until its outcome
+     * @param streaming the response is streamed: {@link LoadBalancer#responseStarted} reports its start, and its
+     *     attempt counts as in flight until its outcome
      */
     record RequestClass(
             long latencyObjectiveNanos,
