--- /dev/null
+++ b/policy/src/main/java/topazvalve/policy/AdmissionController.java
@@ -0,0 +1,84 @@
+package topazvalve.policy;
+
+import java.util.List;
+
+/** Sends a request now, queues it while it can still be in time, or rejects it. */
+record AdmissionController(
+        PolicyContext context,
+        EndpointRegistry registry,
+        RandomizedRoundRobin rotation,
+        OutlierDetector detector,
+        ConcurrencyLimiter limiter,
+        TenantQuota queue,
+        LoadProbing probing,
+        AttemptTracker attempts) {
+    void admit(long now, RequestState request) {
+        boolean first = request.attempts.isEmpty();
+        if (now >= request.deadline || registry.ready().isEmpty() || request.allOverloaded) {
+            attempts.answer(request);
+        } else if (first && !request.probed && limiter.sheds(now, request)) {
+            attempts.answer(request);
+        } else if (request.probed || !probing.isEnabled() || !startProbing(now, request)) {
+            if (first && now + Math.min(request.expectedTime, request.objective) / 2 >= request.objectiveAt) {
+                attempts.answer(request);
+            } else if (!queue.isEmpty() || !send(now, request)) {
+                queue.enqueue(request);
+                scheduleQueueExpiry(now, request);
+                drainQueue(now);
+            }
+        }
+    }
+
+    private boolean startProbing(long now, RequestState request) {
+        List<EndpointState> candidates = rotation.inTurn()
+                .filter(endpoint -> mayTake(now, endpoint, request, false))
+                .limit(LoadProbing.CANDIDATES)
+                .toList();
+        return probing.start(now, request, candidates, (probed, at) -> admit(at, probed));
+    }
+
+    void scheduleQueueExpiry(long now, RequestState request) {
+        context.timers().schedule(Math.max(now + 1, request.queueExpiresAt()), at -> {
+            if (request.queued && at >= request.queueExpiresAt()) {
+                attempts.answer(request);
+            }
+        });
+    }
+
+    void drainQueue(long now) {
+        queue.drain(now, request -> send(now, request));
+    }
+
+    private boolean send(long now, RequestState request) {
+        EndpointState endpoint = limiter.isFull(now, request) ? null : pick(now, request);
+        if (endpoint != null) {
+            attempts.send(now, request, endpoint);
+            queue.requestSent(now, request);
+        }
+        return endpoint != null;
+    }
+
+    private EndpointState pick(long now, RequestState request) {
+        boolean allowed = request.attempts.isEmpty()
+                || request.mayRetry(now, context.settings().clockResolutionNanos());
+        EndpointState endpoint = allowed ? pick(now, request, false) : null;
+        boolean allEjected =
+                endpoint == null && registry.ready().stream().noneMatch(each -> detector.mayTake(now, each, request));
+        return allEjected && allowed ? pick(now, request, true) : endpoint; // a fault common to all ejects none
+    }
+
+    private EndpointState pick(long now, RequestState request, boolean ignoreOutliers) {
+        return rotation.pick(
+                request.attempts.isEmpty(),
+                endpoint -> mayTake(now, endpoint, request, ignoreOutliers),
+                endpoint -> endpoint.takeTurn(detector.fractionOfTurns(now, endpoint, request)));
+    }
+
+    private boolean mayTake(long now, EndpointState endpoint, RequestState request, boolean ignoreOutliers) {
+        return request.mayUse(endpoint)
+                && endpoint.inFlight < Math.max(1, (int) endpoint.concurrencyLimit)
+                && (ignoreOutliers || detector.mayTake(now, endpoint, request))
+                && (ignoreOutliers || !probing.isOverloaded(endpoint, request))
+                && limiter.admitsWhileWarming(now, endpoint, request);
+    }
+}
--- a/policy/src/main/java/topazvalve/policy/DecayingSum.java
+++ b/policy/src/main/java/topazvalve/policy/DecayingSum.java
@@ -1,39 +1,36 @@
 package topazvalve.policy;
 
-/** A sum that forgets: what was added a window ago counts by 1/e. */
+/** A sum with exponential decay: what was added a window ago counts by 1/e. Times are in nanoseconds. */
 final class DecayingSum {
+    private static final double MIN_RATE_WINDOW = 0.1; // in windows: what comes first is no rate
     private double window;
     private double value;
-    private long at;
-    private long began;
+    private long updatedAt;
+    private long startedAt;
 
-    /** Starts at {@code first}, which counts in full until something is added. */
-    DecayingSum(double window, double first) {
-        this.window = window;
-        this.value = first;
+    DecayingSum(double initial) {
+        this.value = initial;
     }
 
     double value(long now) {
-        return at == 0 ? value : value * Math.exp((at - now) / window);
+        return updatedAt == 0 ? value : value * Math.exp((updatedAt - now) / window);
     }
 
-    /** What was added a nanosecond: over the last window or, before one has passed, since the first. */
     double rate(long now) {
-        // A tenth of a window at the least: what comes first is no rate.
-        return at == 0 ? 0 : value(now) / (window * Math.max(0.1, 1 - Math.exp((began - now) / window)));
+        double windows = Math.max(MIN_RATE_WINDOW, 1 - Math.exp((startedAt - now) / window));
+        return updatedAt == 0 ? 0 : value(now) / (window * windows);
     }
 
-    /** Forgets by another window from now on. */
     void setWindow(long now, double next) {
-        if (at != 0) {
+        if (updatedAt != 0) {
             add(now, 0);
         }
         window = next;
     }
 
-    void add(long now, double more) {
-        value = value(now) + more;
-        began = at == 0 ? now : began;
-        at = now;
+    void add(long now, double amount) {
+        value = value(now) + amount;
+        startedAt = updatedAt == 0 ? now : startedAt;
+        updatedAt = now;
     }
 }
--- /dev/null
+++ b/policy/src/main/java/topazvalve/policy/PolicyContext.java
@@ -0,0 +1,15 @@
+package topazvalve.policy;
+
+import java.util.Random;
+import java.util.function.Supplier;
+
+/** What all parts of one policy share: its current settings, the host's actions, one random source, the timers. */
+record PolicyContext(
+        Supplier<LoadBalancer.Settings> currentSettings,
+        LoadBalancer.Actions actions,
+        Random random,
+        TimerQueue timers) {
+    LoadBalancer.Settings settings() {
+        return currentSettings.get();
+    }
+}
--- /dev/null
+++ b/policy/src/main/java/topazvalve/policy/RandomizedRoundRobin.java
@@ -0,0 +1,51 @@
+package topazvalve.policy;
+
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import java.util.Random;
+import java.util.function.Predicate;
+import java.util.stream.Stream;
+
+/** A random permutation of the ready endpoints, a pointer into it, and the less busy of two neighbors. */
+final class RandomizedRoundRobin {
+    private final List<EndpointState> permutation = new ArrayList<>();
+    private int pointer;
+
+    void shuffle(List<EndpointState> ready, Random random) {
+        permutation.clear();
+        permutation.addAll(ready);
+        Collections.shuffle(permutation, random);
+        pointer = 0;
+    }
+
+    Stream<EndpointState> inTurn() {
+        return Stream.concat(
+                permutation.subList(pointer, permutation.size()).stream(),
+                permutation.stream().limit(pointer));
+    }
+
+    /** The less busy of the pointed endpoint and the next, of those that may take the request; null if none may. */
+    EndpointState pick(boolean advance, Predicate<EndpointState> mayTake, Predicate<EndpointState> takesTurn) {
+        EndpointState pointed = null;
+        EndpointState skipped = null;
+        int start = pointer;
+        for (int i = 0; i < permutation.size(); i++) {
+            int index = (start + i) % permutation.size();
+            EndpointState endpoint = permutation.get(index);
+            if (!mayTake.test(endpoint)) {
+                continue;
+            }
+            if (pointed != null) {
+                return endpoint.inFlightAndStreams() < pointed.inFlightAndStreams() ? endpoint : pointed;
+            }
+            if (takesTurn.test(endpoint)) {
+                pointed = endpoint;
+                pointer = advance ? (index + 1) % permutation.size() : pointer;
+            } else if (skipped == null) {
+                skipped = endpoint;
+            }
+        }
+        return pointed != null ? pointed : skipped;
+    }
+}
--- a/policy/src/main/java/topazvalve/policy/TimerQueue.java
+++ b/policy/src/main/java/topazvalve/policy/TimerQueue.java
@@ -3,39 +3,38 @@
 import java.util.PriorityQueue;
 import java.util.function.LongConsumer;
 
-/** Alarms of the module behind one timer of the host. A queue of times: it decides nothing. */
+/** The policy's timers behind the host's one timer; those of equal time fire in the order they were set. */
 final class TimerQueue {
-    private record Alarm(long at, long serial, LongConsumer what) {}
+    private record Timer(long at, long serial, LongConsumer task) {}
 
-    private final PriorityQueue<Alarm> queue =
+    private final PriorityQueue<Timer> queue =
             new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.serial, b.serial));
-    private long serials;
-    private long timerAt = Long.MAX_VALUE;
-    private long timerToken;
     private final LoadBalancer.Actions actions;
+    private long nextSerial;
+    private long armedAt = Long.MAX_VALUE;
+    private long armedToken;
 
     TimerQueue(LoadBalancer.Actions actions) {
         this.actions = actions;
     }
 
-    void schedule(long at, LongConsumer what) {
-        queue.add(new Alarm(at, serials++, what));
+    void schedule(long at, LongConsumer task) {
+        queue.add(new Timer(at, nextSerial++, task));
     }
 
     void armTimer() {
-        if (!queue.isEmpty() && queue.peek().at < timerAt) {
-            timerAt = queue.peek().at;
-            actions.setTimer(++timerToken, timerAt);
+        if (!queue.isEmpty() && queue.peek().at < armedAt) {
+            armedAt = queue.peek().at;
+            actions.setTimer(++armedToken, armedAt);
         }
     }
 
-    /** Matched by token, not by time: a coarse host clock may ring early. */
     void fire(long now, long token) {
-        if (token == timerToken) {
-            timerAt = Long.MAX_VALUE;
+        if (token == armedToken) { // not by time: a coarse host clock may fire early
+            armedAt = Long.MAX_VALUE;
         }
         while (!queue.isEmpty() && queue.peek().at <= now) {
-            queue.poll().what.accept(now);
+            queue.poll().task.accept(now);
         }
     }
 }
