--- a/discovery-client/src/main/java/topazvalve/discovery/client/DiscoveryCall.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/DiscoveryCall.java
@@ -40,8 +40,6 @@
 
     public static final int CONNECT_TIMEOUT_MILLIS = 1_000;
 
-    static final String NO_ANSWER = "no whole answer in time";
-
     /** Hears of a call until it is over. */
     public interface Listener {
         /** A whole object has come; what is thrown, or a call of {@link DiscoveryCall#fail}, ends the call. */
@@ -56,8 +54,12 @@
         /** No whole object came in time. It may come yet: a call that is let be fails later on. */
         void answerOverdue();
 
-        /** The call is over; {@code retryAfterMs} is for how long its peer asked to stay away, else 0. */
-        void failed(String why, long retryAfterMs);
+        /**
+         * The call has ended with this failure.
+         *
+         * @param retryAfterMillis for how long the peer asked to stay away, in milliseconds; 0 if it did not
+         */
+        void failed(DiscoveryFailure failure, long retryAfterMillis);
     }
 
     private final EventLoop loop;
@@ -97,7 +99,7 @@
                     if (done.isSuccess()) {
                         ask(query);
                     } else {
-                        fail("not reached: " + done.cause().getMessage());
+                        fail(new DiscoveryFailure.ConnectFailed(done.cause().getMessage()));
                     }
                 });
     }
@@ -120,7 +122,8 @@
     }
 
     private void late() {
-        silence = loop.schedule(() -> fail(NO_ANSWER), LONGEST_ANSWER_MS - ANSWER_MS, TimeUnit.MILLISECONDS);
+        silence = loop.schedule(
+                () -> fail(new DiscoveryFailure.Overdue()), LONGEST_ANSWER_MS - ANSWER_MS, TimeUnit.MILLISECONDS);
         owner.answerOverdue();
     }
 
@@ -153,14 +156,14 @@
     }
 
     /** Ends it and tells its owner why; does nothing if it is over. */
-    public void fail(String why) {
-        fail(why, 0);
+    public void fail(DiscoveryFailure failure) {
+        fail(failure, 0);
     }
 
-    private void fail(String why, long retryAfterMs) {
+    private void fail(DiscoveryFailure failure, long retryAfterMillis) {
         if (!over) {
             close();
-            owner.failed(why, retryAfterMs);
+            owner.failed(failure, retryAfterMillis);
         }
     }
 
@@ -170,18 +173,18 @@
             return;
         }
         if (message.decoderResult().isFailure()) {
-            fail("not HTTP");
+            fail(new DiscoveryFailure.MalformedHttp());
             return;
         }
         if (message instanceof HttpResponse response && !response.status().equals(HttpResponseStatus.OK)) {
-            fail("status " + response.status().code(), retryAfterMs(response));
+            fail(new DiscoveryFailure.BadStatus(response.status().code()), retryAfterMs(response));
             return;
         }
         if (message instanceof HttpContent content) {
             lines.take(content.content(), taker);
             if (!over && message instanceof LastHttpContent) {
                 if (watching || !answered || lines.open()) {
-                    fail("the answer ended");
+                    fail(new DiscoveryFailure.ResponseEnded());
                 } else {
                     close();
                 }
@@ -218,11 +221,12 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        fail("the connection ended");
+        fail(new DiscoveryFailure.ConnectionClosed());
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        fail(cause.toString().lines().findFirst().orElse(""));
+        fail(new DiscoveryFailure.ReadFailed(
+                cause.toString().lines().findFirst().orElse("")));
     }
 }
--- a/discovery-client/src/main/java/topazvalve/discovery/client/DiscoveryClient.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/DiscoveryClient.java
@@ -47,7 +47,7 @@
     /** A watch at the first relay, opened beside the one in force. */
     private Call returning;
     /** Why the last call failed; null if it did not. */
-    private String fault;
+    private DiscoveryFailure fault;
 
     private long heardAt = System.nanoTime();
     private long askedAnew;
@@ -195,7 +195,7 @@
         askedAnew++;
         if (next.delayNanos() > 0 && !followed) {
             LOG.warn(
-                    "no relay answers, the list in force stays; asked again in {} ms",
+                    "no relay responds, keeping the current endpoint list; retrying in {} ms",
                     TimeUnit.NANOSECONDS.toMillis(next.delayNanos()));
         }
         loop.schedule(
@@ -296,15 +296,15 @@
         @Override
         public void watchIdle() {
             if (relays != null) {
-                call.fail("no whole line for " + DiscoveryCall.IDLE_TIMEOUT_MILLIS + " ms");
+                call.fail(new DiscoveryFailure.IdleWatch(DiscoveryCall.IDLE_TIMEOUT_MILLIS));
             } else if (watch == this) {
-                LOG.warn("watch opened anew: no whole line for {} ms", DiscoveryCall.IDLE_TIMEOUT_MILLIS);
+                LOG.warn("endpoint watch idle for {} ms, resubscribing", DiscoveryCall.IDLE_TIMEOUT_MILLIS);
                 watch(true);
             }
         }
 
         @Override
-        public void failed(String why, long retryAfterMs) {
+        public void failed(DiscoveryFailure failure, long retryAfterMs) {
             calls.remove(this);
             if (returning == this) {
                 returning = null;
@@ -312,7 +312,7 @@
                 return;
             }
             if (!late) {
-                askAgain(why, retryAfterMs);
+                askAgain(failure, retryAfterMs);
             }
         }
 
@@ -325,15 +325,15 @@
             // A relay may hold a call for a while, and has no queue: its call fails later on.
             if (relays == null) {
                 late = true;
-                askAgain(DiscoveryCall.NO_ANSWER, 0);
+                askAgain(new DiscoveryFailure.Overdue(), 0);
             }
         }
 
-        private void askAgain(String why, long retryAfterMs) {
-            if (!why.equals(fault)) {
-                LOG.warn("list not taken, the one in force stays: {}", why);
+        private void askAgain(DiscoveryFailure failure, long retryAfterMs) {
+            if (!failure.equals(fault)) {
+                LOG.warn("endpoint update failed, keeping the current endpoint list: {}", failure.message());
             }
-            fault = why;
+            fault = failure;
             boolean followed = watch == this;
             watch = followed ? null : watch;
             if (followed && relays != null) {
@@ -359,20 +359,20 @@
         public void objectReceived(byte[] text) throws IOException {
             JsonNode node = JsonReader.read(text);
             if (!node.path("rev").isWhole() || !node.path("targets").isArray()) {
-                call.fail("a line that is no list");
+                call.fail(new DiscoveryFailure.InvalidUpdate());
                 return;
             }
             EndpointUpdate listing = EndpointUpdate.of(node);
             if (listing.fullSnapshot() && listing.endpoints().isEmpty() && listed) {
-                call.fail("the whole list is empty");
+                call.fail(new DiscoveryFailure.EmptySnapshot());
                 return;
             }
             if (!watching && !moved && relays == null && listing.revision() < rev) {
-                call.fail("version " + listing.revision() + " is older than " + rev);
+                call.fail(new DiscoveryFailure.StaleVersion(Long.toString(listing.revision()), Long.toString(rev)));
                 return;
             }
             if ((!watching || !call.isAnswered()) && listing.versions().isBehind(versions)) {
-                call.fail("version " + listing.versions() + " is older than " + versions);
+                call.fail(new DiscoveryFailure.StaleVersion(listing.versions().toString(), versions.toString()));
                 return;
             }
             take(listing);
--- a/relay/src/main/java/topazvalve/relay/SourceSubscription.java
+++ b/relay/src/main/java/topazvalve/relay/SourceSubscription.java
@@ -8,6 +8,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import topazvalve.discovery.client.DiscoveryCall;
+import topazvalve.discovery.client.DiscoveryFailure;
 import topazvalve.discovery.state.EndpointStore;
 import topazvalve.discovery.state.EndpointStore.Update;
 import topazvalve.discovery.state.EndpointStore.UpdateResult;
@@ -52,7 +53,7 @@
     private boolean anew = true;
 
     private long heardAt;
-    private String fault = "";
+    private DiscoveryFailure fault;
 
     SourceSubscription(EventLoop loop, SourceSettings settings, EndpointStore lists, long seed, Listener listener) {
         this.loop = loop;
@@ -129,10 +130,10 @@
             state = State.FOLLOWING;
             following.answered();
             call.answered();
-            if (!fault.isEmpty()) {
+            if (fault != null) {
                 LOG.info("{}: heard again", name());
             }
-            fault = "";
+            fault = null;
         }
     }
 
@@ -163,14 +164,14 @@
                 }
                 case STALE -> older(update, before, begins);
                 case NOT_CONTIGUOUS -> apart(update, before);
-                default -> call.fail("the whole list is empty");
+                default -> call.fail(new DiscoveryFailure.EmptySnapshot());
             }
         }
 
         /** Changes that an answer to {@link Fill} was ahead of are here already; a list must not be older. */
         private void older(Update update, VersionVector before, boolean begins) {
             if (update.fullSnapshot()) {
-                call.fail("version " + update.version() + " is older than " + before);
+                call.fail(new DiscoveryFailure.StaleVersion(update.version().toString(), before.toString()));
             } else if (begins) {
                 apart(update, before);
             } else {
@@ -180,13 +181,13 @@
 
         private void apart(Update update, VersionVector before) {
             anew = true;
-            call.fail("version " + update.version() + " does not follow on " + before);
+            call.fail(new DiscoveryFailure.VersionGap(update.version().toString(), before.toString()));
         }
 
         @Override
         public void heartbeatReceived() {
             if (version() == null) {
-                call.fail("nothing has changed, but nothing is known");
+                call.fail(new DiscoveryFailure.UnexpectedHeartbeat());
             } else {
                 heard();
             }
@@ -196,22 +197,22 @@
         public void answerOverdue() {
             // Its place in the source's queue is worth more than a new one, unless there is another to ask.
             if (settings.addresses().size() > 1) {
-                call.fail("no whole answer in time");
+                call.fail(new DiscoveryFailure.Overdue());
             }
         }
 
         @Override
         public void watchIdle() {
-            call.fail("no whole line for " + DiscoveryCall.IDLE_TIMEOUT_MILLIS + " ms");
+            call.fail(new DiscoveryFailure.IdleWatch(DiscoveryCall.IDLE_TIMEOUT_MILLIS));
         }
 
         @Override
-        public void failed(String why, long retryAfterMs) {
-            if (!why.equals(fault)) {
-                LOG.warn("{}: not followed: {}", name(), why);
+        public void failed(DiscoveryFailure failure, long retryAfterMillis) {
+            if (!failure.equals(fault)) {
+                LOG.warn("{}: not followed: {}", name(), failure.message());
             }
-            fault = why;
-            ask(following.rejected(TimeUnit.MILLISECONDS.toNanos(retryAfterMs)));
+            fault = failure;
+            ask(following.rejected(TimeUnit.MILLISECONDS.toNanos(retryAfterMillis)));
         }
     }
 
@@ -254,17 +255,17 @@
 
         @Override
         public void answerOverdue() {
-            fill.fail("no answer in time");
+            fill.fail(new DiscoveryFailure.Overdue());
         }
 
         @Override
         public void watchIdle() {
-            fill.fail("no answer in time");
+            fill.fail(new DiscoveryFailure.Overdue());
         }
 
         @Override
-        public void failed(String why, long retryAfterMs) {
-            LOG.info("{}: earlier changes not told: {}", name(), why);
+        public void failed(DiscoveryFailure failure, long retryAfterMillis) {
+            LOG.info("{}: earlier changes not told: {}", name(), failure.message());
             over();
         }
     }
