--- a/core/src/test/java/topazvalve/core/exchange/Scene.java
+++ b/core/src/test/java/topazvalve/core/exchange/Scene.java
@@ -74,6 +74,15 @@
     private boolean stopped;
     private boolean stalledBefore;
 
+    /** The settings' word for it. */
+    private static String settingOf(Idempotency idempotency) {
+        return switch (idempotency) {
+            case IDEMPOTENT -> "repeatable";
+            case IDEMPOTENCY_KEY -> "by_key";
+            case NON_IDEMPOTENT -> "once";
+        };
+    }
+
     /** With {@code rogue} orders may come that the module did not give, and it can't cancel. */
     Scene(Idempotency semantics, boolean whole, boolean rogue) {
         this(semantics, whole, rogue, false);
@@ -97,8 +106,7 @@
     }
 
     private SettingsReader options(int tries) {
-        return new SettingsReader(
-                SETTINGS.formatted(!rogue, tries, semantics.name().toLowerCase(java.util.Locale.ROOT)));
+        return new SettingsReader(SETTINGS.formatted(!rogue, tries, settingOf(semantics)));
     }
 
     private static Endpoint target(int number, EndpointStatus state) {
