--- a/core/src/test/java/topazvalve/core/exchange/Scene.java
+++ b/core/src/test/java/topazvalve/core/exchange/Scene.java
@@ -119,7 +119,7 @@
                 Scene.class.getClassLoader(),
                 new Class<?>[] {LoadBalancer.Actions.class},
                 (proxy, method, arguments) -> {
-                    if (method.getName().equals("send")) {
+                    if (method.getName().equals("forward")) {
                         orders++;
                     }
                     return call(actions, method, arguments);
@@ -127,7 +127,7 @@
         LoadBalancer rules = new SidecarPolicy(settings, 7, heard);
         return (LoadBalancer) Proxy.newProxyInstance(
                 Scene.class.getClassLoader(), new Class<?>[] {LoadBalancer.class}, (proxy, method, arguments) -> {
-                    if (method.getName().equals("outcome")) {
+                    if (method.getName().equals("attemptCompleted")) {
                         outcomes.merge((Integer) arguments[2], 1, Integer::sum);
                     }
                     return call(rules, method, arguments);
