--- a/sidecar/src/test/java/topazvalve/sidecar/AdminTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/AdminTest.java
@@ -19,10 +19,10 @@
         return method + " " + path + " HTTP/1.1\r\nHost: a\r\n\r\n";
     }
 
-    private static int status(Bed bed, String request) throws Exception {
-        try (Bed.Client client = new Bed.Client(bed.admin)) {
-            Bed.Answer answer = client.ask(request);
-            assertEquals("close", Stub.header(answer.head(), "Connection"));
+    private static int status(SidecarFixture bed, String request) throws Exception {
+        try (SidecarFixture.TestClient client = new SidecarFixture.TestClient(bed.adminAddress)) {
+            SidecarFixture.ClientResponse answer = client.send(request);
+            assertEquals("close", StubServer.header(answer.head(), "Connection"));
             assertEquals(-1, client.socket.getInputStream().read(), "one call on each connection");
             return answer.status();
         }
@@ -30,7 +30,7 @@
 
     @Test
     void readyFollowsTheLifeCycle() throws Exception {
-        try (Bed bed = Bed.with()) {
+        try (SidecarFixture bed = SidecarFixture.startWith()) {
             assertEquals(503, status(bed, call("GET", "/_ready")), "not yet");
             bed.loop.submit(bed.lifecycle::markStarted).sync();
             assertEquals(200, status(bed, call("GET", "/_ready")));
@@ -42,32 +42,32 @@
 
     @Test
     void wrongCallsAreToldSo() throws Exception {
-        try (Bed bed = Bed.with()) {
+        try (SidecarFixture bed = SidecarFixture.startWith()) {
             assertEquals(404, status(bed, call("GET", "/_nothing")));
             assertEquals(404, status(bed, call("GET", "/up")), "no client's call");
             assertEquals(405, status(bed, call("POST", "/_ready")));
             assertEquals(405, status(bed, call("GET", "/_lameduck/on")), "a look must not empty a sidecar");
             assertEquals(400, status(bed, "what is this\r\n\r\n"));
-            try (Bed.Client client = new Bed.Client(bed.admin)) {
+            try (SidecarFixture.TestClient client = new SidecarFixture.TestClient(bed.adminAddress)) {
                 String large = "POST /_lameduck/on HTTP/1.1\r\nContent-Length: 9999\r\n\r\n";
-                assertEquals(413, client.ask(large).status());
+                assertEquals(413, client.send(large).status());
             }
             assertFalse(bed.loop.submit(bed.lifecycle::isDraining).get(), "none of it emptied the sidecar");
         }
     }
 
     /** The figures of a sidecar, as an operator fetches them. */
-    private static String vars(Bed bed) throws Exception {
-        try (Bed.Client client = new Bed.Client(bed.admin)) {
-            Bed.Answer answer = client.ask(call("GET", "/_vars"));
+    private static String vars(SidecarFixture bed) throws Exception {
+        try (SidecarFixture.TestClient client = new SidecarFixture.TestClient(bed.adminAddress)) {
+            SidecarFixture.ClientResponse answer = client.send(call("GET", "/_vars"));
             assertEquals(200, answer.status());
             return answer.body();
         }
     }
 
     /** Waits until a figure has a value: an attempt counts once the system has taken its last byte. */
-    private static void await(Bed bed, String line) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Stub.LIMIT_S);
+    private static void await(SidecarFixture bed, String line) throws Exception {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(StubServer.TIMEOUT_SECONDS);
         String seen = vars(bed);
         while (seen.lines().noneMatch(line::equals)) {
             assertTrue(System.nanoTime() < end, line + " never came: " + seen);
@@ -79,20 +79,21 @@
     @Test
     void everyFigureShowsFromNoughtAndCountsWhatHappened() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        try (Stub upstream = new Stub((socket, head) -> switch (Stub.header(head, "Req-Id")) {
+        try (StubServer upstream = new StubServer((socket, head) -> switch (StubServer.header(head, "Req-Id")) {
                     case "held" -> {
                         try {
-                            yield go.await(Stub.LIMIT_S, TimeUnit.SECONDS) && Stub.reply(socket, "200 OK", "", "x");
+                            yield go.await(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS)
+                                    && StubServer.reply(socket, "200 OK", "", "x");
                         } catch (InterruptedException e) {
                             yield false;
                         }
                     }
-                    case "9b1f" -> Stub.reply(socket, "500 No", "", "");
-                    case "shed" -> Stub.reply(socket, "503 No", "Srv-Declined: 1\r\n", "");
-                    default -> Stub.reply(socket, "200 OK", "", "x");
+                    case "9b1f" -> StubServer.reply(socket, "500 No", "", "");
+                    case "shed" -> StubServer.reply(socket, "503 No", "Srv-Declined: 1\r\n", "");
+                    default -> StubServer.reply(socket, "200 OK", "", "x");
                 });
-                Bed bed = Bed.with(upstream);
-                Bed.Client held = new Bed.Client(bed.address)) {
+                SidecarFixture bed = SidecarFixture.startWith(upstream);
+                SidecarFixture.TestClient held = new SidecarFixture.TestClient(bed.address)) {
             assertEquals("""
                     app.ok.look=0
                     app.shed.look=0
@@ -112,11 +113,12 @@
                     app.config_applied=0
                     app.config_rejected=0
                     """, vars(bed));
-            assertEquals(200, bed.ask(Bed.look("a")).status());
-            assertEquals(200, bed.ask(Bed.look("b")).status());
-            assertEquals(503, bed.ask(Bed.look("shed")).status());
-            assertEquals(502, bed.ask(Bed.post("book", "", "x")).status());
-            Stub.write(held.socket, Bed.look("held"));
+            assertEquals(200, bed.send(SidecarFixture.lookRequest("a")).status());
+            assertEquals(200, bed.send(SidecarFixture.lookRequest("b")).status());
+            assertEquals(503, bed.send(SidecarFixture.lookRequest("shed")).status());
+            assertEquals(
+                    502, bed.send(SidecarFixture.postRequest("book", "", "x")).status());
+            StubServer.write(held.socket, SidecarFixture.lookRequest("held"));
             await(bed, "app.active=1");
             await(bed, "app.tries.look=4");
             await(bed, "app.tries.book=1");
@@ -124,7 +126,7 @@
             await(bed, "app.shed.look=1");
             await(bed, "app.errors.book=1");
             go.countDown();
-            assertEquals(200, held.read().status());
+            assertEquals(200, held.readResponse().status());
             await(bed, "app.active=0");
             await(bed, "app.ok.look=3");
         }
@@ -133,12 +135,12 @@
     /** An upstream that takes no connection is avoided; a try that was never written is none. */
     @Test
     void ejectedUpstreamShows() throws Exception {
-        try (Stub dead = Stub.serving("x");
-                Stub alive = Stub.serving("y");
-                Bed bed = Bed.with(dead, alive)) {
-            dead.die();
+        try (StubServer dead = StubServer.respondingWith("x");
+                StubServer alive = StubServer.respondingWith("y");
+                SidecarFixture bed = SidecarFixture.startWith(dead, alive)) {
+            dead.stop();
             for (int i = 0; i < 4; i++) {
-                assertEquals("y", bed.ask(Bed.look("a" + i)).body());
+                assertEquals("y", bed.send(SidecarFixture.lookRequest("a" + i)).body());
             }
             await(bed, "app.pool_size=2");
             await(bed, "app.pool_ejected=1");
@@ -150,35 +152,36 @@
     @Test
     void lameDuckServesWhatComesAndCanBeTurnedBack() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        try (Stub upstream = new Stub((socket, head) -> {
+        try (StubServer upstream = new StubServer((socket, head) -> {
                     try {
                         go.await();
                     } catch (InterruptedException e) {
                         return false;
                     }
-                    return Stub.reply(socket, "200 OK", "", "x");
+                    return StubServer.reply(socket, "200 OK", "", "x");
                 });
-                Bed bed = Bed.with(upstream);
-                Bed.Client idle = new Bed.Client(bed.address);
-                Bed.Client busy = new Bed.Client(bed.address)) {
+                SidecarFixture bed = SidecarFixture.startWith(upstream);
+                SidecarFixture.TestClient idle = new SidecarFixture.TestClient(bed.address);
+                SidecarFixture.TestClient busy = new SidecarFixture.TestClient(bed.address)) {
             bed.loop.submit(bed.lifecycle::markStarted).sync();
-            assertEquals(200, idle.ask(UP).status());
-            Stub.write(busy.socket, Bed.look("a"));
-            Stub.next(upstream.heads);
+            assertEquals(200, idle.send(UP).status());
+            StubServer.write(busy.socket, SidecarFixture.lookRequest("a"));
+            StubServer.awaitNext(upstream.receivedHeads);
             assertEquals(200, status(bed, call("POST", "/_lameduck/on")));
-            assertEquals(503, bed.ask(UP).status());
+            assertEquals(503, bed.send(UP).status());
             assertEquals(-1, idle.socket.getInputStream().read(), "an idle connection ends by itself");
             go.countDown();
-            Bed.Answer answer = busy.read();
+            SidecarFixture.ClientResponse answer = busy.readResponse();
             assertEquals(200, answer.status());
-            assertEquals("close", Stub.header(answer.head(), "Connection"));
-            Bed.Answer late = bed.ask(Bed.look("b"));
+            assertEquals("close", StubServer.header(answer.head(), "Connection"));
+            SidecarFixture.ClientResponse late = bed.send(SidecarFixture.lookRequest("b"));
             assertEquals(200, late.status(), "who comes is served");
-            assertEquals("close", Stub.header(late.head(), "Connection"));
+            assertEquals("close", StubServer.header(late.head(), "Connection"));
             assertEquals(200, status(bed, call("POST", "/_lameduck/off")));
-            try (Bed.Client kept = new Bed.Client(bed.address)) {
-                assertEquals(200, kept.ask(UP).status());
-                assertEquals(200, kept.ask(Bed.look("c")).status(), "and connections are kept again");
+            try (SidecarFixture.TestClient kept = new SidecarFixture.TestClient(bed.address)) {
+                assertEquals(200, kept.send(UP).status());
+                assertEquals(
+                        200, kept.send(SidecarFixture.lookRequest("c")).status(), "and connections are kept again");
             }
         }
     }
@@ -187,43 +190,43 @@
     @Test
     void requestsReadAheadAreAnsweredBeforeALameDuckCloses() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        try (Stub upstream = new Stub((socket, head) -> {
+        try (StubServer upstream = new StubServer((socket, head) -> {
                     try {
                         go.await();
                     } catch (InterruptedException e) {
                         return false;
                     }
-                    return Stub.reply(socket, "200 OK", "", Stub.header(head, "Req-Id"));
+                    return StubServer.reply(socket, "200 OK", "", StubServer.header(head, "Req-Id"));
                 });
-                Bed bed = Bed.with(upstream);
-                Bed.Client client = new Bed.Client(bed.address)) {
-            Stub.write(client.socket, Bed.look("a") + Bed.look("b"));
-            Stub.next(upstream.heads);
+                SidecarFixture bed = SidecarFixture.startWith(upstream);
+                SidecarFixture.TestClient client = new SidecarFixture.TestClient(bed.address)) {
+            StubServer.write(client.socket, SidecarFixture.lookRequest("a") + SidecarFixture.lookRequest("b"));
+            StubServer.awaitNext(upstream.receivedHeads);
             assertEquals(200, status(bed, call("POST", "/_lameduck/on")));
             go.countDown();
-            assertEquals("a", client.read().body());
-            Bed.Answer last = client.read();
+            assertEquals("a", client.readResponse().body());
+            SidecarFixture.ClientResponse last = client.readResponse();
             assertEquals("b", last.body());
-            assertNotNull(Stub.header(last.head(), "Connection"));
+            assertNotNull(StubServer.header(last.head(), "Connection"));
         }
     }
 
     /** Silent callers and half calls, many more than the door holds, must not keep one out that asks. */
     @Test
     void silentCallersKeepNobodyOut() throws Exception {
-        List<Bed.Client> silent = new ArrayList<>();
-        try (Bed bed = Bed.with()) {
+        List<SidecarFixture.TestClient> silent = new ArrayList<>();
+        try (SidecarFixture bed = SidecarFixture.startWith()) {
             for (int i = 0; i < 100; i++) {
-                Bed.Client client = new Bed.Client(bed.admin);
+                SidecarFixture.TestClient client = new SidecarFixture.TestClient(bed.adminAddress);
                 silent.add(client);
                 if (i % 2 == 0) {
-                    Stub.write(client.socket, "GET /_rea");
+                    StubServer.write(client.socket, "GET /_rea");
                 }
             }
             assertEquals(503, status(bed, call("GET", "/_ready")));
             assertEquals(-1, silent.get(99).socket.getInputStream().read(), "and are sent away themselves");
         } finally {
-            for (Bed.Client each : silent) {
+            for (SidecarFixture.TestClient each : silent) {
                 each.close();
             }
         }
--- a/sidecar/src/test/java/topazvalve/sidecar/BulkTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/BulkTest.java
@@ -23,7 +23,7 @@
     private static final String CHUNKED = "Transfer-Encoding: chunked\r\n";
 
     private static String post(String headers) {
-        return Bed.post("book", "", "").replace("Content-Length: 0\r\n", headers);
+        return SidecarFixture.postRequest("book", "", "").replace("Content-Length: 0\r\n", headers);
     }
 
     private static String chunk(String text) {
@@ -61,21 +61,22 @@
     }
 
     /** A bed with so little memory that nothing large can be held whole. */
-    private static Bed narrow(Stub... upstreams) throws Exception {
-        ObjectNode json = Bed.json(upstreams);
+    private static SidecarFixture narrow(StubServer... upstreams) throws Exception {
+        ObjectNode json = SidecarFixture.configJson(upstreams);
         json.withObject("/limits").put("memory_mb", 0);
-        return new Bed(json);
+        return new SidecarFixture(json);
     }
 
     @Test
     void largeBodiesGoThroughBothWaysOnOneConnection() throws Exception {
-        try (Stub upstream = Stub.serving(BODY);
-                Bed bed = narrow(upstream);
-                Bed.Client client = new Bed.Client(bed.address)) {
+        try (StubServer upstream = StubServer.respondingWith(BODY);
+                SidecarFixture bed = narrow(upstream);
+                SidecarFixture.TestClient client = new SidecarFixture.TestClient(bed.address)) {
             for (int i = 0; i < 3; i++) {
-                Bed.Answer answer = client.ask(Bed.post("book", "", BODY).replace("9b1f", "b" + i));
+                SidecarFixture.ClientResponse answer =
+                        client.send(SidecarFixture.postRequest("book", "", BODY).replace("9b1f", "b" + i));
                 assertEquals(BODY, answer.body());
-                assertEquals(BODY, Stub.next(upstream.bodies));
+                assertEquals(BODY, StubServer.awaitNext(upstream.receivedBodies));
             }
         }
     }
@@ -83,9 +84,9 @@
     /** Chunks with extensions and trailers, an answer of unknown length, and the next request behind it. */
     @Test
     void chunkedBodiesGoThrough() throws Exception {
-        try (Stub upstream =
-                        new Stub((socket, head) -> {
-                            Stub.write(
+        try (StubServer upstream =
+                        new StubServer((socket, head) -> {
+                            StubServer.write(
                                     socket,
                                     "HTTP/1.1 200 OK\r\n" + CHUNKED + "Trailer: X-Sum\r\n\r\n" + chunk(BODY)
                                             + chunk("end") + "0\r\nX-Sum: 1\r\n\r\n");
@@ -93,110 +94,111 @@
                         }) {
                             @Override
                             void readBody(Socket socket, InputStream in, String head) throws IOException {
-                                bodies.add(head.contains("chunked") ? readChunked(in) : "none");
+                                receivedBodies.add(head.contains("chunked") ? readChunked(in) : "none");
                             }
                         };
-                Bed bed = narrow(upstream);
-                Bed.Client client = new Bed.Client(bed.address)) {
-            Stub.thread(() -> {
+                SidecarFixture bed = narrow(upstream);
+                SidecarFixture.TestClient client = new SidecarFixture.TestClient(bed.address)) {
+            StubServer.startDaemonThread(() -> {
                 try {
-                    Stub.write(
+                    StubServer.write(
                             client.socket,
                             post(CHUNKED) + chunk(BODY.substring(0, 70_000)) + chunk(BODY.substring(70_000))
-                                    + "0\r\nX-Sum: 1\r\n\r\n" + Bed.look("next"));
+                                    + "0\r\nX-Sum: 1\r\n\r\n" + SidecarFixture.lookRequest("next"));
                 } catch (IOException e) {
                     throw new AssertionError(e);
                 }
             });
             for (int i = 0; i < 2; i++) {
-                String head = client.head();
-                assertEquals("chunked", Stub.header(head, "Transfer-Encoding"));
+                String head = client.readHead();
+                assertEquals("chunked", StubServer.header(head, "Transfer-Encoding"));
                 assertEquals(BODY + "end", readChunked(client.in));
             }
-            assertEquals(BODY, Stub.next(upstream.bodies));
-            assertEquals("none", Stub.next(upstream.bodies));
+            assertEquals(BODY, StubServer.awaitNext(upstream.receivedBodies));
+            assertEquals("none", StubServer.awaitNext(upstream.receivedBodies));
         }
     }
 
     /** Every byte alone: the head, the sizes of the chunks, the body. */
     @Test
     void messagesCutAtAnyByteAreReadAlike() throws Exception {
-        try (Stub upstream = new Stub((socket, head) -> {
+        try (StubServer upstream = new StubServer((socket, head) -> {
                     String answer = "HTTP/1.1 200 OK\r\n" + CHUNKED + "\r\n" + chunk("hello") + "0\r\n\r\n";
                     for (int i = 0; i < answer.length(); i++) {
-                        Stub.write(socket, answer.substring(i, i + 1));
+                        StubServer.write(socket, answer.substring(i, i + 1));
                     }
                     return true;
                 });
-                Bed bed = Bed.with(upstream);
-                Bed.Client client = new Bed.Client(bed.address)) {
+                SidecarFixture bed = SidecarFixture.startWith(upstream);
+                SidecarFixture.TestClient client = new SidecarFixture.TestClient(bed.address)) {
             client.socket.setTcpNoDelay(true);
             String request = post(CHUNKED) + chunk("two") + chunk("three") + "0\r\n\r\n";
             for (int i = 0; i < request.length(); i++) {
-                Stub.write(client.socket, request.substring(i, i + 1));
+                StubServer.write(client.socket, request.substring(i, i + 1));
             }
-            assertEquals("hello", client.read().body());
-            assertEquals("twothree", Stub.next(upstream.bodies), "a held body goes on with its length");
+            assertEquals("hello", client.readResponse().body());
+            assertEquals(
+                    "twothree", StubServer.awaitNext(upstream.receivedBodies), "a held body goes on with its length");
         }
     }
 
     @Test
     void clientThatWaitsForContinueIsToldTo() throws Exception {
-        try (Stub upstream = Stub.serving("x");
-                Bed bed = Bed.with(upstream);
-                Bed.Client client = new Bed.Client(bed.address)) {
-            Stub.write(client.socket, post("Expect: 100-continue\r\nContent-Length: 3\r\n"));
-            assertTrue(client.head().startsWith("HTTP/1.1 100 "));
-            Stub.write(client.socket, "two");
-            assertEquals("x", client.read().body());
-            assertNull(Stub.header(Stub.next(upstream.heads), "Expect"));
+        try (StubServer upstream = StubServer.respondingWith("x");
+                SidecarFixture bed = SidecarFixture.startWith(upstream);
+                SidecarFixture.TestClient client = new SidecarFixture.TestClient(bed.address)) {
+            StubServer.write(client.socket, post("Expect: 100-continue\r\nContent-Length: 3\r\n"));
+            assertTrue(client.readHead().startsWith("HTTP/1.1 100 "));
+            StubServer.write(client.socket, "two");
+            assertEquals("x", client.readResponse().body());
+            assertNull(StubServer.header(StubServer.awaitNext(upstream.receivedHeads), "Expect"));
         }
     }
 
     /** A body that its client sends slowly costs no time: that counts from the last byte. */
     @Test
     void slowBodyIsNotLate() throws Exception {
-        try (Stub upstream = Stub.serving("x");
-                Bed bed = narrow(upstream);
-                Bed.Client client = new Bed.Client(bed.address)) {
+        try (StubServer upstream = StubServer.respondingWith("x");
+                SidecarFixture bed = narrow(upstream);
+                SidecarFixture.TestClient client = new SidecarFixture.TestClient(bed.address)) {
             String head = post("Content-Length: " + 10 * 20_000 + "\r\n").replace("Ms: 20000", "Ms: 1500");
-            Stub.write(client.socket, head);
+            StubServer.write(client.socket, head);
             for (int i = 0; i < 10; i++) {
-                Stub.write(client.socket, "x".repeat(20_000));
+                StubServer.write(client.socket, "x".repeat(20_000));
                 Thread.sleep(200);
             }
-            assertEquals(200, client.read().status());
-            assertEquals(200_000, Stub.next(upstream.bodies).length());
+            assertEquals(200, client.readResponse().status());
+            assertEquals(200_000, StubServer.awaitNext(upstream.receivedBodies).length());
         }
     }
 
     /** Its time ends for want of bytes: the client is told, and the attempt goes with it. */
     @Test
     void silenceWithinABodyEndsTheRequest() throws Exception {
-        try (Stub upstream = Stub.serving("x");
-                Bed bed = narrow(upstream);
-                Bed.Client client = new Bed.Client(bed.address)) {
-            Stub.write(client.socket, post("Content-Length: 200000\r\n") + "x".repeat(100_000));
-            assertEquals(408, client.read().status());
+        try (StubServer upstream = StubServer.respondingWith("x");
+                SidecarFixture bed = narrow(upstream);
+                SidecarFixture.TestClient client = new SidecarFixture.TestClient(bed.address)) {
+            StubServer.write(client.socket, post("Content-Length: 200000\r\n") + "x".repeat(100_000));
+            assertEquals(408, client.readResponse().status());
             assertEquals(-1, client.in.read());
-            assertEquals("end", Stub.next(upstream.ended), "no whole request ever came there");
-            assertEquals(0, bed.loop.submit(bed.engine::active).get());
+            assertEquals("end", StubServer.awaitNext(upstream.closedConnections), "no whole request ever came there");
+            assertEquals(0, bed.loop.submit(bed.exchanges::active).get());
         }
     }
 
     /** Before a byte of it was let go a large request goes elsewhere, even an unsafe one. */
     @Test
     void largeRequestGoesOnWhenNoConnectionComesUp() throws Exception {
-        try (Stub gone = Stub.serving("x");
-                Stub upstream = Stub.serving("y");
-                Bed bed = narrow(gone, upstream)) {
-            gone.die();
+        try (StubServer gone = StubServer.respondingWith("x");
+                StubServer upstream = StubServer.respondingWith("y");
+                SidecarFixture bed = narrow(gone, upstream)) {
+            gone.stop();
             for (int i = 0; i < 4; i++) {
                 assertEquals(
                         "y",
-                        bed.ask(Bed.post("book", "", BODY).replace("9b1f", "b" + i))
+                        bed.send(SidecarFixture.postRequest("book", "", BODY).replace("9b1f", "b" + i))
                                 .body());
-                assertEquals(BODY, Stub.next(upstream.bodies));
+                assertEquals(BODY, StubServer.awaitNext(upstream.receivedBodies));
             }
         }
     }
@@ -206,27 +208,27 @@
     void largeRequestThatBreaksOnItsWayIsRefusedOnce() throws Exception {
         try (Breaking one = new Breaking();
                 Breaking two = new Breaking();
-                Bed bed = narrow(one.stub, two.stub);
-                Bed.Client client = new Bed.Client(bed.address)) {
-            Stub.thread(() -> {
+                SidecarFixture bed = narrow(one.stub, two.stub);
+                SidecarFixture.TestClient client = new SidecarFixture.TestClient(bed.address)) {
+            StubServer.startDaemonThread(() -> {
                 try {
-                    Stub.write(client.socket, post("Content-Length: 30000000\r\n") + "x".repeat(29_000_000));
+                    StubServer.write(client.socket, post("Content-Length: 30000000\r\n") + "x".repeat(29_000_000));
                 } catch (IOException e) {
                     // The sidecar has answered and reads no more.
                 }
             });
-            assertEquals(503, client.read().status());
-            assertEquals(1, one.stub.ended.size() + two.stub.ended.size(), "one attempt");
+            assertEquals(503, client.readResponse().status());
+            assertEquals(1, one.stub.closedConnections.size() + two.stub.closedConnections.size(), "one attempt");
         }
     }
 
     /** Reads a part of a request's body and resets the connection. */
     private static final class Breaking implements AutoCloseable {
-        private final Stub stub = new Stub((socket, head) -> true) {
+        private final StubServer stub = new StubServer((socket, head) -> true) {
             @Override
             void readBody(Socket socket, InputStream in, String head) throws IOException {
                 in.readNBytes(1_000_000);
-                Stub.reset(socket);
+                StubServer.reset(socket);
                 throw new IOException("broken on purpose");
             }
         };
@@ -242,17 +244,17 @@
     void answerThatIsCutEndsSoThatTheClientCanTell() throws Exception {
         for (String length : List.of("Content-Length: 200000\r\n", CHUNKED)) {
             String part = "x".repeat(100_000);
-            try (Stub upstream = new Stub((socket, head) -> {
-                        Stub.write(
+            try (StubServer upstream = new StubServer((socket, head) -> {
+                        StubServer.write(
                                 socket,
                                 "HTTP/1.1 200 OK\r\n" + length + "\r\n"
                                         + (length.equals(CHUNKED) ? chunk(part) : part));
                         return false;
                     });
-                    Bed bed = Bed.with(upstream);
-                    Bed.Client client = new Bed.Client(bed.address)) {
-                Stub.write(client.socket, Bed.look("a"));
-                String head = client.head();
+                    SidecarFixture bed = SidecarFixture.startWith(upstream);
+                    SidecarFixture.TestClient client = new SidecarFixture.TestClient(bed.address)) {
+                StubServer.write(client.socket, SidecarFixture.lookRequest("a"));
+                String head = client.readHead();
                 assertTrue(head.startsWith("HTTP/1.1 200 "));
                 if (length.equals(CHUNKED)) {
                     assertThrows(IOException.class, () -> readChunked(client.in));
@@ -260,9 +262,9 @@
                     assertEquals(100_000, client.in.readNBytes(200_000).length);
                 }
                 String figures =
-                        bed.loop.submit(() -> bed.metrics.text(bed.engine)).get();
+                        bed.loop.submit(() -> bed.metrics.text(bed.exchanges)).get();
                 assertTrue(figures.contains("app.errors.look=1\n") && figures.contains("app.ok.look=0\n"));
-                assertEquals(1, upstream.heads.size(), "what has begun is not tried again");
+                assertEquals(1, upstream.receivedHeads.size(), "what has begun is not tried again");
             }
         }
     }
@@ -271,28 +273,31 @@
     @Test
     void answerThatEndsWithItsConnectionIsServed() throws Exception {
         for (String body : List.of("short", BODY)) {
-            try (Stub upstream = new Stub((socket, head) -> {
-                        Stub.write(socket, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body);
+            try (StubServer upstream = new StubServer((socket, head) -> {
+                        StubServer.write(socket, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body);
                         return false;
                     });
-                    Bed bed = Bed.with(upstream);
-                    Bed.Client client = new Bed.Client(bed.address)) {
-                Stub.write(client.socket, Bed.look("a"));
-                String head = client.head();
+                    SidecarFixture bed = SidecarFixture.startWith(upstream);
+                    SidecarFixture.TestClient client = new SidecarFixture.TestClient(bed.address)) {
+                StubServer.write(client.socket, SidecarFixture.lookRequest("a"));
+                String head = client.readHead();
                 assertEquals(
                         body,
                         body.equals(BODY)
                                 ? readChunked(client.in)
-                                : new String(client.in.readNBytes(Stub.length(head)), StandardCharsets.US_ASCII));
-                assertNull(Stub.header(head, "Connection"), "that was the upstream's connection");
+                                : new String(
+                                        client.in.readNBytes(StubServer.contentLength(head)),
+                                        StandardCharsets.US_ASCII));
+                assertNull(StubServer.header(head, "Connection"), "that was the upstream's connection");
             }
         }
-        try (Stub upstream = new Stub((socket, head) -> {
-                    Stub.write(socket, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
-                    return Stub.reset(socket);
+        try (StubServer upstream = new StubServer((socket, head) -> {
+                    StubServer.write(socket, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
+                    return StubServer.reset(socket);
                 });
-                Bed bed = Bed.with(upstream)) {
-            assertEquals(502, bed.ask(Bed.post("book", "", "x")).status());
+                SidecarFixture bed = SidecarFixture.startWith(upstream)) {
+            assertEquals(
+                    502, bed.send(SidecarFixture.postRequest("book", "", "x")).status());
         }
     }
 
@@ -300,20 +305,20 @@
     @Test
     void firstBytesOfAnAnswerOfUnknownLengthDoNotWaitForTheRest() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        try (Stub upstream = new Stub((socket, head) -> {
-                    Stub.write(socket, "HTTP/1.1 200 OK\r\n" + CHUNKED + "\r\n" + chunk("first"));
+        try (StubServer upstream = new StubServer((socket, head) -> {
+                    StubServer.write(socket, "HTTP/1.1 200 OK\r\n" + CHUNKED + "\r\n" + chunk("first"));
                     try {
                         go.await();
                     } catch (InterruptedException e) {
                         return false;
                     }
-                    Stub.write(socket, chunk("rest") + "0\r\n\r\n");
+                    StubServer.write(socket, chunk("rest") + "0\r\n\r\n");
                     return true;
                 });
-                Bed bed = Bed.with(upstream);
-                Bed.Client client = new Bed.Client(bed.address)) {
-            Stub.write(client.socket, Bed.look("a"));
-            assertTrue(client.head().startsWith("HTTP/1.1 200 "));
+                SidecarFixture bed = SidecarFixture.startWith(upstream);
+                SidecarFixture.TestClient client = new SidecarFixture.TestClient(bed.address)) {
+            StubServer.write(client.socket, SidecarFixture.lookRequest("a"));
+            assertTrue(client.readHead().startsWith("HTTP/1.1 200 "));
             assertEquals("5", line(client.in));
             go.countDown();
             assertEquals("first", new String(client.in.readNBytes(5), StandardCharsets.US_ASCII));
@@ -329,39 +334,39 @@
         byte[] all = "0123456789abcdef".repeat(size / 16).getBytes(StandardCharsets.US_ASCII);
         CountDownLatch started = new CountDownLatch(3);
         CountDownLatch sent = new CountDownLatch(3);
-        try (Stub upstream = new Stub((socket, head) -> {
+        try (StubServer upstream = new StubServer((socket, head) -> {
                     if (head.contains("Req-Id: small")) {
-                        return Stub.reply(socket, "200 OK", "", "x");
+                        return StubServer.reply(socket, "200 OK", "", "x");
                     }
-                    Stub.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + size + "\r\n\r\n");
+                    StubServer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + size + "\r\n\r\n");
                     started.countDown();
                     socket.getOutputStream().write(all);
                     sent.countDown();
                     return true;
                 });
-                Bed bed = narrow(upstream)) {
-            List<Bed.Client> clients = Stream.of("a", "b", "c")
+                SidecarFixture bed = narrow(upstream)) {
+            List<SidecarFixture.TestClient> clients = Stream.of("a", "b", "c")
                     .map(id -> {
                         try {
-                            Bed.Client client = new Bed.Client(bed.address);
-                            Stub.write(client.socket, Bed.look(id));
+                            SidecarFixture.TestClient client = new SidecarFixture.TestClient(bed.address);
+                            StubServer.write(client.socket, SidecarFixture.lookRequest(id));
                             return client;
                         } catch (IOException e) {
                             throw new AssertionError(e);
                         }
                     })
                     .toList();
-            assertTrue(started.await(Stub.LIMIT_S, TimeUnit.SECONDS));
-            for (Bed.Client client : clients) {
-                assertEquals(size, Stub.length(client.head()));
+            assertTrue(started.await(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS));
+            for (SidecarFixture.TestClient client : clients) {
+                assertEquals(size, StubServer.contentLength(client.readHead()));
             }
-            assertEquals("x", bed.ask(Bed.look("small")).body(), "others are served meanwhile");
+            assertEquals("x", bed.send(SidecarFixture.lookRequest("small")).body(), "others are served meanwhile");
             assertEquals(3, sent.getCount(), "nobody could send all of it yet");
-            for (Bed.Client client : clients) {
+            for (SidecarFixture.TestClient client : clients) {
                 assertEquals(size, client.in.readNBytes(size).length);
                 client.close();
             }
-            assertTrue(sent.await(Stub.LIMIT_S, TimeUnit.SECONDS));
+            assertTrue(sent.await(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         }
     }
 }
--- a/sidecar/src/test/java/topazvalve/sidecar/ConfigTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/ConfigTest.java
@@ -21,7 +21,7 @@
 
     @Test
     void settingsReadAsOnTheSimulatorsWire() throws Exception {
-        Config config = Bed.config(Bed.json());
+        Config config = SidecarFixture.config(SidecarFixture.configJson());
         Settings settings = config.options().settings();
         assertEquals(List.of("rate", "q"), settings.loadReportFields());
         assertEquals(
@@ -37,17 +37,17 @@
     @Test
     void mistakesNameTheirKey() throws Exception {
         for (String key : List.of("listen", "discovery", "seed", "settings")) {
-            ObjectNode json = Bed.json();
+            ObjectNode json = SidecarFixture.configJson();
             json.remove(key);
             assertNames(key, json);
         }
-        ObjectNode json = Bed.json();
+        ObjectNode json = SidecarFixture.configJson();
         json.withObject("/settings/rules").remove("rampTime");
         assertNames("rules.rampTime", json);
-        json = Bed.json();
+        json = SidecarFixture.configJson();
         json.withObject("/settings/caps").put("tryLimit", "many");
         assertNames("caps.tryLimit", json);
-        json = Bed.json();
+        json = SidecarFixture.configJson();
         json.withObject("/limits").put("sockets", 3);
         assertNames("limits.sockets", json);
     }
@@ -55,7 +55,7 @@
     /** A file that lost its end, or had another pasted to it, must not pass. */
     @Test
     void truncatedFileIsTurnedDownWhereverItWasCut(@TempDir Path folder) throws Exception {
-        String whole = Bed.json().toString();
+        String whole = SidecarFixture.configJson().toString();
         Path file = folder.resolve("config.json");
         for (int length = 0; length < whole.length(); length++) {
             Files.writeString(file, whole.substring(0, length));
@@ -73,11 +73,11 @@
     @Test
     void deadlinesAndAttemptsAreNumbersAboveNought() throws Exception {
         for (String bad : List.of("0", "-1", "\"soon\"", "\"5\"", "null", "true", "[5]", "{}")) {
-            ObjectNode json = Bed.json();
-            json.withObject("/settings/caps").set("tryLimit", Bed.JSON.readTree(bad));
+            ObjectNode json = SidecarFixture.configJson();
+            json.withObject("/settings/caps").set("tryLimit", SidecarFixture.JSON.readTree(bad));
             assertNames("caps.tryLimit", json);
-            json = Bed.json();
-            ((ObjectNode) json.at("/settings/profiles/1")).set("deadline", Bed.JSON.readTree(bad));
+            json = SidecarFixture.configJson();
+            ((ObjectNode) json.at("/settings/profiles/1")).set("deadline", SidecarFixture.JSON.readTree(bad));
             assertNames("profiles.1.deadline", json);
         }
     }
@@ -85,7 +85,7 @@
     /** Whatever a running sidecar has been told it must be told again: no default may creep in. */
     @Test
     void runningSidecarTakesNoFileThatMissesAKey() throws Exception {
-        Config inForce = Bed.config(Bed.json());
+        Config inForce = SidecarFixture.config(SidecarFixture.configJson());
         inForce.requireFit(inForce);
         for (String at : List.of(
                 "/settings/caps/connIdle",
@@ -94,27 +94,27 @@
                 "/settings/zones",
                 "/known",
                 "/name")) {
-            ObjectNode json = Bed.json();
+            ObjectNode json = SidecarFixture.configJson();
             int slash = at.lastIndexOf('/');
             String key = at.substring(slash + 1);
             ((ObjectNode) json.at(at.substring(0, slash))).remove(key);
             String message = assertThrows(
                             IllegalArgumentException.class,
-                            () -> Bed.config(json).requireFit(inForce))
+                            () -> SidecarFixture.config(json).requireFit(inForce))
                     .getMessage();
             assertTrue(message.contains(key), message);
         }
-        ObjectNode json = Bed.json();
+        ObjectNode json = SidecarFixture.configJson();
         json.withObject("/settings").put("discovery", "subscribe");
-        Config other = Bed.config(json);
+        Config other = SidecarFixture.config(json);
         assertThrows(IllegalArgumentException.class, () -> other.requireFit(inForce));
-        json = Bed.json();
+        json = SidecarFixture.configJson();
         json.withObject("/settings").withArray("/profiles").remove(0);
-        Bed.config(json).requireFit(inForce);
+        SidecarFixture.config(json).requireFit(inForce);
     }
 
     private static void assertNames(String key, ObjectNode json) {
-        String message = assertThrows(IllegalArgumentException.class, () -> Bed.config(json))
+        String message = assertThrows(IllegalArgumentException.class, () -> SidecarFixture.config(json))
                 .getMessage();
         assertTrue(message.contains(key) && message.lines().count() == 1, message);
     }
--- a/sidecar/src/test/java/topazvalve/sidecar/CrossingsTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/CrossingsTest.java
@@ -31,10 +31,11 @@
     private static final long KILL_MS = 1_500;
 
     /** Holds every request until told to go on. */
-    private static Stub.Script until(CountDownLatch go) {
+    private static StubServer.Responder until(CountDownLatch go) {
         return (socket, head) -> {
             try {
-                return go.await(Stub.LIMIT_S, TimeUnit.SECONDS) && Stub.reply(socket, "200 OK", "", "x");
+                return go.await(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS)
+                        && StubServer.reply(socket, "200 OK", "", "x");
             } catch (InterruptedException e) {
                 throw new IOException(e);
             }
@@ -46,11 +47,11 @@
         socket.close();
     }
 
-    private static void awaitActive(Bed bed, long wanted) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Stub.LIMIT_S);
+    private static void awaitActive(SidecarFixture bed, long wanted) throws Exception {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(StubServer.TIMEOUT_SECONDS);
         long active = -1;
         while (active != wanted && System.nanoTime() < end) {
-            active = bed.loop.submit(bed.engine::active).get();
+            active = bed.loop.submit(bed.exchanges::active).get();
         }
         assertEquals(wanted, active, "open requests");
     }
@@ -63,15 +64,15 @@
     @ValueSource(strings = {"close", "reset", "half"})
     void nothingIsSentOnForAClientThatLeftWithMuchBehindAHeldRequest(String how) throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        try (Stub upstream = new Stub(until(go));
-                Bed bed = Bed.with(upstream)) {
-            List<Bed.Client> busy = fill(bed, upstream);
-            Bed.Client gone = new Bed.Client(bed.address);
-            StringBuilder much = new StringBuilder(Bed.look("gone"));
+        try (StubServer upstream = new StubServer(until(go));
+                SidecarFixture bed = SidecarFixture.startWith(upstream)) {
+            List<SidecarFixture.TestClient> busy = fill(bed, upstream);
+            SidecarFixture.TestClient gone = new SidecarFixture.TestClient(bed.address);
+            StringBuilder much = new StringBuilder(SidecarFixture.lookRequest("gone"));
             for (int i = 0; much.length() < MUCH; i++) {
-                much.append(Bed.look("behind" + i));
+                much.append(SidecarFixture.lookRequest("behind" + i));
             }
-            Stub.write(gone.socket, much.toString());
+            StubServer.write(gone.socket, much.toString());
             awaitActive(bed, 3);
             switch (how) {
                 case "close" -> gone.close();
@@ -80,12 +81,13 @@
             }
             awaitActive(bed, 2);
             go.countDown();
-            for (Bed.Client client : busy) {
-                assertEquals(200, client.read().status());
+            for (SidecarFixture.TestClient client : busy) {
+                assertEquals(200, client.readResponse().status());
                 client.close();
             }
-            assertEquals(200, bed.ask(Bed.look("last")).status());
-            assertEquals("last", Stub.header(Stub.next(upstream.heads), "Req-Id"), "nobody else's");
+            assertEquals(200, bed.send(SidecarFixture.lookRequest("last")).status());
+            assertEquals(
+                    "last", StubServer.header(StubServer.awaitNext(upstream.receivedHeads), "Req-Id"), "nobody else's");
         }
     }
 
@@ -97,13 +99,13 @@
     @ValueSource(strings = {"close", "reset"})
     void leavingIsHeardBehindMoreThanAShare(String how) throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        try (Stub upstream = new Stub(until(go));
-                Bed bed = new Bed(small(upstream))) {
-            List<Bed.Client> busy = fill(bed, upstream);
-            Bed.Client gone = new Bed.Client(bed.address);
-            Stub.write(gone.socket, Bed.look("gone"));
+        try (StubServer upstream = new StubServer(until(go));
+                SidecarFixture bed = new SidecarFixture(small(upstream))) {
+            List<SidecarFixture.TestClient> busy = fill(bed, upstream);
+            SidecarFixture.TestClient gone = new SidecarFixture.TestClient(bed.address);
+            StubServer.write(gone.socket, SidecarFixture.lookRequest("gone"));
             awaitActive(bed, 3);
-            Stub.write(gone.socket, row(OVER_A_SHARE));
+            StubServer.write(gone.socket, row(OVER_A_SHARE));
             if (how.equals("reset")) {
                 reset(gone.socket);
             } else {
@@ -111,12 +113,13 @@
             }
             awaitActive(bed, 2);
             go.countDown();
-            for (Bed.Client client : busy) {
-                assertEquals(200, client.read().status());
+            for (SidecarFixture.TestClient client : busy) {
+                assertEquals(200, client.readResponse().status());
                 client.close();
             }
-            assertEquals(200, bed.ask(Bed.look("last")).status());
-            assertEquals("last", Stub.header(Stub.next(upstream.heads), "Req-Id"), "nobody else's");
+            assertEquals(200, bed.send(SidecarFixture.lookRequest("last")).status());
+            assertEquals(
+                    "last", StubServer.header(StubServer.awaitNext(upstream.receivedHeads), "Req-Id"), "nobody else's");
         }
     }
 
@@ -124,30 +127,30 @@
     @Test
     void rowThatHasNoRoomEndsInOrderBehindWhatWasKept() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        Stub.Script held = (socket, head) -> until(go).play(socket, head);
-        try (Stub upstream = new Stub(held);
-                Bed bed = new Bed(small(upstream));
-                Bed.Client client = new Bed.Client(bed.address)) {
-            Stub.write(client.socket, Bed.look("first"));
-            assertEquals("first", Stub.header(Stub.next(upstream.heads), "Req-Id"));
+        StubServer.Responder held = (socket, head) -> until(go).respond(socket, head);
+        try (StubServer upstream = new StubServer(held);
+                SidecarFixture bed = new SidecarFixture(small(upstream));
+                SidecarFixture.TestClient client = new SidecarFixture.TestClient(bed.address)) {
+            StubServer.write(client.socket, SidecarFixture.lookRequest("first"));
+            assertEquals("first", StubServer.header(StubServer.awaitNext(upstream.receivedHeads), "Req-Id"));
             String behind = row(OVER_A_SHARE);
-            Stub.write(client.socket, behind);
+            StubServer.write(client.socket, behind);
             for (int i = 0; i < 100; i++) {
                 bed.loop.submit(() -> {}).sync();
             }
             go.countDown();
             int answered = 0;
-            for (String head = Stub.head(client.in); !head.isEmpty(); head = Stub.head(client.in)) {
+            for (String head = StubServer.readHead(client.in); !head.isEmpty(); head = StubServer.readHead(client.in)) {
                 assertTrue(head.startsWith("HTTP/1.1 200"), head);
-                client.in.readNBytes(Stub.length(head));
+                client.in.readNBytes(StubServer.contentLength(head));
                 answered++;
             }
             int sent = behind.split("GET ").length;
             assertTrue(answered > 1 && answered < sent, "answered " + answered + " of " + sent);
             for (int i = 0; i < answered - 1; i++) {
-                assertEquals("row" + i, Stub.header(Stub.next(upstream.heads), "Req-Id"));
+                assertEquals("row" + i, StubServer.header(StubServer.awaitNext(upstream.receivedHeads), "Req-Id"));
             }
-            assertEquals(0, upstream.heads.size(), "sent on, but not answered");
+            assertEquals(0, upstream.receivedHeads.size(), "sent on, but not answered");
         }
     }
 
@@ -155,29 +158,29 @@
     @Test
     void whoFloodsBehindAnOpenRequestIsEnded() throws Exception {
         CountDownLatch never = new CountDownLatch(1);
-        try (Stub upstream = new Stub(until(never));
-                Bed bed = new Bed(small(upstream));
-                Bed.Client client = new Bed.Client(bed.address)) {
-            Stub.write(client.socket, Bed.look("first"));
-            Stub.next(upstream.heads);
-            Stub.thread(() -> {
+        try (StubServer upstream = new StubServer(until(never));
+                SidecarFixture bed = new SidecarFixture(small(upstream));
+                SidecarFixture.TestClient client = new SidecarFixture.TestClient(bed.address)) {
+            StubServer.write(client.socket, SidecarFixture.lookRequest("first"));
+            StubServer.awaitNext(upstream.receivedHeads);
+            StubServer.startDaemonThread(() -> {
                 try {
                     while (true) {
-                        Stub.write(client.socket, row(OVER_A_SHARE));
+                        StubServer.write(client.socket, row(OVER_A_SHARE));
                     }
                 } catch (IOException ended) {
                     // As it should.
                 }
             });
-            assertEquals(502, client.read().status());
+            assertEquals(502, client.readResponse().status());
             awaitActive(bed, 0);
             never.countDown();
         }
     }
 
     /** Where every connection's share of the memory is the least that there is. */
-    private static ObjectNode small(Stub upstream) throws IOException {
-        ObjectNode json = Bed.json(upstream);
+    private static ObjectNode small(StubServer upstream) throws IOException {
+        ObjectNode json = SidecarFixture.configJson(upstream);
         json.withObject("/limits").put("memory_mb", 0);
         return json;
     }
@@ -185,7 +188,7 @@
     private static String row(int bytes) {
         StringBuilder row = new StringBuilder();
         for (int i = 0; row.length() < bytes; i++) {
-            row.append(Bed.look("row" + i));
+            row.append(SidecarFixture.lookRequest("row" + i));
         }
         return row.toString();
     }
@@ -193,32 +196,34 @@
     /** A client came, asked and left while nobody took its connection: its request is not sent on. */
     @Test
     void nothingIsSentOnForAClientThatLeftBeforeItsConnectionWasTaken() throws Exception {
-        try (Stub upstream = Stub.serving("x");
-                Bed bed = Bed.with(upstream)) {
+        try (StubServer upstream = StubServer.respondingWith("x");
+                SidecarFixture bed = SidecarFixture.startWith(upstream)) {
             CountDownLatch go = hold(bed, 0);
-            Bed.Client gone = new Bed.Client(bed.address);
-            Stub.write(gone.socket, Bed.look("gone"));
+            SidecarFixture.TestClient gone = new SidecarFixture.TestClient(bed.address);
+            StubServer.write(gone.socket, SidecarFixture.lookRequest("gone"));
             gone.close();
             go.countDown();
-            assertEquals(200, bed.ask(Bed.look("last")).status());
-            assertEquals("last", Stub.header(Stub.next(upstream.heads), "Req-Id"), "nobody else's");
+            assertEquals(200, bed.send(SidecarFixture.lookRequest("last")).status());
+            assertEquals(
+                    "last", StubServer.header(StubServer.awaitNext(upstream.receivedHeads), "Req-Id"), "nobody else's");
         }
     }
 
     /** The process was held up while a client that it knew asked and left: that is heard of first. */
     @Test
     void nothingIsSentOnForAClientThatAskedAndLeftDuringAStall() throws Exception {
-        try (Stub upstream = Stub.serving("x");
-                Bed bed = Bed.with(upstream)) {
-            Bed.Client gone = new Bed.Client(bed.address);
-            assertEquals(200, gone.ask(Bed.look("known")).status());
+        try (StubServer upstream = StubServer.respondingWith("x");
+                SidecarFixture bed = SidecarFixture.startWith(upstream)) {
+            SidecarFixture.TestClient gone = new SidecarFixture.TestClient(bed.address);
+            assertEquals(200, gone.send(SidecarFixture.lookRequest("known")).status());
             CountDownLatch go = hold(bed, STALL_MS);
-            Stub.write(gone.socket, Bed.look("gone"));
+            StubServer.write(gone.socket, SidecarFixture.lookRequest("gone"));
             gone.close();
             go.countDown();
-            assertEquals(200, bed.ask(Bed.look("last")).status());
-            Stub.next(upstream.heads);
-            assertEquals("last", Stub.header(Stub.next(upstream.heads), "Req-Id"), "nobody else's");
+            assertEquals(200, bed.send(SidecarFixture.lookRequest("last")).status());
+            StubServer.awaitNext(upstream.receivedHeads);
+            assertEquals(
+                    "last", StubServer.header(StubServer.awaitNext(upstream.receivedHeads), "Req-Id"), "nobody else's");
         }
     }
 
@@ -226,45 +231,46 @@
     @Test
     void noFurtherAttemptBeginsForAClientThatLeftDuringAStall() throws Exception {
         BlockingQueue<Socket> asked = new LinkedBlockingQueue<>();
-        Stub.Script silent = (socket, head) -> asked.add(socket);
-        try (Stub one = new Stub(silent);
-                Stub two = new Stub(silent);
-                Bed bed = Bed.with(one, two);
-                Bed.Client last = new Bed.Client(bed.address)) {
-            Bed.Client gone = new Bed.Client(bed.address);
+        StubServer.Responder silent = (socket, head) -> asked.add(socket);
+        try (StubServer one = new StubServer(silent);
+                StubServer two = new StubServer(silent);
+                SidecarFixture bed = SidecarFixture.startWith(one, two);
+                SidecarFixture.TestClient last = new SidecarFixture.TestClient(bed.address)) {
+            SidecarFixture.TestClient gone = new SidecarFixture.TestClient(bed.address);
             // A connection to each is there and has rested: what is sent on is written at once.
-            Stub.write(gone.socket, Bed.look("one"));
-            Stub.write(last.socket, Bed.look("two"));
-            for (Socket server : List.of(Stub.next(asked), Stub.next(asked))) {
-                Stub.reply(server, "200 OK", "", "x");
+            StubServer.write(gone.socket, SidecarFixture.lookRequest("one"));
+            StubServer.write(last.socket, SidecarFixture.lookRequest("two"));
+            for (Socket server : List.of(StubServer.awaitNext(asked), StubServer.awaitNext(asked))) {
+                StubServer.reply(server, "200 OK", "", "x");
             }
             assertEquals(
-                    List.of(200, 200), List.of(gone.read().status(), last.read().status()));
+                    List.of(200, 200),
+                    List.of(gone.readResponse().status(), last.readResponse().status()));
             bed.loop.schedule(() -> {}, HttpCodec.REST, TimeUnit.NANOSECONDS).sync();
-            Stub.write(gone.socket, Bed.look("gone"));
-            Socket first = Stub.next(asked);
+            StubServer.write(gone.socket, SidecarFixture.lookRequest("gone"));
+            Socket first = StubServer.awaitNext(asked);
             CountDownLatch go = hold(bed, STALL_MS);
-            Stub.reply(first, "500 Oops", "", "");
+            StubServer.reply(first, "500 Oops", "", "");
             gone.close();
             go.countDown();
             awaitActive(bed, 0);
-            Stub.write(last.socket, Bed.look("last"));
-            Stub.reply(Stub.next(asked), "200 OK", "", "x");
-            assertEquals(200, last.read().status());
+            StubServer.write(last.socket, SidecarFixture.lookRequest("last"));
+            StubServer.reply(StubServer.awaitNext(asked), "200 OK", "", "x");
+            assertEquals(200, last.readResponse().status());
             assertEquals(0, asked.size(), "nothing else was sent on");
-            assertEquals(4, one.heads.size() + two.heads.size(), "nor had been before");
+            assertEquals(4, one.receivedHeads.size() + two.receivedHeads.size(), "nor had been before");
         }
     }
 
     /** Keeps the loop from its sockets until told to go on, and for so long at the least. */
-    private static CountDownLatch hold(Bed bed, long ms) throws Exception {
+    private static CountDownLatch hold(SidecarFixture bed, long ms) throws Exception {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch go = new CountDownLatch(1);
         bed.loop.execute(() -> {
             long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
             held.countDown();
             try {
-                go.await(Stub.LIMIT_S, TimeUnit.SECONDS);
+                go.await(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
                 throw new AssertionError(e);
             }
@@ -272,7 +278,7 @@
                 Thread.onSpinWait();
             }
         });
-        assertTrue(held.await(Stub.LIMIT_S, TimeUnit.SECONDS));
+        assertTrue(held.await(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         return go;
     }
 
@@ -283,35 +289,39 @@
     @Test
     void nothingIsSentOnWhoseBodyLayUnreadWhenItsClientLeft() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        try (Stub upstream = new Stub(until(go))) {
-            ObjectNode json = Bed.json(upstream);
+        try (StubServer upstream = new StubServer(until(go))) {
+            ObjectNode json = SidecarFixture.configJson(upstream);
             json.withObject("/limits").put("memory_mb", 0);
-            try (Bed bed = new Bed(json)) {
-                List<Bed.Client> busy = fill(bed, upstream);
-                Bed.Client gone = new Bed.Client(bed.address);
-                Stub.write(gone.socket, Bed.post("book", "", "x".repeat(MUCH)).replace("9b1f", "gone"));
+            try (SidecarFixture bed = new SidecarFixture(json)) {
+                List<SidecarFixture.TestClient> busy = fill(bed, upstream);
+                SidecarFixture.TestClient gone = new SidecarFixture.TestClient(bed.address);
+                StubServer.write(
+                        gone.socket,
+                        SidecarFixture.postRequest("book", "", "x".repeat(MUCH)).replace("9b1f", "gone"));
                 gone.close();
                 go.countDown();
-                for (Bed.Client client : busy) {
-                    assertEquals(200, client.read().status());
+                for (SidecarFixture.TestClient client : busy) {
+                    assertEquals(200, client.readResponse().status());
                     client.close();
                 }
                 for (int i = 0; i < busy.size(); i++) {
-                    assertEquals("", Stub.next(upstream.bodies));
+                    assertEquals("", StubServer.awaitNext(upstream.receivedBodies));
                 }
-                assertTrue(Stub.next(upstream.bodies).length() < MUCH, "no whole request ever came there");
+                assertTrue(
+                        StubServer.awaitNext(upstream.receivedBodies).length() < MUCH,
+                        "no whole request ever came there");
             }
         }
     }
 
     /** Clients whose requests take all that one server may have at first. */
-    private static List<Bed.Client> fill(Bed bed, Stub upstream) throws Exception {
-        List<Bed.Client> busy = new ArrayList<>();
+    private static List<SidecarFixture.TestClient> fill(SidecarFixture bed, StubServer upstream) throws Exception {
+        List<SidecarFixture.TestClient> busy = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
-            Bed.Client client = new Bed.Client(bed.address);
-            Stub.write(client.socket, Bed.look("busy" + i));
+            SidecarFixture.TestClient client = new SidecarFixture.TestClient(bed.address);
+            StubServer.write(client.socket, SidecarFixture.lookRequest("busy" + i));
             busy.add(client);
-            Stub.next(upstream.heads);
+            StubServer.awaitNext(upstream.receivedHeads);
         }
         return busy;
     }
@@ -320,23 +330,24 @@
     @Test
     void rowOfRequestsIsAnsweredInTurn() throws Exception {
         int row = 400;
-        Stub.Script echo = (socket, head) -> Stub.reply(socket, "200 OK", "", Stub.header(head, "Req-Id"));
-        try (Stub upstream = new Stub(echo);
-                Bed bed = Bed.with(upstream);
-                Bed.Client client = new Bed.Client(bed.address)) {
+        StubServer.Responder echo =
+                (socket, head) -> StubServer.reply(socket, "200 OK", "", StubServer.header(head, "Req-Id"));
+        try (StubServer upstream = new StubServer(echo);
+                SidecarFixture bed = SidecarFixture.startWith(upstream);
+                SidecarFixture.TestClient client = new SidecarFixture.TestClient(bed.address)) {
             StringBuilder all = new StringBuilder();
             for (int i = 0; i < row; i++) {
-                all.append(Bed.look("row" + i));
+                all.append(SidecarFixture.lookRequest("row" + i));
             }
-            Stub.thread(() -> {
+            StubServer.startDaemonThread(() -> {
                 try {
-                    Stub.write(client.socket, all.toString());
+                    StubServer.write(client.socket, all.toString());
                 } catch (IOException e) {
                     throw new AssertionError(e);
                 }
             });
             for (int i = 0; i < row; i++) {
-                assertEquals("row" + i, client.read().body());
+                assertEquals("row" + i, client.readResponse().body());
             }
         }
     }
@@ -345,25 +356,25 @@
     @Test
     void pushedDrainIsHeardOf() throws Exception {
         BlockingQueue<Socket> watches = new LinkedBlockingQueue<>();
-        try (Stub one = Stub.serving("one");
-                Stub two = Stub.serving("two");
-                Stub discovery = new Stub((socket, head) -> watches.add(socket))) {
-            ObjectNode json = Bed.json(one, two);
+        try (StubServer one = StubServer.respondingWith("one");
+                StubServer two = StubServer.respondingWith("two");
+                StubServer discovery = new StubServer((socket, head) -> watches.add(socket))) {
+            ObjectNode json = SidecarFixture.configJson(one, two);
             json.put("discovery", discovery.endpoint());
-            try (Bed bed = new Bed(json)) {
-                Socket watch = Stub.next(watches);
-                String line = "{\"rev\":42,\"all\":false,\"targets\":[" + Bed.target("s-0", one.endpoint(), "DRAINING")
-                        + "]}\n";
-                Stub.write(
+            try (SidecarFixture bed = new SidecarFixture(json)) {
+                Socket watch = StubServer.awaitNext(watches);
+                String line = "{\"rev\":42,\"all\":false,\"targets\":["
+                        + SidecarFixture.endpointJson("s-0", one.endpoint(), "DRAINING") + "]}\n";
+                StubServer.write(
                         watch,
                         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(line.length())
                                 + "\r\n" + line + "\r\n");
-                long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Stub.LIMIT_S);
+                long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(StubServer.TIMEOUT_SECONDS);
                 List<String> bodies = List.of("one");
                 for (int i = 0; bodies.contains("one") && System.nanoTime() < end; i++) {
                     bodies = List.of(
-                            bed.ask(Bed.look("a" + i)).body(),
-                            bed.ask(Bed.look("b" + i)).body());
+                            bed.send(SidecarFixture.lookRequest("a" + i)).body(),
+                            bed.send(SidecarFixture.lookRequest("b" + i)).body());
                 }
                 assertEquals(List.of("two", "two"), bodies, EndpointStatus.DRAINING + " servers take nothing");
             }
@@ -374,15 +385,15 @@
     @Test
     void requestTakenLateInTheEndIsAnsweredBeforeTheKill() throws Exception {
         CountDownLatch never = new CountDownLatch(1);
-        try (Stub upstream = new Stub(until(never));
-                Bed bed = Bed.with(upstream)) {
+        try (StubServer upstream = new StubServer(until(never));
+                SidecarFixture bed = SidecarFixture.startWith(upstream)) {
             bed.loop
                     .submit(() -> bed.lifecycle.shutDown(TimeUnit.MILLISECONDS.toNanos(KILL_MS)))
                     .sync();
             long killed = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(KILL_MS);
             bed.loop.schedule(() -> {}, LATE_MS, TimeUnit.MILLISECONDS).sync();
-            Bed.Answer answer = bed.ask(Bed.post("book", "", "x"));
-            assertEquals("close", Stub.header(answer.head(), "Connection"));
+            SidecarFixture.ClientResponse answer = bed.send(SidecarFixture.postRequest("book", "", "x"));
+            assertEquals("close", StubServer.header(answer.head(), "Connection"));
             assertTrue(answer.status() == 502 || answer.status() == 503, answer.head());
             assertTrue(System.nanoTime() < killed, "answered too late");
             never.countDown();
@@ -396,16 +407,16 @@
     @Test
     void lastAnswerIsNotLostToBytesBehindIt() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        try (Stub upstream = new Stub(until(go))) {
-            ObjectNode json = Bed.json(upstream);
+        try (StubServer upstream = new StubServer(until(go))) {
+            ObjectNode json = SidecarFixture.configJson(upstream);
             json.withObject("/limits").put("memory_mb", 0);
-            try (Bed bed = new Bed(json);
-                    Bed.Client client = new Bed.Client(bed.address)) {
-                String last = Bed.look("last").replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n");
-                Stub.write(client.socket, last + "x".repeat(MUCH));
-                Stub.next(upstream.heads);
+            try (SidecarFixture bed = new SidecarFixture(json);
+                    SidecarFixture.TestClient client = new SidecarFixture.TestClient(bed.address)) {
+                String last = SidecarFixture.lookRequest("last").replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n");
+                StubServer.write(client.socket, last + "x".repeat(MUCH));
+                StubServer.awaitNext(upstream.receivedHeads);
                 go.countDown();
-                assertEquals(200, client.read().status());
+                assertEquals(200, client.readResponse().status());
                 assertEquals(-1, client.in.read(), "ended in order, not reset");
             }
         }
--- a/sidecar/src/test/java/topazvalve/sidecar/DeployedIT.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/DeployedIT.java
@@ -64,7 +64,7 @@
     }
 
     private int exit() throws InterruptedException {
-        assertTrue(process.waitFor(Stub.LIMIT_S, TimeUnit.SECONDS), "still running");
+        assertTrue(process.waitFor(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS), "still running");
         return process.exitValue();
     }
 
@@ -80,8 +80,8 @@
 
     static void awaitUp(Process process, InetSocketAddress address) throws Exception {
         while (true) {
-            try (Bed.Client client = new Bed.Client(address)) {
-                if (client.ask(UP).status() == 200) {
+            try (SidecarFixture.TestClient client = new SidecarFixture.TestClient(address)) {
+                if (client.send(UP).status() == 200) {
                     return;
                 }
             } catch (ConnectException e) {
@@ -93,7 +93,7 @@
 
     @Test
     void simStartsAndEndsWithItsInput() throws Exception {
-        start("sim", Bed.json());
+        start("sim", SidecarFixture.configJson());
         process.getOutputStream().close();
         assertEquals(0, exit());
     }
@@ -102,33 +102,34 @@
     @Test
     void runServesAndEndsInOrderAtSigterm() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        try (Stub upstream = new Stub((socket, head) -> {
+        try (StubServer upstream = new StubServer((socket, head) -> {
             try {
-                return go.await(Stub.LIMIT_S, TimeUnit.SECONDS) && Stub.reply(socket, "200 OK", "", "held");
+                return go.await(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS)
+                        && StubServer.reply(socket, "200 OK", "", "held");
             } catch (InterruptedException e) {
                 return false;
             }
         })) {
             InetSocketAddress address = freeAddress();
-            start("run", Bed.json(upstream).put("listen", "127.0.0.1:" + address.getPort()));
+            start("run", SidecarFixture.configJson(upstream).put("listen", "127.0.0.1:" + address.getPort()));
             awaitUp(address);
-            try (Bed.Client client = new Bed.Client(address);
-                    Bed.Client other = new Bed.Client(address)) {
-                Stub.write(client.socket, Bed.look("a"));
-                Stub.next(upstream.heads);
-                assertEquals(200, other.ask(UP).status());
+            try (SidecarFixture.TestClient client = new SidecarFixture.TestClient(address);
+                    SidecarFixture.TestClient other = new SidecarFixture.TestClient(address)) {
+                StubServer.write(client.socket, SidecarFixture.lookRequest("a"));
+                StubServer.awaitNext(upstream.receivedHeads);
+                assertEquals(200, other.send(UP).status());
                 process.destroy();
                 // The end has begun once /up says no, or closes, on a connection that was there before.
                 int up = 200;
                 while (up == 200) {
                     try {
-                        up = other.ask(UP).status();
+                        up = other.send(UP).status();
                     } catch (IOException e) {
                         up = 0;
                     }
                 }
                 go.countDown();
-                assertEquals("held", client.read().body());
+                assertEquals("held", client.readResponse().body());
             }
             assertEquals(0, exit());
         }
@@ -144,10 +145,10 @@
 
     static void awaitYes(InetSocketAddress door) throws Exception {
         String ready = "GET /_ready HTTP/1.1\r\nHost: a\r\n\r\n";
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Stub.LIMIT_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(StubServer.TIMEOUT_SECONDS);
         while (true) {
-            try (Bed.Client client = new Bed.Client(door)) {
-                if (client.ask(ready).status() == 200) {
+            try (SidecarFixture.TestClient client = new SidecarFixture.TestClient(door)) {
+                if (client.send(ready).status() == 200) {
                     return;
                 }
             } catch (ConnectException e) {
@@ -164,10 +165,10 @@
     @Test
     void secondStartOnTheSharedSocketTakesOver() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        try (Stub upstream = new Stub((socket, head) -> {
+        try (StubServer upstream = new StubServer((socket, head) -> {
             try {
-                return (!head.contains("Req-Id: held") || go.await(Stub.LIMIT_S, TimeUnit.SECONDS))
-                        && Stub.reply(socket, "200 OK", "", "x");
+                return (!head.contains("Req-Id: held") || go.await(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS))
+                        && StubServer.reply(socket, "200 OK", "", "x");
             } catch (InterruptedException e) {
                 return false;
             }
@@ -177,32 +178,34 @@
             InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
             InetSocketAddress oldDoor = freeAddress();
             InetSocketAddress newDoor = freeAddress();
-            ObjectNode json = Bed.json(upstream).put("listen", "127.0.0.1:" + port);
+            ObjectNode json = SidecarFixture.configJson(upstream).put("listen", "127.0.0.1:" + port);
             ProcessHandle old = startOnSharedSocket("old.json", json.put("admin", text(oldDoor)));
             ProcessHandle next = null;
-            try (Bed.Client held = new Bed.Client(address)) {
-                Stub.write(held.socket, Bed.look("held"));
+            try (SidecarFixture.TestClient held = new SidecarFixture.TestClient(address)) {
+                StubServer.write(held.socket, SidecarFixture.lookRequest("held"));
                 awaitYes(oldDoor);
-                Stub.next(upstream.heads);
+                StubServer.awaitNext(upstream.receivedHeads);
                 next = startOnSharedSocket("new.json", json.put("admin", text(newDoor)));
                 for (int i = 0; !next.isAlive() || i < 3; i++) {
-                    assertEquals(200, bedAsk(address, Bed.look("during" + i)), "while the new one starts");
+                    assertEquals(
+                            200, bedAsk(address, SidecarFixture.lookRequest("during" + i)), "while the new one starts");
                 }
                 awaitYes(newDoor);
                 old.destroy();
                 for (int i = 0; i < 50; i++) {
-                    assertEquals(200, bedAsk(address, Bed.look("after" + i)), "nobody is turned away");
+                    assertEquals(
+                            200, bedAsk(address, SidecarFixture.lookRequest("after" + i)), "nobody is turned away");
                 }
                 go.countDown();
-                assertEquals(200, held.read().status());
-                old.onExit().get(Stub.LIMIT_S, TimeUnit.SECONDS);
-                assertEquals(200, bedAsk(address, Bed.look("alone")));
+                assertEquals(200, held.readResponse().status());
+                old.onExit().get(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS);
+                assertEquals(200, bedAsk(address, SidecarFixture.lookRequest("alone")));
                 assertTrue(next.isAlive());
             } finally {
                 old.destroyForcibly();
                 if (next != null) {
                     next.destroy();
-                    next.onExit().get(Stub.LIMIT_S, TimeUnit.SECONDS);
+                    next.onExit().get(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS);
                 }
             }
             process.outputWriter().close();
@@ -215,7 +218,7 @@
 
     @Test
     void descriptorThatIsNoListenerEndsWithOneLine() throws Exception {
-        Path file = write(Bed.json().toString());
+        Path file = write(SidecarFixture.configJson().toString());
         ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", command("run"));
         builder.environment().put("PROXY_CONFIG", file.toString());
         builder.environment().put("PROXY_FD", "0");
@@ -230,30 +233,30 @@
     }
 
     private static int bedAsk(InetSocketAddress address, String request) throws IOException {
-        try (Bed.Client client = new Bed.Client(address)) {
-            return client.ask(request).status();
+        try (SidecarFixture.TestClient client = new SidecarFixture.TestClient(address)) {
+            return client.send(request).status();
         }
     }
 
     /** The JVM's own way with SIGHUP is to end: here each one brings the file's new discovery, under way. */
     @Test
     void sighupTakesTheNewDiscoveryAndABadFileChangesNothing() throws Exception {
-        try (Stub upstream = Stub.serving("x");
-                Stub first = new Stub((socket, head) -> true);
-                Stub second = new Stub((socket, head) -> true);
-                Stub third = new Stub((socket, head) -> true)) {
+        try (StubServer upstream = StubServer.respondingWith("x");
+                StubServer first = new StubServer((socket, head) -> true);
+                StubServer second = new StubServer((socket, head) -> true);
+                StubServer third = new StubServer((socket, head) -> true)) {
             InetSocketAddress address = freeAddress();
-            ObjectNode json = Bed.json(upstream)
+            ObjectNode json = SidecarFixture.configJson(upstream)
                     .put("listen", "127.0.0.1:" + address.getPort())
                     .put("discovery", first.endpoint());
             json.withObject("/settings").put("discovery", "subscribe");
             start("run", json);
             awaitUp(address);
-            Stub.next(first.heads);
+            StubServer.awaitNext(first.receivedHeads);
             write(json.put("discovery", second.endpoint()).toString());
             hangUp();
-            assertTrue(Stub.next(second.heads).contains("watch=1"));
-            Stub.next(first.ended);
+            assertTrue(StubServer.awaitNext(second.receivedHeads).contains("watch=1"));
+            StubServer.awaitNext(first.closedConnections);
             write("{\"listen\":");
             hangUp();
             BufferedReader log = process.errorReader();
@@ -263,17 +266,17 @@
             }
             write(json.put("discovery", third.endpoint()).toString());
             hangUp();
-            assertTrue(Stub.next(third.heads).contains("watch=1"));
-            try (Bed.Client client = new Bed.Client(address)) {
-                assertEquals(200, client.ask(Bed.look("a")).status());
+            assertTrue(StubServer.awaitNext(third.receivedHeads).contains("watch=1"));
+            try (SidecarFixture.TestClient client = new SidecarFixture.TestClient(address)) {
+                assertEquals(200, client.send(SidecarFixture.lookRequest("a")).status());
             }
-            assertEquals(0, second.heads.size(), "a bad file starts nothing anew");
+            assertEquals(0, second.receivedHeads.size(), "a bad file starts nothing anew");
         }
     }
 
     @Test
     void badConfigurationEndsWithOneLineNamingTheKey() throws Exception {
-        ObjectNode json = Bed.json();
+        ObjectNode json = SidecarFixture.configJson();
         json.withObject("/settings/rules").remove("rampTime");
         start("run", json);
         String err = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
--- a/sidecar/src/test/java/topazvalve/sidecar/DescriptorsIT.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/DescriptorsIT.java
@@ -34,12 +34,12 @@
     private Path folder;
 
     private Process process;
-    private final List<Bed.Client> silent = new ArrayList<>();
+    private final List<SidecarFixture.TestClient> silent = new ArrayList<>();
 
     @AfterEach
     void end() throws IOException {
         process.destroyForcibly();
-        for (Bed.Client each : silent) {
+        for (SidecarFixture.TestClient each : silent) {
             each.close();
         }
     }
@@ -55,7 +55,8 @@
     }
 
     private ObjectNode config(InetSocketAddress listen, InetSocketAddress discovery) throws IOException {
-        ObjectNode json = Bed.json().put("listen", text(listen)).put("discovery", text(discovery));
+        ObjectNode json =
+                SidecarFixture.configJson().put("listen", text(listen)).put("discovery", text(discovery));
         json.withObject("/limits").put("sockets", SOCKETS);
         json.withObject("/settings").put("discovery", "subscribe");
         return json;
@@ -67,7 +68,7 @@
 
     private void flood(InetSocketAddress address) throws IOException {
         for (int i = 0; i < SILENT; i++) {
-            silent.add(new Bed.Client(address));
+            silent.add(new SidecarFixture.TestClient(address));
         }
     }
 
@@ -87,23 +88,24 @@
         builder.environment().put("PROXY_CONFIG", file.toString());
         process = builder.start();
         DeployedIT.awaitUp(process, address);
-        try (Bed.Client working = new Bed.Client(address)) {
-            assertEquals(200, working.ask(UP).status());
+        try (SidecarFixture.TestClient working = new SidecarFixture.TestClient(address)) {
+            assertEquals(200, working.send(UP).status());
             long most = descriptors(process.pid()) + CLIENTS + OTHERS;
             flood(address);
             for (int i = 0; i < ROUNDS; i++) {
-                assertEquals(200, working.ask(UP).status(), "who works keeps its connection");
-                try (Bed.Client next = new Bed.Client(address);
-                        Bed.Client operator = new Bed.Client(door)) {
-                    assertEquals(200, next.ask(UP).status());
-                    assertEquals(200, operator.ask(UP.replace("/up", "/_ready")).status());
+                assertEquals(200, working.send(UP).status(), "who works keeps its connection");
+                try (SidecarFixture.TestClient next = new SidecarFixture.TestClient(address);
+                        SidecarFixture.TestClient operator = new SidecarFixture.TestClient(door)) {
+                    assertEquals(200, next.send(UP).status());
+                    assertEquals(
+                            200, operator.send(UP.replace("/up", "/_ready")).status());
                 }
                 long held = descriptors(process.pid());
                 assertTrue(held <= most, held + " descriptors held, not " + most);
             }
         }
         try (ServerSocket back = new ServerSocket(discovery.getPort(), 1, InetAddress.getLoopbackAddress())) {
-            back.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Stub.LIMIT_S));
+            back.setSoTimeout((int) TimeUnit.SECONDS.toMillis(StubServer.TIMEOUT_SECONDS));
             back.accept().close();
         }
         process.toHandle().destroy();
@@ -155,8 +157,8 @@
             }
             flood(address);
             for (int i = 0; i < ROUNDS; i++) {
-                try (Bed.Client next = new Bed.Client(address)) {
-                    assertEquals(200, next.ask(UP).status());
+                try (SidecarFixture.TestClient next = new SidecarFixture.TestClient(address)) {
+                    assertEquals(200, next.send(UP).status());
                 }
                 long held =
                         descriptors(both.get(0).pid()) + descriptors(both.get(1).pid());
--- a/sidecar/src/test/java/topazvalve/sidecar/DiscoveryTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/DiscoveryTest.java
@@ -41,22 +41,22 @@
     }
 
     private static String entry(String state) {
-        return Bed.target("s-1", "127.0.0.1:9", state).toString();
+        return SidecarFixture.endpointJson("s-1", "127.0.0.1:9", state).toString();
     }
 
     private static String chunk(String text) {
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    private DiscoveryClient discovery(Stub stub) {
+    private DiscoveryClient discovery(StubServer stub) {
         return discovery(stub, new EndpointUpdate(41, true, List.of()));
     }
 
-    private DiscoveryClient discovery(Stub stub, EndpointUpdate known) {
+    private DiscoveryClient discovery(StubServer stub, EndpointUpdate known) {
         return discovery(stub, known, null);
     }
 
-    private DiscoveryClient discovery(Stub stub, EndpointUpdate known, PushedDiscovery pushed) {
+    private DiscoveryClient discovery(StubServer stub, EndpointUpdate known, PushedDiscovery pushed) {
         return new DiscoveryClient(
                 loop, stub.address(), known, pushed, (kind, targets) -> told.add(new Told(kind, targets)));
     }
@@ -64,49 +64,49 @@
     /** An object over several lines, cut anywhere; its empty lines and braces within words say nothing. */
     @Test
     void indentedListsAreTakenWholeAndOnAWatch() throws Exception {
-        String indented = Bed.JSON
+        String indented = SidecarFixture.JSON
                 .writerWithDefaultPrettyPrinter()
-                .writeValueAsString(Bed.JSON.readTree("{\"rev\":43,\"all\":true,\"targets\":["
+                .writeValueAsString(SidecarFixture.JSON.readTree("{\"rev\":43,\"all\":true,\"targets\":["
                         + entry("DRAINING").replace("\"m\"", "\"m}\\\"{\"") + "]}"))
                 .replace("\n", "\r\n\n");
-        try (Stub stub = new Stub((socket, head) -> {
+        try (StubServer stub = new StubServer((socket, head) -> {
             if (!head.contains("watch=1")) {
-                return Stub.reply(socket, "200 OK", "", indented);
+                return StubServer.reply(socket, "200 OK", "", indented);
             }
-            Stub.write(socket, CHUNKED);
+            StubServer.write(socket, CHUNKED);
             for (int i = 0; i < indented.length(); i += 7) {
-                Stub.write(socket, chunk(indented.substring(i, Math.min(indented.length(), i + 7))));
+                StubServer.write(socket, chunk(indented.substring(i, Math.min(indented.length(), i + 7))));
             }
-            Stub.write(socket, chunk("\n{\"rev\":44,\n \"all\":false,\n\"targets\":[]}\n"));
+            StubServer.write(socket, chunk("\n{\"rev\":44,\n \"all\":false,\n\"targets\":[]}\n"));
             return true;
         })) {
             DiscoveryClient discovery = discovery(stub);
             loop.execute(discovery::fetch);
-            Told list = Stub.next(told);
+            Told list = StubServer.awaitNext(told);
             assertEquals(UpdateKind.FULL, list.kind);
             assertEquals("m}\"{", list.targets.get(0).machineKind());
             loop.execute(() -> discovery.watch(true));
-            assertEquals(list, Stub.next(told), "the same on a watch");
-            assertEquals(new Told(UpdateKind.DELTA, List.of()), Stub.next(told));
+            assertEquals(list, StubServer.awaitNext(told), "the same on a watch");
+            assertEquals(new Told(UpdateKind.DELTA, List.of()), StubServer.awaitNext(told));
         }
     }
 
     /** Silence says nothing of discovery's load: the watch is opened anew at once, and nobody has to ask. */
     @Test
     void watchThatFallsSilentIsOpenedAnew() throws Exception {
-        try (Stub stub = new Stub((socket, head) -> {
-            Stub.write(socket, CHUNKED + chunk("\n"));
+        try (StubServer stub = new StubServer((socket, head) -> {
+            StubServer.write(socket, CHUNKED + chunk("\n"));
             return true;
         })) {
             DiscoveryClient discovery = discovery(stub);
             loop.execute(() -> discovery.watch(true));
-            Stub.next(stub.heads);
+            StubServer.awaitNext(stub.receivedHeads);
             long began = System.nanoTime();
-            assertEquals(new Told(UpdateKind.DELTA, List.of()), Stub.next(told));
-            Stub.next(stub.heads);
-            assertEquals("end", Stub.next(stub.ended), "the old one is closed");
+            assertEquals(new Told(UpdateKind.DELTA, List.of()), StubServer.awaitNext(told));
+            StubServer.awaitNext(stub.receivedHeads);
+            assertEquals("end", StubServer.awaitNext(stub.closedConnections), "the old one is closed");
             assertTrue(System.nanoTime() - began >= TimeUnit.SECONDS.toNanos(2), "after a missed line");
-            assertEquals(new Told(UpdateKind.DELTA, List.of()), Stub.next(told), "no failure is told");
+            assertEquals(new Told(UpdateKind.DELTA, List.of()), StubServer.awaitNext(told), "no failure is told");
         }
     }
 
@@ -114,17 +114,18 @@
     @Test
     void pushedListIsFollowedThroughEveryFailure() throws Exception {
         AtomicInteger calls = new AtomicInteger();
-        try (Stub stub = new Stub((socket, head) -> {
+        try (StubServer stub = new StubServer((socket, head) -> {
             if (calls.incrementAndGet() <= 3) {
                 return false;
             }
-            Stub.write(socket, CHUNKED + chunk("{\"rev\":43,\"all\":true,\"targets\":[" + entry("DRAINING") + "]}\n"));
+            StubServer.write(
+                    socket, CHUNKED + chunk("{\"rev\":43,\"all\":true,\"targets\":[" + entry("DRAINING") + "]}\n"));
             return true;
         })) {
             DiscoveryClient discovery =
                     discovery(stub, new EndpointUpdate(41, true, List.of()), new PushedDiscovery(10, 1000));
             loop.execute(discovery::followPushed);
-            assertEquals(UpdateKind.FULL, Stub.next(told).kind);
+            assertEquals(UpdateKind.FULL, StubServer.awaitNext(told).kind);
             assertEquals(4, calls.get());
         }
     }
@@ -134,13 +135,13 @@
     void changesOlderThanAFetchedListAreNotTaken() throws Exception {
         CountDownLatch fetched = new CountDownLatch(1);
         String whole = "{\"rev\":45,\"all\":true,\"targets\":[" + entry("DRAINING") + "]}\n";
-        try (Stub stub = new Stub((socket, head) -> {
+        try (StubServer stub = new StubServer((socket, head) -> {
             if (!head.contains("watch=1")) {
-                return Stub.reply(socket, "200 OK", "", whole);
+                return StubServer.reply(socket, "200 OK", "", whole);
             }
-            Stub.write(socket, CHUNKED + chunk("\n"));
+            StubServer.write(socket, CHUNKED + chunk("\n"));
             await(fetched);
-            Stub.write(
+            StubServer.write(
                     socket,
                     chunk("{\"rev\":44,\"all\":false,\"targets\":[" + entry("SERVING") + "]}\n")
                             + chunk("{\"rev\":46,\"all\":false,\"targets\":[]}\n"));
@@ -148,11 +149,11 @@
         })) {
             DiscoveryClient discovery = discovery(stub);
             loop.execute(() -> discovery.watch(true));
-            assertEquals(new Told(UpdateKind.DELTA, List.of()), Stub.next(told));
+            assertEquals(new Told(UpdateKind.DELTA, List.of()), StubServer.awaitNext(told));
             loop.execute(discovery::fetch);
-            assertEquals(UpdateKind.FULL, Stub.next(told).kind);
+            assertEquals(UpdateKind.FULL, StubServer.awaitNext(told).kind);
             fetched.countDown();
-            assertEquals(new Told(UpdateKind.DELTA, List.of()), Stub.next(told), "only what is newer");
+            assertEquals(new Told(UpdateKind.DELTA, List.of()), StubServer.awaitNext(told), "only what is newer");
         }
     }
 
@@ -167,26 +168,30 @@
     /** Lines come split over chunks and chunks hold several; an odd entry spoils none but itself. */
     @Test
     void watchIsReadLineByLineAndItsEndIsAFailure() throws Exception {
-        try (Stub stub = new Stub((socket, head) -> {
-            Stub.write(socket, CHUNKED + chunk("\n") + chunk(HALF_1));
-            Stub.write(socket, chunk(HALF_2 + "{\"rev\":44,\"all\":true,\"targets\":[" + entry("SERVING") + "]}\n"));
+        try (StubServer stub = new StubServer((socket, head) -> {
+            StubServer.write(socket, CHUNKED + chunk("\n") + chunk(HALF_1));
+            StubServer.write(
+                    socket, chunk(HALF_2 + "{\"rev\":44,\"all\":true,\"targets\":[" + entry("SERVING") + "]}\n"));
             return false;
         })) {
             DiscoveryClient discovery = discovery(stub);
             loop.execute(() -> discovery.watch(true));
-            assertTrue(Stub.next(stub.heads).startsWith("GET /discovery/hosts?watch=1&from=41 HTTP/1.1"));
-            assertEquals(new Told(UpdateKind.DELTA, List.of()), Stub.next(told), "an empty line: no news");
-            Told delta = Stub.next(told);
+            assertTrue(StubServer.awaitNext(stub.receivedHeads)
+                    .startsWith("GET /discovery/hosts?watch=1&from=41 HTTP/1.1"));
+            assertEquals(new Told(UpdateKind.DELTA, List.of()), StubServer.awaitNext(told), "an empty line: no news");
+            Told delta = StubServer.awaitNext(told);
             assertEquals(UpdateKind.DELTA, delta.kind);
             assertEquals(
                     List.of(EndpointStatus.DRAINING),
                     delta.targets.stream().map(Endpoint::status).toList());
             assertEquals(
                     List.of(EndpointStatus.READY),
-                    Stub.next(told).targets.stream().map(Endpoint::status).toList());
-            assertEquals(new Told(UpdateKind.FAILED, List.of()), Stub.next(told));
+                    StubServer.awaitNext(told).targets.stream()
+                            .map(Endpoint::status)
+                            .toList());
+            assertEquals(new Told(UpdateKind.FAILED, List.of()), StubServer.awaitNext(told));
             loop.execute(() -> discovery.watch(true));
-            assertTrue(Stub.next(stub.heads).contains("from=44 "), "goes on from the last version");
+            assertTrue(StubServer.awaitNext(stub.receivedHeads).contains("from=44 "), "goes on from the last version");
         }
     }
 
@@ -200,15 +205,15 @@
                 CHUNKED + chunk("{\"rev\":\n"),
                 CHUNKED + chunk("[]\n"),
                 CHUNKED + chunk("{\"rev\":1,\"targets\":{}}\n"))) {
-            try (Stub stub = new Stub((socket, head) -> {
-                Stub.write(socket, reply);
+            try (StubServer stub = new StubServer((socket, head) -> {
+                StubServer.write(socket, reply);
                 return false;
             })) {
                 DiscoveryClient discovery = discovery(stub);
                 loop.execute(() -> discovery.watch(true));
-                assertEquals(UpdateKind.FAILED, Stub.next(told).kind, reply);
+                assertEquals(UpdateKind.FAILED, StubServer.awaitNext(told).kind, reply);
                 loop.execute(discovery::fetch);
-                assertEquals(UpdateKind.FAILED, Stub.next(told).kind, reply);
+                assertEquals(UpdateKind.FAILED, StubServer.awaitNext(told).kind, reply);
                 loop.submit(() -> {}).sync();
                 assertEquals(0, told.size(), reply);
             }
@@ -223,16 +228,16 @@
         String empty = "{\"rev\":42,\"all\":true,\"targets\":[]}\n";
         String older = "{\"rev\":40,\"all\":true,\"targets\":[" + entry("SERVING") + "]}\n";
         for (String line : List.of(empty, older)) {
-            try (Stub stub = new Stub((socket, head) -> {
-                Stub.write(socket, CHUNKED + chunk(line));
+            try (StubServer stub = new StubServer((socket, head) -> {
+                StubServer.write(socket, CHUNKED + chunk(line));
                 return true;
             })) {
                 DiscoveryClient discovery = discovery(stub, known);
                 loop.execute(discovery::fetch);
-                assertEquals(new Told(UpdateKind.FAILED, List.of()), Stub.next(told), line);
+                assertEquals(new Told(UpdateKind.FAILED, List.of()), StubServer.awaitNext(told), line);
                 loop.execute(() -> discovery.watch(true));
                 UpdateKind taken = line.equals(empty) ? UpdateKind.FAILED : UpdateKind.FULL;
-                assertEquals(taken, Stub.next(told).kind, line);
+                assertEquals(taken, StubServer.awaitNext(told).kind, line);
                 loop.submit(discovery::close).sync();
             }
         }
@@ -241,12 +246,12 @@
     /** Bytes that come and come without an end of a line hold a call for no longer than silence does. */
     @Test
     void anAnswerWithoutEndIsGivenUp() throws Exception {
-        try (Stub stub = new Stub((socket, head) -> {
-            Stub.write(socket, CHUNKED + chunk("{\"rev\":42,"));
+        try (StubServer stub = new StubServer((socket, head) -> {
+            StubServer.write(socket, CHUNKED + chunk("{\"rev\":42,"));
             try {
-                for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(2 * Stub.LIMIT_S);
+                for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(2 * StubServer.TIMEOUT_SECONDS);
                         System.nanoTime() < end; ) {
-                    Stub.write(socket, chunk(" "));
+                    StubServer.write(socket, chunk(" "));
                     Thread.sleep(20);
                 }
             } catch (InterruptedException e) {
@@ -256,7 +261,7 @@
         })) {
             DiscoveryClient discovery = discovery(stub);
             loop.execute(() -> discovery.watch(true));
-            assertEquals(new Told(UpdateKind.FAILED, List.of()), Stub.next(told));
+            assertEquals(new Told(UpdateKind.FAILED, List.of()), StubServer.awaitNext(told));
         }
     }
 
@@ -267,7 +272,7 @@
     @Test
     void callThatHangsDoesNotHoldUpTheNext() throws Exception {
         BlockingQueue<Socket> asked = new LinkedBlockingQueue<>();
-        try (Stub stub = new Stub((socket, head) -> asked.add(socket))) {
+        try (StubServer stub = new StubServer((socket, head) -> asked.add(socket))) {
             DiscoveryClient discovery = discovery(stub);
             Told mark = new Told(UpdateKind.CACHED, List.of());
             loop.submit(() -> {
@@ -275,13 +280,13 @@
                         discovery.watch(true);
                     })
                     .sync();
-            assertEquals(new Told(UpdateKind.FAILED, List.of()), Stub.next(told));
+            assertEquals(new Told(UpdateKind.FAILED, List.of()), StubServer.awaitNext(told));
             loop.submit(() -> discovery.watch(true)).sync();
-            Socket first = Stub.next(asked);
-            Stub.next(asked);
-            Stub.write(first, CHUNKED + chunk("\n"));
-            assertEquals("end", Stub.next(stub.ended), "the second is not needed any more");
-            List<Told> both = List.of(Stub.next(told), Stub.next(told));
+            Socket first = StubServer.awaitNext(asked);
+            StubServer.awaitNext(asked);
+            StubServer.write(first, CHUNKED + chunk("\n"));
+            assertEquals("end", StubServer.awaitNext(stub.closedConnections), "the second is not needed any more");
+            List<Told> both = List.of(StubServer.awaitNext(told), StubServer.awaitNext(told));
             assertTrue(both.contains(mark), both.toString());
             assertTrue(both.contains(new Told(UpdateKind.DELTA, List.of())), both.toString());
         }
@@ -291,40 +296,41 @@
     @Test
     void answerThatComesAfterTheNextOnesIsNotHeard() throws Exception {
         BlockingQueue<Socket> asked = new LinkedBlockingQueue<>();
-        try (Stub stub = new Stub((socket, head) -> asked.add(socket))) {
+        try (StubServer stub = new StubServer((socket, head) -> asked.add(socket))) {
             DiscoveryClient discovery = discovery(stub);
             long began = System.nanoTime();
             loop.submit(() -> discovery.watch(true)).sync();
-            assertEquals(new Told(UpdateKind.FAILED, List.of()), Stub.next(told));
+            assertEquals(new Told(UpdateKind.FAILED, List.of()), StubServer.awaitNext(told));
             loop.submit(() -> discovery.watch(true)).sync();
-            Socket late = Stub.next(asked);
-            Socket next = Stub.next(asked);
-            Stub.write(next, CHUNKED + chunk("\n"));
-            assertEquals(new Told(UpdateKind.DELTA, List.of()), Stub.next(told));
+            Socket late = StubServer.awaitNext(asked);
+            Socket next = StubServer.awaitNext(asked);
+            StubServer.write(next, CHUNKED + chunk("\n"));
+            assertEquals(new Told(UpdateKind.DELTA, List.of()), StubServer.awaitNext(told));
             try {
-                Stub.write(late, CHUNKED + chunk("{\"rev\":40,\"all\":true,\"targets\":[" + entry("SERVING") + "]}\n"));
+                StubServer.write(
+                        late, CHUNKED + chunk("{\"rev\":40,\"all\":true,\"targets\":[" + entry("SERVING") + "]}\n"));
             } catch (IOException ended) {
                 // On a machine that took so long the late call's own time is over, and it has been closed.
                 assertTrue(System.nanoTime() - began >= TimeUnit.SECONDS.toNanos(5), ended.toString());
             }
-            assertEquals("end", Stub.next(stub.ended));
+            assertEquals("end", StubServer.awaitNext(stub.closedConnections));
             assertEquals(0, told.size());
-            Stub.write(next, chunk("{\"rev\":42,\"all\":false,\"targets\":[]}\n"));
-            assertEquals(new Told(UpdateKind.DELTA, List.of()), Stub.next(told), "the next one is followed");
+            StubServer.write(next, chunk("{\"rev\":42,\"all\":false,\"targets\":[]}\n"));
+            assertEquals(new Told(UpdateKind.DELTA, List.of()), StubServer.awaitNext(told), "the next one is followed");
         }
     }
 
     @Test
     void wholeListIsFetchedOnce() throws Exception {
         String body = "{\"rev\":41,\"all\":true,\"targets\":[" + entry("SERVING") + "]}";
-        try (Stub stub = new Stub((socket, head) -> Stub.reply(socket, "200 OK", "", body))) {
+        try (StubServer stub = new StubServer((socket, head) -> StubServer.reply(socket, "200 OK", "", body))) {
             DiscoveryClient discovery = discovery(stub);
             loop.execute(discovery::fetch);
-            assertTrue(Stub.next(stub.heads).startsWith("GET /discovery/hosts HTTP/1.1"));
-            Told list = Stub.next(told);
+            assertTrue(StubServer.awaitNext(stub.receivedHeads).startsWith("GET /discovery/hosts HTTP/1.1"));
+            Told list = StubServer.awaitNext(told);
             assertEquals(UpdateKind.FULL, list.kind);
             assertEquals(9, list.targets.get(0).address().getPort());
-            Stub.next(stub.ended);
+            StubServer.awaitNext(stub.closedConnections);
             assertEquals(0, told.size());
         }
     }
@@ -332,26 +338,27 @@
     /** After a move the new service's list holds, whatever its version; the old one is heard no more. */
     @Test
     void movedWatchAsksForTheWholeListAndDropsTheOldOne() throws Exception {
-        Stub.Script silent = (socket, head) -> {
-            Stub.write(socket, CHUNKED + chunk("{\"rev\":50,\"all\":true,\"targets\":[]}\n"));
+        StubServer.Responder silent = (socket, head) -> {
+            StubServer.write(socket, CHUNKED + chunk("{\"rev\":50,\"all\":true,\"targets\":[]}\n"));
             return true;
         };
         String whole = "{\"rev\":3,\"all\":true,\"targets\":[" + entry("SERVING") + "]}\n";
-        try (Stub old = new Stub(silent);
-                Stub next = new Stub((socket, head) -> {
-                    Stub.write(socket, CHUNKED + chunk(whole));
+        try (StubServer old = new StubServer(silent);
+                StubServer next = new StubServer((socket, head) -> {
+                    StubServer.write(socket, CHUNKED + chunk(whole));
                     return true;
                 })) {
             DiscoveryClient discovery = discovery(old);
             loop.execute(() -> discovery.watch(true));
-            assertEquals(UpdateKind.FULL, Stub.next(told).kind);
+            assertEquals(UpdateKind.FULL, StubServer.awaitNext(told).kind);
             loop.execute(() -> discovery.changeAddress(next.address()));
-            assertEquals("end", Stub.next(old.ended), "the old watch is closed");
-            assertTrue(Stub.next(next.heads).startsWith("GET /discovery/hosts?watch=1&from=0 HTTP/1.1"));
-            Told list = Stub.next(told);
+            assertEquals("end", StubServer.awaitNext(old.closedConnections), "the old watch is closed");
+            assertTrue(StubServer.awaitNext(next.receivedHeads)
+                    .startsWith("GET /discovery/hosts?watch=1&from=0 HTTP/1.1"));
+            Told list = StubServer.awaitNext(told);
             assertEquals(UpdateKind.FULL, list.kind);
             assertEquals(1, list.targets.size());
-            old.die();
+            old.stop();
             loop.submit(() -> {}).sync();
             assertEquals(0, told.size(), "neither a failure nor a word of the old one");
         }
@@ -361,20 +368,20 @@
     @Test
     void movedWatchThatTellsOnlyChangesIsFollowedByTheWholeList() throws Exception {
         String whole = "{\"rev\":3,\"all\":true,\"targets\":[" + entry("SERVING") + "]}";
-        try (Stub old = new Stub((socket, head) -> true);
-                Stub next = new Stub((socket, head) -> {
+        try (StubServer old = new StubServer((socket, head) -> true);
+                StubServer next = new StubServer((socket, head) -> {
                     if (!head.contains("watch=1")) {
-                        return Stub.reply(socket, "200 OK", "", whole);
+                        return StubServer.reply(socket, "200 OK", "", whole);
                     }
-                    Stub.write(socket, CHUNKED + chunk("{\"rev\":3,\"all\":false,\"targets\":[]}\n"));
+                    StubServer.write(socket, CHUNKED + chunk("{\"rev\":3,\"all\":false,\"targets\":[]}\n"));
                     return true;
                 })) {
             DiscoveryClient discovery = discovery(old);
             loop.execute(() -> discovery.watch(true));
-            Stub.next(old.heads);
+            StubServer.awaitNext(old.receivedHeads);
             loop.execute(() -> discovery.changeAddress(next.address()));
-            assertEquals(UpdateKind.DELTA, Stub.next(told).kind);
-            assertEquals(UpdateKind.FULL, Stub.next(told).kind);
+            assertEquals(UpdateKind.DELTA, StubServer.awaitNext(told).kind);
+            assertEquals(UpdateKind.FULL, StubServer.awaitNext(told).kind);
         }
     }
 }
--- a/sidecar/src/test/java/topazvalve/sidecar/Flood.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/Flood.java
@@ -17,7 +17,7 @@
     Flood(InetSocketAddress address, int clients) {
         this.address = address;
         this.held = new SocketChannel[clients];
-        Stub.thread(this::run);
+        StubServer.startDaemonThread(this::run);
     }
 
     private void run() {
@@ -51,7 +51,7 @@
     }
 
     void awaitConnected() throws InterruptedException {
-        if (!connected.await(Stub.LIMIT_S, TimeUnit.SECONDS)) {
+        if (!connected.await(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
             throw new AssertionError("nobody ever connected");
         }
     }
@@ -60,7 +60,7 @@
     public void close() {
         over = true;
         try {
-            if (!ended.await(Stub.LIMIT_S, TimeUnit.SECONDS)) {
+            if (!ended.await(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 throw new AssertionError("the flood goes on");
             }
         } catch (InterruptedException e) {
--- a/sidecar/src/test/java/topazvalve/sidecar/FrontTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/FrontTest.java
@@ -17,42 +17,51 @@
     /** A request in no known form must not reach an upstream: there it would void more than itself. */
     @Test
     void malformedRequestsAreToldSoAndGoNowhere() throws Exception {
-        try (Stub upstream = Stub.serving("x");
-                Bed bed = Bed.with(upstream)) {
+        try (StubServer upstream = StubServer.respondingWith("x");
+                SidecarFixture bed = SidecarFixture.startWith(upstream)) {
             for (String bad : List.of(
                     "NONSENSE\r\n\r\n",
-                    Bed.look("a").replace("Req-Id: a\r\n", ""),
-                    Bed.look("a").replace("look", "glance"),
-                    Bed.look("a").replace("acme", "nobody"),
-                    Bed.look("a").replace("Req-Deadline-Ms: 20000", "Req-Deadline-Ms: soon"),
-                    Bed.look("a").replace("Req-Deadline-Ms: 20000", "Req-Deadline-Ms: -5"),
-                    Bed.look("a").replace("Req-Deadline-Ms: 20000", "Req-Deadline-Ms: 99999999999999999999"),
-                    Bed.look("a").replace("GET", "PUT"),
-                    Bed.post("hold", "", "x"),
-                    Bed.post("book", "Idempotency-Key: 1\r\n", "x"))) {
-                assertEquals(400, bed.ask(bad).status(), bad);
+                    SidecarFixture.lookRequest("a").replace("Req-Id: a\r\n", ""),
+                    SidecarFixture.lookRequest("a").replace("look", "glance"),
+                    SidecarFixture.lookRequest("a").replace("acme", "nobody"),
+                    SidecarFixture.lookRequest("a").replace("Req-Deadline-Ms: 20000", "Req-Deadline-Ms: soon"),
+                    SidecarFixture.lookRequest("a").replace("Req-Deadline-Ms: 20000", "Req-Deadline-Ms: -5"),
+                    SidecarFixture.lookRequest("a")
+                            .replace("Req-Deadline-Ms: 20000", "Req-Deadline-Ms: 99999999999999999999"),
+                    SidecarFixture.lookRequest("a").replace("GET", "PUT"),
+                    SidecarFixture.postRequest("hold", "", "x"),
+                    SidecarFixture.postRequest("book", "Idempotency-Key: 1\r\n", "x"))) {
+                assertEquals(400, bed.send(bad).status(), bad);
             }
-            assertEquals(404, bed.ask(Bed.look("a").replace("/api/", "/other/")).status());
+            assertEquals(
+                    404,
+                    bed.send(SidecarFixture.lookRequest("a").replace("/api/", "/other/"))
+                            .status());
             String huge = "Content-Length: " + ((1 << 25) + 1);
             assertEquals(
                     413,
-                    bed.ask(Bed.post("book", "", "").replace("Content-Length: 0", huge))
+                    bed.send(SidecarFixture.postRequest("book", "", "").replace("Content-Length: 0", huge))
                             .status());
-            assertEquals(200, bed.ask(Bed.look("good")).status());
-            assertEquals("good", Stub.header(Stub.next(upstream.heads), "Req-Id"));
-            assertNull(upstream.heads.poll(), "no other request came this far");
+            assertEquals(200, bed.send(SidecarFixture.lookRequest("good")).status());
+            assertEquals("good", StubServer.header(StubServer.awaitNext(upstream.receivedHeads), "Req-Id"));
+            assertNull(upstream.receivedHeads.poll(), "no other request came this far");
         }
     }
 
     @Test
     void requestsAheadOfTheirTurnAreAnsweredInOrder() throws Exception {
-        Stub.Script echo = (socket, head) -> Stub.reply(socket, "200 OK", "", Stub.header(head, "Req-Id"));
-        try (Stub upstream = new Stub(echo);
-                Bed bed = Bed.with(upstream);
-                Bed.Client client = new Bed.Client(bed.address)) {
-            Stub.write(client.socket, Bed.look("a") + Bed.look("b") + Bed.look("c"));
+        StubServer.Responder echo =
+                (socket, head) -> StubServer.reply(socket, "200 OK", "", StubServer.header(head, "Req-Id"));
+        try (StubServer upstream = new StubServer(echo);
+                SidecarFixture bed = SidecarFixture.startWith(upstream);
+                SidecarFixture.TestClient client = new SidecarFixture.TestClient(bed.address)) {
+            StubServer.write(
+                    client.socket,
+                    SidecarFixture.lookRequest("a")
+                            + SidecarFixture.lookRequest("b")
+                            + SidecarFixture.lookRequest("c"));
             for (String id : List.of("a", "b", "c")) {
-                assertEquals(id, client.read().body());
+                assertEquals(id, client.readResponse().body());
             }
         }
     }
@@ -60,41 +69,42 @@
     /** RFC 9112 3.2: without Host it is answered at once, and no order server hears of it. */
     @Test
     void requestWithoutHostIsTurnedAwayHere() throws Exception {
-        try (Stub upstream = Stub.serving("x");
-                Bed bed = Bed.with(upstream)) {
+        try (StubServer upstream = StubServer.respondingWith("x");
+                SidecarFixture bed = SidecarFixture.startWith(upstream)) {
             assertEquals(
                     400,
-                    bed.ask(Bed.look("a").replaceFirst("Host: [^\r]*\r\n", "")).status());
-            assertEquals(0, upstream.heads.size());
+                    bed.send(SidecarFixture.lookRequest("a").replaceFirst("Host: [^\r]*\r\n", ""))
+                            .status());
+            assertEquals(0, upstream.receivedHeads.size());
         }
     }
 
     /** RFC 9112 3.2.2: its host goes before the header's, and order servers see the origin's form. */
     @Test
     void targetInAbsoluteFormIsTaken() throws Exception {
-        try (Stub upstream = Stub.serving("x");
-                Bed bed = Bed.with(upstream)) {
-            String asked = Bed.look("a");
+        try (StubServer upstream = StubServer.respondingWith("x");
+                SidecarFixture bed = SidecarFixture.startWith(upstream)) {
+            String asked = SidecarFixture.lookRequest("a");
             String path = asked.substring(4, asked.indexOf(' ', 4));
             assertEquals(
                     200,
-                    bed.ask(asked.replace("GET /", "GET HTTP://other.svc:81/")).status());
-            String head = upstream.heads.iterator().next();
+                    bed.send(asked.replace("GET /", "GET HTTP://other.svc:81/")).status());
+            String head = upstream.receivedHeads.iterator().next();
             assertTrue(
                     head.startsWith("GET " + path + " ") && head.contains("other.svc:81") && !head.contains("app.svc"),
                     head);
             bed.lifecycle.markStarted();
             assertEquals(
                     200,
-                    bed.ask("GET http://app.svc/up HTTP/1.1\r\nHost: app.svc\r\n\r\n")
+                    bed.send("GET http://app.svc/up HTTP/1.1\r\nHost: app.svc\r\n\r\n")
                             .status());
             assertEquals(
                     404,
-                    bed.ask("GET http://app.svc?a HTTP/1.1\r\nHost: app.svc\r\n\r\n")
+                    bed.send("GET http://app.svc?a HTTP/1.1\r\nHost: app.svc\r\n\r\n")
                             .status());
             assertEquals(
                     400,
-                    bed.ask("GET http:/// HTTP/1.1\r\nHost: app.svc\r\n\r\n").status());
+                    bed.send("GET http:/// HTTP/1.1\r\nHost: app.svc\r\n\r\n").status());
         }
     }
 
@@ -104,10 +114,10 @@
      */
     @Test
     void ambiguousRequestsEndTheirConnection() throws Exception {
-        String hidden = Bed.look("hidden");
-        String post = Bed.post("book", "", "");
-        try (Stub upstream = Stub.serving("x");
-                Bed bed = Bed.with(upstream)) {
+        String hidden = SidecarFixture.lookRequest("hidden");
+        String post = SidecarFixture.postRequest("book", "", "");
+        try (StubServer upstream = StubServer.respondingWith("x");
+                SidecarFixture bed = SidecarFixture.startWith(upstream)) {
             for (String bad : List.of(
                     post.replace("Content-Length: 0", "Content-Length: 6\r\nTransfer-Encoding: chunked") + "0\r\n\r\n",
                     post.replace("Content-Length: 0", "Transfer-Encoding: chunked\r\nContent-Length: 6") + "0\r\n\r\n",
@@ -119,14 +129,14 @@
                     post.replace("Content-Length: 0", "Content-Length: 99999999999999999999"),
                     post.replace("Req-Kind: book", "Req-Kind: book\r\nreq-kind: hold"),
                     post.replace("Req-Id: 9b1f", "Req-Id: 9b1f\r\nReq-Id: 9b20"),
-                    Bed.post("hold", "Idempotency-Key: 1\r\nIdempotency-Key: 2\r\n", ""),
-                    Bed.look("a").replace("\r\n\r\n", "\r\nContent-Length: 1\r\n\r\nx"))) {
-                try (Bed.Client client = new Bed.Client(bed.address)) {
-                    assertEquals(400, client.ask(bad + hidden).status(), bad);
-                    assertThrows(IOException.class, client::read, bad);
+                    SidecarFixture.postRequest("hold", "Idempotency-Key: 1\r\nIdempotency-Key: 2\r\n", ""),
+                    SidecarFixture.lookRequest("a").replace("\r\n\r\n", "\r\nContent-Length: 1\r\n\r\nx"))) {
+                try (SidecarFixture.TestClient client = new SidecarFixture.TestClient(bed.address)) {
+                    assertEquals(400, client.send(bad + hidden).status(), bad);
+                    assertThrows(IOException.class, client::readResponse, bad);
                 }
             }
-            assertNull(upstream.heads.poll(), "nothing came this far");
+            assertNull(upstream.receivedHeads.poll(), "nothing came this far");
         }
     }
 
@@ -134,31 +144,32 @@
     @Test
     void idOfAnOpenRequestIsRejected() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        try (Stub upstream = new Stub((socket, head) -> {
+        try (StubServer upstream = new StubServer((socket, head) -> {
                     try {
-                        return go.await(Stub.LIMIT_S, TimeUnit.SECONDS) && Stub.reply(socket, "200 OK", "", "own");
+                        return go.await(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS)
+                                && StubServer.reply(socket, "200 OK", "", "own");
                     } catch (InterruptedException e) {
                         return false;
                     }
                 });
-                Bed bed = Bed.with(upstream);
-                Bed.Client first = new Bed.Client(bed.address)) {
-            Stub.write(first.socket, Bed.look("a"));
-            Stub.next(upstream.heads);
-            assertEquals(409, bed.ask(Bed.look("a")).status());
+                SidecarFixture bed = SidecarFixture.startWith(upstream);
+                SidecarFixture.TestClient first = new SidecarFixture.TestClient(bed.address)) {
+            StubServer.write(first.socket, SidecarFixture.lookRequest("a"));
+            StubServer.awaitNext(upstream.receivedHeads);
+            assertEquals(409, bed.send(SidecarFixture.lookRequest("a")).status());
             go.countDown();
-            assertEquals("own", first.read().body());
-            assertEquals(0, upstream.heads.size());
+            assertEquals("own", first.readResponse().body());
+            assertEquals(0, upstream.receivedHeads.size());
         }
     }
 
     /** A client that sends much more than will be read must still get its error, not only a reset. */
     @Test
     void errorArrivesWhileTheClientStillSends() throws Exception {
-        try (Bed bed = Bed.with();
-                Bed.Client client = new Bed.Client(bed.address)) {
-            Stub.write(client.socket, Bed.post("unknown", "", "x".repeat(900_000)));
-            assertEquals(400, client.read().status());
+        try (SidecarFixture bed = SidecarFixture.startWith();
+                SidecarFixture.TestClient client = new SidecarFixture.TestClient(bed.address)) {
+            StubServer.write(client.socket, SidecarFixture.postRequest("unknown", "", "x".repeat(900_000)));
+            assertEquals(400, client.readResponse().status());
             assertEquals(-1, client.socket.getInputStream().read());
         }
     }
@@ -166,13 +177,14 @@
     /** Half a request, a silent connection and an idle one end by themselves; the half one is told why. */
     @Test
     void connectionsWithoutARequestEnd() throws Exception {
-        try (Bed bed = Bed.with();
-                Bed.Client half = new Bed.Client(bed.address);
-                Bed.Client silent = new Bed.Client(bed.address);
-                Bed.Client idle = new Bed.Client(bed.address)) {
-            Stub.write(half.socket, Bed.post("book", "", "xx").replaceFirst("x$", ""));
-            assertEquals(503, idle.ask("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status());
-            assertEquals(408, half.read().status());
+        try (SidecarFixture bed = SidecarFixture.startWith();
+                SidecarFixture.TestClient half = new SidecarFixture.TestClient(bed.address);
+                SidecarFixture.TestClient silent = new SidecarFixture.TestClient(bed.address);
+                SidecarFixture.TestClient idle = new SidecarFixture.TestClient(bed.address)) {
+            StubServer.write(
+                    half.socket, SidecarFixture.postRequest("book", "", "xx").replaceFirst("x$", ""));
+            assertEquals(503, idle.send("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status());
+            assertEquals(408, half.readResponse().status());
             assertEquals(-1, silent.socket.getInputStream().read());
             assertEquals(-1, idle.socket.getInputStream().read());
         }
@@ -181,15 +193,15 @@
     /** Silent connections must not keep others out: over the limit the one that is missed least ends. */
     @Test
     void silentConnectionsMakeRoom() throws Exception {
-        List<Bed.Client> silent = new ArrayList<>();
-        try (Stub upstream = Stub.serving("x");
-                Bed bed = Bed.with(upstream)) {
-            for (int i = 0; i < 3 * Bed.MOST; i++) {
-                silent.add(new Bed.Client(bed.address));
+        List<SidecarFixture.TestClient> silent = new ArrayList<>();
+        try (StubServer upstream = StubServer.respondingWith("x");
+                SidecarFixture bed = SidecarFixture.startWith(upstream)) {
+            for (int i = 0; i < 3 * SidecarFixture.MAX_CONNECTIONS; i++) {
+                silent.add(new SidecarFixture.TestClient(bed.address));
             }
-            assertEquals(200, bed.ask(Bed.look("a")).status());
+            assertEquals(200, bed.send(SidecarFixture.lookRequest("a")).status());
         } finally {
-            for (Bed.Client each : silent) {
+            for (SidecarFixture.TestClient each : silent) {
                 each.close();
             }
         }
--- a/sidecar/src/test/java/topazvalve/sidecar/ReadinessTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/ReadinessTest.java
@@ -39,7 +39,7 @@
 
     private void start(ObjectNode json) throws Exception {
         address = DeployedIT.freeAddress();
-        Config config = Bed.config(json.put("listen", "127.0.0.1:" + address.getPort()));
+        Config config = SidecarFixture.config(json.put("listen", "127.0.0.1:" + address.getPort()));
         EventLoop loop = group.next();
         loop.execute(() -> {
             loop.schedule(() -> events.add("late"), READY_S, TimeUnit.SECONDS);
@@ -55,15 +55,15 @@
     }
 
     private void assertReady() throws Exception {
-        assertEquals("ready", Stub.next(events));
-        try (Bed.Client client = new Bed.Client(address)) {
-            assertEquals(200, client.ask(UP).status());
+        assertEquals("ready", StubServer.awaitNext(events));
+        try (SidecarFixture.TestClient client = new SidecarFixture.TestClient(address)) {
+            assertEquals(200, client.send(UP).status());
         }
         assertEquals(0, events.size(), "answered before it was late");
     }
 
-    private static ObjectNode json(String discovery, Stub... upstreams) throws IOException {
-        ObjectNode json = Bed.json(upstreams);
+    private static ObjectNode json(String discovery, StubServer... upstreams) throws IOException {
+        ObjectNode json = SidecarFixture.configJson(upstreams);
         json.withObject("/settings").put("discovery", "subscribe");
         return discovery.isEmpty() ? json : json.put("discovery", discovery);
     }
@@ -72,8 +72,8 @@
     @ParameterizedTest
     @ValueSource(strings = {"refuses", "silent", "full"})
     void discoveryThatIsDownAndAnEmptyList(String how) throws Exception {
-        try (Stub discovery = new Stub(
-                (socket, head) -> how.equals("silent") || Stub.reply(socket, "503 Service Unavailable", "", ""))) {
+        try (StubServer discovery = new StubServer((socket, head) ->
+                how.equals("silent") || StubServer.reply(socket, "503 Service Unavailable", "", ""))) {
             start(json(how.equals("refuses") ? "" : discovery.endpoint()));
             assertReady();
         }
@@ -82,12 +82,12 @@
     /** Nobody listens any more at most of the addresses known, and at one nobody answers. */
     @Test
     void listThatIsOld() throws Exception {
-        try (Stub silent = new Stub((socket, head) -> true)) {
+        try (StubServer silent = new StubServer((socket, head) -> true)) {
             ObjectNode json = json("", silent);
             ArrayNode targets = json.withObject("/known").withArray("targets");
             for (int i = 0; i < 20; i++) {
                 InetSocketAddress gone = DeployedIT.freeAddress();
-                targets.add(Bed.target("gone-" + i, "127.0.0.1:" + gone.getPort(), "SERVING"));
+                targets.add(SidecarFixture.endpointJson("gone-" + i, "127.0.0.1:" + gone.getPort(), "SERVING"));
             }
             start(json);
             assertReady();
--- a/sidecar/src/test/java/topazvalve/sidecar/RelaysTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/RelaysTest.java
@@ -48,20 +48,20 @@
 
     private static String line(long rev, boolean all, String versions, String state) {
         return chunk("{\"rev\":" + rev + ",\"all\":" + all + ",\"versions\":\"" + versions + "\",\"targets\":["
-                + Bed.target("s-1", "127.0.0.1:9", state) + "]}\n");
+                + SidecarFixture.endpointJson("s-1", "127.0.0.1:9", state) + "]}\n");
     }
 
     /** One that answers with a line, and then with an empty one whenever it is asked. */
-    private static Stub telling(String line) {
-        return new Stub((socket, head) -> {
-            Stub.write(socket, CHUNKED + line);
+    private static StubServer telling(String line) {
+        return new StubServer((socket, head) -> {
+            StubServer.write(socket, CHUNKED + line);
             return true;
         });
     }
 
-    private DiscoveryClient following(EndpointUpdate known, Stub... relays) {
+    private DiscoveryClient following(EndpointUpdate known, StubServer... relays) {
         List<InetSocketAddress> order = new ArrayList<>();
-        for (Stub each : relays) {
+        for (StubServer each : relays) {
             order.add(each.address());
         }
         RelaySelector of =
@@ -74,28 +74,28 @@
 
     @Test
     void theNextRelayIsAskedAtOnceAndSaidHowFarTheListHasCome() throws Exception {
-        try (Stub first = telling(line(41, true, "eu:1.41", "SERVING"));
-                Stub second = telling(line(42, false, "eu:1.42", "DRAINING"))) {
+        try (StubServer first = telling(line(41, true, "eu:1.41", "SERVING"));
+                StubServer second = telling(line(42, false, "eu:1.42", "DRAINING"))) {
             following(EndpointUpdate.NONE, first, second);
-            assertEquals(UpdateKind.FULL, Stub.next(told).kind);
-            assertTrue(Stub.next(first.heads).contains("?watch=1&from=0 "), "nothing is known yet");
-            first.die();
-            assertEquals(UpdateKind.DELTA, Stub.next(told).kind, "the module hears of no failure");
-            String head = Stub.next(second.heads);
+            assertEquals(UpdateKind.FULL, StubServer.awaitNext(told).kind);
+            assertTrue(StubServer.awaitNext(first.receivedHeads).contains("?watch=1&from=0 "), "nothing is known yet");
+            first.stop();
+            assertEquals(UpdateKind.DELTA, StubServer.awaitNext(told).kind, "the module hears of no failure");
+            String head = StubServer.awaitNext(second.receivedHeads);
             assertTrue(head.contains("?watch=1&from=41&versions=eu:1.41 "), head);
         }
     }
 
     @Test
     void aRelayThatIsOlderThanWhatIsInForceIsNotFollowed() throws Exception {
-        try (Stub first = telling(line(900, true, "eu:2.900", "DRAINING"));
-                Stub older = telling(line(899, true, "eu:2.899", "SERVING"));
-                Stub third = telling(line(5, false, "eu:3.5", "SERVING"))) {
+        try (StubServer first = telling(line(900, true, "eu:2.900", "DRAINING"));
+                StubServer older = telling(line(899, true, "eu:2.899", "SERVING"));
+                StubServer third = telling(line(5, false, "eu:3.5", "SERVING"))) {
             DiscoveryClient discovery = following(EndpointUpdate.NONE, first, older, third);
-            assertEquals(UpdateKind.FULL, Stub.next(told).kind);
-            first.die();
-            assertEquals(UpdateKind.DELTA, Stub.next(told).kind, "the third's word, not the second's");
-            Stub.next(older.heads);
+            assertEquals(UpdateKind.FULL, StubServer.awaitNext(told).kind);
+            first.stop();
+            assertEquals(UpdateKind.DELTA, StubServer.awaitNext(told).kind, "the third's word, not the second's");
+            StubServer.awaitNext(older.receivedHeads);
             assertEquals(
                     VersionVector.parse("eu:3.5"),
                     loop.submit(discovery::versions).get());
@@ -104,26 +104,26 @@
 
     @Test
     void aRelayThatFallsSilentIsLeftForTheNext() throws Exception {
-        try (Stub silent = telling(chunk("\n"));
-                Stub next = telling(chunk("\n"))) {
+        try (StubServer silent = telling(chunk("\n"));
+                StubServer next = telling(chunk("\n"))) {
             following(EndpointUpdate.NONE, silent, next);
-            assertEquals(UpdateKind.DELTA, Stub.next(told).kind);
+            assertEquals(UpdateKind.DELTA, StubServer.awaitNext(told).kind);
             long began = System.nanoTime();
-            Stub.next(next.heads);
+            StubServer.awaitNext(next.receivedHeads);
             assertTrue(System.nanoTime() - began >= TimeUnit.SECONDS.toNanos(2), "not before it missed one");
-            assertEquals("end", Stub.next(silent.ended));
+            assertEquals("end", StubServer.awaitNext(silent.closedConnections));
         }
     }
 
     @Test
     void oneThatAsksToComeBackLaterIsPassedOver() throws Exception {
-        try (Stub full = new Stub(
-                        (socket, head) -> Stub.reply(socket, "503 Service Unavailable", "Retry-After: 2\r\n", ""));
-                Stub next = telling(line(41, true, "eu:1.41", "SERVING"))) {
+        try (StubServer full = new StubServer((socket, head) ->
+                        StubServer.reply(socket, "503 Service Unavailable", "Retry-After: 2\r\n", ""));
+                StubServer next = telling(line(41, true, "eu:1.41", "SERVING"))) {
             following(EndpointUpdate.NONE, full, next);
-            assertEquals(UpdateKind.FULL, Stub.next(told).kind);
-            Stub.next(full.heads);
-            Stub.next(next.heads);
+            assertEquals(UpdateKind.FULL, StubServer.awaitNext(told).kind);
+            StubServer.awaitNext(full.receivedHeads);
+            StubServer.awaitNext(next.receivedHeads);
         }
     }
 
@@ -131,16 +131,16 @@
     @Test
     void whoFindsNobodyGoesOnAskingAndKeepsItsList() throws Exception {
         BlockingQueue<String> asked = new LinkedBlockingQueue<>();
-        try (Stub relay = new Stub((socket, head) -> {
+        try (StubServer relay = new StubServer((socket, head) -> {
             asked.add(head);
             if (asked.size() < 4) {
                 return false;
             }
-            Stub.write(socket, CHUNKED + chunk("\n"));
+            StubServer.write(socket, CHUNKED + chunk("\n"));
             return true;
         })) {
             DiscoveryClient discovery = following(new EndpointUpdate(41, true, List.of()), relay);
-            assertEquals(new Told(UpdateKind.DELTA, List.of()), Stub.next(told));
+            assertEquals(new Told(UpdateKind.DELTA, List.of()), StubServer.awaitNext(told));
             assertEquals(4, asked.size());
             assertEquals(41, loop.submit(discovery::revision).get());
         }
@@ -148,10 +148,12 @@
 
     @Test
     void versionsThatCantBeReadAreNotTaken() throws Exception {
-        try (Stub odd = telling(line(41, true, "eu=41", "SERVING"));
-                Stub next = telling(line(41, true, "eu:1.41", "DRAINING"))) {
+        try (StubServer odd = telling(line(41, true, "eu=41", "SERVING"));
+                StubServer next = telling(line(41, true, "eu:1.41", "DRAINING"))) {
             following(EndpointUpdate.NONE, odd, next);
-            assertEquals("DRAINING", Stub.next(told).targets.get(0).status().name());
+            assertEquals(
+                    "DRAINING",
+                    StubServer.awaitNext(told).targets.get(0).status().name());
         }
     }
 
--- a/sidecar/src/test/java/topazvalve/sidecar/RoomTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/RoomTest.java
@@ -15,27 +15,27 @@
 class RoomTest {
     private static final int FEW = 4;
 
-    private final List<Bed.Client> clients = new ArrayList<>();
+    private final List<SidecarFixture.TestClient> clients = new ArrayList<>();
 
     @AfterEach
     void end() throws IOException {
-        for (Bed.Client each : clients) {
+        for (SidecarFixture.TestClient each : clients) {
             each.close();
         }
     }
 
-    private Bed.Client client(Bed bed) throws IOException {
-        Bed.Client client = new Bed.Client(bed.address);
+    private SidecarFixture.TestClient client(SidecarFixture bed) throws IOException {
+        SidecarFixture.TestClient client = new SidecarFixture.TestClient(bed.address);
         clients.add(client);
         return client;
     }
 
     /** Holds the loop, so that what comes meanwhile is met in one turn. */
-    private static CountDownLatch hold(Bed bed) {
+    private static CountDownLatch hold(SidecarFixture bed) {
         CountDownLatch go = new CountDownLatch(1);
         bed.loop.execute(() -> {
             try {
-                go.await(Stub.LIMIT_S, TimeUnit.SECONDS);
+                go.await(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -43,10 +43,10 @@
         return go;
     }
 
-    private static void awaitTaken(Bed bed, int wanted) {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Stub.LIMIT_S);
-        while (bed.open.taken() < wanted) {
-            assertTrue(System.nanoTime() < end, "taken: " + bed.open.taken());
+    private static void awaitTaken(SidecarFixture bed, int wanted) {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(StubServer.TIMEOUT_SECONDS);
+        while (bed.openConnections.taken() < wanted) {
+            assertTrue(System.nanoTime() < end, "taken: " + bed.openConnections.taken());
             Thread.onSpinWait();
         }
     }
@@ -57,19 +57,22 @@
      */
     @Test
     void floodKeepsToItsShareAndClosesNoClientThatWorks() throws Exception {
-        try (Stub upstream = Stub.serving("x");
-                Bed bed = Bed.with(upstream)) {
-            Bed.Client working = client(bed);
-            assertEquals(200, working.ask(Bed.look("first")).status());
+        try (StubServer upstream = StubServer.respondingWith("x");
+                SidecarFixture bed = SidecarFixture.startWith(upstream)) {
+            SidecarFixture.TestClient working = client(bed);
+            assertEquals(200, working.send(SidecarFixture.lookRequest("first")).status());
             CountDownLatch go = hold(bed);
-            for (int i = 0; i < 3 * Bed.MOST; i++) {
+            for (int i = 0; i < 3 * SidecarFixture.MAX_CONNECTIONS; i++) {
                 client(bed);
             }
             go.countDown();
-            assertEquals(200, client(bed).ask(Bed.look("new")).status());
-            awaitTaken(bed, 3 * Bed.MOST + 2);
-            assertEquals(200, working.ask(Bed.look("second")).status());
-            assertTrue(bed.open.most() <= Bed.MOST + Bed.SPARE, "descriptors: " + bed.open.most());
+            assertEquals(
+                    200, client(bed).send(SidecarFixture.lookRequest("new")).status());
+            awaitTaken(bed, 3 * SidecarFixture.MAX_CONNECTIONS + 2);
+            assertEquals(200, working.send(SidecarFixture.lookRequest("second")).status());
+            assertTrue(
+                    bed.openConnections.most() <= SidecarFixture.MAX_CONNECTIONS + SidecarFixture.SPARE_DESCRIPTORS,
+                    "descriptors: " + bed.openConnections.most());
         }
     }
 
@@ -77,44 +80,45 @@
     @Test
     void clientsBeyondTheShareWaitForARequestToEnd() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        try (Stub upstream = new Stub((socket, head) -> {
+        try (StubServer upstream = new StubServer((socket, head) -> {
                     try {
-                        return go.await(Stub.LIMIT_S, TimeUnit.SECONDS) && Stub.reply(socket, "200 OK", "", "x");
+                        return go.await(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS)
+                                && StubServer.reply(socket, "200 OK", "", "x");
                     } catch (InterruptedException e) {
                         return false;
                     }
                 });
-                Bed bed = new Bed(Bed.json(upstream), FEW)) {
-            int share = FEW + Bed.SPARE;
+                SidecarFixture bed = new SidecarFixture(SidecarFixture.configJson(upstream), FEW)) {
+            int share = FEW + SidecarFixture.SPARE_DESCRIPTORS;
             for (int i = 0; i < share + 2; i++) {
-                Stub.write(client(bed).socket, Bed.look("open" + i));
+                StubServer.write(client(bed).socket, SidecarFixture.lookRequest("open" + i));
             }
             awaitTaken(bed, share);
             go.countDown();
-            for (Bed.Client each : clients) {
-                int status = each.read().status();
+            for (SidecarFixture.TestClient each : clients) {
+                int status = each.readResponse().status();
                 assertTrue(status == 200 || status == 503, "answered: " + status);
             }
-            assertTrue(bed.open.most() <= share, "descriptors: " + bed.open.most());
+            assertTrue(bed.openConnections.most() <= share, "descriptors: " + bed.openConnections.most());
         }
     }
 
     /** The request of one that is to be closed for another lies in its socket: it is read and served. */
     @Test
     void whoeverHasSentSomethingIsNotClosedUnread() throws Exception {
-        try (Stub upstream = Stub.serving("x");
-                Bed bed = new Bed(Bed.json(upstream), FEW)) {
+        try (StubServer upstream = StubServer.respondingWith("x");
+                SidecarFixture bed = new SidecarFixture(SidecarFixture.configJson(upstream), FEW)) {
             for (int i = 0; i < FEW; i++) {
                 client(bed);
             }
             awaitTaken(bed, FEW);
             CountDownLatch go = hold(bed);
-            Bed.Client next = client(bed);
-            Bed.Client oldest = clients.get(0);
-            Stub.write(oldest.socket, Bed.look("late"));
+            SidecarFixture.TestClient next = client(bed);
+            SidecarFixture.TestClient oldest = clients.get(0);
+            StubServer.write(oldest.socket, SidecarFixture.lookRequest("late"));
             go.countDown();
-            assertEquals(200, oldest.read().status());
-            assertEquals(200, next.ask(Bed.look("next")).status());
+            assertEquals(200, oldest.readResponse().status());
+            assertEquals(200, next.send(SidecarFixture.lookRequest("next")).status());
         }
     }
 }
--- a/sidecar/src/test/java/topazvalve/sidecar/Bed.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/SidecarFixture.java
@@ -23,68 +23,80 @@
 import topazvalve.sidecar.config.Config;
 import topazvalve.sidecar.frontend.HttpFrontend;
 import topazvalve.sidecar.http.UpstreamRequest;
+import topazvalve.sidecar.http.UpstreamResponse;
 import topazvalve.sidecar.listen.ClientListener;
 
-/** A sidecar in this process, with its upstreams known from the start, and a client for it. */
-final class Bed implements AutoCloseable {
+/** A sidecar inside the test's process whose endpoints are known from the start, and a client for it. */
+final class SidecarFixture implements AutoCloseable {
     static final ObjectMapper JSON = new ObjectMapper();
-    static final int LONG_MS = 20_000;
-    static final int MOST = 100;
-    /** Descriptors for connections on their way in or out. */
-    static final int SPARE = 10;
+    static final int DEADLINE_MS = 20_000;
+    static final int MAX_CONNECTIONS = 100;
+    /** Descriptors for connections that are just being accepted or closed. */
+    static final int SPARE_DESCRIPTORS = 10;
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     final EventLoop loop = group.next();
     final Lifecycle lifecycle = new Lifecycle();
     final Metrics metrics = new Metrics();
     final HttpFrontend frontend;
-    final ClientListener clients;
-    final HttpProxy side;
-    final ExchangeManager<UpstreamRequest, topazvalve.sidecar.http.UpstreamResponse> engine;
+    final ClientListener clientListener;
+    final HttpProxy proxy;
+    final ExchangeManager<UpstreamRequest, UpstreamResponse> exchanges;
     final InetSocketAddress address;
-    final InetSocketAddress admin;
+    final InetSocketAddress adminAddress;
 
-    /** An answer as the client saw it. */
-    record Answer(int status, String head, String body) {}
+    /** A response as the client received it. */
+    record ClientResponse(int status, String head, String body) {}
 
-    /** What every accepted connection is counted with, by the descriptors held. */
-    final OpenConnections open = new OpenConnections();
+    /** Counts the accepted connections that are open, by their descriptors. */
+    final OpenConnections openConnections = new OpenConnections();
 
-    Bed(ObjectNode json) throws Exception {
-        this(json, MOST);
+    SidecarFixture(ObjectNode json) throws Exception {
+        this(json, MAX_CONNECTIONS);
     }
 
-    /** With room for so many clients. */
-    Bed(ObjectNode json, int mostClients) throws Exception {
+    /** Accepts at most {@code maxClients} client connections. */
+    SidecarFixture(ObjectNode json, int maxClients) throws Exception {
         Config config = config(json);
-        side = new HttpProxy(
-                loop, config, MOST, mostClients, metrics, lifecycle, new ByteBudget(config.bodyBytes()), List.of());
-        frontend = side.front();
-        engine = side.exchanges();
-        loop.submit(() -> side.start(config)).sync();
-        clients = ClientListener.binding(config.listen());
-        address = (InetSocketAddress)
-                clients.open(group, open.counting(frontend.connectionInitializer()), () -> mostClients + SPARE)
-                        .sync()
-                        .channel()
-                        .localAddress();
-        admin = (InetSocketAddress) new AdminServer(lifecycle, () -> metrics.text(engine))
+        proxy = new HttpProxy(
+                loop,
+                config,
+                MAX_CONNECTIONS,
+                maxClients,
+                metrics,
+                lifecycle,
+                new ByteBudget(config.bodyBytes()),
+                List.of());
+        frontend = proxy.front();
+        exchanges = proxy.exchanges();
+        loop.submit(() -> proxy.start(config)).sync();
+        clientListener = ClientListener.binding(config.listen());
+        address = (InetSocketAddress) clientListener
+                .open(
+                        group,
+                        openConnections.counting(frontend.connectionInitializer()),
+                        () -> maxClients + SPARE_DESCRIPTORS)
+                .sync()
+                .channel()
+                .localAddress();
+        adminAddress = (InetSocketAddress) new AdminServer(lifecycle, () -> metrics.text(exchanges))
                 .listen(group, new InetSocketAddress("127.0.0.1", 0))
                 .sync()
                 .channel()
                 .localAddress();
     }
 
-    static Bed with(Stub... upstreams) throws Exception {
-        return new Bed(json(upstreams));
+    static SidecarFixture startWith(StubServer... upstreams) throws Exception {
+        return new SidecarFixture(configJson(upstreams));
     }
 
-    /** A configuration with classes look (safe), hold (keyed) and book (unsafe), and one tenant. */
+    /** Reads and validates a configuration. */
     static Config config(ObjectNode json) throws IOException {
         return Config.of(JsonReader.read(json.toString()));
     }
 
-    static ObjectNode json(Stub... upstreams) throws IOException {
+    /** A configuration with the classes look (idempotent), hold (keyed) and book (non-idempotent), and one tenant. */
+    static ObjectNode configJson(StubServer... upstreams) throws IOException {
         ObjectNode root = (ObjectNode) JSON.readTree("""
                 {"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
                  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
@@ -104,12 +116,12 @@
                    {"name":"book","slo":20000000000,"deadline":20000000000,"semantics":"once"}]}}""");
         ArrayNode targets = root.withObject("/known").withArray("/targets");
         for (int i = 0; i < upstreams.length; i++) {
-            targets.add(target("s-" + i, upstreams[i].endpoint(), "SERVING"));
+            targets.add(endpointJson("s-" + i, upstreams[i].endpoint(), "SERVING"));
         }
         return root;
     }
 
-    static ObjectNode target(String uid, String endpoint, String state) {
+    static ObjectNode endpointJson(String uid, String endpoint, String state) {
         return JSON.createObjectNode()
                 .put("uid", uid)
                 .put("endpoint", endpoint)
@@ -121,52 +133,52 @@
                 .put("boot_ms", 0);
     }
 
-    static String look(String id) {
+    static String lookRequest(String id) {
         return "GET /api/7f3a?full=1 HTTP/1.1\r\nHost: app.svc\r\nReq-Id: " + id
-                + "\r\nReq-Kind: look\r\nReq-Owner: acme\r\nReq-Deadline-Ms: " + LONG_MS + "\r\n\r\n";
+                + "\r\nReq-Kind: look\r\nReq-Owner: acme\r\nReq-Deadline-Ms: " + DEADLINE_MS + "\r\n\r\n";
     }
 
-    static String post(String kind, String headers, String body) {
+    static String postRequest(String kind, String headers, String body) {
         return "POST /api/7f3a HTTP/1.1\r\nHost: app.svc\r\nReq-Id: 9b1f\r\nReq-Kind: " + kind
-                + "\r\nReq-Owner: acme\r\nReq-Deadline-Ms: " + LONG_MS + "\r\n" + headers
+                + "\r\nReq-Owner: acme\r\nReq-Deadline-Ms: " + DEADLINE_MS + "\r\n" + headers
                 + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    /** Sends on a connection of its own and reads one answer. */
-    Answer ask(String request) throws IOException {
-        try (Client client = new Client(address)) {
-            return client.ask(request);
+    /** Sends a request on a new connection and reads one response. */
+    ClientResponse send(String request) throws IOException {
+        try (TestClient client = new TestClient(address)) {
+            return client.send(request);
         }
     }
 
-    /** One connection of the application's. */
-    static final class Client implements AutoCloseable {
+    /** One client connection to the sidecar. */
+    static final class TestClient implements AutoCloseable {
         final Socket socket;
         final InputStream in;
 
-        Client(InetSocketAddress address) throws IOException {
+        TestClient(InetSocketAddress address) throws IOException {
             socket = new Socket(address.getAddress(), address.getPort());
-            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Stub.LIMIT_S));
+            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(StubServer.TIMEOUT_SECONDS));
             in = new BufferedInputStream(socket.getInputStream());
         }
 
-        Answer ask(String request) throws IOException {
-            Stub.write(socket, request);
-            return read();
+        ClientResponse send(String request) throws IOException {
+            StubServer.write(socket, request);
+            return readResponse();
         }
 
-        String head() throws IOException {
-            String head = Stub.head(in);
+        String readHead() throws IOException {
+            String head = StubServer.readHead(in);
             if (head.isEmpty()) {
                 throw new IOException("connection ended without an answer");
             }
             return head;
         }
 
-        Answer read() throws IOException {
-            String head = head();
-            String body = new String(in.readNBytes(Stub.length(head)), StandardCharsets.ISO_8859_1);
-            return new Answer(Integer.parseInt(head.substring(9, 12)), head, body);
+        ClientResponse readResponse() throws IOException {
+            String head = readHead();
+            String body = new String(in.readNBytes(StubServer.contentLength(head)), StandardCharsets.ISO_8859_1);
+            return new ClientResponse(Integer.parseInt(head.substring(9, 12)), head, body);
         }
 
         @Override
--- a/sidecar/src/test/java/topazvalve/sidecar/SidecarTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/SidecarTest.java
@@ -32,22 +32,23 @@
 
     @Test
     void requestAndAnswerGoOnUnchanged() throws Exception {
-        try (Stub upstream = Stub.serving("{\"parts\":7}");
-                Bed bed = Bed.with(upstream)) {
-            Bed.Answer answer = bed.ask(Bed.post("hold", "Idempotency-Key: 5c0f\r\nX-Trace: t1\r\n", "two"));
+        try (StubServer upstream = StubServer.respondingWith("{\"parts\":7}");
+                SidecarFixture bed = SidecarFixture.startWith(upstream)) {
+            SidecarFixture.ClientResponse answer =
+                    bed.send(SidecarFixture.postRequest("hold", "Idempotency-Key: 5c0f\r\nX-Trace: t1\r\n", "two"));
             assertEquals(200, answer.status());
             assertEquals("{\"parts\":7}", answer.body());
-            assertEquals("text/x-part", Stub.header(answer.head(), "Content-Type"));
-            String head = Stub.next(upstream.heads);
+            assertEquals("text/x-part", StubServer.header(answer.head(), "Content-Type"));
+            String head = StubServer.awaitNext(upstream.receivedHeads);
             assertTrue(head.startsWith("POST /api/7f3a HTTP/1.1\r\n"), head);
-            assertEquals("9b1f", Stub.header(head, "Req-Id"));
-            assertEquals("5c0f", Stub.header(head, "Idempotency-Key"));
-            assertEquals("t1", Stub.header(head, "X-Trace"));
-            int wait = Integer.parseInt(Stub.header(head, "Req-Deadline-Ms"));
-            assertTrue(wait > 0 && wait < Bed.LONG_MS, "room for the way back: " + wait);
-            assertEquals("two", Stub.next(upstream.bodies));
-            assertEquals(200, bed.ask(Bed.look("a")).status());
-            assertTrue(Stub.next(upstream.heads).startsWith("GET /api/7f3a?full=1 HTTP/1.1\r\n"));
+            assertEquals("9b1f", StubServer.header(head, "Req-Id"));
+            assertEquals("5c0f", StubServer.header(head, "Idempotency-Key"));
+            assertEquals("t1", StubServer.header(head, "X-Trace"));
+            int wait = Integer.parseInt(StubServer.header(head, "Req-Deadline-Ms"));
+            assertTrue(wait > 0 && wait < SidecarFixture.DEADLINE_MS, "room for the way back: " + wait);
+            assertEquals("two", StubServer.awaitNext(upstream.receivedBodies));
+            assertEquals(200, bed.send(SidecarFixture.lookRequest("a")).status());
+            assertTrue(StubServer.awaitNext(upstream.receivedHeads).startsWith("GET /api/7f3a?full=1 HTTP/1.1\r\n"));
         }
     }
 
@@ -55,10 +56,11 @@
     @Test
     void largestBodiesGoThrough() throws Exception {
         String body = "x".repeat(1 << 16);
-        try (Stub upstream = Stub.serving(body);
-                Bed bed = Bed.with(upstream)) {
-            assertEquals(body, bed.ask(Bed.post("book", "", body)).body());
-            assertEquals(body, Stub.next(upstream.bodies));
+        try (StubServer upstream = StubServer.respondingWith(body);
+                SidecarFixture bed = SidecarFixture.startWith(upstream)) {
+            assertEquals(
+                    body, bed.send(SidecarFixture.postRequest("book", "", body)).body());
+            assertEquals(body, StubServer.awaitNext(upstream.receivedBodies));
         }
     }
 
@@ -66,26 +68,26 @@
     @Test
     void largeAnswerGoesThrough() throws Exception {
         String body = "x".repeat(400_000);
-        try (Stub upstream = Stub.serving(body);
-                Bed bed = Bed.with(upstream)) {
-            assertEquals(body, bed.ask(Bed.look("a")).body());
-            assertEquals(1, upstream.heads.size());
+        try (StubServer upstream = StubServer.respondingWith(body);
+                SidecarFixture bed = SidecarFixture.startWith(upstream)) {
+            assertEquals(body, bed.send(SidecarFixture.lookRequest("a")).body());
+            assertEquals(1, upstream.receivedHeads.size());
         }
     }
 
     /** A refused connection proves that nothing ran, so that even an unsafe request may go elsewhere. */
     @Test
     void unsafeRequestGoesOnWhenNoConnectionComesUp() throws Exception {
-        try (Stub gone = Stub.serving("x");
-                Stub upstream = Stub.serving("y");
-                Bed bed = Bed.with(gone, upstream)) {
-            gone.die();
+        try (StubServer gone = StubServer.respondingWith("x");
+                StubServer upstream = StubServer.respondingWith("y");
+                SidecarFixture bed = SidecarFixture.startWith(gone, upstream)) {
+            gone.stop();
             for (int i = 0; i < 4; i++) {
-                String request = Bed.post("book", "", "b" + i).replace("9b1f", "9b1f" + i);
-                assertEquals("y", bed.ask(request).body());
-                assertEquals("b" + i, Stub.next(upstream.bodies), "each once");
+                String request = SidecarFixture.postRequest("book", "", "b" + i).replace("9b1f", "9b1f" + i);
+                assertEquals("y", bed.send(request).body());
+                assertEquals("b" + i, StubServer.awaitNext(upstream.receivedBodies), "each once");
             }
-            assertNull(upstream.bodies.poll());
+            assertNull(upstream.receivedBodies.poll());
         }
     }
 
@@ -93,22 +95,25 @@
     @Test
     void unsafeRequestIsNotSentAgainAfterAReset() throws Exception {
         for (String how : List.of("reset", "close", "cut short", "nonsense", "500 Error", "503 No")) {
-            Stub.Script script = (socket, head) -> {
+            StubServer.Responder script = (socket, head) -> {
                 if (how.startsWith("5")) {
-                    return Stub.reply(socket, how, "", "");
+                    return StubServer.reply(socket, how, "", "");
                 }
                 if (how.equals("cut short")) {
-                    Stub.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
+                    StubServer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
                 } else if (how.equals("nonsense")) {
-                    Stub.write(socket, "what is this\r\n\r\n");
+                    StubServer.write(socket, "what is this\r\n\r\n");
                 }
-                return how.equals("reset") && Stub.reset(socket);
+                return how.equals("reset") && StubServer.reset(socket);
             };
-            try (Stub one = new Stub(script);
-                    Stub two = new Stub(script);
-                    Bed bed = Bed.with(one, two)) {
-                assertEquals(502, bed.ask(Bed.post("book", "", "b")).status(), how);
-                assertEquals(1, one.heads.size() + two.heads.size(), how);
+            try (StubServer one = new StubServer(script);
+                    StubServer two = new StubServer(script);
+                    SidecarFixture bed = SidecarFixture.startWith(one, two)) {
+                assertEquals(
+                        502,
+                        bed.send(SidecarFixture.postRequest("book", "", "b")).status(),
+                        how);
+                assertEquals(1, one.receivedHeads.size() + two.receivedHeads.size(), how);
             }
         }
     }
@@ -116,14 +121,15 @@
     /** A repeat is harmless for a safe request and for one whose key the upstreams know. */
     @Test
     void safeAndKeyedRequestsAreSentAgainAfterAReset() throws Exception {
-        Stub.Script script = (socket, head) -> Stub.reset(socket);
-        for (String request : List.of(Bed.look("a"), Bed.post("hold", "Idempotency-Key: 1\r\n", "b"))) {
-            try (Stub one = new Stub(script);
-                    Stub two = new Stub(script);
-                    Bed bed = Bed.with(one, two)) {
-                assertEquals(503, bed.ask(request).status(), "all tried, and a retry is harmless");
-                assertEquals(1, one.heads.size());
-                assertEquals(1, two.heads.size());
+        StubServer.Responder script = (socket, head) -> StubServer.reset(socket);
+        for (String request : List.of(
+                SidecarFixture.lookRequest("a"), SidecarFixture.postRequest("hold", "Idempotency-Key: 1\r\n", "b"))) {
+            try (StubServer one = new StubServer(script);
+                    StubServer two = new StubServer(script);
+                    SidecarFixture bed = SidecarFixture.startWith(one, two)) {
+                assertEquals(503, bed.send(request).status(), "all tried, and a retry is harmless");
+                assertEquals(1, one.receivedHeads.size());
+                assertEquals(1, two.receivedHeads.size());
             }
         }
     }
@@ -131,52 +137,53 @@
     /** Srv-Declined proves that nothing ran; without that header a 503 proves nothing (tested above). */
     @Test
     void declinedUnsafeRequestGoesElsewhere() throws Exception {
-        Stub.Script declines = (socket, head) -> Stub.reply(socket, "503 No", "Srv-Declined: 1\r\n", "");
-        try (Stub one = new Stub(declines);
-                Stub two = new Stub(declines);
-                Bed bed = Bed.with(one, two)) {
-            Bed.Answer answer = bed.ask(Bed.post("book", "", "b"));
+        StubServer.Responder declines = (socket, head) -> StubServer.reply(socket, "503 No", "Srv-Declined: 1\r\n", "");
+        try (StubServer one = new StubServer(declines);
+                StubServer two = new StubServer(declines);
+                SidecarFixture bed = SidecarFixture.startWith(one, two)) {
+            SidecarFixture.ClientResponse answer = bed.send(SidecarFixture.postRequest("book", "", "b"));
             assertEquals(503, answer.status());
-            assertEquals("0.750", Stub.header(answer.head(), "Retry-After"), "as long as the module says");
-            assertEquals(1, one.heads.size());
-            assertEquals(1, two.heads.size());
+            assertEquals("0.750", StubServer.header(answer.head(), "Retry-After"), "as long as the module says");
+            assertEquals(1, one.receivedHeads.size());
+            assertEquals(1, two.receivedHeads.size());
         }
     }
 
     /** A client that leaves takes its attempt with it: its connection must close, not be used again. */
     @Test
     void hangUpClosesTheAttemptsConnection() throws Exception {
-        try (Stub silent = new Stub((socket, head) -> true);
-                Bed bed = Bed.with(silent)) {
-            try (Bed.Client client = new Bed.Client(bed.address)) {
-                Stub.write(client.socket, Bed.look("a"));
-                Stub.next(silent.heads);
+        try (StubServer silent = new StubServer((socket, head) -> true);
+                SidecarFixture bed = SidecarFixture.startWith(silent)) {
+            try (SidecarFixture.TestClient client = new SidecarFixture.TestClient(bed.address)) {
+                StubServer.write(client.socket, SidecarFixture.lookRequest("a"));
+                StubServer.awaitNext(silent.receivedHeads);
             }
-            Stub.next(silent.ended);
+            StubServer.awaitNext(silent.closedConnections);
         }
     }
 
     /** Silent upstreams must not cost the client its answer: it comes while the client still waits. */
     @Test
     void silenceIsAnsweredBeforeTheClientsDeadline() throws Exception {
-        try (Stub silent = new Stub((socket, head) -> true);
-                Bed bed = Bed.with(silent)) {
-            String shorter = Bed.post("book", "", "b").replace("Deadline-Ms: 20000", "Deadline-Ms: 1500");
-            assertEquals(502, bed.ask(shorter).status());
-            Stub.next(silent.ended);
+        try (StubServer silent = new StubServer((socket, head) -> true);
+                SidecarFixture bed = SidecarFixture.startWith(silent)) {
+            String shorter =
+                    SidecarFixture.postRequest("book", "", "b").replace("Deadline-Ms: 20000", "Deadline-Ms: 1500");
+            assertEquals(502, bed.send(shorter).status());
+            StubServer.awaitNext(silent.closedConnections);
         }
     }
 
     /** A stale connection turns requests into resets: it is retired before the upstream's own idle time. */
     @Test
     void idleConnectionIsRetired() throws Exception {
-        try (Stub upstream = Stub.serving("x")) {
-            ObjectNode json = Bed.json(upstream);
+        try (StubServer upstream = StubServer.respondingWith("x")) {
+            ObjectNode json = SidecarFixture.configJson(upstream);
             json.withObject("/settings/caps").put("connIdle", 500_000_000L);
-            try (Bed bed = new Bed(json)) {
-                assertEquals(200, bed.ask(Bed.look("a")).status());
-                Stub.next(upstream.ended);
-                assertEquals(200, bed.ask(Bed.look("b")).status());
+            try (SidecarFixture bed = new SidecarFixture(json)) {
+                assertEquals(200, bed.send(SidecarFixture.lookRequest("a")).status());
+                StubServer.awaitNext(upstream.closedConnections);
+                assertEquals(200, bed.send(SidecarFixture.lookRequest("b")).status());
             }
         }
     }
@@ -185,17 +192,17 @@
     void connectionIsKeptAndUsedAgain() throws Exception {
         CountDownLatch connections = new CountDownLatch(2);
         ThreadLocal<Boolean> first = ThreadLocal.withInitial(() -> true);
-        Stub.Script counting = (socket, head) -> {
+        StubServer.Responder counting = (socket, head) -> {
             if (first.get()) {
                 first.set(false);
                 connections.countDown();
             }
-            return Stub.reply(socket, "200 OK", "", "x");
+            return StubServer.reply(socket, "200 OK", "", "x");
         };
-        try (Stub upstream = new Stub(counting);
-                Bed bed = Bed.with(upstream)) {
+        try (StubServer upstream = new StubServer(counting);
+                SidecarFixture bed = SidecarFixture.startWith(upstream)) {
             for (int i = 0; i < 5; i++) {
-                assertEquals(200, bed.ask(Bed.look("a" + i)).status());
+                assertEquals(200, bed.send(SidecarFixture.lookRequest("a" + i)).status());
             }
             assertEquals(1, connections.getCount(), "one connection for all five");
         }
@@ -205,37 +212,43 @@
     @Test
     void toldDrainIsKeptAndABrokenWatchRenewed() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        try (Stub drained = Stub.serving("x");
-                Stub other = Stub.serving("y")) {
-            String line = "{\"rev\":42,\"all\":false,\"targets\":[" + Bed.target("s-0", drained.endpoint(), "DRAINING")
-                    + "]}\n";
-            try (Stub discovery = new Stub((socket, head) -> {
-                Stub.write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        try (StubServer drained = StubServer.respondingWith("x");
+                StubServer other = StubServer.respondingWith("y")) {
+            String line = "{\"rev\":42,\"all\":false,\"targets\":["
+                    + SidecarFixture.endpointJson("s-0", drained.endpoint(), "DRAINING") + "]}\n";
+            try (StubServer discovery = new StubServer((socket, head) -> {
+                StubServer.write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 try {
                     go.await();
                 } catch (InterruptedException e) {
                     return false;
                 }
                 if (head.contains("from=41 ")) {
-                    Stub.write(socket, Integer.toHexString(line.length()) + "\r\n" + line + "\r\n");
+                    StubServer.write(socket, Integer.toHexString(line.length()) + "\r\n" + line + "\r\n");
                 }
                 return false;
             })) {
-                ObjectNode json = Bed.json(drained, other).put("discovery", discovery.endpoint());
+                ObjectNode json = SidecarFixture.configJson(drained, other).put("discovery", discovery.endpoint());
                 json.withObject("/settings").put("discovery", "subscribe");
-                try (Bed bed = new Bed(json)) {
-                    for (int i = 0; drained.heads.isEmpty(); i++) {
-                        assertEquals(200, bed.ask(Bed.look("a" + i)).status());
+                try (SidecarFixture bed = new SidecarFixture(json)) {
+                    for (int i = 0; drained.receivedHeads.isEmpty(); i++) {
+                        assertEquals(
+                                200,
+                                bed.send(SidecarFixture.lookRequest("a" + i)).status());
                     }
                     go.countDown();
-                    Stub.next(drained.ended);
-                    int before = drained.heads.size();
+                    StubServer.awaitNext(drained.closedConnections);
+                    int before = drained.receivedHeads.size();
                     for (int i = 0; i < 6; i++) {
-                        assertEquals("y", bed.ask(Bed.look("b" + i)).body());
+                        assertEquals(
+                                "y",
+                                bed.send(SidecarFixture.lookRequest("b" + i)).body());
                     }
-                    assertEquals(before, drained.heads.size());
-                    assertTrue(Stub.next(discovery.heads).contains("from=41 "));
-                    assertTrue(Stub.next(discovery.heads).contains("from=42 "), "where the first one ended");
+                    assertEquals(before, drained.receivedHeads.size());
+                    assertTrue(StubServer.awaitNext(discovery.receivedHeads).contains("from=41 "));
+                    assertTrue(
+                            StubServer.awaitNext(discovery.receivedHeads).contains("from=42 "),
+                            "where the first one ended");
                 }
             }
         }
@@ -248,31 +261,31 @@
     @Test
     void newSettingsHoldForNewRequestsAlone() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        Stub.Script script = (socket, head) -> {
+        StubServer.Responder script = (socket, head) -> {
             try {
-                if (Stub.header(head, "Req-Id") == null) {
-                    return Stub.reply(socket, "200 OK", "", ""); // a probe
+                if (StubServer.header(head, "Req-Id") == null) {
+                    return StubServer.reply(socket, "200 OK", "", ""); // a probe
                 }
-                return switch (Stub.header(head, "Req-Id")) {
-                    case "open" -> go.await(Stub.LIMIT_S, TimeUnit.SECONDS) && Stub.reset(socket);
-                    case "bad", "unsafe" -> Stub.reply(socket, "500 No", "", "");
-                    default -> Stub.reply(socket, "200 OK", "", "x");
+                return switch (StubServer.header(head, "Req-Id")) {
+                    case "open" -> go.await(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS) && StubServer.reset(socket);
+                    case "bad", "unsafe" -> StubServer.reply(socket, "500 No", "", "");
+                    default -> StubServer.reply(socket, "200 OK", "", "x");
                 };
             } catch (InterruptedException e) {
                 return false;
             }
         };
-        try (Stub one = new Stub(script);
-                Stub two = new Stub(script);
-                Bed bed = Bed.with(one, two);
-                Bed.Client open = new Bed.Client(bed.address)) {
-            Stub.write(open.socket, Bed.look("open"));
-            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Stub.LIMIT_S);
-            while (one.heads.size() + two.heads.size() == 0) {
+        try (StubServer one = new StubServer(script);
+                StubServer two = new StubServer(script);
+                SidecarFixture bed = SidecarFixture.startWith(one, two);
+                SidecarFixture.TestClient open = new SidecarFixture.TestClient(bed.address)) {
+            StubServer.write(open.socket, SidecarFixture.lookRequest("open"));
+            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(StubServer.TIMEOUT_SECONDS);
+            while (one.receivedHeads.size() + two.receivedHeads.size() == 0) {
                 assertTrue(System.nanoTime() < end);
                 Thread.sleep(5);
             }
-            ObjectNode json = Bed.json(one, two);
+            ObjectNode json = SidecarFixture.configJson(one, two);
             json.withObject("/settings/caps").put("tryLimit", 1);
             ArrayNode profiles = json.withObject("/settings").withArray("/profiles");
             ((ObjectNode) profiles.get(0)).put("semantics", "once");
@@ -282,29 +295,39 @@
                     .put("slo", 1_000_000_000L)
                     .put("deadline", 2_000_000_000L)
                     .put("semantics", "repeatable");
-            Config next = Bed.config(json);
-            bed.loop.submit(() -> bed.side.reconfigure(next)).sync();
-            assertEquals(400, bed.ask(Bed.look("a")).status(), "an unsafe class takes no GET");
+            Config next = SidecarFixture.config(json);
+            bed.loop.submit(() -> bed.proxy.reconfigure(next)).sync();
+            assertEquals(400, bed.send(SidecarFixture.lookRequest("a")).status(), "an unsafe class takes no GET");
             assertEquals(
-                    400, bed.ask(Bed.post("hold", "Idempotency-Key: 1\r\n", "")).status(), "went");
-            assertTrue(bed.loop.submit(() -> bed.metrics.text(bed.engine)).get().contains("app.tries.fresh=0\n"));
+                    400,
+                    bed.send(SidecarFixture.postRequest("hold", "Idempotency-Key: 1\r\n", ""))
+                            .status(),
+                    "went");
+            assertTrue(
+                    bed.loop.submit(() -> bed.metrics.text(bed.exchanges)).get().contains("app.tries.fresh=0\n"));
             // The module has no second tries to spare while many requests fail: let most be served.
             for (int i = 0; i < 30; i++) {
                 assertEquals(
-                        200, bed.ask(Bed.look("c" + i).replace("look", "fresh")).status());
+                        200,
+                        bed.send(SidecarFixture.lookRequest("c" + i).replace("look", "fresh"))
+                                .status());
             }
             assertEquals(
                     502,
-                    bed.ask(Bed.post("look", "", "").replace("9b1f", "unsafe")).status());
-            assertEquals(503, bed.ask(Bed.look("bad").replace("look", "fresh")).status());
+                    bed.send(SidecarFixture.postRequest("look", "", "").replace("9b1f", "unsafe"))
+                            .status());
+            assertEquals(
+                    503,
+                    bed.send(SidecarFixture.lookRequest("bad").replace("look", "fresh"))
+                            .status());
             assertTrue(
-                    bed.loop.submit(() -> bed.metrics.text(bed.engine)).get().contains("app.tries.fresh=31\n"),
+                    bed.loop.submit(() -> bed.metrics.text(bed.exchanges)).get().contains("app.tries.fresh=31\n"),
                     "one try is the limit");
             go.countDown();
-            assertEquals(503, open.read().status(), "harmless, as it was when the request came");
+            assertEquals(503, open.readResponse().status(), "harmless, as it was when the request came");
             assertEquals(
                     2,
-                    Stream.concat(one.heads.stream(), two.heads.stream())
+                    Stream.concat(one.receivedHeads.stream(), two.receivedHeads.stream())
                             .filter(head -> head.contains("Req-Id: open"))
                             .count(),
                     "and tried again, as it was");
@@ -314,50 +337,52 @@
     /** What callers did wrong they are told as the server told it; no second server, none avoided. */
     @Test
     void callersFaultsDoNotMakeAServerLookIll() throws Exception {
-        Stub.Script wrong = (socket, head) -> Stub.reply(socket, "422 Unprocessable Content", "", "qty");
-        try (Stub one = new Stub(wrong);
-                Stub two = new Stub(wrong);
-                Bed bed = Bed.with(one, two)) {
+        StubServer.Responder wrong = (socket, head) -> StubServer.reply(socket, "422 Unprocessable Content", "", "qty");
+        try (StubServer one = new StubServer(wrong);
+                StubServer two = new StubServer(wrong);
+                SidecarFixture bed = SidecarFixture.startWith(one, two)) {
             for (int i = 0; i < 50; i++) {
-                Bed.Answer answer = bed.ask(Bed.look("w" + i));
+                SidecarFixture.ClientResponse answer = bed.send(SidecarFixture.lookRequest("w" + i));
                 assertEquals(422, answer.status());
                 assertEquals("qty", answer.body());
             }
-            assertEquals(50, one.heads.size() + two.heads.size());
-            assertTrue(bed.loop.submit(() -> bed.metrics.text(bed.engine)).get().contains("app.pool_ejected=0\n"));
+            assertEquals(50, one.receivedHeads.size() + two.receivedHeads.size());
+            assertTrue(
+                    bed.loop.submit(() -> bed.metrics.text(bed.exchanges)).get().contains("app.pool_ejected=0\n"));
         }
     }
 
     @Test
     void drainingSidecarAnswersWhatItHoldsAndEndsItsConnections() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        Stub.Script held = (socket, head) -> {
+        StubServer.Responder held = (socket, head) -> {
             try {
                 go.await();
             } catch (InterruptedException e) {
                 return false;
             }
-            return Stub.reply(socket, "200 OK", "", "late");
+            return StubServer.reply(socket, "200 OK", "", "late");
         };
-        try (Stub upstream = new Stub(held);
-                Bed bed = Bed.with(upstream);
-                Bed.Client busy = new Bed.Client(bed.address);
-                Bed.Client idle = new Bed.Client(bed.address)) {
-            assertEquals(503, idle.ask("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status());
-            Stub.write(busy.socket, Bed.look("a"));
-            Stub.next(upstream.heads);
+        try (StubServer upstream = new StubServer(held);
+                SidecarFixture bed = SidecarFixture.startWith(upstream);
+                SidecarFixture.TestClient busy = new SidecarFixture.TestClient(bed.address);
+                SidecarFixture.TestClient idle = new SidecarFixture.TestClient(bed.address)) {
+            assertEquals(503, idle.send("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status());
+            StubServer.write(busy.socket, SidecarFixture.lookRequest("a"));
+            StubServer.awaitNext(upstream.receivedHeads);
             bed.loop.submit(() -> bed.lifecycle.shutDown(Long.MAX_VALUE / 2)).sync();
             assertEquals(-1, idle.socket.getInputStream().read(), "an idle connection is ended");
-            Bed.Answer meanwhile = bed.ask("GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
+            SidecarFixture.ClientResponse meanwhile = bed.send("GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
             assertEquals(503, meanwhile.status(), "and its client still gets in");
-            assertEquals("close", Stub.header(meanwhile.head(), "Connection"));
-            bed.loop.submit(bed.clients::stop).sync();
-            assertThrows(IOException.class, () -> bed.ask(Bed.look("b")), "until the listening ends");
+            assertEquals("close", StubServer.header(meanwhile.head(), "Connection"));
+            bed.loop.submit(bed.clientListener::stop).sync();
+            assertThrows(
+                    IOException.class, () -> bed.send(SidecarFixture.lookRequest("b")), "until the listening ends");
             assertFalse(bed.loop.submit(bed.frontend::isIdle).get());
             go.countDown();
-            Bed.Answer answer = busy.read();
+            SidecarFixture.ClientResponse answer = busy.readResponse();
             assertEquals("late", answer.body());
-            assertEquals("close", Stub.header(answer.head(), "Connection"));
+            assertEquals("close", StubServer.header(answer.head(), "Connection"));
             assertEquals(-1, busy.socket.getInputStream().read());
         }
     }
@@ -365,10 +390,10 @@
     /** What is kept of a request for its deadline's sake goes with its answer, not with its deadline. */
     @Test
     void answeredRequestIsNotKeptUntilItsDeadline() throws Exception {
-        try (Stub upstream = Stub.serving("x");
-                Bed bed = Bed.with(upstream)) {
+        try (StubServer upstream = StubServer.respondingWith("x");
+                SidecarFixture bed = SidecarFixture.startWith(upstream)) {
             WeakReference<RequestBody> body = answered(bed);
-            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Stub.LIMIT_S);
+            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(StubServer.TIMEOUT_SECONDS);
             while (body.get() != null && System.nanoTime() < end) {
                 System.gc();
                 Thread.sleep(20);
@@ -378,7 +403,7 @@
     }
 
     /** Sends a request with ten minutes' time; returns its body once it is answered. */
-    private static WeakReference<RequestBody> answered(Bed bed) throws Exception {
+    private static WeakReference<RequestBody> answered(SidecarFixture bed) throws Exception {
         RequestBody body = RequestBody.of(new byte[1000]);
         CountDownLatch done = new CountDownLatch(1);
         ExchangeRequest<UpstreamRequest> job = new ExchangeRequest<>(
@@ -391,7 +416,7 @@
                 true,
                 new UpstreamRequest(HttpMethod.POST, "/api/x", new DefaultHttpHeaders()),
                 body);
-        bed.loop.execute(() -> bed.engine.submit(job, new ResponseListener<UpstreamResponse>() {
+        bed.loop.execute(() -> bed.exchanges.submit(job, new ResponseListener<UpstreamResponse>() {
             @Override
             public void responseReceived(UpstreamResponse answer) {
                 done.countDown();
@@ -415,7 +440,7 @@
             @Override
             public void failed() {}
         }));
-        assertTrue(done.await(Stub.LIMIT_S, TimeUnit.SECONDS));
+        assertTrue(done.await(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         return new WeakReference<>(body);
     }
 }
--- a/sidecar/src/test/java/topazvalve/sidecar/StreamsIT.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/StreamsIT.java
@@ -36,12 +36,12 @@
     /** Says its letter to each who connects, then gives back what comes. */
     private static ServerSocket server(char letter) throws IOException {
         ServerSocket server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-        Stub.thread(() -> {
+        StubServer.startDaemonThread(() -> {
             while (!server.isClosed()) {
                 try {
                     Socket socket = server.accept();
-                    Stub.write(socket, String.valueOf(letter));
-                    Stub.thread(() -> {
+                    StubServer.write(socket, String.valueOf(letter));
+                    StubServer.startDaemonThread(() -> {
                         try (socket) {
                             socket.getInputStream().transferTo(socket.getOutputStream());
                         } catch (IOException e) {
@@ -76,7 +76,7 @@
             throws IOException {
         Path file = Files.writeString(
                 folder.resolve(name),
-                Bed.json()
+                SidecarFixture.configJson()
                         .put("listen", "127.0.0.1:" + address.getPort())
                         .put("admin", "127.0.0.1:" + door.getPort())
                         .toString());
@@ -89,11 +89,11 @@
     }
 
     private static Socket connect(InetSocketAddress listener) throws Exception {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(Stub.LIMIT_S);
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(StubServer.TIMEOUT_SECONDS);
         while (true) {
             try {
                 Socket socket = new Socket(InetAddress.getByName("127.0.0.1"), listener.getPort());
-                socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Stub.LIMIT_S));
+                socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(StubServer.TIMEOUT_SECONDS));
                 return socket;
             } catch (IOException e) {
                 assertTrue(System.nanoTime() < until, "no listener");
@@ -127,11 +127,11 @@
             DeployedIT.awaitUp(process, address);
             try (Socket socket = connect(listener)) {
                 assertTrue("ab".indexOf(letter(socket)) >= 0);
-                Stub.write(socket, "echo");
+                StubServer.write(socket, "echo");
                 assertEquals("echo", new String(socket.getInputStream().readNBytes(4), StandardCharsets.US_ASCII));
-                try (Bed.Client client = new Bed.Client(door)) {
-                    String figures =
-                            client.ask("GET /_vars HTTP/1.1\r\nHost: a\r\n\r\n").body();
+                try (SidecarFixture.TestClient client = new SidecarFixture.TestClient(door)) {
+                    String figures = client.send("GET /_vars HTTP/1.1\r\nHost: a\r\n\r\n")
+                            .body();
                     assertTrue(
                             figures.contains("app.tcp.it.open=1\n")
                                     && figures.contains("app.tcp.it.bytes_to_servers=4\n"),
@@ -178,11 +178,11 @@
                 Process young = start("new.json", next, DeployedIT.freeAddress(), operator);
                 awaitLine(young, "streams at");
                 old.destroy();
-                Stub.write(open, "x");
+                StubServer.write(open, "x");
                 assertEquals('x', letter(open), "runs on");
                 assertEquals(-1, open.getInputStream().read(), "until its grace is over");
             }
-            assertTrue(old.waitFor(Stub.LIMIT_S, TimeUnit.SECONDS));
+            assertTrue(old.waitFor(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS));
             assertEquals(0, old.exitValue());
             for (int i = 0; i < 8; i++) {
                 try (Socket socket = connect(listener)) {
@@ -197,7 +197,7 @@
         InetSocketAddress any = DeployedIT.freeAddress();
         Process process = start("c.json", any, any, operator(any, "\"nowhere\"", "\"127.0.0.1:1\""));
         String err = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertTrue(process.waitFor(Stub.LIMIT_S, TimeUnit.SECONDS));
+        assertTrue(process.waitFor(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         assertEquals(2, process.exitValue());
         assertTrue(
                 err.contains("operator.toml:5: listener.0.servers")
--- a/sidecar/src/test/java/topazvalve/sidecar/Stub.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/StubServer.java
@@ -16,47 +16,48 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A peer on a port that the system chose: a script plays each request on each connection. */
-class Stub implements AutoCloseable {
-    /** Long enough for a crowded machine; a test that passes never waits so long. */
-    static final long LIMIT_S = 30;
+/** A server on a port that the system chose; a {@link Responder} handles each request on each connection. */
+class StubServer implements AutoCloseable {
+    /** Long enough for a busy machine; a passing test never waits this long. */
+    static final long TIMEOUT_SECONDS = 30;
 
-    /** What a stub does with one request; false ends the connection. */
-    interface Script {
-        boolean play(Socket socket, String head) throws IOException;
+    /** Handles one request; returns false to close the connection. */
+    interface Responder {
+        boolean respond(Socket socket, String head) throws IOException;
     }
 
-    final BlockingQueue<String> heads = new LinkedBlockingQueue<>();
-    final BlockingQueue<String> bodies = new LinkedBlockingQueue<>();
-    /** One entry each time that the other side has ended a connection. */
-    final BlockingQueue<String> ended = new LinkedBlockingQueue<>();
+    final BlockingQueue<String> receivedHeads = new LinkedBlockingQueue<>();
+    final BlockingQueue<String> receivedBodies = new LinkedBlockingQueue<>();
+    /** One entry for each connection that the peer has closed ("end") or broken off ("broken"). */
+    final BlockingQueue<String> closedConnections = new LinkedBlockingQueue<>();
 
-    private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+    private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
     private final ServerSocket server;
-    private final Script script;
+    private final Responder responder;
 
-    Stub(Script script) {
-        this.script = script;
+    StubServer(Responder script) {
+        this.responder = script;
         try {
             server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        thread(this::accept);
+        startDaemonThread(this::acceptConnections);
     }
 
-    /** An upstream that answers each request with 200 and this body. */
-    static Stub serving(String body) {
-        return new Stub((socket, head) -> reply(socket, "200 OK", "Content-Type: text/x-part\r\n", body));
+    /** A server that answers each request with 200 and this body. */
+    static StubServer respondingWith(String body) {
+        return new StubServer((socket, head) -> reply(socket, "200 OK", "Content-Type: text/x-part\r\n", body));
     }
 
     static boolean reply(Socket socket, String status, String headers, String body) throws IOException {
         return reply(socket, status, headers, body, body.length());
     }
 
-    /** A reply whose body may be longer or shorter than it says. */
-    static boolean reply(Socket socket, String status, String headers, String body, int said) throws IOException {
-        write(socket, "HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + said + "\r\n\r\n" + body);
+    /** Writes a response whose body may be longer or shorter than its {@code Content-Length} says. */
+    static boolean reply(Socket socket, String status, String headers, String body, int contentLength)
+            throws IOException {
+        write(socket, "HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + contentLength + "\r\n\r\n" + body);
         return true;
     }
 
@@ -65,22 +66,22 @@
         socket.getOutputStream().flush();
     }
 
-    /** Ends a connection with a reset instead of an orderly close. */
+    /** Closes a connection with a reset instead of an orderly shutdown. */
     static boolean reset(Socket socket) throws IOException {
         socket.setSoLinger(true, 0);
         return false;
     }
 
-    static void thread(Runnable work) {
+    static void startDaemonThread(Runnable work) {
         Thread thread = new Thread(work);
         thread.setDaemon(true);
         thread.start();
     }
 
-    static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
-        T next = queue.poll(LIMIT_S, TimeUnit.SECONDS);
+    static <T> T awaitNext(BlockingQueue<T> queue) throws InterruptedException {
+        T next = queue.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         if (next == null) {
-            throw new AssertionError("nothing came within " + LIMIT_S + " s");
+            throw new AssertionError("nothing came within " + TIMEOUT_SECONDS + " s");
         }
         return next;
     }
@@ -93,41 +94,41 @@
         return "127.0.0.1:" + server.getLocalPort();
     }
 
-    private void accept() {
+    private void acceptConnections() {
         try {
             while (true) {
                 Socket socket = server.accept();
-                open.add(socket);
-                thread(() -> serve(socket));
+                openSockets.add(socket);
+                startDaemonThread(() -> serveConnection(socket));
             }
         } catch (IOException e) {
-            // Closed: the stub's end.
+            // The server socket was closed.
         }
     }
 
-    private void serve(Socket socket) {
+    private void serveConnection(Socket socket) {
         try (socket) {
             InputStream in = new BufferedInputStream(socket.getInputStream());
-            for (String head = head(in); !head.isEmpty(); head = head(in)) {
+            for (String head = readHead(in); !head.isEmpty(); head = readHead(in)) {
                 readBody(socket, in, head);
-                heads.add(head);
-                if (!script.play(socket, head)) {
+                receivedHeads.add(head);
+                if (!responder.respond(socket, head)) {
                     return;
                 }
             }
-            ended.add("end");
+            closedConnections.add("end");
         } catch (IOException e) {
-            ended.add("broken");
+            closedConnections.add("broken");
         }
     }
 
-    /** Takes a request's body, as long as its head says. */
+    /** Reads a request's body, whose length its head gives. */
     void readBody(Socket socket, InputStream in, String head) throws IOException {
-        bodies.add(new String(in.readNBytes(length(head)), StandardCharsets.ISO_8859_1));
+        receivedBodies.add(new String(in.readNBytes(contentLength(head)), StandardCharsets.ISO_8859_1));
     }
 
-    /** Reads up to and with the blank line; empty at the connection's end. */
-    static String head(InputStream in) throws IOException {
+    /** Reads a head up to and including the blank line; empty at the end of the connection. */
+    static String readHead(InputStream in) throws IOException {
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         for (int next = in.read(); next >= 0; next = in.read()) {
             head.write(next);
@@ -138,7 +139,7 @@
         return "";
     }
 
-    static int length(String head) {
+    static int contentLength(String head) {
         String length = header(head, "content-length");
         return length == null ? 0 : Integer.parseInt(length);
     }
@@ -153,13 +154,13 @@
 
     @Override
     public void close() throws IOException {
-        die();
+        stop();
     }
 
-    /** Ends as a process does: connections break, new ones are refused. */
-    void die() throws IOException {
+    /** Stops like a killed process: open connections break, new ones are refused. */
+    void stop() throws IOException {
         server.close();
-        for (Socket socket : open) {
+        for (Socket socket : openSockets) {
             socket.close();
         }
     }
