--- a/sidecar/src/test/java/topazvalve/sidecar/UpstreamsTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/UpstreamsTest.java
@@ -86,23 +86,23 @@
     @Test
     void lateSecondAnswerIsNobodys() throws Exception {
         BlockingQueue<Socket> sockets = new LinkedBlockingQueue<>();
-        try (Stub upstream = new Stub((socket, head) -> {
+        try (StubServer upstream = new StubServer((socket, head) -> {
             sockets.add(socket);
-            return Stub.reply(socket, "200 OK", "", "x");
+            return StubServer.reply(socket, "200 OK", "", "x");
         })) {
             ConnectionPools<UpstreamRequest, UpstreamResponse> upstreams =
                     upstreams(upstream.address(), LONG, 10, LONG);
             send(upstreams);
-            assertEquals(Outcome.OK, Stub.next(outcomes));
+            assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
             send(upstreams);
             loop.submit(() -> {}).sync();
-            Socket first = Stub.next(sockets);
+            Socket first = StubServer.awaitNext(sockets);
             // In one write: the stub's own thread closes the socket as soon as the other side has.
             first.getOutputStream()
                     .write("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nagain".getBytes(StandardCharsets.ISO_8859_1));
-            assertEquals("end", Stub.next(upstream.ended), "it is closed");
-            assertEquals(Outcome.OK, Stub.next(outcomes));
-            assertTrue(first != Stub.next(sockets), "not on the one that had not rested");
+            assertEquals("end", StubServer.awaitNext(upstream.closedConnections), "it is closed");
+            assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
+            assertTrue(first != StubServer.awaitNext(sockets), "not on the one that had not rested");
         }
     }
 
@@ -110,24 +110,24 @@
     @Test
     void restingConnectionIsWaitedFor() throws Exception {
         BlockingQueue<Socket> sockets = new LinkedBlockingQueue<>();
-        try (Stub upstream = new Stub((socket, head) -> {
+        try (StubServer upstream = new StubServer((socket, head) -> {
             sockets.add(socket);
-            return Stub.reply(socket, "200 OK", "", "x");
+            return StubServer.reply(socket, "200 OK", "", "x");
         })) {
             ConnectionPools<UpstreamRequest, UpstreamResponse> upstreams =
                     upstreams(upstream.address(), LONG, 10, 50_000_000);
             send(upstreams);
-            assertEquals(Outcome.OK, Stub.next(outcomes));
+            assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
             send(upstreams);
-            assertEquals(Outcome.OK, Stub.next(outcomes));
-            assertEquals(Stub.next(sockets), Stub.next(sockets));
+            assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
+            assertEquals(StubServer.awaitNext(sockets), StubServer.awaitNext(sockets));
             loop.submit(() -> {
                         send(upstreams, 1, get("/api/x"), this::ended);
                         upstreams.endpointUpdated(1, upstream.address(), 0, false);
                     })
                     .sync();
-            assertEquals(Outcome.CONNECT_FAILED, Stub.next(outcomes));
-            assertEquals("end", Stub.next(upstream.ended), "its connections are closed");
+            assertEquals(Outcome.CONNECT_FAILED, StubServer.awaitNext(outcomes));
+            assertEquals("end", StubServer.awaitNext(upstream.closedConnections), "its connections are closed");
         }
     }
 
@@ -154,9 +154,9 @@
             ConnectionPools<UpstreamRequest, UpstreamResponse> upstreams = upstreams(address, LONG, 10);
             send(upstreams);
             loop.execute(() -> upstreams.endpointUpdated(1, address, 0, false));
-            assertEquals(Outcome.CONNECT_FAILED, Stub.next(outcomes));
+            assertEquals(Outcome.CONNECT_FAILED, StubServer.awaitNext(outcomes));
             send(upstreams);
-            assertEquals(Outcome.CONNECT_FAILED, Stub.next(outcomes), "nor does a later one");
+            assertEquals(Outcome.CONNECT_FAILED, StubServer.awaitNext(outcomes), "nor does a later one");
             for (Socket filler : fillers) {
                 filler.close();
             }
@@ -169,7 +169,7 @@
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             List<Socket> fillers = fill(full);
             send(upstreams((InetSocketAddress) full.getLocalSocketAddress(), 100_000_000, 10));
-            assertEquals(Outcome.CONNECT_FAILED, Stub.next(outcomes));
+            assertEquals(Outcome.CONNECT_FAILED, StubServer.awaitNext(outcomes));
             for (Socket filler : fillers) {
                 filler.close();
             }
@@ -179,28 +179,28 @@
     /** A machine that vanished and came back under its address has not ended the connections to it. */
     @Test
     void connectionsToTheProcessBeforeARestartAreClosed() throws Exception {
-        try (Stub upstream = Stub.serving("x")) {
+        try (StubServer upstream = StubServer.respondingWith("x")) {
             ConnectionPools<UpstreamRequest, UpstreamResponse> upstreams = upstreams(upstream.address(), LONG, 10);
             send(upstreams);
-            assertEquals(Outcome.OK, Stub.next(outcomes));
+            assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
             loop.execute(() -> upstreams.endpointUpdated(1, upstream.address(), 1_700_000_000_000L, true));
-            Stub.next(upstream.ended);
+            StubServer.awaitNext(upstream.closedConnections);
             send(upstreams);
-            assertEquals(Outcome.OK, Stub.next(outcomes), "on a new one");
+            assertEquals(Outcome.OK, StubServer.awaitNext(outcomes), "on a new one");
         }
     }
 
     /** Descriptors are few: over the limit an attempt is not sent, instead of the process running out. */
     @Test
     void connectionsAreBounded() throws Exception {
-        try (Stub silent = new Stub((socket, head) -> true)) {
+        try (StubServer silent = new StubServer((socket, head) -> true)) {
             ConnectionPools<UpstreamRequest, UpstreamResponse> upstreams = upstreams(silent.address(), LONG, 2);
             send(upstreams);
             send(upstreams);
-            Stub.next(silent.heads);
-            Stub.next(silent.heads);
+            StubServer.awaitNext(silent.receivedHeads);
+            StubServer.awaitNext(silent.receivedHeads);
             send(upstreams);
-            assertEquals(Outcome.NEVER_SENT, Stub.next(outcomes));
+            assertEquals(Outcome.NEVER_SENT, StubServer.awaitNext(outcomes));
         }
     }
 
@@ -208,19 +208,20 @@
     @Test
     void loadReportsAreRead() throws Exception {
         List<String> texts = List.of("{\"q\":2,\"rate\":1.5,\"more\":0}", "{\"q\":2}", "{", "[]", "{\"q\":\"x\"}");
-        try (Stub upstream = new Stub((socket, head) -> head.startsWith("GET /metrics/load")
-                ? Stub.reply(socket, "200 OK", "", "{\"rate\":7,\"q\":0}")
-                : Stub.reply(socket, "200 OK", "Srv-Load: " + Stub.header(head, "Say") + "\r\n", "x"))) {
+        try (StubServer upstream = new StubServer((socket, head) -> head.startsWith("GET /metrics/load")
+                ? StubServer.reply(socket, "200 OK", "", "{\"rate\":7,\"q\":0}")
+                : StubServer.reply(socket, "200 OK", "Srv-Load: " + StubServer.header(head, "Say") + "\r\n", "x"))) {
             ConnectionPools<UpstreamRequest, UpstreamResponse> upstreams = upstreams(upstream.address(), LONG, 10);
             for (String text : texts) {
                 UpstreamRequest message = get("/");
                 message.headers().set("Say", text);
                 loop.execute(() -> send(upstreams, 1, message, this::ended));
-                assertEquals(Outcome.OK, Stub.next(outcomes));
-                assertArrayEquals(text.contains("rate") ? new float[] {1.5f, 2} : new float[0], Stub.next(reports));
+                assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
+                assertArrayEquals(
+                        text.contains("rate") ? new float[] {1.5f, 2} : new float[0], StubServer.awaitNext(reports));
             }
             loop.execute(() -> upstreams.sendHealthCheck(1, this::ended));
-            assertArrayEquals(new float[] {7, 0}, Stub.next(reports));
+            assertArrayEquals(new float[] {7, 0}, StubServer.awaitNext(reports));
         }
     }
 
@@ -231,12 +232,12 @@
         for (String answer : List.of(
                 head + ((1 << 25) + 1) + "\r\n\r\nx",
                 "HTTP/1.1 500 No\r\n" + "Content-Length: 1200000\r\n\r\n" + "x".repeat(1_200_000))) {
-            try (Stub upstream = new Stub((socket, request) -> {
-                Stub.write(socket, answer);
+            try (StubServer upstream = new StubServer((socket, request) -> {
+                StubServer.write(socket, answer);
                 return true;
             })) {
                 send(upstreams(upstream.address(), LONG, 10));
-                assertEquals(Outcome.ERROR, Stub.next(outcomes));
+                assertEquals(Outcome.ERROR, StubServer.awaitNext(outcomes));
             }
         }
     }
@@ -249,18 +250,18 @@
     void whatFollowsAnAnswerIsNotTheNextOne() throws Exception {
         String stale = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale";
         for (String extra : List.of(stale, stale.substring(0, 20), "\u0000\u0007noise", "\r\n")) {
-            try (Stub upstream = new Stub((socket, head) -> head.startsWith("GET /first")
-                    ? Stub.reply(socket, "200 OK", "", "first" + extra, 5)
-                    : Stub.reply(socket, "200 OK", "", "second"))) {
+            try (StubServer upstream = new StubServer((socket, head) -> head.startsWith("GET /first")
+                    ? StubServer.reply(socket, "200 OK", "", "first" + extra, 5)
+                    : StubServer.reply(socket, "200 OK", "", "second"))) {
                 ConnectionPools<UpstreamRequest, UpstreamResponse> upstreams = upstreams(upstream.address(), LONG, 10);
                 BlockingQueue<String> bodies = new LinkedBlockingQueue<>();
                 loop.execute(() -> send(upstreams, 1, get("/first"), (outcome, answer, load) -> {
                     bodies.add(text(answer));
                     send(upstreams, 1, get("/second"), (later, next, more) -> bodies.add(text(next)));
                 }));
-                assertEquals("first", Stub.next(bodies));
-                assertEquals("second", Stub.next(bodies), extra);
-                Stub.next(upstream.ended);
+                assertEquals("first", StubServer.awaitNext(bodies));
+                assertEquals("second", StubServer.awaitNext(bodies), extra);
+                StubServer.awaitNext(upstream.closedConnections);
             }
         }
     }
@@ -288,13 +289,13 @@
                 "HTTP/1.1 200 OK\r\nX: " + "x".repeat(20_000),
                 "HTTP/1.1 101 Switching\r\n\r\n",
                 "HTTP/1.1 100 Go on\r\n\r\n".repeat(100))) {
-            try (Stub upstream = new Stub((socket, head) -> {
-                Stub.write(socket, spoilt);
+            try (StubServer upstream = new StubServer((socket, head) -> {
+                StubServer.write(socket, spoilt);
                 return true;
             })) {
                 send(upstreams(upstream.address(), LONG, 10));
-                assertEquals(Outcome.ERROR, Stub.next(outcomes), spoilt);
-                Stub.next(upstream.ended);
+                assertEquals(Outcome.ERROR, StubServer.awaitNext(outcomes), spoilt);
+                StubServer.awaitNext(upstream.closedConnections);
             }
         }
     }
@@ -302,45 +303,45 @@
     /** What a good answer brings besides spoils nothing: interim answers ahead, a report of any bytes. */
     @Test
     void interimAnswersAndUnreadableReportsSpoilNothing() throws Exception {
-        try (Stub upstream = new Stub((socket, head) -> {
-            Stub.write(socket, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n");
-            return Stub.reply(socket, "200 OK", "Srv-Load: \u0001{\"rate\":1e99,\"q\":-3}\r\n", "x");
+        try (StubServer upstream = new StubServer((socket, head) -> {
+            StubServer.write(socket, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n");
+            return StubServer.reply(socket, "200 OK", "Srv-Load: \u0001{\"rate\":1e99,\"q\":-3}\r\n", "x");
         })) {
             ConnectionPools<UpstreamRequest, UpstreamResponse> upstreams = upstreams(upstream.address(), LONG, 10);
             for (int i = 0; i < 3; i++) {
                 send(upstreams);
-                assertEquals(Outcome.OK, Stub.next(outcomes));
-                assertArrayEquals(new float[0], Stub.next(reports));
+                assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
+                assertArrayEquals(new float[0], StubServer.awaitNext(reports));
             }
-            assertEquals(0, upstream.ended.size(), "and the connection is used again");
+            assertEquals(0, upstream.closedConnections.size(), "and the connection is used again");
         }
     }
 
     /** Idle connections to others must not keep a request from its own. */
     @Test
     void idleConnectionsMakeRoom() throws Exception {
-        try (Stub first = Stub.serving("x");
-                Stub second = Stub.serving("y")) {
+        try (StubServer first = StubServer.respondingWith("x");
+                StubServer second = StubServer.respondingWith("y")) {
             ConnectionPools<UpstreamRequest, UpstreamResponse> upstreams = upstreams(first.address(), LONG, 1);
             send(upstreams);
-            assertEquals(Outcome.OK, Stub.next(outcomes));
+            assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
             loop.execute(() -> {
                 upstreams.endpointUpdated(2, second.address(), 0, true);
                 send(upstreams, 2, get("/api/x"), this::ended);
             });
-            assertEquals(Outcome.OK, Stub.next(outcomes));
+            assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
         }
     }
 
     /** Nothing may reach an upstream that is in the list no more, though its address may be another's now. */
     @Test
     void goneUpstreamTakesNothing() throws Exception {
-        try (Stub upstream = Stub.serving("x")) {
+        try (StubServer upstream = StubServer.respondingWith("x")) {
             ConnectionPools<UpstreamRequest, UpstreamResponse> upstreams = upstreams(upstream.address(), LONG, 10);
             loop.execute(() -> upstreams.endpointRemoved(1));
             send(upstreams);
-            assertEquals(Outcome.CONNECT_FAILED, Stub.next(outcomes));
-            assertEquals(0, upstream.heads.size());
+            assertEquals(Outcome.CONNECT_FAILED, StubServer.awaitNext(outcomes));
+            assertEquals(0, upstream.receivedHeads.size());
         }
     }
 
