--- /dev/null
+++ b/relay/src/main/java/topazvalve/relay/CatchUpService.java
@@ -0,0 +1,179 @@
+package topazvalve.relay;
+
+import io.netty.buffer.ByteBuf;
+import java.util.List;
+import java.util.Optional;
+import java.util.concurrent.TimeUnit;
+import topazvalve.discovery.state.EndpointStore;
+import topazvalve.discovery.state.EndpointStore.CatchUp;
+import topazvalve.discovery.state.EndpointStore.Entry;
+import topazvalve.discovery.state.VersionVector;
+
+/**
+ * Brings subscribers to the newest state and keeps them there. {@link EndpointStore} decides what a subscriber
+ * lacks; this class decides when it is sent, and parks a subscriber that can't be answered yet. On the event
+ * loop alone.
+ */
+final class CatchUpService {
+    /**
+     * How long a watch waits for its answer: less than a client waits, and more than from one heartbeat of a
+     * source to the next ({@code docs/design/relay.md}, "Never back").
+     */
+    private static final long PARK_TIMEOUT_MILLIS = 2_250;
+
+    private static final long PARK_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(PARK_TIMEOUT_MILLIS);
+
+    private final EndpointStore store;
+    private final SourceGroup sources;
+    private final SubscriberRegistry subscribers;
+    private final SnapshotCache snapshots;
+    private final RequestRejector rejector;
+    private final RelayMetrics metrics;
+
+    CatchUpService(
+            EndpointStore store,
+            SourceGroup sources,
+            SubscriberRegistry subscribers,
+            SnapshotCache snapshots,
+            RequestRejector rejector,
+            RelayMetrics metrics) {
+        this.store = store;
+        this.sources = sources;
+        this.subscribers = subscribers;
+        this.snapshots = snapshots;
+        this.rejector = rejector;
+        this.metrics = metrics;
+    }
+
+    /** Answers a request for the list without a watch. */
+    void sendSnapshotAndClose(Subscriber subscriber) {
+        Optional<ByteBuf> snapshot = store.isComplete() ? snapshots.acquire() : Optional.empty();
+        if (snapshot.isPresent()) {
+            metrics.countSnapshot();
+            subscriber.sendAndClose(snapshot.get());
+        } else {
+            rejector.reject(subscriber, RejectionReason.INCOMPLETE_LIST);
+        }
+    }
+
+    /** Brings a watch to the newest state if that can be done now; else parks or ends it. */
+    void catchUp(Subscriber subscriber) {
+        CatchUp due = store.catchUp(subscriber.versions());
+        if (due == CatchUp.SNAPSHOT && sources.requestBackfill(subscriber.versions())) {
+            park(subscriber);
+        } else if (due == CatchUp.SNAPSHOT) {
+            sendSnapshot(subscriber);
+        } else if (due == CatchUp.DELTA) {
+            sendDelta(subscriber);
+        } else if (subscriber.isResponseStarted()) {
+            // It followed, and this relay has fallen behind: its next relay has not, or will not for long.
+            subscriber.close();
+        } else {
+            park(subscriber);
+        }
+    }
+
+    private void park(Subscriber subscriber) {
+        subscriber.park(PARK_TIMEOUT_MILLIS, () -> parkTimedOut(subscriber));
+    }
+
+    private void parkTimedOut(Subscriber subscriber) {
+        CatchUp due = store.catchUp(subscriber.versions());
+        if (store.isComplete() && isSnapshotDueAfterPark(due)) {
+            sendSnapshot(subscriber);
+        } else if (due == CatchUp.DELTA) {
+            catchUp(subscriber);
+        } else {
+            rejector.reject(subscriber, RejectionReason.SUBSCRIBER_AHEAD);
+        }
+    }
+
+    /** A relay that heard every source since the watch was parked is not behind: the source has restarted. */
+    private boolean isSnapshotDueAfterPark(CatchUp due) {
+        return due == CatchUp.SNAPSHOT
+                || (due == CatchUp.AHEAD_OR_RESTARTED && sources.allHeardWithin(PARK_TIMEOUT_NANOS));
+    }
+
+    private void sendDelta(Subscriber subscriber) {
+        VersionVector newest = store.versions();
+        List<Entry> changes = store.changesSince(subscriber.versions());
+        metrics.countDelta();
+        subscriber.setUpToDate(true);
+        subscriber.setVersions(subscriber.versions().merge(newest));
+        subscriber.send(ChunkEncoder.encodeDelta(newest, changes));
+    }
+
+    private void sendSnapshot(Subscriber subscriber) {
+        Optional<ByteBuf> snapshot = snapshots.acquire();
+        if (snapshot.isEmpty()) {
+            rejector.reject(subscriber, RejectionReason.TOO_MANY_SNAPSHOTS);
+            return;
+        }
+        metrics.countSnapshot();
+        subscriber.setUpToDate(true);
+        subscriber.setVersions(store.versions());
+        subscriber.send(snapshot.get());
+    }
+
+    /** Answers the parked watches that can be answered now. */
+    void retryParked() {
+        subscribers.forEachParked(subscriber -> {
+            CatchUp due = store.catchUp(subscriber.versions());
+            if (due == CatchUp.DELTA || due == CatchUp.SNAPSHOT) {
+                catchUp(subscriber);
+            }
+        });
+    }
+
+    /** Brings every subscriber that follows to the newest state, whatever it has. */
+    void catchUpFollowing() {
+        subscribers.forEachFollowing(this::catchUp);
+    }
+
+    /** Brings a subscriber that was too slow, and has now taken what waited for it, to the newest state. */
+    void becameWritable(Subscriber subscriber) {
+        if (subscriber.state() == Subscriber.State.FOLLOWING && !subscriber.isUpToDate()) {
+            catchUp(subscriber);
+        }
+    }
+
+    /** Sends changes to every subscriber that follows. */
+    void deliver(ChangeBatch batch) {
+        subscribers.forEachFollowing(subscriber -> deliver(batch, subscriber));
+    }
+
+    private void deliver(ChangeBatch batch, Subscriber subscriber) {
+        if (!subscriber.isWritable()) {
+            markOvertaken(subscriber);
+        } else if (!subscriber.isUpToDate()) {
+            catchUp(subscriber);
+        } else if (!subscriber.versions().equals(batch.to())) {
+            metrics.countDelta();
+            subscriber.setVersions(versionsAfter(batch, subscriber.versions()));
+            subscriber.send(batch.encoded().retainedDuplicate());
+        }
+    }
+
+    private void markOvertaken(Subscriber subscriber) {
+        if (subscriber.isUpToDate()) {
+            metrics.countOvertaken();
+        }
+        subscriber.setUpToDate(false);
+    }
+
+    private static VersionVector versionsAfter(ChangeBatch batch, VersionVector before) {
+        return before.equals(batch.from()) ? batch.to() : before.merge(batch.to());
+    }
+
+    /** Says to every subscriber that follows that nothing has changed, if a source was heard lately. */
+    void sendHeartbeats() {
+        if (!sources.isAnyHealthy()) {
+            return;
+        }
+        subscribers.forEachFollowing(subscriber -> {
+            if (subscriber.isWritable()) {
+                subscriber.send(ChunkEncoder.HEARTBEAT.duplicate());
+            }
+        });
+    }
+}
--- a/relay/src/main/java/topazvalve/relay/ChunkEncoder.java
+++ b/relay/src/main/java/topazvalve/relay/ChunkEncoder.java
@@ -7,49 +7,50 @@
 import topazvalve.discovery.state.EndpointStore.Entry;
 import topazvalve.discovery.state.VersionVector;
 
-/** What callers are told, as it goes out: each line is one chunk (RFC 9112, 7.1) and encoded once for all. */
+/** Encodes snapshots and deltas as lines of JSON, each line one HTTP chunk (RFC 9112, 7.1). */
 final class ChunkEncoder {
-    private static final byte[] CHUNK_END = {'\r', '\n'};
-    /** The empty line that says that nothing is new. */
-    static final ByteBuf EMPTY = Unpooled.unreleasableBuffer(bytes("1\r\n\n\r\n"));
+    /** An empty line, which says that nothing has changed. Shared: write a duplicate. */
+    static final ByteBuf HEARTBEAT = Unpooled.unreleasableBuffer(ascii("1\r\n\n\r\n"));
+    /** The head of a response with a list. Shared: write a duplicate. */
+    static final ByteBuf RESPONSE_HEAD = Unpooled.unreleasableBuffer(
+            ascii("HTTP/1.1 200 OK\r\n" + "Content-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"));
+    /** The end of a response with a list. Shared: write a duplicate. */
+    static final ByteBuf LAST_CHUNK = Unpooled.unreleasableBuffer(ascii("0\r\n\r\n"));
 
-    static final ByteBuf HEAD = Unpooled.unreleasableBuffer(
-            bytes("HTTP/1.1 200 OK\r\n" + "Content-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"));
-    static final ByteBuf LAST = Unpooled.unreleasableBuffer(bytes("0\r\n\r\n"));
+    private static final byte[] CHUNK_END = {'\r', '\n'};
+    private static final int INITIAL_HEAD_CHARS = 64;
+    private static final int INITIAL_ENTRY_CHARS = 192;
 
     private ChunkEncoder() {}
 
-    private static ByteBuf bytes(String text) {
+    private static ByteBuf ascii(String text) {
         return Unpooled.wrappedBuffer(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** A list, or a change of one. */
-    static ByteBuf list(VersionVector versions, boolean whole, List<Entry> entries) {
-        StringBuilder text = new StringBuilder(64 + 192 * entries.size());
-        text.append("{\"rev\":")
-                .append(versions.revisionSum())
-                .append(",\"all\":")
-                .append(whole)
-                .append(",\"versions\":\"")
-                .append(versions)
-                .append("\",\"targets\":[");
-        for (int i = 0; i < entries.size(); i++) {
-            text.append(i == 0 ? "" : ",").append(entries.get(i).json());
-        }
-        byte[] line = text.append("]}\n").toString().getBytes(StandardCharsets.UTF_8);
-        return Unpooled.wrappedBuffer(
-                (Integer.toHexString(line.length) + "\r\n").getBytes(StandardCharsets.US_ASCII), line, CHUNK_END);
+    /** Encodes every live endpoint of a list at these versions. */
+    static ByteBuf encodeSnapshot(VersionVector versions, List<Entry> entries) {
+        return encode(versions, true, entries);
     }
 
-    /** An answer that is over with these bytes; {@code retryAfter} in seconds as text, empty for none. */
-    static ByteBuf answer(String status, String retryAfter, String text) {
-        byte[] body = text.getBytes(StandardCharsets.UTF_8);
-        return Unpooled.wrappedBuffer(
-                ("HTTP/1.1 " + status + "\r\n"
-                                + (retryAfter.isEmpty() ? "" : "Retry-After: " + retryAfter + "\r\n")
-                                + "Content-Type: text/plain\r\nContent-Length: " + body.length
-                                + "\r\nConnection: close\r\n\r\n")
-                        .getBytes(StandardCharsets.US_ASCII),
-                body);
+    /** Encodes the entries that changed on the way to these versions. */
+    static ByteBuf encodeDelta(VersionVector versions, List<Entry> entries) {
+        return encode(versions, false, entries);
+    }
+
+    private static ByteBuf encode(VersionVector versions, boolean fullSnapshot, List<Entry> entries) {
+        StringBuilder json = new StringBuilder(INITIAL_HEAD_CHARS + INITIAL_ENTRY_CHARS * entries.size());
+        json.append("{\"rev\":").append(versions.revisionSum());
+        json.append(",\"all\":").append(fullSnapshot);
+        json.append(",\"versions\":\"").append(versions);
+        json.append("\",\"targets\":[");
+        String separator = "";
+        for (Entry entry : entries) {
+            json.append(separator).append(entry.json());
+            separator = ",";
+        }
+        json.append("]}\n");
+        byte[] line = json.toString().getBytes(StandardCharsets.UTF_8);
+        byte[] chunkSize = (Integer.toHexString(line.length) + "\r\n").getBytes(StandardCharsets.US_ASCII);
+        return Unpooled.wrappedBuffer(chunkSize, line, CHUNK_END);
     }
 }
--- a/relay/src/main/java/topazvalve/relay/DiscoveryRequest.java
+++ b/relay/src/main/java/topazvalve/relay/DiscoveryRequest.java
@@ -1,33 +1,47 @@
 package topazvalve.relay;
 
+import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.QueryStringDecoder;
 import java.util.List;
+import java.util.regex.Pattern;
 import topazvalve.discovery.state.VersionVector;
 
 /**
- * What a caller asks for.
+ * A request for the endpoint list.
  *
- * @param watch whether it stays
- * @param from the version it has, as readers count that know of no sources; 0 for nothing
- * @param versions how far it has come at each source; empty where it does not say
+ * @param watch whether changes are to follow on the same connection
+ * @param from the revision that the subscriber has, as clients count that know of no sources; 0 for none
+ * @param versions the version that the subscriber has of each source; empty where it does not say
  */
 record DiscoveryRequest(boolean watch, long from, VersionVector versions) {
-    static DiscoveryRequest of(QueryStringDecoder uri) {
-        String from = one(uri, "from", "0");
-        if (!from.matches("[0-9]{1,18}")) {
-            throw new IllegalArgumentException("from is not a version");
+    private static final Pattern REVISION = Pattern.compile("[0-9]{1,18}");
+
+    /** Reads a request's query; throws {@link InvalidRequestException} with status 400 if it can't be read. */
+    static DiscoveryRequest parse(QueryStringDecoder uri) throws InvalidRequestException {
+        try {
+            String from = parameter(uri, "from", "0");
+            if (!REVISION.matcher(from).matches()) {
+                throw badRequest("from is not a version", null);
+            }
+            boolean watch = parameter(uri, "watch", "0").equals("1");
+            VersionVector versions = VersionVector.parse(parameter(uri, "versions", ""));
+            return new DiscoveryRequest(watch, Long.parseLong(from), versions);
+        } catch (IllegalArgumentException e) {
+            // A wrong escape in the query, or a wrong version.
+            throw badRequest(e.getMessage(), e);
         }
-        return new DiscoveryRequest(
-                one(uri, "watch", "0").equals("1"),
-                Long.parseLong(from),
-                VersionVector.parse(one(uri, "versions", "")));
     }
 
-    private static String one(QueryStringDecoder uri, String key, String absent) {
-        List<String> values = uri.parameters().getOrDefault(key, List.of(absent));
+    private static String parameter(QueryStringDecoder uri, String key, String defaultValue)
+            throws InvalidRequestException {
+        List<String> values = uri.parameters().getOrDefault(key, List.of(defaultValue));
         if (values.size() != 1) {
-            throw new IllegalArgumentException(key + " is given twice");
+            throw badRequest(key + " is given twice", null);
         }
         return values.get(0);
     }
+
+    private static InvalidRequestException badRequest(String message, Throwable cause) {
+        return new InvalidRequestException(HttpResponseStatus.BAD_REQUEST, message, cause);
+    }
 }
--- a/relay/src/main/java/topazvalve/relay/Main.java
+++ b/relay/src/main/java/topazvalve/relay/Main.java
@@ -1,5 +1,6 @@
 package topazvalve.relay;
 
+import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
 import java.io.IOException;
@@ -8,39 +9,48 @@
 import org.slf4j.Logger;
 import topazvalve.logging.Logging;
 
-/** Entry point of a relay: its file, its start, and its end at SIGTERM. */
+/** Entry point of the relay process: reads its file, starts the relay, and closes it at SIGTERM. */
 public final class Main {
     private static final Logger LOG = Logging.of("relay");
+    private static final int EXIT_CANNOT_LISTEN = 1;
+    private static final int EXIT_INVALID_CONFIGURATION = 2;
+    private static final long MAX_SHUTDOWN_MILLIS = 1_000;
 
     private Main() {}
 
     /**
-     * Runs until it is ended. A bad file ends it with a line for each fault and exit status 2, a place that
-     * can't be listened at with 1.
+     * Runs a relay until the process is ended. An invalid file ends the process with a log line for each
+     * problem and exit status 2; an address that can't be listened on ends it with 1.
+     *
+     * @param args the path of the relay's file, alone
      */
     public static void main(String[] args) throws InterruptedException {
         RelaySettings settings;
         try {
-            if (args.length != 1) {
-                throw new IllegalArgumentException("one argument: the relay's file");
-            }
-            settings = RelayFile.read(Path.of(args[0]));
+            settings = readSettings(args);
         } catch (IllegalArgumentException | IOException e) {
             e.getMessage().lines().forEach(line -> LOG.error("configuration: {}", line));
-            System.exit(2);
+            System.exit(EXIT_INVALID_CONFIGURATION);
             return;
         }
-        MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+        EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         DiscoveryRelay relay = new DiscoveryRelay(group.next(), settings, new SecureRandom().nextLong());
         relay.start().addListener(done -> {
             if (done.isSuccess()) {
-                LOG.info("{} listens at {}", settings.name(), relay.address());
+                LOG.info("{} listening on {}", settings.name(), relay.address());
             } else {
-                LOG.error("listen: {}", done.cause().getMessage());
-                Runtime.getRuntime().halt(1);
+                LOG.error("cannot listen: {}", done.cause().getMessage());
+                Runtime.getRuntime().halt(EXIT_CANNOT_LISTEN);
             }
         });
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> relay.close().awaitUninterruptibly(1_000)));
+        Runtime.getRuntime().addShutdownHook(new Thread(() -> relay.close().awaitUninterruptibly(MAX_SHUTDOWN_MILLIS)));
         group.terminationFuture().await();
     }
+
+    private static RelaySettings readSettings(String[] args) throws IOException {
+        if (args.length != 1) {
+            throw new IllegalArgumentException("one argument: the relay's file");
+        }
+        return RelayFile.read(Path.of(args[0]));
+    }
 }
--- a/relay/src/main/java/topazvalve/relay/RelayFile.java
+++ b/relay/src/main/java/topazvalve/relay/RelayFile.java
@@ -14,53 +14,86 @@
 import topazvalve.toml.Table;
 import topazvalve.toml.TomlFile;
 
-/** A relay's file, in TOML: read whole or refused with all its faults. */
+/** Reads a relay's file, in TOML. This is the one place that knows the names of its keys. */
 public final class RelayFile {
+    private static final int MAX_SUBSCRIBERS_LIMIT = 1_000_000;
+    private static final int MIN_BUFFER_BYTES = 1 << 10;
+    private static final int MAX_BUFFER_BYTES = 64 << 20;
+    private static final int MAX_LOGGED_ENTRIES = 10_000_000;
+    private static final long NANOS_PER_MILLI = 1_000_000;
+
     private RelayFile() {}
 
-    /** Reads a file; {@link topazvalve.toml.InvalidFileException} if it has faults. */
+    /**
+     * Reads a file.
+     *
+     * @throws topazvalve.toml.InvalidFileException if the file has problems; it lists all of them
+     * @throws IOException if the file can't be read
+     */
     public static RelaySettings read(Path file) throws IOException {
         return parse(file.toString(), Files.readString(file));
     }
 
-    /** Reads a text; {@code name} stands for it in messages. */
+    /**
+     * Reads the text of a file.
+     *
+     * @param name stands for the file in messages
+     * @throws topazvalve.toml.InvalidFileException if the text has problems; it lists all of them
+     */
     public static RelaySettings parse(String name, String text) {
-        return TomlFile.parse(name, text, RelayFile::settings);
+        return TomlFile.parse(name, text, RelayFile::readSettings);
     }
 
-    private static RelaySettings settings(Table root) {
+    private static RelaySettings readSettings(Table root) {
         String name = root.text("name", "relay");
-        InetSocketAddress listen = address(root, "listen", root.text("listen", null));
-        Set<String> names = new HashSet<>();
-        List<SourceSettings> sources = new ArrayList<>();
+        InetSocketAddress listen = parseAddress(root, "listen", root.text("listen", null));
+        List<SourceSettings> sources = readSources(root);
+        return new RelaySettings(
+                name,
+                listen,
+                sources,
+                root.whole("most_callers", RelaySettings.DEFAULT_MAX_SUBSCRIBERS, 1, MAX_SUBSCRIBERS_LIMIT),
+                root.whole(
+                        "caller_bytes",
+                        RelaySettings.DEFAULT_SUBSCRIBER_BUFFER_BYTES,
+                        MIN_BUFFER_BYTES,
+                        MAX_BUFFER_BYTES),
+                root.whole("logged_entries", RelaySettings.DEFAULT_LOGGED_ENTRIES, 1, MAX_LOGGED_ENTRIES),
+                root.duration("stall", "10s", "100ms", "10m") / NANOS_PER_MILLI);
+    }
+
+    private static List<SourceSettings> readSources(Table root) {
         List<Table> tables = root.tables("source", 1);
         if (tables.size() > VersionVector.MAX_SOURCES) {
             root.wrong("source", tables.size() + " are more than " + VersionVector.MAX_SOURCES);
         }
+        Set<String> names = new HashSet<>();
+        List<SourceSettings> sources = new ArrayList<>();
         for (Table table : tables) {
-            String source = table.text("name", null);
-            if (!VersionVector.SOURCE_NAME.matcher(source).matches()) {
-                table.wrong("name", "\"" + source + "\" is not 1 to 32 small letters, digits, - and _");
-            } else if (!names.add(source)) {
-                table.wrong("name", "\"" + source + "\" is given twice");
-            }
-            List<InetSocketAddress> addresses = new ArrayList<>();
-            for (String each : table.texts("addresses", null)) {
-                addresses.add(address(table, "addresses", each));
-            }
-            sources.add(new SourceSettings(source, List.copyOf(addresses)));
+            String name = table.text("name", null);
+            checkSourceName(table, name, names);
+            sources.add(new SourceSettings(name, readAddresses(table)));
         }
-        return new RelaySettings(
-                name,
-                listen,
-                List.copyOf(sources),
-                root.whole("most_callers", RelaySettings.DEFAULT_MAX_SUBSCRIBERS, 1, 1_000_000),
-                root.whole("caller_bytes", RelaySettings.DEFAULT_SUBSCRIBER_BUFFER_BYTES, 1 << 10, 64 << 20),
-                root.whole("logged_entries", RelaySettings.DEFAULT_LOGGED_ENTRIES, 1, 10_000_000),
-                root.duration("stall", "10s", "100ms", "10m") / 1_000_000);
+        return List.copyOf(sources);
+    }
+
+    private static void checkSourceName(Table table, String name, Set<String> namesSoFar) {
+        if (!VersionVector.SOURCE_NAME.matcher(name).matches()) {
+            table.wrong("name", "\"" + name + "\" is not 1 to 32 small letters, digits, - and _");
+        } else if (!namesSoFar.add(name)) {
+            table.wrong("name", "\"" + name + "\" is given twice");
+        }
+    }
+
+    private static List<InetSocketAddress> readAddresses(Table table) {
+        List<InetSocketAddress> addresses = new ArrayList<>();
+        for (String text : table.texts("addresses", null)) {
+            addresses.add(parseAddress(table, "addresses", text));
+        }
+        return List.copyOf(addresses);
     }
 
-    private static InetSocketAddress address(Table table, String key, String text) {
+    private static InetSocketAddress parseAddress(Table table, String key, String text) {
         InetSocketAddress address = Addresses.parse(text);
         if (address == null) {
             table.wrong(key, "\"" + text + "\" is not a numeric address and port");
--- a/relay/src/main/java/topazvalve/relay/RelaySettings.java
+++ b/relay/src/main/java/topazvalve/relay/RelaySettings.java
@@ -4,15 +4,16 @@
 import java.util.List;
 
 /**
- * What one relay is told; {@code docs/relay.md} describes each key.
+ * The settings of one relay; {@code docs/relay.md} describes each key of its file.
  *
- * @param name for log lines and figures
- * @param listen where sidecars call
- * @param sources whom it follows, one at least
+ * @param name the relay's name in log lines
+ * @param listen the address that subscribers connect to
+ * @param sources the sources that the relay watches, one at least
  * @param maxSubscribers how many connections may be open at once
- * @param subscriberBufferBytes how much may wait for one slow caller; then it is brought to the newest state
- * @param loggedEntries changed entries that are kept of each source, to tell changes from
- * @param stallTimeoutMillis after this long without a byte taken by its caller a connection is closed
+ * @param subscriberBufferBytes how many bytes may wait for one slow subscriber; one that is over it is sent the
+ *     newest state once it has caught up
+ * @param loggedEntries how many changed entries of each source are kept, to send deltas from
+ * @param stallTimeoutMillis after how many milliseconds without progress a slow subscriber is closed
  */
 public record RelaySettings(
         String name,
@@ -23,10 +24,10 @@
         int loggedEntries,
         long stallTimeoutMillis) {
     /**
-     * One source of lists, a region's for example.
+     * One source of endpoint lists, a region's for example.
      *
-     * @param name in versions and figures
-     * @param addresses where it can be asked, one at least; the first that answers is followed
+     * @param name the source's name in versions and metrics
+     * @param addresses the addresses of the source, one at least; the first that answers is followed
      */
     public record SourceSettings(String name, List<InetSocketAddress> addresses) {}
 
@@ -35,7 +36,7 @@
     public static final int DEFAULT_LOGGED_ENTRIES = 16_384;
     public static final long DEFAULT_STALL_TIMEOUT_MILLIS = 10_000;
 
-    /** With every bound at its default. */
+    /** Returns settings with every limit at its default. */
     public static RelaySettings of(String name, InetSocketAddress listen, List<SourceSettings> sources) {
         return new RelaySettings(
                 name,
--- a/relay/src/main/java/topazvalve/relay/SourceReader.java
+++ b/relay/src/main/java/topazvalve/relay/SourceReader.java
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
+import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.core.StreamReadConstraints;
 import java.io.IOException;
@@ -16,88 +17,107 @@
 import topazvalve.discovery.state.SourceVersion;
 
 /**
- * Reads what a source tells. An entry is passed on with all that it says, known here or not, in one line;
- * only its name and whether it is gone are looked at.
+ * Reads the JSON of a source. An entry is passed on with every field that it has, known to the relay or not,
+ * on one line; only its {@code uid} and whether it is removed are read.
  */
 final class SourceReader {
     private static final Logger LOG = LoggerFactory.getLogger("source");
-    private static final int LONGEST_NAME = 256;
+    private static final int MAX_UID_CHARS = 256;
+    private static final int MAX_NESTING_DEPTH = 64;
+    private static final int INITIAL_ENTRY_CHARS = 192;
+    private static final String REMOVED_STATE = "DELETED";
     private static final JsonFactory FACTORY = JsonFactory.builder()
-            .streamReadConstraints(
-                    StreamReadConstraints.builder().maxNestingDepth(64).build())
+            .streamReadConstraints(StreamReadConstraints.builder()
+                    .maxNestingDepth(MAX_NESTING_DEPTH)
+                    .build())
             .build();
 
     private SourceReader() {}
 
-    /** An object of a list or a watch; an {@link IOException} says why it is none. */
-    static Update read(byte[] text) throws IOException {
-        long rev = -1;
+    /**
+     * Reads one object, a snapshot or a delta, in UTF-8.
+     *
+     * @throws MalformedSourceMessageException if it is not JSON, or lacks what an endpoint list must have
+     * @throws IOException if it is not UTF-8
+     */
+    static Update read(byte[] json) throws IOException {
+        try (JsonParser parser = FACTORY.createParser(json)) {
+            return readUpdate(parser);
+        } catch (JsonProcessingException e) {
+            throw new MalformedSourceMessageException(e.getMessage(), e);
+        }
+    }
+
+    private static Update readUpdate(JsonParser parser) throws IOException {
+        long revision = -1;
         long epoch = 0;
-        boolean whole = false;
+        boolean fullSnapshot = false;
         List<Entry> entries = null;
-        try (JsonParser parser = FACTORY.createParser(text)) {
-            require(parser.nextToken() == JsonToken.START_OBJECT, "no object");
-            while (parser.nextToken() == JsonToken.FIELD_NAME) {
-                String key = parser.currentName();
-                JsonToken value = parser.nextToken();
-                switch (key) {
-                    case "rev" -> rev = whole(parser, value);
-                    case "epoch" -> epoch = whole(parser, value);
-                    case "all" -> whole = value == JsonToken.VALUE_TRUE;
-                    case "targets" -> {
-                        require(value == JsonToken.START_ARRAY, "targets is no list");
-                        entries = entries(parser);
-                    }
-                    default -> parser.skipChildren();
+        require(parser.nextToken() == JsonToken.START_OBJECT, "no object");
+        while (parser.nextToken() == JsonToken.FIELD_NAME) {
+            String key = parser.currentName();
+            JsonToken value = parser.nextToken();
+            switch (key) {
+                case "rev" -> revision = readInteger(parser, value);
+                case "epoch" -> epoch = readInteger(parser, value);
+                case "all" -> fullSnapshot = value == JsonToken.VALUE_TRUE;
+                case "targets" -> {
+                    require(value == JsonToken.START_ARRAY, "targets is no list");
+                    entries = readEntries(parser);
                 }
+                default -> parser.skipChildren();
             }
         }
-        require(rev >= 0 && epoch >= 0 && entries != null, "a line that is no list");
-        return new Update(new SourceVersion(epoch, rev), whole, entries);
+        require(revision >= 0 && epoch >= 0 && entries != null, "a line that is no list");
+        return new Update(new SourceVersion(epoch, revision), fullSnapshot, entries);
     }
 
-    private static void require(boolean holds, String otherwise) throws IOException {
-        if (!holds) {
-            throw new IOException(otherwise);
+    private static void require(boolean valid, String messageOtherwise) throws MalformedSourceMessageException {
+        if (!valid) {
+            throw new MalformedSourceMessageException(messageOtherwise);
         }
     }
 
-    private static long whole(JsonParser parser, JsonToken value) throws IOException {
+    private static long readInteger(JsonParser parser, JsonToken value) throws IOException {
         require(value == JsonToken.VALUE_NUMBER_INT, parser.currentName() + " is no whole number");
         return parser.getLongValue();
     }
 
-    private static List<Entry> entries(JsonParser parser) throws IOException {
+    private static List<Entry> readEntries(JsonParser parser) throws IOException {
         List<Entry> entries = new ArrayList<>();
         while (parser.nextToken() == JsonToken.START_OBJECT) {
-            Entry entry = entry(parser);
-            if (entry.uid().isEmpty() || entry.uid().length() > LONGEST_NAME) {
-                LOG.warn("entry passed over: {}", entry.json());
-            } else {
+            Entry entry = readEntry(parser);
+            if (isValidUid(entry.uid())) {
                 entries.add(entry);
+            } else {
+                LOG.warn("entry skipped, its uid is missing or too long: {}", entry.json());
             }
         }
         require(parser.currentToken() == JsonToken.END_ARRAY, "an entry that is no object");
         return entries;
     }
 
-    private static Entry entry(JsonParser parser) throws IOException {
-        StringWriter line = new StringWriter(192);
+    private static boolean isValidUid(String uid) {
+        return !uid.isEmpty() && uid.length() <= MAX_UID_CHARS;
+    }
+
+    private static Entry readEntry(JsonParser parser) throws IOException {
+        StringWriter json = new StringWriter(INITIAL_ENTRY_CHARS);
         String uid = "";
-        boolean gone = false;
-        try (JsonGenerator generator = FACTORY.createGenerator(line)) {
+        boolean removed = false;
+        try (JsonGenerator generator = FACTORY.createGenerator(json)) {
             generator.writeStartObject();
             while (parser.nextToken() == JsonToken.FIELD_NAME) {
                 String key = parser.currentName();
                 generator.writeFieldName(key);
                 if (parser.nextToken() == JsonToken.VALUE_STRING) {
                     uid = key.equals("uid") ? parser.getText() : uid;
-                    gone |= key.equals("state") && parser.getText().equals("DELETED");
+                    removed |= key.equals("state") && parser.getText().equals(REMOVED_STATE);
                 }
                 generator.copyCurrentStructureExact(parser);
             }
             generator.writeEndObject();
         }
-        return new Entry(uid, gone, line.toString());
+        return new Entry(uid, removed, json.toString());
     }
 }
--- a/relay/src/main/java/topazvalve/relay/SourceSubscription.java
+++ b/relay/src/main/java/topazvalve/relay/SourceSubscription.java
@@ -2,7 +2,7 @@
 
 import io.netty.channel.EventLoop;
 import java.io.IOException;
-import java.util.List;
+import java.net.InetSocketAddress;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
@@ -17,51 +17,53 @@
 import topazvalve.discovery.state.VersionVector;
 import topazvalve.relay.RelaySettings.SourceSettings;
 
-/** Follows one source, by today's published form of discovery, into the state. On the loop alone. */
+/**
+ * Watches one source and applies what it says to the {@link EndpointStore}; connects anew, to the source's next
+ * address, when the watch fails. On the event loop alone.
+ */
 final class SourceSubscription {
-    /** How often a relay asks for changes from before its time, for followers with older versions. */
-    static final int MOST_FILLS = 8;
-
     private static final Logger LOG = LoggerFactory.getLogger("source");
 
-    /** Hears what became of the state. */
+    /** Gets what became of the store, on the event loop. */
     interface Listener {
-        /** A line was taken: {@code before} is how far the state had come. */
-        void taken(UpdateResult taken, VersionVector before);
+        /** An update was applied; {@code before} are the store's versions before it. */
+        void updateApplied(UpdateResult result, VersionVector before);
 
-        /** Asked for earlier changes, the source has answered or failed. */
-        void filled();
+        /** A request for earlier changes was answered or has failed. */
+        void backfillCompleted();
     }
 
     private enum State {
         CLOSED,
-        PAUSING,
-        ASKING,
+        WAITING_TO_CONNECT,
+        CONNECTING,
         FOLLOWING
     }
 
     private final EventLoop loop;
     private final SourceSettings settings;
-    private final EndpointStore lists;
-    private final FailoverStateMachine following;
+    private final EndpointStore store;
+    private final FailoverStateMachine failover;
     private final Listener listener;
+    private final Backfill backfill;
     private State state = State.CLOSED;
     private DiscoveryCall call;
-    private DiscoveryCall fill;
-    private int fillsLeft = MOST_FILLS;
-    /** What is here does not follow on: the whole list is asked for. */
-    private boolean anew = true;
+    /** What the source said last does not follow on the store's state: a snapshot is asked for. */
+    private boolean snapshotNeeded = true;
 
-    private long heardAt;
-    private DiscoveryFailure fault;
+    private long lastMessageNanos;
+    /** Why the watch failed last; null while the source is followed. */
+    private DiscoveryFailure lastFailure;
 
-    SourceSubscription(EventLoop loop, SourceSettings settings, EndpointStore lists, long seed, Listener listener) {
+    SourceSubscription(EventLoop loop, SourceSettings settings, EndpointStore store, long seed, Listener listener) {
         this.loop = loop;
         this.settings = settings;
-        this.lists = lists;
-        this.following = new FailoverStateMachine(settings.addresses().size(), new SplittableRandom(seed));
+        this.store = store;
+        this.failover = new FailoverStateMachine(settings.addresses().size(), new SplittableRandom(seed));
         this.listener = listener;
-        this.heardAt = System.nanoTime() - TimeUnit.DAYS.toNanos(1);
+        this.backfill = new Backfill(loop, settings.name(), store, listener);
+        // As if it had last spoken long ago: it is not healthy before it is heard.
+        this.lastMessageNanos = System.nanoTime() - TimeUnit.DAYS.toNanos(1);
     }
 
     String name() {
@@ -69,7 +71,7 @@
     }
 
     void start() {
-        ask(following.start());
+        connect(failover.start());
     }
 
     void close() {
@@ -77,110 +79,116 @@
         if (call != null) {
             call.close();
         }
-        if (fill != null) {
-            fill.close();
-        }
+        backfill.close();
+    }
+
+    /** Returns how many nanoseconds ago the source said anything. */
+    long idleNanos() {
+        return System.nanoTime() - lastMessageNanos;
+    }
+
+    /**
+     * Asks for the changes since a subscriber's version if they are from before this relay's log.
+     *
+     * @param from the version that the subscriber has; null if it has none of this source
+     * @return whether there is an answer to wait for
+     */
+    boolean requestBackfill(SourceVersion from) {
+        return backfill.request(from, address(failover.currentIndex()));
     }
 
-    /** How long ago the source said anything, nanoseconds. */
-    long silentFor() {
-        return System.nanoTime() - heardAt;
+    private InetSocketAddress address(int index) {
+        return settings.addresses().get(index);
     }
 
     private SourceVersion version() {
-        return lists.versions().versionOf(name());
+        return store.versions().versionOf(name());
     }
 
-    private void ask(FailoverStateMachine.Connect next) {
-        state = State.PAUSING;
+    private void connect(FailoverStateMachine.Connect next) {
+        state = State.WAITING_TO_CONNECT;
         loop.schedule(
                 () -> {
-                    if (state == State.PAUSING) {
-                        state = State.ASKING;
-                        following.connecting();
-                        long from = anew || version() == null ? 0 : version().revision();
-                        call = new DiscoveryCall(loop, settings.addresses().get(next.index()), true, new Watch(from));
-                        call.open(DiscoveryCall.CONNECT_TIMEOUT_MILLIS, "?watch=1&from=" + from);
+                    if (state == State.WAITING_TO_CONNECT) {
+                        openWatch(address(next.index()));
                     }
                 },
                 next.delayNanos(),
                 TimeUnit.NANOSECONDS);
     }
 
-    /**
-     * Asks for changes from before this relay began if a follower comes with such a version; whether there is
-     * an answer to wait for.
-     */
-    boolean fill(SourceVersion from) {
-        if (!lists.precedesLog(name(), from) || from.revision() == 0) {
-            return false;
-        }
-        if (fill != null || fillsLeft == 0) {
-            return fill != null;
-        }
-        fillsLeft--;
-        fill = new DiscoveryCall(loop, settings.addresses().get(following.currentIndex()), true, new Fill(from));
-        fill.open(DiscoveryCall.CONNECT_TIMEOUT_MILLIS, "?watch=1&from=" + from.revision());
-        return true;
+    private void openWatch(InetSocketAddress address) {
+        state = State.CONNECTING;
+        failover.connecting();
+        SourceVersion present = version();
+        long from = snapshotNeeded || present == null ? 0 : present.revision();
+        call = new DiscoveryCall(loop, address, true, new WatchListener(from));
+        call.open(DiscoveryCall.CONNECT_TIMEOUT_MILLIS, "?watch=1&from=" + from);
     }
 
-    private void heard() {
-        heardAt = System.nanoTime();
-        if (state == State.ASKING) {
+    private void messageAccepted() {
+        lastMessageNanos = System.nanoTime();
+        if (state == State.CONNECTING) {
             state = State.FOLLOWING;
-            following.answered();
+            failover.answered();
             call.answered();
-            if (fault != null) {
-                LOG.info("{}: heard again", name());
+            if (lastFailure != null) {
+                LOG.info("{}: watch recovered", name());
             }
-            fault = null;
+            lastFailure = null;
         }
     }
 
-    private final class Watch implements DiscoveryCall.Listener {
+    /** Applies the messages of one watch. */
+    private final class WatchListener implements DiscoveryCall.Listener {
         private final long from;
-        private boolean first = true;
+        private boolean firstMessage = true;
 
-        Watch(long from) {
+        /** For a watch from this revision on; 0 asks for a snapshot. */
+        WatchListener(long from) {
             this.from = from;
         }
 
         @Override
-        public void objectReceived(byte[] text) throws IOException {
-            Update update = SourceReader.read(text);
-            if (first && from == 0 && !update.fullSnapshot()) {
-                // All that changed since nothing was there is all there is.
-                update = new Update(update.version(), true, update.entries());
-            }
-            boolean begins = first;
-            first = false;
-            VersionVector before = lists.versions();
-            UpdateResult taken = lists.apply(name(), update);
-            switch (taken) {
+        public void objectReceived(byte[] json) throws IOException {
+            Update update = withImpliedSnapshot(SourceReader.read(json));
+            boolean answersRequest = firstMessage;
+            firstMessage = false;
+            VersionVector before = store.versions();
+            UpdateResult result = store.apply(name(), update);
+            switch (result) {
                 case UNCHANGED, CHANGED, FIRST_UPDATE -> {
-                    anew = false;
-                    heard();
-                    listener.taken(taken, before);
+                    snapshotNeeded = false;
+                    messageAccepted();
+                    listener.updateApplied(result, before);
                 }
-                case STALE -> older(update, before, begins);
-                case NOT_CONTIGUOUS -> apart(update, before);
+                case STALE -> staleReceived(update, before, answersRequest);
+                case NOT_CONTIGUOUS -> resubscribe(update, before);
                 default -> call.fail(new DiscoveryFailure.EmptySnapshot());
             }
         }
 
-        /** Changes that an answer to {@link Fill} was ahead of are here already; a list must not be older. */
-        private void older(Update update, VersionVector before, boolean begins) {
+        /** All changes since nothing was there are a snapshot, also where the source does not say so. */
+        private Update withImpliedSnapshot(Update update) {
+            if (firstMessage && from == 0 && !update.fullSnapshot()) {
+                return new Update(update.version(), true, update.entries());
+            }
+            return update;
+        }
+
+        /** A stale delta on a running watch is normal: a {@link Backfill} may have brought its changes before. */
+        private void staleReceived(Update update, VersionVector before, boolean answersRequest) {
             if (update.fullSnapshot()) {
                 call.fail(new DiscoveryFailure.StaleVersion(update.version().toString(), before.toString()));
-            } else if (begins) {
-                apart(update, before);
+            } else if (answersRequest) {
+                resubscribe(update, before);
             } else {
-                heard();
+                messageAccepted();
             }
         }
 
-        private void apart(Update update, VersionVector before) {
-            anew = true;
+        private void resubscribe(Update update, VersionVector before) {
+            snapshotNeeded = true;
             call.fail(new DiscoveryFailure.VersionGap(update.version().toString(), before.toString()));
         }
 
@@ -189,13 +197,13 @@
             if (version() == null) {
                 call.fail(new DiscoveryFailure.UnexpectedHeartbeat());
             } else {
-                heard();
+                messageAccepted();
             }
         }
 
         @Override
         public void answerOverdue() {
-            // Its place in the source's queue is worth more than a new one, unless there is another to ask.
+            // With one address the call is let be: its place in the source's queue is better than a new one.
             if (settings.addresses().size() > 1) {
                 call.fail(new DiscoveryFailure.Overdue());
             }
@@ -208,65 +216,11 @@
 
         @Override
         public void failed(DiscoveryFailure failure, long retryAfterMillis) {
-            if (!failure.equals(fault)) {
-                LOG.warn("{}: not followed: {}", name(), failure.message());
+            if (!failure.equals(lastFailure)) {
+                LOG.warn("{}: watch failed: {}", name(), failure.message());
             }
-            fault = failure;
-            ask(following.rejected(TimeUnit.MILLISECONDS.toNanos(retryAfterMillis)));
-        }
-    }
-
-    /** One answer to the question what changed since an earlier version. */
-    private final class Fill implements DiscoveryCall.Listener {
-        private final SourceVersion from;
-
-        Fill(SourceVersion from) {
-            this.from = from;
-        }
-
-        private void over() {
-            fill = null;
-            listener.filled();
-        }
-
-        @Override
-        public void objectReceived(byte[] text) throws IOException {
-            take(SourceReader.read(text));
-        }
-
-        private void take(Update update) {
-            fill.close();
-            VersionVector before = lists.versions();
-            UpdateResult taken = lists.backfill(name(), from, update);
-            if (update.fullSnapshot()) {
-                // Its log does not reach back so far.
-                fillsLeft = 0;
-            }
-            if (taken == UpdateResult.UNCHANGED || taken == UpdateResult.CHANGED) {
-                listener.taken(taken, before);
-            }
-            over();
-        }
-
-        @Override
-        public void heartbeatReceived() {
-            take(new Update(version(), false, List.of()));
-        }
-
-        @Override
-        public void answerOverdue() {
-            fill.fail(new DiscoveryFailure.Overdue());
-        }
-
-        @Override
-        public void watchIdle() {
-            fill.fail(new DiscoveryFailure.Overdue());
-        }
-
-        @Override
-        public void failed(DiscoveryFailure failure, long retryAfterMillis) {
-            LOG.info("{}: earlier changes not told: {}", name(), failure.message());
-            over();
+            lastFailure = failure;
+            connect(failover.rejected(TimeUnit.MILLISECONDS.toNanos(retryAfterMillis)));
         }
     }
 }
--- a/relay/src/main/java/topazvalve/relay/Subscriber.java
+++ b/relay/src/main/java/topazvalve/relay/Subscriber.java
@@ -7,51 +7,70 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.handler.codec.http.HttpContent;
-import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.handler.codec.http.HttpRequest;
-import io.netty.handler.codec.http.QueryStringDecoder;
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import topazvalve.discovery.state.VersionVector;
 
 /**
- * One caller's connection: a call is read, within bounds, and answered; a watch stays. What it is told is
- * decided by {@link DiscoveryRelay}, which owns the state; here is how far this caller has come.
+ * One connection to the relay: its request is read, within bounds of time and size, and answered; a watch
+ * stays open. It knows which versions its peer has; what is sent is decided by its {@link Listener}. On the
+ * event loop alone.
  */
 final class Subscriber extends SimpleChannelInboundHandler<HttpObject> {
-    /** A caller that has not asked by then is closed. */
-    private static final long HEAD_MS = 2_000;
-    /** What may follow a call's head: nothing is expected, and nothing is read for long. */
-    private static final int MOST_BEHIND = 8 << 10;
+    /** A connection whose request has not come by then is closed. */
+    private static final long REQUEST_TIMEOUT_MILLIS = 2_000;
+    /** How much may follow a request: nothing is expected, so that a little is ignored. */
+    private static final int MAX_TRAILING_BYTES = 8 << 10;
 
+    /** Where a connection stands. */
     enum State {
-        /** Its call is still to come. */
-        READING,
-        /** A watch that can't be answered yet: it, or this relay, is behind. */
+        /** Its request is still to come. */
+        AWAITING_REQUEST,
+        /** It has a watch that can't be answered yet: its versions and this relay's do not fit. */
         PARKED,
-        /** A watch that has been answered. */
+        /** It has a watch that was answered. */
         FOLLOWING,
-        /** Its last bytes are on their way. */
-        ENDING
+        /** Its last bytes are on their way, or it is closed. */
+        CLOSING
     }
 
-    private final DiscoveryRelay relay;
+    /** Gets the events of all connections, on the event loop. */
+    interface Listener {
+        /** A connection was accepted. */
+        void connected(Subscriber subscriber);
+
+        /** The head of a request has come. */
+        void requestReceived(Subscriber subscriber, HttpRequest request);
+
+        /** What has come is not HTTP, or is too large. */
+        void malformedRequestReceived(Subscriber subscriber);
+
+        /** The peer has taken what waited for it. */
+        void becameWritable(Subscriber subscriber);
+
+        /** The connection has ended. */
+        void disconnected(Subscriber subscriber);
+    }
+
+    private final Listener listener;
+    private final RelayMetrics metrics;
     private final Channel channel;
-    private State state = State.READING;
-    private Future<?> timer;
-    /** How far it has come. */
-    private VersionVector has = VersionVector.NONE;
-    /** It has all that this relay has, or what is missing is on its way. */
-    private boolean current;
-
-    private boolean headSent;
-    private long behind;
-    /** When it last took bytes while some were waiting. */
-    private long tookAt;
-
-    Subscriber(DiscoveryRelay relay, Channel channel) {
-        this.relay = relay;
+    private State state = State.AWAITING_REQUEST;
+    /** Ends the wait for a request, or for the answer of a parked watch. */
+    private Future<?> timeout;
+
+    private VersionVector versions = VersionVector.NONE;
+    private boolean upToDate;
+    private boolean responseStarted;
+    private long trailingBytes;
+    /** When the peer last took bytes while some were waiting. */
+    private long lastProgressNanos;
+
+    Subscriber(Listener listener, RelayMetrics metrics, Channel channel) {
+        this.listener = listener;
+        this.metrics = metrics;
         this.channel = channel;
     }
 
@@ -59,164 +78,152 @@
         return state;
     }
 
-    VersionVector has() {
-        return has;
+    /** Returns the versions that the peer has once it has read all that was sent. */
+    VersionVector versions() {
+        return versions;
+    }
+
+    void setVersions(VersionVector newVersions) {
+        versions = newVersions;
     }
 
-    void has(VersionVector now) {
-        has = now;
+    /** Returns whether all that this relay has was sent; false once the peer was too slow for a change. */
+    boolean isUpToDate() {
+        return upToDate;
     }
 
-    boolean current() {
-        return current;
+    void setUpToDate(boolean newUpToDate) {
+        upToDate = newUpToDate;
     }
 
-    void current(boolean is) {
-        current = is;
+    /** Returns whether the head of a response with a list was sent: no other response can follow. */
+    boolean isResponseStarted() {
+        return responseStarted;
     }
 
-    /** Whether more can be written now: what waits for it is under its bound. */
-    boolean ready() {
+    /** Returns whether less waits to be written than the subscriber's buffer may hold. */
+    boolean isWritable() {
         return channel.isWritable();
     }
 
-    long stalledMs() {
-        return ready() ? 0 : TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - tookAt);
+    /** Returns for how many milliseconds the peer has taken nothing of what waits for it; 0 if it is writable. */
+    long stalledMillis() {
+        return isWritable() ? 0 : TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - lastProgressNanos);
     }
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
-        tookAt = System.nanoTime();
-        timer = context.executor()
-                .schedule(
-                        () -> {
-                            if (state == State.READING) {
-                                state = State.ENDING;
-                                channel.close();
-                            }
-                        },
-                        HEAD_MS,
-                        TimeUnit.MILLISECONDS);
-        relay.opened(this);
+        lastProgressNanos = System.nanoTime();
+        timeout = context.executor().schedule(this::requestTimedOut, REQUEST_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+        listener.connected(this);
+    }
+
+    private void requestTimedOut() {
+        if (state == State.AWAITING_REQUEST) {
+            close();
+        }
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
-        if (state != State.READING) {
-            behind += message instanceof HttpContent content
-                    ? 1 + content.content().readableBytes()
-                    : 1;
-            if (behind > MOST_BEHIND) {
-                channel.close();
-            }
-            return;
-        }
-        if (message.decoderResult().isFailure()) {
-            relay.bad(this, "not a call");
+        if (state != State.AWAITING_REQUEST) {
+            discardTrailing(message);
+        } else if (message.decoderResult().isFailure()) {
+            listener.malformedRequestReceived(this);
         } else if (message instanceof HttpRequest request) {
-            timer.cancel(false);
-            asked(request);
+            timeout.cancel(false);
+            listener.requestReceived(this, request);
         }
     }
 
-    private void asked(HttpRequest request) {
-        QueryStringDecoder uri = new QueryStringDecoder(request.uri());
-        if (!request.method().equals(HttpMethod.GET)) {
-            end(ChunkEncoder.answer("405 Method Not Allowed", "", "only GET is served\n"));
-        } else if (uri.path().equals("/discovery/hosts")) {
-            try {
-                relay.asked(this, DiscoveryRequest.of(uri));
-            } catch (IllegalArgumentException e) {
-                relay.bad(this, e.getMessage());
-            }
-        } else if (uri.path().equals("/_ready")) {
-            end(
-                    relay.vouches()
-                            ? ChunkEncoder.answer("200 OK", "", "ready\n")
-                            : ChunkEncoder.answer("503 Service Unavailable", "", "no source is heard\n"));
-        } else if (uri.path().equals("/_vars")) {
-            end(ChunkEncoder.answer("200 OK", "", relay.figures()));
-        } else {
-            end(ChunkEncoder.answer("404 Not Found", "", "not served here\n"));
+    private void discardTrailing(HttpObject message) {
+        trailingBytes++;
+        if (message instanceof HttpContent content) {
+            trailingBytes += content.content().readableBytes();
+        }
+        if (trailingBytes > MAX_TRAILING_BYTES) {
+            channel.close();
         }
     }
 
-    /** Its watch can't be answered before {@code then} is run, {@code afterMs} from now at the latest. */
-    void park(long afterMs, Runnable then) {
-        if (state != State.PARKED) {
-            state = State.PARKED;
-            timer = channel.eventLoop()
-                    .schedule(
-                            () -> {
-                                if (state == State.PARKED) {
-                                    then.run();
-                                }
-                            },
-                            afterMs,
-                            TimeUnit.MILLISECONDS);
+    /**
+     * Lets a watch wait for its answer; does nothing if it waits already.
+     *
+     * @param timeoutMillis how long it waits at most
+     * @param onTimeout runs after that unless the watch was answered or ended before
+     */
+    void park(long timeoutMillis, Runnable onTimeout) {
+        if (state == State.PARKED) {
+            return;
         }
+        state = State.PARKED;
+        timeout = channel.eventLoop()
+                .schedule(
+                        () -> {
+                            if (state == State.PARKED) {
+                                onTimeout.run();
+                            }
+                        },
+                        timeoutMillis,
+                        TimeUnit.MILLISECONDS);
     }
 
-    /** A watch is answered, or told more. */
-    void tell(ByteBuf line) {
-        timer.cancel(false);
+    /** Sends a chunk of a watch and releases it; the first one is the answer to the watch. */
+    void send(ByteBuf chunk) {
+        timeout.cancel(false);
         state = State.FOLLOWING;
-        head();
-        write(line);
+        writeHeadOnce();
+        write(chunk);
         channel.flush();
     }
 
-    /** A whole list is all that was asked for. */
-    void tellLast(ByteBuf line) {
-        state = State.ENDING;
-        head();
-        write(line);
-        write(ChunkEncoder.LAST.duplicate());
+    /** Sends a snapshot as the complete response, releases it, and closes the connection. */
+    void sendAndClose(ByteBuf snapshot) {
+        state = State.CLOSING;
+        writeHeadOnce();
+        write(snapshot);
+        write(ChunkEncoder.LAST_CHUNK.duplicate());
         channel.flush();
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
     }
 
-    private void head() {
-        if (!headSent) {
-            headSent = true;
-            write(ChunkEncoder.HEAD.duplicate());
+    private void writeHeadOnce() {
+        if (!responseStarted) {
+            responseStarted = true;
+            write(ChunkEncoder.RESPONSE_HEAD.duplicate());
         }
     }
 
     private void write(ByteBuf bytes) {
-        relay.counted(bytes.readableBytes());
+        metrics.countBytes(bytes.readableBytes());
         channel.write(bytes);
     }
 
-    /** Answers and closes. */
-    void end(ByteBuf answer) {
-        state = State.ENDING;
-        channel.writeAndFlush(answer).addListener(ChannelFutureListener.CLOSE);
+    /** Sends a complete response other than a list, releases it, and closes the connection. */
+    void respondAndClose(ByteBuf response) {
+        state = State.CLOSING;
+        channel.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
     }
 
-    /** Closes; who follows goes to its next relay. */
+    /** Closes the connection at once; a sidecar that followed goes to its next relay. */
     void close() {
-        state = State.ENDING;
+        state = State.CLOSING;
         channel.close();
     }
 
-    boolean begun() {
-        return headSent;
-    }
-
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
-        tookAt = System.nanoTime();
+        lastProgressNanos = System.nanoTime();
         if (channel.isWritable()) {
-            relay.drained(this);
+            listener.becameWritable(this);
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        state = State.ENDING;
-        timer.cancel(false);
-        relay.closed(this);
+        state = State.CLOSING;
+        timeout.cancel(false);
+        listener.disconnected(this);
     }
 
     @Override
--- a/relay/src/main/java/topazvalve/relay/package-info.java
+++ b/relay/src/main/java/topazvalve/relay/package-info.java
@@ -1,5 +1,6 @@
 /**
- * A relay: follows the sources of lists and tells many sidecars, in the form in which discovery tells one.
- * A process of its own. What it decides is in {@link topazvalve.discovery.state}; one event loop owns its state.
+ * The relay, a process of its own: watches the sources of endpoint lists and serves many sidecars, in the form in
+ * which discovery serves one. {@link topazvalve.relay.DiscoveryRelay} is where to start reading;
+ * {@code docs/design/relay.md} has the reasons.
  */
 package topazvalve.relay;
--- a/relay/src/test/java/topazvalve/relay/RelayTest.java
+++ b/relay/src/test/java/topazvalve/relay/RelayTest.java
@@ -403,7 +403,7 @@
             source.change("z" + i, "SERVING");
         }
         follower.await("all", servers -> servers.size() == 442);
-        long most = (System.nanoTime() - began) / DiscoveryRelay.GATHER_NS + 2;
+        long most = (System.nanoTime() - began) / ChangeBatcher.MIN_INTERVAL_NANOS + 2;
         long lines = figure(relay, "changes");
         assertTrue(lines <= most, lines + " lines, not " + most);
         assertEquals(1, follower.wholes());
--- a/relay/src/test/java/topazvalve/relay/SourceReaderTest.java
+++ b/relay/src/test/java/topazvalve/relay/SourceReaderTest.java
@@ -56,6 +56,6 @@
                 "{\"rev\":1,\"targets\":[{\"uid\":\"a\"}"
             })
     void whatIsNoListIsRefused(String text) {
-        assertThrows(IOException.class, () -> read(text));
+        assertThrows(MalformedSourceMessageException.class, () -> read(text));
     }
 }
