--- a/sidecar/src/main/java/topazvalve/sidecar/HttpProxy.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/HttpProxy.java
@@ -43,7 +43,11 @@
                 config.options(),
                 (settings, actions) -> new SidecarPolicy(settings, config.seed(), actions),
                 new ConnectionPools<>(
-                        loop, time, config.options(), new HttpCodec(HttpCodec.REST), config.mostUpstream()),
+                        loop,
+                        time,
+                        config.options(),
+                        new HttpCodec(HttpCodec.REUSE_DELAY_NANOS),
+                        config.mostUpstream()),
                 mostOpen,
                 metrics,
                 classes);
--- a/sidecar/src/main/java/topazvalve/sidecar/http/Headers.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/http/Headers.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Which headers go on through the sidecar. */
+/** Rules for the headers that the sidecar forwards. */
 public final class Headers {
-    /** They speak of one connection, or tell the sidecar what is not for the application. */
+    /** Headers of a single connection, and those that are meant for the sidecar alone. */
     private static final List<CharSequence> HOP_BY_HOP = List.of(
             HttpHeaderNames.CONNECTION,
             "Proxy-Connection",
@@ -27,7 +27,10 @@
 
     private Headers() {}
 
-    /** Whether a message's transfer coding is plain chunks: any other leaves open where it ends. */
+    /**
+     * Whether a message with {@code Transfer-Encoding} is framed by chunks alone: HTTP/1.1, the only coding
+     * {@code chunked}, and no {@code Content-Length}. Any other combination leaves its end ambiguous.
+     */
     public static boolean onlyChunked(HttpMessage message) {
         List<String> codings = message.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         return codings.size() == 1
@@ -36,14 +39,31 @@
                 && !message.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
     }
 
-    /** Copies all but the headers of one hop, and of those also what {@code Connection} names. */
+    /**
+     * Copies the end-to-end headers: all but the hop-by-hop ones and those that {@code Connection} names.
+     *
+     * @throws IllegalArgumentException if {@code to} validates its headers and a name or value is malformed
+     */
     public static void copyEndToEnd(HttpHeaders from, HttpHeaders to) {
         for (Map.Entry<String, String> header : from) {
             String name = header.getKey();
-            if (HOP_BY_HOP.stream().noneMatch(hop -> AsciiString.contentEqualsIgnoreCase(hop, name))) {
+            if (!isHopByHop(name)) {
                 to.add(name, header.getValue());
             }
         }
+        removeNamedByConnection(from, to);
+    }
+
+    private static boolean isHopByHop(String name) {
+        for (CharSequence hop : HOP_BY_HOP) {
+            if (AsciiString.contentEqualsIgnoreCase(hop, name)) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    private static void removeNamedByConnection(HttpHeaders from, HttpHeaders to) {
         for (String value : from.getAll(HttpHeaderNames.CONNECTION)) {
             for (String named : value.split(",")) {
                 if (!named.isBlank()) {
--- a/sidecar/src/main/java/topazvalve/sidecar/http/UpstreamRequest.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/http/UpstreamRequest.java
@@ -3,5 +3,9 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
 
-/** What a client asked, in HTTP's terms: for the upstreams' side alone. */
+/**
+ * The request to forward, without its body.
+ *
+ * @param headers as the client sent them, hop-by-hop headers included
+ */
 public record UpstreamRequest(HttpMethod method, String uri, HttpHeaders headers) {}
--- a/sidecar/src/main/java/topazvalve/sidecar/http/package-info.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/http/package-info.java
@@ -1,2 +1,2 @@
-/** What HTTP says of a message on its way through. */
+/** HTTP messages on their way through the sidecar: requests, responses and the headers that are forwarded. */
 package topazvalve.sidecar.http;
--- a/sidecar/src/main/java/topazvalve/sidecar/upstream/HttpCodec.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/upstream/HttpCodec.java
@@ -10,47 +10,49 @@
 import topazvalve.sidecar.http.UpstreamRequest;
 import topazvalve.sidecar.http.UpstreamResponse;
 
-/** HTTP/1.1 towards order servers. */
+/** Speaks HTTP/1.1 with the servers of the application. */
 public final class HttpCodec implements Codec<UpstreamRequest, UpstreamResponse> {
     /**
-     * Danger: a second answer that a server sends some milliseconds behind the first would be taken for the
-     * next request's; on a connection that rests it shows, and closes it. Longer would keep more connections
-     * open, which take of a server's capacity; it is about what a new one takes to come up.
+     * How long a connection stays idle before it is reused. A stray second response that comes some milliseconds
+     * after the first then closes the connection, and is not taken for the next request's response.
      */
-    public static final long REST = 10_000_000;
+    public static final long REUSE_DELAY_NANOS = 10_000_000;
 
-    private static final long PROBE_TIMEOUT = 250_000_000;
+    private static final String HOST = "app.svc";
+    private static final long HEALTH_CHECK_TIMEOUT_NANOS = 250_000_000;
 
-    private final LoadReports reports = new LoadReports();
-    private final long rest;
+    private final LoadReports loadReports = new LoadReports();
+    private final long reuseDelayNanos;
 
-    /** Whose connections rest for so many nanoseconds before they are lent again. */
-    public HttpCodec(long rest) {
-        this.rest = rest;
+    /** Creates a codec whose connections stay idle for {@code reuseDelayNanos} before they are reused. */
+    public HttpCodec(long reuseDelayNanos) {
+        this.reuseDelayNanos = reuseDelayNanos;
     }
 
     @Override
     public ConnectionHandler<UpstreamRequest, UpstreamResponse> newConnectionHandler(
             PooledConnection<UpstreamRequest, UpstreamResponse> connection) {
-        return new HttpConnectionHandler(reports, connection);
+        return new HttpConnectionHandler(loadReports, connection);
     }
 
-    /** For a server's load report where the deployment has reports, else for its health. */
+    /** Asks for the server's load report where the deployment has reports, else whether it is alive. */
     @Override
     public HealthCheck<UpstreamRequest> healthCheck() {
         return new HealthCheck<>(
                 new UpstreamRequest(
-                        HttpMethod.GET, reports.path(), new DefaultHttpHeaders().set(HttpHeaderNames.HOST, "app.svc")),
-                PROBE_TIMEOUT);
+                        HttpMethod.GET,
+                        loadReports.healthCheckPath(),
+                        new DefaultHttpHeaders().set(HttpHeaderNames.HOST, HOST)),
+                HEALTH_CHECK_TIMEOUT_NANOS);
     }
 
     @Override
     public long reuseDelayNanos() {
-        return rest;
+        return reuseDelayNanos;
     }
 
     @Override
-    public void settingsChanged(SettingsReader options) {
-        reports.take(options.list("report.fields"));
+    public void settingsChanged(SettingsReader settings) {
+        loadReports.setFields(settings.list("report.fields"));
     }
 }
--- a/sidecar/src/main/java/topazvalve/sidecar/upstream/HttpHeads.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/upstream/HttpHeads.java
@@ -13,18 +13,28 @@
 import topazvalve.sidecar.http.UpstreamRequest;
 import topazvalve.sidecar.http.UpstreamResponse;
 
-/** An attempt in HTTP's terms: the head that is sent to an upstream, and what an answer's head says. */
+/** Maps between attempts and HTTP heads: the request head to send, and the outcome that a response head means. */
 final class HttpHeads {
+    private static final String DEADLINE_HEADER = "Req-Deadline-Ms";
+    /** Set to 1 by a server that rejects a request without having run it. */
+    private static final String DECLINED_HEADER = "Srv-Declined";
+
+    private static final long NANOS_PER_MILLI = 1_000_000;
+
     private HttpHeads() {}
 
-    static HttpRequest head(Attempt<UpstreamRequest, UpstreamResponse> attempt) {
+    /**
+     * Creates the head to send: the client's end-to-end headers, the attempt's remaining time in milliseconds (at
+     * least 1) and the framing of its body.
+     */
+    static HttpRequest requestHead(Attempt<UpstreamRequest, UpstreamResponse> attempt) {
         HttpRequest request = new DefaultHttpRequest(
                 HttpVersion.HTTP_1_1,
                 attempt.message().method(),
                 attempt.message().uri());
         Headers.copyEndToEnd(attempt.message().headers(), request.headers());
         request.headers()
-                .set("Req-Deadline-Ms", Math.max(1, attempt.timeoutNanos() / 1_000_000))
+                .set(DEADLINE_HEADER, Math.max(1, attempt.timeoutNanos() / NANOS_PER_MILLI))
                 .remove(HttpHeaderNames.CONTENT_LENGTH);
         long length = attempt.body().length();
         if (length < 0) {
@@ -36,15 +46,15 @@
     }
 
     /**
-     * What an answer's status says of its server. Of the client errors (RFC 9110 15.5) most tell what the
-     * caller did wrong: the server is well, another would say the same, and the caller is to see it.
+     * Returns what a response's status says about its server. Most client errors (RFC 9110, 15.5) are the caller's
+     * fault: the server is healthy, another would answer the same, and the caller is to see the answer.
      */
     static Outcome outcome(HttpResponse response) {
         int code = response.status().code();
         return switch (code) {
             case 200 -> Outcome.OK;
-            case 503, 504 -> "1".equals(response.headers().get("Srv-Declined")) ? Outcome.REJECTED : Outcome.ERROR;
-            // Of the server's own state: waited too long, not the one meant, too early, too many requests.
+            case 503, 504 -> "1".equals(response.headers().get(DECLINED_HEADER)) ? Outcome.REJECTED : Outcome.ERROR;
+            // Client errors that tell of the server's state: timeout, misdirected, too early, too many requests.
             case 408, 421, 425, 429 -> Outcome.ERROR;
             default -> code / 100 == 4 ? Outcome.OK : Outcome.ERROR;
         };
--- a/sidecar/src/main/java/topazvalve/sidecar/upstream/LoadReports.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/upstream/LoadReports.java
@@ -7,50 +7,62 @@
 import topazvalve.discovery.json.JsonReader;
 
 /**
- * The load reports of a deployment: the names of their values, in the order that the settings give, and how
- * one is read. A report that can't be read is none; it spoils nothing else.
+ * Reads the load reports of a deployment, whose fields and their order are given by the settings. A report that
+ * can't be read counts as absent and does not affect the response that carried it.
  */
 final class LoadReports {
+    /** Where a server answers with its load report. */
     static final String PATH = "/metrics/load";
-    static final float[] NONE = {};
+
+    private static final float[] NO_REPORT = {};
+
+    private static final String HEALTH_PATH = "/alive";
+    private static final String LOAD_HEADER = "Srv-Load";
 
     private List<String> fields = List.of();
 
-    /** From now on these are the names. */
-    void take(List<String> names) {
+    /** Sets the names of the fields, in the order in which the policy expects their values. */
+    void setFields(List<String> names) {
         fields = names;
     }
 
-    /** Where a probe asks: for the report where the deployment has reports, else for the health. */
-    String path() {
-        return fields.isEmpty() ? "/alive" : PATH;
+    /** The path of a health check: that of the load report where the deployment has reports. */
+    String healthCheckPath() {
+        return fields.isEmpty() ? HEALTH_PATH : PATH;
     }
 
-    /** The load report in the order of the settings' fields; empty where there is none that can be read. */
-    float[] read(HttpResponse response, String probed) {
-        String text = response.headers().get("Srv-Load");
-        if (text == null) {
-            text = probed;
-        }
-        if (text == null || fields.isEmpty()) {
-            return NONE;
+    /**
+     * Reads the load report that came with a response.
+     *
+     * @param response whose header is read first
+     * @param healthCheckBody the body of a health check's response, read where the header is missing; may be null
+     * @return one value for each field, in their order; empty if there is no report that can be read
+     */
+    float[] read(HttpResponse response, String healthCheckBody) {
+        String header = response.headers().get(LOAD_HEADER);
+        String report = header == null ? healthCheckBody : header;
+        if (report == null || fields.isEmpty()) {
+            return NO_REPORT;
         }
         try {
-            JsonNode node = JsonReader.read(text);
-            float[] values = new float[fields.size()];
-            for (int i = 0; i < values.length; i++) {
-                JsonNode value = node.path(fields.get(i));
-                if (!value.isNumber()) {
-                    return NONE;
-                }
-                values[i] = (float) value.asDouble(-1);
-                if (!(values[i] >= 0 && values[i] < Float.POSITIVE_INFINITY)) {
-                    return NONE;
-                }
-            }
-            return values;
+            return values(JsonReader.read(report));
         } catch (JsonProcessingException e) {
-            return NONE;
+            return NO_REPORT;
+        }
+    }
+
+    private float[] values(JsonNode report) {
+        float[] values = new float[fields.size()];
+        for (int i = 0; i < values.length; i++) {
+            JsonNode value = report.path(fields.get(i));
+            if (!value.isNumber()) {
+                return NO_REPORT;
+            }
+            values[i] = (float) value.asDouble(-1);
+            if (!(values[i] >= 0 && values[i] < Float.POSITIVE_INFINITY)) {
+                return NO_REPORT;
+            }
         }
+        return values;
     }
 }
--- a/sidecar/src/main/java/topazvalve/sidecar/upstream/ResponseDecoder.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/upstream/ResponseDecoder.java
@@ -12,54 +12,58 @@
 import java.util.List;
 
 /**
- * Reads answers. What can't be one is told at its first bytes: left to itself the decoder skips control
- * characters and waits for the end of a line that may never come.
+ * Decodes HTTP/1 responses more strictly than Netty does. Data that can't be a response fails at its first bytes:
+ * Netty's decoder skips control characters and waits for the end of a line that may never come.
  */
 final class ResponseDecoder extends HttpResponseDecoder {
-    private static final byte[] START = "HTTP/1.".getBytes(StandardCharsets.US_ASCII);
-    private boolean begun;
+    private static final byte[] RESPONSE_PREFIX = "HTTP/1.".getBytes(StandardCharsets.US_ASCII);
+    private boolean prefixChecked;
 
-    /** Headers are looked at later: a load report may hold anything and spoils only itself. */
+    /** Header values are not validated here: a load report may hold anything, and a bad one is only ignored. */
     ResponseDecoder() {
         super(new HttpDecoderConfig().setValidateHeaders(false));
     }
 
-    /** Whether something has come that is no whole part of an answer yet. */
-    boolean holds() {
+    /** Whether bytes have come that do not make up a complete part of a response yet. */
+    boolean hasPartialMessage() {
         return actualReadableBytes() > 0;
     }
 
     @Override
     protected void decode(ChannelHandlerContext context, ByteBuf in, List<Object> out) throws Exception {
-        if (!begun) {
-            int known = Math.min(START.length, in.readableBytes());
-            for (int i = 0; i < known; i++) {
-                if (in.getByte(in.readerIndex() + i) != START[i]) {
-                    throw new CorruptedFrameException("no answer");
-                }
-            }
-            if (known < START.length) {
+        if (!prefixChecked) {
+            requirePrefix(in);
+            if (in.readableBytes() < RESPONSE_PREFIX.length) {
                 return;
             }
-            begun = true;
+            prefixChecked = true;
         }
         super.decode(context, in, out);
         if (!out.isEmpty() && out.get(out.size() - 1) instanceof LastHttpContent) {
-            begun = false;
+            prefixChecked = false;
+        }
+    }
+
+    private static void requirePrefix(ByteBuf in) {
+        int available = Math.min(RESPONSE_PREFIX.length, in.readableBytes());
+        for (int i = 0; i < available; i++) {
+            if (in.getByte(in.readerIndex() + i) != RESPONSE_PREFIX[i]) {
+                throw new CorruptedFrameException("not an HTTP response");
+            }
         }
     }
 
-    /** In an answer the decoder takes a line of words without a colon for a header with no value. */
+    /** Rejects a header line without a colon, which Netty's response decoder reads as a header with no value. */
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
         if (start + length >= line.length || line[start + length] != ':') {
-            throw new CorruptedFrameException("no colon");
+            throw new CorruptedFrameException("header line without a colon");
         }
         return super.splitHeaderName(line, start, length);
     }
 
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-        throw new CorruptedFrameException("two lengths");
+        throw new CorruptedFrameException("both Transfer-Encoding and Content-Length");
     }
 }
--- a/sidecar/src/test/java/topazvalve/sidecar/CrossingsTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/CrossingsTest.java
@@ -246,7 +246,9 @@
             assertEquals(
                     List.of(200, 200),
                     List.of(gone.readResponse().status(), last.readResponse().status()));
-            bed.loop.schedule(() -> {}, HttpCodec.REST, TimeUnit.NANOSECONDS).sync();
+            bed.loop
+                    .schedule(() -> {}, HttpCodec.REUSE_DELAY_NANOS, TimeUnit.NANOSECONDS)
+                    .sync();
             StubServer.write(gone.socket, SidecarFixture.lookRequest("gone"));
             Socket first = StubServer.awaitNext(asked);
             CountDownLatch go = hold(bed, STALL_MS);
