--- a/sidecar/src/main/java/topazvalve/sidecar/TcpProxies.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/TcpProxies.java
@@ -98,7 +98,7 @@
     /** How long an end may take, in milliseconds; 0 without listeners. From any thread. */
     static long longestEndMs(List<TcpSettings> listeners) {
         return listeners.stream()
-                        .mapToLong(each -> each.grace() + ORDERLY_NS)
+                        .mapToLong(each -> each.drainGraceNanos() + ORDERLY_NS)
                         .max()
                         .orElse(0)
                 / 1_000_000;
--- a/tcp/src/main/java/topazvalve/tcp/ClientStream.java
+++ b/tcp/src/main/java/topazvalve/tcp/ClientStream.java
@@ -4,132 +4,147 @@
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
-import io.netty.channel.ChannelOption;
 import io.netty.channel.socket.ChannelInputShutdownEvent;
 import io.netty.handler.codec.DecoderException;
 import io.netty.handler.codec.haproxy.HAProxyMessage;
-import io.netty.handler.codec.haproxy.HAProxyMessageDecoder;
 import io.netty.util.ReferenceCountUtil;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
-import java.util.ArrayDeque;
+import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import topazvalve.core.exchange.ResponseListener;
 import topazvalve.core.stream.FlowControl;
 import topazvalve.core.time.Scheduler;
-import topazvalve.tcp.StreamCounters.Ended;
-import topazvalve.tcp.StreamCounters.Refused;
+import topazvalve.tcp.ChannelCloser.CloseMode;
+import topazvalve.tcp.StreamCounters.EndReason;
+import topazvalve.tcp.StreamCounters.RejectReason;
 
 /**
- * The client's side of one stream: HEADER until its PROXY header has come, OPENING while a server is found,
- * OPEN, and CLOSED from any of these. What the client sends before it is open is held, within the bound.
+ * The client's side of one stream. It waits for the client's PROXY header where the listener expects one, has
+ * the core find a server, and then passes the client's bytes to the {@link StreamSplice}. Bytes that arrive
+ * before the stream is open are buffered; beyond the buffer's limit the client is not read from. Confined to
+ * the event loop.
  */
 final class ClientStream extends ChannelInboundHandlerAdapter implements ResponseListener<ServerLink> {
     private static final Logger LOG = LoggerFactory.getLogger("tcp");
-    /** A PROXY header comes with the connection. */
-    private static final long HEADER_TIME = 3_000_000_000L;
+    /** How long a client may take to send its PROXY header. */
+    private static final long PROXY_HEADER_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(3);
 
+    /** Any state may be followed by CLOSED; the others follow each other in this order. */
     private enum State {
-        HEADER,
+        AWAITING_PROXY_HEADER,
         OPENING,
         OPEN,
         CLOSED
     }
 
-    private final TcpFrontend owner;
+    private final TcpFrontend frontend;
     private final TcpSettings settings;
-    private final StreamCounters counts;
-    private final Scheduler time;
+    private final StreamCounters counters;
+    private final Scheduler scheduler;
     private final Channel channel;
-    private final InetAddress client;
-    private final ArrayDeque<ByteBuf> early = new ArrayDeque<>(1);
-    private State state = State.HEADER;
-    private long earlyBytes;
-    private boolean earlyEnd;
-    private Scheduler.Timer headerAlarm;
-    private long exchange;
-    private StreamSplice relay;
+    private final InetAddress clientAddress;
+    private final EarlyClientData earlyData = new EarlyClientData();
+    private State state = State.AWAITING_PROXY_HEADER;
+    private Scheduler.Timer proxyHeaderTimer;
+    private long exchangeId;
+    private StreamSplice splice;
 
+    /** Creates the handler of {@code channel}, whose peer is at {@code clientAddress}. */
     ClientStream(
-            TcpFrontend owner,
+            TcpFrontend frontend,
             TcpSettings settings,
-            StreamCounters counts,
-            Scheduler time,
+            StreamCounters counters,
+            Scheduler scheduler,
             Channel channel,
-            InetAddress client) {
-        this.owner = owner;
+            InetAddress clientAddress) {
+        this.frontend = frontend;
         this.settings = settings;
-        this.counts = counts;
-        this.time = time;
+        this.counters = counters;
+        this.scheduler = scheduler;
         this.channel = channel;
-        this.client = client;
+        this.clientAddress = clientAddress;
+    }
+
+    /** Returns the peer's address, which a PROXY header doesn't change. */
+    InetAddress clientAddress() {
+        return clientAddress;
     }
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
-        if (settings.proxyIn()) {
-            // The codec closes by itself, at once, where a header is malformed.
-            linger(settings.refusal() == TcpSettings.Refusal.RESET ? 0 : -1);
-            headerAlarm = time.schedule(HEADER_TIME, () -> {
-                if (state == State.HEADER) {
-                    refuse(Refused.PROXY_HEADER_LATE);
-                }
-            });
+        if (settings.expectProxyHeader()) {
+            awaitProxyHeader();
         } else {
-            submit(direct());
+            submit(connectionAddresses());
         }
     }
 
-    private void linger(int seconds) {
-        channel.config().setOption(ChannelOption.SO_LINGER, seconds);
+    private void awaitProxyHeader() {
+        // The decoder closes the channel itself, at once, when a header is malformed.
+        if (settings.rejectionMode() == TcpSettings.RejectionMode.RESET) {
+            ChannelCloser.resetOnClose(channel);
+        } else {
+            ChannelCloser.endOrderlyOnClose(channel);
+        }
+        proxyHeaderTimer = scheduler.schedule(PROXY_HEADER_TIMEOUT_NANOS, () -> {
+            if (state == State.AWAITING_PROXY_HEADER) {
+                reject(RejectReason.PROXY_HEADER_LATE);
+            }
+        });
     }
 
-    private StreamRequest direct() {
+    private StreamRequest connectionAddresses() {
         return new StreamRequest(
                 (InetSocketAddress) channel.remoteAddress(), (InetSocketAddress) channel.localAddress());
     }
 
-    private void submit(StreamRequest opening) {
+    private void submit(StreamRequest request) {
         state = State.OPENING;
-        long number = owner.submit(opening, this);
-        // It may have been refused, or even opened, within that call.
+        long submittedId = frontend.submit(request, this);
+        // The core may have rejected or even opened the stream within that call.
         if (state != State.CLOSED) {
-            exchange = number;
+            exchangeId = submittedId;
         }
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
         if (message instanceof HAProxyMessage header) {
-            headerAlarm.cancel();
-            StreamRequest told = ProxyHeader.read(header);
-            header.release();
-            if (state == State.HEADER) {
-                linger(-1);
-                submit(told == null ? direct() : told);
-            }
+            proxyHeaderReceived(header);
             return;
         }
         ByteBuf bytes = (ByteBuf) message;
         switch (state) {
-            case OPEN -> relay.fromClient(bytes);
-            case OPENING -> {
-                earlyBytes += bytes.readableBytes();
-                early.add(bytes);
-                if (earlyBytes > settings.buffer()) {
-                    channel.config().setAutoRead(false);
-                }
-            }
+            case OPEN -> splice.receivedFromClient(bytes);
+            case OPENING -> bufferEarlyData(bytes);
             default -> ReferenceCountUtil.release(message);
         }
     }
 
+    private void proxyHeaderReceived(HAProxyMessage header) {
+        proxyHeaderTimer.cancel();
+        StreamRequest request = ProxyHeader.decode(header).orElseGet(this::connectionAddresses);
+        header.release();
+        if (state == State.AWAITING_PROXY_HEADER) {
+            ChannelCloser.endOrderlyOnClose(channel);
+            submit(request);
+        }
+    }
+
+    private void bufferEarlyData(ByteBuf bytes) {
+        earlyData.add(bytes);
+        if (earlyData.exceeds(settings.maxBufferedBytes())) {
+            channel.config().setAutoRead(false);
+        }
+    }
+
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
         if (state == State.OPEN) {
-            relay.clientRead();
+            splice.clientReadCompleted();
         }
     }
 
@@ -137,88 +152,81 @@
     public void userEventTriggered(ChannelHandlerContext context, Object event) {
         if (event instanceof ChannelInputShutdownEvent) {
             switch (state) {
-                case OPEN -> relay.clientEnded();
-                case OPENING -> earlyEnd = true;
+                case OPEN -> splice.clientEnded();
+                case OPENING -> earlyData.end();
                 default -> channel.close();
             }
         }
     }
 
+    /** The connection to a server is up: joins the two connections and forwards what came early. */
     @Override
-    public void responseStarted(ServerLink link, long length, FlowControl rest) {
+    public void responseStarted(ServerLink server, long length, FlowControl flowControl) {
         state = State.OPEN;
-        relay = new StreamSplice(time, settings, owner.budget(), counts, channel, link.channel(), how -> {
-            state = State.CLOSED;
-            link.ended(how);
-        });
-        link.join(relay);
-        relay.open();
-        if (owner.ending()) {
-            relay.draining(settings.grace());
-        }
-        while (!early.isEmpty()) {
-            relay.fromClient(early.poll());
-        }
-        relay.clientRead();
-        if (earlyEnd) {
-            relay.clientEnded();
+        splice = new StreamSplice(
+                scheduler, settings, frontend.budget(), counters, channel, server.channel(), endReason -> {
+                    state = State.CLOSED;
+                    server.streamEnded(endReason);
+                });
+        server.join(splice);
+        splice.open();
+        if (frontend.isShuttingDown()) {
+            splice.drain(settings.drainGraceNanos());
         }
-        if (earlyBytes > settings.buffer() && !relay.clientPaused()) {
+        earlyData.forwardTo(splice);
+        if (earlyData.exceeds(settings.maxBufferedBytes()) && !splice.isClientReadPaused()) {
             channel.config().setAutoRead(true);
         }
-        link.channel().config().setAutoRead(true);
+        server.channel().config().setAutoRead(true);
     }
 
-    /** This process takes no more: the stream may run on for the grace. */
-    void draining() {
+    /** The process drains: an open stream ends when its grace is over. */
+    void drain() {
         if (state == State.OPEN) {
-            relay.draining(settings.grace());
+            splice.drain(settings.drainGraceNanos());
         }
     }
 
-    /** This process ends, and who calls is not known yet. */
-    void ending() {
-        if (state == State.HEADER) {
-            refuse(Refused.ENDING);
+    /** The process shuts down: rejects a client whose PROXY header has not come yet. */
+    void rejectIfAwaitingProxyHeader() {
+        if (state == State.AWAITING_PROXY_HEADER) {
+            reject(RejectReason.ENDING);
         }
     }
 
-    InetAddress client() {
-        return client;
-    }
-
-    /** Not taken: told as the operator wishes. */
-    void refuse(Refused why) {
-        counts.refused(why);
+    /** Counts the rejection and closes the connection in the way that the listener is set to. */
+    void reject(RejectReason reason) {
+        counters.streamRejected(reason);
         state = State.CLOSED;
-        StreamSplice.end(channel, settings.refusal() == TcpSettings.Refusal.RESET);
+        boolean reset = settings.rejectionMode() == TcpSettings.RejectionMode.RESET;
+        ChannelCloser.close(channel, reset ? CloseMode.RESET : CloseMode.ORDERLY);
     }
 
     @Override
-    public void rejected(long wait) {
-        refuse(owner.serverReady() ? Refused.CONNECT_FAILED : Refused.NO_SERVER);
+    public void rejected(long retryAfterNanos) {
+        reject(frontend.hasReadyServer() ? RejectReason.CONNECT_FAILED : RejectReason.NO_SERVER);
     }
 
     @Override
     public void failed() {
-        refuse(Refused.CONNECT_FAILED);
+        reject(RejectReason.CONNECT_FAILED);
     }
 
-    /** The relay has seen to it already. */
+    /** Does nothing: the splice has ended the stream before it completed the attempt. */
     @Override
     public void responseCompleted() {}
 
-    /** The server's connection was taken away under the stream. */
+    /** The core has closed the server's connection, which the client sees as a reset. */
     @Override
     public void responseAborted() {
         if (state == State.OPEN) {
-            relay.serverReset();
+            splice.serverReset();
         }
     }
 
     @Override
-    public void responseReceived(ServerLink answer) {
-        throw new IllegalStateException("a stream that never began");
+    public void responseReceived(ServerLink server) {
+        throw new IllegalStateException("a stream's response was received without being started");
     }
 
     @Override
@@ -228,44 +236,37 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        lost();
-        owner.left(this);
+        connectionLost();
+        frontend.streamClosed(this);
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        if (cause instanceof DecoderException && state == State.HEADER) {
-            headerAlarm.cancel();
-            refuse(Refused.BAD_PROXY_HEADER);
+        if (cause instanceof DecoderException && state == State.AWAITING_PROXY_HEADER) {
+            proxyHeaderTimer.cancel();
+            reject(RejectReason.BAD_PROXY_HEADER);
             return;
         }
         if (!(cause instanceof IOException)) {
             LOG.error("stream failed", cause);
         }
-        lost();
+        connectionLost();
         channel.close();
     }
 
-    private void lost() {
-        State was = state;
-        early.forEach(ByteBuf::release);
-        early.clear();
-        if (headerAlarm != null) {
-            headerAlarm.cancel();
+    private void connectionLost() {
+        earlyData.release();
+        if (proxyHeaderTimer != null) {
+            proxyHeaderTimer.cancel();
         }
-        switch (was) {
-            case OPEN -> relay.clientReset();
+        switch (state) {
+            case OPEN -> splice.clientReset();
             case OPENING -> {
                 state = State.CLOSED;
-                counts.ended(Ended.LEFT_BEFORE_OPEN);
-                owner.hangup(exchange);
+                counters.streamEnded(EndReason.LEFT_BEFORE_OPEN);
+                frontend.clientDisconnected(exchangeId);
             }
             default -> state = State.CLOSED;
         }
     }
-
-    /** What reads a PROXY header in front of this handler. */
-    static HAProxyMessageDecoder headerDecoder() {
-        return new HAProxyMessageDecoder();
-    }
 }
--- a/tcp/src/main/java/topazvalve/tcp/HalfStream.java
+++ b/tcp/src/main/java/topazvalve/tcp/HalfStream.java
@@ -9,8 +9,9 @@
 import java.util.function.LongConsumer;
 
 /**
- * One direction of a stream: FLOWING, then ENDING once its sender has no more and what is held still has to
- * go, then ENDED. Reading stops while more than the bound is held.
+ * One direction of a stream, from a sender's connection to a receiver's. It flows until its sender ends, then
+ * writes what is still buffered, and has ended when the receiver's half is shut down. The sender is not read
+ * from while more than the limit is buffered. Confined to the event loop.
  */
 final class HalfStream {
     private enum State {
@@ -19,61 +20,77 @@
         ENDED
     }
 
-    private final Channel from;
-    private final Channel to;
-    private final IntSupplier most;
-    private final LongConsumer onMoved;
+    private final Channel sender;
+    private final Channel receiver;
+    private final IntSupplier maxBufferedBytes;
+    private final LongConsumer onBytesWritten;
     private final Runnable onEnded;
     private State state = State.FLOWING;
-    private long held;
-    private boolean paused;
+    private long bufferedBytes;
+    private boolean readPaused;
 
-    /** From one connection to the other, holding {@code most} bytes and what one read may bring. */
-    HalfStream(Channel from, Channel to, IntSupplier most, LongConsumer onMoved, Runnable onEnded) {
-        this.from = from;
-        this.to = to;
-        this.most = most;
-        this.onMoved = onMoved;
+    /**
+     * Creates a direction that buffers up to {@code maxBufferedBytes} bytes and what one read brings beyond.
+     *
+     * @param onBytesWritten called with the size in bytes of each buffer that the receiver's socket has taken
+     * @param onEnded called once, when the receiver's half is shut down
+     */
+    HalfStream(
+            Channel sender,
+            Channel receiver,
+            IntSupplier maxBufferedBytes,
+            LongConsumer onBytesWritten,
+            Runnable onEnded) {
+        this.sender = sender;
+        this.receiver = receiver;
+        this.maxBufferedBytes = maxBufferedBytes;
+        this.onBytesWritten = onBytesWritten;
         this.onEnded = onEnded;
     }
 
-    /** Bytes have come; takes the buffer over. They go out with {@link #flush}. */
-    void pass(ByteBuf bytes) {
+    /** Takes over {@code bytes} and queues them for the receiver; {@link #flush} sends them. */
+    void write(ByteBuf bytes) {
         if (state != State.FLOWING) {
             bytes.release();
             return;
         }
         int size = bytes.readableBytes();
-        held += size;
-        to.write(bytes).addListener(done -> {
-            held -= size;
-            if (done.isSuccess()) {
-                onMoved.accept(size);
-                if (paused && held <= most.getAsInt() / 2 && state == State.FLOWING) {
-                    paused = false;
-                    from.config().setAutoRead(true);
-                }
+        bufferedBytes += size;
+        receiver.write(bytes).addListener(write -> {
+            bufferedBytes -= size;
+            if (write.isSuccess()) {
+                onBytesWritten.accept(size);
+                resumeReadingIfDrained();
             }
         });
-        if (held > most.getAsInt() && !paused) {
-            paused = true;
-            from.config().setAutoRead(false);
+        if (bufferedBytes > maxBufferedBytes.getAsInt() && !readPaused) {
+            readPaused = true;
+            sender.config().setAutoRead(false);
         }
     }
 
+    /** Reading goes on at half the limit, so that it doesn't stop and start with every write. */
+    private void resumeReadingIfDrained() {
+        if (readPaused && bufferedBytes <= maxBufferedBytes.getAsInt() / 2 && state == State.FLOWING) {
+            readPaused = false;
+            sender.config().setAutoRead(true);
+        }
+    }
+
+    /** Sends what {@link #write} has queued. */
     void flush() {
-        to.flush();
+        receiver.flush();
     }
 
-    /** The sender has ended in order: so is the receiver told, behind all that was sent. */
+    /** Shuts down the receiver's half behind all that was written; further calls do nothing. */
     void end() {
         if (state != State.FLOWING) {
             return;
         }
         state = State.ENDING;
-        to.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener((ChannelFutureListener) done -> {
-            if (done.isSuccess()) {
-                ((DuplexChannel) to).shutdownOutput().addListener(shut -> ended());
+        receiver.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener((ChannelFutureListener) write -> {
+            if (write.isSuccess()) {
+                ((DuplexChannel) receiver).shutdownOutput().addListener(shutdown -> ended());
             }
         });
     }
@@ -85,12 +102,13 @@
         }
     }
 
-    boolean over() {
+    /** Returns whether the receiver got all bytes and the end of its half. */
+    boolean hasEnded() {
         return state == State.ENDED;
     }
 
-    /** Whether its sender is read from no more, since the receiver is slow. */
-    boolean paused() {
-        return paused;
+    /** Returns whether the sender is not read from because the receiver is slow. */
+    boolean isReadPaused() {
+        return readPaused;
     }
 }
--- a/tcp/src/main/java/topazvalve/tcp/ProxyHeader.java
+++ b/tcp/src/main/java/topazvalve/tcp/ProxyHeader.java
@@ -8,52 +8,61 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
+import java.util.Optional;
 
-/** The PROXY header, versions 1 and 2 (the PROXY protocol, HAProxy's specification of 2020-03-05). */
+/** Converts PROXY headers, versions 1 and 2 (the PROXY protocol, HAProxy's specification of 2020-03-05). */
 final class ProxyHeader {
+    private static final String IPV4_MAPPED_PREFIX = "::ffff:";
+
     private ProxyHeader() {}
 
-    /** Tells a server who called whom; both addresses in one family, as the header wants them. */
-    static HAProxyMessage of(StreamRequest opening, int version) {
-        boolean six = opening.caller().getAddress() instanceof Inet6Address
-                || opening.called().getAddress() instanceof Inet6Address;
+    /** Returns the header of {@code version} 1 or 2 for a request; both addresses are of one family, as it demands. */
+    static HAProxyMessage encode(StreamRequest request, int version) {
+        boolean ipv6 = isIpv6(request.source()) || isIpv6(request.destination());
         return new HAProxyMessage(
                 version == 1 ? HAProxyProtocolVersion.V1 : HAProxyProtocolVersion.V2,
                 HAProxyCommand.PROXY,
-                six ? HAProxyProxiedProtocol.TCP6 : HAProxyProxiedProtocol.TCP4,
-                text(opening.caller(), six),
-                text(opening.called(), six),
-                opening.caller().getPort(),
-                opening.called().getPort());
+                ipv6 ? HAProxyProxiedProtocol.TCP6 : HAProxyProxiedProtocol.TCP4,
+                addressText(request.source(), ipv6),
+                addressText(request.destination(), ipv6),
+                request.source().getPort(),
+                request.destination().getPort());
+    }
+
+    private static boolean isIpv6(InetSocketAddress address) {
+        return address.getAddress() instanceof Inet6Address;
+    }
+
+    private static String addressText(InetSocketAddress address, boolean ipv6) {
+        String text = withoutZone(address.getAddress().getHostAddress());
+        return ipv6 && !isIpv6(address) ? IPV4_MAPPED_PREFIX + text : text;
     }
 
-    private static String text(InetSocketAddress address, boolean six) {
-        String text = address.getAddress().getHostAddress();
-        int zone = text.indexOf('%');
-        text = zone < 0 ? text : text.substring(0, zone);
-        return six && !(address.getAddress() instanceof Inet6Address) ? "::ffff:" + text : text;
+    private static String withoutZone(String address) {
+        int zoneStart = address.indexOf('%');
+        return zoneStart < 0 ? address : address.substring(0, zoneStart);
     }
 
-    /** Who called whom, as a header says; null where it says nothing (LOCAL, UNKNOWN, unix sockets). */
-    static StreamRequest read(HAProxyMessage header) {
+    /** Returns the addresses in a header; empty where it has none (LOCAL, UNKNOWN, unix sockets). */
+    static Optional<StreamRequest> decode(HAProxyMessage header) {
         if (header.command() != HAProxyCommand.PROXY || header.sourceAddress() == null) {
-            return null;
+            return Optional.empty();
         }
         return switch (header.proxiedProtocol()) {
             case TCP4, TCP6 ->
-                new StreamRequest(
-                        address(header.sourceAddress(), header.sourcePort()),
-                        address(header.destinationAddress(), header.destinationPort()));
-            default -> null;
+                Optional.of(new StreamRequest(
+                        socketAddress(header.sourceAddress(), header.sourcePort()),
+                        socketAddress(header.destinationAddress(), header.destinationPort())));
+            default -> Optional.empty();
         };
     }
 
-    /** The codec has checked that it is a numeric address, so that no name is looked up. */
-    private static InetSocketAddress address(String text, int port) {
+    /** The decoder has checked that {@code address} is numeric, so no name is looked up. */
+    private static InetSocketAddress socketAddress(String address, int port) {
         try {
-            return new InetSocketAddress(InetAddress.getByName(text), port);
+            return new InetSocketAddress(InetAddress.getByName(address), port);
         } catch (UnknownHostException e) {
-            throw new IllegalArgumentException("not an address: " + text, e);
+            throw new IllegalArgumentException("not an address: " + address, e);
         }
     }
 }
--- a/tcp/src/main/java/topazvalve/tcp/ServerLink.java
+++ b/tcp/src/main/java/topazvalve/tcp/ServerLink.java
@@ -1,16 +1,16 @@
 package topazvalve.tcp;
 
 import io.netty.channel.Channel;
-import topazvalve.tcp.StreamCounters.Ended;
+import topazvalve.tcp.StreamCounters.EndReason;
 
 /** A connection to a server on which a stream may begin. */
 interface ServerLink {
-    /** The connection; nothing is read from it yet. */
+    /** Returns the connection; nothing is read from it before the stream begins. */
     Channel channel();
 
-    /** From now on this is told what comes from the server. */
-    void join(StreamSplice relay);
+    /** Passes what the server sends to {@code splice} from now on. */
+    void join(StreamSplice splice);
 
-    /** The stream has ended. */
-    void ended(Ended how);
+    /** Ends the core's attempt and closes the connection, after the stream has ended. */
+    void streamEnded(EndReason reason);
 }
--- a/tcp/src/main/java/topazvalve/tcp/StreamCounters.java
+++ b/tcp/src/main/java/topazvalve/tcp/StreamCounters.java
@@ -4,98 +4,114 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** What one listener did since it began; on the event loop alone. */
+/** Counts the streams and bytes of one listener since it started. Confined to the event loop. */
 public final class StreamCounters {
-    /** Why a stream was not taken. */
-    public enum Refused {
+    /** Why a stream was rejected. The constants' names are part of the metrics' names. */
+    public enum RejectReason {
+        /** The listener has as many streams as it may. */
         STREAMS_FULL,
+        /** The client's address has as many streams as it may. */
         CLIENT_FULL,
+        /** All servers drain. */
         NO_SERVER,
+        /** No connection to a server came up in time. */
         CONNECT_FAILED,
+        /** The PROXY header was malformed. */
         BAD_PROXY_HEADER,
+        /** The PROXY header did not come in time. */
         PROXY_HEADER_LATE,
+        /** The process shuts down. */
         ENDING
     }
 
-    /** How a stream that was open ended. */
-    public enum Ended {
+    /** How a stream ended. The constants' names are part of the metrics' names. */
+    public enum EndReason {
+        /** Both peers ended their halves. */
         ORDERLY,
+        /** The client's connection was reset or lost. */
         CLIENT_RESET,
+        /** The server's connection was reset or lost. */
         SERVER_RESET,
+        /** Nothing was sent for the idle timeout. */
         IDLE,
+        /** The stream reached its longest lifetime. */
         TOTAL,
+        /** The server or this process drained, and the grace was over. */
         DRAINED,
+        /** The client went away before a server was found. */
         LEFT_BEFORE_OPEN
     }
 
-    private final Map<Refused, Long> refused = new EnumMap<>(Refused.class);
-    private final Map<Ended, Long> ended = new EnumMap<>(Ended.class);
-    private long taken;
-    private long open;
-    private long toServers;
-    private long toClients;
+    private static final String METRIC_PREFIX = "app.tcp.";
 
-    void taken() {
-        taken++;
-        open++;
+    private final Map<RejectReason, Long> rejected = new EnumMap<>(RejectReason.class);
+    private final Map<EndReason, Long> ended = new EnumMap<>(EndReason.class);
+    private long accepted;
+    private long openStreams;
+    private long bytesToServers;
+    private long bytesToClients;
+
+    void streamAccepted() {
+        accepted++;
+        openStreams++;
     }
 
-    void refused(Refused why) {
-        refused.merge(why, 1L, Long::sum);
+    void streamRejected(RejectReason reason) {
+        rejected.merge(reason, 1L, Long::sum);
     }
 
-    void ended(Ended how) {
-        ended.merge(how, 1L, Long::sum);
+    void streamEnded(EndReason reason) {
+        ended.merge(reason, 1L, Long::sum);
     }
 
-    void closed() {
-        open--;
+    /** An accepted stream's client connection is closed. */
+    void streamClosed() {
+        openStreams--;
     }
 
-    void toServers(long bytes) {
-        toServers += bytes;
+    void bytesSentToServer(long bytes) {
+        bytesToServers += bytes;
     }
 
-    void toClients(long bytes) {
-        toClients += bytes;
+    void bytesSentToClient(long bytes) {
+        bytesToClients += bytes;
     }
 
-    /** Streams that were taken up and are not closed yet. */
-    public long open() {
-        return open;
+    /** Returns the number of streams that were accepted and whose client connection is not closed yet. */
+    public long openStreams() {
+        return openStreams;
     }
 
-    /** How many were not taken for this reason. */
-    public long of(Refused why) {
-        return refused.getOrDefault(why, 0L);
+    /** Returns how many streams were rejected for {@code reason}. */
+    public long count(RejectReason reason) {
+        return rejected.getOrDefault(reason, 0L);
     }
 
-    /** How many have ended so. */
-    public long of(Ended how) {
-        return ended.getOrDefault(how, 0L);
+    /** Returns how many streams ended for {@code reason}. */
+    public long count(EndReason reason) {
+        return ended.getOrDefault(reason, 0L);
     }
 
-    /** One {@code app.tcp.LISTENER.NAME=value} a line. */
-    public void print(String listener, StringBuilder to) {
-        line(to, listener, "taken", taken);
-        line(to, listener, "open", open);
-        line(to, listener, "bytes_to_servers", toServers);
-        line(to, listener, "bytes_to_clients", toClients);
-        for (Refused why : Refused.values()) {
-            line(to, listener, "refused." + why.name().toLowerCase(Locale.ROOT), of(why));
+    /** Appends one line {@code app.tcp.LISTENER.NAME=value} for each metric. */
+    public void print(String listenerName, StringBuilder out) {
+        String prefix = METRIC_PREFIX + listenerName + '.';
+        appendMetric(out, prefix, "taken", accepted);
+        appendMetric(out, prefix, "open", openStreams);
+        appendMetric(out, prefix, "bytes_to_servers", bytesToServers);
+        appendMetric(out, prefix, "bytes_to_clients", bytesToClients);
+        for (RejectReason reason : RejectReason.values()) {
+            appendMetric(out, prefix, "refused." + lowerCase(reason), count(reason));
         }
-        for (Ended how : Ended.values()) {
-            line(to, listener, "ended." + how.name().toLowerCase(Locale.ROOT), of(how));
+        for (EndReason reason : EndReason.values()) {
+            appendMetric(out, prefix, "ended." + lowerCase(reason), count(reason));
         }
     }
 
-    private static void line(StringBuilder to, String listener, String name, long value) {
-        to.append("app.tcp.")
-                .append(listener)
-                .append('.')
-                .append(name)
-                .append('=')
-                .append(value)
-                .append('\n');
+    private static String lowerCase(Enum<?> constant) {
+        return constant.name().toLowerCase(Locale.ROOT);
+    }
+
+    private static void appendMetric(StringBuilder out, String prefix, String name, long value) {
+        out.append(prefix).append(name).append('=').append(value).append('\n');
     }
 }
--- a/tcp/src/main/java/topazvalve/tcp/StreamSplice.java
+++ b/tcp/src/main/java/topazvalve/tcp/StreamSplice.java
@@ -2,192 +2,199 @@
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
-import io.netty.channel.ChannelFutureListener;
-import io.netty.channel.ChannelOption;
+import java.util.concurrent.TimeUnit;
 import topazvalve.core.stream.ByteBudget;
 import topazvalve.core.time.Scheduler;
-import topazvalve.tcp.StreamCounters.Ended;
+import topazvalve.tcp.ChannelCloser.CloseMode;
+import topazvalve.tcp.StreamCounters.EndReason;
 
 /**
- * An open stream: two connections and a direction each way. OPEN, then CLOSED once; its end is told once.
- * A half that ends in order is passed on as such, a reset as a reset.
+ * An open stream: two connections, and a {@link HalfStream} in each direction. It is closed once and notifies
+ * its listener once. An orderly end of one half is passed on as such, a reset as a reset. Confined to the
+ * event loop.
  */
 final class StreamSplice {
-    /** After an order to end, so long for the far sides to end theirs. */
-    private static final long LINGER = 1_000_000_000;
+    /** How long both peers may take to end their halves after this process has ended them. */
+    private static final long LINGER_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-    private final Scheduler time;
+    private final Scheduler scheduler;
     private final TcpSettings settings;
     private final ByteBudget budget;
-    private final StreamCounters counts;
+    private final StreamCounters counters;
     private final Channel client;
     private final Channel server;
-    private final HalfStream up;
-    private final HalfStream down;
+    private final HalfStream toServer;
+    private final HalfStream toClient;
     private final EndListener listener;
-    private Scheduler.Timer idleAlarm;
-    private Scheduler.Timer totalAlarm;
-    private Scheduler.Timer graceAlarm;
-    private long movedAt;
-    /** Why both halves are being ended; null if nobody has said so. */
-    private Ended ordered;
+    private Scheduler.Timer idleTimer;
+    private Scheduler.Timer lifetimeTimer;
+    private Scheduler.Timer drainTimer;
+    private long lastActivityNanos;
+    /** Why this process is ending both halves; null while it is not. */
+    private EndReason pendingEndReason;
 
     private boolean closed;
 
-    /** Is told how a stream ended. */
+    /** Is notified of the end of a stream. */
     interface EndListener {
-        void ended(Ended how);
+        /** The stream has ended and both connections are being closed. */
+        void ended(EndReason reason);
     }
 
+    /** Creates the splice of two connections; {@link #open} begins it. */
     StreamSplice(
-            Scheduler time,
+            Scheduler scheduler,
             TcpSettings settings,
             ByteBudget budget,
-            StreamCounters counts,
+            StreamCounters counters,
             Channel client,
             Channel server,
             EndListener listener) {
-        this.time = time;
+        this.scheduler = scheduler;
         this.budget = budget;
         this.settings = settings;
-        this.counts = counts;
+        this.counters = counters;
         this.client = client;
         this.server = server;
         this.listener = listener;
-        up = new HalfStream(client, server, this::most, size -> moved(size, true), this::half);
-        down = new HalfStream(server, client, this::most, size -> moved(size, false), this::half);
+        toServer = new HalfStream(client, server, this::maxBufferedBytes, this::sentToServer, this::halfEnded);
+        toClient = new HalfStream(server, client, this::maxBufferedBytes, this::sentToClient, this::halfEnded);
     }
 
-    /** What a direction may hold now: its own bound, or its share where many streams are open. */
-    private int most() {
-        return Math.min(settings.buffer(), budget.quotaBytes());
+    /** What a direction may buffer: its own limit, or its quota where many streams are open. */
+    private int maxBufferedBytes() {
+        return Math.min(settings.maxBufferedBytes(), budget.quotaBytes());
     }
 
+    /** Begins the stream: claims its part of the budget and starts the timers that are set. */
     void open() {
         budget.register();
-        movedAt = time.now();
-        if (settings.idle() > 0) {
-            idleAlarm = time.schedule(settings.idle(), this::checkIdle);
+        lastActivityNanos = scheduler.now();
+        if (settings.idleTimeoutNanos() > 0) {
+            idleTimer = scheduler.schedule(settings.idleTimeoutNanos(), this::checkIdle);
         }
-        if (settings.total() > 0) {
-            totalAlarm = time.schedule(settings.total(), () -> endInOrder(Ended.TOTAL));
+        if (settings.maxLifetimeNanos() > 0) {
+            lifetimeTimer = scheduler.schedule(settings.maxLifetimeNanos(), () -> endInOrder(EndReason.TOTAL));
         }
     }
 
-    private void moved(long size, boolean toServer) {
-        movedAt = time.now();
-        if (toServer) {
-            counts.toServers(size);
-        } else {
-            counts.toClients(size);
-        }
+    private void sentToServer(long bytes) {
+        lastActivityNanos = scheduler.now();
+        counters.bytesSentToServer(bytes);
+    }
+
+    private void sentToClient(long bytes) {
+        lastActivityNanos = scheduler.now();
+        counters.bytesSentToClient(bytes);
     }
 
     private void checkIdle() {
-        long still = time.now() - movedAt;
-        if (still >= settings.idle()) {
-            endInOrder(Ended.IDLE);
+        long idleNanos = scheduler.now() - lastActivityNanos;
+        if (idleNanos >= settings.idleTimeoutNanos()) {
+            endInOrder(EndReason.IDLE);
         } else if (!closed) {
-            idleAlarm = time.schedule(settings.idle() - still, this::checkIdle);
+            idleTimer = scheduler.schedule(settings.idleTimeoutNanos() - idleNanos, this::checkIdle);
         }
     }
 
-    void fromClient(ByteBuf bytes) {
-        up.pass(bytes);
+    /** Takes over {@code bytes} from the client. */
+    void receivedFromClient(ByteBuf bytes) {
+        toServer.write(bytes);
     }
 
-    void fromServer(ByteBuf bytes) {
-        down.pass(bytes);
+    /** Takes over {@code bytes} from the server. */
+    void receivedFromServer(ByteBuf bytes) {
+        toClient.write(bytes);
     }
 
-    void clientRead() {
-        up.flush();
+    /** One read of the client's connection is complete: sends its bytes on. */
+    void clientReadCompleted() {
+        toServer.flush();
     }
 
-    void serverRead() {
-        down.flush();
+    /** One read of the server's connection is complete: sends its bytes on. */
+    void serverReadCompleted() {
+        toClient.flush();
     }
 
     /** The client sends no more. */
     void clientEnded() {
-        up.end();
+        toServer.end();
     }
 
     /** The server sends no more. */
     void serverEnded() {
-        down.end();
+        toClient.end();
     }
 
-    /** The far sides have both ended theirs and got all that was held. */
-    private void half() {
-        if (up.over() && down.over() && ordered == null) {
-            close(Ended.ORDERLY, false, false);
+    private void halfEnded() {
+        if (toServer.hasEnded() && toClient.hasEnded() && pendingEndReason == null) {
+            close(EndReason.ORDERLY, CloseMode.ORDERLY, CloseMode.ORDERLY);
         }
     }
 
+    /** The client's connection was reset or lost: resets the server's. */
     void clientReset() {
-        close(ordered == null ? Ended.CLIENT_RESET : ordered, false, true);
+        EndReason reason = pendingEndReason == null ? EndReason.CLIENT_RESET : pendingEndReason;
+        close(reason, CloseMode.ORDERLY, CloseMode.RESET);
     }
 
+    /** The server's connection was reset or lost: resets the client's. */
     void serverReset() {
-        close(ordered == null ? Ended.SERVER_RESET : ordered, true, false);
+        EndReason reason = pendingEndReason == null ? EndReason.SERVER_RESET : pendingEndReason;
+        close(reason, CloseMode.RESET, CloseMode.ORDERLY);
     }
 
-    /** The server or this process takes no more: the stream may run on for the grace. */
-    void draining(long grace) {
-        if (graceAlarm == null && !closed) {
-            graceAlarm = time.schedule(grace, () -> endInOrder(Ended.DRAINED));
+    /** The server or this process drains: ends the stream in order after {@code graceNanos}; the first call counts. */
+    void drain(long graceNanos) {
+        if (drainTimer == null && !closed) {
+            drainTimer = scheduler.schedule(graceNanos, () -> endInOrder(EndReason.DRAINED));
         }
     }
 
     /**
-     * Ends both halves behind what is held, and drops what still comes: closed with bytes unread, a
-     * connection is reset. A side that has not taken all by then is reset, so that it can tell.
+     * Ends both halves behind what is buffered, and discards what still arrives, since a connection that is
+     * closed with unread bytes is reset. A peer that has not taken all its bytes after the linger is reset.
      */
-    private void endInOrder(Ended how) {
-        if (closed || ordered != null) {
+    private void endInOrder(EndReason reason) {
+        if (closed || pendingEndReason != null) {
             return;
         }
-        ordered = how;
-        up.end();
-        down.end();
+        pendingEndReason = reason;
+        toServer.end();
+        toClient.end();
         client.config().setAutoRead(true);
         server.config().setAutoRead(true);
-        time.schedule(LINGER, () -> close(how, !down.over(), !up.over()));
+        scheduler.schedule(LINGER_NANOS, () -> close(reason, closeModeAfter(toClient), closeModeAfter(toServer)));
+    }
+
+    private static CloseMode closeModeAfter(HalfStream half) {
+        return half.hasEnded() ? CloseMode.ORDERLY : CloseMode.RESET;
     }
 
-    /** Closes both, as a reset where the other side has been seen to reset. */
-    private void close(Ended how, boolean resetClient, boolean resetServer) {
+    private void close(EndReason reason, CloseMode clientMode, CloseMode serverMode) {
         if (closed) {
             return;
         }
         closed = true;
         budget.unregister();
-        cancel(idleAlarm);
-        cancel(totalAlarm);
-        cancel(graceAlarm);
-        end(client, resetClient);
-        end(server, resetServer);
-        counts.ended(how);
-        listener.ended(how);
-    }
-
-    private static void cancel(Scheduler.Timer alarm) {
-        if (alarm != null) {
-            alarm.cancel();
-        }
-    }
-
-    /** Resets a connection, or ends it in order. */
-    static void end(Channel channel, boolean reset) {
-        if (reset && channel.isActive()) {
-            channel.config().setOption(ChannelOption.SO_LINGER, 0);
+        cancel(idleTimer);
+        cancel(lifetimeTimer);
+        cancel(drainTimer);
+        ChannelCloser.close(client, clientMode);
+        ChannelCloser.close(server, serverMode);
+        counters.streamEnded(reason);
+        listener.ended(reason);
+    }
+
+    private static void cancel(Scheduler.Timer timer) {
+        if (timer != null) {
+            timer.cancel();
         }
-        channel.close().addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
     }
 
-    /** Whether the client is not read from, since its server is slow. */
-    boolean clientPaused() {
-        return up.paused();
+    /** Returns whether the client is not read from because the server is slow. */
+    boolean isClientReadPaused() {
+        return toServer.isReadPaused();
     }
 }
--- a/tcp/src/main/java/topazvalve/tcp/TcpCodec.java
+++ b/tcp/src/main/java/topazvalve/tcp/TcpCodec.java
@@ -6,11 +6,11 @@
 import topazvalve.core.pool.PooledConnection;
 import topazvalve.policy.SettingsReader;
 
-/** Streams towards servers: each on a connection of its own. */
+/** Carries streams to servers, each on a connection of its own that is never reused. */
 final class TcpCodec implements Codec<StreamRequest, ServerLink> {
     private final Supplier<TcpSettings> settings;
 
-    /** New connections go by what the settings are then. */
+    /** Creates a codec whose new connections follow what {@code settings} returns at that moment. */
     TcpCodec(Supplier<TcpSettings> settings) {
         this.settings = settings;
     }
@@ -21,18 +21,19 @@
         return new TcpConnectionHandler(settings.get(), connection);
     }
 
-    /** A stream's bytes mean nothing here, so there is no question to ask: the module never probes. */
+    /** Is never called: an opaque stream has no health check, and the policy is set to send none. */
     @Override
     public HealthCheck<StreamRequest> healthCheck() {
-        throw new UnsupportedOperationException("probes of opaque streams");
+        throw new UnsupportedOperationException("health checks of opaque streams");
     }
 
-    /** None is lent twice. */
+    /** Returns 0, since no connection is reused. */
     @Override
     public long reuseDelayNanos() {
         return 0;
     }
 
+    /** Does nothing: the policy's settings don't concern connections of streams. */
     @Override
-    public void settingsChanged(SettingsReader options) {}
+    public void settingsChanged(SettingsReader reader) {}
 }
--- a/tcp/src/main/java/topazvalve/tcp/TcpConnectionHandler.java
+++ b/tcp/src/main/java/topazvalve/tcp/TcpConnectionHandler.java
@@ -16,14 +16,19 @@
 import topazvalve.core.pool.PooledConnection;
 import topazvalve.core.stream.FlowControl;
 import topazvalve.policy.LoadBalancer.Outcome;
-import topazvalve.tcp.StreamCounters.Ended;
+import topazvalve.tcp.StreamCounters.EndReason;
 
-/** The server's side of one stream: a connection that comes up is the answer's beginning. */
+/**
+ * The server's side of one stream. To the core, a connection that comes up is the beginning of a response,
+ * and the end of the stream is its outcome. Confined to the event loop.
+ */
 final class TcpConnectionHandler extends ChannelInboundHandlerAdapter
         implements ConnectionHandler<StreamRequest, ServerLink>, ServerLink {
     private static final Logger LOG = LoggerFactory.getLogger("tcp");
-    /** A relay stops and starts its two connections itself. */
-    private static final FlowControl NOT_ASKED = new FlowControl() {
+    /** The length of a response that nobody knows beforehand. */
+    private static final long UNKNOWN_LENGTH = -1;
+    /** Does nothing: a splice pauses and resumes its two connections itself. */
+    private static final FlowControl NO_FLOW_CONTROL = new FlowControl() {
         @Override
         public void pause() {}
 
@@ -35,34 +40,39 @@
     private final PooledConnection<StreamRequest, ServerLink> connection;
     private Channel channel;
     private Attempt<StreamRequest, ServerLink> attempt;
-    private StreamSplice relay;
+    private StreamSplice splice;
 
+    /** Creates the handler of a connection that is about to be made. */
     TcpConnectionHandler(TcpSettings settings, PooledConnection<StreamRequest, ServerLink> connection) {
         this.settings = settings;
         this.connection = connection;
     }
 
     @Override
-    public void configure(Channel made) {
-        channel = made;
-        made.config().setAutoRead(false);
-        made.config().setOption(ChannelOption.ALLOW_HALF_CLOSURE, true);
-        made.config().setOption(ChannelOption.SO_KEEPALIVE, settings.keepAlive());
-        made.pipeline().addLast(this);
+    public void configure(Channel newChannel) {
+        channel = newChannel;
+        newChannel.config().setAutoRead(false);
+        newChannel.config().setOption(ChannelOption.ALLOW_HALF_CLOSURE, true);
+        newChannel.config().setOption(ChannelOption.SO_KEEPALIVE, settings.keepAlive());
+        newChannel.pipeline().addLast(this);
     }
 
     @Override
-    public void startAttempt(Attempt<StreamRequest, ServerLink> opening) {
-        attempt = opening;
-        opening.writeStarted();
-        if (settings.proxyOut() > 0) {
-            channel.pipeline().addFirst(HAProxyMessageEncoder.INSTANCE);
-            channel.writeAndFlush(ProxyHeader.of(opening.message(), settings.proxyOut()));
-            channel.pipeline().remove(HAProxyMessageEncoder.INSTANCE);
+    public void startAttempt(Attempt<StreamRequest, ServerLink> newAttempt) {
+        attempt = newAttempt;
+        newAttempt.writeStarted();
+        if (settings.sentProxyHeaderVersion() > 0) {
+            writeProxyHeader(newAttempt.message());
         }
-        opening.handedOver();
-        opening.requestWritten();
-        opening.responseStarted(this, -1, NOT_ASKED);
+        newAttempt.handedOver();
+        newAttempt.requestWritten();
+        newAttempt.responseStarted(this, UNKNOWN_LENGTH, NO_FLOW_CONTROL);
+    }
+
+    private void writeProxyHeader(StreamRequest request) {
+        channel.pipeline().addFirst(HAProxyMessageEncoder.INSTANCE);
+        channel.writeAndFlush(ProxyHeader.encode(request, settings.sentProxyHeaderVersion()));
+        channel.pipeline().remove(HAProxyMessageEncoder.INSTANCE);
     }
 
     @Override
@@ -71,22 +81,19 @@
     }
 
     @Override
-    public void join(StreamSplice with) {
-        relay = with;
+    public void join(StreamSplice newSplice) {
+        splice = newSplice;
     }
 
     @Override
-    public void ended(Ended how) {
-        relay = null;
-        if (how == Ended.SERVER_RESET) {
-            attempt.complete(Outcome.RESET, null, Attempt.NO_LOAD);
-        } else {
-            attempt.complete(Outcome.OK, null, Attempt.NO_LOAD);
-        }
+    public void streamEnded(EndReason reason) {
+        splice = null;
+        Outcome outcome = reason == EndReason.SERVER_RESET ? Outcome.RESET : Outcome.OK;
+        attempt.complete(outcome, null, Attempt.NO_LOAD);
         connection.close();
     }
 
-    /** A stream leaves nothing behind that another could use. */
+    /** Returns true, so that the pool never reuses the connection of a stream. */
     @Override
     public boolean hasUnexpectedData() {
         return true;
@@ -94,8 +101,8 @@
 
     @Override
     public void draining() {
-        if (relay != null) {
-            relay.draining(settings.grace());
+        if (splice != null) {
+            splice.drain(settings.drainGraceNanos());
         }
     }
 
@@ -104,8 +111,8 @@
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
-        if (relay != null) {
-            relay.fromServer((ByteBuf) message);
+        if (splice != null) {
+            splice.receivedFromServer((ByteBuf) message);
         } else {
             ReferenceCountUtil.release(message);
         }
@@ -113,21 +120,21 @@
 
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
-        if (relay != null) {
-            relay.serverRead();
+        if (splice != null) {
+            splice.serverReadCompleted();
         }
     }
 
     @Override
     public void userEventTriggered(ChannelHandlerContext context, Object event) {
-        if (event instanceof ChannelInputShutdownEvent && relay != null) {
-            relay.serverEnded();
+        if (event instanceof ChannelInputShutdownEvent && splice != null) {
+            splice.serverEnded();
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        lost();
+        connectionLost();
     }
 
     @Override
@@ -135,12 +142,12 @@
         if (!(cause instanceof IOException)) {
             LOG.error("{}: connection failed", connection.address(), cause);
         }
-        lost();
+        connectionLost();
     }
 
-    private void lost() {
-        if (relay != null) {
-            relay.serverReset();
+    private void connectionLost() {
+        if (splice != null) {
+            splice.serverReset();
         } else if (attempt != null) {
             connection.close();
             attempt.connectionLost();
--- a/tcp/src/main/java/topazvalve/tcp/TcpFile.java
+++ b/tcp/src/main/java/topazvalve/tcp/TcpFile.java
@@ -8,13 +8,22 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
+import java.util.regex.Pattern;
 import topazvalve.core.net.Addresses;
 import topazvalve.toml.Table;
 import topazvalve.toml.TomlFile;
 
-/** The {@code [[listener]]} tables of the operator's file; {@code docs/tcp.md} describes each key. */
+/**
+ * Reads the {@code [[listener]]} tables of the operator's file. {@code docs/tcp.md} describes each key, with
+ * its default and range.
+ */
 public final class TcpFile {
-    private static final int LARGEST_BUFFER = 16 << 20;
+    private static final Pattern NAME = Pattern.compile("[a-z0-9_-]{0,32}");
+    private static final int MIN_BUFFER_BYTES = 1 << 10;
+    private static final int DEFAULT_BUFFER_BYTES = 64 << 10;
+    private static final int MAX_BUFFER_BYTES = 16 << 20;
+    private static final int MAX_ATTEMPTS = 4;
+    private static final int MAX_STREAMS = 1_000_000;
 
     /** What a listener speaks; others come with other protocols. */
     enum Protocol {
@@ -23,52 +32,53 @@
 
     private TcpFile() {}
 
-    /** Reads a file; {@link topazvalve.toml.InvalidFileException} if it has faults, and nothing of it holds. */
-    public static List<TcpSettings> read(Path file) throws IOException {
-        return parse(file.toString(), Files.readString(file));
+    /**
+     * Reads the file at {@code path}.
+     *
+     * @throws topazvalve.toml.InvalidFileException with every problem, if there is any
+     */
+    public static List<TcpSettings> read(Path path) throws IOException {
+        return parse(path.toString(), Files.readString(path));
     }
 
-    /** Reads a text; {@code name} stands for it in messages. */
+    /**
+     * Reads a file's text; {@code name} stands for the file in messages.
+     *
+     * @throws topazvalve.toml.InvalidFileException with every problem, if there is any
+     */
     public static List<TcpSettings> parse(String name, String text) {
         return TomlFile.parse(name, text, TcpFile::listeners);
     }
 
-    /** The listeners of a file that has other tables too. */
+    /** Reads the listeners of a file that may have other tables too; problems are recorded in {@code root}. */
     public static List<TcpSettings> listeners(Table root) {
         List<TcpSettings> listeners = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        Set<InetSocketAddress> places = new HashSet<>();
+        Set<InetSocketAddress> addresses = new HashSet<>();
         for (Table table : root.tables("listener", 0)) {
-            TcpSettings each = listener(table);
-            if (!names.add(each.name())) {
-                table.wrong("name", "\"" + each.name() + "\" is given twice");
+            TcpSettings listener = listener(table);
+            if (!names.add(listener.name())) {
+                table.wrong("name", "\"" + listener.name() + "\" is given twice");
             }
-            if (each.listen().getPort() != 0 && !places.add(each.listen())) {
+            if (listener.listen().getPort() != 0 && !addresses.add(listener.listen())) {
                 table.wrong("listen", "two listeners at one address");
             }
-            listeners.add(each);
+            listeners.add(listener);
         }
         return listeners;
     }
 
+    /** Problems are reported in the order in which the keys are read here. */
     private static TcpSettings listener(Table table) {
-        String name = table.text("name", null);
-        if (!name.matches("[a-z0-9_-]{0,32}")) {
-            table.wrong("name", "\"" + name + "\" is not 1 to 32 small letters, digits, - and _");
-        }
+        String name = name(table);
         table.choice(Protocol.class, "protocol", null);
         InetSocketAddress listen = address(table, "listen", table.text("listen", null));
         List<InetSocketAddress> servers = addresses(table, "servers", null);
         List<InetSocketAddress> draining = addresses(table, "draining", List.of());
-        if (servers.isEmpty()) {
-            table.wrong("servers", "is empty; at least one address and port");
-        }
-        if (!servers.containsAll(draining)) {
-            table.wrong("draining", "names what is not among the servers");
-        }
-        long connectTimeout = table.duration("connect_timeout", "1s", "1ms", "1m");
-        long connectDeadline = table.duration("connect_deadline", "3s", "1ms", "5m");
-        if (connectDeadline < connectTimeout) {
+        checkServers(table, servers, draining);
+        long connectTimeoutNanos = table.duration("connect_timeout", "1s", "1ms", "1m");
+        long connectDeadlineNanos = table.duration("connect_deadline", "3s", "1ms", "5m");
+        if (connectDeadlineNanos < connectTimeoutNanos) {
             table.wrong("connect_deadline", "is shorter than connect_timeout: no attempt could use its time");
         }
         return new TcpSettings(
@@ -76,24 +86,41 @@
                 listen,
                 servers,
                 draining,
-                connectTimeout,
-                connectDeadline,
-                table.whole("attempts", 3, 1, 4),
+                connectTimeoutNanos,
+                connectDeadlineNanos,
+                table.whole("attempts", 3, 1, MAX_ATTEMPTS),
                 table.duration("idle", "10m", "0", "1440m"),
                 table.duration("total", "0", "0", "1440m"),
                 table.duration("grace", "30s", "0", "60m"),
-                table.whole("most_streams", 10_000, 1, 1_000_000),
-                table.whole("most_per_client", 1_000, 1, 1_000_000),
-                table.whole("buffer", 64 << 10, 1 << 10, LARGEST_BUFFER),
+                table.whole("most_streams", 10_000, 1, MAX_STREAMS),
+                table.whole("most_per_client", 1_000, 1, MAX_STREAMS),
+                table.whole("buffer", DEFAULT_BUFFER_BYTES, MIN_BUFFER_BYTES, MAX_BUFFER_BYTES),
                 table.flag("keep_alive", true),
-                table.choice(TcpSettings.Refusal.class, "refusal", TcpSettings.Refusal.RESET),
+                table.choice(TcpSettings.RejectionMode.class, "refusal", TcpSettings.RejectionMode.RESET),
                 table.flag("proxy_in", false),
                 table.whole("proxy_out", 0, 0, 2));
     }
 
-    private static List<InetSocketAddress> addresses(Table table, String key, List<String> absent) {
+    private static String name(Table table) {
+        String name = table.text("name", null);
+        if (!NAME.matcher(name).matches()) {
+            table.wrong("name", "\"" + name + "\" is not 1 to 32 small letters, digits, - and _");
+        }
+        return name;
+    }
+
+    private static void checkServers(Table table, List<InetSocketAddress> servers, List<InetSocketAddress> draining) {
+        if (servers.isEmpty()) {
+            table.wrong("servers", "is empty; at least one address and port");
+        }
+        if (!servers.containsAll(draining)) {
+            table.wrong("draining", "names what is not among the servers");
+        }
+    }
+
+    private static List<InetSocketAddress> addresses(Table table, String key, List<String> defaults) {
         List<InetSocketAddress> addresses = new ArrayList<>();
-        for (String text : table.texts(key, absent)) {
+        for (String text : table.texts(key, defaults)) {
             InetSocketAddress address = address(table, key, text);
             if (addresses.contains(address)) {
                 table.wrong(key, text + " is given twice");
@@ -103,6 +130,7 @@
         return addresses;
     }
 
+    /** Returns a placeholder for text that is not an address, after recording the problem. */
     private static InetSocketAddress address(Table table, String key, String text) {
         InetSocketAddress address = Addresses.parse(text);
         if (address == null) {
--- a/tcp/src/main/java/topazvalve/tcp/TcpFrontend.java
+++ b/tcp/src/main/java/topazvalve/tcp/TcpFrontend.java
@@ -4,13 +4,11 @@
 import io.netty.channel.ChannelHandler;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
+import io.netty.handler.codec.haproxy.HAProxyMessageDecoder;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
-import java.util.HashMap;
-import java.util.LinkedHashSet;
-import java.util.List;
-import java.util.Map;
-import java.util.Set;
+import java.util.Optional;
+import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
 import topazvalve.core.Frontend;
@@ -20,132 +18,150 @@
 import topazvalve.core.stream.ByteBudget;
 import topazvalve.core.stream.RequestBody;
 import topazvalve.core.time.Scheduler;
-import topazvalve.tcp.StreamCounters.Refused;
+import topazvalve.tcp.StreamCounters.RejectReason;
 
-/** Takes streams, within a listener's limits, and hands each to the core as an exchange that runs once. */
+/**
+ * Accepts client connections within a listener's limits, and submits each to the core as an exchange that is
+ * never repeated. Confined to the event loop.
+ */
 final class TcpFrontend implements Frontend {
-    /** The one class of a listener's streams. */
-    static final String CLASS = "stream";
+    /** The request class of all streams of a listener. */
+    static final String REQUEST_CLASS = "stream";
+
+    private static final int NO_TENANT = 0;
+    private static final long NO_RESOURCE_KEY = 0;
+    private static final long UNKNOWN_COST_NANOS = 0;
+    /** What the core returns for an exchange that was rejected at once. */
+    private static final long NO_EXCHANGE = 0;
 
     private final ExchangeManager<StreamRequest, ServerLink> exchanges;
-    private final ClassTable classes;
+    private final ClassTable requestClasses;
     private final Supplier<TcpSettings> settings;
-    private final StreamCounters counts;
-    private final Scheduler time;
+    private final StreamCounters counters;
+    private final Scheduler scheduler;
     private final ByteBudget budget;
-    private final BooleanSupplier ending;
-    private final Set<ClientStream> streams = new LinkedHashSet<>();
-    private final Map<InetAddress, Integer> perClient = new HashMap<>();
+    private final BooleanSupplier shuttingDown;
+    private final StreamAdmission admission = new StreamAdmission();
 
+    /** Creates a frontend; every new stream follows what {@code settings} returns at that moment. */
     TcpFrontend(
             ExchangeManager<StreamRequest, ServerLink> exchanges,
-            ClassTable classes,
+            ClassTable requestClasses,
             Supplier<TcpSettings> settings,
-            StreamCounters counts,
-            Scheduler time,
+            StreamCounters counters,
+            Scheduler scheduler,
             ByteBudget budget,
-            BooleanSupplier ending) {
+            BooleanSupplier shuttingDown) {
         this.exchanges = exchanges;
-        this.classes = classes;
+        this.requestClasses = requestClasses;
         this.settings = settings;
-        this.counts = counts;
-        this.time = time;
+        this.counters = counters;
+        this.scheduler = scheduler;
         this.budget = budget;
-        this.ending = ending;
+        this.shuttingDown = shuttingDown;
     }
 
     @Override
     public ChannelHandler connectionInitializer() {
         return new ChannelInitializer<Channel>() {
             @Override
-            protected void initChannel(Channel made) {
-                TcpSettings now = settings.get();
-                InetSocketAddress caller = (InetSocketAddress) made.remoteAddress();
-                if (caller == null) {
-                    // Reset before it was taken up.
-                    made.close();
-                    return;
-                }
-                InetAddress client = caller.getAddress();
-                ClientStream stream = new ClientStream(TcpFrontend.this, now, counts, time, made, client);
-                Refused why = ending.getAsBoolean()
-                        ? Refused.ENDING
-                        : streams.size() >= now.mostStreams()
-                                ? Refused.STREAMS_FULL
-                                : perClient.getOrDefault(client, 0) >= now.mostPerClient() ? Refused.CLIENT_FULL : null;
-                if (why != null) {
-                    stream.refuse(why);
-                    return;
-                }
-                counts.taken();
-                streams.add(stream);
-                perClient.merge(client, 1, Integer::sum);
-                made.config().setOption(ChannelOption.ALLOW_HALF_CLOSURE, true);
-                made.config().setOption(ChannelOption.SO_KEEPALIVE, now.keepAlive());
-                if (now.proxyIn()) {
-                    made.pipeline().addLast(ClientStream.headerDecoder());
-                }
-                made.pipeline().addLast(stream);
+            protected void initChannel(Channel channel) {
+                accept(channel);
             }
         };
     }
 
-    long submit(StreamRequest opening, ClientStream stream) {
-        ClassTable.Entry kind = classes.find(CLASS);
+    private void accept(Channel channel) {
+        InetSocketAddress remoteAddress = (InetSocketAddress) channel.remoteAddress();
+        if (remoteAddress == null) {
+            // The client reset its connection before it was accepted.
+            channel.close();
+            return;
+        }
+        InetAddress client = remoteAddress.getAddress();
+        TcpSettings current = settings.get();
+        ClientStream stream = new ClientStream(this, current, counters, scheduler, channel, client);
+        Optional<RejectReason> rejectReason = admission.check(client, current, shuttingDown.getAsBoolean());
+        if (rejectReason.isPresent()) {
+            stream.reject(rejectReason.get());
+            return;
+        }
+        counters.streamAccepted();
+        admission.admit(stream);
+        configure(channel, current);
+        channel.pipeline().addLast(stream);
+    }
+
+    private static void configure(Channel channel, TcpSettings settings) {
+        channel.config().setOption(ChannelOption.ALLOW_HALF_CLOSURE, true);
+        channel.config().setOption(ChannelOption.SO_KEEPALIVE, settings.keepAlive());
+        if (settings.expectProxyHeader()) {
+            channel.pipeline().addLast(new HAProxyMessageDecoder());
+        }
+    }
+
+    /**
+     * Submits a stream to the core, which may call {@code stream} back before this returns. Returns the
+     * exchange's id for {@link #clientDisconnected}.
+     */
+    long submit(StreamRequest request, ClientStream stream) {
         return exchanges.submit(
                 new ExchangeRequest<>(
-                        kind,
-                        0,
-                        0,
-                        settings.get().connectDeadline() / 1_000_000,
-                        0,
+                        requestClasses.find(REQUEST_CLASS),
+                        NO_TENANT,
+                        NO_RESOURCE_KEY,
+                        TimeUnit.NANOSECONDS.toMillis(settings.get().connectDeadlineNanos()),
+                        UNKNOWN_COST_NANOS,
                         false,
                         true,
-                        opening,
+                        request,
                         RequestBody.of(new byte[0])),
                 stream);
     }
 
-    void hangup(long exchange) {
-        if (exchange != 0) {
-            exchanges.clientDisconnected(exchange);
+    /** The client of an exchange that has no response yet has gone away. */
+    void clientDisconnected(long exchangeId) {
+        if (exchangeId != NO_EXCHANGE) {
+            exchanges.clientDisconnected(exchangeId);
         }
     }
 
-    /** Whether any server takes streams. */
-    boolean serverReady() {
+    /** Returns whether any server is not draining. */
+    boolean hasReadyServer() {
         return settings.get().draining().size() < settings.get().servers().size();
     }
 
+    /** Returns the bound of the bytes that all streams may buffer. */
     ByteBudget budget() {
         return budget;
     }
 
-    boolean ending() {
-        return ending.getAsBoolean();
+    /** Returns whether the process is shutting down, so that new streams are rejected. */
+    boolean isShuttingDown() {
+        return shuttingDown.getAsBoolean();
     }
 
-    void left(ClientStream stream) {
-        if (streams.remove(stream)) {
-            counts.closed();
-            perClient.merge(stream.client(), -1, (have, less) -> have + less == 0 ? null : have + less);
+    /** The client connection of a stream is closed. */
+    void streamClosed(ClientStream stream) {
+        if (admission.release(stream)) {
+            counters.streamClosed();
         }
     }
 
-    /** Streams that are open may run on for their grace. */
+    /** Ends the open streams when their grace is over; new ones are still accepted. */
     void drain() {
-        List.copyOf(streams).forEach(ClientStream::draining);
+        admission.streams().forEach(ClientStream::drain);
     }
 
-    /** The same, and what has not said yet who calls is turned away. */
-    void end() {
+    /** Drains, and rejects the clients whose PROXY header has not come yet. */
+    void shutDown() {
         drain();
-        List.copyOf(streams).forEach(ClientStream::ending);
+        admission.streams().forEach(ClientStream::rejectIfAwaitingProxyHeader);
     }
 
     @Override
     public boolean isIdle() {
-        return streams.isEmpty();
+        return admission.isEmpty();
     }
 
     @Override
--- a/tcp/src/main/java/topazvalve/tcp/TcpProxy.java
+++ b/tcp/src/main/java/topazvalve/tcp/TcpProxy.java
@@ -18,13 +18,16 @@
 import topazvalve.policy.SettingsReader;
 import topazvalve.policy.SidecarPolicy;
 
-/** One listener's streams plugged into the core, with a decision module of their own for their servers. */
+/**
+ * Proxies the streams of one listener: the core with a policy instance of its own for the listener's servers.
+ * All methods are called on the event loop.
+ */
 public final class TcpProxy {
     /**
-     * What the module is set to. An aim is a part of the connect deadline; a stream runs once; servers are
-     * given half a share while they warm up, which is taken to be 5 s.
+     * The policy's settings, times in nanoseconds. The latency objective is the time-out of one connect; a
+     * stream is not idempotent; a server gets half its share while it warms up, for 5 s.
      */
-    private static final String SETTINGS = """
+    private static final String POLICY_SETTINGS = """
             quantum=0
             caps.mayCancel=true
             caps.mayProbe=false
@@ -46,101 +49,118 @@
             profiles.0.stream=true
             """;
 
-    private final StreamCounters counts = new StreamCounters();
+    /** The frontend limits the streams instead, by settings that can change while the process runs. */
+    private static final int UNLIMITED = Integer.MAX_VALUE;
+
+    private static final int ENDPOINT_WEIGHT = 1;
+    private static final long STARTED_LONG_AGO = 0;
+    /** The zone and machine kind of a server, which the file doesn't give. */
+    private static final String UNKNOWN = "";
+
+    private final StreamCounters counters = new StreamCounters();
     private final ExchangeManager<StreamRequest, ServerLink> exchanges;
-    private final TcpFrontend front;
+    private final TcpFrontend frontend;
     private TcpSettings settings;
-    private EndpointDiscovery servers;
-    private boolean ending;
+    private EndpointDiscovery discovery;
+    private boolean shuttingDown;
 
-    /** On this loop; {@code budget} bounds the bytes that all streams hold. */
+    /**
+     * Creates a proxy that {@link #start} begins.
+     *
+     * @param seed of the policy's random numbers
+     * @param budget bounds the bytes that all streams of the process may buffer
+     */
     public TcpProxy(EventLoop loop, TcpSettings settings, long seed, ByteBudget budget) {
         this.settings = settings;
-        ClassTable classes = new ClassTable();
-        Scheduler time = EventLoopScheduler.detectingStalls(loop);
-        SettingsReader options = options(settings);
-        // How many there may be is the front's to say, by settings that can change.
+        ClassTable requestClasses = new ClassTable();
+        Scheduler scheduler = EventLoopScheduler.detectingStalls(loop);
+        SettingsReader policySettings = policySettings(settings);
         exchanges = new ExchangeManager<>(
-                time,
-                options,
+                scheduler,
+                policySettings,
                 (given, actions) -> new SidecarPolicy(given, seed, actions),
-                new ConnectionPools<>(loop, time, options, new TcpCodec(() -> this.settings), Integer.MAX_VALUE),
-                Integer.MAX_VALUE,
+                new ConnectionPools<>(loop, scheduler, policySettings, new TcpCodec(() -> this.settings), UNLIMITED),
+                UNLIMITED,
                 new Metrics(),
-                classes);
-        front = new TcpFrontend(exchanges, classes, () -> this.settings, counts, time, budget, () -> ending);
+                requestClasses);
+        frontend = new TcpFrontend(
+                exchanges, requestClasses, () -> this.settings, counters, scheduler, budget, () -> shuttingDown);
     }
 
-    private static SettingsReader options(TcpSettings settings) {
-        return new SettingsReader(SETTINGS.formatted(
-                settings.attempts(),
-                settings.connectTimeout(),
-                TcpFrontend.CLASS,
-                settings.connectTimeout(),
-                settings.connectDeadline()));
+    private static SettingsReader policySettings(TcpSettings settings) {
+        return new SettingsReader(POLICY_SETTINGS.formatted(
+                settings.maxAttempts(),
+                settings.connectTimeoutNanos(),
+                TcpFrontend.REQUEST_CLASS,
+                settings.connectTimeoutNanos(),
+                settings.connectDeadlineNanos()));
     }
 
-    /** Begins; on the loop, like all that follows. */
+    /** Starts the policy with the listener's servers. */
     public void start() {
-        servers = EndpointDiscovery.fixed(() -> targets(settings), exchanges);
-        exchanges.start(servers, targets(settings));
+        discovery = EndpointDiscovery.fixed(() -> endpoints(settings), exchanges);
+        exchanges.start(discovery, endpoints(settings));
     }
 
-    private static List<Endpoint> targets(TcpSettings settings) {
-        List<Endpoint> targets = new ArrayList<>();
-        int number = 0;
-        for (InetSocketAddress each : settings.servers()) {
-            targets.add(new Endpoint(
-                    each.getAddress().getHostAddress() + ":" + each.getPort(),
-                    each,
-                    "",
-                    "",
-                    number++,
-                    settings.draining().contains(each) ? EndpointStatus.DRAINING : EndpointStatus.READY,
-                    1,
-                    0));
+    /** Each server is a cell of its own: the file says of no two that they fail together. */
+    private static List<Endpoint> endpoints(TcpSettings settings) {
+        List<Endpoint> endpoints = new ArrayList<>();
+        for (InetSocketAddress server : settings.servers()) {
+            EndpointStatus status =
+                    settings.draining().contains(server) ? EndpointStatus.DRAINING : EndpointStatus.READY;
+            endpoints.add(new Endpoint(
+                    server.getAddress().getHostAddress() + ":" + server.getPort(),
+                    server,
+                    UNKNOWN,
+                    UNKNOWN,
+                    endpoints.size(),
+                    status,
+                    ENDPOINT_WEIGHT,
+                    STARTED_LONG_AGO));
         }
-        return targets;
+        return endpoints;
     }
 
-    /** Takes up each connection that the listener makes. */
+    /** Returns the handler that takes over each connection which the listener accepts. */
     public ChannelHandler connections() {
-        return front.connectionInitializer();
+        return frontend.connectionInitializer();
     }
 
+    /** Returns the settings in force. */
     public TcpSettings settings() {
         return settings;
     }
 
-    public StreamCounters counts() {
-        return counts;
+    /** Returns the counters since the start. */
+    public StreamCounters counters() {
+        return counters;
     }
 
-    /** New settings: streams that are open keep theirs; a server that is not named any more is left. */
-    public void settingsChanged(TcpSettings next) {
-        settings = next;
-        exchanges.settingsChanged(options(next));
-        servers.fetch();
+    /** Applies new settings: open streams keep theirs, a server that is no longer listed is removed. */
+    public void settingsChanged(TcpSettings newSettings) {
+        settings = newSettings;
+        exchanges.settingsChanged(policySettings(newSettings));
+        discovery.fetch();
     }
 
-    /** Takes no more streams; those that are open may run on for their grace. */
+    /** Rejects new streams from now on, and ends the open ones when their grace is over. */
     public void shutDown() {
-        ending = true;
-        front.end();
+        shuttingDown = true;
+        frontend.shutDown();
     }
 
-    /** As a lame duck: those that are open are to end within their grace, new ones are still taken. */
+    /** Ends the open streams when their grace is over; new ones are still accepted. */
     public void drain() {
-        front.drain();
+        frontend.drain();
     }
 
-    /** Whether no stream is there any more. */
+    /** Returns whether no stream is left. */
     public boolean isIdle() {
-        return front.isIdle();
+        return frontend.isIdle();
     }
 
-    /** Figures for operators. */
-    public void printMetrics(StringBuilder to) {
-        counts.print(settings.name(), to);
+    /** Appends the listener's metrics, one line each. */
+    public void printMetrics(StringBuilder out) {
+        counters.print(settings.name(), out);
     }
 }
--- a/tcp/src/main/java/topazvalve/tcp/TcpSettings.java
+++ b/tcp/src/main/java/topazvalve/tcp/TcpSettings.java
@@ -4,44 +4,55 @@
 import java.util.List;
 
 /**
- * One listener for streams, as the operator's file sets it. Times are in nanoseconds; 0 is no limit where a
- * limit may be left out.
+ * The settings of one listener for streams, as the operator's file gives them. {@link TcpFile} maps the file's
+ * keys to these names and checks their ranges.
  *
- * @param connectTimeout for one attempt to connect
- * @param connectDeadline for all attempts of one stream together
- * @param attempts how many servers may be tried, 1 to 4
- * @param idle after so long without a byte in either direction a stream is ended; 0 for never
- * @param total after so long a stream is ended; 0 for never
- * @param grace how long a stream may run on once its server drains or this process ends
- * @param buffer the bytes of one stream that may be held, in each direction
- * @param proxyIn whether each client's connection begins with a PROXY header
- * @param proxyOut the version of the PROXY header that servers get; 0 for none
+ * @param name identifies the listener in log lines and metrics
+ * @param listen the address at which clients connect
+ * @param servers the addresses of the servers
+ * @param draining the servers that get no new streams
+ * @param connectTimeoutNanos for one attempt to connect, in nanoseconds
+ * @param connectDeadlineNanos for all attempts of one stream together, in nanoseconds
+ * @param maxAttempts how many servers may be tried for one stream, 1 to 4
+ * @param idleTimeoutNanos a stream ends after so many nanoseconds without a byte in either direction; 0 for never
+ * @param maxLifetimeNanos a stream ends so many nanoseconds after it opened; 0 for never
+ * @param drainGraceNanos how many nanoseconds a stream may go on once its server or this process drains
+ * @param maxStreams how many streams the listener may have
+ * @param maxStreamsPerClient how many streams one client address may have
+ * @param maxBufferedBytes how many bytes of one stream may be buffered in each direction
+ * @param keepAlive whether TCP keep-alive is on, on both connections of a stream
+ * @param rejectionMode how a client sees that its stream is rejected
+ * @param expectProxyHeader whether each client's connection has to begin with a PROXY header
+ * @param sentProxyHeaderVersion the version of the PROXY header that servers get; 0 for none
  */
 public record TcpSettings(
         String name,
         InetSocketAddress listen,
         List<InetSocketAddress> servers,
         List<InetSocketAddress> draining,
-        long connectTimeout,
-        long connectDeadline,
-        int attempts,
-        long idle,
-        long total,
-        long grace,
-        int mostStreams,
-        int mostPerClient,
-        int buffer,
+        long connectTimeoutNanos,
+        long connectDeadlineNanos,
+        int maxAttempts,
+        long idleTimeoutNanos,
+        long maxLifetimeNanos,
+        long drainGraceNanos,
+        int maxStreams,
+        int maxStreamsPerClient,
+        int maxBufferedBytes,
         boolean keepAlive,
-        Refusal refusal,
-        boolean proxyIn,
-        int proxyOut) {
+        RejectionMode rejectionMode,
+        boolean expectProxyHeader,
+        int sentProxyHeaderVersion) {
 
-    /** How a client sees that its stream is not taken. */
-    public enum Refusal {
+    /** How a client sees that its stream is rejected. The names are values of the file's key {@code refusal}. */
+    public enum RejectionMode {
+        /** Its connection is reset. */
         RESET,
+        /** Its connection is closed in order. */
         CLOSE
     }
 
+    /** Copies the lists. */
     public TcpSettings {
         servers = List.copyOf(servers);
         draining = List.copyOf(draining);
--- a/tcp/src/main/java/topazvalve/tcp/package-info.java
+++ b/tcp/src/main/java/topazvalve/tcp/package-info.java
@@ -1,5 +1,7 @@
 /**
- * Opaque TCP streams: {@link topazvalve.tcp.TcpFrontend} takes them, {@link topazvalve.tcp.TcpCodec} carries
- * them, and a {@link topazvalve.tcp.StreamSplice} moves the bytes of one between its two connections.
+ * Opaque TCP streams over the core. {@link topazvalve.tcp.TcpFrontend} accepts client connections,
+ * {@link topazvalve.tcp.TcpCodec} makes the connections to servers, and a {@link topazvalve.tcp.StreamSplice}
+ * passes the bytes of one stream between its two connections. {@code docs/tcp.md} describes the settings and
+ * {@code docs/design/tcp.md} the reasons.
  */
 package topazvalve.tcp;
--- a/tcp/src/test/java/topazvalve/tcp/ListenerTest.java
+++ b/tcp/src/test/java/topazvalve/tcp/ListenerTest.java
@@ -13,18 +13,20 @@
 import java.net.SocketException;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import java.util.concurrent.TimeUnit;
 import java.util.function.UnaryOperator;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import topazvalve.tcp.StreamCounters.Ended;
-import topazvalve.tcp.StreamCounters.Refused;
+import topazvalve.tcp.StreamCounters.EndReason;
+import topazvalve.tcp.StreamCounters.RejectReason;
 
-/** One listener's limits, refusals, headers and ends, each seen from both sides. */
+/** A listener's limits, rejections, PROXY headers and ends of streams, each seen from both peers. */
 @Timeout(60)
 @SuppressWarnings("try")
 class ListenerTest {
-    private static InetSocketAddress at(ServerSocket server) {
+    private static final int TIMEOUT_SECONDS = 30;
+    private static final int TIMEOUT_MILLIS = 1_000 * TIMEOUT_SECONDS;
+
+    private static InetSocketAddress address(ServerSocket server) {
         return new InetSocketAddress("127.0.0.1", server.getLocalPort());
     }
 
@@ -32,8 +34,9 @@
         return new ServerSocket(0, 100, InetAddress.getByName("127.0.0.1"));
     }
 
-    private static Listening listening(ServerSocket server, String... lines) throws Exception {
-        UnaryOperator<String> change = text -> {
+    /** Listens with the given lines in the operator's file, in place of those of the same keys. */
+    private static TestListener listen(ServerSocket server, String... lines) throws Exception {
+        UnaryOperator<String> fileEdit = text -> {
             String all = text;
             for (String line : lines) {
                 String key = line.substring(0, line.indexOf(' '));
@@ -41,19 +44,19 @@
             }
             return all;
         };
-        return new Listening(List.of(at(server)), change);
+        return new TestListener(List.of(address(server)), fileEdit);
     }
 
-    private static Socket client(Listening listening) throws IOException {
-        Socket socket = new Socket(listening.address.getAddress(), listening.address.getPort());
-        socket.setSoTimeout(30_000);
+    private static Socket client(TestListener listener) throws IOException {
+        Socket socket = new Socket(listener.address.getAddress(), listener.address.getPort());
+        socket.setSoTimeout(TIMEOUT_MILLIS);
         return socket;
     }
 
-    private static Socket accepted(ServerSocket server) throws IOException {
-        server.setSoTimeout(30_000);
+    private static Socket accept(ServerSocket server) throws IOException {
+        server.setSoTimeout(TIMEOUT_MILLIS);
         Socket socket = server.accept();
-        socket.setSoTimeout(30_000);
+        socket.setSoTimeout(TIMEOUT_MILLIS);
         return socket;
     }
 
@@ -65,20 +68,16 @@
         return new String(from.readNBytes(bytes), StandardCharsets.ISO_8859_1);
     }
 
-    private static void await(Listening listening, Refused why, long times) throws Exception {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
-        while (listening.count(counts -> counts.of(why)) < times && System.nanoTime() < until) {
-            Thread.sleep(5);
-        }
-        assertEquals(times, listening.count(counts -> counts.of(why)), why.toString());
+    private static void awaitRejected(TestListener listener, RejectReason reason, long expected) throws Exception {
+        long rejected =
+                listener.awaitCount(counters -> counters.count(reason), count -> count >= expected, TIMEOUT_SECONDS);
+        assertEquals(expected, rejected, reason.toString());
     }
 
-    private static void await(Listening listening, Ended how, long times) throws Exception {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
-        while (listening.count(counts -> counts.of(how)) < times && System.nanoTime() < until) {
-            Thread.sleep(5);
-        }
-        assertEquals(times, listening.count(counts -> counts.of(how)), how.toString());
+    private static void awaitEnded(TestListener listener, EndReason reason, long expected) throws Exception {
+        long ended =
+                listener.awaitCount(counters -> counters.count(reason), count -> count >= expected, TIMEOUT_SECONDS);
+        assertEquals(expected, ended, reason.toString());
     }
 
     private static void assertReset(Socket socket) {
@@ -86,58 +85,58 @@
     }
 
     @Test
-    void tooManyStreamsAreRefusedAsTheOperatorWishes() throws Exception {
+    void streamsOverALimitAreRejectedInTheConfiguredWay() throws Exception {
         try (ServerSocket server = server();
-                Listening listening = listening(server, "most_streams = 1", "refusal = \"close\"");
-                Socket first = client(listening);
-                Socket served = accepted(server)) {
+                TestListener listener = listen(server, "most_streams = 1", "refusal = \"close\"");
+                Socket first = client(listener);
+                Socket accepted = accept(server)) {
             write(first, "x");
-            assertEquals("x", read(served.getInputStream(), 1));
-            try (Socket second = client(listening)) {
+            assertEquals("x", read(accepted.getInputStream(), 1));
+            try (Socket second = client(listener)) {
                 assertEquals(-1, second.getInputStream().read(), "closed in order");
             }
-            await(listening, Refused.STREAMS_FULL, 1);
+            awaitRejected(listener, RejectReason.STREAMS_FULL, 1);
         }
         try (ServerSocket server = server();
-                Listening listening = listening(server, "most_per_client = 1");
-                Socket first = client(listening);
-                Socket served = accepted(server);
-                Socket second = client(listening)) {
+                TestListener listener = listen(server, "most_per_client = 1");
+                Socket first = client(listener);
+                Socket accepted = accept(server);
+                Socket second = client(listener)) {
             assertReset(second);
-            await(listening, Refused.CLIENT_FULL, 1);
+            awaitRejected(listener, RejectReason.CLIENT_FULL, 1);
         }
     }
 
     @Test
-    void streamWithoutAServerThatAnswersIsRefused() throws Exception {
+    void streamIsRejectedWhenNoServerAcceptsAConnection() throws Exception {
         ServerSocket server = server();
-        try (Listening listening = listening(server)) {
+        try (TestListener listener = listen(server)) {
             server.close();
-            try (Socket client = client(listening)) {
+            try (Socket client = client(listener)) {
                 assertReset(client);
             }
-            await(listening, Refused.CONNECT_FAILED, 1);
+            awaitRejected(listener, RejectReason.CONNECT_FAILED, 1);
         }
     }
 
     @Test
-    void serversSeeWhoCalledByEitherVersionOfTheHeader() throws Exception {
+    void proxyHeaderOfEitherVersionCarriesTheClientsAddressToTheServer() throws Exception {
         for (int version : new int[] {1, 2}) {
             try (ServerSocket server = server();
-                    Listening listening = listening(server, "proxy_in = true", "proxy_out = " + version);
-                    Socket client = client(listening)) {
+                    TestListener listener = listen(server, "proxy_in = true", "proxy_out = " + version);
+                    Socket client = client(listener)) {
                 write(client, "PROXY TCP4 192.0.2.7 198.51.100.9 4711 443\r\nhello");
-                try (Socket served = accepted(server)) {
+                try (Socket accepted = accept(server)) {
                     if (version == 1) {
                         assertEquals(
                                 "PROXY TCP4 192.0.2.7 198.51.100.9 4711 443\r\nhello",
-                                read(served.getInputStream(), 49));
+                                read(accepted.getInputStream(), 49));
                     } else {
-                        byte[] head = served.getInputStream().readNBytes(28);
+                        byte[] head = accepted.getInputStream().readNBytes(28);
                         assertEquals("\r\n\r\n\0\r\nQUIT\n", new String(head, 0, 12, StandardCharsets.ISO_8859_1));
                         assertEquals(0x21, head[12]);
                         assertEquals((byte) 192, head[16]);
-                        assertEquals("hello", read(served.getInputStream(), 5));
+                        assertEquals("hello", read(accepted.getInputStream(), 5));
                     }
                 }
             }
@@ -145,63 +144,63 @@
     }
 
     @Test
-    void malformedOrMissingHeaderIsRefused() throws Exception {
+    void malformedOrMissingProxyHeaderIsRejected() throws Exception {
         try (ServerSocket server = server();
-                Listening listening = listening(server, "proxy_in = true");
-                Socket bad = client(listening);
-                Socket silent = client(listening)) {
+                TestListener listener = listen(server, "proxy_in = true");
+                Socket bad = client(listener);
+                Socket silent = client(listener)) {
             write(bad, "GET / HTTP/1.1\r\nHost: x\r\n\r\n");
             assertReset(bad);
-            await(listening, Refused.BAD_PROXY_HEADER, 1);
+            awaitRejected(listener, RejectReason.BAD_PROXY_HEADER, 1);
             assertReset(silent);
-            await(listening, Refused.PROXY_HEADER_LATE, 1);
+            awaitRejected(listener, RejectReason.PROXY_HEADER_LATE, 1);
         }
     }
 
     @Test
-    void idleAndLongStreamsAreEndedInOrder() throws Exception {
-        for (Ended how : new Ended[] {Ended.IDLE, Ended.TOTAL}) {
-            String key = how == Ended.IDLE ? "idle" : "total";
+    void idleTimeoutAndMaxLifetimeEndStreamsInOrder() throws Exception {
+        for (EndReason reason : new EndReason[] {EndReason.IDLE, EndReason.TOTAL}) {
+            String key = reason == EndReason.IDLE ? "idle" : "total";
             try (ServerSocket server = server();
-                    Listening listening = listening(server, key + " = \"300ms\"");
-                    Socket client = client(listening);
-                    Socket served = accepted(server)) {
+                    TestListener listener = listen(server, key + " = \"300ms\"");
+                    Socket client = client(listener);
+                    Socket accepted = accept(server)) {
                 write(client, "x");
-                assertEquals("x", read(served.getInputStream(), 1));
+                assertEquals("x", read(accepted.getInputStream(), 1));
                 assertEquals(-1, client.getInputStream().read());
-                assertEquals(-1, served.getInputStream().read());
-                await(listening, how, 1);
+                assertEquals(-1, accepted.getInputStream().read());
+                awaitEnded(listener, reason, 1);
             }
         }
     }
 
     @Test
-    void drainedServersStreamsRunOnForTheGraceAndNoNewOneComes() throws Exception {
+    void drainingServerKeepsItsStreamsForTheGraceAndGetsNoNewOnes() throws Exception {
         try (ServerSocket server = server();
                 ServerSocket other = server();
-                Listening listening =
-                        new Listening(List.of(at(server), at(other)), text -> text + "grace = \"400ms\"\n")) {
-            try (Socket one = client(listening);
-                    Socket two = client(listening);
-                    Socket servedHere = accepted(server);
-                    Socket servedThere = accepted(other)) {
-                // The system accepts before the sidecar knows of it: both are through once a byte is.
+                TestListener listener = new TestListener(
+                        List.of(address(server), address(other)), text -> text + "grace = \"400ms\"\n")) {
+            try (Socket one = client(listener);
+                    Socket two = client(listener);
+                    Socket acceptedHere = accept(server);
+                    Socket acceptedThere = accept(other)) {
+                // The system accepts before the sidecar does: both streams are open once a byte has come through.
                 write(one, "x");
                 write(two, "x");
-                assertEquals("x", read(servedHere.getInputStream(), 1));
-                assertEquals("x", read(servedThere.getInputStream(), 1));
-                listening.draining(List.of(at(server)));
-                write(servedHere, "y");
-                write(servedThere, "y");
+                assertEquals("x", read(acceptedHere.getInputStream(), 1));
+                assertEquals("x", read(acceptedThere.getInputStream(), 1));
+                listener.setDraining(List.of(address(server)));
+                write(acceptedHere, "y");
+                write(acceptedThere, "y");
                 assertEquals("y", read(one.getInputStream(), 1), "goes on");
                 assertEquals("y", read(two.getInputStream(), 1));
                 for (int i = 0; i < 5; i++) {
-                    client(listening).close();
-                    accepted(other).close();
+                    client(listener).close();
+                    accept(other).close();
                 }
-                assertEquals(-1, servedHere.getInputStream().read(), "until the grace is over");
-                await(listening, Ended.DRAINED, 1);
-                write(servedThere, "z");
+                assertEquals(-1, acceptedHere.getInputStream().read(), "until the grace is over");
+                awaitEnded(listener, EndReason.DRAINED, 1);
+                write(acceptedThere, "z");
                 assertTrue(
                         one.getInputStream().read() + two.getInputStream().read() == 'z' - 1,
                         "one has ended, the other goes on");
@@ -210,11 +209,11 @@
     }
 
     @Test
-    void whatTheServerNeverTakesIsBoundedAndHoldsUpNoOther() throws Exception {
+    void serverThatNeverReadsIsBoundedAndDelaysNoOtherStream() throws Exception {
         try (ServerSocket server = server();
-                Listening listening = listening(server, "idle = \"2s\"");
-                Socket slow = client(listening);
-                Socket deaf = accepted(server)) {
+                TestListener listener = listen(server, "idle = \"2s\"");
+                Socket slow = client(listener);
+                Socket neverRead = accept(server)) {
             slow.setSendBufferSize(32 << 10);
             Thread sender = new Thread(() -> {
                 try {
@@ -227,21 +226,21 @@
                 }
             });
             sender.start();
-            try (Socket quick = client(listening);
-                    Socket served = accepted(server)) {
+            try (Socket quick = client(listener);
+                    Socket accepted = accept(server)) {
                 for (int i = 0; i < 100; i++) {
                     write(quick, "x");
-                    assertEquals("x", read(served.getInputStream(), 1));
+                    assertEquals("x", read(accepted.getInputStream(), 1));
                 }
             }
-            await(listening, Ended.IDLE, 1);
-            assertReset(deaf);
-            sender.join(30_000);
+            awaitEnded(listener, EndReason.IDLE, 1);
+            assertReset(neverRead);
+            sender.join(TIMEOUT_MILLIS);
         }
     }
 
     @Test
-    void clientThatLeavesWhileNoConnectionIsUpIsForgotten() throws Exception {
+    void clientThatResetsBeforeItsStreamOpensIsForgotten() throws Exception {
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             for (int i = 0; i < 8; i++) {
                 Socket filler = new Socket();
@@ -251,11 +250,11 @@
                     break;
                 }
             }
-            try (Listening listening = listening(full)) {
-                Socket client = client(listening);
+            try (TestListener listener = listen(full)) {
+                Socket client = client(listener);
                 client.setSoLinger(true, 0);
                 client.close();
-                await(listening, Ended.LEFT_BEFORE_OPEN, 1);
+                awaitEnded(listener, EndReason.LEFT_BEFORE_OPEN, 1);
             }
         }
     }
--- a/tcp/src/test/java/topazvalve/tcp/StreamsTest.java
+++ b/tcp/src/test/java/topazvalve/tcp/StreamsTest.java
@@ -7,17 +7,19 @@
 import org.junit.jupiter.api.Test;
 import topazvalve.simulation.stream.StreamTrial;
 
-/** Many streams under drains, kills, resets and stalls: every byte and every end compared. */
+/** Plays many streams under drains, kills, resets and stalls, and compares every byte and every end. */
 class StreamsTest {
     private static final int STREAMS = Integer.getInteger("streams", 3_000);
-    private static final int AT_ONCE = Integer.getInteger("streams.at.once", 100);
-    private static final int EVERY_MS = Integer.getInteger("streams.every", 300);
+    private static final int CONCURRENT_STREAMS = Integer.getInteger("streams.at.once", 100);
+    private static final int FAULT_INTERVAL_MILLIS = Integer.getInteger("streams.every", 300);
+    private static final int CLOSE_TIMEOUT_SECONDS = 5;
 
     @Test
     void everyByteAndEveryEndArrivesAsItWasSent() throws Exception {
         try (StreamTrial trial = new StreamTrial(Integer.getInteger("streams.seed", 5), 4);
-                Listening listening = new Listening(trial.addresses(), text -> text)) {
-            StreamTrial.Result result = trial.play(listening.address, listening::draining, STREAMS, AT_ONCE, EVERY_MS);
+                TestListener listener = new TestListener(trial.addresses(), text -> text)) {
+            StreamTrial.Result result = trial.play(
+                    listener.address, listener::setDraining, STREAMS, CONCURRENT_STREAMS, FAULT_INTERVAL_MILLIS);
             System.out.printf(
                     "streams: %d, %d half-closed, %d broken, %d refused, %d late of %d, %,d B%n",
                     result.streams(),
@@ -35,11 +37,9 @@
             assertEquals(0, result.late(), "streams to a drained server");
             assertTrue(result.broken() > STREAMS / 100, "faults were played");
             assertTrue(result.refused() <= STREAMS / 100, "refused: " + result.refused());
-            long until = System.nanoTime() + 5_000_000_000L;
-            while (listening.count(StreamCounters::open) > 0 && System.nanoTime() < until) {
-                Thread.sleep(10);
-            }
-            assertEquals(0, listening.count(StreamCounters::open), "streams left over");
+            long openStreams =
+                    listener.awaitCount(StreamCounters::openStreams, count -> count == 0, CLOSE_TIMEOUT_SECONDS);
+            assertEquals(0, openStreams, "open streams left");
         }
     }
 }
--- a/tcp/src/test/java/topazvalve/tcp/TcpFileTest.java
+++ b/tcp/src/test/java/topazvalve/tcp/TcpFileTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import topazvalve.toml.InvalidFileException;
 
-/** The operator's file: what it leaves out, and what is refused, with its line and its key. */
+/** The operator's file: its defaults, and its problems with their lines and keys. */
 class TcpFileTest {
     private static final String GOOD = """
             [[listener]]
@@ -21,12 +21,12 @@
             """;
 
     @Test
-    void whatIsLeftOutHasItsDefault() {
+    void omittedKeysHaveTheirDefaults() {
         TcpSettings settings = TcpFile.parse("o.toml", GOOD).get(0);
         assertEquals(2, settings.servers().size());
-        assertEquals(600_000_000_000L, settings.idle());
-        assertEquals(0, settings.total());
-        assertEquals(TcpSettings.Refusal.RESET, settings.refusal());
+        assertEquals(600_000_000_000L, settings.idleTimeoutNanos());
+        assertEquals(0, settings.maxLifetimeNanos());
+        assertEquals(TcpSettings.RejectionMode.RESET, settings.rejectionMode());
         assertEquals(List.of(), TcpFile.parse("o.toml", ""));
     }
 
@@ -57,22 +57,25 @@
                 "proxy_out = 3|proxy_out",
                 "idel = \"1s\"|idel"
             })
-    void aKeyThatIsWrongIsNamedWithItsLine(String line, String key) {
-        String name = line.substring(0, line.indexOf(' '));
-        String text =
-                GOOD.lines().filter(each -> !each.startsWith(name + " ")).reduce("", (all, each) -> all + each + "\n")
-                        + line + "\n";
-        int number = (int) text.lines().count();
-        InvalidFileException bad = assertThrows(InvalidFileException.class, () -> TcpFile.parse("o.toml", text));
+    void invalidKeyIsReportedWithItsLine(String line, String key) {
+        String changedKey = line.substring(0, line.indexOf(' '));
+        String text = GOOD.lines()
+                        .filter(each -> !each.startsWith(changedKey + " "))
+                        .reduce("", (all, each) -> all + each + "\n")
+                + line + "\n";
+        int lineNumber = (int) text.lines().count();
+        InvalidFileException invalid = assertThrows(InvalidFileException.class, () -> TcpFile.parse("o.toml", text));
         assertTrue(
-                bad.problems().stream()
-                        .anyMatch(each -> each.line() == number && each.key().equals("listener.0." + key)),
-                () -> bad.getMessage());
+                invalid.problems().stream()
+                        .anyMatch(problem ->
+                                problem.line() == lineNumber && problem.key().equals("listener.0." + key)),
+                () -> invalid.getMessage());
     }
 
     @Test
-    void twoListenersMayNotShareNameOrPlace() {
-        InvalidFileException bad = assertThrows(InvalidFileException.class, () -> TcpFile.parse("o.toml", GOOD + GOOD));
-        assertEquals(2, bad.problems().size(), bad.getMessage());
+    void listenersMayNotShareANameOrAnAddress() {
+        InvalidFileException invalid =
+                assertThrows(InvalidFileException.class, () -> TcpFile.parse("o.toml", GOOD + GOOD));
+        assertEquals(2, invalid.problems().size(), invalid.getMessage());
     }
 }
