--- a/core/src/main/java/topazvalve/core/exchange/EndpointIds.java
+++ b/core/src/main/java/topazvalve/core/exchange/EndpointIds.java
@@ -6,37 +6,43 @@
 import topazvalve.policy.LoadBalancer.EndpointInfo;
 import topazvalve.policy.SettingsReader;
 
-/** The numbers under which the decision module knows servers, zones and kinds; each is given once. */
+/**
+ * Assigns the numbers under which the policy knows endpoints, zones and machine kinds. A number is assigned
+ * once and never reused.
+ */
 final class EndpointIds {
-    private final Map<String, Long> servers = new HashMap<>();
-    private final Map<String, Integer> zones = new HashMap<>();
-    private final Map<String, Integer> kinds = new HashMap<>();
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    private static final long FIRST_ENDPOINT_ID = 1;
 
-    /** Takes over the names that settings number. */
-    void take(SettingsReader options) {
-        options.list("zones").forEach(zone -> number(zones, zone));
-        options.list("kinds").forEach(kind -> number(kinds, kind));
+    private final Map<String, Long> endpointIds = new HashMap<>();
+    private final Map<String, Integer> zoneNumbers = new HashMap<>();
+    private final Map<String, Integer> machineKindNumbers = new HashMap<>();
+
+    /** Numbers the zones and machine kinds that the settings list, in their order. */
+    void registerNames(SettingsReader settings) {
+        settings.list("zones").forEach(zone -> numberOf(zoneNumbers, zone));
+        settings.list("kinds").forEach(kind -> numberOf(machineKindNumbers, kind));
     }
 
-    private static int number(Map<String, Integer> numbers, String name) {
-        return numbers.computeIfAbsent(name, added -> numbers.size());
+    private static int numberOf(Map<String, Integer> numbers, String name) {
+        return numbers.computeIfAbsent(name, unknown -> numbers.size());
     }
 
-    /** Every server ever listed. */
+    /** Returns the ids of all endpoints that were ever listed. */
     Iterable<Long> all() {
-        return servers.values();
+        return endpointIds.values();
     }
 
-    /** A server as the module knows it. */
-    EndpointInfo upstream(Endpoint target) {
-        long id = servers.computeIfAbsent(target.uid(), uid -> servers.size() + 1L);
+    /** Converts an endpoint to the policy's view of it; one that is new gets the next id. */
+    EndpointInfo toEndpointInfo(Endpoint endpoint) {
+        long id = endpointIds.computeIfAbsent(endpoint.uid(), unknown -> endpointIds.size() + FIRST_ENDPOINT_ID);
         return new EndpointInfo(
                 id,
-                number(zones, target.zone()),
-                number(kinds, target.machineKind()),
-                target.cell(),
-                target.status(),
-                target.weight(),
-                target.startedAtMillis() * 1_000_000);
+                numberOf(zoneNumbers, endpoint.zone()),
+                numberOf(machineKindNumbers, endpoint.machineKind()),
+                endpoint.cell(),
+                endpoint.status(),
+                endpoint.weight(),
+                endpoint.startedAtMillis() * NANOS_PER_MILLI);
     }
 }
--- a/core/src/main/java/topazvalve/core/exchange/Exchange.java
+++ b/core/src/main/java/topazvalve/core/exchange/Exchange.java
@@ -3,136 +3,146 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Objects;
-import topazvalve.core.exchange.ExchangeState.Step;
 import topazvalve.core.metrics.ClassCounters;
 import topazvalve.core.pool.Attempt;
 import topazvalve.core.time.Scheduler;
 
-/** One exchange: what was asked, its attempts, and where it is in its life. */
+/** One exchange: the request, its attempts and its state. Used on the event loop alone. */
 final class Exchange<Q, A> {
+    private static final int NO_ATTEMPT = -1;
+    private static final long NO_DEADLINE = Long.MAX_VALUE;
+
     final long id;
-    final ExchangeRequest<Q> job;
-    final ResponseListener<A> client;
-    final ClassCounters counts;
-    private final int tryLimit;
+    final ExchangeRequest<Q> request;
+    final ResponseListener<A> listener;
+    final ClassCounters counters;
+    private final int maxAttempts;
+    /** By attempt number; null for one that was ordered and never started. */
     private final List<Attempt<Q, A>> attempts = new ArrayList<>(1);
-    private ExchangeState phase = ExchangeState.TAKEN;
-    private int out;
-    /** The attempt whose answer has begun, which from then on is the client's; -1 for none. */
-    private int answering = -1;
-    /** When the client gives up; never, until its body is whole. */
-    private long deadline = Long.MAX_VALUE;
-
-    private Scheduler.Timer giveUp;
 
-    Exchange(long id, ExchangeRequest<Q> job, ResponseListener<A> client, ClassCounters counts, int tryLimit) {
+    private ExchangeState state = ExchangeState.RECEIVED;
+    private int attemptsInFlight;
+    /** Number of the attempt whose response is being streamed to the client. */
+    private int respondingAttempt = NO_ATTEMPT;
+    /** When the client gives up; there is no such time until the body is complete. */
+    private long deadlineNanos = NO_DEADLINE;
+
+    private Scheduler.Timer timeout;
+
+    Exchange(
+            long id,
+            ExchangeRequest<Q> request,
+            ResponseListener<A> listener,
+            ClassCounters counters,
+            int maxAttempts) {
         this.id = id;
-        this.job = job;
-        this.client = client;
-        this.counts = counts;
-        this.tryLimit = tryLimit;
+        this.request = request;
+        this.listener = listener;
+        this.counters = counters;
+        this.maxAttempts = maxAttempts;
     }
 
-    ExchangeState phase() {
-        return phase;
+    ExchangeState state() {
+        return state;
     }
 
-    boolean open() {
-        return phase.open();
+    /** Returns whether the client still waits for an answer or for the rest of one. */
+    boolean isOpen() {
+        return state.isOpen();
     }
 
-    /** The decision module is told of it now. */
-    void told() {
-        phase = phase.after(Step.TOLD, out);
+    /** Records that the policy is being notified of the exchange. */
+    void policyNotified() {
+        state = state.after(ExchangeState.Event.POLICY_NOTIFIED, attemptsInFlight);
     }
 
-    /** The client's time runs from now on; {@code alarm} ends it if nobody else does. */
-    void startClock(long at, Scheduler.Timer alarm) {
-        deadline = at;
-        giveUp = alarm;
+    /** Starts the client's time: it gives up at {@code atNanos}, and {@code timer} runs unless it is answered. */
+    void startTimeout(long atNanos, Scheduler.Timer timer) {
+        deadlineNanos = atNanos;
+        timeout = timer;
     }
 
-    /** Nanoseconds until the client gives up. */
-    long left(long now) {
-        return deadline - now;
+    /** Returns the nanoseconds until the client gives up; negative once it has. */
+    long remainingNanos(long now) {
+        return deadlineNanos - now;
     }
 
-    /** Whether an attempt that is ordered now may set out. */
-    boolean maySend(long now) {
-        return (phase == ExchangeState.WAITING || phase == ExchangeState.OUT)
-                && now < deadline
-                && attempts.size() < tryLimit
-                && job.body().isReplayable();
+    /** Returns whether an attempt that is ordered now may be started. */
+    boolean mayStartAttempt(long now) {
+        return (state == ExchangeState.PENDING || state == ExchangeState.ATTEMPTING)
+                && now < deadlineNanos
+                && attempts.size() < maxAttempts
+                && request.body().isReplayable();
     }
 
-    /** An attempt is ordered; returns its number. What becomes of it is said by {@link #sent}. */
-    int ordered() {
-        out++;
-        phase = phase.after(Step.SENT, out);
+    /** Adds an attempt that was ordered and returns its number; {@link #attemptStarted} may follow. */
+    int addAttempt() {
+        attemptsInFlight++;
+        state = state.after(ExchangeState.Event.ATTEMPT_ADDED, attemptsInFlight);
         attempts.add(null);
         return attempts.size() - 1;
     }
 
-    /** An ordered attempt is out. It may have ended within its sending. */
-    void sent(int number, Attempt<Q, A> attempt) {
+    /** Records the started attempt under its number. The attempt may have ended while it was being started. */
+    void attemptStarted(int number, Attempt<Q, A> attempt) {
         attempts.set(number, attempt);
     }
 
-    /** All attempts that were sent, ended ones too. */
-    List<Attempt<Q, A>> attempts() {
-        return attempts;
+    /** Returns the attempt with a number; null if there is none or it was never started. */
+    Attempt<Q, A> attempt(int number) {
+        return number < attempts.size() ? attempts.get(number) : null;
     }
 
-    /** Those of them that were carried further than the order. */
-    List<Attempt<Q, A>> sentAttempts() {
+    /** Returns the attempts that were started, those that have ended among them. */
+    List<Attempt<Q, A>> startedAttempts() {
         return attempts.stream().filter(Objects::nonNull).toList();
     }
 
-    /** The answer of an attempt begins; false if it is not wanted any more. */
-    boolean begun(int number) {
-        if (phase != ExchangeState.OUT) {
+    /** Begins to stream an attempt's response; returns false if the client needs no response any more. */
+    boolean startResponse(int number) {
+        if (state != ExchangeState.ATTEMPTING) {
             return false;
         }
-        phase = phase.after(Step.BEGUN, out);
-        answering = number;
-        stopClock();
+        state = state.after(ExchangeState.Event.RESPONSE_STARTED, attemptsInFlight);
+        respondingAttempt = number;
+        cancelTimeout();
         return true;
     }
 
-    /** Whether the answer that the client has the beginning of is this attempt's. */
-    boolean answeredBy(int number) {
-        return phase == ExchangeState.ANSWERING && answering == number;
+    /** Returns whether the response that is being streamed to the client is this attempt's. */
+    boolean isRespondingWith(int number) {
+        return state == ExchangeState.RESPONDING && respondingAttempt == number;
     }
 
-    /** An attempt has ended. */
-    void ended() {
-        out--;
-        phase = phase.after(Step.ENDED, out);
+    /** Records that an attempt has ended. */
+    void attemptEnded() {
+        attemptsInFlight--;
+        state = state.after(ExchangeState.Event.ATTEMPT_ENDED, attemptsInFlight);
     }
 
-    /** The client is owed nothing more: what is out is of no use. */
-    void answered() {
-        phase = phase.after(Step.ANSWERED, out);
-        stopClock();
-        job.body().discard();
+    /** Ends the exchange for the client: it waits for nothing more, and the body is discarded. */
+    void complete() {
+        state = state.after(ExchangeState.Event.ANSWERED, attemptsInFlight);
+        cancelTimeout();
+        request.body().discard();
     }
 
-    /** The attempt whose answer was being passed on, or null. */
-    Attempt<Q, A> answering() {
-        return answering < 0 ? null : attempts.get(answering);
+    /** Returns the attempt whose response was streamed to the client; null if there is none. */
+    Attempt<Q, A> respondingAttempt() {
+        return respondingAttempt == NO_ATTEMPT ? null : attempts.get(respondingAttempt);
     }
 
-    /** Whether nothing is owed to anybody any more, neither client nor module; then it is forgotten. */
-    boolean settled() {
-        if (phase == ExchangeState.ANSWERED && out == 0) {
-            phase = phase.after(Step.SETTLED, out);
+    /** Returns whether neither client nor policy waits for anything, so that the exchange can be removed. */
+    boolean releaseIfSettled() {
+        if (state == ExchangeState.COMPLETED && attemptsInFlight == 0) {
+            state = state.after(ExchangeState.Event.SETTLED, attemptsInFlight);
         }
-        return phase == ExchangeState.FORGOTTEN;
+        return state == ExchangeState.RELEASED;
     }
 
-    private void stopClock() {
-        if (giveUp != null) {
-            giveUp.cancel();
+    private void cancelTimeout() {
+        if (timeout != null) {
+            timeout.cancel();
         }
     }
 }
--- /dev/null
+++ b/core/src/main/java/topazvalve/core/exchange/ExchangeAttempt.java
@@ -0,0 +1,91 @@
+package topazvalve.core.exchange;
+
+import io.netty.buffer.ByteBuf;
+import topazvalve.core.pool.Attempt;
+import topazvalve.core.pool.AttemptListener;
+import topazvalve.core.stream.FlowControl;
+import topazvalve.policy.LoadBalancer.Outcome;
+
+/** Passes what becomes of one attempt on to the client and to the policy. */
+final class ExchangeAttempt<Q, A> implements AttemptListener<Q, A> {
+    private final ExchangeLifecycle<Q, A> lifecycle;
+    private final Exchange<Q, A> exchange;
+    private final int number;
+    private final long endpoint;
+    private final long startedAtNanos;
+
+    ExchangeAttempt(
+            ExchangeLifecycle<Q, A> lifecycle,
+            Exchange<Q, A> exchange,
+            int number,
+            long endpoint,
+            long startedAtNanos) {
+        this.lifecycle = lifecycle;
+        this.exchange = exchange;
+        this.number = number;
+        this.endpoint = endpoint;
+        this.startedAtNanos = startedAtNanos;
+    }
+
+    @Override
+    public void requestWritten() {
+        exchange.counters.attemptWritten();
+    }
+
+    @Override
+    public void responseStarted(Attempt<Q, A> attempt, A first, long length, FlowControl rest) {
+        if (!exchange.startResponse(number)) {
+            attempt.cancel();
+            return;
+        }
+        lifecycle
+                .dispatcher()
+                .dispatch((policy, now) ->
+                        policy.responseStarted(now, exchange.id, number, endpoint, now - startedAtNanos));
+        exchange.listener.responseStarted(first, length, rest);
+    }
+
+    @Override
+    public void responseData(ByteBuf bytes) {
+        exchange.listener.responseData(bytes);
+    }
+
+    @Override
+    public void attemptCompleted(Outcome outcome, A answer, float[] load) {
+        // A response does not wait for queued events. Its fault must not keep the policy from hearing of the end:
+        // the attempt would count as in flight for ever.
+        lifecycle.dispatcher().runGuarded(() -> respond(outcome, answer));
+        lifecycle.dispatcher().dispatch((policy, now) -> {
+            exchange.attemptEnded();
+            long elapsedNanos = now - startedAtNanos;
+            boolean requestCompleted = !exchange.isOpen();
+            policy.attemptCompleted(now, exchange.id, number, endpoint, outcome, elapsedNanos, requestCompleted, load);
+            lifecycle.removeIfSettled(exchange);
+        });
+    }
+
+    /** Answers the client if this attempt's response is the one that it gets. */
+    private void respond(Outcome outcome, A answer) {
+        boolean responding = exchange.isRespondingWith(number);
+        if (responding && outcome == Outcome.OK) {
+            lifecycle.complete(exchange, this::finishResponse);
+        } else if (responding) {
+            lifecycle.complete(exchange, this::abortResponse);
+        } else if (outcome == Outcome.OK && exchange.state() == ExchangeState.ATTEMPTING) {
+            lifecycle.complete(exchange, () -> {
+                exchange.counters.requestServed();
+                exchange.listener.responseReceived(answer);
+            });
+        }
+    }
+
+    private void finishResponse() {
+        exchange.counters.requestServed();
+        exchange.listener.responseCompleted();
+    }
+
+    private void abortResponse() {
+        exchange.counters.requestFailed();
+        exchange.listener.responseAborted();
+    }
+}
--- a/core/src/main/java/topazvalve/core/exchange/ExchangeHandler.java
+++ b/core/src/main/java/topazvalve/core/exchange/ExchangeHandler.java
@@ -1,13 +1,17 @@
 package topazvalve.core.exchange;
 
-/** Where fronts bring exchanges. */
+/** Accepts exchanges from frontends. */
 public interface ExchangeHandler<Q, A> {
     /**
-     * Takes one; its client is told of one final answer, perhaps within this call. Returns the number under
-     * which {@link #clientDisconnected} knows it, 0 if it was refused at once.
+     * Submits an exchange. Its listener gets one final answer, possibly within this call.
+     *
+     * @return the id for {@link #clientDisconnected}; 0 if the exchange was rejected at once
      */
-    long submit(ExchangeRequest<Q> job, ResponseListener<A> client);
+    long submit(ExchangeRequest<Q> request, ResponseListener<A> listener);
 
-    /** The client has gone away. An answer that has begun goes with it. */
+    /**
+     * Ends the exchange of a client that has disconnected, with any response that is being streamed. An id that
+     * is not known, or whose exchange is answered, is ignored.
+     */
     void clientDisconnected(long id);
 }
--- /dev/null
+++ b/core/src/main/java/topazvalve/core/exchange/ExchangeLifecycle.java
@@ -0,0 +1,204 @@
+package topazvalve.core.exchange;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+import topazvalve.core.metrics.ClassCounters;
+import topazvalve.core.metrics.Metrics;
+import topazvalve.core.pool.Attempt;
+import topazvalve.core.time.Scheduler;
+import topazvalve.policy.LoadBalancer.Request;
+
+/**
+ * Owns the tracked exchanges, from the request to the final answer and the end of the last attempt. Whatever
+ * the policy and the backend do, the client of an exchange gets one final answer.
+ */
+final class ExchangeLifecycle<Q, A> implements ExchangeHandler<Q, A> {
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    /** Part of the client's time that is reserved for the answer's way back; the policy is given the rest. */
+    private static final long RESPONSE_RESERVE_NANOS = 10 * NANOS_PER_MILLI;
+    /** An exchange that the policy has not answered by its deadline fails after this much of the reserve. */
+    private static final long OVERDUE_NANOS = RESPONSE_RESERVE_NANOS / 2;
+    /** Id of an exchange that was rejected on arrival. */
+    private static final long REJECTED_ID = 0;
+
+    private final Scheduler scheduler;
+    private final PolicyDispatcher dispatcher;
+    private final Metrics metrics;
+    private final int maxExchanges;
+    private final Map<Long, Exchange<Q, A>> exchanges = new HashMap<>();
+    private int maxAttempts;
+    private long lastId;
+
+    /** Tracks at most {@code maxExchanges} exchanges; more are rejected on arrival. */
+    ExchangeLifecycle(Scheduler scheduler, PolicyDispatcher dispatcher, Metrics metrics, int maxExchanges) {
+        this.scheduler = scheduler;
+        this.dispatcher = dispatcher;
+        this.metrics = metrics;
+        this.maxExchanges = maxExchanges;
+    }
+
+    /** Sets the limit of attempts for exchanges that are submitted from now on. */
+    void setMaxAttempts(int maxAttempts) {
+        this.maxAttempts = maxAttempts;
+    }
+
+    PolicyDispatcher dispatcher() {
+        return dispatcher;
+    }
+
+    @Override
+    public long submit(ExchangeRequest<Q> request, ResponseListener<A> listener) {
+        ClassCounters counters = metrics.countersOf(request.requestClass().name());
+        if (exchanges.size() >= maxExchanges || request.timeoutMillis() <= 0) {
+            counters.requestShed();
+            listener.rejected(0);
+            return REJECTED_ID;
+        }
+        long id = ++lastId;
+        Exchange<Q, A> exchange = new Exchange<>(id, request, listener, counters, maxAttempts);
+        exchanges.put(id, exchange);
+        request.body()
+                .onProgress(
+                        () -> bodyCompleted(exchange),
+                        () -> dispatcher.dispatch((policy, now) -> policy.bodyNotReplayable(now, id)));
+        Request policyRequest = toPolicyRequest(exchange);
+        boolean bodyComplete = request.body().isComplete();
+        if (bodyComplete) {
+            startTimeout(exchange);
+        }
+        dispatcher.dispatch((policy, now) -> {
+            if (!exchange.isOpen()) {
+                return; // answered or disconnected before the policy was notified
+            }
+            exchange.policyNotified();
+            if (bodyComplete) {
+                policy.requestReceived(now, policyRequest);
+            } else {
+                policy.requestStarted(now, policyRequest);
+            }
+        });
+        return id;
+    }
+
+    private static Request toPolicyRequest(Exchange<?, ?> exchange) {
+        ExchangeRequest<?> request = exchange.request;
+        return new Request(
+                exchange.id,
+                request.requestClass().number(),
+                request.tenant(),
+                request.resourceKey(),
+                timeoutNanos(exchange),
+                request.costHintNanos(),
+                request.clientRetry(),
+                request.write());
+    }
+
+    /** Returns how long the policy and an attempt have, from the complete body on. */
+    static long timeoutNanos(Exchange<?, ?> exchange) {
+        return Math.max(1, exchange.request.timeoutMillis() * NANOS_PER_MILLI - RESPONSE_RESERVE_NANOS);
+    }
+
+    private void bodyCompleted(Exchange<Q, A> exchange) {
+        startTimeout(exchange);
+        exchange.startedAttempts().forEach(attempt -> attempt.startTimeout(timeoutNanos(exchange)));
+        dispatcher.dispatch((policy, now) -> policy.requestBodyCompleted(now, exchange.id));
+    }
+
+    /** Sets the timer for an exchange that the policy, against its duty, does not answer by its deadline. */
+    private void startTimeout(Exchange<Q, A> exchange) {
+        long timeoutNanos = timeoutNanos(exchange);
+        exchange.startTimeout(scheduler.now() + timeoutNanos, scheduler.schedule(timeoutNanos + OVERDUE_NANOS, () -> {
+            fail(exchange.id);
+            abandon(exchange);
+        }));
+    }
+
+    @Override
+    public void clientDisconnected(long id) {
+        Exchange<Q, A> exchange = exchanges.get(id);
+        if (exchange == null || !exchange.isOpen()) {
+            return;
+        }
+        complete(exchange, () -> {});
+        abandon(exchange);
+        if (exchange.respondingAttempt() != null) {
+            exchange.respondingAttempt().cancel();
+        }
+    }
+
+    /**
+     * Notifies the policy that the client is gone and cancels the attempts that are not written yet, also where
+     * the settings allow no cancellation: that setting is about work that a server has.
+     */
+    private void abandon(Exchange<Q, A> exchange) {
+        dispatcher.dispatch((policy, now) -> policy.clientDisconnected(now, exchange.id));
+        for (Attempt<Q, A> attempt : exchange.startedAttempts()) {
+            if (!attempt.isWritten()) {
+                attempt.cancel();
+            }
+        }
+    }
+
+    /** Answers that the request was not run, unless it is answered already or a response is being streamed. */
+    void reject(long id, long retryAfterNanos) {
+        completeUnlessResponding(id, exchange -> {
+            exchange.counters.requestShed();
+            exchange.listener.rejected(retryAfterNanos);
+        });
+    }
+
+    /** Answers that the request has failed, unless it is answered already or a response is being streamed. */
+    void fail(long id) {
+        completeUnlessResponding(id, exchange -> {
+            exchange.counters.requestFailed();
+            exchange.listener.failed();
+        });
+    }
+
+    private void completeUnlessResponding(long id, Consumer<Exchange<Q, A>> answer) {
+        Exchange<Q, A> exchange = exchanges.get(id);
+        if (exchange != null && exchange.state() != ExchangeState.RESPONDING) {
+            complete(exchange, () -> answer.accept(exchange));
+        }
+    }
+
+    /** Gives the client its final answer, which {@code answer} sends; does nothing after the first one. */
+    void complete(Exchange<Q, A> exchange, Runnable answer) {
+        if (exchange.isOpen()) {
+            exchange.complete();
+            answer.run();
+            removeIfSettled(exchange);
+        }
+    }
+
+    /** Stops tracking an exchange once it is answered and none of its attempts is in flight. */
+    void removeIfSettled(Exchange<Q, A> exchange) {
+        if (exchange.releaseIfSettled()) {
+            exchanges.remove(exchange.id);
+        }
+    }
+
+    /** Returns the tracked exchange with an id, or null. */
+    Exchange<Q, A> find(long id) {
+        return exchanges.get(id);
+    }
+
+    /** Returns how many exchanges have a complete body and no final answer yet. */
+    long activeCount() {
+        return exchanges.values().stream()
+                .filter(exchange -> exchange.isOpen() && exchange.request.body().isComplete())
+                .count();
+    }
+
+    /** Returns how many exchanges are tracked, answered ones with attempts in flight among them. */
+    int trackedCount() {
+        return exchanges.size();
+    }
+
+    /** Returns the states of the tracked exchanges. */
+    List<ExchangeState> states() {
+        return exchanges.values().stream().map(Exchange::state).toList();
+    }
+}
--- a/core/src/main/java/topazvalve/core/exchange/ExchangeManager.java
+++ b/core/src/main/java/topazvalve/core/exchange/ExchangeManager.java
@@ -1,441 +1,143 @@
 package topazvalve.core.exchange;
 
-import io.netty.buffer.ByteBuf;
-import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
-import java.util.function.Consumer;
-import java.util.function.LongConsumer;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 import topazvalve.core.classes.ClassTable;
 import topazvalve.core.endpoint.Endpoint;
 import topazvalve.core.endpoint.EndpointDiscovery;
-import topazvalve.core.metrics.ClassCounters;
 import topazvalve.core.metrics.Metrics;
-import topazvalve.core.pool.Attempt;
-import topazvalve.core.pool.AttemptListener;
 import topazvalve.core.pool.Backend;
-import topazvalve.core.stream.FlowControl;
 import topazvalve.core.time.Scheduler;
 import topazvalve.policy.LoadBalancer;
-import topazvalve.policy.LoadBalancer.EndpointInfo;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
-import topazvalve.policy.LoadBalancer.Outcome;
-import topazvalve.policy.LoadBalancer.Request;
 import topazvalve.policy.LoadBalancer.UpdateKind;
 import topazvalve.policy.SettingsReader;
 
 /**
- * The only caller of the decision module: tells it events one after the other, on the event loop, and carries
- * out what it orders. Whatever the module and the back do, an exchange gets one final answer and an attempt
- * one outcome.
+ * The core of one sidecar: frontends submit exchanges, the policy decides, and a backend carries the attempts.
+ * This class puts the parts together and is their only public face: {@link ExchangeLifecycle} owns the
+ * exchanges, {@link PolicyDispatcher} calls the policy, {@link PolicyActionExecutor} carries out what it
+ * orders, and {@link EndpointUpdater} passes on endpoint lists. Used on the event loop alone.
  */
-public final class ExchangeManager<Q, A>
-        implements ExchangeHandler<Q, A>, LoadBalancer.Actions, Metrics.Gauges, EndpointDiscovery.Listener {
-    private static final Logger MODULE = LoggerFactory.getLogger("module");
-    /** What of a client's wait is kept for the answer's way back; the module does not know of it. */
-    private static final long ANSWER_ROOM = 10_000_000;
+public final class ExchangeManager<Q, A> implements ExchangeHandler<Q, A>, Metrics.Gauges, EndpointDiscovery.Listener {
 
-    /** Makes the decision module, which gives its orders to {@code actions}. */
+    /** Creates the policy. */
     public interface PolicyFactory {
+        /** Creates a policy with these settings that gives its orders to {@code actions}. */
         LoadBalancer create(LoadBalancer.Settings settings, LoadBalancer.Actions actions);
     }
 
-    private final Scheduler time;
-    private final Backend<Q, A> back;
-    private final int mostOpen;
+    private final Backend<Q, A> backend;
     private final Metrics metrics;
     private final ClassTable classes;
-    private final LoadBalancer module;
-    private final Map<Long, Exchange<Q, A>> exchanges = new HashMap<>();
-    private final EndpointIds numbers = new EndpointIds();
-    private final PolicyEventQueue events;
-    private EndpointDiscovery servers;
-    private int tryLimit;
-    private long lastId;
+    private final PolicyDispatcher dispatcher;
+    private final ExchangeLifecycle<Q, A> lifecycle;
+    private final PolicyActionExecutor<Q, A> actions;
+    private final EndpointUpdater endpointUpdater;
+    private EndpointDiscovery discovery;
 
-    /** Holds at most {@code mostOpen} exchanges; more are refused at once. */
+    /**
+     * Creates the core and its policy; {@link #start} begins.
+     *
+     * @param maxExchanges how many exchanges are tracked at most; more are rejected on arrival
+     * @throws IllegalArgumentException if the settings lack a value or hold one that makes no sense
+     */
     public ExchangeManager(
-            Scheduler time,
-            SettingsReader options,
-            PolicyFactory maker,
-            Backend<Q, A> back,
-            int mostOpen,
+            Scheduler scheduler,
+            SettingsReader settings,
+            PolicyFactory policyFactory,
+            Backend<Q, A> backend,
+            int maxExchanges,
             Metrics metrics,
             ClassTable classes) {
-        this.time = time;
-        this.events = new PolicyEventQueue(time);
-        this.back = back;
-        this.mostOpen = mostOpen;
+        this.backend = backend;
         this.metrics = metrics;
         this.classes = classes;
-        this.module = maker.create(take(options), this);
-    }
-
-    /** Takes settings over; returns them as the module is to know them, with the table's numbers. */
-    private LoadBalancer.Settings take(SettingsReader options) {
-        LoadBalancer.Settings settings = options.settings();
-        List<String> names = options.names("profiles");
-        classes.update(names, settings.requestClasses());
-        metrics.register(names);
-        tryLimit = settings.capabilities().maxAttempts();
-        numbers.take(options);
+        this.dispatcher = new PolicyDispatcher(scheduler);
+        this.lifecycle = new ExchangeLifecycle<>(scheduler, dispatcher, metrics, maxExchanges);
+        this.actions = new PolicyActionExecutor<>(scheduler, dispatcher, lifecycle, backend);
+        this.endpointUpdater = new EndpointUpdater(backend, dispatcher);
+        dispatcher.setPolicy(policyFactory.create(applySettings(settings), actions));
+    }
+
+    /** Applies settings to the core; returns them for the policy, with the class table's numbers. */
+    private LoadBalancer.Settings applySettings(SettingsReader reader) {
+        LoadBalancer.Settings settings = reader.settings();
+        List<String> classNames = reader.names("profiles");
+        classes.update(classNames, settings.requestClasses());
+        metrics.register(classNames);
+        lifecycle.setMaxAttempts(settings.capabilities().maxAttempts());
+        endpointUpdater.registerNames(reader);
         return settings.withRequestClasses(classes.rules());
     }
 
-    /** Begins with the cached list; on the loop, like all that follows. */
-    public void start(EndpointDiscovery list, List<Endpoint> known) {
-        servers = list;
-        tell(module::start);
-        endpointsUpdated(UpdateKind.CACHED, known);
+    /** Starts the policy with the cached endpoint list; called once, on the event loop. */
+    public void start(EndpointDiscovery endpointDiscovery, List<Endpoint> cachedEndpoints) {
+        discovery = endpointDiscovery;
+        actions.setDiscovery(endpointDiscovery);
+        dispatcher.dispatch(LoadBalancer::start);
+        endpointsUpdated(UpdateKind.CACHED, cachedEndpoints);
     }
 
-    /** Holds no more connections and follows no list; what is open is answered as it would be. */
+    /** Stops discovery and closes idle connections; exchanges that are open are still answered. */
     public void stop() {
-        if (servers != null) {
-            servers.close();
+        if (discovery != null) {
+            discovery.close();
         }
-        back.close();
-    }
-
-    /** Takes new settings over; exchanges that are open keep the class and try limit they came under. */
-    public void settingsChanged(SettingsReader options) {
-        LoadBalancer.Settings settings = take(options);
-        back.settingsChanged(options);
-        tell(now -> module.settingsChanged(now, settings));
+        backend.close();
     }
 
-    private void tell(LongConsumer event) {
-        events.add(event);
+    /**
+     * Applies new settings; open exchanges keep the class and the limit of attempts that they came under.
+     *
+     * @throws IllegalArgumentException if the settings lack a value or hold one that makes no sense
+     */
+    public void settingsChanged(SettingsReader reader) {
+        LoadBalancer.Settings settings = applySettings(reader);
+        backend.settingsChanged(reader);
+        dispatcher.dispatch((policy, now) -> policy.settingsChanged(now, settings));
     }
 
     @Override
-    public void endpointsUpdated(UpdateKind kind, List<Endpoint> targets) {
-        List<EndpointInfo> entries = new ArrayList<>(targets.size());
-        Map<Long, Endpoint> named = new HashMap<>();
-        for (Endpoint target : targets) {
-            EndpointInfo entry = numbers.upstream(target);
-            named.put(entry.id(), target);
-            entries.add(entry);
-        }
-        tell(now -> {
-            named.forEach((id, target) -> {
-                if (target.status() == EndpointStatus.REMOVED) {
-                    back.endpointRemoved(id);
-                } else {
-                    back.endpointUpdated(
-                            id, target.address(), target.startedAtMillis(), target.status() == EndpointStatus.READY);
-                }
-            });
-            if (kind == UpdateKind.FULL) {
-                for (long id : numbers.all()) {
-                    if (!named.containsKey(id)) {
-                        back.endpointRemoved(id);
-                    }
-                }
-            }
-            module.endpointsUpdated(now, kind, entries);
-        });
+    public void endpointsUpdated(UpdateKind kind, List<Endpoint> endpoints) {
+        endpointUpdater.endpointsUpdated(kind, endpoints);
     }
 
     @Override
-    public long submit(ExchangeRequest<Q> job, ResponseListener<A> client) {
-        ClassCounters counts = metrics.countersOf(job.requestClass().name());
-        if (exchanges.size() >= mostOpen || job.timeoutMillis() <= 0) {
-            counts.requestShed();
-            client.rejected(0);
-            return 0;
-        }
-        long id = ++lastId;
-        Exchange<Q, A> exchange = new Exchange<>(id, job, client, counts, tryLimit);
-        exchanges.put(id, exchange);
-        job.body().onProgress(() -> whole(exchange), () -> tell(now -> module.bodyNotReplayable(now, id)));
-        Request request = new Request(
-                id,
-                job.requestClass().number(),
-                job.tenant(),
-                job.resourceKey(),
-                wait(exchange),
-                job.costHintNanos(),
-                job.clientRetry(),
-                job.write());
-        boolean whole = job.body().isComplete();
-        if (whole) {
-            startClock(exchange);
-        }
-        tell(now -> {
-            if (!exchange.open()) {
-                return; // over before the module has heard of it
-            }
-            exchange.told();
-            if (whole) {
-                module.requestReceived(now, request);
-            } else {
-                // The client's time begins with the last byte of its body.
-                module.requestStarted(now, request);
-            }
-        });
-        return id;
-    }
-
-    private long wait(Exchange<Q, A> exchange) {
-        return Math.max(1, exchange.job.timeoutMillis() * 1_000_000 - ANSWER_ROOM);
-    }
-
-    private void startClock(Exchange<Q, A> exchange) {
-        long wait = wait(exchange);
-        // The module answers by its own deadline; this holds for whatever it may have missed.
-        exchange.startClock(time.now() + wait, time.schedule(wait + ANSWER_ROOM / 2, () -> {
-            fail(exchange.id);
-            giveUp(exchange);
-        }));
-    }
-
-    private void whole(Exchange<Q, A> exchange) {
-        startClock(exchange);
-        exchange.sentAttempts().forEach(attempt -> attempt.startTimeout(wait(exchange)));
-        tell(now -> module.requestBodyCompleted(now, exchange.id));
+    public long submit(ExchangeRequest<Q> request, ResponseListener<A> listener) {
+        return lifecycle.submit(request, listener);
     }
 
     @Override
     public void clientDisconnected(long id) {
-        Exchange<Q, A> exchange = exchanges.get(id);
-        if (exchange != null && exchange.open()) {
-            answer(exchange, () -> {});
-            giveUp(exchange);
-            if (exchange.answering() != null) {
-                exchange.answering().cancel();
-            }
-        }
-    }
-
-    /**
-     * Nobody waits for it any more. What is not written yet is not sent on, also where the settings allow no
-     * cancelling: that is about work a server has.
-     */
-    private void giveUp(Exchange<Q, A> exchange) {
-        tell(now -> module.clientDisconnected(now, exchange.id));
-        for (Attempt<Q, A> attempt : List.copyOf(exchange.sentAttempts())) {
-            if (!attempt.isWritten()) {
-                attempt.cancel();
-            }
-        }
+        lifecycle.clientDisconnected(id);
     }
 
     @Override
     public long active() {
-        return exchanges.values().stream()
-                .filter(each -> each.open() && each.job.body().isComplete())
-                .count();
+        return lifecycle.activeCount();
     }
 
     @Override
     public long poolSize() {
-        return back.endpointCount();
+        return backend.endpointCount();
     }
 
     @Override
     public long poolEjected() {
-        return module.ejectedCount(time.now());
-    }
-
-    /** How many are known, answered ones with attempts still out among them. */
-    int held() {
-        return exchanges.size();
-    }
-
-    /** How many events could not be handled: each is a fault of this program. */
-    long faults() {
-        return events.faults();
-    }
-
-    /** Where each that is known is. */
-    List<ExchangeState> phases() {
-        return exchanges.values().stream().map(Exchange::phase).toList();
-    }
-
-    /** The one final answer; after the first, nothing. */
-    private void answer(Exchange<Q, A> exchange, Runnable words) {
-        if (exchange.open()) {
-            exchange.answered();
-            words.run();
-            forget(exchange);
-        }
-    }
-
-    private void forget(Exchange<Q, A> exchange) {
-        if (exchange.settled()) {
-            exchanges.remove(exchange.id);
-        }
-    }
-
-    @Override
-    public void forward(long request, long server, long timeout) {
-        Exchange<Q, A> exchange = exchanges.get(request);
-        if (exchange == null) {
-            return;
-        }
-        long now = time.now();
-        boolean may = exchange.maySend(now);
-        int number = exchange.ordered();
-        Out out = new Out(exchange, number, server, now);
-        if (!may) {
-            out.attemptCompleted(Outcome.NEVER_SENT, null, Attempt.NO_LOAD);
-            return;
-        }
-        long wait = Math.min(wait(exchange), exchange.left(now));
-        exchange.sent(
-                number,
-                back.startAttempt(
-                        server,
-                        exchange.job.message(),
-                        exchange.job.body(),
-                        timeout > 0 ? Math.min(wait, timeout) : wait,
-                        out));
-    }
-
-    /** An attempt that is out, and what becomes of it. */
-    private final class Out implements AttemptListener<Q, A> {
-        private final Exchange<Q, A> exchange;
-        private final int number;
-        private final long server;
-        private final long sentAt;
-
-        Out(Exchange<Q, A> exchange, int number, long server, long sentAt) {
-            this.exchange = exchange;
-            this.number = number;
-            this.server = server;
-            this.sentAt = sentAt;
-        }
-
-        @Override
-        public void requestWritten() {
-            exchange.counts.attemptWritten();
-        }
-
-        @Override
-        public void responseStarted(Attempt<Q, A> attempt, A first, long length, FlowControl rest) {
-            if (!exchange.begun(number)) {
-                attempt.cancel();
-                return;
-            }
-            tell(now -> module.responseStarted(now, exchange.id, number, server, now - sentAt));
-            exchange.client.responseStarted(first, length, rest);
-        }
-
-        @Override
-        public void responseData(ByteBuf bytes) {
-            exchange.client.responseData(bytes);
-        }
-
-        @Override
-        public void attemptCompleted(Outcome outcome, A answer, float[] load) {
-            // An answer that is there does not wait for what else is to be heard of. Danger: a fault on the
-            // client's side that left out the rest would leave the attempt counted as in flight for good.
-            events.handle(now -> pass(outcome, answer));
-            tell(now -> {
-                exchange.ended();
-                module.attemptCompleted(
-                        now, exchange.id, number, server, outcome, now - sentAt, !exchange.open(), load);
-                forget(exchange);
-            });
-        }
-
-        /** Gives the client what this attempt has brought, if it is the one that answers. */
-        private void pass(Outcome outcome, A answer) {
-            boolean answers = exchange.answeredBy(number);
-            if (answers && outcome == Outcome.OK) {
-                answer(exchange, () -> {
-                    exchange.counts.requestServed();
-                    exchange.client.responseCompleted();
-                });
-            } else if (answers) {
-                answer(exchange, () -> {
-                    exchange.counts.requestFailed();
-                    exchange.client.responseAborted();
-                });
-            } else if (outcome == Outcome.OK && exchange.phase() == ExchangeState.OUT) {
-                answer(exchange, () -> {
-                    exchange.counts.requestServed();
-                    exchange.client.responseReceived(answer);
-                });
-            }
-        }
-    }
-
-    @Override
-    public void reject(long request, long wait) {
-        turnDown(request, exchange -> {
-            exchange.counts.requestShed();
-            exchange.client.rejected(wait);
-        });
+        return dispatcher.ejectedCount();
     }
 
-    @Override
-    public void fail(long request) {
-        turnDown(request, exchange -> {
-            exchange.counts.requestFailed();
-            exchange.client.failed();
-        });
+    /** Returns how many exchanges are tracked, answered ones with attempts in flight among them. */
+    int trackedCount() {
+        return lifecycle.trackedCount();
     }
 
-    /** Not while an answer is being passed on: that answer's end is the client's. */
-    private void turnDown(long request, Consumer<Exchange<Q, A>> words) {
-        Exchange<Q, A> exchange = exchanges.get(request);
-        if (exchange != null && exchange.phase() != ExchangeState.ANSWERING) {
-            answer(exchange, () -> words.accept(exchange));
-        }
+    /** Returns how many events have thrown; each one is a fault of this program. */
+    long faultCount() {
+        return dispatcher.faultCount();
     }
 
-    @Override
-    public void cancelAttempt(long request, int attempt) {
-        Exchange<Q, A> exchange = exchanges.get(request);
-        if (exchange != null
-                && attempt < exchange.attempts().size()
-                && exchange.attempts().get(attempt) != null) {
-            exchange.attempts().get(attempt).cancel();
-        }
-    }
-
-    @Override
-    public void setTimer(long token, long at) {
-        time.schedule(Math.max(0, at - time.now()), () -> tell(now -> module.timerFired(now, token)));
-    }
-
-    @Override
-    public void sendHealthCheck(long server) {
-        long sentAt = time.now();
-        back.sendHealthCheck(
-                server,
-                (outcome, answer, load) ->
-                        tell(now -> module.healthCheckCompleted(now, server, outcome, now - sentAt, load)));
-    }
-
-    @Override
-    public void closeIdleConnections(long server) {
-        back.closeIdleConnections(server);
-    }
-
-    /** Sidecars of this kind share nothing; the module does not use peers. */
-    @Override
-    public void sendGossip(int peer, byte[] message) {
-        throw new UnsupportedOperationException("peers");
-    }
-
-    @Override
-    public void log(String line) {
-        MODULE.info("{}", line);
-    }
-
-    @Override
-    public void watchEndpoints(boolean on) {
-        servers.watch(on);
-    }
-
-    @Override
-    public void fetchEndpoints() {
-        servers.fetch();
+    /** Returns the states of the tracked exchanges. */
+    List<ExchangeState> states() {
+        return lifecycle.states();
     }
 }
--- a/core/src/main/java/topazvalve/core/exchange/ExchangeRequest.java
+++ b/core/src/main/java/topazvalve/core/exchange/ExchangeRequest.java
@@ -4,14 +4,17 @@
 import topazvalve.core.stream.RequestBody;
 
 /**
- * An exchange as a front took it; the last byte of its body may still be to come.
+ * A request as a frontend submits it; the end of its body may still be to come.
  *
- * @param resourceKey what it is about, as a number; 0 for nothing
- * @param timeoutMillis how long its client waits, in milliseconds, from the body's last byte on
- * @param costHintNanos the work to expect in nanoseconds; 0 where unknown
- * @param clientRetry the client marked it as a repeat
- * @param write it may change something
- * @param message what is asked, in its protocol's terms; the core hands it on unseen
+ * @param requestClass class of the request
+ * @param tenant number of the tenant
+ * @param resourceKey number of the resource that the request is about; 0 for none
+ * @param timeoutMillis how long the client waits, in milliseconds, from the last byte of the body on
+ * @param costHintNanos expected work in nanoseconds; 0 where it is not known
+ * @param clientRetry whether the client marked the request as a retry
+ * @param write whether the request may change something
+ * @param message the request in terms of its protocol; the core does not look at it
+ * @param body body of the request
  */
 public record ExchangeRequest<Q>(
         ClassTable.Entry requestClass,
@@ -23,12 +26,15 @@
         boolean write,
         Q message,
         RequestBody body) {
-    /** The same, whose client waits for so many nanoseconds at the most. */
+    private static final long NANOS_PER_MILLI = 1_000_000;
+
+    /** Returns this request with a timeout of at most {@code nanoseconds}, rounded down to milliseconds. */
     public ExchangeRequest<Q> withTimeoutAtMost(long nanoseconds) {
-        long most = Math.floorDiv(nanoseconds, 1_000_000L);
-        return most >= timeoutMillis
-                ? this
-                : new ExchangeRequest<>(
-                        requestClass, tenant, resourceKey, most, costHintNanos, clientRetry, write, message, body);
+        long maxTimeoutMillis = Math.floorDiv(nanoseconds, NANOS_PER_MILLI);
+        if (maxTimeoutMillis >= timeoutMillis) {
+            return this;
+        }
+        return new ExchangeRequest<>(
+                requestClass, tenant, resourceKey, maxTimeoutMillis, costHintNanos, clientRetry, write, message, body);
     }
 }
--- a/core/src/main/java/topazvalve/core/exchange/ExchangeState.java
+++ b/core/src/main/java/topazvalve/core/exchange/ExchangeState.java
@@ -1,77 +1,98 @@
 package topazvalve.core.exchange;
 
 /**
- * Where an exchange is in its life, and every step that it can take. A step that is not listed is a fault of
- * this program and told as one. Attempts that are still out after the final answer keep the exchange known:
- * each of their ends is owed to the decision module.
+ * The state of an exchange and its transitions. An event without a transition is a fault of this program.
+ * Attempts that are still in flight after the final answer keep the exchange tracked, because the policy has
+ * to be notified of the end of each.
  *
  * <pre>
- * TAKEN      told     WAITING     the decision module knows of it
- * WAITING    sent     OUT         an attempt is out
- * OUT        sent     OUT         one more
- * OUT        ended    OUT         others are still out
- * OUT        ended    WAITING     that was the last one out
- * OUT        begun    ANSWERING   the answer has begun and belongs to the client
- * ANSWERING  sent     ANSWERING   an order that comes too late: it never sets out
- * ANSWERING  ended    ANSWERING   any attempt; the answering one is followed by answered at once
- * any of the above    answered    ANSWERED    served, finished, cut, refused, failed or hung up
- * ANSWERED   told, sent, ended    ANSWERED    what was on its way
- * ANSWERED   settled  FORGOTTEN   no attempt is out
+ * state       event              next state
+ * RECEIVED    POLICY_NOTIFIED    PENDING     the policy knows the exchange
+ * PENDING     ATTEMPT_ADDED      ATTEMPTING  the policy has ordered an attempt
+ * ATTEMPTING  ATTEMPT_ADDED      ATTEMPTING  one more
+ * ATTEMPTING  ATTEMPT_ENDED      ATTEMPTING  others are still in flight
+ * ATTEMPTING  ATTEMPT_ENDED      PENDING     it was the last one in flight
+ * ATTEMPTING  RESPONSE_STARTED   RESPONDING  a response is being streamed to the client
+ * RESPONDING  ATTEMPT_ADDED      RESPONDING  an order that comes too late: the attempt is never started
+ * RESPONDING  ATTEMPT_ENDED      RESPONDING  any attempt; for the responding one ANSWERED follows at once
+ * any above   ANSWERED           COMPLETED   served, aborted, rejected, failed or disconnected
+ * COMPLETED   POLICY_NOTIFIED, ATTEMPT_ADDED, ATTEMPT_ENDED
+ *                                COMPLETED   events that were on their way
+ * COMPLETED   SETTLED            RELEASED    no attempt is in flight
  * </pre>
  */
 enum ExchangeState {
-    TAKEN,
-    WAITING,
-    OUT,
-    ANSWERING,
-    ANSWERED,
-    FORGOTTEN;
+    RECEIVED,
+    PENDING,
+    ATTEMPTING,
+    RESPONDING,
+    COMPLETED,
+    RELEASED;
 
     /** What happens to an exchange. */
-    enum Step {
-        TOLD,
-        SENT,
-        ENDED,
-        BEGUN,
+    enum Event {
+        POLICY_NOTIFIED,
+        ATTEMPT_ADDED,
+        ATTEMPT_ENDED,
+        RESPONSE_STARTED,
         ANSWERED,
         SETTLED
     }
 
-    /** Whether the client is still owed an answer, or the rest of one. */
-    boolean open() {
-        return this != ANSWERED && this != FORGOTTEN;
+    /** Returns whether the client still waits for an answer or for the rest of one. */
+    boolean isOpen() {
+        return this != COMPLETED && this != RELEASED;
     }
 
-    /** The phase after a step; {@code out} attempts are out after it. */
-    ExchangeState after(Step step, int out) {
-        ExchangeState next = switch (this) {
-            case TAKEN -> step == Step.TOLD ? WAITING : step == Step.ANSWERED ? ANSWERED : null;
-            case WAITING -> step == Step.SENT ? OUT : step == Step.ANSWERED ? ANSWERED : null;
-            case OUT ->
-                switch (step) {
-                    case SENT -> OUT;
-                    case ENDED -> out == 0 ? WAITING : OUT;
-                    case BEGUN -> ANSWERING;
-                    case ANSWERED -> ANSWERED;
+    /**
+     * Returns the state after an event.
+     *
+     * @param attemptsInFlight number of attempts in flight after the event
+     * @throws IllegalTransitionException if the event can't happen in this state
+     */
+    ExchangeState after(Event event, int attemptsInFlight) {
+        ExchangeState next = nextOrNull(event, attemptsInFlight);
+        if (next == null) {
+            throw new IllegalTransitionException(this, event, attemptsInFlight);
+        }
+        return next;
+    }
+
+    private ExchangeState nextOrNull(Event event, int attemptsInFlight) {
+        return switch (this) {
+            case RECEIVED ->
+                switch (event) {
+                    case POLICY_NOTIFIED -> PENDING;
+                    case ANSWERED -> COMPLETED;
+                    default -> null;
+                };
+            case PENDING ->
+                switch (event) {
+                    case ATTEMPT_ADDED -> ATTEMPTING;
+                    case ANSWERED -> COMPLETED;
+                    default -> null;
+                };
+            case ATTEMPTING ->
+                switch (event) {
+                    case ATTEMPT_ADDED -> ATTEMPTING;
+                    case ATTEMPT_ENDED -> attemptsInFlight == 0 ? PENDING : ATTEMPTING;
+                    case RESPONSE_STARTED -> RESPONDING;
+                    case ANSWERED -> COMPLETED;
                     default -> null;
                 };
-            case ANSWERING ->
-                switch (step) {
-                    case SENT, ENDED -> ANSWERING;
-                    case ANSWERED -> ANSWERED;
+            case RESPONDING ->
+                switch (event) {
+                    case ATTEMPT_ADDED, ATTEMPT_ENDED -> RESPONDING;
+                    case ANSWERED -> COMPLETED;
                     default -> null;
                 };
-            case ANSWERED ->
-                switch (step) {
-                    case TOLD, SENT, ENDED -> ANSWERED;
-                    case SETTLED -> out == 0 ? FORGOTTEN : null;
+            case COMPLETED ->
+                switch (event) {
+                    case POLICY_NOTIFIED, ATTEMPT_ADDED, ATTEMPT_ENDED -> COMPLETED;
+                    case SETTLED -> attemptsInFlight == 0 ? RELEASED : null;
                     default -> null;
                 };
-            case FORGOTTEN -> null;
+            case RELEASED -> null;
         };
-        if (next == null) {
-            throw new IllegalStateException(this + " can't be " + step + " with " + out + " out");
-        }
-        return next;
     }
 }
--- /dev/null
+++ b/core/src/main/java/topazvalve/core/exchange/PolicyActionExecutor.java
@@ -0,0 +1,130 @@
+package topazvalve.core.exchange;
+
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import topazvalve.core.endpoint.EndpointDiscovery;
+import topazvalve.core.pool.Attempt;
+import topazvalve.core.pool.Backend;
+import topazvalve.core.time.Scheduler;
+import topazvalve.policy.LoadBalancer;
+import topazvalve.policy.LoadBalancer.Outcome;
+
+/**
+ * Carries out what the policy orders, at the time of the event that the policy is handling. Each attempt that
+ * is ordered has exactly one outcome, also one that can't be started.
+ */
+final class PolicyActionExecutor<Q, A> implements LoadBalancer.Actions {
+    private static final Logger POLICY_LOG = LoggerFactory.getLogger("module");
+
+    private final Scheduler scheduler;
+    private final PolicyDispatcher dispatcher;
+    private final ExchangeLifecycle<Q, A> lifecycle;
+    private final Backend<Q, A> backend;
+    private EndpointDiscovery discovery;
+
+    PolicyActionExecutor(
+            Scheduler scheduler,
+            PolicyDispatcher dispatcher,
+            ExchangeLifecycle<Q, A> lifecycle,
+            Backend<Q, A> backend) {
+        this.scheduler = scheduler;
+        this.dispatcher = dispatcher;
+        this.lifecycle = lifecycle;
+        this.backend = backend;
+    }
+
+    /** Sets where endpoint lists are watched and fetched; called before the policy is started. */
+    void setDiscovery(EndpointDiscovery discovery) {
+        this.discovery = discovery;
+    }
+
+    @Override
+    public void forward(long request, long endpoint, long timeoutNanos) {
+        Exchange<Q, A> exchange = lifecycle.find(request);
+        if (exchange == null) {
+            return;
+        }
+        long now = scheduler.now();
+        boolean mayStart = exchange.mayStartAttempt(now);
+        int number = exchange.addAttempt();
+        ExchangeAttempt<Q, A> attempt = new ExchangeAttempt<>(lifecycle, exchange, number, endpoint, now);
+        if (mayStart) {
+            long attemptTimeoutNanos = attemptTimeoutNanos(exchange, timeoutNanos, now);
+            exchange.attemptStarted(
+                    number,
+                    backend.startAttempt(
+                            endpoint,
+                            exchange.request.message(),
+                            exchange.request.body(),
+                            attemptTimeoutNanos,
+                            attempt));
+        } else {
+            attempt.attemptCompleted(Outcome.NEVER_SENT, null, Attempt.NO_LOAD);
+        }
+    }
+
+    private long attemptTimeoutNanos(Exchange<Q, A> exchange, long orderedNanos, long now) {
+        long clientNanos = Math.min(ExchangeLifecycle.timeoutNanos(exchange), exchange.remainingNanos(now));
+        return orderedNanos > 0 ? Math.min(clientNanos, orderedNanos) : clientNanos;
+    }
+
+    @Override
+    public void reject(long request, long retryAfterNanos) {
+        lifecycle.reject(request, retryAfterNanos);
+    }
+
+    @Override
+    public void fail(long request) {
+        lifecycle.fail(request);
+    }
+
+    @Override
+    public void cancelAttempt(long request, int attempt) {
+        Exchange<Q, A> exchange = lifecycle.find(request);
+        Attempt<Q, A> started = exchange == null ? null : exchange.attempt(attempt);
+        if (started != null) {
+            started.cancel();
+        }
+    }
+
+    @Override
+    public void setTimer(long token, long atNanos) {
+        long delayNanos = Math.max(0, atNanos - scheduler.now());
+        scheduler.schedule(delayNanos, () -> dispatcher.dispatch((policy, now) -> policy.timerFired(now, token)));
+    }
+
+    @Override
+    public void sendHealthCheck(long endpoint) {
+        long sentAtNanos = scheduler.now();
+        backend.sendHealthCheck(
+                endpoint,
+                (outcome, answer, load) -> dispatcher.dispatch(
+                        (policy, now) -> policy.healthCheckCompleted(now, endpoint, outcome, now - sentAtNanos, load)));
+    }
+
+    @Override
+    public void closeIdleConnections(long endpoint) {
+        backend.closeIdleConnections(endpoint);
+    }
+
+    /** Sidecars of this kind have no peers; the policy sends no gossip. */
+    @Override
+    public void sendGossip(int peer, byte[] message) {
+        throw new UnsupportedOperationException("gossip is not supported");
+    }
+
+    @Override
+    public void log(String line) {
+        POLICY_LOG.info("{}", line);
+    }
+
+    @Override
+    public void watchEndpoints(boolean enabled) {
+        discovery.watch(enabled);
+    }
+
+    @Override
+    public void fetchEndpoints() {
+        discovery.fetch();
+    }
+}
--- a/core/src/main/java/topazvalve/core/exchange/ResponseListener.java
+++ b/core/src/main/java/topazvalve/core/exchange/ResponseListener.java
@@ -3,24 +3,39 @@
 import io.netty.buffer.ByteBuf;
 import topazvalve.core.stream.FlowControl;
 
-/** Takes an exchange's one final answer: whole, or begun and then more, up to its end or a cut. */
+/**
+ * Receives the one final answer of an exchange. A response comes either complete ({@link #responseReceived}) or
+ * streamed: {@link #responseStarted}, any number of {@link #responseData}, then {@link #responseCompleted} or
+ * {@link #responseAborted}.
+ */
 public interface ResponseListener<A> {
+    /** Receives a complete response. */
     void responseReceived(A answer);
 
-    /** Of an answer too large to be held, the first part; {@code length} is -1 where nobody has said. */
+    /**
+     * Receives the first part of a response that is too large to be buffered.
+     *
+     * @param length length of the response's body in bytes; -1 where it is not known
+     * @param rest pauses and resumes the parts that follow
+     */
     void responseStarted(A first, long length, FlowControl rest);
 
-    /** Takes over the buffer. */
+    /** Receives the next bytes of a streamed response and takes ownership of the buffer. */
     void responseData(ByteBuf bytes);
 
-    /** All of an answer that was begun has come. */
+    /** Ends a streamed response, all of which has come. */
     void responseCompleted();
 
-    /** The rest of an answer that was begun will not come: the client must be able to tell. */
+    /** Breaks off a streamed response whose rest will not come; the client must be able to tell. */
     void responseAborted();
 
-    /** Refused: trying again is harmless, best after {@code wait} nanoseconds where that is not 0. */
+    /**
+     * Answers that the request was rejected, so that a retry is harmless.
+     *
+     * @param retryAfterNanos when a retry is best made, in nanoseconds from now; 0 for no guidance
+     */
     void rejected(long retryAfterNanos);
 
+    /** Answers that the request has failed; it may have had an effect. */
     void failed();
 }
--- a/core/src/test/java/topazvalve/core/exchange/ExchangeModelTest.java
+++ b/core/src/test/java/topazvalve/core/exchange/ExchangeModelTest.java
@@ -10,74 +10,88 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
+import topazvalve.core.exchange.ScenarioEvent.Type;
 import topazvalve.policy.LoadBalancer.Idempotency;
 
 /**
- * Plays every order of events up to a depth against the real core and module, each from the beginning: the
- * client leaves, attempts are written, lost, answered, begun, cut, timers ring, a server drains, settings
- * change, the process stops, a module orders what it should not. {@code -Dmodel.depth=N} goes deeper.
+ * Plays every order of events up to a depth against the real core and policy, each from the beginning: the client
+ * disconnects, attempts are written, lost, answered, streamed and reset, timers fire, an endpoint drains, settings
+ * change, the process stops, and attempts are ordered that should not be. {@code -Dmodel.depth=N} goes deeper.
  */
 class ExchangeModelTest {
     private static final int DEPTH = Integer.getInteger("model.depth", 5);
+    private static final List<Type> EVENTS_IN_STALL = List.of(
+            Type.TIMER_FIRED, Type.CLIENT_DISCONNECTED, Type.LOOP_CAUGHT_UP, Type.ENDPOINT_DRAINING, Type.STOPPED);
+
     private final Set<String> states = new HashSet<>();
-    private long played;
+    private long playedOrders;
 
     @ParameterizedTest
     @EnumSource(Idempotency.class)
-    void everyOrderOfEventsEndsInOneAnswerAndLosesNothing(Idempotency semantics) {
-        for (boolean whole : new boolean[] {true, false}) {
+    void everyOrderOfEventsEndsInOneAnswerAndLosesNothing(Idempotency idempotency) {
+        for (boolean bodyComplete : new boolean[] {true, false}) {
             for (boolean rogue : new boolean[] {true, false}) {
-                explore(semantics, whole, rogue, new ArrayList<>());
+                explore(idempotency, bodyComplete, rogue, new ArrayList<>());
             }
         }
         System.out.printf(
-                "model %s: %,d orders, %,d different states, depth %d%n", semantics, played, states.size(), DEPTH);
+                "model %s: %,d orders, %,d different states, depth %d%n",
+                idempotency, playedOrders, states.size(), DEPTH);
         assertTrue(states.size() > 100, "something happens");
     }
 
-    /** Whatever happens to a request that came in a stall, before the module has heard of it. */
+    /** Whatever happens to a request that came in a stall, before the policy was notified of it. */
     @ParameterizedTest
     @EnumSource(Idempotency.class)
-    void everyOrderOfEventsInAStallEndsInOneAnswer(Idempotency semantics) {
-        for (boolean whole : new boolean[] {true, false}) {
-            for (String first : new Scene(semantics, whole, false, true).next()) {
-                for (String second : List.of("ring", "hangup", "heard", "drain", "stop")) {
-                    Scene scene = new Scene(semantics, whole, false, true);
-                    scene.play(first);
-                    scene.play(second);
-                    scene.settle();
+    void everyOrderOfEventsInAStallEndsInOneAnswer(Idempotency idempotency) {
+        for (boolean bodyComplete : new boolean[] {true, false}) {
+            for (ScenarioEvent first :
+                    stalledScenario(idempotency, bodyComplete).possibleEvents()) {
+                for (Type second : EVENTS_IN_STALL) {
+                    ExchangeScenario scenario = stalledScenario(idempotency, bodyComplete);
+                    scenario.play(first);
+                    scenario.play(ScenarioEvent.of(second));
+                    scenario.settle();
                 }
             }
         }
     }
 
-    private void explore(Idempotency semantics, boolean whole, boolean rogue, List<String> path) {
-        List<String> next;
+    private static ExchangeScenario stalledScenario(Idempotency idempotency, boolean bodyComplete) {
+        return new ExchangeScenario(idempotency, bodyComplete, false, true);
+    }
+
+    private void explore(Idempotency idempotency, boolean bodyComplete, boolean rogue, List<ScenarioEvent> path) {
+        List<ScenarioEvent> nextEvents;
         try {
-            Scene scene = new Scene(semantics, whole, rogue);
-            path.forEach(scene::play);
-            states.add(whole + " " + rogue + scene.state());
-            next = scene.next();
-            scene.settle();
-            played++;
+            ExchangeScenario scenario = new ExchangeScenario(idempotency, bodyComplete, rogue);
+            path.forEach(scenario::play);
+            states.add(bodyComplete + " " + rogue + scenario.describeState());
+            nextEvents = scenario.possibleEvents();
+            scenario.settle();
+            playedOrders++;
         } catch (AssertionError | RuntimeException e) {
-            throw new AssertionError(
-                    semantics + (whole ? " whole " : " arriving ") + (rogue ? "rogue " : "") + path, e);
+            String body = bodyComplete ? " complete body " : " arriving body ";
+            throw new AssertionError(idempotency + body + (rogue ? "rogue " : "") + path, e);
         }
         if (path.size() < DEPTH) {
-            for (String event : next) {
+            for (ScenarioEvent event : nextEvents) {
                 path.add(event);
-                explore(semantics, whole, rogue, path);
+                explore(idempotency, bodyComplete, rogue, path);
                 path.remove(path.size() - 1);
             }
         }
     }
 
     @Test
-    void stepThatCannotBeIsLoud() {
-        assertThrows(IllegalStateException.class, () -> ExchangeState.FORGOTTEN.after(ExchangeState.Step.ENDED, 0));
-        assertThrows(IllegalStateException.class, () -> ExchangeState.ANSWERED.after(ExchangeState.Step.SETTLED, 1));
-        assertThrows(IllegalStateException.class, () -> ExchangeState.ANSWERING.after(ExchangeState.Step.BEGUN, 2));
-        assertThrows(IllegalStateException.class, () -> ExchangeState.WAITING.after(ExchangeState.Step.ENDED, 0));
+    void eventWithoutTransitionThrows() {
+        assertNoTransition(ExchangeState.RELEASED, ExchangeState.Event.ATTEMPT_ENDED, 0);
+        assertNoTransition(ExchangeState.COMPLETED, ExchangeState.Event.SETTLED, 1);
+        assertNoTransition(ExchangeState.RESPONDING, ExchangeState.Event.RESPONSE_STARTED, 2);
+        assertNoTransition(ExchangeState.PENDING, ExchangeState.Event.ATTEMPT_ENDED, 0);
+    }
+
+    private static void assertNoTransition(ExchangeState state, ExchangeState.Event event, int attemptsInFlight) {
+        assertThrows(IllegalTransitionException.class, () -> state.after(event, attemptsInFlight));
     }
 }
--- /dev/null
+++ b/core/src/test/java/topazvalve/core/exchange/ExchangeScenario.java
@@ -0,0 +1,472 @@
+package topazvalve.core.exchange;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import java.lang.reflect.InvocationTargetException;
+import java.lang.reflect.Method;
+import java.lang.reflect.Proxy;
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import topazvalve.core.classes.ClassTable;
+import topazvalve.core.endpoint.Endpoint;
+import topazvalve.core.endpoint.EndpointDiscovery;
+import topazvalve.core.exchange.ScenarioEvent.Type;
+import topazvalve.core.metrics.Metrics;
+import topazvalve.core.stream.ByteBudget;
+import topazvalve.core.stream.FlowControl;
+import topazvalve.core.stream.RequestBody;
+import topazvalve.policy.LoadBalancer;
+import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.LoadBalancer.Idempotency;
+import topazvalve.policy.LoadBalancer.Outcome;
+import topazvalve.policy.LoadBalancer.UpdateKind;
+import topazvalve.policy.SettingsReader;
+import topazvalve.policy.SidecarPolicy;
+
+/**
+ * One exchange and two endpoints, with the real core and the real policy in simulated time. It knows which events
+ * can happen next, plays them, and checks after each what always holds.
+ */
+final class ExchangeScenario {
+    private static final String SETTINGS = """
+            quantum=0
+            caps.mayCancel=%s
+            caps.tryLimit=%d
+            caps.retryAfter=true
+            caps.maxRetryAfter=1000000000
+            rules.answerSlack=100000000
+            rules.askWithin=1000000000
+            rules.stopSendingWithin=500000000
+            rules.coldShare=0.5
+            rules.rampTime=1000000000
+            rules.overloadFactor=2
+            rules.tipAfter=1000000000
+            profiles.count=1
+            profiles.0.name=one
+            profiles.0.slo=100000000
+            profiles.0.deadline=400000000
+            profiles.0.keyTtl=1000000000
+            profiles.0.keyScope=all
+            profiles.0.semantics=%s
+            """;
+    private static final int MAX_ATTEMPTS = 4;
+    private static final int MAX_ROGUE_FORWARDS = 2;
+    private static final int MAX_EXCHANGES = 2;
+    private static final int TIMEOUT_MILLIS = 400;
+    private static final int POLICY_SEED = 7;
+    private static final int BODY_BYTES = 8;
+    private static final long EVENT_INTERVAL_NANOS = 1_000_000;
+    private static final long SETTLE_NANOS = 10_000_000_000L;
+    private static final int DRAINED_ENDPOINT = 1;
+    private static final int OTHER_ENDPOINT = 2;
+
+    private final FakeScheduler scheduler = new FakeScheduler();
+    private final FakeBackend backend = new FakeBackend(scheduler);
+    private final ClassTable classes = new ClassTable();
+    private final Idempotency idempotency;
+    private final boolean rogue;
+    private final ByteBudget budget = new ByteBudget(ByteBudget.MIN_QUOTA_BYTES);
+    private final RequestBody body;
+    private final ExchangeManager<String, String> manager;
+    private final List<String> finalAnswers = new ArrayList<>();
+    private final List<ByteBuf> responseBuffers = new ArrayList<>();
+    private final Map<Integer, Integer> outcomesByAttempt = new HashMap<>();
+    private LoadBalancer.Actions actions;
+    private final long id;
+    private int forwardCount;
+    private boolean responseStarted;
+    private boolean disconnected;
+    private int attemptsUntilDisconnect;
+    private boolean bodyDropped;
+    private boolean endpointDraining;
+    private boolean settingsChanged;
+    private boolean stopped;
+    private boolean hasStalled;
+
+    /**
+     * Creates a scenario whose request is taken at once.
+     *
+     * @param bodyComplete whether the body is complete when the request is submitted
+     * @param rogue whether attempts may be ordered that the policy did not order; the policy can't cancel then
+     */
+    ExchangeScenario(Idempotency idempotency, boolean bodyComplete, boolean rogue) {
+        this(idempotency, bodyComplete, rogue, false);
+    }
+
+    /** Creates a scenario as above; with {@code stalled} the request is taken while the loop is stalled. */
+    ExchangeScenario(Idempotency idempotency, boolean bodyComplete, boolean rogue, boolean stalled) {
+        this.idempotency = idempotency;
+        this.rogue = rogue;
+        body = bodyComplete ? RequestBody.of(new byte[BODY_BYTES]) : new RequestBody(budget, -1);
+        manager = new ExchangeManager<>(
+                scheduler, settings(MAX_ATTEMPTS), this::createPolicy, backend, MAX_EXCHANGES, new Metrics(), classes);
+        manager.start(
+                EndpointDiscovery.fixed(List::of, (kind, endpoints) -> {}),
+                List.of(
+                        endpoint(DRAINED_ENDPOINT, EndpointStatus.READY),
+                        endpoint(OTHER_ENDPOINT, EndpointStatus.READY)));
+        if (stalled) {
+            scheduler.stall();
+        }
+        id = manager.submit(
+                new ExchangeRequest<>(classes.find("one"), 0, 0, TIMEOUT_MILLIS, 0, false, true, "request", body),
+                new CheckingListener());
+    }
+
+    private SettingsReader settings(int maxAttempts) {
+        return new SettingsReader(SETTINGS.formatted(!rogue, maxAttempts, settingOf(idempotency)));
+    }
+
+    /** Returns the settings' word for a constant. */
+    private static String settingOf(Idempotency idempotency) {
+        return switch (idempotency) {
+            case IDEMPOTENT -> "repeatable";
+            case IDEMPOTENCY_KEY -> "by_key";
+            case NON_IDEMPOTENT -> "once";
+        };
+    }
+
+    private static Endpoint endpoint(int number, EndpointStatus status) {
+        InetSocketAddress address = new InetSocketAddress("127.0.0.1", number);
+        return new Endpoint("s" + number, address, "z", "k", number, status, 1, 0);
+    }
+
+    /** Creates the real policy between two proxies, which count what it orders and what it is notified of. */
+    private LoadBalancer createPolicy(LoadBalancer.Settings settings, LoadBalancer.Actions executor) {
+        actions = executor;
+        LoadBalancer.Actions countingActions = (LoadBalancer.Actions) Proxy.newProxyInstance(
+                ExchangeScenario.class.getClassLoader(),
+                new Class<?>[] {LoadBalancer.Actions.class},
+                (proxy, method, arguments) -> {
+                    if (method.getName().equals("forward")) {
+                        forwardCount++;
+                    }
+                    return invoke(executor, method, arguments);
+                });
+        LoadBalancer policy = new SidecarPolicy(settings, POLICY_SEED, countingActions);
+        return (LoadBalancer) Proxy.newProxyInstance(
+                ExchangeScenario.class.getClassLoader(),
+                new Class<?>[] {LoadBalancer.class},
+                (proxy, method, arguments) -> {
+                    if (method.getName().equals("attemptCompleted")) {
+                        outcomesByAttempt.merge((Integer) arguments[2], 1, Integer::sum);
+                    }
+                    return invoke(policy, method, arguments);
+                });
+    }
+
+    private static Object invoke(Object target, Method method, Object[] arguments) throws Throwable {
+        try {
+            return method.invoke(target, arguments);
+        } catch (InvocationTargetException e) {
+            throw e.getCause();
+        }
+    }
+
+    /** Checks that the client gets one answer whose parts come in order. */
+    private final class CheckingListener implements ResponseListener<String> {
+        @Override
+        public void responseReceived(String answer) {
+            recordFinalAnswer("served");
+        }
+
+        @Override
+        public void responseStarted(String first, long length, FlowControl rest) {
+            assertTrue(!responseStarted && finalAnswers.isEmpty(), "the response starts once, before any end");
+            responseStarted = true;
+        }
+
+        @Override
+        public void responseData(ByteBuf bytes) {
+            assertTrue(responseStarted, "data of a response that has not started");
+            bytes.release();
+        }
+
+        @Override
+        public void responseCompleted() {
+            assertTrue(responseStarted, "completed a response that has not started");
+            assertTrue(
+                    backend.startedAttempts.stream()
+                            .allMatch(started -> !started.responseStarted || started.attempt.isCompleted()),
+                    "completed by another attempt's end");
+            recordFinalAnswer("completed");
+        }
+
+        @Override
+        public void responseAborted() {
+            assertTrue(responseStarted, "aborted a response that has not started");
+            recordFinalAnswer("aborted");
+        }
+
+        @Override
+        public void rejected(long retryAfterNanos) {
+            assertTrue(!responseStarted, "rejected during a response");
+            recordFinalAnswer("rejected");
+        }
+
+        @Override
+        public void failed() {
+            assertTrue(!responseStarted, "failed during a response");
+            recordFinalAnswer("failed");
+        }
+
+        private void recordFinalAnswer(String answer) {
+            assertTrue(!disconnected, "answered after the client disconnected: " + answer);
+            finalAnswers.add(answer);
+            assertTrue(finalAnswers.size() == 1, "answered twice: " + finalAnswers);
+        }
+    }
+
+    /** Returns all events that can happen next. */
+    List<ScenarioEvent> possibleEvents() {
+        List<ScenarioEvent> events = new ArrayList<>();
+        for (int i = 0; i < backend.startedAttempts.size(); i++) {
+            addAttemptEvents(i, events);
+        }
+        addClientEvents(events);
+        addEnvironmentEvents(events);
+        return events;
+    }
+
+    private void addAttemptEvents(int index, List<ScenarioEvent> events) {
+        FakeBackend.StartedAttempt started = backend.startedAttempts.get(index);
+        if (started.attempt.isCompleted()) {
+            return;
+        }
+        List<Type> types;
+        if (!started.attempt.isWritten()) {
+            types = List.of(Type.CONNECTION_LOST, body.isComplete() ? Type.ATTEMPT_WRITTEN : Type.ATTEMPT_REJECTED);
+        } else if (!started.responseStarted) {
+            types = List.of(Type.RESPONSE_RECEIVED, Type.ERROR_RECEIVED, Type.RESPONSE_STARTED);
+        } else {
+            types = List.of(Type.RESPONSE_DATA, Type.RESPONSE_COMPLETED, Type.CONNECTION_RESET);
+        }
+        types.forEach(type -> events.add(new ScenarioEvent(type, index)));
+    }
+
+    private void addClientEvents(List<ScenarioEvent> events) {
+        if (disconnected || !finalAnswers.isEmpty()) {
+            return;
+        }
+        events.add(ScenarioEvent.of(Type.CLIENT_DISCONNECTED));
+        if (!body.isComplete()) {
+            events.add(ScenarioEvent.of(Type.BODY_COMPLETED));
+            if (!bodyDropped) {
+                events.add(ScenarioEvent.of(Type.BODY_DROPPED));
+            }
+        }
+    }
+
+    private void addEnvironmentEvents(List<ScenarioEvent> events) {
+        if (rogue && forwardCount < MAX_ATTEMPTS + MAX_ROGUE_FORWARDS) {
+            events.add(ScenarioEvent.of(Type.ROGUE_FORWARD));
+        }
+        events.add(ScenarioEvent.of(Type.TIMER_FIRED));
+        if (scheduler.isStalled()) {
+            events.add(ScenarioEvent.of(Type.LOOP_CAUGHT_UP));
+        } else if (!hasStalled) {
+            events.add(ScenarioEvent.of(Type.LOOP_STALLED));
+        }
+        if (!endpointDraining) {
+            events.add(ScenarioEvent.of(Type.ENDPOINT_DRAINING));
+        }
+        if (!settingsChanged) {
+            events.add(ScenarioEvent.of(Type.SETTINGS_CHANGED));
+        }
+        if (!stopped) {
+            events.add(ScenarioEvent.of(Type.STOPPED));
+        }
+    }
+
+    /** Plays an event a little later than the one before, and checks the invariants. */
+    void play(ScenarioEvent event) {
+        scheduler.advance(EVENT_INTERVAL_NANOS);
+        if (event.attempt() == ScenarioEvent.NO_ATTEMPT) {
+            playEvent(event.type());
+        } else {
+            FakeBackend.StartedAttempt started = backend.startedAttempts.get(event.attempt());
+            if (started.attempt.isCompleted()) {
+                return; // ended by a timer that was due meanwhile
+            }
+            playAttemptEvent(event.type(), started);
+        }
+        checkInvariants();
+    }
+
+    private void playAttemptEvent(Type type, FakeBackend.StartedAttempt started) {
+        switch (type) {
+            case ATTEMPT_WRITTEN -> {
+                started.attempt.writeStarted();
+                started.attempt.handedOver();
+                started.attempt.requestWritten();
+            }
+            case CONNECTION_LOST, CONNECTION_RESET -> started.attempt.connectionLost();
+            case ATTEMPT_REJECTED -> started.attempt.complete(Outcome.REJECTED);
+            case RESPONSE_RECEIVED -> started.attempt.complete(Outcome.OK, "answer", new float[0]);
+            case ERROR_RECEIVED -> started.attempt.complete(Outcome.ERROR);
+            case RESPONSE_STARTED -> {
+                started.responseStarted = true;
+                started.attempt.responseStarted("first", -1, new NoFlowControl());
+            }
+            case RESPONSE_DATA -> {
+                ByteBuf bytes = Unpooled.buffer(1).writeByte(1);
+                responseBuffers.add(bytes);
+                started.attempt.responseData(bytes);
+            }
+            case RESPONSE_COMPLETED -> started.attempt.complete(Outcome.OK, null, new float[0]);
+            default -> throw new IllegalArgumentException("not an event of an attempt: " + type);
+        }
+    }
+
+    /** Does nothing on either call: the scenario sends as much as it likes. */
+    private static final class NoFlowControl implements FlowControl {
+        @Override
+        public void pause() {}
+
+        @Override
+        public void resume() {}
+    }
+
+    private void playEvent(Type type) {
+        switch (type) {
+            case CLIENT_DISCONNECTED -> disconnect();
+            case ROGUE_FORWARD -> forwardWithoutPolicy();
+            case BODY_COMPLETED -> completeBody();
+            case BODY_DROPPED -> dropBody();
+            case TIMER_FIRED -> scheduler.fireNextTimer();
+            case LOOP_STALLED -> {
+                hasStalled = true;
+                scheduler.stall();
+            }
+            case LOOP_CAUGHT_UP -> scheduler.catchUp();
+            case ENDPOINT_DRAINING -> {
+                endpointDraining = true;
+                manager.endpointsUpdated(
+                        UpdateKind.DELTA, List.of(endpoint(DRAINED_ENDPOINT, EndpointStatus.DRAINING)));
+            }
+            case SETTINGS_CHANGED -> {
+                settingsChanged = true;
+                manager.settingsChanged(settings(1));
+            }
+            case STOPPED -> {
+                stopped = true;
+                manager.stop();
+            }
+            default -> throw new IllegalArgumentException("an event of an attempt: " + type);
+        }
+    }
+
+    private void disconnect() {
+        disconnected = finalAnswers.isEmpty();
+        manager.clientDisconnected(id);
+        attemptsUntilDisconnect = backend.startedAttempts.size();
+    }
+
+    private void forwardWithoutPolicy() {
+        if (manager.trackedCount() > 0) {
+            forwardCount++;
+            actions.forward(id, OTHER_ENDPOINT, 0);
+        }
+    }
+
+    private void completeBody() {
+        if (!body.isComplete()) {
+            body.complete();
+        }
+    }
+
+    /** Sends and reads more of the body than may be held, so that it is no longer replayable. */
+    private void dropBody() {
+        bodyDropped = true;
+        ByteBuf piece = Unpooled.wrappedBuffer(new byte[ByteBudget.MIN_QUOTA_BYTES]);
+        for (int i = 0; i < 3; i++) {
+            body.add(piece.duplicate());
+            for (ByteBuf chunk = body.nextChunk(); chunk != null; chunk = body.nextChunk()) {
+                chunk.release();
+            }
+        }
+    }
+
+    /** Checks what holds at every moment. */
+    private void checkInvariants() {
+        assertEquals(0, manager.faultCount(), "an event was not handled");
+        outcomesByAttempt.forEach((number, count) -> assertEquals(1, count, "outcomes of attempt " + number));
+        assertTrue(backend.startedAttempts.size() <= MAX_ATTEMPTS, "more attempts than allowed");
+        assertTrue(
+                !disconnected || backend.startedAttempts.size() == attemptsUntilDisconnect,
+                "an attempt was started after the client disconnected");
+        backend.startedAttempts.forEach(this::checkInvariants);
+        assertTrue(
+                backend.startedAttempts.stream().noneMatch(started -> started.bodyWasLost),
+                "an attempt was started without its body");
+    }
+
+    private void checkInvariants(FakeBackend.StartedAttempt started) {
+        assertTrue(started.endpointWasReady, "forwarded to a draining endpoint");
+        assertTrue(
+                rogue || idempotency != Idempotency.NON_IDEMPOTENT || !started.followsWrittenAttempt,
+                "a non-idempotent request was repeated");
+        assertTrue(
+                !disconnected || !started.responseStarted || started.attempt.isCompleted(),
+                "responds to a client that has disconnected");
+        assertTrue(
+                !disconnected || started.attempt.isWritten() || started.attempt.isCompleted(),
+                "an attempt waits to be written though its client has disconnected");
+    }
+
+    /** Lets everything come to its end, and checks that nothing is left. */
+    void settle() {
+        scheduler.catchUp();
+        if (!body.isComplete() && !disconnected && finalAnswers.isEmpty()) {
+            body.complete();
+        }
+        for (int i = 0; i < backend.startedAttempts.size(); i++) {
+            backend.startedAttempts.get(i).attempt.connectionLost();
+            checkInvariants();
+        }
+        scheduler.advance(SETTLE_NANOS);
+        for (int i = 0; i < backend.startedAttempts.size(); i++) {
+            backend.startedAttempts.get(i).attempt.connectionLost();
+        }
+        checkInvariants();
+        assertEquals(disconnected ? 0 : 1, finalAnswers.size(), "final answers");
+        assertEquals(forwardCount, outcomesByAttempt.size(), "each ordered attempt has an outcome");
+        assertEquals(0, manager.trackedCount(), "exchanges still tracked");
+        responseBuffers.forEach(bytes -> assertEquals(0, bytes.refCnt(), "a buffer is lost"));
+    }
+
+    /** Describes the state of the scenario, to count how many different states were seen. */
+    String describeState() {
+        StringBuilder text = new StringBuilder()
+                .append(manager.states())
+                .append(finalAnswers)
+                .append(responseStarted)
+                .append(disconnected)
+                .append(bodyDropped)
+                .append(settingsChanged)
+                .append(stopped)
+                .append(body.isComplete())
+                .append(endpointDraining)
+                .append(scheduler.isStalled());
+        for (FakeBackend.StartedAttempt started : backend.startedAttempts) {
+            text.append(started.endpoint).append(stateLetter(started));
+        }
+        return text.toString();
+    }
+
+    private static char stateLetter(FakeBackend.StartedAttempt started) {
+        if (started.attempt.isCompleted()) {
+            return 'c';
+        }
+        if (started.responseStarted) {
+            return 's';
+        }
+        return started.attempt.isWritten() ? 'w' : 'n';
+    }
+}
--- /dev/null
+++ b/core/src/test/java/topazvalve/core/exchange/FakeBackend.java
@@ -0,0 +1,95 @@
+package topazvalve.core.exchange;
+
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import topazvalve.core.pool.Attempt;
+import topazvalve.core.pool.AttemptListener;
+import topazvalve.core.pool.Backend;
+import topazvalve.core.stream.RequestBody;
+import topazvalve.core.time.Scheduler;
+import topazvalve.policy.LoadBalancer.Outcome;
+import topazvalve.policy.SettingsReader;
+
+/** A backend whose attempts do what the test says; it records how things stood when each was started. */
+final class FakeBackend implements Backend<String, String> {
+    /** An attempt that was started, and how things stood then. */
+    static final class StartedAttempt {
+        final long endpoint;
+        final Attempt<String, String> attempt;
+        final boolean endpointWasReady;
+        final boolean followsWrittenAttempt;
+        final boolean bodyWasLost;
+        boolean responseStarted;
+
+        StartedAttempt(
+                long endpoint,
+                Attempt<String, String> attempt,
+                boolean endpointWasReady,
+                boolean followsWrittenAttempt,
+                boolean bodyWasLost) {
+            this.endpoint = endpoint;
+            this.attempt = attempt;
+            this.endpointWasReady = endpointWasReady;
+            this.followsWrittenAttempt = followsWrittenAttempt;
+            this.bodyWasLost = bodyWasLost;
+        }
+    }
+
+    final List<StartedAttempt> startedAttempts = new ArrayList<>();
+    private final Map<Long, Boolean> readyByEndpoint = new HashMap<>();
+    private final Scheduler scheduler;
+
+    FakeBackend(Scheduler scheduler) {
+        this.scheduler = scheduler;
+    }
+
+    @Override
+    public Attempt<String, String> startAttempt(
+            long endpoint,
+            String message,
+            RequestBody body,
+            long timeoutNanos,
+            AttemptListener<String, String> listener) {
+        boolean followsWrittenAttempt = startedAttempts.stream().anyMatch(started -> started.attempt.isWritten());
+        boolean ready = readyByEndpoint.getOrDefault(endpoint, false);
+        Attempt<String, String> attempt =
+                new Attempt<>(scheduler, message, body, timeoutNanos, listener, ignored -> {});
+        startedAttempts.add(new StartedAttempt(endpoint, attempt, ready, followsWrittenAttempt, !body.isReplayable()));
+        if (body.isComplete()) {
+            attempt.startTimeout(timeoutNanos);
+        }
+        return attempt;
+    }
+
+    @Override
+    public void sendHealthCheck(long endpoint, AttemptListener<String, String> listener) {
+        listener.attemptCompleted(Outcome.OK, null, Attempt.NO_LOAD);
+    }
+
+    @Override
+    public void endpointUpdated(long endpoint, InetSocketAddress address, long startedAtMillis, boolean ready) {
+        readyByEndpoint.put(endpoint, ready);
+    }
+
+    @Override
+    public void endpointRemoved(long endpoint) {
+        readyByEndpoint.remove(endpoint);
+    }
+
+    @Override
+    public int endpointCount() {
+        return readyByEndpoint.size();
+    }
+
+    @Override
+    public void closeIdleConnections(long endpoint) {}
+
+    @Override
+    public void settingsChanged(SettingsReader settings) {}
+
+    @Override
+    public void close() {}
+}
--- /dev/null
+++ b/core/src/test/java/topazvalve/core/exchange/ScenarioEvent.java
@@ -0,0 +1,42 @@
+package topazvalve.core.exchange;
+
+/**
+ * Something that can happen in an {@link ExchangeScenario}.
+ *
+ * @param attempt index of the attempt that it happens to; {@link #NO_ATTEMPT} for the others
+ */
+record ScenarioEvent(Type type, int attempt) {
+    static final int NO_ATTEMPT = -1;
+
+    /** What happens. */
+    enum Type {
+        ATTEMPT_WRITTEN,
+        CONNECTION_LOST,
+        ATTEMPT_REJECTED,
+        RESPONSE_RECEIVED,
+        ERROR_RECEIVED,
+        RESPONSE_STARTED,
+        RESPONSE_DATA,
+        RESPONSE_COMPLETED,
+        CONNECTION_RESET,
+        CLIENT_DISCONNECTED,
+        BODY_COMPLETED,
+        BODY_DROPPED,
+        ROGUE_FORWARD,
+        TIMER_FIRED,
+        LOOP_STALLED,
+        LOOP_CAUGHT_UP,
+        ENDPOINT_DRAINING,
+        SETTINGS_CHANGED,
+        STOPPED
+    }
+
+    static ScenarioEvent of(Type type) {
+        return new ScenarioEvent(type, NO_ATTEMPT);
+    }
+
+    @Override
+    public String toString() {
+        return attempt == NO_ATTEMPT ? type.name() : type + " of attempt " + attempt;
+    }
+}
