--- a/discovery-state/src/main/java/topazvalve/discovery/state/FailoverStateMachine.java
+++ b/discovery-state/src/main/java/topazvalve/discovery/state/FailoverStateMachine.java
@@ -3,128 +3,162 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Whom a follower asks and when, as a state machine: it follows one of several places, goes on to the next
- * on silence or failure, waits once all have failed, and after a while tries to return to its first.
- * Places are numbered in the follower's own order. Times are in nanoseconds.
+ * Decides which of several peers a follower connects to, and when. It fails over to the next peer on a failure, backs
+ * off once all peers have failed in a row, and after a while tries to return to the first peer. Peers are numbered
+ * from 0 in the follower's own order of preference.
  *
- * <p>A place that fails is passed over at once: its followers have different next ones, so that nobody
- * is met by a herd. Once a whole round of places has failed they are in trouble together, and each follower
- * waits half of a time that doubles from {@link #INITIAL_BACKOFF_NANOS} to {@link #MAX_BACKOFF_NANOS}, and a
- * random part of
- * the other half. The longest is short enough that, with a connect and a call, a change is in force 9 s
- * after places answer again.
+ * <p>The caller makes the connections, measures time and reports each event by a method. A failing peer is left
+ * without delay, as its followers have different next peers. When a whole round of peers has failed, followers wait
+ * for between half and the whole of a backoff that doubles from {@link #INITIAL_BACKOFF_NANOS} to {@link
+ * #MAX_BACKOFF_NANOS}. {@code docs/design/relay.md} derives the bounds.
  */
 public final class FailoverStateMachine {
+    /** The backoff after the first round in which all peers failed, in nanoseconds. */
     public static final long INITIAL_BACKOFF_NANOS = 250_000_000L;
+    /** The longest backoff, in nanoseconds. A change must be in force 9 s after peers respond again. */
     public static final long MAX_BACKOFF_NANOS = 2_000_000_000L;
-    /** From when a follower away from its first place tries it: random up to twice this, against herds. */
+    /** The shortest time until a follower tries to fail back, in nanoseconds; the longest is twice this. */
     public static final long FAILBACK_AFTER_NANOS = 60_000_000_000L;
-    /** No place may send its followers away for longer. */
+    /** The longest Retry-After that is respected, in nanoseconds. */
     static final long MAX_RETRY_AFTER_NANOS = 5_000_000_000L;
 
-    /** What to do next. */
+    private static final int MAX_BACKOFF_DOUBLINGS = 8;
+    private static final int PREFERRED_PEER = 0;
+
+    /** What the caller has to do next. */
     public sealed interface Action {}
 
-    /** To ask this place after this many nanoseconds; 0 is at once. */
+    /**
+     * Connect to a peer.
+     *
+     * @param index the number of the peer
+     * @param delayNanos the time to wait before, in nanoseconds; 0 is at once
+     */
     public record Connect(int index, long delayNanos) implements Action {}
 
-    /** To stay as things are. */
+    /** Stay connected to the current peer. */
     public record Remain() implements Action {}
 
-    private static final Remain STAY = new Remain();
+    private static final Remain REMAIN = new Remain();
 
     private enum State {
-        ASKING,
+        CONNECTING,
         FOLLOWING,
-        PAUSING
+        BACKING_OFF
     }
 
-    private final int places;
+    private final int peerCount;
     private final RandomGenerator random;
-    private State state = State.PAUSING;
-    private int place;
-    private int failedInRound;
-    private int rounds;
-    /** The longest that places of this round asked to stay away. */
-    private long askedToWait;
-
-    /** Of {@code places} places, one at least; {@code random} is the follower's own. */
-    public FailoverStateMachine(int places, RandomGenerator random) {
-        if (places < 1) {
-            throw new IllegalArgumentException("no place to ask");
+    private State state = State.BACKING_OFF;
+    private int currentPeer;
+    private int failuresInRound;
+    private int failedRounds;
+    /** The longest Retry-After of this round. */
+    private long retryAfterNanos;
+
+    /**
+     * Creates a state machine that has not been started.
+     *
+     * @param peerCount the number of peers, at least 1
+     * @param random the follower's own source of randomness
+     */
+    public FailoverStateMachine(int peerCount, RandomGenerator random) {
+        if (peerCount < 1) {
+            throw new IllegalArgumentException("no peer to connect to");
         }
-        this.places = places;
+        this.peerCount = peerCount;
         this.random = random;
     }
 
-    /** Begins, at the first place. */
+    /** Starts or restarts at the first peer. */
     public Connect start() {
-        state = State.ASKING;
-        place = 0;
-        failedInRound = 0;
-        rounds = 0;
-        askedToWait = 0;
-        return new Connect(place, 0);
+        state = State.CONNECTING;
+        currentPeer = PREFERRED_PEER;
+        resetFailures();
+        return new Connect(currentPeer, 0);
+    }
+
+    private void resetFailures() {
+        failuresInRound = 0;
+        failedRounds = 0;
+        retryAfterNanos = 0;
     }
 
-    /** The place that is asked or followed. */
+    /** Returns the number of the peer that is being connected to or followed. */
     public int currentIndex() {
-        return place;
+        return currentPeer;
     }
 
+    /** Returns whether the current peer has responded and has not failed since. */
     public boolean isFollowing() {
         return state == State.FOLLOWING;
     }
 
-    /** The place answers: it is followed from now on. */
+    /** Reports that the current peer has responded: it is followed from now on. */
     public void answered() {
         state = State.FOLLOWING;
-        failedInRound = 0;
-        rounds = 0;
-        askedToWait = 0;
+        resetFailures();
     }
 
-    /** It was followed and has gone or fallen silent, or was asked and failed. */
+    /** Reports that the current peer could not be reached, failed or became idle. */
     public Connect failed() {
         return rejected(0);
     }
 
-    /** As {@link #failed}; the place said how long to stay away, in nanoseconds. */
+    /**
+     * Reports a failure as {@link #failed} does.
+     *
+     * @param wait the peer's Retry-After in nanoseconds, 0 if it gave none; it takes effect once all peers have
+     *     failed
+     */
     public Connect rejected(long wait) {
-        askedToWait = Math.max(askedToWait, Math.min(wait, MAX_RETRY_AFTER_NANOS));
-        place = (place + 1) % places;
-        failedInRound++;
-        if (failedInRound < places) {
-            state = State.ASKING;
-            return new Connect(place, 0);
+        retryAfterNanos = Math.max(retryAfterNanos, Math.min(wait, MAX_RETRY_AFTER_NANOS));
+        currentPeer = (currentPeer + 1) % peerCount;
+        failuresInRound++;
+        if (failuresInRound < peerCount) {
+            state = State.CONNECTING;
+            return new Connect(currentPeer, 0);
         }
-        failedInRound = 0;
-        long pause = Math.min(INITIAL_BACKOFF_NANOS << Math.min(rounds, 8), MAX_BACKOFF_NANOS);
-        rounds++;
-        state = State.PAUSING;
-        long after = Math.max(pause / 2, askedToWait) + random.nextLong(pause / 2 + 1);
-        askedToWait = 0;
-        return new Connect(place, after);
+        return backOff();
+    }
+
+    private Connect backOff() {
+        state = State.BACKING_OFF;
+        long backoffNanos =
+                Math.min(INITIAL_BACKOFF_NANOS << Math.min(failedRounds, MAX_BACKOFF_DOUBLINGS), MAX_BACKOFF_NANOS);
+        long jitterNanos = random.nextLong(backoffNanos / 2 + 1);
+        long delayNanos = Math.max(backoffNanos / 2, retryAfterNanos) + jitterNanos;
+        failuresInRound = 0;
+        failedRounds++;
+        retryAfterNanos = 0;
+        return new Connect(currentPeer, delayNanos);
     }
 
-    /** The pause is over and the place is asked. */
+    /** Reports that the delay of a {@link Connect} is over and the peer is being connected to. */
     public void connecting() {
-        state = State.ASKING;
+        state = State.CONNECTING;
     }
 
-    /** When to try to return, from now; asked for each time that a place answers or a return has failed. */
+    /**
+     * Draws the time from now until the next attempt to fail back, in nanoseconds. The caller draws one each time
+     * that a peer has responded or a failback has failed.
+     */
     public long failbackDelayNanos() {
         return FAILBACK_AFTER_NANOS + random.nextLong(FAILBACK_AFTER_NANOS + 1);
     }
 
-    /** Whether the first place is to be tried now, beside the one that is followed. */
+    /**
+     * Returns whether to connect to the first peer now, in parallel to the current one; {@link Remain} if the first
+     * one is the current one or no peer is followed.
+     */
     public Action failback() {
-        return state == State.FOLLOWING && place != 0 ? new Connect(0, 0) : STAY;
+        boolean followsOtherPeer = state == State.FOLLOWING && currentPeer != PREFERRED_PEER;
+        return followsOtherPeer ? new Connect(PREFERRED_PEER, 0) : REMAIN;
     }
 
-    /** The first place answered while another was followed: it is followed instead. */
+    /** Reports that the first peer has responded to a failback: it is followed from now on. */
     public void failedBack() {
-        place = 0;
+        currentPeer = PREFERRED_PEER;
         answered();
     }
 }
--- a/discovery-state/src/main/java/topazvalve/discovery/state/RendezvousOrder.java
+++ b/discovery-state/src/main/java/topazvalve/discovery/state/RendezvousOrder.java
@@ -7,25 +7,31 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * In which order a follower asks relays: rendezvous hashing (highest random weight) of its name with each
- * address, by MurmurHash3. Every follower has an order of its own, the same after a restart; of a relay that
- * is lost the others get equal shares, and one that is added or taken away moves nobody else.
+ * The order in which a follower tries relays, by rendezvous hashing (highest random weight) with MurmurHash3. Each
+ * follower has its own order, which is the same after a restart. If a relay is lost, its followers spread evenly over
+ * the others; adding or removing a relay moves no other follower.
  */
 public final class RendezvousOrder {
+    /** Occurs neither in names nor in addresses, so that different pairs give different keys. */
+    private static final String KEY_SEPARATOR = "\n";
+
     private RendezvousOrder() {}
 
-    /** All of {@code relays}, the one to ask first in front. */
+    /**
+     * Returns all relays in the order in which the follower tries them. The order of the argument does not matter.
+     *
+     * @param follower the unique name of the follower
+     * @param relays the addresses of the relays as text
+     */
     public static List<String> of(String follower, List<String> relays) {
+        Comparator<String> byWeight = Comparator.comparingLong(relay -> weight(follower, relay));
         List<String> order = new ArrayList<>(relays);
-        order.sort(Comparator.<String>comparingLong(relay -> weight(follower, relay))
-                .reversed()
-                .thenComparing(Comparator.naturalOrder()));
+        order.sort(byWeight.reversed().thenComparing(Comparator.naturalOrder()));
         return List.copyOf(order);
     }
 
     private static long weight(String follower, String relay) {
-        // The line end can stand in neither, so that no two pairs give one text.
-        byte[] pair = (follower + "\n" + relay).getBytes(StandardCharsets.UTF_8);
-        return MurmurHash3.hash128x64(pair)[0];
+        byte[] key = (follower + KEY_SEPARATOR + relay).getBytes(StandardCharsets.UTF_8);
+        return MurmurHash3.hash128x64(key)[0];
     }
 }
--- a/discovery-state/src/main/java/topazvalve/discovery/state/SourceVersion.java
+++ b/discovery-state/src/main/java/topazvalve/discovery/state/SourceVersion.java
@@ -1,31 +1,40 @@
 package topazvalve.discovery.state;
 
 /**
- * How far one source's list has come.
+ * A version of the endpoint list of one source. The text form is {@code epoch.revision}.
  *
- * @param epoch which life of the source counted it, larger for a later one; 0 where the source does not say
- * @param revision the source's own count within that life, never less from one change to the next
+ * @param epoch the incarnation of the source, larger for a later one; 0 if the source does not report it
+ * @param revision the source's change count within that incarnation; it never decreases
  */
 public record SourceVersion(long epoch, long revision) implements Comparable<SourceVersion> {
-    /** Before the first change of a source that tells no epoch. */
+    /** The version before the first change of a source that reports no epoch. */
     public static final SourceVersion NONE = new SourceVersion(0, 0);
 
-    /** Versions can't be below nought. */
+    /**
+     * Creates a version.
+     *
+     * @throws InvalidVersionException if a number is negative
+     */
     public SourceVersion {
         if (epoch < 0 || revision < 0) {
-            throw new IllegalArgumentException("a version below nought: " + epoch + "." + revision);
+            throw new InvalidVersionException("a version below nought: " + epoch + "." + revision);
         }
     }
 
     /**
-     * Whether the order of these two can be told. A source that tells no epoch may have begun anew between
-     * any two of its versions, so that only the one that told both can say; and one life that is known is
-     * in no order with one that is not.
+     * Returns whether {@link #compareTo} is meaningful for these two versions: either both have an epoch or neither
+     * has one. Without epochs the order holds only within one incarnation, which the caller has to know.
      */
     public boolean isComparableTo(SourceVersion other) {
-        return (epoch == 0) == (other.epoch == 0);
+        return hasEpoch() == other.hasEpoch();
+    }
+
+    /** Returns whether the source reports its incarnation. */
+    boolean hasEpoch() {
+        return epoch > 0;
     }
 
+    /** Compares by epoch and then by revision. */
     @Override
     public int compareTo(SourceVersion other) {
         return epoch != other.epoch ? Long.compare(epoch, other.epoch) : Long.compare(revision, other.revision);
@@ -36,11 +45,15 @@
         return epoch + "." + revision;
     }
 
-    /** Reads {@code epoch.rev}; an {@link IllegalArgumentException} says what is wrong. */
+    /**
+     * Parses the text form.
+     *
+     * @throws InvalidVersionException if the text is not of this form or a number has more than 18 digits
+     */
     static SourceVersion parse(String text) {
         int dot = text.indexOf('.');
         if (dot < 1 || !text.matches("[0-9]{1,18}\\.[0-9]{1,18}")) {
-            throw new IllegalArgumentException("not a version: " + text);
+            throw new InvalidVersionException("not a version: " + text);
         }
         return new SourceVersion(Long.parseLong(text.substring(0, dot)), Long.parseLong(text.substring(dot + 1)));
     }
--- a/discovery-state/src/main/java/topazvalve/discovery/state/VersionVector.java
+++ b/discovery-state/src/main/java/topazvalve/discovery/state/VersionVector.java
@@ -8,102 +8,118 @@
 import java.util.regex.Pattern;
 
 /**
- * How far a list has come at each of its sources: a version vector. It can't change; written as
- * {@code source:epoch.rev} with commas, in the sources' order by name, which needs no escapes in a query.
+ * The version of an endpoint list that is merged from several sources: one {@link SourceVersion} for each source. It
+ * is immutable. The text form is {@code source:epoch.revision}, separated by commas and sorted by source, which needs
+ * no escaping in a URL query.
  */
 public final class VersionVector {
+    /** The vector of a list about which no source has reported anything. */
     public static final VersionVector NONE = new VersionVector(Collections.emptySortedMap());
-    /** What a source may be called: it stands in queries, log lines and figures. */
+    /** The allowed names of sources, which appear in queries, log lines and metrics. */
     public static final Pattern SOURCE_NAME = Pattern.compile("[a-z0-9_-]{1,32}");
-    /** More sources than any plan has; what comes from outside is bounded. */
+    /** The largest number of sources that is accepted from a peer. */
     public static final int MAX_SOURCES = 32;
 
-    private final SortedMap<String, SourceVersion> bySource;
+    private final SortedMap<String, SourceVersion> versionsBySource;
 
-    private VersionVector(SortedMap<String, SourceVersion> bySource) {
-        this.bySource = bySource;
+    private VersionVector(SortedMap<String, SourceVersion> versionsBySource) {
+        this.versionsBySource = versionsBySource;
     }
 
+    /** Returns the vector of a single source. */
     public static VersionVector of(String source, SourceVersion version) {
         return NONE.with(source, version);
     }
 
-    /** Reads what {@link #toString} writes; an {@link IllegalArgumentException} says what is wrong. */
+    /**
+     * Parses the text form; the empty text is {@link #NONE}.
+     *
+     * @throws InvalidVersionException if the text is not of this form, names a source twice, or names more than
+     *     {@link #MAX_SOURCES}
+     */
     public static VersionVector parse(String text) {
         if (text.isEmpty()) {
             return NONE;
         }
         String[] parts = text.split(",", MAX_SOURCES + 1);
         if (parts.length > MAX_SOURCES) {
-            throw new IllegalArgumentException("more than " + MAX_SOURCES + " sources");
+            throw new InvalidVersionException("more than " + MAX_SOURCES + " sources");
         }
-        TreeMap<String, SourceVersion> read = new TreeMap<>();
+        TreeMap<String, SourceVersion> parsed = new TreeMap<>();
         for (String part : parts) {
             int colon = part.indexOf(':');
             String source = part.substring(0, Math.max(0, colon));
             if (!SOURCE_NAME.matcher(source).matches()
-                    || read.put(source, SourceVersion.parse(part.substring(colon + 1))) != null) {
-                throw new IllegalArgumentException("not a source and its version: " + part);
+                    || parsed.put(source, SourceVersion.parse(part.substring(colon + 1))) != null) {
+                throw new InvalidVersionException("not a source and its version: " + part);
             }
         }
-        return new VersionVector(read);
+        return new VersionVector(parsed);
     }
 
-    /** The version at a source; null where nothing is known of it. */
+    /** Returns the version at a source, or null if the vector does not contain the source. */
     public SourceVersion versionOf(String source) {
-        return bySource.get(source);
+        return versionsBySource.get(source);
     }
 
+    /** Returns this vector with the version of one source added or replaced. */
     public VersionVector with(String source, SourceVersion version) {
-        TreeMap<String, SourceVersion> changed = new TreeMap<>(bySource);
+        TreeMap<String, SourceVersion> changed = new TreeMap<>(versionsBySource);
         changed.put(source, version);
         return new VersionVector(changed);
     }
 
-    /** What is known once {@code told} was heard: its word on each source it names, ours on the others. */
-    public VersionVector merge(VersionVector told) {
-        TreeMap<String, SourceVersion> merged = new TreeMap<>(bySource);
-        merged.putAll(told.bySource);
+    /** Returns this vector with all versions of {@code received} added or replaced, be they newer or older. */
+    public VersionVector merge(VersionVector received) {
+        TreeMap<String, SourceVersion> merged = new TreeMap<>(versionsBySource);
+        merged.putAll(received.versionsBySource);
         return new VersionVector(merged);
     }
 
-    /** Whether this is, at any source that both know and can compare, older than {@code other}. */
+    /**
+     * Returns whether this vector is older than {@code other} at any source that both contain. Sources that report no
+     * epoch are ignored, because a lower revision may mean that they restarted.
+     */
     public boolean isBehind(VersionVector other) {
-        for (Map.Entry<String, SourceVersion> each : bySource.entrySet()) {
+        for (Map.Entry<String, SourceVersion> each : versionsBySource.entrySet()) {
+            SourceVersion own = each.getValue();
             SourceVersion theirs = other.versionOf(each.getKey());
-            if (theirs != null
-                    && each.getValue().epoch() > 0
-                    && theirs.isComparableTo(each.getValue())
-                    && each.getValue().compareTo(theirs) < 0) {
+            if (theirs != null && own.hasEpoch() && theirs.isComparableTo(own) && own.compareTo(theirs) < 0) {
                 return true;
             }
         }
         return false;
     }
 
+    /** Returns whether the vector contains no source. */
     public boolean isEmpty() {
-        return bySource.isEmpty();
+        return versionsBySource.isEmpty();
     }
 
-    /** One number for readers that know of no sources: never less as sources' lists go on in one life. */
+    /**
+     * Returns the sum of all revisions, as a version for clients that know only a single number. It never decreases
+     * while no source restarts.
+     */
     public long revisionSum() {
-        return bySource.values().stream().mapToLong(SourceVersion::revision).sum();
+        return versionsBySource.values().stream()
+                .mapToLong(SourceVersion::revision)
+                .sum();
     }
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof VersionVector versions && bySource.equals(versions.bySource);
+        return other instanceof VersionVector vector && versionsBySource.equals(vector.versionsBySource);
     }
 
     @Override
     public int hashCode() {
-        return bySource.hashCode();
+        return versionsBySource.hashCode();
     }
 
     @Override
     public String toString() {
         StringJoiner text = new StringJoiner(",");
-        bySource.forEach((source, version) -> text.add(source + ":" + version));
+        versionsBySource.forEach((source, version) -> text.add(source + ":" + version));
         return text.toString();
     }
 }
--- a/discovery-state/src/main/java/topazvalve/discovery/state/package-info.java
+++ b/discovery-state/src/main/java/topazvalve/discovery/state/package-info.java
@@ -1,5 +1,6 @@
 /**
- * How lists of servers spread: versions and what is newer, the state that a relay keeps, whom a follower asks
- * and when. Nothing here does I/O, reads a clock or starts a thread: time and chance are given.
+ * The state of replicated endpoint lists: versions and their order, the list that a relay keeps, and the failover of
+ * followers between peers. Nothing here does I/O, reads a clock or starts a thread; callers pass time and randomness
+ * in.
  */
 package topazvalve.discovery.state;
--- a/discovery-state/src/test/java/topazvalve/discovery/state/ListStateTest.java
+++ b/discovery-state/src/test/java/topazvalve/discovery/state/ListStateTest.java
@@ -164,7 +164,7 @@
     void aGoneServersLineIsAnObjectWhateverItsName() {
         assertEquals(
                 "{\"uid\":\"a\\u0022\\u005c\\u000a\",\"state\":\"DELETED\"}",
-                EndpointStore.gone("a\"\\\n").json());
+                Entry.tombstone("a\"\\\n").json());
     }
 
     @Test
