--- a/relay/src/test/java/topazvalve/relay/Follower.java
+++ b/relay/src/test/java/topazvalve/relay/Follower.java
@@ -20,17 +20,19 @@
 import topazvalve.policy.LoadBalancer.EndpointStatus;
 import topazvalve.policy.LoadBalancer.UpdateKind;
 
-/** A sidecar's real reader, and what it has in force. Its order of relays is the one that a test gives. */
+/**
+ * The sidecar's real discovery client and the endpoints that it has in force; the test gives its order of relays.
+ */
 final class Follower implements AutoCloseable {
-    private static final long LIMIT_S = 30;
+    private static final long TIMEOUT_SECONDS = 30;
 
     private final EventLoop loop;
     private final DiscoveryClient discovery;
-    private final Map<String, EndpointStatus> servers = new TreeMap<>();
-    /** Every state that a server was ever in here, in order. */
+    private final Map<String, EndpointStatus> statuses = new TreeMap<>();
+    /** Every status that an endpoint ever had here, in order. */
     private final Map<String, List<EndpointStatus>> history = new HashMap<>();
 
-    private int wholes;
+    private int snapshotCount;
 
     Follower(EventLoop loop, DiscoveryRelay... relays) {
         this(loop, EndpointUpdate.NONE, relays);
@@ -38,53 +40,54 @@
 
     Follower(EventLoop loop, EndpointUpdate known, DiscoveryRelay... relays) {
         this.loop = loop;
-        List<InetSocketAddress> order = new ArrayList<>();
+        List<InetSocketAddress> addresses = new ArrayList<>();
         for (DiscoveryRelay each : relays) {
-            order.add(each.address());
+            addresses.add(each.address());
         }
         discovery = new DiscoveryClient(
                 loop,
                 new InetSocketAddress("127.0.0.1", 1),
                 known,
                 null,
-                new RelaySelector(order, new FailoverStateMachine(order.size(), new SplittableRandom(1))),
-                this::listed);
+                new RelaySelector(addresses, new FailoverStateMachine(addresses.size(), new SplittableRandom(1))),
+                this::updated);
         loop.execute(() -> discovery.watch(true));
     }
 
-    private synchronized void listed(UpdateKind kind, List<Endpoint> targets) {
+    private synchronized void updated(UpdateKind kind, List<Endpoint> endpoints) {
         if (kind == UpdateKind.FULL) {
-            wholes++;
-            servers.clear();
+            snapshotCount++;
+            statuses.clear();
         }
-        for (Endpoint each : targets) {
-            servers.put(each.uid(), each.status());
+        for (Endpoint each : endpoints) {
+            statuses.put(each.uid(), each.status());
             history.computeIfAbsent(each.uid(), uid -> new ArrayList<>()).add(each.status());
         }
-        servers.values().removeIf(state -> state == EndpointStatus.REMOVED);
+        statuses.values().removeIf(status -> status == EndpointStatus.REMOVED);
         notifyAll();
     }
 
-    /** Waits until what is in force is as wanted. */
-    synchronized void await(String what, Predicate<Map<String, EndpointStatus>> wanted) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(LIMIT_S);
-        while (!wanted.test(servers)) {
-            long left = TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime());
-            assertTrue(left > 0, () -> what + " did not come; there is " + servers);
-            wait(left);
+    /** Waits until the endpoints in force are as expected; fails the test after the timeout. */
+    synchronized void await(String description, Predicate<Map<String, EndpointStatus>> expected)
+            throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
+        while (!expected.test(statuses)) {
+            long leftMillis = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - System.nanoTime());
+            assertTrue(leftMillis > 0, () -> description + " expected, but endpoints are " + statuses);
+            wait(leftMillis);
         }
     }
 
-    void awaitState(String uid, EndpointStatus state) throws InterruptedException {
-        await(uid + " " + state, servers -> servers.get(uid) == (state == EndpointStatus.REMOVED ? null : state));
+    void awaitStatus(String uid, EndpointStatus status) throws InterruptedException {
+        await(uid + " " + status, statuses -> statuses.get(uid) == (status == EndpointStatus.REMOVED ? null : status));
     }
 
     synchronized List<EndpointStatus> history(String uid) {
         return List.copyOf(history.getOrDefault(uid, List.of()));
     }
 
-    synchronized int wholes() {
-        return wholes;
+    synchronized int snapshotCount() {
+        return snapshotCount;
     }
 
     String versions() throws Exception {
--- a/relay/src/test/java/topazvalve/relay/SourceStub.java
+++ b/relay/src/test/java/topazvalve/relay/SourceStub.java
@@ -19,41 +19,43 @@
 import java.util.stream.Collectors;
 
 /**
- * A source of lists in the published form: it knows every change of its present life, answers a watch from
- * any of them, and says nothing while it is held. All under its own lock.
+ * A source of endpoint lists in the published form. It logs every change since its last restart and answers a
+ * watch from any of them. Tests can pause its watches, silence it, and make it truncate snapshots. Its state is
+ * guarded by its own lock.
  */
 final class SourceStub implements AutoCloseable {
-    private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    private static final long HEARTBEAT_INTERVAL_MILLIS = 500;
+    private static final String RESPONSE_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-    /** Each call's request line. */
-    final BlockingQueue<String> asked = new LinkedBlockingQueue<>();
+    /** The request line of each request that has come. */
+    final BlockingQueue<String> requestLines = new LinkedBlockingQueue<>();
 
     private final ServerSocket server;
-    private final Map<String, String> servers = new LinkedHashMap<>();
-    private final TreeMap<Long, List<String>> log = new TreeMap<>();
-    private final Map<Socket, List<String>> watches = new LinkedHashMap<>();
-    private final boolean tellsEpoch;
+    private final Map<String, String> states = new LinkedHashMap<>();
+    private final TreeMap<Long, List<String>> changedUids = new TreeMap<>();
+    private final Map<Socket, List<String>> pendingTexts = new LinkedHashMap<>();
+    private final boolean sendsEpoch;
     private long epoch = 1;
-    private long rev;
-    /** Of these watches, by their order of coming, nothing goes out for now. */
-    private final List<Socket> held = new ArrayList<>();
+    private long revision;
+    /** Watches that nothing is sent to for now. */
+    private final List<Socket> paused = new ArrayList<>();
 
-    private boolean cuts;
+    private boolean truncating;
     private boolean silent;
 
-    SourceStub(boolean tellsEpoch, long rev) {
-        this.tellsEpoch = tellsEpoch;
-        this.rev = rev;
+    SourceStub(boolean sendsEpoch, long revision) {
+        this.sendsEpoch = sendsEpoch;
+        this.revision = revision;
         try {
             server = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        thread(this::accept);
-        thread(this::nothingNew);
+        startThread(this::accept);
+        startThread(this::sendHeartbeats);
     }
 
-    private static void thread(Runnable work) {
+    private static void startThread(Runnable work) {
         Thread thread = new Thread(work);
         thread.setDaemon(true);
         thread.start();
@@ -69,93 +71,88 @@
                 + "\",\"capacity_hint\":1.0,\"boot_ms\":0,\"color\":\"blue {\"}";
     }
 
-    /** A change, in one version, of servers given as uid, state, uid, state. */
+    /** Changes endpoints, given as uid, state, uid, state, in one revision, which is returned. */
     synchronized long change(String... uidsAndStates) {
-        rev++;
+        revision++;
         List<String> uids = new ArrayList<>();
         for (int i = 0; i < uidsAndStates.length; i += 2) {
-            servers.put(uidsAndStates[i], uidsAndStates[i + 1]);
+            states.put(uidsAndStates[i], uidsAndStates[i + 1]);
             uids.add(uidsAndStates[i]);
         }
-        log.put(rev, uids);
-        watches.keySet().forEach(watch -> send(watch, line(false, uids)));
-        return rev;
+        changedUids.put(revision, uids);
+        pendingTexts.keySet().forEach(watch -> send(watch, line(false, uids)));
+        return revision;
     }
 
-    /** A new life, with these servers, that counts from {@code rev} on; every connection ends. */
-    synchronized void restart(long from, String... uidsAndStates) throws IOException {
+    /** Restarts the source at a revision, with these endpoints and a new epoch; every connection is closed. */
+    synchronized void restart(long newRevision, String... uidsAndStates) throws IOException {
         epoch++;
-        rev = from;
-        log.clear();
-        servers.clear();
+        revision = newRevision;
+        changedUids.clear();
+        states.clear();
         for (int i = 0; i < uidsAndStates.length; i += 2) {
-            servers.put(uidsAndStates[i], uidsAndStates[i + 1]);
+            states.put(uidsAndStates[i], uidsAndStates[i + 1]);
         }
-        breakAll();
+        closeConnections();
     }
 
-    synchronized void breakAll() throws IOException {
-        for (Socket each : List.copyOf(watches.keySet())) {
+    synchronized void closeConnections() throws IOException {
+        for (Socket each : List.copyOf(pendingTexts.keySet())) {
             each.close();
         }
-        watches.clear();
-        held.clear();
+        pendingTexts.clear();
+        paused.clear();
     }
 
-    /** From now on nothing is said to the n-th watch that is open, or to all if {@code n} is below nought. */
-    synchronized void hold(int n) {
-        held.addAll(
-                n < 0 ? watches.keySet() : List.of(List.copyOf(watches.keySet()).get(n)));
+    /** Sends nothing more to one of the open watches, counted from 0 in the order in which they came. */
+    synchronized void pauseWatch(int index) {
+        paused.add(List.copyOf(pendingTexts.keySet()).get(index));
     }
 
-    /** Whatever was held goes out, in order. */
-    synchronized void release() {
-        List<Socket> were = List.copyOf(held);
-        held.clear();
-        were.forEach(watch -> send(watch, ""));
+    /** Sends what has been kept back from paused watches, in order, and ends their pause. */
+    synchronized void resumeWatches() {
+        List<Socket> resumed = List.copyOf(paused);
+        paused.clear();
+        resumed.forEach(watch -> send(watch, ""));
     }
 
-    /** New calls are taken and not answered, and watches say nothing. */
-    synchronized void silent(boolean is) {
-        silent = is;
-        if (is) {
-            hold(-1);
+    /** While silent, the source accepts requests without answering them, and its watches are paused. */
+    synchronized void setSilent(boolean newSilent) {
+        silent = newSilent;
+        if (newSilent) {
+            paused.addAll(pendingTexts.keySet());
         } else {
-            release();
+            resumeWatches();
         }
     }
 
-    /** Whole lists end in their middle from now on, with the connection. */
-    synchronized void cut(boolean does) {
-        cuts = does;
+    /** Makes every snapshot from now on end in its middle, with the connection. */
+    synchronized void setTruncating(boolean newTruncating) {
+        truncating = newTruncating;
     }
 
-    synchronized int watches() {
-        return watches.size();
-    }
-
-    private String line(boolean whole, List<String> uids) {
-        return "{\"rev\":" + rev + (tellsEpoch ? ",\"epoch\":" + epoch : "") + ",\"all\":" + whole
+    private String line(boolean fullSnapshot, List<String> uids) {
+        return "{\"rev\":" + revision + (sendsEpoch ? ",\"epoch\":" + epoch : "") + ",\"all\":" + fullSnapshot
                 + ",\"targets\":["
-                + uids.stream().map(uid -> entry(uid, servers.get(uid))).collect(Collectors.joining(",")) + "]}\n";
+                + uids.stream().map(uid -> entry(uid, states.get(uid))).collect(Collectors.joining(",")) + "]}\n";
     }
 
-    /** Adds to what a watch is to be told, and tells it unless it is held. */
+    /** Sends a text to a watch, after what was kept back from it; keeps it back if the watch is paused. */
     private void send(Socket watch, String text) {
-        List<String> waiting = watches.get(watch);
-        if (waiting == null) {
+        List<String> pending = pendingTexts.get(watch);
+        if (pending == null) {
             return;
         }
-        waiting.add(text);
-        if (!held.contains(watch)) {
+        pending.add(text);
+        if (!paused.contains(watch)) {
             try {
-                for (String each : waiting) {
+                for (String each : pending) {
                     write(watch, each.isEmpty() ? "" : chunk(each));
                 }
             } catch (IOException e) {
-                watches.remove(watch);
+                pendingTexts.remove(watch);
             }
-            waiting.clear();
+            pending.clear();
         }
     }
 
@@ -171,10 +168,10 @@
         try {
             while (true) {
                 Socket socket = server.accept();
-                thread(() -> serve(socket));
+                startThread(() -> serve(socket));
             }
         } catch (IOException e) {
-            // Its end.
+            // The stub was closed.
         }
     }
 
@@ -183,56 +180,58 @@
             BufferedReader in =
                     new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
             String line = in.readLine();
-            asked.add(line == null ? "" : line);
+            requestLines.add(line == null ? "" : line);
             long from = Long.parseLong(line.replaceAll(".*from=([0-9]+).*", "$1"));
             answer(socket, from);
             while (in.read() >= 0) {}
 
         } catch (IOException | NumberFormatException e) {
-            // The other side has gone.
+            // The peer has closed the connection.
         }
         synchronized (this) {
-            watches.remove(socket);
-            held.remove(socket);
+            pendingTexts.remove(socket);
+            paused.remove(socket);
         }
     }
 
     private synchronized void answer(Socket socket, long from) throws IOException {
-        watches.put(socket, new ArrayList<>());
+        pendingTexts.put(socket, new ArrayList<>());
         if (silent) {
-            held.add(socket);
+            paused.add(socket);
             return;
         }
-        write(socket, HEAD);
-        boolean known = from > 0 && from <= rev && (log.isEmpty() ? from == rev : from >= log.firstKey() - 1);
-        if (known) {
-            List<String> uids = log.tailMap(from, false).values().stream()
+        write(socket, RESPONSE_HEAD);
+        boolean deltaPossible = from > 0
+                && from <= revision
+                && (changedUids.isEmpty() ? from == revision : from >= changedUids.firstKey() - 1);
+        if (deltaPossible) {
+            List<String> uids = changedUids.tailMap(from, false).values().stream()
                     .flatMap(List::stream)
                     .distinct()
                     .toList();
             send(socket, uids.isEmpty() ? "\n" : line(false, uids));
         } else {
-            List<String> live = servers.keySet().stream()
-                    .filter(uid -> !servers.get(uid).equals("DELETED"))
+            List<String> live = states.keySet().stream()
+                    .filter(uid -> !states.get(uid).equals("DELETED"))
                     .toList();
-            String whole = line(true, live);
-            if (cuts) {
-                write(socket, chunk(whole).substring(0, whole.length() / 2));
-                watches.remove(socket);
+            String snapshot = line(true, live);
+            if (truncating) {
+                write(socket, chunk(snapshot).substring(0, snapshot.length() / 2));
+                pendingTexts.remove(socket);
                 socket.close();
             } else {
-                send(socket, whole);
+                send(socket, snapshot);
             }
         }
     }
 
-    private void nothingNew() {
+    private void sendHeartbeats() {
         try {
             while (!server.isClosed()) {
-                Thread.sleep(500);
+                Thread.sleep(HEARTBEAT_INTERVAL_MILLIS);
                 synchronized (this) {
-                    List.copyOf(watches.keySet()).forEach(watch -> {
-                        if (!held.contains(watch)) {
+                    List.copyOf(pendingTexts.keySet()).forEach(watch -> {
+                        if (!paused.contains(watch)) {
                             send(watch, "\n");
                         }
                     });
@@ -247,7 +246,7 @@
     public void close() throws IOException {
         server.close();
         synchronized (this) {
-            breakAll();
+            closeConnections();
         }
     }
 }
