--- a/discovery-state/src/test/java/topazvalve/discovery/state/RelayOrderTest.java
+++ b/discovery-state/src/test/java/topazvalve/discovery/state/RendezvousOrderTest.java
@@ -13,56 +13,59 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Rendezvous hashing at the size of the plan: even, the same always, and with few moves. */
-class RelayOrderTest {
+/** Rendezvous hashing at the planned size: an even spread, a stable order, few moves. */
+class RendezvousOrderTest {
     private static final int FOLLOWERS = 5_700;
     private final List<String> relays =
             IntStream.range(0, 16).mapToObj(i -> "10.0.0." + i + ":8600").toList();
 
-    private Map<String, Integer> first(List<String> among) {
+    private Map<String, Integer> countByFirstRelay(List<String> candidates) {
         Map<String, Integer> counts = new HashMap<>();
         for (int i = 0; i < FOLLOWERS; i++) {
-            counts.merge(RendezvousOrder.of("n" + i, among).get(0), 1, Integer::sum);
+            counts.merge(RendezvousOrder.of("n" + i, candidates).get(0), 1, Integer::sum);
         }
         return counts;
     }
 
     @Test
-    void followersSpreadEvenly() {
+    void followersSpreadEvenlyOverRelays() {
         int mean = FOLLOWERS / relays.size();
-        // Five times the root of the mean is beyond chance.
-        first(relays)
+        // Five standard deviations are beyond chance.
+        countByFirstRelay(relays)
                 .forEach((relay, count) ->
                         assertTrue(Math.abs(count - mean) < 5 * Math.sqrt(mean), relay + " has " + count));
     }
 
     @Test
-    void theOrderDoesNotRestOnTheFilesOrder() {
-        List<String> mixed = new ArrayList<>(relays);
-        Collections.shuffle(mixed, new Random(1));
+    void orderDoesNotDependOnTheOrderOfTheArgument() {
+        List<String> shuffled = new ArrayList<>(relays);
+        Collections.shuffle(shuffled, new Random(1));
         for (int i = 0; i < 100; i++) {
-            assertEquals(RendezvousOrder.of("n" + i, relays), RendezvousOrder.of("n" + i, mixed));
+            assertEquals(RendezvousOrder.of("n" + i, relays), RendezvousOrder.of("n" + i, shuffled));
             assertEquals(Set.copyOf(relays), Set.copyOf(RendezvousOrder.of("n" + i, relays)));
         }
     }
 
     @Test
-    void whoLosesItsRelayGoesToItsNextAndNobodyElseMoves() {
+    void onlyFollowersOfALostRelayMoveAndSpreadOverTheOthers() {
         String lost = relays.get(3);
-        List<String> left = relays.stream().filter(relay -> !relay.equals(lost)).toList();
-        Map<String, Integer> heirs = new HashMap<>();
+        List<String> remaining =
+                relays.stream().filter(relay -> !relay.equals(lost)).toList();
+        Map<String, Integer> moved = new HashMap<>();
         for (int i = 0; i < FOLLOWERS; i++) {
             List<String> before = RendezvousOrder.of("n" + i, relays);
-            String now = RendezvousOrder.of("n" + i, left).get(0);
+            String after = RendezvousOrder.of("n" + i, remaining).get(0);
             if (before.get(0).equals(lost)) {
-                assertEquals(before.get(1), now);
-                heirs.merge(now, 1, Integer::sum);
+                assertEquals(before.get(1), after);
+                moved.merge(after, 1, Integer::sum);
             } else {
-                assertEquals(before.get(0), now);
+                assertEquals(before.get(0), after);
             }
         }
         int mean = FOLLOWERS / 16 / 15;
-        assertEquals(15, heirs.size(), "every relay that is left takes some");
-        heirs.values().forEach(count -> assertTrue(count < mean + 5 * Math.sqrt(mean), "a herd of " + count));
+        assertEquals(15, moved.size(), "every remaining relay takes some");
+        moved.values()
+                .forEach(count ->
+                        assertTrue(count < mean + 5 * Math.sqrt(mean), count + " followers moved to one relay"));
     }
 }
--- a/discovery-state/src/test/java/topazvalve/discovery/state/VersionsTest.java
+++ b/discovery-state/src/test/java/topazvalve/discovery/state/VersionVectorTest.java
@@ -10,10 +10,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Version vectors: written, read, compared. */
-class VersionsTest {
+/** Text form and comparison of version vectors. */
+class VersionVectorTest {
     @Test
-    void whatIsWrittenIsRead() {
+    void textFormIsParsedBack() {
         VersionVector versions = VersionVector.of("us", new SourceVersion(0, 7)).with("eu", new SourceVersion(3, 41));
         assertEquals("eu:3.41,us:0.7", versions.toString());
         assertEquals(versions, VersionVector.parse(versions.toString()));
@@ -41,29 +41,29 @@
                 "e u:1.2",
                 "eu:1.2.3"
             })
-    void whatIsNoneIsRefused(String text) {
-        assertThrows(IllegalArgumentException.class, () -> VersionVector.parse(text));
+    void invalidTextIsRejected(String text) {
+        assertThrows(InvalidVersionException.class, () -> VersionVector.parse(text));
     }
 
     @Test
-    void sourcesFromOutsideAreBounded() {
+    void tooManySourcesAreRejected() {
         StringBuilder text = new StringBuilder("s0:1.1");
         for (int i = 1; i <= VersionVector.MAX_SOURCES; i++) {
             text.append(",s").append(i).append(":1.1");
         }
-        assertThrows(IllegalArgumentException.class, () -> VersionVector.parse(text.toString()));
+        assertThrows(InvalidVersionException.class, () -> VersionVector.parse(text.toString()));
     }
 
     @Test
-    void aLaterLifeIsNewerWhateverItsCount() {
-        VersionVector old = VersionVector.of("eu", new SourceVersion(1, 900));
-        VersionVector anew = VersionVector.of("eu", new SourceVersion(2, 5));
-        assertTrue(old.isBehind(anew));
-        assertFalse(anew.isBehind(old));
+    void aLaterEpochIsNewerWhateverItsRevision() {
+        VersionVector earlier = VersionVector.of("eu", new SourceVersion(1, 900));
+        VersionVector later = VersionVector.of("eu", new SourceVersion(2, 5));
+        assertTrue(earlier.isBehind(later));
+        assertFalse(later.isBehind(earlier));
     }
 
     @Test
-    void withoutEpochsNobodyIsCalledBehind() {
+    void withoutEpochsNoVectorIsBehind() {
         assertFalse(VersionVector.of("eu", new SourceVersion(0, 5))
                 .isBehind(VersionVector.of("eu", new SourceVersion(0, 900))));
         assertFalse(VersionVector.of("eu", new SourceVersion(0, 5))
@@ -71,8 +71,8 @@
     }
 
     @Test
-    void whatIsNotToldOfStays() {
-        VersionVector had = VersionVector.parse("eu:1.4,us:1.9");
-        assertEquals("eu:1.5,us:1.9", had.merge(VersionVector.parse("eu:1.5")).toString());
+    void mergeKeepsSourcesThatTheOtherDoesNotContain() {
+        VersionVector known = VersionVector.parse("eu:1.4,us:1.9");
+        assertEquals("eu:1.5,us:1.9", known.merge(VersionVector.parse("eu:1.5")).toString());
     }
 }
