--- a/core/src/main/java/topazvalve/core/pool/Attempt.java
+++ b/core/src/main/java/topazvalve/core/pool/Attempt.java
@@ -8,170 +8,183 @@
 import topazvalve.policy.LoadBalancer.Outcome;
 
 /**
- * One sending of an exchange. Until its last byte is written it has never run; after that it may have.
+ * One attempt to have an exchange served by an endpoint. Until its last byte is written the server has not run
+ * it; after that the server may have.
  *
- * <p>It is WAITING for a connection, then WRITING on one, then HANDED whole to the connection, then WRITTEN,
- * and OVER from any of these. Its listener is told once that it is over, whatever happens twice.
+ * <p>An attempt waits for a connection (PENDING), is written on one (WRITING), is handed over to the connection
+ * in full (HANDED_OVER), and is written (WRITTEN); from each of these states it can become COMPLETED. Its
+ * listener is notified of the end exactly once. Used on the event loop alone.
  */
 public final class Attempt<Q, A> {
-    /** The end of an attempt that brought no report of its server's load. */
+    /** The load report of an attempt that brought none. */
     public static final float[] NO_LOAD = {};
 
     private enum State {
-        WAITING,
+        PENDING,
         WRITING,
-        HANDED,
+        HANDED_OVER,
         WRITTEN,
-        OVER
+        COMPLETED
     }
 
-    private final Scheduler time;
-    private final Consumer<Attempt<Q, A>> notUnwritten;
+    private final Scheduler scheduler;
+    private final Consumer<Attempt<Q, A>> onWrittenOrCompleted;
     private final Q message;
     private final RequestBody body;
-    private final long wait;
+    private final long timeoutNanos;
     private final AttemptListener<Q, A> listener;
-    private State state = State.WAITING;
-    private boolean ran;
-    private Runnable breakOff = () -> {};
-    private Scheduler.Timer alarm;
+    private State state = State.PENDING;
+    private boolean written;
+    private Runnable closeConnection = () -> {};
+    private Scheduler.Timer timeout;
 
     /**
-     * One that waits for a connection.
+     * Creates an attempt that waits for a connection.
      *
-     * @param unwrittenNoMore called once it is written or over, perhaps twice
+     * @param timeoutNanos how long the attempt may take, in nanoseconds; {@link #startTimeout} starts the time
+     * @param onWrittenOrCompleted called once the attempt is written or completed, possibly twice
      */
     public Attempt(
-            Scheduler time,
+            Scheduler scheduler,
             Q message,
             RequestBody body,
-            long wait,
+            long timeoutNanos,
             AttemptListener<Q, A> listener,
-            Consumer<Attempt<Q, A>> unwrittenNoMore) {
-        this.time = time;
+            Consumer<Attempt<Q, A>> onWrittenOrCompleted) {
+        this.scheduler = scheduler;
         this.message = message;
         this.body = body;
-        this.wait = wait;
+        this.timeoutNanos = timeoutNanos;
         this.listener = listener;
-        this.notUnwritten = unwrittenNoMore;
+        this.onWrittenOrCompleted = onWrittenOrCompleted;
     }
 
+    /** Returns the request in terms of its protocol. */
     public Q message() {
         return message;
     }
 
+    /** Returns the body of the request. */
     public RequestBody body() {
         return body;
     }
 
-    /** What it was given, in nanoseconds, from its sending on. */
+    /** Returns how long the attempt was allowed to take from its start, in nanoseconds. */
     public long timeoutNanos() {
-        return wait;
+        return timeoutNanos;
     }
 
+    /** Returns whether the attempt has ended. */
     public boolean isCompleted() {
-        return state == State.OVER;
+        return state == State.COMPLETED;
     }
 
-    /** Whether its last byte was written, so that it may have run; stays so when it is over. */
+    /** Returns whether the last byte was written, so that the server may have run it; also after the end. */
     public boolean isWritten() {
-        return ran;
+        return written;
     }
 
-    /** Whether all of it was handed to the connection, though perhaps not written yet. */
+    /** Returns whether the connection has taken the last byte, which is perhaps not written yet. */
     public boolean isHandedOver() {
-        return state == State.HANDED || state == State.WRITTEN;
+        return state == State.HANDED_OVER || state == State.WRITTEN;
     }
 
-    /** From now on it may take so many nanoseconds until its answer is whole or begins. */
+    /**
+     * Starts the timeout: the response has to be complete or to start within {@code nanoseconds}. Does nothing
+     * if the timeout was started before or the attempt has ended.
+     */
     public void startTimeout(long nanoseconds) {
-        if (!isCompleted() && alarm == null) {
-            alarm = time.schedule(nanoseconds, this::late);
+        if (!isCompleted() && timeout == null) {
+            timeout = scheduler.schedule(nanoseconds, this::timedOut);
         }
     }
 
-    /** It may take as long as it likes. */
+    /** Cancels the timeout; the attempt may take as long as it likes from now on. */
     public void cancelTimeout() {
-        if (alarm != null) {
-            alarm.cancel();
+        if (timeout != null) {
+            timeout.cancel();
         }
     }
 
-    /** A connection carries it from now on, and is broken off if it ends without an answer. */
-    void carried(Runnable connectionEnd) {
-        breakOff = connectionEnd;
+    /** Assigns a connection, which {@code closer} closes if the attempt ends without a response. */
+    void assignConnection(Runnable closer) {
+        closeConnection = closer;
     }
 
-    /** The connection begins to write it. */
+    /** Records that the connection begins to write the attempt. */
     public void writeStarted() {
-        if (state == State.WAITING) {
+        if (state == State.PENDING) {
             state = State.WRITING;
         }
     }
 
-    /** The connection has taken its last byte. */
+    /** Records that the connection has taken the last byte. */
     public void handedOver() {
         if (!isCompleted()) {
-            state = State.HANDED;
+            state = State.HANDED_OVER;
             body.stopReading();
         }
     }
 
-    /** Its last byte was written. */
+    /** Records that the last byte was written. */
     public void requestWritten() {
-        ran = true;
+        written = true;
         if (!isCompleted()) {
             state = State.WRITTEN;
         }
-        notUnwritten.accept(this);
+        onWrittenOrCompleted.accept(this);
         listener.requestWritten();
     }
 
-    /** Gives it up and closes its connection. */
+    /** Cancels the attempt and closes its connection; does nothing after its end. */
     public void cancel() {
         complete(Outcome.CANCELLED);
     }
 
-    private void late() {
-        complete(ran ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED);
+    private void timedOut() {
+        complete(written ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED);
     }
 
-    /** Its connection is lost, or never came. */
+    /** Ends the attempt because its connection was lost or could not be established. */
     public void connectionLost() {
-        complete(ran ? Outcome.RESET : Outcome.CONNECT_FAILED);
+        complete(written ? Outcome.RESET : Outcome.CONNECT_FAILED);
     }
 
-    /** Its answer begins: it is passed on as it comes, and takes as long as that. */
+    /**
+     * Starts a streamed response, which has no timeout.
+     *
+     * @param length length of the response's body in bytes; -1 where it is not known
+     */
     public void responseStarted(A first, long length, FlowControl rest) {
         cancelTimeout();
         listener.responseStarted(this, first, length, rest);
     }
 
-    /** More of an answer that was begun; takes over the buffer. */
+    /** Passes on the next bytes of a streamed response; the listener takes ownership of the buffer. */
     public void responseData(ByteBuf bytes) {
         listener.responseData(bytes);
     }
 
-    /** Ends it without an answer, unless it has ended before; its connection is of no further use. */
+    /** Ends the attempt without a response and closes its connection; does nothing after its end. */
     public void complete(Outcome outcome) {
         if (!isCompleted()) {
-            breakOff.run();
+            closeConnection.run();
             complete(outcome, null, NO_LOAD);
         }
     }
 
-    /** Ends it with what its connection, which stays as it is, has brought; not after another end. */
+    /** Ends the attempt with what its connection, which stays open, has received; does nothing after its end. */
     public void complete(Outcome outcome, A answer, float[] load) {
         if (isCompleted()) {
             return;
         }
-        boolean reading = state == State.WAITING || state == State.WRITING;
-        state = State.OVER;
+        boolean readsBody = state == State.PENDING || state == State.WRITING;
+        state = State.COMPLETED;
         cancelTimeout();
-        if (reading) {
+        if (readsBody) {
             body.stopReading();
         }
-        notUnwritten.accept(this);
+        onWrittenOrCompleted.accept(this);
         listener.attemptCompleted(outcome, answer, load);
     }
 }
--- a/core/src/main/java/topazvalve/core/pool/AttemptListener.java
+++ b/core/src/main/java/topazvalve/core/pool/AttemptListener.java
@@ -4,19 +4,29 @@
 import topazvalve.core.stream.FlowControl;
 import topazvalve.policy.LoadBalancer.Outcome;
 
-/** What becomes of an attempt. */
+/** Receives what becomes of an attempt. */
 public interface AttemptListener<Q, A> {
-    /** Its last byte has been written: from now on it may have run. */
+    /** Reports that the last byte was written: from now on the server may have run the attempt. */
     default void requestWritten() {}
 
-    /** Its answer is too large to be held: the first part, more to come, and then the end. */
+    /**
+     * Starts a response that is too large to be buffered.
+     *
+     * @param length length of the response's body in bytes; -1 where it is not known
+     * @param rest pauses and resumes the parts that follow
+     */
     default void responseStarted(Attempt<Q, A> attempt, A first, long length, FlowControl rest) {}
 
-    /** More of an answer that was begun; takes over the buffer. */
+    /** Receives the next bytes of a streamed response and takes ownership of the buffer. */
     default void responseData(ByteBuf bytes) {
         bytes.release();
     }
 
-    /** How it ended; {@code answer} is there for {@link Outcome#OK} alone, and not where it was begun. */
+    /**
+     * Reports the end of the attempt; called exactly once.
+     *
+     * @param answer the complete response for {@link Outcome#OK}; null for a streamed one and other outcomes
+     * @param load the server's load report; {@link Attempt#NO_LOAD} if there is none
+     */
     void attemptCompleted(Outcome outcome, A answer, float[] load);
 }
--- a/core/src/main/java/topazvalve/core/pool/Backend.java
+++ b/core/src/main/java/topazvalve/core/pool/Backend.java
@@ -4,37 +4,42 @@
 import topazvalve.core.stream.RequestBody;
 import topazvalve.policy.SettingsReader;
 
-/** Carries attempts to servers. {@link ConnectionPools} is the one for sockets; tests play others. */
+/** Carries attempts to endpoints. {@link ConnectionPools} is the implementation over sockets. */
 public interface Backend<Q, A> {
     /**
-     * Sends an exchange as one attempt; {@code wait} in nanoseconds bounds it, unless the body is still to
-     * end: then {@link Attempt#startTimeout} does. The listener is told of one end, perhaps within this call.
+     * Starts an attempt. Its listener is notified of one end, possibly within this call.
+     *
+     * @param timeoutNanos how long the attempt may take, in nanoseconds; for a body that is not complete,
+     *     {@link Attempt#startTimeout} starts the time
      */
-    Attempt<Q, A> startAttempt(long server, Q message, RequestBody body, long wait, AttemptListener<Q, A> listener);
+    Attempt<Q, A> startAttempt(
+            long endpoint, Q message, RequestBody body, long timeoutNanos, AttemptListener<Q, A> listener);
 
-    /** Asks a server how it is. */
-    void sendHealthCheck(long server, AttemptListener<Q, A> listener);
+    /** Sends a health check; its listener is notified of one end. */
+    void sendHealthCheck(long endpoint, AttemptListener<Q, A> listener);
 
     /**
-     * Takes over what the list says of a server. Once it is no longer ready, nothing not yet written goes
-     * there: who waits for a connection is told that none came, idle connections are closed. So are those to
-     * a process that has started anew since: a machine that vanished has not ended them, and what is written
-     * to them would count as perhaps run.
+     * Applies what the endpoint list says of an endpoint. Once it is not ready, nothing that is not yet written
+     * goes there: attempts that wait for a connection end as not connected, and idle connections are closed.
+     * Idle connections are also closed if the process has restarted: the vanished one may not have ended them,
+     * and what is written to them would count as possibly run.
+     *
+     * @param startedAtMillis when the endpoint's process started, in milliseconds since 1970
      */
-    void endpointUpdated(long server, InetSocketAddress address, long startedMs, boolean ready);
+    void endpointUpdated(long endpoint, InetSocketAddress address, long startedAtMillis, boolean ready);
 
-    /** Takes over that a server is in the list no more: what is still out there ends by itself. */
-    void endpointRemoved(long server);
+    /** Removes an endpoint that is no longer listed; attempts that are written there end by themselves. */
+    void endpointRemoved(long endpoint);
 
-    /** How many servers are listed. */
+    /** Returns how many endpoints are listed. */
     int endpointCount();
 
-    /** Closes the idle connections to a server. */
-    void closeIdleConnections(long server);
+    /** Closes the idle connections to an endpoint. */
+    void closeIdleConnections(long endpoint);
 
-    /** Takes new settings over; connections that are open go on. */
-    void settingsChanged(SettingsReader options);
+    /** Applies new settings; open connections stay open. */
+    void settingsChanged(SettingsReader settings);
 
-    /** Closes all idle connections and keeps no more watch on them. */
+    /** Closes all idle connections, and no longer closes those that become idle. */
     void close();
 }
--- a/core/src/main/java/topazvalve/core/pool/Codec.java
+++ b/core/src/main/java/topazvalve/core/pool/Codec.java
@@ -2,20 +2,25 @@
 
 import topazvalve.policy.SettingsReader;
 
-/** How a protocol speaks with servers; the pools know nothing of it. */
+/** The protocol spoken with endpoints; the pools know nothing of it. */
 public interface Codec<Q, A> {
-    /** Speaks on a connection that is about to be made. */
+    /** Creates the protocol's part of a connection that is about to be opened. */
     ConnectionHandler<Q, A> newConnectionHandler(PooledConnection<Q, A> connection);
 
-    /** What asks a server how it is, and how many nanoseconds that may take. */
+    /** Returns the health check as the settings have it now. */
     HealthCheck<Q> healthCheck();
 
-    /** A question to a server about itself. */
+    /**
+     * A request for an endpoint's own state.
+     *
+     * @param message the request in terms of its protocol
+     * @param timeoutNanos how long the health check may take, in nanoseconds
+     */
     record HealthCheck<Q>(Q message, long timeoutNanos) {}
 
-    /** How many nanoseconds an idle connection rests before it is lent again. */
+    /** Returns how long a connection has to be idle before it is leased again, in nanoseconds. */
     long reuseDelayNanos();
 
-    /** Takes new settings over. */
-    void settingsChanged(SettingsReader options);
+    /** Applies new settings. */
+    void settingsChanged(SettingsReader settings);
 }
--- a/core/src/main/java/topazvalve/core/pool/ConnectionHandler.java
+++ b/core/src/main/java/topazvalve/core/pool/ConnectionHandler.java
@@ -2,20 +2,20 @@
 
 import io.netty.channel.Channel;
 
-/** A protocol's part of one connection: carries one attempt at a time. */
+/** The protocol's part of one connection, which carries one attempt at a time. */
 public interface ConnectionHandler<Q, A> {
-    /** Adds its handlers to the channel, which is not connected yet. */
+    /** Adds the protocol's handlers to a channel that is not connected yet. */
     void configure(Channel channel);
 
-    /** Writes an attempt and sees to its answer; the connection is leased to it. */
+    /** Writes an attempt and receives its response; the connection is leased to the attempt. */
     void startAttempt(Attempt<Q, A> attempt);
 
-    /** Whether something has come that nobody asked for, so that no further attempt may follow. */
+    /** Returns whether data was received that answers no attempt, so that the connection can't be reused. */
     boolean hasUnexpectedData();
 
-    /** Its server takes nothing new; what is under way may go on, for as long as the protocol says. */
+    /** Notifies of a draining endpoint: an attempt under way may go on for as long as the protocol allows. */
     default void draining() {}
 
-    /** The connection closes, for whatever reason: lets go of what was held for it. */
+    /** Releases what is held for the connection, which is being closed for whatever reason. */
     void closing();
 }
--- a/core/src/main/java/topazvalve/core/pool/ConnectionPools.java
+++ b/core/src/main/java/topazvalve/core/pool/ConnectionPools.java
@@ -12,96 +12,115 @@
 import topazvalve.policy.SettingsReader;
 
 /**
- * Connections to servers and the attempts on them, on sockets. An attempt is written once, on one connection,
- * and ends with one outcome; nothing is sent again from here.
+ * The pools of connections to all endpoints, and the attempts on them. An attempt is written once, on one
+ * connection, and has one outcome; nothing is retried here. Used on the event loop alone.
  */
 public final class ConnectionPools<Q, A> implements Backend<Q, A> {
+    private static final double DEFAULT_CONNECT_TIMEOUT_NANOS = 1e9;
+    private static final double DEFAULT_SERVER_IDLE_TIMEOUT_NANOS = 5e9;
+    private static final double NANOS_PER_MILLI = 1e6;
+    /** Less than all of the server's idle timeout: nothing that is written can cross the server's closing. */
+    private static final double IDLE_TIMEOUT_FRACTION = 0.9;
+
+    private static final int SWEEPS_PER_IDLE_TIMEOUT = 20;
+
     private final EventLoop loop;
-    private final Scheduler time;
+    private final Scheduler scheduler;
     private final Codec<Q, A> codec;
-    private final int mostConnections;
+    private final int maxConnections;
     private final Map<Long, EndpointPool<Q, A>> pools = new HashMap<>();
-    /** Stands for every server that is not listed. */
-    private final EndpointPool<Q, A> nobody = new EndpointPool<>();
+    /** The pool of every endpoint that is not listed; it is never ready. */
+    private final EndpointPool<Q, A> unlistedPool = new EndpointPool<>();
 
-    private final Future<?> retirement;
-    private int connectTimeoutMs;
-    private long keepIdle;
-    private int connections;
+    private final Future<?> idleSweep;
+    private int connectTimeoutMillis;
+    private long maxIdleNanos;
+    private int connectionCount;
 
-    /** Opens at most {@code mostConnections} connections at a time. */
+    /** Creates pools that hold at most {@code maxConnections} connections at a time. */
     public ConnectionPools(
-            EventLoop loop, Scheduler time, SettingsReader options, Codec<Q, A> codec, int mostConnections) {
+            EventLoop loop, Scheduler scheduler, SettingsReader settings, Codec<Q, A> codec, int maxConnections) {
         this.loop = loop;
-        this.time = time;
+        this.scheduler = scheduler;
         this.codec = codec;
-        this.mostConnections = mostConnections;
-        settingsChanged(options);
-        long sweep = Math.max(1, keepIdle / 20);
-        retirement = loop.scheduleWithFixedDelay(this::retire, sweep, sweep, TimeUnit.NANOSECONDS);
+        this.maxConnections = maxConnections;
+        settingsChanged(settings);
+        long sweepNanos = Math.max(1, maxIdleNanos / SWEEPS_PER_IDLE_TIMEOUT);
+        idleSweep = loop.scheduleWithFixedDelay(
+                this::closeExpiredConnections, sweepNanos, sweepNanos, TimeUnit.NANOSECONDS);
     }
 
     @Override
-    public void settingsChanged(SettingsReader options) {
-        connectTimeoutMs = Math.max(1, (int) (options.number("caps.connectTimeout", 1e9) / 1e6));
-        // A server closes at its idle time; a tenth before it, nothing written can cross that on its way.
-        keepIdle = (long) (options.number("caps.connIdle", 5e9) * 0.9);
-        codec.settingsChanged(options);
+    public void settingsChanged(SettingsReader settings) {
+        double connectTimeoutNanos = settings.number("caps.connectTimeout", DEFAULT_CONNECT_TIMEOUT_NANOS);
+        connectTimeoutMillis = Math.max(1, (int) (connectTimeoutNanos / NANOS_PER_MILLI));
+        double serverIdleNanos = settings.number("caps.connIdle", DEFAULT_SERVER_IDLE_TIMEOUT_NANOS);
+        maxIdleNanos = (long) (serverIdleNanos * IDLE_TIMEOUT_FRACTION);
+        codec.settingsChanged(settings);
     }
 
     @Override
-    public void endpointUpdated(long server, InetSocketAddress address, long startedMs, boolean ready) {
-        pools.computeIfAbsent(server, id -> new EndpointPool<>()).listed(address, startedMs, ready);
+    public void endpointUpdated(long endpoint, InetSocketAddress address, long startedAtMillis, boolean ready) {
+        pools.computeIfAbsent(endpoint, unlisted -> new EndpointPool<>()).update(address, startedAtMillis, ready);
     }
 
     @Override
-    public void endpointRemoved(long server) {
-        EndpointPool<Q, A> pool = pools.remove(server);
+    public void endpointRemoved(long endpoint) {
+        EndpointPool<Q, A> pool = pools.remove(endpoint);
         if (pool != null) {
-            pool.shut();
+            pool.drain();
         }
     }
 
     @Override
     public Attempt<Q, A> startAttempt(
-            long server, Q message, RequestBody body, long wait, AttemptListener<Q, A> listener) {
-        EndpointPool<Q, A> pool = pools.getOrDefault(server, nobody);
-        Attempt<Q, A> attempt = new Attempt<>(time, message, body, wait, listener, pool::noMore);
+            long endpoint, Q message, RequestBody body, long timeoutNanos, AttemptListener<Q, A> listener) {
+        EndpointPool<Q, A> pool = pools.getOrDefault(endpoint, unlistedPool);
+        Attempt<Q, A> attempt = new Attempt<>(scheduler, message, body, timeoutNanos, listener, pool::removeUnwritten);
         if (body.isComplete()) {
-            attempt.startTimeout(wait);
+            attempt.startTimeout(timeoutNanos);
         }
-        pool.waits(attempt);
-        long now = System.nanoTime();
-        PooledConnection<Q, A> idle = pool.ready() ? pool.take(now, codec.reuseDelayNanos()) : null;
-        PooledConnection<Q, A> resting = idle == null && pool.ready() ? pool.longestRested() : null;
-        if (!pool.ready()) {
-            attempt.complete(Outcome.CONNECT_FAILED);
-        } else if (idle != null) {
-            idle.lease(attempt);
-        } else if (resting != null) {
-            // Sooner than a new one comes up, and it costs the server nothing.
-            resting.reserve(attempt, resting.idleSince() + codec.reuseDelayNanos() - now);
+        pool.addUnwritten(attempt);
+        if (pool.isReady()) {
+            assignConnection(pool, attempt);
         } else {
-            open(pool, attempt);
+            attempt.complete(Outcome.CONNECT_FAILED);
         }
         return attempt;
     }
 
-    /** Carries it on a connection of its own, unless it is over or its server takes nothing any more. */
-    void open(EndpointPool<Q, A> pool, Attempt<Q, A> attempt) {
+    private void assignConnection(EndpointPool<Q, A> pool, Attempt<Q, A> attempt) {
+        long now = System.nanoTime();
+        long reuseDelayNanos = codec.reuseDelayNanos();
+        PooledConnection<Q, A> reusable = pool.acquireIdle(now, reuseDelayNanos);
+        if (reusable != null) {
+            reusable.lease(attempt);
+            return;
+        }
+        PooledConnection<Q, A> resting = pool.reserveLeastRecentlyUsed();
+        if (resting != null) {
+            // Sooner than a new connection is established, and it costs the server nothing.
+            resting.reserve(attempt, resting.idleSinceNanos() + reuseDelayNanos - now);
+            return;
+        }
+        open(pool, attempt);
+    }
+
+    /** Opens a connection for an attempt, unless the attempt has ended; closes another one at the limit. */
+    private void open(EndpointPool<Q, A> pool, Attempt<Q, A> attempt) {
         if (attempt.isCompleted()) {
             return;
         }
-        if (connections >= mostConnections && !closeLongestIdle()) {
+        if (connectionCount >= maxConnections && !closeLeastRecentlyUsed()) {
             attempt.complete(Outcome.NEVER_SENT);
         } else {
-            new PooledConnection<>(this, loop, pool, codec).open(attempt, connectTimeoutMs);
+            new PooledConnection<>(this, loop, pool, codec).open(attempt, connectTimeoutMillis);
         }
     }
 
-    /** Its connection is lost before anything was written there: it gets another, if its server takes it. */
+    /** Opens another connection for an attempt whose connection closed before anything was written there. */
     void replace(EndpointPool<Q, A> pool, Attempt<Q, A> attempt) {
-        if (pool.ready()) {
+        if (pool.isReady()) {
             open(pool, attempt);
         } else {
             attempt.complete(Outcome.CONNECT_FAILED);
@@ -109,9 +128,10 @@
     }
 
     @Override
-    public void sendHealthCheck(long server, AttemptListener<Q, A> listener) {
-        Codec.HealthCheck<Q> probe = codec.healthCheck();
-        startAttempt(server, probe.message(), RequestBody.of(new byte[0]), probe.timeoutNanos(), listener);
+    public void sendHealthCheck(long endpoint, AttemptListener<Q, A> listener) {
+        Codec.HealthCheck<Q> healthCheck = codec.healthCheck();
+        RequestBody emptyBody = RequestBody.of(new byte[0]);
+        startAttempt(endpoint, healthCheck.message(), emptyBody, healthCheck.timeoutNanos(), listener);
     }
 
     @Override
@@ -120,44 +140,46 @@
     }
 
     @Override
-    public void closeIdleConnections(long server) {
-        EndpointPool<Q, A> pool = pools.get(server);
+    public void closeIdleConnections(long endpoint) {
+        EndpointPool<Q, A> pool = pools.get(endpoint);
         if (pool != null) {
-            pool.closeIdle();
+            pool.closeIdleConnections();
         }
     }
 
     @Override
     public void close() {
-        retirement.cancel(false);
-        pools.values().forEach(EndpointPool::closeIdle);
+        idleSweep.cancel(false);
+        pools.values().forEach(EndpointPool::closeIdleConnections);
     }
 
-    /** Makes room for a connection where it is needed; false if every one is in use. */
-    private boolean closeLongestIdle() {
-        PooledConnection<Q, A> longest = null;
+    /** Closes the connection of all pools that has been idle for longest; false if none is idle. */
+    private boolean closeLeastRecentlyUsed() {
+        PooledConnection<Q, A> oldest = null;
         for (EndpointPool<Q, A> pool : pools.values()) {
-            PooledConnection<Q, A> first = pool.longestIdle();
-            if (first != null && (longest == null || first.idleSince() < longest.idleSince())) {
-                longest = first;
+            PooledConnection<Q, A> candidate = pool.leastRecentlyUsed();
+            if (candidate != null && (oldest == null || candidate.idleSinceNanos() < oldest.idleSinceNanos())) {
+                oldest = candidate;
             }
         }
-        if (longest != null) {
-            longest.close();
+        if (oldest != null) {
+            oldest.close();
         }
-        return longest != null;
+        return oldest != null;
     }
 
-    private void retire() {
+    private void closeExpiredConnections() {
         long now = System.nanoTime();
-        pools.values().forEach(pool -> pool.retire(now, keepIdle));
+        pools.values().forEach(pool -> pool.closeIdleLongerThan(now, maxIdleNanos));
     }
 
-    void opened() {
-        connections++;
+    /** Counts a connection whose socket was opened. */
+    void connectionOpened() {
+        connectionCount++;
     }
 
-    void closed() {
-        connections--;
+    /** Counts a connection whose socket was closed. */
+    void connectionClosed() {
+        connectionCount--;
     }
 }
--- a/core/src/main/java/topazvalve/core/pool/EndpointPool.java
+++ b/core/src/main/java/topazvalve/core/pool/EndpointPool.java
@@ -8,130 +8,145 @@
 import java.util.Set;
 import topazvalve.policy.LoadBalancer.Outcome;
 
-/** One server's connections; the least lately used idle one comes first. */
+/** The connections to one endpoint. */
 final class EndpointPool<Q, A> {
+    /** Idle connections, the least recently used first. */
     private final ArrayDeque<PooledConnection<Q, A>> idle = new ArrayDeque<>();
-    /** Idle ones that an attempt waits for while they rest. */
+    /** Idle connections that an attempt waits for until the reuse delay is over. */
     private final Set<PooledConnection<Q, A>> reserved = new LinkedHashSet<>();
-
+    /** Attempts that are neither written nor completed. */
     private final Set<Attempt<Q, A>> unwritten = new LinkedHashSet<>();
-    /** Every connection that is not closed. */
-    private final Set<PooledConnection<Q, A>> all = new LinkedHashSet<>();
+    /** All connections that are not closed. */
+    private final Set<PooledConnection<Q, A>> connections = new LinkedHashSet<>();
 
     private InetSocketAddress address;
-    private long startedMs;
+    private long startedAtMillis;
     private boolean ready;
 
+    /** Returns the address to connect to; null until the first {@link #update}. */
     InetSocketAddress address() {
         return address;
     }
 
-    boolean ready() {
+    /** Returns whether the endpoint takes new attempts. */
+    boolean isReady() {
         return ready;
     }
 
-    void listed(InetSocketAddress at, long started, boolean takesWork) {
-        if (!at.equals(address) || started > startedMs) {
-            address = at;
-            startedMs = started;
-            closeIdle();
+    /** Applies what the endpoint list says; idle connections to a process before a restart are closed. */
+    void update(InetSocketAddress listedAddress, long listedStartMillis, boolean listedReady) {
+        if (!listedAddress.equals(address) || listedStartMillis > startedAtMillis) {
+            address = listedAddress;
+            startedAtMillis = listedStartMillis;
+            closeIdleConnections();
         }
-        if (takesWork) {
+        if (listedReady) {
             ready = true;
         } else {
-            shut();
+            drain();
         }
     }
 
     /**
-     * The one used last of those that have rested for so many nanoseconds, unless more has come there than
-     * was asked for; null if there is none.
+     * Takes the most recently used connection that has been idle for the reuse delay. Connections on which
+     * unexpected data was received are closed.
+     *
+     * @param now time of {@link System#nanoTime}
+     * @return null if there is no such connection
      */
-    PooledConnection<Q, A> take(long now, long rest) {
-        for (PooledConnection<Q, A> each : lastUsedFirst()) {
-            if (now - each.idleSince() < rest) {
+    PooledConnection<Q, A> acquireIdle(long now, long reuseDelayNanos) {
+        for (PooledConnection<Q, A> connection : mostRecentlyUsedFirst()) {
+            if (now - connection.idleSinceNanos() < reuseDelayNanos) {
                 continue;
             }
-            if (!each.spoilt()) {
-                idle.remove(each);
-                return each;
+            if (!connection.hasUnexpectedData()) {
+                idle.remove(connection);
+                return connection;
             }
-            each.close();
+            connection.close();
         }
         return null;
     }
 
-    private List<PooledConnection<Q, A>> lastUsedFirst() {
-        List<PooledConnection<Q, A>> resting = new ArrayList<>(idle.size());
-        idle.descendingIterator().forEachRemaining(resting::add);
-        return resting;
+    /** Returns a copy, because closing a connection removes it from {@link #idle}. */
+    private List<PooledConnection<Q, A>> mostRecentlyUsedFirst() {
+        List<PooledConnection<Q, A>> copy = new ArrayList<>(idle.size());
+        idle.descendingIterator().forEachRemaining(copy::add);
+        return copy;
     }
 
-    /** Takes the one that has rested for longest, though not for long enough; null if there is none. */
-    PooledConnection<Q, A> longestRested() {
-        PooledConnection<Q, A> first = idle.pollFirst();
-        while (first != null && first.spoilt()) {
-            first.close();
-            first = idle.pollFirst();
+    /** Reserves the idle connection whose reuse delay ends first; returns null if there is none. */
+    PooledConnection<Q, A> reserveLeastRecentlyUsed() {
+        PooledConnection<Q, A> connection = idle.pollFirst();
+        while (connection != null && connection.hasUnexpectedData()) {
+            connection.close();
+            connection = idle.pollFirst();
         }
-        if (first != null) {
-            reserved.add(first);
+        if (connection != null) {
+            reserved.add(connection);
         }
-        return first;
+        return connection;
     }
 
-    PooledConnection<Q, A> longestIdle() {
+    /** Returns the connection that has been idle for longest, which stays in the pool; null if there is none. */
+    PooledConnection<Q, A> leastRecentlyUsed() {
         return idle.peekFirst();
     }
 
-    void idles(PooledConnection<Q, A> connection) {
+    /** Adds a connection that is being opened. */
+    void add(PooledConnection<Q, A> connection) {
+        connections.add(connection);
+    }
+
+    /** Takes back a connection that no attempt uses any more. */
+    void addIdle(PooledConnection<Q, A> connection) {
         reserved.remove(connection);
         idle.addLast(connection);
     }
 
-    void opens(PooledConnection<Q, A> connection) {
-        all.add(connection);
+    /** Ends the reservation of a connection that is being leased. */
+    void unreserve(PooledConnection<Q, A> connection) {
+        reserved.remove(connection);
     }
 
-    void left(PooledConnection<Q, A> connection) {
-        all.remove(connection);
+    /** Removes a connection that is being closed. */
+    void remove(PooledConnection<Q, A> connection) {
+        connections.remove(connection);
         idle.remove(connection);
         reserved.remove(connection);
     }
 
-    /** Counts as not yet written, until {@link #noMore}. */
-    void waits(Attempt<Q, A> attempt) {
+    /** Adds an attempt that ends if the endpoint drains, until {@link #removeUnwritten}. */
+    void addUnwritten(Attempt<Q, A> attempt) {
         unwritten.add(attempt);
     }
 
-    void noMore(Attempt<Q, A> attempt) {
+    /** Removes an attempt that is written or completed. */
+    void removeUnwritten(Attempt<Q, A> attempt) {
         unwritten.remove(attempt);
     }
 
-    /** Nothing not yet written goes there any more. */
-    void shut() {
+    /** Takes no new attempts, and ends those that are not yet written. */
+    void drain() {
         ready = false;
-        closeIdle();
+        closeIdleConnections();
         for (Attempt<Q, A> attempt : List.copyOf(unwritten)) {
             attempt.complete(Outcome.CONNECT_FAILED);
         }
-        List.copyOf(all).forEach(PooledConnection::draining);
+        List.copyOf(connections).forEach(PooledConnection::draining);
     }
 
-    void closeIdle() {
+    /** Closes idle and reserved connections. */
+    void closeIdleConnections() {
         while (!idle.isEmpty()) {
             idle.pollFirst().close();
         }
         List.copyOf(reserved).forEach(PooledConnection::close);
     }
 
-    void leases(PooledConnection<Q, A> connection) {
-        reserved.remove(connection);
-    }
-
-    /** Closes those that have idled for longer than so many nanoseconds. */
-    void retire(long now, long keepIdle) {
-        while (!idle.isEmpty() && now - idle.peekFirst().idleSince() > keepIdle) {
+    /** Closes the connections that have been idle for longer than {@code maxIdleNanos}. */
+    void closeIdleLongerThan(long now, long maxIdleNanos) {
+        while (!idle.isEmpty() && now - idle.peekFirst().idleSinceNanos() > maxIdleNanos) {
             idle.pollFirst().close();
         }
     }
--- a/core/src/main/java/topazvalve/core/pool/PooledConnection.java
+++ b/core/src/main/java/topazvalve/core/pool/PooledConnection.java
@@ -14,8 +14,8 @@
 import topazvalve.policy.LoadBalancer.Outcome;
 
 /**
- * One connection to a server: CONNECTING, then LEASED to one attempt after the other and IDLE between them,
- * and CLOSED from any of these.
+ * One connection to an endpoint. It is CONNECTING at first, then LEASED to one attempt after the other and IDLE
+ * between them; from each of these states it can become CLOSED.
  */
 public final class PooledConnection<Q, A> {
     private enum State {
@@ -25,53 +25,59 @@
         CLOSED
     }
 
-    private static final RecvByteBufAllocator READS =
-            new AdaptiveRecvByteBufAllocator(64, 2048, ByteBudget.MIN_QUOTA_BYTES);
+    private static final int MIN_RECEIVE_BUFFER_BYTES = 64;
+    private static final int INITIAL_RECEIVE_BUFFER_BYTES = 2048;
+    private static final RecvByteBufAllocator RECEIVE_BUFFER_ALLOCATOR = new AdaptiveRecvByteBufAllocator(
+            MIN_RECEIVE_BUFFER_BYTES, INITIAL_RECEIVE_BUFFER_BYTES, ByteBudget.MIN_QUOTA_BYTES);
 
-    private final ConnectionPools<Q, A> owner;
+    private final ConnectionPools<Q, A> pools;
     private final EventLoop loop;
     private final EndpointPool<Q, A> pool;
-    private final ConnectionHandler<Q, A> carrier;
+    private final ConnectionHandler<Q, A> handler;
     private State state = State.CONNECTING;
     private Channel channel;
-    private long idleSince;
-    /** What waits for this idle connection while it rests; null if nothing does. */
-    private Attempt<Q, A> waiting;
+    private long idleSinceNanos;
+    /** The attempt that waits for this idle connection until the reuse delay is over; null if none does. */
+    private Attempt<Q, A> reservedFor;
 
-    PooledConnection(ConnectionPools<Q, A> owner, EventLoop loop, EndpointPool<Q, A> pool, Codec<Q, A> codec) {
-        this.owner = owner;
+    PooledConnection(ConnectionPools<Q, A> pools, EventLoop loop, EndpointPool<Q, A> pool, Codec<Q, A> codec) {
+        this.pools = pools;
         this.loop = loop;
         this.pool = pool;
-        this.carrier = codec.newConnectionHandler(this);
+        this.handler = codec.newConnectionHandler(this);
     }
 
-    /** Connects, and carries this attempt as its first. */
-    void open(Attempt<Q, A> first, int connectTimeoutMs) {
-        first.carried(this::close);
-        pool.opens(this);
+    /** Connects, and carries {@code first} as the first attempt. */
+    void open(Attempt<Q, A> first, int connectTimeoutMillis) {
+        first.assignConnection(this::close);
+        pool.add(this);
         new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMs)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMillis)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.RECVBUF_ALLOCATOR, READS)
+                .option(ChannelOption.RECVBUF_ALLOCATOR, RECEIVE_BUFFER_ALLOCATOR)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
-                    protected void initChannel(Channel made) {
-                        channel = made;
-                        owner.opened();
-                        made.closeFuture().addListener(closed -> owner.closed());
-                        carrier.configure(made);
+                    protected void initChannel(Channel newChannel) {
+                        initialize(newChannel);
                     }
                 })
                 .connect(pool.address())
-                .addListener(done -> connected(first, done.isSuccess()));
+                .addListener(result -> connectCompleted(first, result.isSuccess()));
     }
 
-    private void connected(Attempt<Q, A> first, boolean success) {
+    private void initialize(Channel newChannel) {
+        channel = newChannel;
+        pools.connectionOpened();
+        newChannel.closeFuture().addListener(closed -> pools.connectionClosed());
+        handler.configure(newChannel);
+    }
+
+    private void connectCompleted(Attempt<Q, A> first, boolean success) {
         if (channel == null) {
-            // No socket could be made, which is no fault of the server's; told elsewhere.
-            pool.left(this);
+            // No socket could be opened, which is no fault of the endpoint. Not within the call that opens it.
+            pool.remove(this);
             loop.execute(() -> first.complete(Outcome.NEVER_SENT));
         } else if (!success) {
             close();
@@ -80,84 +86,85 @@
             close();
         } else {
             state = State.LEASED;
-            carrier.startAttempt(first);
+            handler.startAttempt(first);
         }
     }
 
-    /** Carries another attempt after so many nanoseconds; one that closes meanwhile is replaced at once. */
-    void reserve(Attempt<Q, A> next, long rest) {
-        waiting = next;
-        loop.schedule(this::rested, Math.max(0, rest), TimeUnit.NANOSECONDS);
+    /** Leases the connection to an attempt after a delay; if it closes meanwhile, another one is opened at once. */
+    void reserve(Attempt<Q, A> attempt, long delayNanos) {
+        reservedFor = attempt;
+        loop.schedule(this::reuseDelayOver, Math.max(0, delayNanos), TimeUnit.NANOSECONDS);
     }
 
-    private void rested() {
-        Attempt<Q, A> next = waiting;
-        if (next == null) {
+    private void reuseDelayOver() {
+        Attempt<Q, A> attempt = reservedFor;
+        if (attempt == null) {
             return;
         }
-        waiting = null;
-        if (!channel.isActive() || spoilt()) {
+        reservedFor = null;
+        if (!channel.isActive() || hasUnexpectedData()) {
             close();
-            owner.replace(pool, next);
-        } else if (next.isCompleted()) {
-            pool.idles(this);
+            pools.replace(pool, attempt);
+        } else if (attempt.isCompleted()) {
+            pool.addIdle(this);
         } else {
-            lease(next);
+            lease(attempt);
         }
     }
 
-    /** Carries another attempt. */
-    void lease(Attempt<Q, A> next) {
-        pool.leases(this);
+    /** Leases the connection to an attempt and starts it. */
+    void lease(Attempt<Q, A> attempt) {
+        pool.unreserve(this);
         state = State.LEASED;
-        next.carried(this::close);
-        carrier.startAttempt(next);
+        attempt.assignConnection(this::close);
+        handler.startAttempt(attempt);
     }
 
-    /** Its server takes nothing new. */
+    /** Notifies the protocol that the endpoint is draining, if an attempt is under way. */
     void draining() {
         if (state == State.LEASED) {
-            carrier.draining();
+            handler.draining();
         }
     }
 
-    /** Whether nobody's attempt may follow, since more has come than was asked for. */
-    boolean spoilt() {
-        return carrier.hasUnexpectedData();
+    /** Returns whether data was received that answers no attempt, so that no other attempt may follow. */
+    boolean hasUnexpectedData() {
+        return handler.hasUnexpectedData();
     }
 
-    /** When it was last given back; {@link System#nanoTime}. */
-    long idleSince() {
-        return idleSince;
+    /** Returns when the connection was last released, as a time of {@link System#nanoTime}. */
+    long idleSinceNanos() {
+        return idleSinceNanos;
     }
 
+    /** Returns the endpoint's address. */
     public InetSocketAddress address() {
         return pool.address();
     }
 
-    /** The attempt is through: another may follow, or it is closed if its server takes no more. */
+    /** Ends the lease: the connection becomes idle, or is closed if the endpoint takes no new attempts. */
     public void release() {
-        if (state == State.LEASED && pool.ready() && channel.isActive()) {
+        if (state == State.LEASED && pool.isReady() && channel.isActive()) {
             state = State.IDLE;
-            idleSince = System.nanoTime();
-            pool.idles(this);
+            idleSinceNanos = System.nanoTime();
+            pool.addIdle(this);
         } else {
             close();
         }
     }
 
-    /** Nothing more goes over it. */
+    /** Closes the connection; an attempt that it is reserved for gets another one. */
     public void close() {
         if (state != State.CLOSED) {
             state = State.CLOSED;
-            pool.left(this);
-            carrier.closing();
+            pool.remove(this);
+            handler.closing();
         }
-        Attempt<Q, A> next = waiting;
-        waiting = null;
-        if (next != null) {
-            // Not from within this call: what closes it may be at work on its pool.
-            loop.execute(() -> owner.replace(pool, next));
+        Attempt<Q, A> attempt = reservedFor;
+        reservedFor = null;
+        if (attempt != null) {
+            // Not within this call: the caller may be iterating over the pool.
+            loop.execute(() -> pools.replace(pool, attempt));
         }
         if (channel != null) {
             channel.close();
--- a/core/src/main/java/topazvalve/core/pool/package-info.java
+++ b/core/src/main/java/topazvalve/core/pool/package-info.java
@@ -1,2 +1,5 @@
-/** Connections to servers and the attempts on them, apart from how a protocol speaks on one. */
+/**
+ * Pools of connections to endpoints, and the attempts on them. The protocol that is spoken on a connection plugs
+ * in as a {@link topazvalve.core.pool.Codec}.
+ */
 package topazvalve.core.pool;
--- a/core/src/test/java/topazvalve/core/exchange/ExchangeModelTest.java
+++ b/core/src/test/java/topazvalve/core/exchange/ExchangeModelTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import topazvalve.core.exchange.ScenarioEvent.Type;
+import topazvalve.core.exchange.ScenarioEvent.EventType;
 import topazvalve.policy.LoadBalancer.Idempotency;
 
 /**
@@ -20,8 +20,12 @@
  */
 class ExchangeModelTest {
     private static final int DEPTH = Integer.getInteger("model.depth", 5);
-    private static final List<Type> EVENTS_IN_STALL = List.of(
-            Type.TIMER_FIRED, Type.CLIENT_DISCONNECTED, Type.LOOP_CAUGHT_UP, Type.ENDPOINT_DRAINING, Type.STOPPED);
+    private static final List<EventType> EVENTS_IN_STALL = List.of(
+            EventType.TIMER_FIRED,
+            EventType.CLIENT_DISCONNECTED,
+            EventType.LOOP_CAUGHT_UP,
+            EventType.ENDPOINT_DRAINING,
+            EventType.STOPPED);
 
     private final Set<String> states = new HashSet<>();
     private long playedOrders;
@@ -47,7 +51,7 @@
         for (boolean bodyComplete : new boolean[] {true, false}) {
             for (ScenarioEvent first :
                     stalledScenario(idempotency, bodyComplete).possibleEvents()) {
-                for (Type second : EVENTS_IN_STALL) {
+                for (EventType second : EVENTS_IN_STALL) {
                     ExchangeScenario scenario = stalledScenario(idempotency, bodyComplete);
                     scenario.play(first);
                     scenario.play(ScenarioEvent.of(second));
--- a/core/src/test/java/topazvalve/core/exchange/ExchangeScenario.java
+++ b/core/src/test/java/topazvalve/core/exchange/ExchangeScenario.java
@@ -16,7 +16,7 @@
 import topazvalve.core.classes.ClassTable;
 import topazvalve.core.endpoint.Endpoint;
 import topazvalve.core.endpoint.EndpointDiscovery;
-import topazvalve.core.exchange.ScenarioEvent.Type;
+import topazvalve.core.exchange.ScenarioEvent.EventType;
 import topazvalve.core.metrics.Metrics;
 import topazvalve.core.stream.ByteBudget;
 import topazvalve.core.stream.FlowControl;
@@ -239,13 +239,15 @@
         if (started.attempt.isCompleted()) {
             return;
         }
-        List<Type> types;
+        List<EventType> types;
         if (!started.attempt.isWritten()) {
-            types = List.of(Type.CONNECTION_LOST, body.isComplete() ? Type.ATTEMPT_WRITTEN : Type.ATTEMPT_REJECTED);
+            types = List.of(
+                    EventType.CONNECTION_LOST,
+                    body.isComplete() ? EventType.ATTEMPT_WRITTEN : EventType.ATTEMPT_REJECTED);
         } else if (!started.responseStarted) {
-            types = List.of(Type.RESPONSE_RECEIVED, Type.ERROR_RECEIVED, Type.RESPONSE_STARTED);
+            types = List.of(EventType.RESPONSE_RECEIVED, EventType.ERROR_RECEIVED, EventType.RESPONSE_STARTED);
         } else {
-            types = List.of(Type.RESPONSE_DATA, Type.RESPONSE_COMPLETED, Type.CONNECTION_RESET);
+            types = List.of(EventType.RESPONSE_DATA, EventType.RESPONSE_COMPLETED, EventType.CONNECTION_RESET);
         }
         types.forEach(type -> events.add(new ScenarioEvent(type, index)));
     }
@@ -254,33 +256,33 @@
         if (disconnected || !finalAnswers.isEmpty()) {
             return;
         }
-        events.add(ScenarioEvent.of(Type.CLIENT_DISCONNECTED));
+        events.add(ScenarioEvent.of(EventType.CLIENT_DISCONNECTED));
         if (!body.isComplete()) {
-            events.add(ScenarioEvent.of(Type.BODY_COMPLETED));
+            events.add(ScenarioEvent.of(EventType.BODY_COMPLETED));
             if (!bodyDropped) {
-                events.add(ScenarioEvent.of(Type.BODY_DROPPED));
+                events.add(ScenarioEvent.of(EventType.BODY_DROPPED));
             }
         }
     }
 
     private void addEnvironmentEvents(List<ScenarioEvent> events) {
         if (rogue && forwardCount < MAX_ATTEMPTS + MAX_ROGUE_FORWARDS) {
-            events.add(ScenarioEvent.of(Type.ROGUE_FORWARD));
+            events.add(ScenarioEvent.of(EventType.ROGUE_FORWARD));
         }
-        events.add(ScenarioEvent.of(Type.TIMER_FIRED));
+        events.add(ScenarioEvent.of(EventType.TIMER_FIRED));
         if (scheduler.isStalled()) {
-            events.add(ScenarioEvent.of(Type.LOOP_CAUGHT_UP));
+            events.add(ScenarioEvent.of(EventType.LOOP_CAUGHT_UP));
         } else if (!hasStalled) {
-            events.add(ScenarioEvent.of(Type.LOOP_STALLED));
+            events.add(ScenarioEvent.of(EventType.LOOP_STALLED));
         }
         if (!endpointDraining) {
-            events.add(ScenarioEvent.of(Type.ENDPOINT_DRAINING));
+            events.add(ScenarioEvent.of(EventType.ENDPOINT_DRAINING));
         }
         if (!settingsChanged) {
-            events.add(ScenarioEvent.of(Type.SETTINGS_CHANGED));
+            events.add(ScenarioEvent.of(EventType.SETTINGS_CHANGED));
         }
         if (!stopped) {
-            events.add(ScenarioEvent.of(Type.STOPPED));
+            events.add(ScenarioEvent.of(EventType.STOPPED));
         }
     }
 
@@ -299,7 +301,7 @@
         checkInvariants();
     }
 
-    private void playAttemptEvent(Type type, FakeBackend.StartedAttempt started) {
+    private void playAttemptEvent(EventType type, FakeBackend.StartedAttempt started) {
         switch (type) {
             case ATTEMPT_WRITTEN -> {
                 started.attempt.writeStarted();
@@ -333,7 +335,7 @@
         public void resume() {}
     }
 
-    private void playEvent(Type type) {
+    private void playEvent(EventType type) {
         switch (type) {
             case CLIENT_DISCONNECTED -> disconnect();
             case ROGUE_FORWARD -> forwardWithoutPolicy();
--- a/core/src/test/java/topazvalve/core/exchange/ScenarioEvent.java
+++ b/core/src/test/java/topazvalve/core/exchange/ScenarioEvent.java
@@ -5,11 +5,11 @@
  *
  * @param attempt index of the attempt that it happens to; {@link #NO_ATTEMPT} for the others
  */
-record ScenarioEvent(Type type, int attempt) {
+record ScenarioEvent(EventType type, int attempt) {
     static final int NO_ATTEMPT = -1;
 
     /** What happens. */
-    enum Type {
+    enum EventType {
         ATTEMPT_WRITTEN,
         CONNECTION_LOST,
         ATTEMPT_REJECTED,
@@ -31,7 +31,7 @@
         STOPPED
     }
 
-    static ScenarioEvent of(Type type) {
+    static ScenarioEvent of(EventType type) {
         return new ScenarioEvent(type, NO_ATTEMPT);
     }
 
