--- a/core/src/main/java/topazvalve/core/Frontend.java
+++ b/core/src/main/java/topazvalve/core/Frontend.java
@@ -3,16 +3,16 @@
 import io.netty.channel.ChannelHandler;
 
 /**
- * A protocol's side towards its clients. It hands each exchange that it takes to an
- * {@link topazvalve.core.exchange.ExchangeHandler} and is told of the one final answer there.
+ * A protocol's side towards the clients. It submits each exchange to an
+ * {@link topazvalve.core.exchange.ExchangeHandler} and receives the one final answer.
  */
 public interface Frontend {
-    /** Takes up a connection that was made; sharable, added to each new channel. */
+    /** Returns the sharable handler that sets up each accepted channel. */
     ChannelHandler connectionInitializer();
 
-    /** Whether no client is connected any more. */
+    /** Returns whether no client is connected. */
     boolean isIdle();
 
-    /** Looks after nobody any more; connections that are open are left as they are. */
+    /** Stops the frontend's timers; open connections are left as they are. */
     void stop();
 }
--- a/core/src/main/java/topazvalve/core/classes/ClassTable.java
+++ b/core/src/main/java/topazvalve/core/classes/ClassTable.java
@@ -9,16 +9,22 @@
 import topazvalve.policy.LoadBalancer.RequestClass;
 
 /**
- * Gives each class its number. A class is known by its name and its effect: under another effect the same
- * name is another class with a number of its own, so that a number means one thing for as long as the sidecar
- * runs, and a request that is open keeps the rules it came under.
+ * Numbers the request classes. A class is identified by its name and its effect: with another effect, the same
+ * name is another class with another number. So a number means one thing for as long as the sidecar runs, and an
+ * open request keeps the rules under which it came.
  */
 public final class ClassTable {
-    /** A class as requests name it. */
+    /**
+     * A request class that is in force.
+     *
+     * @param number number under which the policy knows the class
+     * @param name name by which requests refer to the class
+     */
     public record Entry(int number, String name, RequestClass rules) {}
 
-    /** What a request does and where it may be repeated; aims, deadlines and worth may change without it. */
-    private record Identity(String name, Idempotency semantics, KeyScope scope, long keyTtl, boolean stream) {
+    /** What identifies a class. Latency objective, deadline and priority weight may change without it. */
+    private record Identity(
+            String name, Idempotency idempotency, KeyScope keyScope, long keyTtlNanos, boolean streaming) {
         private static Identity of(String name, RequestClass rules) {
             return new Identity(name, rules.idempotency(), rules.keyScope(), rules.keyTtlNanos(), rules.streaming());
         }
@@ -33,39 +39,40 @@
         public boolean equals(Object other) {
             return other instanceof Identity identity
                     && name.equals(identity.name)
-                    && semantics == identity.semantics
-                    && scope == identity.scope
-                    && keyTtl == identity.keyTtl
-                    && stream == identity.stream;
+                    && idempotency == identity.idempotency
+                    && keyScope == identity.keyScope
+                    && keyTtlNanos == identity.keyTtlNanos
+                    && streaming == identity.streaming;
         }
     }
 
     private final Map<Identity, Integer> numbers = new HashMap<>();
-    private final List<RequestClass> rules = new ArrayList<>();
-    private final Map<String, Entry> current = new HashMap<>();
+    private final List<RequestClass> rulesByNumber = new ArrayList<>();
+    private final Map<String, Entry> entriesByName = new HashMap<>();
 
-    /** Takes over the classes that are in force from now on. */
+    /** Replaces the classes in force; {@code names} and {@code classes} correspond by index. */
     public void update(List<String> names, List<RequestClass> classes) {
-        current.clear();
+        entriesByName.clear();
         for (int i = 0; i < names.size(); i++) {
-            RequestClass each = classes.get(i);
-            int number = numbers.computeIfAbsent(Identity.of(names.get(i), each), added -> numbers.size());
-            if (number == rules.size()) {
-                rules.add(each);
+            String name = names.get(i);
+            RequestClass rules = classes.get(i);
+            int number = numbers.computeIfAbsent(Identity.of(name, rules), unknown -> numbers.size());
+            if (number == rulesByNumber.size()) {
+                rulesByNumber.add(rules);
             } else {
-                rules.set(number, each);
+                rulesByNumber.set(number, rules);
             }
-            current.put(names.get(i), new Entry(number, names.get(i), each));
+            entriesByName.put(name, new Entry(number, name, rules));
         }
     }
 
-    /** The class in force under a name, or null. */
+    /** Returns the class in force under a name; null if there is none. */
     public Entry find(String name) {
-        return current.get(name);
+        return entriesByName.get(name);
     }
 
-    /** All classes by number; those no longer in force as they last were, for requests that are open. */
+    /** Returns all classes by number; those no longer in force as they last were, for open requests. */
     public List<RequestClass> rules() {
-        return List.copyOf(rules);
+        return List.copyOf(rulesByNumber);
     }
 }
--- a/core/src/main/java/topazvalve/core/classes/package-info.java
+++ b/core/src/main/java/topazvalve/core/classes/package-info.java
@@ -1,2 +1,2 @@
-/** The classes of request, over every configuration that a sidecar has taken. */
+/** The request classes, over all configurations that a sidecar has applied. */
 package topazvalve.core.classes;
--- a/core/src/main/java/topazvalve/core/endpoint/Endpoint.java
+++ b/core/src/main/java/topazvalve/core/endpoint/Endpoint.java
@@ -4,11 +4,16 @@
 import topazvalve.policy.LoadBalancer.EndpointStatus;
 
 /**
- * One line of a list of servers.
+ * An endpoint as a list has it.
  *
- * @param uid stable over restarts
- * @param address may be null for one that is gone
- * @param startedAtMillis when it last started, milliseconds since 1970; 0 for long ago
+ * @param uid identifier that is stable over restarts
+ * @param address where the endpoint listens; may be null for one that is removed
+ * @param zone name of the zone
+ * @param machineKind name of the kind of machine
+ * @param cell number of the cell
+ * @param status whether the endpoint takes new requests
+ * @param weight weight that the list gives
+ * @param startedAtMillis when the process last started, in milliseconds since 1970; 0 for long ago
  */
 public record Endpoint(
         String uid,
--- a/core/src/main/java/topazvalve/core/endpoint/EndpointDiscovery.java
+++ b/core/src/main/java/topazvalve/core/endpoint/EndpointDiscovery.java
@@ -5,37 +5,38 @@
 import topazvalve.policy.LoadBalancer.UpdateKind;
 
 /**
- * Tells of servers. The decision module says when to follow and when to ask; each answer and each failure
- * comes to the one listener, on the loop.
+ * A source of endpoint lists. The policy decides when to watch and when to fetch; every answer and every failure
+ * is reported to the one listener, on the event loop.
  */
 public interface EndpointDiscovery {
-    /** Takes what a list tells; {@code targets} is empty for {@link UpdateKind#FAILED}. */
+    /** Receives updates of the endpoint list. */
     interface Listener {
+        /** Receives an update; {@code endpoints} is empty for {@link UpdateKind#FAILED}. */
         void endpointsUpdated(UpdateKind kind, List<Endpoint> endpoints);
     }
 
-    /** Follows changes from the last one known, or stops; answered by one call at the least. */
-    void watch(boolean on);
+    /** Watches for changes after the last known list, or stops; answered by at least one update. */
+    void watch(boolean enabled);
 
-    /** Asks for the whole list once; answered by one call. */
+    /** Fetches the complete list once; answered by one update. */
     void fetch();
 
-    /** Ends what is out; nobody is told of anything any more. */
+    /** Ends all calls; no update is reported any more. */
     void close();
 
-    /** Servers that a file names: nothing is followed, {@link #fetch} tells what it says now. */
-    static EndpointDiscovery fixed(Supplier<List<Endpoint>> targets, Listener listener) {
+    /** Creates a discovery over a fixed source: {@link #fetch} reports its list, and nothing is watched. */
+    static EndpointDiscovery fixed(Supplier<List<Endpoint>> endpoints, Listener listener) {
         return new EndpointDiscovery() {
             @Override
-            public void watch(boolean on) {
-                if (on) {
+            public void watch(boolean enabled) {
+                if (enabled) {
                     fetch();
                 }
             }
 
             @Override
             public void fetch() {
-                listener.endpointsUpdated(UpdateKind.FULL, targets.get());
+                listener.endpointsUpdated(UpdateKind.FULL, endpoints.get());
             }
 
             @Override
--- a/core/src/main/java/topazvalve/core/endpoint/package-info.java
+++ b/core/src/main/java/topazvalve/core/endpoint/package-info.java
@@ -1,2 +1,2 @@
-/** Who serves, as lists of any kind tell it. */
+/** Endpoints, and the interface to the lists that name them. */
 package topazvalve.core.endpoint;
--- a/core/src/main/java/topazvalve/core/lifecycle/Lifecycle.java
+++ b/core/src/main/java/topazvalve/core/lifecycle/Lifecycle.java
@@ -1,76 +1,83 @@
 package topazvalve.core.lifecycle;
 
 /**
- * Whether the sidecar takes clients. It does once it has started, unless it is a lame duck, which can be
- * turned back, or is ending, which can't. Used on the event loop alone; knows nothing of any protocol.
+ * Whether the sidecar accepts clients. It does once it has started, unless it is a lame duck, which can be
+ * revoked, or is shutting down, which can't. Used on the event loop alone.
  */
 public final class Lifecycle {
-    /** Until a lame duck closes what idles: by then whoever asks has been told to go elsewhere. */
-    private static final long GRACE = 1_000_000_000;
-    /** New connections come for up to 0.4 s after SIGTERM: from then on nobody needs one that idles. */
-    private static final long END_GRACE = 400_000_000;
-    /** What comes up to then is not held against a process that is killed before it could answer. */
-    private static final long EXCUSED = 600_000_000;
-    /** For an answer's way out, and for a loop that is held up, before the kill. */
-    private static final long KILL_ROOM = 100_000_000;
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    /** How long a lame duck keeps idle connections: by then every client has had its notice. */
+    private static final long LAME_DUCK_GRACE_NANOS = 1_000 * NANOS_PER_MILLI;
+    /** How long idle connections are kept after SIGTERM: new ones come for that long, and none is needed after. */
+    private static final long SHUTDOWN_GRACE_NANOS = 400 * NANOS_PER_MILLI;
+    /** Requests that come within this time of SIGTERM need no answer before the kill. */
+    private static final long EXCUSED_NANOS = 600 * NANOS_PER_MILLI;
+    /** Time before the kill that is reserved for an answer's way out and for an event loop that is held up. */
+    private static final long KILL_RESERVE_NANOS = 100 * NANOS_PER_MILLI;
 
     private boolean started;
-    private boolean lame;
-    private boolean ending;
-    private long emptyingSince;
-    private long endedAt;
-    private long killAt;
+    private boolean lameDuck;
+    private boolean shuttingDown;
+    private long drainingSinceNanos;
+    private long shutdownAtNanos;
+    private long killAtNanos;
 
-    /** It is warm and listens. */
+    /** Records that the sidecar is warmed up and listens. */
     public void markStarted() {
         started = true;
     }
 
-    /** Makes it a lame duck or takes that back; false if it is ending and so can't be turned any more. */
-    public boolean setLameDuck(boolean on) {
-        if (ending) {
+    /** Makes the sidecar a lame duck or revokes that; returns false, changing nothing, during the shutdown. */
+    public boolean setLameDuck(boolean enabled) {
+        if (shuttingDown) {
             return false;
         }
-        if (on && !lame) {
-            emptyingSince = System.nanoTime();
+        if (enabled && !lameDuck) {
+            drainingSinceNanos = System.nanoTime();
         }
-        lame = on;
+        lameDuck = enabled;
         return true;
     }
 
-    /** It ends, and is killed no sooner than so many nanoseconds from now: nothing turns it back. */
-    public void shutDown(long killedAfter) {
+    /**
+     * Begins the shutdown, which can't be revoked.
+     *
+     * @param killedAfterNanos how long the process has until it is killed at the earliest, in nanoseconds
+     */
+    public void shutDown(long killedAfterNanos) {
         long now = System.nanoTime();
         if (!isDraining()) {
-            emptyingSince = now;
+            drainingSinceNanos = now;
         }
-        ending = true;
-        endedAt = now;
-        killAt = now + killedAfter;
+        shuttingDown = true;
+        shutdownAtNanos = now;
+        killAtNanos = now + killedAfterNanos;
     }
 
     /**
-     * How long a request that comes now may take at the most, in nanoseconds: one that comes late in the end
-     * has to be answered before the kill, however long its client would wait; 0 or less if it can't be.
+     * Returns how long a request that comes now may take at most, in nanoseconds. One that comes late in the
+     * shutdown has to be answered before the kill, however long its client would wait; 0 or less if it can't be.
      */
     public long maxRequestTimeoutNanos() {
         long now = System.nanoTime();
-        return ending && now - endedAt > EXCUSED ? killAt - KILL_ROOM - now : Long.MAX_VALUE;
+        boolean lateInShutdown = shuttingDown && now - shutdownAtNanos > EXCUSED_NANOS;
+        return lateInShutdown ? killAtNanos - KILL_RESERVE_NANOS - now : Long.MAX_VALUE;
     }
 
-    /** Whether clients should come here. One that comes all the same is served. */
+    /** Returns whether clients should connect. One that connects all the same is served. */
     public boolean acceptsClients() {
         return started && !isDraining();
     }
 
-    /** Whether connections should end: each with its next answer, and those that idle after a grace. */
+    /** Returns whether connections should end: each with its next response, idle ones after a grace period. */
     public boolean isDraining() {
-        return lame || ending;
+        return lameDuck || shuttingDown;
     }
 
-    /** Whether a connection without a request should be closed now. */
+    /** Returns whether a connection without a request should be closed now. */
     public boolean closesIdleConnections() {
         long now = System.nanoTime();
-        return (ending && now - endedAt >= END_GRACE) || (isDraining() && now - emptyingSince >= GRACE);
+        boolean shutdownGraceOver = shuttingDown && now - shutdownAtNanos >= SHUTDOWN_GRACE_NANOS;
+        return shutdownGraceOver || (isDraining() && now - drainingSinceNanos >= LAME_DUCK_GRACE_NANOS);
     }
 }
--- a/core/src/main/java/topazvalve/core/lifecycle/package-info.java
+++ b/core/src/main/java/topazvalve/core/lifecycle/package-info.java
@@ -1,2 +1,2 @@
-/** Where a sidecar is between its start and its end: the one owner of that fact. */
+/** The state of the sidecar's process between its start and its shutdown. */
 package topazvalve.core.lifecycle;
--- a/core/src/main/java/topazvalve/core/metrics/ClassCounters.java
+++ b/core/src/main/java/topazvalve/core/metrics/ClassCounters.java
@@ -1,38 +1,38 @@
 package topazvalve.core.metrics;
 
-/** One class's counts since the process started. */
+/** The counters of one request class since the process started. */
 public final class ClassCounters {
-    private long ok;
+    private long served;
     private long shed;
-    private long errors;
-    private long tries;
+    private long failed;
+    private long attempts;
 
     ClassCounters() {}
 
-    /** A request was served. */
+    /** Counts a request that was served. */
     public void requestServed() {
-        ok++;
+        served++;
     }
 
-    /** A request was refused: its client may try again. */
+    /** Counts a request that was rejected; its client may retry. */
     public void requestShed() {
         shed++;
     }
 
-    /** A request has failed. */
+    /** Counts a request that has failed. */
     public void requestFailed() {
-        errors++;
+        failed++;
     }
 
-    /** An attempt has been written whole to an upstream. */
+    /** Counts an attempt that was written to an endpoint in full. */
     public void attemptWritten() {
-        tries++;
+        attempts++;
     }
 
-    void print(String name, StringBuilder to) {
-        Metrics.line(to, "ok." + name, ok);
-        Metrics.line(to, "shed." + name, shed);
-        Metrics.line(to, "errors." + name, errors);
-        Metrics.line(to, "tries." + name, tries);
+    void print(String className, StringBuilder text) {
+        Metrics.appendLine(text, "ok." + className, served);
+        Metrics.appendLine(text, "shed." + className, shed);
+        Metrics.appendLine(text, "errors." + className, failed);
+        Metrics.appendLine(text, "tries." + className, attempts);
     }
 }
--- a/core/src/main/java/topazvalve/core/metrics/Metrics.java
+++ b/core/src/main/java/topazvalve/core/metrics/Metrics.java
@@ -5,59 +5,59 @@
 import java.util.Map;
 
 /**
- * All counts, and their text for operators. Counts only rise; what is true at a moment is asked of its owner
- * when somebody looks. Used on the event loop alone.
+ * The metrics of a sidecar and their text for operators: counters, which never fall, and gauges, which are read
+ * from their owner when the text is made. Used on the event loop alone.
  */
 public final class Metrics {
-    /** What is true now, as its owners tell. */
+    /** Values that hold at the moment of the call. */
     public interface Gauges {
-        /** Requests taken but not yet ended. */
+        /** Returns how many requests were received in full and are not yet answered. */
         long active();
 
-        /** Upstreams in the list. */
+        /** Returns how many endpoints are listed. */
         long poolSize();
 
-        /** Of those, the ones that the decision module avoids. */
+        /** Returns how many of them the policy has ejected. */
         long poolEjected();
     }
 
-    private final Map<String, ClassCounters> classes = new LinkedHashMap<>();
+    private final Map<String, ClassCounters> countersByClass = new LinkedHashMap<>();
     private long configsApplied;
     private long configsRejected;
 
-    /** Shows these classes from now on, from 0 if they are new; a class that is dropped keeps its counts. */
-    public void register(List<String> names) {
-        names.forEach(this::countersOf);
+    /** Shows these request classes from now on, new ones from 0. A class that is dropped keeps its counters. */
+    public void register(List<String> classNames) {
+        classNames.forEach(this::countersOf);
     }
 
-    /** The counts of a class. */
-    public ClassCounters countersOf(String name) {
-        return classes.computeIfAbsent(name, added -> new ClassCounters());
+    /** Returns the counters of a request class, which are created if there are none. */
+    public ClassCounters countersOf(String className) {
+        return countersByClass.computeIfAbsent(className, unknown -> new ClassCounters());
     }
 
-    /** A new configuration was taken. */
+    /** Counts a configuration that was applied. */
     public void configApplied() {
         configsApplied++;
     }
 
-    /** A new configuration was turned down. */
+    /** Counts a configuration that was rejected. */
     public void configRejected() {
         configsRejected++;
     }
 
-    /** One {@code app.name=value} a line. */
+    /** Returns all metrics, each as a line {@code app.name=value}. */
     public String text(Gauges gauges) {
         StringBuilder text = new StringBuilder();
-        classes.forEach((name, counts) -> counts.print(name, text));
-        line(text, "active", gauges.active());
-        line(text, "pool_size", gauges.poolSize());
-        line(text, "pool_ejected", gauges.poolEjected());
-        line(text, "config_applied", configsApplied);
-        line(text, "config_rejected", configsRejected);
+        countersByClass.forEach((className, counters) -> counters.print(className, text));
+        appendLine(text, "active", gauges.active());
+        appendLine(text, "pool_size", gauges.poolSize());
+        appendLine(text, "pool_ejected", gauges.poolEjected());
+        appendLine(text, "config_applied", configsApplied);
+        appendLine(text, "config_rejected", configsRejected);
         return text.toString();
     }
 
-    static void line(StringBuilder to, String name, long value) {
-        to.append("app.").append(name).append('=').append(value).append('\n');
+    static void appendLine(StringBuilder text, String name, long value) {
+        text.append("app.").append(name).append('=').append(value).append('\n');
     }
 }
--- a/core/src/main/java/topazvalve/core/metrics/package-info.java
+++ b/core/src/main/java/topazvalve/core/metrics/package-info.java
@@ -1,2 +1,2 @@
-/** What the sidecar has done, counted for its operators. */
+/** The metrics that a sidecar shows to its operators. */
 package topazvalve.core.metrics;
--- a/core/src/main/java/topazvalve/core/net/Addresses.java
+++ b/core/src/main/java/topazvalve/core/net/Addresses.java
@@ -4,17 +4,26 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 
-/** Reads addresses as text. */
+/** Parses network addresses. */
 public final class Addresses {
+    private static final int MAX_PORT = 0xffff;
+
     private Addresses() {}
 
-    /** A numeric address and port, or null; names are never looked up, since there is no DNS. */
+    /**
+     * Parses a numeric address and a port, as in {@code 127.0.0.1:80}; names are never looked up.
+     *
+     * @return null if {@code text} is no such address
+     */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         InetAddress host = colon < 0 ? null : NetUtil.createInetAddressFromIpAddressString(text.substring(0, colon));
+        if (host == null) {
+            return null;
+        }
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
-            return host == null || port < 0 || port > 0xffff ? null : new InetSocketAddress(host, port);
+            return port < 0 || port > MAX_PORT ? null : new InetSocketAddress(host, port);
         } catch (NumberFormatException e) {
             return null;
         }
--- a/core/src/main/java/topazvalve/core/net/package-info.java
+++ b/core/src/main/java/topazvalve/core/net/package-info.java
@@ -1,2 +1,2 @@
-/** Addresses on the network. */
+/** Network addresses. */
 package topazvalve.core.net;
--- a/core/src/main/java/topazvalve/core/stream/ByteBudget.java
+++ b/core/src/main/java/topazvalve/core/stream/ByteBudget.java
@@ -1,35 +1,36 @@
 package topazvalve.core.stream;
 
 /**
- * The bytes of bodies that the process may hold, shared out evenly among the bodies under way. Each keeps to
- * its share by not reading on; what was read already may lie over it by one read.
+ * The bytes of bodies that the process may buffer, divided evenly among the bodies in progress. A body keeps to
+ * its quota by pausing its reads; it may exceed the quota by what one read brings.
  */
 public final class ByteBudget {
-    /** Enough for one read, so that everything moves however many there are. */
+    /** The least quota of a body: enough for one read, so that every body makes progress. */
     public static final int MIN_QUOTA_BYTES = 16 << 10;
-    /** More would make no body faster. */
+    /** The largest quota of a body; more would make none faster. */
     public static final int MAX_QUOTA_BYTES = 256 << 10;
 
-    private final long total;
-    private int bodies;
+    private final long totalBytes;
+    private int bodyCount;
 
-    /** So many bytes for all. */
-    public ByteBudget(long total) {
-        this.total = total;
+    /** Creates a budget of {@code totalBytes} for all bodies. */
+    public ByteBudget(long totalBytes) {
+        this.totalBytes = totalBytes;
     }
 
-    /** Another body is under way. */
+    /** Adds a body in progress. */
     public void register() {
-        bodies++;
+        bodyCount++;
     }
 
-    /** One has ended. */
+    /** Removes a body that has ended. */
     public void unregister() {
-        bodies--;
+        bodyCount--;
     }
 
-    /** What one body may hold now. */
+    /** Returns how many bytes one body may buffer now. */
     public int quotaBytes() {
-        return (int) Math.max(MIN_QUOTA_BYTES, Math.min(MAX_QUOTA_BYTES, total / Math.max(1, bodies)));
+        long evenQuotaBytes = totalBytes / Math.max(1, bodyCount);
+        return (int) Math.max(MIN_QUOTA_BYTES, Math.min(MAX_QUOTA_BYTES, evenQuotaBytes));
     }
 }
--- a/core/src/main/java/topazvalve/core/stream/FlowControl.java
+++ b/core/src/main/java/topazvalve/core/stream/FlowControl.java
@@ -1,10 +1,10 @@
 package topazvalve.core.stream;
 
-/** Where bytes come from that are passed on as they come. */
+/** Pauses and resumes the source of a stream of bytes. */
 public interface FlowControl {
-    /** Stops reading: whoever takes the bytes has as many as it may hold. */
+    /** Stops reading, because the consumer has as many bytes as it may buffer. */
     void pause();
 
-    /** Reads on. */
+    /** Continues reading after {@link #pause}. */
     void resume();
 }
--- a/core/src/main/java/topazvalve/core/stream/RequestBody.java
+++ b/core/src/main/java/topazvalve/core/stream/RequestBody.java
@@ -6,39 +6,46 @@
 import java.util.List;
 
 /**
- * A request's body between the client that sends it and the attempts that read it, one at a time. It keeps
- * what has been read, for another attempt, until its share of the budget is full; then it lets go of that and
- * can't be read again.
+ * A request's body, between the client that sends it and the attempts that read it one at a time. It buffers
+ * what was read, for another attempt, until its quota of the budget is used up; then it releases that and is no
+ * longer replayable. Used on the event loop alone.
  */
 public final class RequestBody {
-    /** What an attempt writes at once. */
-    private static final int PIECE = 16 << 10;
+    /** How many bytes an attempt reads at a time. */
+    private static final int CHUNK_BYTES = 16 << 10;
 
-    @SuppressWarnings("UnnecessaryLambda") // compared by identity in several places
-    private static final Runnable NOTHING = () -> {};
+    @SuppressWarnings("UnnecessaryLambda") // assigned in several places
+    private static final Runnable NO_ACTION = () -> {};
 
     private final ByteBudget budget;
-    private final long length;
-    private final List<ByteBuf> held = new ArrayList<>(1);
-    private Runnable onRoom = NOTHING;
-    private Runnable onMore = NOTHING;
-    private Runnable onWhole = NOTHING;
-    private Runnable onDropped = NOTHING;
-    private long heldBytes;
-    private long received;
-    private int segment;
-    private int offset;
-    private boolean whole;
-    private boolean repeatable = true;
+    private final long announcedLength;
+    private final List<ByteBuf> segments = new ArrayList<>(1);
+    private Runnable onSpaceAvailable = NO_ACTION;
+    private Runnable onReadable = NO_ACTION;
+    private Runnable onComplete = NO_ACTION;
+    private Runnable onNotReplayable = NO_ACTION;
+    private long bufferedBytes;
+    private long receivedBytes;
+    /** Index of the segment that is read next. */
+    private int readSegment;
+    /** Position in that segment, in bytes. */
+    private int readOffset;
+
+    private boolean complete;
+    private boolean replayable = true;
     private boolean discarded;
 
-    /** One whose bytes will come; {@code length} is -1 where nobody has said. */
+    /**
+     * Creates a body whose bytes are still to come.
+     *
+     * @param length announced length in bytes; -1 where it is not known
+     */
     public RequestBody(ByteBudget budget, long length) {
         this.budget = budget;
-        this.length = length;
+        this.announcedLength = length;
     }
 
-    /** One that is whole. */
+    /** Creates a complete body. */
     public static RequestBody of(byte[] bytes) {
         RequestBody body = new RequestBody(new ByteBudget(bytes.length), bytes.length);
         if (bytes.length > 0) {
@@ -48,149 +55,170 @@
         return body;
     }
 
-    /** Calls when there is room after {@link #isFull}. */
+    /** Sets what is called when there may be space after {@link #isFull}. */
     public void onSpaceAvailable(Runnable action) {
-        onRoom = action;
+        onSpaceAvailable = action;
     }
 
-    /** Calls once the last byte is there, unless it is already, and when the body can't be read again. */
-    public void onProgress(Runnable becameWhole, Runnable dropped) {
-        onWhole = becameWhole;
-        onDropped = dropped;
+    /**
+     * Sets what is called as the body progresses.
+     *
+     * @param completed called when the last byte has come; not called if it has come before
+     * @param notReplayable called when the body can no longer be read from its start
+     */
+    public void onProgress(Runnable completed, Runnable notReplayable) {
+        onComplete = completed;
+        onNotReplayable = notReplayable;
     }
 
-    /** Adds a copy of what has come: a piece of a read must not keep the whole read from being freed. */
+    /** Adds a copy of received bytes, so that a small part does not keep the buffer of a whole read. */
     public void add(ByteBuf bytes) {
         int size = bytes.readableBytes();
         if (discarded || size == 0) {
             return;
         }
-        if (received == 0) {
+        if (receivedBytes == 0) {
             budget.register();
         }
-        received += size;
-        ByteBuf last = held.isEmpty() ? null : held.get(held.size() - 1);
+        receivedBytes += size;
+        segmentWithSpaceFor(size).writeBytes(bytes);
+        bufferedBytes += size;
+        releaseReadSegments();
+        onReadable.run();
+    }
+
+    private ByteBuf segmentWithSpaceFor(int size) {
+        ByteBuf last = segments.isEmpty() ? null : segments.get(segments.size() - 1);
         if (last == null || last.maxWritableBytes() < size) {
-            last = Unpooled.buffer(Math.min(size, PIECE), Math.max(size, PIECE));
-            held.add(last);
+            last = Unpooled.buffer(Math.min(size, CHUNK_BYTES), Math.max(size, CHUNK_BYTES));
+            segments.add(last);
         }
-        last.writeBytes(bytes);
-        heldBytes += size;
-        makeRoom();
-        onMore.run();
+        return last;
     }
 
-    /** The last byte has come. */
+    /** Ends the body: its last byte has come. */
     public void complete() {
-        whole = true;
-        onWhole.run();
-        onMore.run();
+        complete = true;
+        onComplete.run();
+        onReadable.run();
     }
 
-    /** Whether all has come. */
+    /** Returns whether the last byte has come. */
     public boolean isComplete() {
-        return whole;
+        return complete;
     }
 
-    /** How long it is; -1 while that is not known. */
+    /** Returns the length in bytes: the announced one until the body is complete; -1 if it is not known. */
     public long length() {
-        return whole ? received : length;
+        return complete ? receivedBytes : announcedLength;
     }
 
-    /** How much has come. */
+    /** Returns how many bytes have come. */
     public long receivedBytes() {
-        return received;
+        return receivedBytes;
     }
 
-    /** Whether nothing more should be read from the client for now. */
+    /** Returns whether the quota is used up, so that no more should be read from the client for now. */
     public boolean isFull() {
-        return !discarded && heldBytes >= budget.quotaBytes();
+        return !discarded && bufferedBytes >= budget.quotaBytes();
     }
 
-    /** Whether another attempt can read it from its start. */
+    /** Returns whether another attempt can read the body from its start. */
     public boolean isReplayable() {
-        return repeatable && !discarded;
+        return replayable && !discarded;
     }
 
-    /** A new attempt reads from the start; {@code more} is called when there is something or the end. */
-    public void startReading(Runnable more) {
-        onMore = more;
-        segment = 0;
-        offset = 0;
+    /** Starts reading from the beginning; {@code readable} is called when there are bytes or the end. */
+    public void startReading(Runnable readable) {
+        onReadable = readable;
+        readSegment = 0;
+        readOffset = 0;
     }
 
-    /** That attempt reads no more. */
+    /** Ends the reading of the current attempt. */
     public void stopReading() {
-        onMore = NOTHING;
+        onReadable = NO_ACTION;
     }
 
-    /** The next piece, or null if there is none now. */
+    /** Returns the next bytes, in a buffer that the caller releases; null if there are none now. */
     public ByteBuf nextChunk() {
-        while (segment < held.size() - 1 && offset == held.get(segment).readableBytes()) {
-            segment++;
-            offset = 0;
+        while (readSegment < segments.size() - 1
+                && readOffset == segments.get(readSegment).readableBytes()) {
+            readSegment++;
+            readOffset = 0;
         }
-        if (segment >= held.size()) {
+        if (readSegment >= segments.size()) {
             return null;
         }
-        ByteBuf from = held.get(segment);
-        int size = Math.min(PIECE, from.readableBytes() - offset);
+        ByteBuf segment = segments.get(readSegment);
+        int size = Math.min(CHUNK_BYTES, segment.readableBytes() - readOffset);
         if (size == 0) {
             return null;
         }
-        ByteBuf piece = from.retainedSlice(from.readerIndex() + offset, size);
-        offset += size;
-        makeRoom();
-        return piece;
+        ByteBuf chunk = segment.retainedSlice(segment.readerIndex() + readOffset, size);
+        readOffset += size;
+        releaseReadSegments();
+        return chunk;
     }
 
-    /** Whether all has been read. */
+    /** Returns whether the body is complete and has been read to its end. */
     public boolean isFullyRead() {
-        return whole
-                && (held.isEmpty()
-                        || (segment == held.size() - 1
-                                && offset == held.get(segment).readableBytes()));
-    }
-
-    /** Lets go of what has been read, once the share is full; that may have grown meanwhile. */
-    private void makeRoom() {
-        boolean dropped = false;
-        while (heldBytes >= budget.quotaBytes()
-                && (segment > 0 || offset == held.get(0).readableBytes())) {
-            if (segment > 0) {
-                segment--;
-            } else {
-                offset = 0;
-            }
-            heldBytes -= held.get(0).readableBytes();
-            held.remove(0).release();
-            dropped = true;
+        return complete && (segments.isEmpty() || isAtEndOfLastSegment());
+    }
+
+    private boolean isAtEndOfLastSegment() {
+        int lastSegment = segments.size() - 1;
+        return readSegment == lastSegment
+                && readOffset == segments.get(lastSegment).readableBytes();
+    }
+
+    /** Releases what has been read while the quota is used up; the quota may also have grown meanwhile. */
+    private void releaseReadSegments() {
+        boolean released = false;
+        while (bufferedBytes >= budget.quotaBytes() && isFirstSegmentRead()) {
+            releaseFirstSegment();
+            released = true;
         }
-        if (dropped && repeatable) {
-            repeatable = false;
-            onDropped.run();
+        if (released && replayable) {
+            replayable = false;
+            onNotReplayable.run();
         }
         if (!isFull()) {
-            onRoom.run();
+            onSpaceAvailable.run();
         }
     }
 
-    /** Nobody needs it any more: what still comes is let go of at once. */
+    private boolean isFirstSegmentRead() {
+        return readSegment > 0 || readOffset == segments.get(0).readableBytes();
+    }
+
+    private void releaseFirstSegment() {
+        if (readSegment > 0) {
+            readSegment--;
+        } else {
+            readOffset = 0;
+        }
+        bufferedBytes -= segments.get(0).readableBytes();
+        segments.remove(0).release();
+    }
+
+    /** Releases all bytes, because nobody needs the body any more; bytes that still come are ignored. */
     public void discard() {
-        if (!discarded) {
-            discarded = true;
-            onMore = NOTHING;
-            onWhole = NOTHING;
-            onDropped = NOTHING;
-            held.forEach(ByteBuf::release);
-            held.clear();
-            heldBytes = 0;
-            segment = 0;
-            offset = 0;
-            if (received > 0) {
-                budget.unregister();
-            }
-            onRoom.run();
+        if (discarded) {
+            return;
+        }
+        discarded = true;
+        onReadable = NO_ACTION;
+        onComplete = NO_ACTION;
+        onNotReplayable = NO_ACTION;
+        segments.forEach(ByteBuf::release);
+        segments.clear();
+        bufferedBytes = 0;
+        readSegment = 0;
+        readOffset = 0;
+        if (receivedBytes > 0) {
+            budget.unregister();
         }
+        onSpaceAvailable.run();
     }
 }
--- a/core/src/main/java/topazvalve/core/stream/package-info.java
+++ b/core/src/main/java/topazvalve/core/stream/package-info.java
@@ -1,2 +1,2 @@
-/** Bodies on their way through, of any protocol, within one bound on the bytes held. */
+/** Streaming of bodies, whatever their protocol, within one bound on the bytes that are buffered. */
 package topazvalve.core.stream;
--- a/core/src/main/java/topazvalve/core/time/EventLoopScheduler.java
+++ b/core/src/main/java/topazvalve/core/time/EventLoopScheduler.java
@@ -6,80 +6,88 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * An event loop's time. One that is watched notices when its loop stalled, as in a collection of garbage or
- * where others have the processor: what peers did meanwhile lies unread in the sockets, in no order.
+ * The scheduler of an event loop. With stall detection it notices when the loop was held up, as by a garbage
+ * collection or where others have the processor: what peers did meanwhile lies unread in the sockets then.
  */
 public final class EventLoopScheduler implements Scheduler {
-    /** A stall that is not noticed is shorter than both together: less than the 0.1 s that a close has. */
-    private static final long BEAT = 50_000_000;
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    private static final long HEARTBEAT_INTERVAL_NANOS = 50 * NANOS_PER_MILLI;
+    /**
+     * Lateness of a heartbeat that counts as a stall. A stall that goes unnoticed is shorter than this and the
+     * interval together, which is less than the 0.1 s within which a client's closing has to be noticed.
+     */
+    private static final long STALL_THRESHOLD_NANOS = 25 * NANOS_PER_MILLI;
 
-    private static final long LATE = 25_000_000;
-    private final long offset = System.currentTimeMillis() * 1_000_000 - System.nanoTime();
+    private final long epochOffsetNanos = System.currentTimeMillis() * NANOS_PER_MILLI - System.nanoTime();
     private final EventLoop loop;
-    private final ArrayDeque<Runnable> putOff = new ArrayDeque<>();
-    private boolean watched;
-    private boolean hearing;
-    private long beatAt = System.nanoTime();
+    private final ArrayDeque<Runnable> deferred = new ArrayDeque<>();
+    private boolean detectsStalls;
+    private boolean catchingUp;
+    private long lastHeartbeatNanos = System.nanoTime();
 
+    /** Creates a scheduler that does not detect stalls. */
     public EventLoopScheduler(EventLoop loop) {
         this.loop = loop;
     }
 
-    /** One that notices stalls, for as long as the loop runs. */
+    /** Creates a scheduler that detects stalls for as long as the loop runs. */
     public static EventLoopScheduler detectingStalls(EventLoop loop) {
-        EventLoopScheduler time = new EventLoopScheduler(loop);
-        time.watched = true;
-        loop.scheduleWithFixedDelay(time::beat, BEAT, BEAT, TimeUnit.NANOSECONDS);
-        return time;
+        EventLoopScheduler scheduler = new EventLoopScheduler(loop);
+        scheduler.detectsStalls = true;
+        loop.scheduleWithFixedDelay(
+                scheduler::heartbeat, HEARTBEAT_INTERVAL_NANOS, HEARTBEAT_INTERVAL_NANOS, TimeUnit.NANOSECONDS);
+        return scheduler;
     }
 
     @Override
     public long now() {
-        return System.nanoTime() + offset;
+        return System.nanoTime() + epochOffsetNanos;
     }
 
     @Override
     public Timer schedule(long nanoseconds, Runnable action) {
-        Future<?> set = loop.schedule(action, nanoseconds, TimeUnit.NANOSECONDS);
-        return () -> set.cancel(false);
+        Future<?> scheduled = loop.schedule(action, nanoseconds, TimeUnit.NANOSECONDS);
+        return () -> scheduled.cancel(false);
     }
 
     /**
-     * Runs this on the loop after its next look at its sockets, however late that is: who has sent something
-     * before has been heard by then, and closed channels' descriptors are released in that look.
+     * Runs {@code action} on the loop after its next select, however late that is. What peers have sent before
+     * this call has been read by then, and the descriptors of closed channels have been released.
      */
-    public static void afterNextSelect(EventLoop loop, Runnable then) {
-        // What is scheduled from within a task runs after the next look.
-        loop.execute(() -> loop.schedule(then, 1, TimeUnit.NANOSECONDS));
+    public static void afterNextSelect(EventLoop loop, Runnable action) {
+        // What is scheduled from within a task runs after the next select.
+        loop.execute(() -> loop.schedule(action, 1, TimeUnit.NANOSECONDS));
     }
 
     @Override
     public void runOnceCaughtUp(Runnable action) {
-        notice();
-        if (hearing) {
-            putOff.add(action);
+        detectStall();
+        if (catchingUp) {
+            deferred.add(action);
         } else {
             action.run();
         }
     }
 
-    private void beat() {
-        notice();
-        beatAt = System.nanoTime();
+    private void heartbeat() {
+        detectStall();
+        lastHeartbeatNanos = System.nanoTime();
     }
 
-    /** The first look at the sockets reads what was sent, the second an end that lies behind it. */
-    private void notice() {
-        if (watched && !hearing && System.nanoTime() - beatAt > BEAT + LATE) {
-            hearing = true;
-            afterNextSelect(loop, () -> afterNextSelect(loop, this::heard));
+    /** Begins to catch up if the loop has stalled: the first select reads data, the second an end behind it. */
+    private void detectStall() {
+        if (detectsStalls
+                && !catchingUp
+                && System.nanoTime() - lastHeartbeatNanos > HEARTBEAT_INTERVAL_NANOS + STALL_THRESHOLD_NANOS) {
+            catchingUp = true;
+            afterNextSelect(loop, () -> afterNextSelect(loop, this::caughtUp));
         }
     }
 
-    private void heard() {
-        hearing = false;
-        while (!putOff.isEmpty()) {
-            putOff.poll().run();
+    private void caughtUp() {
+        catchingUp = false;
+        while (!deferred.isEmpty()) {
+            deferred.poll().run();
         }
     }
 }
--- a/core/src/main/java/topazvalve/core/time/Scheduler.java
+++ b/core/src/main/java/topazvalve/core/time/Scheduler.java
@@ -1,24 +1,27 @@
 package topazvalve.core.time;
 
-/** One clock and its alarms. All is on one thread: an alarm rings there, never inside {@link #schedule}. */
+/**
+ * A clock and its timers. All calls are made on one thread, and timers fire there, never inside
+ * {@link #schedule}.
+ */
 public interface Scheduler {
-    /** Nanoseconds since 1970 that never run back, so that start times in a list can be compared. */
+    /** Returns the nanoseconds since 1970. They never run back and compare with the start times in lists. */
     long now();
 
-    /** Calls once, so many nanoseconds from now. */
+    /** Runs {@code action} once, {@code nanoseconds} from now or later. */
     Timer schedule(long nanoseconds, Runnable action);
 
     /**
-     * Runs it: at once, unless the thread was held up for so long that what peers did meanwhile is still to
-     * be heard of; then once that was heard, never inside this call.
+     * Runs {@code action} within this call, unless the thread was stalled for so long that what peers did
+     * meanwhile is still unread. The action runs after this call then, once that has been read.
      */
     default void runOnceCaughtUp(Runnable action) {
         action.run();
     }
 
-    /** One call to come. */
+    /** A scheduled action. */
     interface Timer {
-        /** It will not be called, unless it was. */
+        /** Cancels the action; does nothing if it has run. */
         void cancel();
     }
 }
--- a/core/src/main/java/topazvalve/core/time/package-info.java
+++ b/core/src/main/java/topazvalve/core/time/package-info.java
@@ -1,2 +1,2 @@
-/** Time as the core sees it, so that tests can play it. */
+/** The clock and the timers of the core, behind an interface that tests can implement. */
 package topazvalve.core.time;
