--- a/sidecar/src/main/java/topazvalve/sidecar/Main.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/Main.java
@@ -38,7 +38,7 @@
             }
             config = Config.read(Path.of(file));
             operator = OperatorFile.read(operatorFile());
-            clients = ClientListener.given(config.listen(), System.getenv("PROXY_FD"));
+            clients = ClientListener.inheritedOrBinding(config.listen(), System.getenv("PROXY_FD"));
         } catch (IllegalArgumentException | IOException e) {
             e.getMessage().lines().forEach(line -> LOG.error("configuration: {}", line));
             System.exit(2);
--- a/sidecar/src/main/java/topazvalve/sidecar/Sidecar.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/Sidecar.java
@@ -116,8 +116,9 @@
         HttpFrontend front = http.front();
         int share = config.clientDescriptors();
         int spare = (share - config.mostClients()) / processes;
-        front.whenMoreAreHeld(clients::resume);
-        return clients.open(group, front.connectionInitializer(), () -> Math.min(share, front.mostHeld() + spare));
+        front.onConnectionLimitRaised(clients::resume);
+        return clients.open(
+                group, front.connectionInitializer(), () -> Math.min(share, front.connectionLimit() + spare));
     }
 
     /** A sidecar that can't listen is of no use: it ends, so that whoever started it sees so. */
--- a/sidecar/src/main/java/topazvalve/sidecar/TcpProxies.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/TcpProxies.java
@@ -37,7 +37,7 @@
         for (TcpSettings each : listeners) {
             TcpProxy side = new TcpProxy(loop, each, seed, budget);
             side.start();
-            ClientListener listener = ClientListener.beside(each.listen());
+            ClientListener listener = ClientListener.bindingSharedPort(each.listen());
             ChannelFuture opened = listener.open(group, side.connections(), () -> Integer.MAX_VALUE);
             opened.addListener(done -> {
                 if (done.isSuccess()) {
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/ClientConnection.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/ClientConnection.java
@@ -6,23 +6,15 @@
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelFutureListener;
 import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelOption;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.socket.DuplexChannel;
 import io.netty.handler.codec.DecoderException;
-import io.netty.handler.codec.http.DefaultFullHttpResponse;
-import io.netty.handler.codec.http.DefaultHttpResponse;
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpContent;
-import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpHeaderValues;
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.handler.codec.http.HttpRequest;
-import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpUtil;
-import io.netty.handler.codec.http.HttpVersion;
-import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
 import java.io.IOException;
 import java.util.ArrayDeque;
@@ -35,480 +27,405 @@
 import topazvalve.core.stream.ByteBudget;
 import topazvalve.core.stream.FlowControl;
 import topazvalve.core.stream.RequestBody;
-import topazvalve.core.time.EventLoopScheduler;
 import topazvalve.sidecar.http.UpstreamRequest;
 import topazvalve.sidecar.http.UpstreamResponse;
 
-/** One client's connection: one request at a time, each answered once. */
+/**
+ * One client's connection: the state machine that serves its requests one at a time and answers each once.
+ * {@link RequestBodyReceiver} holds the request's body, {@link ResponseWriter} writes the response.
+ */
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject>
         implements ResponseListener<UpstreamResponse> {
     private static final Logger LOG = LoggerFactory.getLogger("frontend");
-    private static final int LARGEST_BODY = 1 << 25;
-    private static final int LINGER_BYTES = 1 << 20;
-    private final HttpFrontend owner;
-    private final ExchangeHandler<UpstreamRequest, UpstreamResponse> intake;
-    private final RequestReader reader;
+    /** How much is read and discarded behind the last response before reading stops. */
+    private static final int MAX_LINGER_BYTES = 1 << 20;
+
+    private final HttpFrontend frontend;
+    private final ExchangeHandler<UpstreamRequest, UpstreamResponse> exchangeHandler;
+    private final RequestReader requestReader;
     private final Lifecycle lifecycle;
-    private final ByteBudget budget;
     private final Channel channel;
-    /** What was read in one piece with a request that is open; what comes later, the decoder keeps. */
-    private final ArrayDeque<HttpObject> waiting = new ArrayDeque<>(1);
-
     private final RequestDecoder decoder;
-    private ConnectionState stage = ConnectionState.NEW;
-    private long since = System.nanoTime();
-    private int lingered;
-    private ExchangeRequest<UpstreamRequest> job;
-    private RequestBody body;
-    /** Whether the end of the body is still to come. */
-    private boolean incoming;
-    /** What was read lay in the socket for a while, as before its accepting: its client may have gone. */
-    private boolean leftUnread = true;
-    /** Its last byte is there and counts after one more look at the socket. */
-    private boolean looking;
-
-    private boolean keepAlive;
-    private boolean oldVersion;
-    private String id;
-    private boolean idTaken;
-    private long request;
-    /** An answer that is passed on as it comes; null if none is. */
-    private StreamedResponse flow;
+    private final RequestBodyReceiver bodyReceiver;
+    private final ResponseWriter responseWriter;
+    /** Decoded messages of later requests, from the read that completed the current one. */
+    private final ArrayDeque<HttpObject> queuedMessages = new ArrayDeque<>(1);
+
+    private ConnectionState state = ConnectionState.NEW;
+    private long lastActivityNanos = System.nanoTime();
+    private int lingeredBytes;
+
+    /** A valid request that is not yet submitted; null if there is none or it is a readiness check. */
+    private ExchangeRequest<UpstreamRequest> pendingRequest;
+    /** The client's id of its request. */
+    private String requestId;
+
+    private boolean requestIdReserved;
+    /** The submitted request's number at the exchange handler; 0 if there is none. */
+    private long exchangeId;
 
     ClientConnection(
-            HttpFrontend owner,
-            ExchangeHandler<UpstreamRequest, UpstreamResponse> intake,
-            RequestReader reader,
+            HttpFrontend frontend,
+            ExchangeHandler<UpstreamRequest, UpstreamResponse> exchangeHandler,
+            RequestReader requestReader,
             Lifecycle lifecycle,
             ByteBudget budget,
             Channel channel) {
-        this.owner = owner;
-        this.intake = intake;
-        this.reader = reader;
+        this.frontend = frontend;
+        this.exchangeHandler = exchangeHandler;
+        this.requestReader = requestReader;
         this.lifecycle = lifecycle;
-        this.budget = budget;
         this.channel = channel;
         this.decoder = new RequestDecoder(this, budget);
+        this.bodyReceiver = new RequestBodyReceiver(this, channel, budget);
+        this.responseWriter = new ResponseWriter(this, channel, budget);
     }
 
+    /** Returns the decoder that belongs in front of this handler. */
     RequestDecoder decoder() {
         return decoder;
     }
 
-    /** Bytes have come; false if they are to be dropped, since the client was turned away. */
-    boolean heard(int bytes) {
-        if (stage == ConnectionState.LINGERING) {
-            lingered += bytes;
-            if (lingered > LINGER_BYTES) {
-                readWhileRoom();
-            }
-            return false;
-        }
-        if (stage == ConnectionState.IDLE) {
-            enter(ConnectionState.READING);
-        } else if (stage == ConnectionState.NEW) {
-            stage = ConnectionState.READING;
-        }
-        return true;
+    ConnectionState state() {
+        return state;
     }
 
-    /** When the present stage began or last moved on; {@link System#nanoTime}. */
-    long since() {
-        return since;
+    /** Returns when the state began or last made progress, in {@link System#nanoTime}. */
+    long lastActivityNanos() {
+        return lastActivityNanos;
     }
 
-    void close() {
-        channel.close();
+    /** Restarts the current state's timeout. */
+    void recordActivity() {
+        lastActivityNanos = System.nanoTime();
     }
 
-    private void enter(ConnectionState next) {
-        stage = next;
-        since = System.nanoTime();
+    private void transitionTo(ConnectionState next) {
+        state = next;
+        recordActivity();
     }
 
-    ConnectionState stage() {
-        return stage;
+    /** Closes the connection at once. */
+    void close() {
+        channel.close();
     }
 
-    void checkTime(long now) {
-        if (lifecycle.closesIdleConnections() && ConnectionTimeouts.unusedForLong(stage, now - since)) {
+    /** Closes the connection, or rejects its request, if its state has lasted for too long. */
+    void checkTimeouts(long nowNanos) {
+        long stateNanos = nowNanos - lastActivityNanos;
+        if (lifecycle.closesIdleConnections() && ConnectionTimeouts.isCloseableWhileDraining(state, stateNanos)) {
             channel.close();
             return;
         }
-        // Who is kept waiting by the sidecar is not late.
-        boolean mute = incoming && channel.config().isAutoRead();
-        if (now - since <= ConnectionTimeouts.limit(stage, mute, flow != null && flow.taken())) {
+        // A client that could not send because the sidecar does not read is not late.
+        boolean awaitsBody = bodyReceiver.isIncomplete() && channel.config().isAutoRead();
+        if (stateNanos <= ConnectionTimeouts.limitNanos(state, awaitsBody, responseWriter.isStreamFullySent())) {
             return;
         }
-        if (stage == ConnectionState.READING || stage == ConnectionState.ASKED) {
-            reject(HttpResponseStatus.REQUEST_TIMEOUT, "no whole request in time");
+        if (state == ConnectionState.READING_REQUEST || state == ConnectionState.AWAITING_RESPONSE) {
+            reject(new InvalidRequestException(HttpResponseStatus.REQUEST_TIMEOUT, "no whole request in time"));
         } else {
             channel.close();
         }
     }
 
-    private boolean occupied() {
-        return stage == ConnectionState.ASKED || stage == ConnectionState.ANSWERED;
+    // Reading of requests
+
+    /** Handles that bytes were received; returns false if they are to be discarded, since no request may follow. */
+    boolean bytesReceived(int byteCount) {
+        if (state == ConnectionState.LINGERING) {
+            lingeredBytes += byteCount;
+            if (lingeredBytes > MAX_LINGER_BYTES) {
+                updateAutoRead();
+            }
+            return false;
+        }
+        if (state == ConnectionState.IDLE) {
+            transitionTo(ConnectionState.READING_REQUEST);
+        } else if (state == ConnectionState.NEW) {
+            // The timeout of the first request runs from the accept.
+            state = ConnectionState.READING_REQUEST;
+        }
+        return true;
     }
 
-    /** Whether what comes now belongs to a later request. */
-    boolean busy() {
-        return looking || !waiting.isEmpty() || (occupied() && !incoming);
+    /** Reads as long as there is space, since only a connection that is read notices that its client leaves. */
+    void updateAutoRead() {
+        boolean mayRead = state == ConnectionState.LINGERING
+                ? lingeredBytes <= MAX_LINGER_BYTES
+                : !decoder.isFlooded() && bodyReceiver.hasSpace();
+        channel.config().setAutoRead(mayRead);
+    }
+
+    /** Returns whether what is received now belongs to a later request and has to wait. */
+    boolean queuesInput() {
+        return bodyReceiver.isLastContentDeferred()
+                || !queuedMessages.isEmpty()
+                || (state.isRequestSubmitted() && !bodyReceiver.isIncomplete());
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
-        if (busy()) {
-            waiting.add(ReferenceCountUtil.retain(message));
+        if (queuesInput()) {
+            queuedMessages.add(ReferenceCountUtil.retain(message));
         } else {
-            take(message);
+            process(message);
         }
     }
 
-    private void take(HttpObject message) {
-        if (stage == ConnectionState.LINGERING || !channel.isActive()) {
+    private void process(HttpObject message) {
+        if (state == ConnectionState.LINGERING || !channel.isActive()) {
             return;
         }
         if (message.decoderResult().isFailure()) {
-            reject(LocalResponses.status(message.decoderResult().cause()), "malformed request");
+            HttpResponseStatus status =
+                    LocalResponses.decoderFailureStatus(message.decoderResult().cause());
+            reject(new InvalidRequestException(status, "malformed request"));
             return;
         }
         if (message instanceof HttpRequest head) {
-            begin(head);
+            startRequest(head);
         }
-        if (message instanceof HttpContent content && stage != ConnectionState.LINGERING) {
-            add(content);
+        // The end of a head without a body is a content, too; the head may have been rejected.
+        if (message instanceof HttpContent content && state != ConnectionState.LINGERING) {
+            bodyReceiver.receive(content);
         }
     }
 
-    /**
-     * More of the body has come. It is held until it is whole or its share of the memory is full; only
-     * then is the request passed on, so that an upstream is chosen late and can be chosen again.
-     */
-    private void add(HttpContent content) {
-        since = System.nanoTime();
-        if (body.receivedBytes() + content.content().readableBytes() > LARGEST_BODY) {
-            reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body too large");
+    /** Validates the head at once, so that the body of an invalid request need not be received. */
+    private void startRequest(HttpRequest head) {
+        transitionTo(ConnectionState.READING_REQUEST);
+        responseWriter.requestStarted(head);
+        pendingRequest = null;
+        RequestBody body = bodyReceiver.start(HttpUtil.getContentLength(head, -1L));
+        try {
+            pendingRequest = requestReader.read(head, body);
+        } catch (InvalidRequestException e) {
+            reject(e);
             return;
         }
-        if (content instanceof LastHttpContent && leftUnread) {
-            lookFirst(content.retain());
-            return;
+        if (pendingRequest != null) {
+            requestId = RequestReader.requestId(head);
         }
-        body.add(content.content());
-        if (content instanceof LastHttpContent) {
-            incoming = false;
-            body.complete();
-            if (stage == ConnectionState.READING) {
-                submit();
-            }
-        } else if (body.isFull()) {
-            leftUnread = true;
-            channel.config().setAutoRead(false);
-            if (stage == ConnectionState.READING) {
-                submit();
-            }
+        if (HttpUtil.is100ContinueExpected(head)) {
+            responseWriter.writeContinue();
         }
     }
 
-    /**
-     * Holds a body's last bytes until the socket has been looked at once more. Danger: who closed behind them
-     * while nobody read is heard of only with the next read, and an upstream would have all of it by then.
-     */
-    private void lookFirst(HttpContent last) {
-        looking = true;
-        readWhileRoom();
-        RequestBody looked = body;
-        Runnable goOn = () -> {
-            if (looking && body == looked) {
-                looking = false;
-                leftUnread = false;
-                add(last);
-                proceed();
-            }
-            last.release();
-        };
-        EventLoopScheduler.afterNextSelect(channel.eventLoop(), goOn);
+    /** Submits the request, whose body is complete or as much of it as may be held, unless that is done. */
+    void submitUnlessSubmitted() {
+        if (state != ConnectionState.READING_REQUEST) {
+            return;
+        }
+        if (pendingRequest == null) {
+            respondToReadinessCheck();
+            return;
+        }
+        requestIdReserved = frontend.reserveRequestId(requestId);
+        if (!requestIdReserved) {
+            reject(new InvalidRequestException(HttpResponseStatus.CONFLICT, "Req-Id in use"));
+            return;
+        }
+        submit(pendingRequest.withTimeoutAtMost(lifecycle.maxRequestTimeoutNanos()));
     }
 
-    /** There is room for more of the body. */
-    private void readOn() {
-        if (!channel.config().isAutoRead()) {
-            since = System.nanoTime();
-            readWhileRoom();
+    private void submit(ExchangeRequest<UpstreamRequest> request) {
+        pendingRequest = null;
+        transitionTo(ConnectionState.AWAITING_RESPONSE);
+        frontend.requestStateChanged();
+        long submittedId = exchangeHandler.submit(request, this);
+        // The response may have come within that call.
+        if (state == ConnectionState.AWAITING_RESPONSE) {
+            exchangeId = submittedId;
         }
     }
 
-    /**
-     * A client that leaves is seen only while its connection is read: reading stops for nothing but want of
-     * room.
-     */
-    void readWhileRoom() {
-        boolean room = stage == ConnectionState.LINGERING
-                ? lingered <= LINGER_BYTES
-                : !decoder.flooded() && (!incoming || looking || !body.isFull());
-        channel.config().setAutoRead(room);
-    }
-
-    /** Looks at all that a request's head tells, so that the body of a bad one need not come. */
-    private void begin(HttpRequest head) {
-        stage = ConnectionState.READING;
-        since = System.nanoTime();
-        keepAlive = HttpUtil.isKeepAlive(head);
-        oldVersion = head.protocolVersion().minorVersion() == 0;
-        job = null;
-        body = new RequestBody(budget, HttpUtil.getContentLength(head, -1L));
-        body.onSpaceAvailable(this::readOn);
-        incoming = true;
-        try {
-            RequestReader.framed(head);
-            RequestReader.toOriginForm(head);
-            String path = RequestReader.path(head.uri());
-            if (path.equals("/api") || path.startsWith("/api/")) {
-                job = reader.job(head, path, body);
-                id = head.headers().get("Req-Id");
-            } else if (!path.equals("/up")) {
-                reject(HttpResponseStatus.NOT_FOUND, "no such path");
-                return;
+    private void respondToReadinessCheck() {
+        HttpResponseStatus status =
+                lifecycle.acceptsClients() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE;
+        respond(LocalResponses.plainText(status, ""));
+    }
+
+    /** Processes what was received behind the request that has just ended. */
+    void processQueued() {
+        while (!queuedMessages.isEmpty() && mayProcessQueued()) {
+            HttpObject next = queuedMessages.poll();
+            try {
+                process(next);
+            } finally {
+                ReferenceCountUtil.release(next);
             }
-        } catch (IllegalArgumentException e) {
-            reject(HttpResponseStatus.BAD_REQUEST, e.getMessage());
-            return;
-        }
-        if (HttpUtil.getContentLength(head, 0L) > LARGEST_BODY) {
-            reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body too large");
-        } else if (HttpUtil.is100ContinueExpected(head)) {
-            channel.writeAndFlush(new DefaultFullHttpResponse(
-                    HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
         }
+        decoder.decodeBuffered();
+        updateAutoRead();
     }
 
-    /** The request is whole, or has as much as may be held of it. */
-    private void submit() {
-        if (job == null) {
-            answer(LocalResponses.plain(
-                    lifecycle.acceptsClients() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, ""));
-            return;
-        }
-        idTaken = owner.takeId(id);
-        if (!idTaken) {
-            reject(HttpResponseStatus.CONFLICT, "Req-Id in use");
-            return;
-        }
-        ExchangeRequest<UpstreamRequest> taken = job.withTimeoutAtMost(lifecycle.maxRequestTimeoutNanos());
-        job = null;
-        enter(ConnectionState.ASKED);
-        owner.requestChanged();
-        long number = intake.submit(taken, this);
-        // The answer may have come within that call.
-        if (stage == ConnectionState.ASKED) {
-            request = number;
-        }
+    private boolean mayProcessQueued() {
+        return !bodyReceiver.isLastContentDeferred() && (bodyReceiver.isIncomplete() || !state.isRequestSubmitted());
     }
 
+    // Responses from the exchange handler
+
     @Override
-    public void responseReceived(UpstreamResponse answer) {
-        answer(LocalResponses.served(answer));
+    public void responseReceived(UpstreamResponse response) {
+        respond(ResponseWriter.fromUpstream(response));
     }
 
     @Override
-    public void rejected(long wait) {
-        answer(LocalResponses.refused(wait));
+    public void rejected(long retryAfterNanos) {
+        respond(LocalResponses.rejected(retryAfterNanos));
     }
 
     @Override
     public void failed() {
-        answer(LocalResponses.failed());
+        respond(LocalResponses.failed());
     }
 
     @Override
-    public void responseStarted(UpstreamResponse first, long length, FlowControl rest) {
-        enter(ConnectionState.ANSWERED);
-        HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, first.status());
-        response.headers().set(first.headers()).remove(HttpHeaderNames.CONTENT_LENGTH);
-        if (length >= 0) {
-            HttpUtil.setContentLength(response, length);
-        } else if (oldVersion) {
-            keepAlive = false;
-        } else {
-            HttpUtil.setTransferEncodingChunked(response, true);
-        }
-        keepAlive = keeps();
-        if (!keepAlive) {
-            response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-        }
-        channel.write(response);
-        flow = new StreamedResponse(channel, budget, rest, () -> since = System.nanoTime());
-        flow.pass(Unpooled.wrappedBuffer(first.body()));
+    public void responseStarted(UpstreamResponse response, long contentLength, FlowControl source) {
+        transitionTo(ConnectionState.WRITING_RESPONSE);
+        responseWriter.startStreaming(response, contentLength, source, acceptsFurtherRequest());
     }
 
     @Override
     public void responseData(ByteBuf bytes) {
-        if (flow == null) {
-            bytes.release();
-        } else {
-            flow.pass(bytes);
-        }
+        responseWriter.write(bytes);
     }
 
     @Override
     public void responseCompleted() {
-        endFlow();
-        end(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT), keepAlive);
+        releaseRequest();
+        finishResponse(responseWriter.completeStreaming());
     }
 
-    /** Short of its length or of its last chunk an answer is seen to be cut; else only a reset tells. */
     @Override
     public void responseAborted() {
-        endFlow();
-        if (oldVersion) {
-            channel.config().setOption(ChannelOption.SO_LINGER, 0);
-        }
-        channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
-    }
-
-    private void endFlow() {
-        forget();
-        flow.end();
-        flow = null;
-    }
-
-    /** Whether the connection stays: a request that has been read already must be answered first. */
-    private boolean keeps() {
-        boolean takesMore = !lifecycle.isDraining() && !decoder.overflowed();
-        return keepAlive && (takesMore || !waiting.isEmpty() || decoder.keeps());
+        releaseRequest();
+        responseWriter.abortStreaming();
     }
 
-    private void answer(FullHttpResponse response) {
-        if (incoming) {
-            // Where the rest of the body ends, if it comes at all, is of no interest any more.
-            end(response);
+    private void respond(FullHttpResponse response) {
+        if (bodyReceiver.isIncomplete()) {
+            // The rest of the body is not worth waiting for, and without it no request can follow.
+            respondAndLinger(response);
             return;
         }
-        forget();
-        enter(ConnectionState.ANSWERED);
-        boolean keep = keeps();
-        HttpUtil.setContentLength(response, response.content().readableBytes());
-        if (!keep) {
-            response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-        }
-        end(channel.writeAndFlush(response), keep);
+        releaseRequest();
+        transitionTo(ConnectionState.WRITING_RESPONSE);
+        finishResponse(responseWriter.writeBuffered(response, acceptsFurtherRequest()));
+    }
+
+    /** A request that has been read already is answered also while the sidecar drains. */
+    private boolean acceptsFurtherRequest() {
+        boolean readsFurtherRequests = !lifecycle.isDraining() && !decoder.hasDropped();
+        return readsFurtherRequests || !queuedMessages.isEmpty() || decoder.hasBuffered();
     }
 
-    private void end(ChannelFuture written, boolean keep) {
-        if (!keep && decoder.overflowed()) {
+    /** Continues with the next request, or closes, once the response is written. */
+    private void finishResponse(ChannelFuture written) {
+        if (responseWriter.keepsAlive()) {
+            written.addListener(done -> becomeIdle());
+        } else if (decoder.hasDropped()) {
             written.addListener(done -> linger(written));
-            return;
-        }
-        if (!keep) {
+        } else {
             written.addListener(ChannelFutureListener.CLOSE);
-            return;
         }
-        written.addListener(done -> {
-            enter(ConnectionState.IDLE);
-            owner.requestChanged();
-            // Not from within this call: a row of requests would nest as deep as it is long.
-            channel.eventLoop().execute(this::proceed);
-        });
-    }
-
-    /** Goes on with what came meanwhile. */
-    private void proceed() {
-        while (!waiting.isEmpty() && !looking && (incoming || !occupied())) {
-            HttpObject next = waiting.poll();
-            try {
-                take(next);
-            } finally {
-                ReferenceCountUtil.release(next);
-            }
-        }
-        decoder.goOn();
-        readWhileRoom();
     }
 
-    /** The request that was open is no more. */
-    private void forget() {
-        if (idTaken) {
-            owner.releaseId(id);
-            idTaken = false;
-        }
-        request = 0;
-        if (body != null) {
-            body.discard();
-        }
+    private void becomeIdle() {
+        transitionTo(ConnectionState.IDLE);
+        frontend.requestStateChanged();
+        // Not within this call: pipelined requests would recurse once for each.
+        channel.eventLoop().execute(this::processQueued);
     }
 
-    private void reject(HttpResponseStatus status, String text) {
-        long open = request;
-        end(LocalResponses.plain(status, text));
-        if (open != 0) {
-            intake.clientDisconnected(open);
-        }
+    // Ends
+
+    /** Answers with the fault, closes, and ends the submitted request if there is one. */
+    void reject(InvalidRequestException fault) {
+        endExchange(LocalResponses.plainText(fault.status(), fault.getMessage()));
     }
 
-    /** Far more has come behind the open request than there is room for; an answer that has begun goes on. */
-    void flooded() {
-        readWhileRoom();
-        if (stage == ConnectionState.ASKED) {
-            long open = request;
-            end(LocalResponses.failed());
-            intake.clientDisconnected(open);
+    /** Handles that far more was pipelined than can be held; a response that has begun is still completed. */
+    void pipelineFlooded() {
+        updateAutoRead();
+        if (state == ConnectionState.AWAITING_RESPONSE) {
+            endExchange(LocalResponses.failed());
         }
     }
 
-    /** The last request that was kept whole is answered, and what came behind it was dropped. */
-    void endRow() {
-        if (stage == ConnectionState.ASKED) {
-            flooded(); // a body whose rest was dropped
-        } else if (stage == ConnectionState.IDLE || stage == ConnectionState.READING) {
+    /** Handles that all buffered requests are answered, and that what followed them was dropped. */
+    void pipelineEnded() {
+        if (state == ConnectionState.AWAITING_RESPONSE) {
+            // The rest of its body was dropped.
+            pipelineFlooded();
+        } else if (state == ConnectionState.IDLE || state == ConnectionState.READING_REQUEST) {
             linger(channel.writeAndFlush(Unpooled.EMPTY_BUFFER));
         }
     }
 
-    /** Answers, and takes nothing more. */
-    private void end(FullHttpResponse response) {
-        response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-        HttpUtil.setContentLength(response, response.content().readableBytes());
-        linger(channel.writeAndFlush(response));
+    private void endExchange(FullHttpResponse lastResponse) {
+        long openExchange = exchangeId;
+        respondAndLinger(lastResponse);
+        notifyDisconnected(openExchange);
     }
 
-    /** Sends no more behind the last words, and for a while reads on what is dropped unseen. */
-    private void linger(ChannelFuture lastWords) {
-        enter(ConnectionState.LINGERING);
-        forgetInput();
-        readWhileRoom();
-        lastWords.addListener(done -> ((DuplexChannel) channel).shutdownOutput());
+    private void notifyDisconnected(long openExchange) {
+        if (openExchange != 0) {
+            exchangeHandler.clientDisconnected(openExchange);
+        }
+    }
+
+    private void respondAndLinger(FullHttpResponse lastResponse) {
+        linger(responseWriter.writeLast(lastResponse));
     }
 
-    /** What came is of no interest any more. */
-    private void forgetInput() {
-        job = null;
-        incoming = false;
-        looking = false;
-        forget();
-        waiting.forEach(ReferenceCountUtil::release);
-        waiting.clear();
-        decoder.drop();
+    /**
+     * Ends the connection in order: sends nothing behind the last write, and reads and discards for a while what
+     * the client still sends, since a close with unread bytes would reset the connection.
+     */
+    private void linger(ChannelFuture lastWrite) {
+        transitionTo(ConnectionState.LINGERING);
+        discardInput();
+        updateAutoRead();
+        lastWrite.addListener(done -> ((DuplexChannel) channel).shutdownOutput());
+    }
+
+    private void discardInput() {
+        pendingRequest = null;
+        bodyReceiver.stop();
+        releaseRequest();
+        queuedMessages.forEach(ReferenceCountUtil::release);
+        queuedMessages.clear();
+        decoder.discardBuffer();
+    }
+
+    private void releaseRequest() {
+        if (requestIdReserved) {
+            frontend.releaseRequestId(requestId);
+            requestIdReserved = false;
+        }
+        exchangeId = 0;
+        bodyReceiver.discard();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        owner.left(this);
-        long open = request;
-        if (flow != null) {
-            endFlow();
-        }
-        enter(ConnectionState.LINGERING);
-        forgetInput();
-        if (open != 0) {
-            intake.clientDisconnected(open);
+        frontend.connectionClosed(this);
+        long openExchange = exchangeId;
+        if (responseWriter.isStreaming()) {
+            releaseRequest();
+            responseWriter.endStreaming();
         }
+        transitionTo(ConnectionState.LINGERING);
+        discardInput();
+        notifyDisconnected(openExchange);
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (!(cause instanceof IOException || cause instanceof DecoderException)) {
-            LOG.error("connection failed", cause);
+            LOG.error("client connection failed", cause);
         }
         channel.close();
     }
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/ConnectionState.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/ConnectionState.java
@@ -1,11 +1,32 @@
 package topazvalve.sidecar.frontend;
 
-/** Where a connection is. Those before {@link #READING} hold nothing of a request. */
+/** The state of a client connection with regard to the request that it serves. */
 enum ConnectionState {
+    /** The last response is written; what still comes is read and discarded until the client closes. */
     LINGERING,
+    /** A response was written completely; the next request may come. */
     IDLE,
+    /** Nothing was received since the connection was accepted. */
     NEW,
-    READING,
-    ASKED,
-    ANSWERED
+    /** A part of a request was received; it is not yet submitted. */
+    READING_REQUEST,
+    /** The request is submitted; its body may still be incomplete. */
+    AWAITING_RESPONSE,
+    /** A response is being written. */
+    WRITING_RESPONSE;
+
+    /** Returns whether the connection holds a request or a part of one. */
+    boolean holdsRequest() {
+        return this == READING_REQUEST || isRequestSubmitted();
+    }
+
+    /** Returns whether the request was submitted and its response is not yet written completely. */
+    boolean isRequestSubmitted() {
+        return this == AWAITING_RESPONSE || this == WRITING_RESPONSE;
+    }
+
+    /** Returns whether the connection is open for a request of which nothing was received yet. */
+    boolean awaitsRequest() {
+        return this == IDLE || this == NEW;
+    }
 }
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/ConnectionTimeouts.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/ConnectionTimeouts.java
@@ -1,38 +1,42 @@
 package topazvalve.sidecar.frontend;
 
-/** How long a client's connection may stay in a stage; all in nanoseconds. */
+/** How long a client connection may stay in a state without progress. All times are in nanoseconds. */
 final class ConnectionTimeouts {
-    /** From the connecting, or a used connection's first byte, to a head's end; then without a byte. */
-    private static final long REQUEST = 2_500_000_000L;
-    /** Clients keep connections; one that is not used for so long is not missed. */
-    private static final long IDLE = 3_000_000_000L;
-    /** A client that takes nothing of its answer holds memory; a slow one takes some now and then. */
-    private static final long TAKE = 15_000_000_000L;
-    /** After an error is told: a close with bytes unread would reset the connection and lose the error. */
-    private static final long LINGER = 1_000_000_000L;
-    /** A connection made while the sidecar empties is given so long for its request. */
-    private static final long FIRST = 300_000_000;
+    /** From the accept, or a kept connection's first byte, to the end of the head; then between two bytes. */
+    private static final long REQUEST_NANOS = 2_500_000_000L;
+    /** A kept connection without a request; clients simply open another one. */
+    private static final long IDLE_NANOS = 3_000_000_000L;
+    /** A client that reads nothing of its response holds memory; a slow one reads some now and then. */
+    private static final long RESPONSE_READ_NANOS = 15_000_000_000L;
+    /** After an error response: closing with unread bytes would reset the connection and lose the response. */
+    private static final long LINGER_NANOS = 1_000_000_000L;
+    /** A connection that is made while the sidecar drains may wait this long for its request. */
+    private static final long DRAINING_REQUEST_NANOS = 300_000_000L;
 
     private ConnectionTimeouts() {}
 
-    /** Whether a connection that a sidecar which ends may close has waited long enough for its request. */
-    static boolean unusedForLong(ConnectionState stage, long age) {
-        return stage.compareTo(ConnectionState.READING) < 0 && stage != ConnectionState.LINGERING && age > FIRST;
+    /**
+     * Returns whether a sidecar that closes idle connections may close this one.
+     *
+     * @param stateNanos how long the connection has been in {@code state}
+     */
+    static boolean isCloseableWhileDraining(ConnectionState state, long stateNanos) {
+        return state.awaitsRequest() && stateNanos > DRAINING_REQUEST_NANOS;
     }
 
     /**
-     * The longest that a stage may last.
+     * Returns how long a connection may stay in a state without progress; {@link Long#MAX_VALUE} for no limit.
      *
-     * @param mute the rest of a body is awaited, and the client could send it
-     * @param taken the client has taken all that there is of an answer passed on as it comes
+     * @param awaitsBody the client still has to send a part of the body, and the sidecar reads
+     * @param responseTaken the client's socket has taken all of a streamed response that has come so far
      */
-    static long limit(ConnectionState stage, boolean mute, boolean taken) {
-        return switch (stage) {
-            case LINGERING -> LINGER;
-            case IDLE -> IDLE;
-            case ANSWERED -> taken ? Long.MAX_VALUE : TAKE;
-            case ASKED -> mute ? REQUEST : Long.MAX_VALUE;
-            default -> REQUEST;
+    static long limitNanos(ConnectionState state, boolean awaitsBody, boolean responseTaken) {
+        return switch (state) {
+            case LINGERING -> LINGER_NANOS;
+            case IDLE -> IDLE_NANOS;
+            case NEW, READING_REQUEST -> REQUEST_NANOS;
+            case AWAITING_RESPONSE -> awaitsBody ? REQUEST_NANOS : Long.MAX_VALUE;
+            case WRITING_RESPONSE -> responseTaken ? Long.MAX_VALUE : RESPONSE_READ_NANOS;
         };
     }
 }
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/EvictionPolicy.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/EvictionPolicy.java
@@ -6,79 +6,121 @@
 import java.util.List;
 
 /**
- * Which connection is closed where there are too many: one that holds a request never is. New ones that have
- * said nothing may hold half of the room, so that a flood of them closes no client that works, and one that
- * comes in the midst of a flood has a while for its first request.
+ * Chooses the connections that are closed when there are too many. One that holds a complete request is never
+ * chosen. Silent connections, which have sent nothing since their accept, may use half of the capacity before
+ * they are evicted ahead of idle ones: so a flood of them evicts no active client, and a new client has time
+ * for its first request. {@code docs/design/crossings.md} gives the reasons.
  */
 final class EvictionPolicy {
-    /** A new connection's request comes at once; one that is silent for longer makes room first. */
-    static final long SILENT_TIME = 100_000_000;
+    /** A new client sends its request at once; one that is silent for longer is evicted first. */
+    private static final long SILENCE_LIMIT_NANOS = 100_000_000;
 
-    private final int most;
+    private final int capacity;
 
-    /** For so many connections; those with requests may be more. */
-    EvictionPolicy(int most) {
-        this.most = most;
+    /**
+     * Creates a policy.
+     *
+     * @param capacity how many connections may be open; more only if they all hold requests
+     */
+    EvictionPolicy(int capacity) {
+        this.capacity = capacity;
     }
 
-    int most() {
-        return most;
+    /** Returns how many connections may be open unless more hold requests. */
+    int capacity() {
+        return capacity;
     }
 
-    /** How many connections hold a request, or a part of one. */
-    static int requests(Collection<ClientConnection> connections) {
-        int requests = 0;
-        for (ClientConnection each : connections) {
-            requests += each.stage().compareTo(ConnectionState.READING) >= 0 || each.busy() ? 1 : 0;
+    /** Returns how many of the connections hold a request or a part of one. */
+    static int countHoldingRequests(Collection<ClientConnection> connections) {
+        int count = 0;
+        for (ClientConnection connection : connections) {
+            if (connection.state().holdsRequest() || connection.queuesInput()) {
+                count++;
+            }
         }
-        return requests;
+        return count;
     }
 
     /**
-     * The {@code count} connections that are missed least, or fewer. Only those are looked at whose stage
-     * began before {@code heardUntil}: what they sent until then has been read.
+     * Returns the connections to close, at most {@code count}, in the order of their eviction.
+     *
+     * @param nowNanos the current {@link System#nanoTime}
+     * @param readUntilNanos all that clients sent up to this time has been read; connections with a later
+     *     activity are not chosen
      */
-    List<ClientConnection> leastMissed(Collection<ClientConnection> connections, int count, long now, long heardUntil) {
-        ArrayDeque<ClientConnection> turnedAway = new ArrayDeque<>();
-        ArrayDeque<ClientConnection> silent = new ArrayDeque<>();
-        ArrayDeque<ClientConnection> idle = new ArrayDeque<>();
-        ArrayDeque<ClientConnection> stalled = new ArrayDeque<>();
-        List<ClientConnection> all = new ArrayList<>(connections);
-        // Less is earlier, also where the clock's numbers wrap around.
-        all.sort((one, other) -> Long.signum(one.since() - other.since()));
-        int silentCount = 0;
-        for (ClientConnection each : all) {
-            silentCount += each.stage() == ConnectionState.NEW ? 1 : 0;
-            if (each.since() - heardUntil > 0 || each.busy()) {
-                continue;
+    List<ClientConnection> chooseEvictions(
+            Collection<ClientConnection> connections, int count, long nowNanos, long readUntilNanos) {
+        Candidates candidates = new Candidates(connections, readUntilNanos);
+        List<ClientConnection> chosen = new ArrayList<>(count);
+        while (chosen.size() < count) {
+            ClientConnection next = candidates.takeNext(nowNanos, capacity / 2);
+            if (next == null) {
+                break;
             }
-            switch (each.stage()) {
-                case LINGERING -> turnedAway.add(each);
-                case NEW -> silent.add(each);
-                case IDLE -> idle.add(each);
-                case READING -> stalled.add(each);
-                default -> {}
+            chosen.add(next);
+        }
+        return chosen;
+    }
+
+    /** The connections that may be evicted, by category; in each the one without activity for longest comes first. */
+    private static final class Candidates {
+        private final ArrayDeque<ClientConnection> lingering = new ArrayDeque<>();
+        private final ArrayDeque<ClientConnection> silent = new ArrayDeque<>();
+        private final ArrayDeque<ClientConnection> idle = new ArrayDeque<>();
+        private final ArrayDeque<ClientConnection> incomplete = new ArrayDeque<>();
+        /** All silent connections, also those that may not be evicted yet. */
+        private int silentCount;
+
+        Candidates(Collection<ClientConnection> connections, long readUntilNanos) {
+            List<ClientConnection> oldestFirst = new ArrayList<>(connections);
+            // By difference, since nanoTime may wrap around.
+            oldestFirst.sort((one, other) -> Long.signum(one.lastActivityNanos() - other.lastActivityNanos()));
+            for (ClientConnection connection : oldestFirst) {
+                if (connection.state() == ConnectionState.NEW) {
+                    silentCount++;
+                }
+                boolean mayHaveUnreadInput = connection.lastActivityNanos() - readUntilNanos > 0;
+                if (!mayHaveUnreadInput && !connection.queuesInput()) {
+                    addToCategory(connection);
+                }
             }
         }
-        List<ClientConnection> least = new ArrayList<>(count);
-        while (least.size() < count) {
-            ArrayDeque<ClientConnection> from = !turnedAway.isEmpty()
-                    ? turnedAway
-                    : isDue(silent, now) || (silentCount > most / 2 && !silent.isEmpty())
-                            ? silent
-                            : !idle.isEmpty()
-                                    ? idle
-                                    : !silent.isEmpty() ? silent : isDue(stalled, now) ? stalled : null;
-            if (from == null) {
-                break;
+
+        private void addToCategory(ClientConnection connection) {
+            switch (connection.state()) {
+                case LINGERING -> lingering.add(connection);
+                case NEW -> silent.add(connection);
+                case IDLE -> idle.add(connection);
+                case READING_REQUEST -> incomplete.add(connection);
+                default -> {} // holds a complete request
             }
-            least.add(from.poll());
-            silentCount -= from == silent ? 1 : 0;
         }
-        return least;
-    }
 
-    private static boolean isDue(ArrayDeque<ClientConnection> oldestFirst, long now) {
-        return !oldestFirst.isEmpty() && now - oldestFirst.peek().since() > SILENT_TIME;
+        /** Removes and returns the next one to evict; null if there is none. */
+        ClientConnection takeNext(long nowNanos, int maxSilent) {
+            if (!lingering.isEmpty()) {
+                return lingering.poll();
+            }
+            if (isOverdue(silent, nowNanos) || (silentCount > maxSilent && !silent.isEmpty())) {
+                return takeSilent();
+            }
+            if (!idle.isEmpty()) {
+                return idle.poll();
+            }
+            if (!silent.isEmpty()) {
+                return takeSilent();
+            }
+            return isOverdue(incomplete, nowNanos) ? incomplete.poll() : null;
+        }
+
+        private ClientConnection takeSilent() {
+            silentCount--;
+            return silent.poll();
+        }
+
+        private static boolean isOverdue(ArrayDeque<ClientConnection> oldestFirst, long nowNanos) {
+            return !oldestFirst.isEmpty() && nowNanos - oldestFirst.peek().lastActivityNanos() > SILENCE_LIMIT_NANOS;
+        }
     }
 }
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/HttpFrontend.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/HttpFrontend.java
@@ -22,69 +22,80 @@
 import topazvalve.sidecar.http.UpstreamResponse;
 
 /**
- * The application's side: reads requests, answers each once, and tells malformed ones so itself. A client
- * that sends what can't be used is told at once, and its connection ends; nobody holds one for longer than a
- * request takes.
+ * The HTTP/1 frontend: it owns the client connections, their timeouts, the limit on their number and the ids of
+ * open requests. An invalid request is answered at once and ends its connection. Used on its event loop alone.
  */
 public final class HttpFrontend implements Frontend {
-    /** A request's id is held to be in use for a while after its answer: clients never use one again. */
-    private static final long ID_TIME = 2_000_000_000L;
+    /** How long a request's id stays reserved after its response: clients never use one twice. */
+    private static final long REQUEST_ID_RETENTION_NANOS = 2_000_000_000L;
 
-    private static final long SWEEP_MS = 100;
+    private static final long SWEEP_INTERVAL_MILLIS = 100;
 
-    private record Past(String id, long at) {}
+    private record ReleasedId(String requestId, long releasedAtNanos) {}
 
-    private final ExchangeHandler<UpstreamRequest, UpstreamResponse> intake;
-    private final RequestReader reader;
+    private final ExchangeHandler<UpstreamRequest, UpstreamResponse> exchangeHandler;
+    private final RequestReader requestReader;
     private final EventLoop loop;
-    private final EvictionPolicy room;
-    private boolean makingRoom;
-    private int mostHeld;
-    private Runnable whenMoreAreHeld = () -> {};
-    private final Set<ClientConnection> connections = new LinkedHashSet<>();
-    private final Set<String> ids = new HashSet<>();
-    private final ArrayDeque<Past> past = new ArrayDeque<>();
     private final Lifecycle lifecycle;
     private final ByteBudget budget;
-    private final Future<?> sweeping;
+    private final Future<?> sweepTask;
+
+    private final Set<ClientConnection> connections = new LinkedHashSet<>();
+    private final EvictionPolicy evictionPolicy;
+    private boolean evictionScheduled;
+    private int connectionLimit;
+    private Runnable connectionLimitRaised = () -> {};
 
-    /** Serves on this loop. */
+    private final Set<String> reservedIds = new HashSet<>();
+    private final ArrayDeque<ReleasedId> releasedIds = new ArrayDeque<>();
+
+    /**
+     * Creates a frontend that serves its connections on {@code loop}.
+     *
+     * @param exchangeHandler receives the requests
+     * @param classes the request classes in force
+     * @param tenantNames the known tenants in the order of their numbers; if empty, requests name none
+     * @param maxConnections how many connections may be open; more only if they all hold requests
+     * @param lifecycle tells whether the sidecar accepts clients or drains
+     * @param budget limits the bytes of bodies and pipelined requests in memory
+     */
     public HttpFrontend(
             EventLoop loop,
-            ExchangeHandler<UpstreamRequest, UpstreamResponse> intake,
+            ExchangeHandler<UpstreamRequest, UpstreamResponse> exchangeHandler,
             ClassTable classes,
             List<String> tenantNames,
-            int mostConnections,
+            int maxConnections,
             Lifecycle lifecycle,
             ByteBudget budget) {
-        this.intake = intake;
+        this.exchangeHandler = exchangeHandler;
         this.budget = budget;
         this.lifecycle = lifecycle;
-        this.reader = new RequestReader(classes, tenantNames);
+        this.requestReader = new RequestReader(classes, tenantNames);
         this.loop = loop;
-        this.room = new EvictionPolicy(mostConnections);
-        this.mostHeld = mostConnections;
-        sweeping = loop.scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+        this.evictionPolicy = new EvictionPolicy(maxConnections);
+        this.connectionLimit = maxConnections;
+        this.sweepTask = loop.scheduleWithFixedDelay(
+                this::sweep, SWEEP_INTERVAL_MILLIS, SWEEP_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** There are requests on a connection at once, whatever {@code /up} says. */
+    /** Returns the initializer of client connections, which serve requests at once, whatever {@code /up} says. */
     @Override
     public ChannelHandler connectionInitializer() {
         return new ChannelInitializer<Channel>() {
             @Override
-            protected void initChannel(Channel made) {
-                ClientConnection connection =
-                        new ClientConnection(HttpFrontend.this, intake, reader, lifecycle, budget, made);
+            protected void initChannel(Channel accepted) {
+                ClientConnection connection = new ClientConnection(
+                        HttpFrontend.this, exchangeHandler, requestReader, lifecycle, budget, accepted);
                 connections.add(connection);
-                made.pipeline().addLast(new HttpResponseEncoder(), connection.decoder(), connection);
-                requireRoom();
+                accepted.pipeline().addLast(new HttpResponseEncoder(), connection.decoder(), connection);
+                evictIfOverCapacity();
             }
         };
     }
 
     @Override
     public void stop() {
-        sweeping.cancel(false);
+        sweepTask.cancel(false);
     }
 
     @Override
@@ -92,74 +103,81 @@
         return connections.isEmpty();
     }
 
-    /**
-     * Closes those that are missed least once all has been read that is there: who is about to be closed may
-     * have sent a request. Danger: its closing is heard of later than the next one comes, and must count now.
-     */
-    private void requireRoom() {
-        if (makingRoom || connections.size() <= room.most()) {
+    /** Schedules an eviction behind the next reads, since a connection to evict may have sent a request. */
+    private void evictIfOverCapacity() {
+        if (evictionScheduled || connections.size() <= evictionPolicy.capacity()) {
             return;
         }
-        makingRoom = true;
+        evictionScheduled = true;
         loop.execute(() -> {
-            long heardUntil = System.nanoTime();
-            EventLoopScheduler.afterNextSelect(loop, () -> makeRoom(heardUntil));
+            long readUntilNanos = System.nanoTime();
+            EventLoopScheduler.afterNextSelect(loop, () -> evict(readUntilNanos));
         });
     }
 
-    private void makeRoom(long heardUntil) {
-        makingRoom = false;
-        int over = connections.size() - room.most();
-        if (over > 0) {
-            for (ClientConnection each : room.leastMissed(connections, over, System.nanoTime(), heardUntil)) {
-                left(each);
-                each.close();
+    private void evict(long readUntilNanos) {
+        evictionScheduled = false;
+        int excess = connections.size() - evictionPolicy.capacity();
+        if (excess > 0) {
+            for (ClientConnection connection :
+                    evictionPolicy.chooseEvictions(connections, excess, System.nanoTime(), readUntilNanos)) {
+                // Counted out now: its close event comes later than the next accept.
+                connectionClosed(connection);
+                connection.close();
             }
         }
-        int before = mostHeld;
-        mostHeld = Math.max(room.most(), EvictionPolicy.requests(connections));
-        if (mostHeld > before) {
-            whenMoreAreHeld.run();
+        updateConnectionLimit();
+    }
+
+    private void updateConnectionLimit() {
+        int previousLimit = connectionLimit;
+        connectionLimit = Math.max(evictionPolicy.capacity(), EvictionPolicy.countHoldingRequests(connections));
+        if (connectionLimit > previousLimit) {
+            connectionLimitRaised.run();
         }
     }
 
-    /** How many connections are kept, beside some on their way in or out: more where more have requests. */
-    public int mostHeld() {
-        return mostHeld;
+    /**
+     * Returns how many connections are kept now: the capacity, or more if more hold requests. Connections that
+     * are being opened or closed come on top.
+     */
+    public int connectionLimit() {
+        return connectionLimit;
     }
 
-    /** Calls this whenever {@link #mostHeld} has grown. */
-    public void whenMoreAreHeld(Runnable told) {
-        whenMoreAreHeld = told;
+    /** Sets the action to run whenever {@link #connectionLimit} has grown. */
+    public void onConnectionLimitRaised(Runnable action) {
+        connectionLimitRaised = action;
     }
 
-    /** A connection's request has begun, or ended so that it may have to make room. */
-    void requestChanged() {
-        requireRoom();
+    /** Handles that a connection has submitted a request, or has become idle and so may be evicted. */
+    void requestStateChanged() {
+        evictIfOverCapacity();
     }
 
     private void sweep() {
-        long now = System.nanoTime();
+        long nowNanos = System.nanoTime();
         for (ClientConnection connection : List.copyOf(connections)) {
-            connection.checkTime(now);
+            connection.checkTimeouts(nowNanos);
         }
-        requireRoom();
-        while (!past.isEmpty() && now - past.peek().at > ID_TIME) {
-            ids.remove(past.poll().id);
+        evictIfOverCapacity();
+        while (!releasedIds.isEmpty() && nowNanos - releasedIds.peek().releasedAtNanos > REQUEST_ID_RETENTION_NANOS) {
+            reservedIds.remove(releasedIds.poll().requestId);
         }
     }
 
-    /** Whether nobody uses a request's id, nor has of late; from now on it is in use. */
-    boolean takeId(String id) {
-        return ids.add(id);
+    /** Reserves a request's id; returns false if it is in use or was so recently. */
+    boolean reserveRequestId(String requestId) {
+        return reservedIds.add(requestId);
     }
 
-    /** Its request is no more; the id counts as in use for a while yet. */
-    void releaseId(String id) {
-        past.add(new Past(id, System.nanoTime()));
+    /** Handles the end of a request; its id stays reserved for {@link #REQUEST_ID_RETENTION_NANOS}. */
+    void releaseRequestId(String requestId) {
+        releasedIds.add(new ReleasedId(requestId, System.nanoTime()));
     }
 
-    void left(ClientConnection connection) {
+    /** Handles the end of a connection. */
+    void connectionClosed(ClientConnection connection) {
         connections.remove(connection);
     }
 }
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/LocalResponses.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/LocalResponses.java
@@ -12,48 +12,52 @@
 import java.math.BigDecimal;
 import java.math.RoundingMode;
 import java.nio.charset.StandardCharsets;
-import topazvalve.sidecar.http.UpstreamResponse;
 
-/** The answers that the sidecar words itself. */
+/** The responses that the sidecar gives itself. Their texts are part of its interface. */
 final class LocalResponses {
+    private static final int NANOS_DECIMALS = 9;
+    private static final int MILLIS_DECIMALS = 3;
+
     private LocalResponses() {}
 
-    static HttpResponseStatus status(Throwable cause) {
+    /** Returns the status for a request that the HTTP decoder could not read. */
+    static HttpResponseStatus decoderFailureStatus(Throwable cause) {
         if (cause instanceof TooLongHttpHeaderException) {
             return HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE;
         }
-        return cause instanceof TooLongHttpLineException
-                ? HttpResponseStatus.REQUEST_URI_TOO_LONG
-                : HttpResponseStatus.BAD_REQUEST;
+        if (cause instanceof TooLongHttpLineException) {
+            return HttpResponseStatus.REQUEST_URI_TOO_LONG;
+        }
+        return HttpResponseStatus.BAD_REQUEST;
     }
 
-    /** An order server's answer. */
-    static FullHttpResponse served(UpstreamResponse answer) {
-        FullHttpResponse response = new DefaultFullHttpResponse(
-                HttpVersion.HTTP_1_1, answer.status(), Unpooled.wrappedBuffer(answer.body()));
-        response.headers().set(answer.headers());
+    /**
+     * Returns 503 for a request that did not run at a server, so that a retry is harmless.
+     *
+     * @param retryAfterNanos the wait before a retry that the policy proposes (from its state, not from a server's
+     *     header), sent as {@code Retry-After} in seconds rounded up to milliseconds; 0 omits the header
+     */
+    static FullHttpResponse rejected(long retryAfterNanos) {
+        FullHttpResponse response = plainText(HttpResponseStatus.SERVICE_UNAVAILABLE, "refused");
+        if (retryAfterNanos > 0) {
+            response.headers().set(HttpHeaderNames.RETRY_AFTER, formatSeconds(retryAfterNanos));
+        }
         return response;
     }
 
-    /** Trying again is harmless, after so many nanoseconds; 0 says nothing of that. */
-    static FullHttpResponse refused(long wait) {
-        FullHttpResponse response = plain(HttpResponseStatus.SERVICE_UNAVAILABLE, "refused");
-        if (wait > 0) {
-            response.headers()
-                    .set(
-                            HttpHeaderNames.RETRY_AFTER,
-                            BigDecimal.valueOf(wait, 9)
-                                    .setScale(3, RoundingMode.UP)
-                                    .toPlainString());
-        }
-        return response;
+    private static String formatSeconds(long nanos) {
+        return BigDecimal.valueOf(nanos, NANOS_DECIMALS)
+                .setScale(MILLIS_DECIMALS, RoundingMode.UP)
+                .toPlainString();
     }
 
+    /** Returns 502 for a request that failed and may have run at a server. */
     static FullHttpResponse failed() {
-        return plain(HttpResponseStatus.BAD_GATEWAY, "failed");
+        return plainText(HttpResponseStatus.BAD_GATEWAY, "failed");
     }
 
-    static FullHttpResponse plain(HttpResponseStatus status, String text) {
+    /** Returns a response of type {@code text/plain}, without its length. */
+    static FullHttpResponse plainText(HttpResponseStatus status, String text) {
         FullHttpResponse response = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
         response.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.TEXT_PLAIN);
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/RequestDecoder.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/RequestDecoder.java
@@ -10,23 +10,26 @@
 import topazvalve.core.stream.ByteBudget;
 
 /**
- * Tells when the first byte of a request has come, and drops what follows one that was rejected. What is
- * pipelined behind an open request is kept as it is, up to a share of the budget, and the rest is dropped: a
- * client that leaves is seen only if all that it sent before has been read, so reading goes on. The
- * connection ends behind the last request that was kept whole; a client sends anew what was not answered.
+ * Decodes a client's requests and buffers what is pipelined behind an open one.
+ *
+ * <p>Pipelined bytes are buffered undecoded up to a quota of the byte budget; what exceeds it is dropped. Reading
+ * never stops, since a client's disconnect is only seen once everything before it has been read. After a drop
+ * the connection ends behind the last request that was buffered completely; the client sends the rest again.
+ * {@code docs/design/crossings.md} gives the reasons.
  */
 final class RequestDecoder extends HttpRequestDecoder {
-    /** What is decoded at once of what was kept: decoded requests take several times their bytes. */
-    private static final int PIECE = 1 << 10;
-    /** Who sends more than so many bytes that are dropped is ended: reading them costs the others. */
-    private static final int MOST_DROPPED = 1 << 20;
+    /** How much of the buffer is decoded at once: decoded requests take several times their bytes. */
+    private static final int DECODE_CHUNK_BYTES = 1 << 10;
+    /** A client that has more bytes dropped is disconnected, since reading them costs the others. */
+    private static final int MAX_DROPPED_BYTES = 1 << 20;
 
     private final ClientConnection connection;
     private final ByteBudget budget;
     private ChannelHandlerContext context;
-    private ByteBuf kept;
-    /** Bytes that had no room; from the first one on nothing more is taken on this connection. */
-    private long dropped;
+    /** The pipelined bytes that are not yet decoded; null if there are none. */
+    private ByteBuf buffered;
+    /** Bytes that exceeded the quota; after the first one nothing more is buffered on this connection. */
+    private long droppedBytes;
 
     RequestDecoder(ClientConnection connection, ByteBudget budget) {
         this.connection = connection;
@@ -40,82 +43,98 @@
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext from, Object message) throws Exception {
+    public void channelRead(ChannelHandlerContext source, Object message) throws Exception {
         ByteBuf bytes = (ByteBuf) message;
-        if (!connection.heard(bytes.readableBytes())) {
+        if (!connection.bytesReceived(bytes.readableBytes())) {
             ReferenceCountUtil.release(message);
-        } else if (kept != null || overflowed() || connection.busy()) {
-            keep(bytes);
+        } else if (buffered != null || hasDropped() || connection.queuesInput()) {
+            bufferOrDrop(bytes);
         } else {
-            super.channelRead(from, message);
+            super.channelRead(source, message);
         }
     }
 
-    /** Keeps it, or drops it where there is no room; what is kept may lie over the share by one read. */
-    private void keep(ByteBuf bytes) {
-        if (overflowed() || (kept != null && kept.readableBytes() >= budget.quotaBytes())) {
-            dropped += bytes.readableBytes();
-            if (flooded()) {
-                drop();
-                connection.flooded();
-            }
+    /** Buffers or drops the bytes and releases them; the buffer may exceed its quota by one read. */
+    private void bufferOrDrop(ByteBuf bytes) {
+        if (hasDropped() || isBufferFull()) {
+            drop(bytes.readableBytes());
         } else {
-            if (kept == null) {
-                kept = Unpooled.buffer(bytes.readableBytes());
-                budget.register();
-            }
-            kept.discardSomeReadBytes().writeBytes(bytes);
+            buffer(bytes);
         }
         bytes.release();
     }
 
-    /** Whether so much was dropped that no more is read. */
-    boolean flooded() {
-        return dropped > MOST_DROPPED;
+    private boolean isBufferFull() {
+        return buffered != null && buffered.readableBytes() >= budget.quotaBytes();
+    }
+
+    private void drop(int byteCount) {
+        droppedBytes += byteCount;
+        if (isFlooded()) {
+            discardBuffer();
+            connection.pipelineFlooded();
+        }
     }
 
-    /** Whether some of what came was dropped, so that the connection ends behind what was kept. */
-    boolean overflowed() {
-        return dropped > 0;
+    private void buffer(ByteBuf bytes) {
+        if (buffered == null) {
+            buffered = Unpooled.buffer(bytes.readableBytes());
+            budget.register();
+        }
+        buffered.discardSomeReadBytes().writeBytes(bytes);
     }
 
-    /** Whether more has come than is open. */
-    boolean keeps() {
-        return kept != null;
+    /** Returns whether so much was dropped that nothing more is read from the client. */
+    boolean isFlooded() {
+        return droppedBytes > MAX_DROPPED_BYTES;
     }
 
-    /** Goes on with what was kept, as far as the connection takes it. */
-    void goOn() {
-        while (kept != null && !connection.busy()) {
-            ByteBuf piece = kept.readBytes(Math.min(PIECE, kept.readableBytes()));
-            if (!kept.isReadable()) {
-                drop();
-            }
-            try {
-                if (connection.heard(piece.readableBytes())) {
-                    super.channelRead(context, piece);
-                } else {
-                    piece.release();
-                }
-            } catch (Exception e) {
-                connection.exceptionCaught(context, e);
+    /** Returns whether bytes were dropped, so that the connection ends behind what is buffered. */
+    boolean hasDropped() {
+        return droppedBytes > 0;
+    }
+
+    /** Returns whether there are pipelined bytes that are not yet decoded. */
+    boolean hasBuffered() {
+        return buffered != null;
+    }
+
+    /** Decodes what is buffered until the connection has a request to serve. */
+    void decodeBuffered() {
+        while (buffered != null && !connection.queuesInput()) {
+            ByteBuf chunk = buffered.readBytes(Math.min(DECODE_CHUNK_BYTES, buffered.readableBytes()));
+            if (!buffered.isReadable()) {
+                discardBuffer();
             }
+            decode(chunk);
+        }
+        if (hasDropped() && !connection.queuesInput()) {
+            connection.pipelineEnded();
         }
-        if (overflowed() && !connection.busy()) {
-            connection.endRow();
+    }
+
+    private void decode(ByteBuf chunk) {
+        try {
+            if (connection.bytesReceived(chunk.readableBytes())) {
+                super.channelRead(context, chunk);
+            } else {
+                chunk.release();
+            }
+        } catch (Exception e) {
+            connection.exceptionCaught(context, e);
         }
     }
 
-    /** What was kept is of no use any more. */
-    void drop() {
-        if (kept != null) {
-            kept.release();
-            kept = null;
+    /** Releases what is buffered; it will not be served. */
+    void discardBuffer() {
+        if (buffered != null) {
+            buffered.release();
+            buffered = null;
             budget.unregister();
         }
     }
 
-    /** Left to itself the decoder drops the length, and what one side takes for a body hides more. */
+    /** Rejects both lengths together: Netty would ignore one, which allows request smuggling. */
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
         throw new CorruptedFrameException("two lengths");
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/RequestReader.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/RequestReader.java
@@ -4,6 +4,7 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpRequest;
+import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
 import java.util.List;
@@ -14,131 +15,203 @@
 import topazvalve.sidecar.http.Headers;
 import topazvalve.sidecar.http.UpstreamRequest;
 
-/** Reads what a request's head tells; what can't be used is an {@link IllegalArgumentException}. */
+/** Validates a request's head and turns it into an {@link ExchangeRequest}. */
 final class RequestReader {
-    private static final int LONGEST_ID = 128;
+    /** Larger request bodies are answered with 413. */
+    static final int MAX_BODY_BYTES = 1 << 25;
+
+    private static final int MAX_REQUEST_ID_CHARS = 128;
+    private static final int MAX_NUMBER_DIGITS = 9;
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    private static final long NANOS_PER_MICRO = 1_000;
+    private static final long HASH_MULTIPLIER = 0x100000001b3L;
+
+    private static final String API_PATH = "/api";
+    private static final String READINESS_PATH = "/up";
     private static final String SCHEME = "http://";
-    private static final String KEY = "Idempotency-Key";
+
+    private static final String REQUEST_HEADER_PREFIX = "Req-";
+    private static final String REQUEST_ID = "Req-Id";
+    private static final String REQUEST_CLASS = "Req-Kind";
+    private static final String TENANT = "Req-Owner";
+    private static final String TIMEOUT_MILLIS = "Req-Deadline-Ms";
+    private static final String COST_HINT_MICROS = "Req-Cost";
+    private static final String CLIENT_RETRY = "Req-Retry";
+    private static final String IDEMPOTENCY_KEY = "Idempotency-Key";
+
     private final ClassTable classes;
     private final List<String> tenantNames;
 
+    /**
+     * Creates a reader.
+     *
+     * @param classes the request classes in force
+     * @param tenantNames the known tenants in the order of their numbers; if empty, requests name none
+     */
     RequestReader(ClassTable classes, List<String> tenantNames) {
         this.classes = classes;
         this.tenantNames = tenantNames;
     }
 
-    static String path(String uri) {
-        int query = uri.indexOf('?');
-        return query < 0 ? uri : uri.substring(0, query);
+    /** Returns the id that the client gave its request; null if it gave none. */
+    static String requestId(HttpRequest head) {
+        return head.headers().get(REQUEST_ID);
     }
 
     /**
-     * Gives a target in absolute form (RFC 9112 3.2.2) the form that order servers know, and {@code Host}
-     * what it says, which goes before that header.
+     * Validates a head and reads the request from it. A target in absolute form is rewritten to origin form.
+     *
+     * @param body receives the request's body
+     * @return the request to forward; null for a readiness check, which the sidecar answers itself
+     * @throws InvalidRequestException if the request must not be forwarded; the body need not be read then
      */
-    static void toOriginForm(HttpRequest message) {
-        String uri = message.uri();
-        if (!uri.regionMatches(true, 0, SCHEME, 0, SCHEME.length())) {
-            return;
+    ExchangeRequest<UpstreamRequest> read(HttpRequest head, RequestBody body) {
+        requireUnambiguous(head);
+        toOriginForm(head);
+        String path = withoutQuery(head.uri());
+        ExchangeRequest<UpstreamRequest> request = null;
+        if (path.equals(API_PATH) || path.startsWith(API_PATH + "/")) {
+            request = readApiRequest(head, path, body);
+        } else if (!path.equals(READINESS_PATH)) {
+            throw new InvalidRequestException(HttpResponseStatus.NOT_FOUND, "no such path");
         }
-        int rest = SCHEME.length();
-        while (rest < uri.length() && "/?".indexOf(uri.charAt(rest)) < 0) {
-            rest++;
+        if (HttpUtil.getContentLength(head, 0L) > MAX_BODY_BYTES) {
+            throw bodyTooLarge();
         }
-        if (rest == SCHEME.length()) {
-            throw new IllegalArgumentException("no host in the target");
-        }
-        message.headers().set(HttpHeaderNames.HOST, uri.substring(SCHEME.length(), rest));
-        message.setUri(uri.startsWith("/", rest) ? uri.substring(rest) : "/" + uri.substring(rest));
+        return request;
+    }
+
+    /** Returns the fault of a body with more than {@link #MAX_BODY_BYTES}. */
+    static InvalidRequestException bodyTooLarge() {
+        return new InvalidRequestException(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body too large");
     }
 
-    /** Rejects what two readers could take for requests of different lengths, or for different hosts. */
-    static void framed(HttpRequest message) {
-        HttpHeaders headers = message.headers();
-        if (message.protocolVersion().equals(HttpVersion.HTTP_1_1) && !headers.contains(HttpHeaderNames.HOST)) {
-            throw new IllegalArgumentException("no Host");
+    private static String withoutQuery(String uri) {
+        int query = uri.indexOf('?');
+        return query < 0 ? uri : uri.substring(0, query);
+    }
+
+    /** Rejects what two readers could take for requests of different lengths or for different hosts. */
+    private static void requireUnambiguous(HttpRequest head) {
+        HttpHeaders headers = head.headers();
+        if (head.protocolVersion().equals(HttpVersion.HTTP_1_1) && !headers.contains(HttpHeaderNames.HOST)) {
+            throw InvalidRequestException.badRequest("no Host");
         }
-        boolean coded = headers.contains(HttpHeaderNames.TRANSFER_ENCODING);
-        if (message.protocolVersion().majorVersion() != 1 || (coded && !Headers.onlyChunked(message))) {
-            throw new IllegalArgumentException("version or transfer coding not supported");
+        boolean hasTransferCoding = headers.contains(HttpHeaderNames.TRANSFER_ENCODING);
+        if (head.protocolVersion().majorVersion() != 1 || (hasTransferCoding && !Headers.onlyChunked(head))) {
+            throw InvalidRequestException.badRequest("version or transfer coding not supported");
         }
-        if (!message.method().equals(HttpMethod.POST) && (coded || HttpUtil.getContentLength(message, 0L) > 0)) {
-            throw new IllegalArgumentException("body where none belongs");
+        boolean mayHaveBody = head.method().equals(HttpMethod.POST);
+        if (!mayHaveBody && (hasTransferCoding || HttpUtil.getContentLength(head, 0L) > 0)) {
+            throw InvalidRequestException.badRequest("body where none belongs");
         }
-        if (!message.uri().chars().allMatch(each -> each > ' ' && each < 0x7f)) {
-            throw new IllegalArgumentException("path can't be read");
+        if (!head.uri().chars().allMatch(each -> each > ' ' && each < 0x7f)) {
+            throw InvalidRequestException.badRequest("path can't be read");
         }
         for (String name : headers.names()) {
-            boolean once = name.regionMatches(true, 0, "Req-", 0, 4)
-                    || name.equalsIgnoreCase(KEY)
-                    || name.equalsIgnoreCase("Host");
-            if (once && headers.getAll(name).size() > 1) {
-                throw new IllegalArgumentException("repeated " + name);
+            if (mustNotRepeat(name) && headers.getAll(name).size() > 1) {
+                throw InvalidRequestException.badRequest("repeated " + name);
             }
         }
     }
 
-    ExchangeRequest<UpstreamRequest> job(HttpRequest message, String path, RequestBody body) {
-        if (header(message, "Req-Id").length() > LONGEST_ID) {
-            throw new IllegalArgumentException("Req-Id too long");
+    private static boolean mustNotRepeat(String headerName) {
+        return headerName.regionMatches(true, 0, REQUEST_HEADER_PREFIX, 0, REQUEST_HEADER_PREFIX.length())
+                || headerName.equalsIgnoreCase(IDEMPOTENCY_KEY)
+                || headerName.equalsIgnoreCase("Host");
+    }
+
+    /** Rewrites a target in absolute form; its host replaces the Host header's (RFC 9112 section 3.2.2). */
+    private static void toOriginForm(HttpRequest head) {
+        String uri = head.uri();
+        if (!uri.regionMatches(true, 0, SCHEME, 0, SCHEME.length())) {
+            return;
         }
-        ClassTable.Entry kind = classes.find(header(message, "Req-Kind"));
-        if (kind == null) {
-            throw new IllegalArgumentException("unknown Req-Kind");
+        int hostEnd = SCHEME.length();
+        while (hostEnd < uri.length() && "/?".indexOf(uri.charAt(hostEnd)) < 0) {
+            hostEnd++;
         }
-        int tenant = 0;
-        if (!tenantNames.isEmpty()) {
-            tenant = tenantNames.indexOf(header(message, "Req-Owner"));
-            if (tenant < 0) {
-                throw new IllegalArgumentException("unknown Req-Owner");
-            }
+        if (hostEnd == SCHEME.length()) {
+            throw InvalidRequestException.badRequest("no host in the target");
+        }
+        head.headers().set(HttpHeaderNames.HOST, uri.substring(SCHEME.length(), hostEnd));
+        head.setUri(uri.startsWith("/", hostEnd) ? uri.substring(hostEnd) : "/" + uri.substring(hostEnd));
+    }
+
+    private ExchangeRequest<UpstreamRequest> readApiRequest(HttpRequest head, String path, RequestBody body) {
+        if (requiredHeader(head, REQUEST_ID).length() > MAX_REQUEST_ID_CHARS) {
+            throw InvalidRequestException.badRequest("Req-Id too long");
+        }
+        ClassTable.Entry requestClass = classes.find(requiredHeader(head, REQUEST_CLASS));
+        if (requestClass == null) {
+            throw InvalidRequestException.badRequest("unknown Req-Kind");
+        }
+        int tenant = tenant(head);
+        Idempotency idempotency = requestClass.rules().idempotency();
+        HttpMethod method = idempotency == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
+        if (!head.method().equals(method) || (idempotency == Idempotency.IDEMPOTENCY_KEY) != hasIdempotencyKey(head)) {
+            throw InvalidRequestException.badRequest("method or Idempotency-Key does not fit the class");
         }
-        String idempotencyKey = message.headers().get(KEY);
-        Idempotency semantics = kind.rules().idempotency();
-        HttpMethod method = semantics == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
-        if (!message.method().equals(method)
-                || (semantics == Idempotency.IDEMPOTENCY_KEY)
-                        != (idempotencyKey != null && !idempotencyKey.isEmpty())) {
-            throw new IllegalArgumentException("method or Idempotency-Key does not fit the class");
-        }
-        // Nobody waits for longer than the class allows, whatever the header says.
-        long wait = Math.min(number(message, "Req-Deadline-Ms"), kind.rules().deadlineNanos() / 1_000_000);
-        long cost = message.headers().contains("Req-Cost") ? number(message, "Req-Cost") * 1000 : 0;
         return new ExchangeRequest<>(
-                kind,
+                requestClass,
                 tenant,
-                key(path),
-                wait,
-                cost,
-                "1".equals(message.headers().get("Req-Retry")),
-                semantics != Idempotency.IDEMPOTENT,
-                new UpstreamRequest(method, message.uri(), message.headers()),
+                resourceKey(path),
+                timeoutMillis(head, requestClass),
+                costHintNanos(head),
+                "1".equals(head.headers().get(CLIENT_RETRY)),
+                idempotency != Idempotency.IDEMPOTENT,
+                new UpstreamRequest(method, head.uri(), head.headers()),
                 body);
     }
 
-    private static String header(HttpRequest message, String name) {
-        String value = message.headers().get(name);
+    private int tenant(HttpRequest head) {
+        if (tenantNames.isEmpty()) {
+            return 0;
+        }
+        int tenant = tenantNames.indexOf(requiredHeader(head, TENANT));
+        if (tenant < 0) {
+            throw InvalidRequestException.badRequest("unknown Req-Owner");
+        }
+        return tenant;
+    }
+
+    private static boolean hasIdempotencyKey(HttpRequest head) {
+        String key = head.headers().get(IDEMPOTENCY_KEY);
+        return key != null && !key.isEmpty();
+    }
+
+    /** The client's own limit, but no more than its class allows. */
+    private static long timeoutMillis(HttpRequest head, ClassTable.Entry requestClass) {
+        return Math.min(wholeNumber(head, TIMEOUT_MILLIS), requestClass.rules().deadlineNanos() / NANOS_PER_MILLI);
+    }
+
+    private static long costHintNanos(HttpRequest head) {
+        return head.headers().contains(COST_HINT_MICROS) ? wholeNumber(head, COST_HINT_MICROS) * NANOS_PER_MICRO : 0;
+    }
+
+    private static String requiredHeader(HttpRequest head, String name) {
+        String value = head.headers().get(name);
         if (value == null || value.isEmpty()) {
-            throw new IllegalArgumentException("missing " + name);
+            throw InvalidRequestException.badRequest("missing " + name);
         }
         return value;
     }
 
-    /** A whole number that is neither negative nor longer than any wait or work can be. */
-    private static long number(HttpRequest message, String name) {
-        String value = header(message, name);
-        if (value.length() > 9 || !value.chars().allMatch(digit -> digit >= '0' && digit <= '9')) {
-            throw new IllegalArgumentException("not a whole number: " + name);
+    /** Reads a required header of at most {@link #MAX_NUMBER_DIGITS} decimal digits. */
+    private static long wholeNumber(HttpRequest head, String name) {
+        String value = requiredHeader(head, name);
+        if (value.length() > MAX_NUMBER_DIGITS || !value.chars().allMatch(digit -> digit >= '0' && digit <= '9')) {
+            throw InvalidRequestException.badRequest("not a whole number: " + name);
         }
         return Long.parseLong(value);
     }
 
-    /** What the request is about, as a number: the same for the same last part of the path, 0 for none. */
-    private static long key(String path) {
-        String last = path.substring(path.lastIndexOf('/') + 1);
+    /** Hashes the last segment of the path, so that requests for one resource have the same key; 0 if empty. */
+    private static long resourceKey(String path) {
+        String segment = path.substring(path.lastIndexOf('/') + 1);
         long key = 0;
-        for (int i = 0; i < last.length(); i++) {
-            key = key * 0x100000001b3L + last.charAt(i);
+        for (int i = 0; i < segment.length(); i++) {
+            key = key * HASH_MULTIPLIER + segment.charAt(i);
         }
         return key;
     }
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/StreamedResponse.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/StreamedResponse.java
@@ -6,50 +6,58 @@
 import topazvalve.core.stream.ByteBudget;
 import topazvalve.core.stream.FlowControl;
 
-/** An answer on its way to a client as it comes, which holds no more than its share of the budget. */
+/**
+ * The body of a response that is forwarded while it arrives. It pauses its source while more than its quota
+ * of the byte budget is not yet taken by the client's socket.
+ */
 final class StreamedResponse {
     private final Channel channel;
     private final ByteBudget budget;
-    private final Runnable onTaken;
+    private final Runnable onProgress;
     private FlowControl source;
     private boolean paused;
-    private long unsent;
+    private long unsentBytes;
 
-    /** Calls {@code onTaken} whenever the client's side has taken some. */
-    StreamedResponse(Channel channel, ByteBudget budget, FlowControl source, Runnable onTaken) {
+    /**
+     * Registers a body with the budget until {@link #end}.
+     *
+     * @param source where the body comes from
+     * @param onProgress runs whenever the client's socket has taken a part of the body
+     */
+    StreamedResponse(Channel channel, ByteBudget budget, FlowControl source, Runnable onProgress) {
         this.channel = channel;
         this.budget = budget;
         this.source = source;
-        this.onTaken = onTaken;
+        this.onProgress = onProgress;
         budget.register();
     }
 
-    /** Takes over the buffer. */
-    void pass(ByteBuf bytes) {
+    /** Writes a part of the body and takes ownership of the buffer. */
+    void write(ByteBuf bytes) {
         int size = bytes.readableBytes();
-        unsent += size;
-        channel.writeAndFlush(new DefaultHttpContent(bytes)).addListener(done -> taken(size));
-        if (unsent > budget.quotaBytes() && source != null && !paused) {
+        unsentBytes += size;
+        channel.writeAndFlush(new DefaultHttpContent(bytes)).addListener(done -> sent(size));
+        if (unsentBytes > budget.quotaBytes() && source != null && !paused) {
             paused = true;
             source.pause();
         }
     }
 
-    private void taken(int size) {
-        unsent -= size;
-        onTaken.run();
-        if (paused && source != null && unsent <= budget.quotaBytes() / 2) {
+    private void sent(int size) {
+        unsentBytes -= size;
+        onProgress.run();
+        if (paused && source != null && unsentBytes <= budget.quotaBytes() / 2) {
             paused = false;
             source.resume();
         }
     }
 
-    /** Whether the client has taken all that there is. */
-    boolean taken() {
-        return unsent == 0;
+    /** Returns whether the client's socket has taken everything that was written. */
+    boolean isFullySent() {
+        return unsentBytes == 0;
     }
 
-    /** No more will come. */
+    /** Releases the quota; nothing more will be written and the source is not resumed any more. */
     void end() {
         source = null;
         budget.unregister();
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/package-info.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/package-info.java
@@ -1,2 +1,5 @@
-/** The application's side: reads requests and answers each once. */
+/**
+ * The HTTP frontend: accepts the application's connections, reads their requests, hands each to the exchange
+ * manager and writes exactly one response to it.
+ */
 package topazvalve.sidecar.frontend;
--- a/sidecar/src/main/java/topazvalve/sidecar/listen/AcceptLimit.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/listen/AcceptLimit.java
@@ -13,86 +13,99 @@
 import topazvalve.core.time.EventLoopScheduler;
 
 /**
- * Keeps the descriptors of a listener's connections within a count: at the limit it stops accepting, and
- * who comes then waits in the backlog. In the listening channel's pipeline, on the loop of its connections.
+ * Limits how many connections of a listener hold a file descriptor. At the limit it stops accepting; further
+ * clients then wait in the kernel's backlog. It belongs into the pipeline of the listening channel, which must
+ * run on the event loop of its connections. {@code docs/design/crossings.md} gives the reasons.
  */
 public final class AcceptLimit extends ChannelInboundHandlerAdapter {
     private static final Logger LOG = LoggerFactory.getLogger("topazvalve");
-    private static final int MOST_AT_ONCE = 16;
-    /** After an accept that failed all the same, since others hold more descriptors than they should. */
-    private static final long PAUSE_MS = 20;
+    private static final int MAX_ACCEPTS_PER_READ = 16;
+    /** Pause after a failed accept: other parts of the process then hold more descriptors than planned. */
+    private static final long ACCEPT_FAILURE_PAUSE_MILLIS = 20;
 
-    private static final long LOG_EVERY = 1_000_000_000;
+    private static final long LOG_INTERVAL_NANOS = 1_000_000_000;
 
-    private final IntSupplier most;
-    private final ServerChannelRecvByteBufAllocator reads = new ServerChannelRecvByteBufAllocator();
-    private int open;
-    private boolean paused;
-    private long loggedAt = System.nanoTime() - LOG_EVERY;
+    private final IntSupplier maxConnections;
+    private final ServerChannelRecvByteBufAllocator acceptsPerRead = new ServerChannelRecvByteBufAllocator();
+    private int openConnections;
+    private boolean pausedAfterFailure;
+    private long lastLogNanos = System.nanoTime() - LOG_INTERVAL_NANOS;
 
-    /** Lets so many connections hold a descriptor; where that has grown, {@link #resume} follows. */
-    public AcceptLimit(IntSupplier most) {
-        this.most = most;
+    /**
+     * Creates a limit.
+     *
+     * @param maxConnections how many connections may hold a descriptor now; a caller that raises it calls
+     *     {@link #resume} afterwards
+     */
+    public AcceptLimit(IntSupplier maxConnections) {
+        this.maxConnections = maxConnections;
     }
 
     @Override
     public void handlerAdded(ChannelHandlerContext context) {
-        context.channel().config().setOption(ChannelOption.RECVBUF_ALLOCATOR, reads);
-        retune(context.channel());
+        context.channel().config().setOption(ChannelOption.RECVBUF_ALLOCATOR, acceptsPerRead);
+        updateAccepting(context.channel());
     }
 
-    /** An accept reads no more than there is room for, so that the count is never overrun in one turn. */
-    private void retune(Channel server) {
-        int room = most.getAsInt() - open;
-        reads.maxMessagesPerRead(Math.max(1, Math.min(MOST_AT_ONCE, room)));
-        server.config().setAutoRead(room > 0 && !paused);
+    /** Never lets one read accept more connections than the limit has headroom for. */
+    private void updateAccepting(Channel server) {
+        int headroom = maxConnections.getAsInt() - openConnections;
+        acceptsPerRead.maxMessagesPerRead(Math.max(1, Math.min(MAX_ACCEPTS_PER_READ, headroom)));
+        server.config().setAutoRead(headroom > 0 && !pausedAfterFailure);
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
-        open++;
+        openConnections++;
         Channel server = context.channel();
-        Channel made = (Channel) message;
-        made.closeFuture()
-                .addListener(closed -> EventLoopScheduler.afterNextSelect(server.eventLoop(), () -> {
-                    // Only now is its descriptor released.
-                    open--;
-                    resume(server);
-                }));
-        retune(server);
+        Channel accepted = (Channel) message;
+        accepted.closeFuture()
+                .addListener(closed ->
+                        EventLoopScheduler.afterNextSelect(server.eventLoop(), () -> descriptorReleased(server)));
+        updateAccepting(server);
         context.fireChannelRead(message);
     }
 
-    /** There may be room again. */
+    /** The selector releases a closed channel's descriptor only in its next select. */
+    private void descriptorReleased(Channel server) {
+        openConnections--;
+        resume(server);
+    }
+
+    /** Accepts again if the limit allows it. */
     void resume(Channel server) {
-        // Danger: Netty closes a channel that is to read and is registered nowhere: a shared socket, too.
+        // Netty closes a channel that is told to read while unregistered, even a socket shared with another process.
         if (server.isRegistered()) {
-            retune(server);
+            updateAccepting(server);
         }
     }
 
-    /** Passed on, this would stop the accepting for a second. */
+    /** Handles failed accepts here: Netty's own handler would stop accepting for a second. */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) throws Exception {
         if (!(cause instanceof IOException)) {
             super.exceptionCaught(context, cause);
             return;
         }
-        long now = System.nanoTime();
-        if (now - loggedAt >= LOG_EVERY) {
-            loggedAt = now;
-            LOG.warn("accept: {}", cause.getMessage());
+        logAcceptFailure(cause);
+        pauseAccepting(context.channel());
+    }
+
+    private void logAcceptFailure(Throwable cause) {
+        long nowNanos = System.nanoTime();
+        if (nowNanos - lastLogNanos >= LOG_INTERVAL_NANOS) {
+            lastLogNanos = nowNanos;
+            LOG.warn("accept failed: {}", cause.getMessage());
         }
-        Channel server = context.channel();
-        paused = true;
-        retune(server);
-        server.eventLoop()
-                .schedule(
-                        () -> {
-                            paused = false;
-                            resume(server);
-                        },
-                        PAUSE_MS,
-                        TimeUnit.MILLISECONDS);
+    }
+
+    private void pauseAccepting(Channel server) {
+        pausedAfterFailure = true;
+        updateAccepting(server);
+        Runnable endPause = () -> {
+            pausedAfterFailure = false;
+            resume(server);
+        };
+        server.eventLoop().schedule(endPause, ACCEPT_FAILURE_PAUSE_MILLIS, TimeUnit.MILLISECONDS);
     }
 }
--- a/sidecar/src/main/java/topazvalve/sidecar/listen/ClientListener.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/listen/ClientListener.java
@@ -18,42 +18,53 @@
 import org.slf4j.LoggerFactory;
 import topazvalve.core.stream.ByteBudget;
 
-/** Takes clients' connections, from a socket that it binds or from one that was handed down. */
+/**
+ * A listening socket for client connections: one that this process binds, or one that it inherits and may
+ * share with another process, as during an upgrade.
+ */
 public final class ClientListener {
     private static final Logger LOG = LoggerFactory.getLogger("topazvalve");
-    /** A burst beyond it has its connects dropped, and they come again a second later; the system caps it. */
+    /**
+     * Connections that may wait to be accepted; the kernel caps it. Clients beyond it retry a second later.
+     */
     private static final int BACKLOG = 4096;
 
+    private static final int MIN_READ_BYTES = 64;
+    private static final int INITIAL_READ_BYTES = 2048;
+
     private final InetSocketAddress address;
     private final ServerSocketChannel inherited;
-    private final boolean beside;
-    private AcceptLimit limit;
+    private final boolean sharesPort;
+    private AcceptLimit acceptLimit;
     private Channel server;
 
-    private ClientListener(InetSocketAddress address, ServerSocketChannel inherited, boolean beside) {
+    private ClientListener(InetSocketAddress address, ServerSocketChannel inherited, boolean sharesPort) {
         this.address = address;
         this.inherited = inherited;
-        this.beside = beside;
+        this.sharesPort = sharesPort;
     }
 
-    /** Will bind this address. */
+    /** Returns a listener that will bind {@code address}, alone on its port. */
     public static ClientListener binding(InetSocketAddress address) {
         return new ClientListener(address, null, false);
     }
 
     /**
-     * Will bind this address beside others of this user that bind it so, as in an upgrade: the system shares
-     * new connections out among them (Linux, {@code SO_REUSEPORT}).
+     * Returns a listener that will bind {@code address} with {@code SO_REUSEPORT}, so that other processes of
+     * the same user can bind it too. Linux distributes new connections among them.
      */
-    public static ClientListener beside(InetSocketAddress address) {
+    public static ClientListener bindingSharedPort(InetSocketAddress address) {
         return new ClientListener(address, null, true);
     }
 
     /**
-     * Will listen at this address, on the socket handed down where {@code fd}, the value of
-     * {@code $PROXY_FD}, tells of one. Java reaches descriptor 0 alone without native code.
+     * Returns a listener for {@code address} that uses the inherited socket if there is one.
+     *
+     * @param fd the value of {@code $PROXY_FD}: the inherited socket's descriptor number; null or empty if
+     *     there is none. Without native code Java can only use descriptor 0.
+     * @throws IllegalArgumentException if {@code fd} is not 0, or descriptor 0 is not a listening socket
      */
-    public static ClientListener given(InetSocketAddress address, String fd) throws IOException {
+    public static ClientListener inheritedOrBinding(InetSocketAddress address, String fd) throws IOException {
         if (fd == null || fd.isEmpty()) {
             return binding(address);
         }
@@ -64,53 +75,70 @@
             throw new IllegalArgumentException("descriptor 0 is no listening socket: PROXY_FD");
         }
         if (!address.equals(socket.getLocalAddress())) {
-            LOG.warn("listening at {} as handed down, not at {}", socket.getLocalAddress(), address);
+            LOG.warn(
+                    "listening on inherited socket {} instead of configured address {}",
+                    socket.getLocalAddress(),
+                    address);
         }
         return new ClientListener(address, socket, false);
     }
 
-    /** Whether another process may be taking clients from the same socket. */
+    /** Returns whether another process may accept connections from the same socket. */
     public boolean shared() {
         return inherited != null;
     }
 
-    /** Takes connections from now on, {@code most} at a time; others wait until one of these has ended. */
-    public ChannelFuture open(EventLoopGroup group, ChannelHandler each, IntSupplier most) {
-        limit = new AcceptLimit(most);
+    /**
+     * Starts accepting connections.
+     *
+     * @param group runs the listening channel and the connections
+     * @param connectionInitializer sets up the pipeline of each connection
+     * @param maxConnections how many connections may be open at a time; further clients wait in the backlog
+     * @return completes once the socket listens, or fails if the address cannot be bound
+     */
+    public ChannelFuture open(EventLoopGroup group, ChannelHandler connectionInitializer, IntSupplier maxConnections) {
+        acceptLimit = new AcceptLimit(maxConnections);
         ServerBootstrap bootstrap = new ServerBootstrap()
                 .group(group)
-                .handler(limit)
+                .handler(acceptLimit)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(
                         ChannelOption.RECVBUF_ALLOCATOR,
-                        new AdaptiveRecvByteBufAllocator(64, 2048, ByteBudget.MIN_QUOTA_BYTES))
-                .childHandler(each);
-        if (beside) {
+                        new AdaptiveRecvByteBufAllocator(
+                                MIN_READ_BYTES, INITIAL_READ_BYTES, ByteBudget.MIN_QUOTA_BYTES))
+                .childHandler(connectionInitializer);
+        if (sharesPort) {
             bootstrap.option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true);
         }
-        ChannelFuture opened = shared()
-                ? bootstrap
-                        .channelFactory(() -> new NioServerSocketChannel(inherited))
-                        .register()
-                : bootstrap
-                        .channel(NioServerSocketChannel.class)
-                        .option(ChannelOption.SO_BACKLOG, BACKLOG)
-                        .bind(address);
+        ChannelFuture opened = shared() ? registerInherited(bootstrap) : bind(bootstrap);
         server = opened.channel();
         return opened;
     }
 
-    /** More connections than before may be held. */
+    private ChannelFuture registerInherited(ServerBootstrap bootstrap) {
+        return bootstrap
+                .channelFactory(() -> new NioServerSocketChannel(inherited))
+                .register();
+    }
+
+    private ChannelFuture bind(ServerBootstrap bootstrap) {
+        return bootstrap
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .bind(address);
+    }
+
+    /** Accepts again after {@code maxConnections} has grown; without effect before {@link #open}. */
     public void resume() {
         if (server != null) {
-            limit.resume(server);
+            acceptLimit.resume(server);
         }
     }
 
     /**
-     * Takes no more; what waits in a shared socket's queue is left to the other process. Such a socket is
-     * never closed: the JVM would point standard output and error at nothing along with it.
+     * Stops accepting. Connections in a shared socket's backlog are left to the other process. An inherited
+     * socket is not closed, since the JVM would then redirect standard output and error to {@code /dev/null}.
      */
     public void stop() {
         if (server == null) {
--- a/sidecar/src/main/java/topazvalve/sidecar/listen/package-info.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/listen/package-info.java
@@ -1,2 +1,5 @@
-/** The clients' listening socket: this process's own, or one that the platform holds and several share. */
+/**
+ * The listening sockets for client connections: how they are opened, shared with another process and limited in
+ * the number of connections that they accept.
+ */
 package topazvalve.sidecar.listen;
