--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/LocalResponses.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/LocalResponses.java
@@ -34,8 +34,8 @@
     /**
      * Returns 503 for a request that did not run at a server, so that a retry is harmless.
      *
-     * @param retryAfterNanos the wait before a retry that the policy proposes (from its state, not from a server's
-     *     header), sent as {@code Retry-After} in seconds rounded up to milliseconds; 0 omits the header
+     * @param retryAfterNanos the wait before a retry, which the policy derives from the class and the settings, not
+     *     from a server's header; sent as {@code Retry-After} in seconds, rounded up to milliseconds; 0 omits it
      */
     static FullHttpResponse rejected(long retryAfterNanos) {
         FullHttpResponse response = plainText(HttpResponseStatus.SERVICE_UNAVAILABLE, "refused");
