--- a/sidecar/src/main/java/topazvalve/sidecar/HttpProxy.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/HttpProxy.java
@@ -21,34 +21,41 @@
 import topazvalve.sidecar.http.UpstreamResponse;
 import topazvalve.sidecar.upstream.HttpCodec;
 
-/** HTTP plugged into the core: the front, the exchanges, the pools and the list of order servers. */
+/** The HTTP proxy: the core's exchanges between an HTTP frontend, connection pools and the discovered endpoints. */
 final class HttpProxy {
     private final ExchangeManager<UpstreamRequest, UpstreamResponse> exchanges;
     private final DiscoveryClient discovery;
-    private final HttpFrontend front;
+    private final HttpFrontend frontend;
 
+    /**
+     * Assembles the proxy.
+     *
+     * @param maxActiveRequests requests that may be in progress at once
+     * @param maxClients client connections above which idle ones are evicted
+     * @param relays where the endpoint list is asked for in discovery's place; empty to ask discovery
+     */
     HttpProxy(
             EventLoop loop,
             Config config,
-            int mostOpen,
-            int mostClients,
+            int maxActiveRequests,
+            int maxClients,
             Metrics metrics,
             Lifecycle lifecycle,
             ByteBudget budget,
             List<InetSocketAddress> relays) {
         ClassTable classes = new ClassTable();
-        Scheduler time = EventLoopScheduler.detectingStalls(loop);
+        Scheduler scheduler = EventLoopScheduler.detectingStalls(loop);
         exchanges = new ExchangeManager<>(
-                time,
+                scheduler,
                 config.options(),
                 (settings, actions) -> new SidecarPolicy(settings, config.seed(), actions),
                 new ConnectionPools<>(
                         loop,
-                        time,
+                        scheduler,
                         config.options(),
                         new HttpCodec(HttpCodec.REUSE_DELAY_NANOS),
-                        config.mostUpstream()),
-                mostOpen,
+                        config.limits().maxUpstreamConnections()),
+                maxActiveRequests,
                 metrics,
                 classes);
         discovery = new DiscoveryClient(
@@ -58,23 +65,24 @@
                 PushedDiscovery.of(config.options()),
                 RelaySelector.of(config.name(), relays, config.seed()),
                 exchanges);
-        front = new HttpFrontend(
-                loop, exchanges, classes, config.options().names("parties"), mostClients, lifecycle, budget);
+        frontend = new HttpFrontend(
+                loop, exchanges, classes, config.options().names("parties"), maxClients, lifecycle, budget);
     }
 
+    /** Starts with the endpoints that the configuration knows, and follows discovery. */
     void start(Config config) {
         exchanges.start(discovery, config.known().endpoints());
         discovery.followPushed();
     }
 
-    /** Takes a new configuration over: the settings, and where discovery is. */
+    /** Applies a new configuration: the policy's settings and the address of discovery. */
     void reconfigure(Config config) {
         exchanges.settingsChanged(config.options());
         discovery.changeAddress(config.discovery());
     }
 
-    /** Adds the figures of the list, where relays tell it. */
-    void print(StringBuilder to) {
+    /** Appends the metrics of the endpoint list, where it comes from relays. */
+    void printMetrics(StringBuilder to) {
         discovery.printMetrics(to);
     }
 
@@ -82,13 +90,13 @@
         return exchanges;
     }
 
-    HttpFrontend front() {
-        return front;
+    HttpFrontend frontend() {
+        return frontend;
     }
 
-    /** Holds no more connections; for one that never served. */
+    /** Stops the timers and closes the pools of a proxy that never served a client. */
     void stop() {
-        front.stop();
+        frontend.stop();
         exchanges.stop();
     }
 }
--- a/sidecar/src/main/java/topazvalve/sidecar/Main.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/Main.java
@@ -4,116 +4,92 @@
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
 import java.io.IOException;
-import java.lang.reflect.Proxy;
 import java.nio.file.Path;
 import java.util.concurrent.CompletableFuture;
-import java.util.concurrent.CountDownLatch;
-import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import topazvalve.logging.Logging;
 import topazvalve.sidecar.config.Config;
+import topazvalve.sidecar.config.InvalidConfigException;
 import topazvalve.sidecar.listen.ClientListener;
 
-/** Entry point of the real sidecar: configuration, start, and an orderly end at SIGTERM. */
+/** Entry point of the sidecar: reads the configuration, installs the signal handlers and starts. */
 public final class Main {
     private static final Logger LOG = Logging.of("topazvalve");
+    /** Environment variable with the path of the configuration. */
+    private static final String CONFIG_VARIABLE = "PROXY_CONFIG";
+    /** Environment variable with the descriptor of an inherited listening socket. */
+    private static final String DESCRIPTOR_VARIABLE = "PROXY_FD";
+    /** System property with the path of the operator's file. */
+    private static final String OPERATOR_FILE_PROPERTY = "topazvalve.operator";
+
+    private static final String REHEARSE_ARGUMENT = "rehearse";
+    private static final int EXIT_BAD_CONFIGURATION = 2;
+
+    /** What the sidecar is started from. */
+    private record StartupInputs(Config config, OperatorFile operatorFile, ClientListener clients) {}
 
     private Main() {}
 
     /**
-     * Runs until SIGTERM, with the argument {@code rehearse} only until it is warm: that checks a
-     * configuration, and shows the build which classes belong in the class archive. A bad configuration ends
-     * it with one line and exit status 2.
+     * Runs until SIGTERM. With the argument {@code rehearse} it exits with status 0 as soon as it is warm: this
+     * checks a configuration, and shows the build which classes belong into the class archive. A bad configuration
+     * ends the process with one log line and exit status 2.
      */
     public static void main(String[] args) {
-        String file = System.getenv("PROXY_CONFIG");
+        String configFile = System.getenv(CONFIG_VARIABLE);
         CompletableFuture<Sidecar> running = new CompletableFuture<>();
-        reloadAtSighup(file, running);
-        Config config;
-        ClientListener clients;
-        OperatorFile operator;
+        // Before the configuration is read: a SIGHUP during the start must not end the process.
+        SignalHandlers.onSighup(() -> reload(running, configFile));
+        StartupInputs inputs;
         try {
-            if (file == null) {
-                throw new IllegalArgumentException("not set: PROXY_CONFIG");
-            }
-            config = Config.read(Path.of(file));
-            operator = OperatorFile.read(operatorFile());
-            clients = ClientListener.given(config.listen(), System.getenv("PROXY_FD"));
+            inputs = readInputs(configFile);
         } catch (IllegalArgumentException | IOException e) {
             e.getMessage().lines().forEach(line -> LOG.error("configuration: {}", line));
-            System.exit(2);
+            System.exit(EXIT_BAD_CONFIGURATION);
             return;
         }
-        MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        EventLoop loop = group.next();
-        boolean rehearsal = args.length == 1 && args[0].equals("rehearse");
-        loop.execute(() -> {
-            Sidecar sidecar = new Sidecar(group, loop, config, clients, operator, rehearsal ? Main::end : () -> {});
-            sidecar.start();
-            endAtSigterm(loop, sidecar);
-            running.complete(sidecar);
-        });
+        boolean rehearsal = args.length == 1 && args[0].equals(REHEARSE_ARGUMENT);
+        start(inputs, running, rehearsal ? Main::exit : () -> {});
+    }
+
+    private static StartupInputs readInputs(String configFile) throws IOException {
+        if (configFile == null) {
+            throw new InvalidConfigException("not set", CONFIG_VARIABLE);
+        }
+        Config config = Config.read(Path.of(configFile));
+        OperatorFile operatorFile = OperatorFile.read(operatorFile());
+        ClientListener clients = ClientListener.given(config.listen(), System.getenv(DESCRIPTOR_VARIABLE));
+        return new StartupInputs(config, operatorFile, clients);
     }
 
-    /** What this installation has beyond the platform's; null where it has nothing. */
+    /** The path of the operator's file; null if this installation has none. */
     private static Path operatorFile() {
-        String file = System.getProperty("topazvalve.operator");
+        String file = System.getProperty(OPERATOR_FILE_PROPERTY);
         return file == null ? null : Path.of(file);
     }
 
-    /**
-     * Left to itself the JVM ends at SIGHUP. It calls this handler on a thread of its own, so reading the
-     * file holds nobody up; one that comes before the start is over waits for it. A bad file changes nothing.
-     */
-    private static void reloadAtSighup(String file, CompletableFuture<Sidecar> running) {
-        onSighup(() -> {
-            Sidecar sidecar = running.join();
-            synchronized (running) {
-                sidecar.reload(Path.of(file), operatorFile());
-            }
+    private static void start(StartupInputs inputs, CompletableFuture<Sidecar> running, Runnable whenReady) {
+        MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+        EventLoop loop = group.next();
+        loop.execute(() -> {
+            Sidecar sidecar =
+                    new Sidecar(group, loop, inputs.config(), inputs.clients(), inputs.operatorFile(), whenReady);
+            sidecar.start();
+            SignalHandlers.shutDownAtSigterm(loop, sidecar);
+            running.complete(sidecar);
         });
     }
 
-    /**
-     * Java's one way to a signal is {@code sun.misc.Signal}, from the module jdk.unsupported. Reached by
-     * reflection since the compiler warns of its name, and that warning can't be turned off by itself.
-     */
-    private static void onSighup(Runnable action) {
-        try {
-            Class<?> signal = Class.forName("sun.misc.Signal");
-            Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object ours = Proxy.newProxyInstance(
-                    Main.class.getClassLoader(), new Class<?>[] {handler}, (proxy, method, arguments) -> {
-                        if (method.getName().equals("handle")) {
-                            action.run();
-                        }
-                        return null;
-                    });
-            signal.getMethod("handle", signal, handler)
-                    .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), ours);
-        } catch (ReflectiveOperationException e) {
-            LOG.error("SIGHUP would end this program: {}", e.toString());
+    /** Reloads one file at a time; a SIGHUP that comes before the start is over waits for it. */
+    private static void reload(CompletableFuture<Sidecar> running, String configFile) {
+        Sidecar sidecar = running.join();
+        synchronized (running) {
+            sidecar.reload(Path.of(configFile), operatorFile());
         }
     }
 
-    /** A rehearsal is over. Not on the loop, which the shutdown hook still needs. */
-    private static void end() {
+    /** Exits from a thread of its own: the shutdown hook still needs the event loop. */
+    private static void exit() {
         new Thread(() -> System.exit(0)).start();
     }
-
-    /** The hook holds the process until all is answered, or as long as the longest request may take. */
-    private static void endAtSigterm(EventLoop loop, Sidecar sidecar) {
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            CountDownLatch done = new CountDownLatch(1);
-            loop.execute(() -> sidecar.end(done));
-            try {
-                if (!done.await(sidecar.longestEndMs(), TimeUnit.MILLISECONDS)) {
-                    LOG.warn("ended with requests or connections open");
-                }
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-            Runtime.getRuntime().halt(0);
-        }));
-    }
 }
--- a/sidecar/src/main/java/topazvalve/sidecar/OperatorFile.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/OperatorFile.java
@@ -14,23 +14,32 @@
 import topazvalve.toml.TomlFile;
 
 /**
- * What an installation has beyond the platform; {@code docs/tcp.md} and {@code docs/relay.md} have each key.
+ * The operator's own settings beyond the platform's; {@code docs/tcp.md} and {@code docs/relay.md} describe each key.
  *
- * @param listeners for opaque streams
- * @param relays where the list is asked for in discovery's place; none, and discovery is
+ * @param listeners for opaque TCP streams
+ * @param relays where the endpoint list is asked for in discovery's place; empty to ask discovery
  */
 public record OperatorFile(List<TcpSettings> listeners, List<InetSocketAddress> relays) {
-    /** Of an installation that has nothing beyond the platform. */
+    /** The settings of an installation without an operator's file. */
     public static final OperatorFile NONE = new OperatorFile(List.of(), List.of());
-    /** An order is drawn over all of them; more than any plan has. */
-    private static final int MOST_RELAYS = 256;
+    /** A permutation of all relays is drawn; this is more than any installation has. */
+    private static final int MAX_RELAYS = 256;
 
-    /** Reads a file; {@link topazvalve.toml.InvalidFileException} if it has faults, and nothing of it holds. */
+    /**
+     * Reads a file; {@code null} stands for none.
+     *
+     * @throws topazvalve.toml.InvalidFileException if the file has mistakes; the message names each key
+     * @throws IOException if the file can't be read
+     */
     public static OperatorFile read(Path file) throws IOException {
         return file == null ? NONE : parse(file.toString(), Files.readString(file));
     }
 
-    /** Reads a text; {@code name} stands for it in messages. */
+    /**
+     * Parses a file's text; {@code name} stands for the file in messages.
+     *
+     * @throws topazvalve.toml.InvalidFileException if it has mistakes; the message names each key
+     */
     public static OperatorFile parse(String name, String text) {
         return TomlFile.parse(
                 name, text, root -> new OperatorFile(TcpFile.listeners(root), relays(root.table("relays"))));
@@ -39,8 +48,8 @@
     private static List<InetSocketAddress> relays(Table table) {
         Set<InetSocketAddress> relays = new LinkedHashSet<>();
         List<String> texts = table.texts("addresses", List.of());
-        if (texts.size() > MOST_RELAYS) {
-            table.wrong("addresses", texts.size() + " are more than " + MOST_RELAYS);
+        if (texts.size() > MAX_RELAYS) {
+            table.wrong("addresses", texts.size() + " are more than " + MAX_RELAYS);
         }
         for (String text : texts) {
             InetSocketAddress address = Addresses.parse(text);
--- a/sidecar/src/main/java/topazvalve/sidecar/TcpProxies.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/TcpProxies.java
@@ -15,18 +15,23 @@
 import topazvalve.tcp.TcpProxy;
 import topazvalve.tcp.TcpSettings;
 
-/** The listeners of the operator's file, beside the platform's one. On the event loop but for the reading. */
+/** The TCP listeners of the operator's file, beside the platform's HTTP one. Used on the event loop unless noted. */
 final class TcpProxies {
     private static final Logger LOG = LoggerFactory.getLogger("tcp");
-    private static final long SWEEP_MS = 100;
-    /** After a grace, the time that an end in order takes. */
-    private static final long ORDERLY_NS = 1_500_000_000L;
+    private static final long DRAIN_CHECK_INTERVAL_MILLIS = 100;
+    /** What a graceful shutdown takes beyond a listener's grace period. */
+    private static final long SHUTDOWN_MARGIN_NANOS = 1_500_000_000L;
 
-    private record Open(TcpProxy side, ClientListener listener) {}
+    private record OpenListener(TcpProxy proxy, ClientListener listener) {
+        boolean isFor(TcpSettings settings) {
+            return proxy.settings().name().equals(settings.name())
+                    && proxy.settings().listen().equals(settings.listen());
+        }
+    }
 
-    private final List<Open> open = new ArrayList<>();
+    private final List<OpenListener> open = new ArrayList<>();
 
-    /** Listens; one listener that can't is told of, and the others serve. */
+    /** Opens the listeners; the failure of one is logged and does not affect the others. */
     void start(
             MultiThreadIoEventLoopGroup group,
             EventLoop loop,
@@ -34,77 +39,88 @@
             long seed,
             ByteBudget budget,
             Lifecycle lifecycle) {
-        for (TcpSettings each : listeners) {
-            TcpProxy side = new TcpProxy(loop, each, seed, budget);
-            side.start();
-            ClientListener listener = ClientListener.beside(each.listen());
-            ChannelFuture opened = listener.open(group, side.connections(), () -> Integer.MAX_VALUE);
-            opened.addListener(done -> {
-                if (done.isSuccess()) {
-                    LOG.info("{}: streams at {}", each.name(), opened.channel().localAddress());
-                } else {
-                    LOG.error("{}: listen: {}", each.name(), done.cause().getMessage());
-                }
-            });
-            open.add(new Open(side, listener));
+        for (TcpSettings settings : listeners) {
+            TcpProxy proxy = new TcpProxy(loop, settings, seed, budget);
+            proxy.start();
+            open.add(new OpenListener(proxy, listen(group, proxy, settings)));
         }
         if (!open.isEmpty()) {
             loop.scheduleWithFixedDelay(
-                    () -> {
-                        if (lifecycle.isDraining()) {
-                            open.forEach(each -> each.side.drain());
-                        }
-                    },
-                    SWEEP_MS,
-                    SWEEP_MS,
+                    () -> drainIfNeeded(lifecycle),
+                    DRAIN_CHECK_INTERVAL_MILLIS,
+                    DRAIN_CHECK_INTERVAL_MILLIS,
                     TimeUnit.MILLISECONDS);
         }
     }
 
-    /** New settings for listeners that are there; others come and go with a restart. */
-    void retune(List<TcpSettings> next) {
-        for (TcpSettings each : next) {
-            Open found = open.stream()
-                    .filter(one -> one.side.settings().name().equals(each.name())
-                            && one.side.settings().listen().equals(each.listen()))
-                    .findAny()
-                    .orElse(null);
-            if (found == null) {
-                LOG.warn("{}: a new listener or a new address waits for a restart", each.name());
+    private static ClientListener listen(MultiThreadIoEventLoopGroup group, TcpProxy proxy, TcpSettings settings) {
+        ClientListener listener = ClientListener.beside(settings.listen());
+        ChannelFuture opened = listener.open(group, proxy.connections(), () -> Integer.MAX_VALUE);
+        opened.addListener(done -> {
+            if (done.isSuccess()) {
+                LOG.info("{}: streams at {}", settings.name(), opened.channel().localAddress());
             } else {
-                found.side.settingsChanged(each);
+                LOG.error("{}: listen: {}", settings.name(), done.cause().getMessage());
             }
+        });
+        return listener;
+    }
+
+    private void drainIfNeeded(Lifecycle lifecycle) {
+        if (lifecycle.isDraining()) {
+            open.forEach(each -> each.proxy.drain());
         }
-        String gone = open.stream()
-                .map(one -> one.side.settings().name())
-                .filter(name -> next.stream().noneMatch(each -> each.name().equals(name)))
+    }
+
+    /** Applies new settings to the open listeners; others come and go with a restart, which is logged. */
+    void reconfigure(List<TcpSettings> next) {
+        for (TcpSettings settings : next) {
+            reconfigure(settings);
+        }
+        String removed = open.stream()
+                .map(each -> each.proxy.settings().name())
+                .filter(name ->
+                        next.stream().noneMatch(settings -> settings.name().equals(name)))
                 .collect(Collectors.joining(", "));
-        if (!gone.isEmpty()) {
-            LOG.warn("{}: stays until a restart, with its last settings", gone);
+        if (!removed.isEmpty()) {
+            LOG.warn("{}: listener stays open until a restart, with its last settings", removed);
+        }
+    }
+
+    private void reconfigure(TcpSettings settings) {
+        for (OpenListener each : open) {
+            if (each.isFor(settings)) {
+                each.proxy.settingsChanged(settings);
+                return;
+            }
         }
+        LOG.warn("{}: a new listener or a new address needs a restart", settings.name());
     }
 
-    void end() {
-        for (Open each : open) {
+    /** Stops accepting; open streams may end within their grace period. */
+    void shutDown() {
+        for (OpenListener each : open) {
             each.listener.stop();
-            each.side.shutDown();
+            each.proxy.shutDown();
         }
     }
 
-    boolean empty() {
-        return open.stream().allMatch(each -> each.side.isIdle());
+    /** Whether no stream is open. */
+    boolean isIdle() {
+        return open.stream().allMatch(each -> each.proxy.isIdle());
     }
 
-    /** How long an end may take, in milliseconds; 0 without listeners. From any thread. */
-    static long longestEndMs(List<TcpSettings> listeners) {
-        return listeners.stream()
-                        .mapToLong(each -> each.drainGraceNanos() + ORDERLY_NS)
-                        .max()
-                        .orElse(0)
-                / 1_000_000;
+    /** How long a shutdown may take in milliseconds; 0 without listeners. From any thread. */
+    static long maxShutdownMillis(List<TcpSettings> listeners) {
+        long longestNanos = listeners.stream()
+                .mapToLong(each -> each.drainGraceNanos() + SHUTDOWN_MARGIN_NANOS)
+                .max()
+                .orElse(0);
+        return TimeUnit.NANOSECONDS.toMillis(longestNanos);
     }
 
-    void print(StringBuilder to) {
-        open.forEach(each -> each.side.printMetrics(to));
+    /** Appends the metrics of each listener. */
+    void printMetrics(StringBuilder to) {
+        open.forEach(each -> each.proxy.printMetrics(to));
     }
 }
--- a/sidecar/src/main/java/topazvalve/sidecar/WarmUp.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/WarmUp.java
@@ -31,114 +31,143 @@
 import topazvalve.sidecar.upstream.HttpCodec;
 
 /**
- * Loads and compiles what every request runs through, before the first client comes: the sidecar asks one of
- * its own listeners, and an instance of the module that nobody hears decides for requests that do not exist.
+ * Loads and compiles the code that every request runs through before the first client comes. Three steps do so: the
+ * policy decides about made-up requests, a frontend in memory answers some, and the sidecar sends requests to one of
+ * its own listeners. Together they take at most 2.5 s. {@code docs/design/sidecar.md} has the reasons.
  */
 final class WarmUp {
-    /** Fewer start sooner and cost the first seconds of service: docs/measurements.md has the figures. */
+    /** Rounds of each step. Fewer start sooner but slow the first seconds: docs/measurements.md has the figures. */
     private static final int ROUNDS = 200;
+    /** For all steps together: on a busy core a sidecar that is partly warm is better than a late one. */
+    private static final long MAX_DURATION_NANOS = 2_500_000_000L;
 
-    private static final long PATIENCE = 1_000_000_000;
-    /** For all rounds together: on a crowded core a cold sidecar is better than a late one. */
-    private static final long LONGEST = 2_500_000_000L;
+    private static final long REQUEST_TIMEOUT_NANOS = 1_000_000_000;
+    /** Virtual time between two made-up requests to the policy. */
+    private static final long POLICY_STEP_NANOS = 10_000_000;
 
-    private static final long STEP = 10_000_000;
+    private static final int OWN_ENDPOINT_ID = 0;
 
-    private final ConnectionPools<UpstreamRequest, UpstreamResponse> self;
-    private final long began;
-    private Runnable done;
+    private final ConnectionPools<UpstreamRequest, UpstreamResponse> connectionsToSelf;
+    private final long startedNanos;
+    private Runnable whenDone;
 
-    private WarmUp(long began, EventLoop loop, Config config) {
-        this.began = began;
-        this.self = new ConnectionPools<>(loop, new EventLoopScheduler(loop), config.options(), new HttpCodec(0), 1);
+    private WarmUp(long startedNanos, EventLoop loop, Config config) {
+        this.startedNanos = startedNanos;
+        this.connectionsToSelf =
+                new ConnectionPools<>(loop, new EventLoopScheduler(loop), config.options(), new HttpCodec(0), 1);
     }
 
     /**
-     * What needs no socket, on the loop and in one go. Nobody must be able to connect yet: a request would
-     * lie unread, and its client's time run, until it is over.
+     * Runs the steps that need no socket, on the event loop and without a pause. Nobody may be able to connect yet: a
+     * request would lie unread, and its deadline pass, until this returns.
      */
     static WarmUp begin(EventLoop loop, Config config) {
-        long began = System.nanoTime();
-        decide(began, config.options().settings());
-        answer(began, loop, config);
-        return new WarmUp(began, loop, config);
+        long startedNanos = System.nanoTime();
+        exercisePolicy(startedNanos, config.options().settings());
+        exerciseFrontend(startedNanos, loop, config);
+        return new WarmUp(startedNanos, loop, config);
     }
 
-    /** The rest; {@code done} follows also if there is no listener or it can't be reached. */
-    void end(InetSocketAddress listener, Runnable then) {
-        done = then;
+    /**
+     * Sends requests to one of the sidecar's own listeners.
+     *
+     * @param listener null if there is none
+     * @param then runs in the end, also if there is no listener or it can't be reached
+     */
+    void finish(InetSocketAddress listener, Runnable then) {
+        whenDone = then;
         if (listener != null) {
-            self.endpointUpdated(0, listener, 0, true);
+            connectionsToSelf.endpointUpdated(OWN_ENDPOINT_ID, listener, 0, true);
         }
-        ask(ROUNDS);
+        sendRequests(ROUNDS);
     }
 
-    private static boolean late(long began) {
-        return System.nanoTime() - began > LONGEST;
+    private static boolean isOverTime(long startedNanos) {
+        return System.nanoTime() - startedNanos > MAX_DURATION_NANOS;
     }
 
-    /** The answer is 503 or 404, since nothing is ready or nobody knows the path: the way is the same. */
-    private void ask(int left) {
-        if (left == 0 || late(began)) {
-            self.close();
-            done.run();
+    /** Sends requests one after another. The response is 503 or 404, but it runs through the same code as any. */
+    private void sendRequests(int remaining) {
+        if (remaining == 0 || isOverTime(startedNanos)) {
+            connectionsToSelf.close();
+            whenDone.run();
             return;
         }
-        UpstreamRequest message = new UpstreamRequest(
+        UpstreamRequest request = new UpstreamRequest(
                 HttpMethod.GET, "/up", new DefaultHttpHeaders().set(HttpHeaderNames.HOST, "app.svc"));
-        self.startAttempt(
-                0,
-                message,
+        connectionsToSelf.startAttempt(
+                OWN_ENDPOINT_ID,
+                request,
                 RequestBody.of(new byte[0]),
-                PATIENCE,
-                (outcome, answer, load) -> ask(outcome == Outcome.ERROR || outcome == Outcome.OK ? left - 1 : 0));
+                REQUEST_TIMEOUT_NANOS,
+                (outcome, response, load) -> sendRequests(wasAnswered(outcome) ? remaining - 1 : 0));
+    }
+
+    private static boolean wasAnswered(Outcome outcome) {
+        return outcome == Outcome.ERROR || outcome == Outcome.OK;
     }
 
-    /** A frontend that nobody can reach takes requests; the core, which knows no server, refuses them. */
-    private static void answer(long began, EventLoop loop, Config config) {
-        HttpProxy side = new HttpProxy(
-                loop, config, ROUNDS, 1, new Metrics(), new Lifecycle(), new ByteBudget(config.bodyBytes()), List.of());
+    /** Sends requests to a frontend in memory, behind which the core knows no endpoint and rejects them. */
+    private static void exerciseFrontend(long startedNanos, EventLoop loop, Config config) {
+        HttpProxy proxy = new HttpProxy(
+                loop,
+                config,
+                ROUNDS,
+                1,
+                new Metrics(),
+                new Lifecycle(),
+                new ByteBudget(config.limits().bodyBytes()),
+                List.of());
+        EmbeddedChannel client = new EmbeddedChannel(proxy.frontend().connectionInitializer());
+        List<RequestClass> classes = config.options().settings().requestClasses();
+        List<String> classNames = config.options().names("profiles");
         List<String> tenants = config.options().names("parties");
-        EmbeddedChannel client = new EmbeddedChannel(side.front().connectionInitializer());
-        List<RequestClass> rules = config.options().settings().requestClasses();
-        List<String> names = config.options().names("profiles");
-        for (int i = 0; i < ROUNDS && !late(began); i++) {
-            Idempotency semantics = rules.get(i % rules.size()).idempotency();
-            String request = (semantics == Idempotency.IDEMPOTENT ? "GET" : "POST") + " /api/x HTTP/1.1\r\n"
-                    + "Host: app.svc\r\nReq-Id: " + i + "\r\n"
-                    + "Req-Kind: " + names.get(i % rules.size()) + "\r\n"
-                    + (semantics == Idempotency.IDEMPOTENCY_KEY ? "Idempotency-Key: " + i + "\r\n" : "")
-                    + (tenants.isEmpty() ? "" : "Req-Owner: " + tenants.get(0) + "\r\n")
-                    + "Req-Deadline-Ms: 1000\r\n"
-                    + (semantics == Idempotency.IDEMPOTENT ? "\r\n" : "Content-Length: 2\r\n\r\nxx");
+        for (int i = 0; i < ROUNDS && !isOverTime(startedNanos); i++) {
+            int classIndex = i % classes.size();
+            String request = request(
+                    i, classNames.get(classIndex), classes.get(classIndex).idempotency(), tenants);
             client.writeInbound(Unpooled.copiedBuffer(request, StandardCharsets.US_ASCII));
             client.runPendingTasks();
             client.releaseOutbound();
         }
         client.finishAndReleaseAll();
-        side.stop();
+        proxy.stop();
+    }
+
+    private static String request(int id, String className, Idempotency idempotency, List<String> tenants) {
+        boolean idempotent = idempotency == Idempotency.IDEMPOTENT;
+        boolean keyed = idempotency == Idempotency.IDEMPOTENCY_KEY;
+        return (idempotent ? "GET" : "POST") + " /api/x HTTP/1.1\r\n"
+                + "Host: app.svc\r\nReq-Id: " + id + "\r\n"
+                + "Req-Kind: " + className + "\r\n"
+                + (keyed ? "Idempotency-Key: " + id + "\r\n" : "")
+                + (tenants.isEmpty() ? "" : "Req-Owner: " + tenants.get(0) + "\r\n")
+                + "Req-Deadline-Ms: 1000\r\n"
+                + (idempotent ? "\r\n" : "Content-Length: 2\r\n\r\nxx");
     }
 
-    private static void decide(long began, Settings settings) {
-        LoadBalancer rules = new SidecarPolicy(settings, 0, new Unheard());
+    private static void exercisePolicy(long startedNanos, Settings settings) {
+        LoadBalancer policy = new SidecarPolicy(settings, 0, new IgnoredActions());
         long now = System.nanoTime() & Long.MAX_VALUE;
-        rules.start(now);
-        rules.endpointsUpdated(
+        policy.start(now);
+        policy.endpointsUpdated(
                 now,
                 UpdateKind.CACHED,
                 List.of(
                         new EndpointInfo(1, 0, 0, 0, EndpointStatus.READY, 1, 0),
                         new EndpointInfo(2, 0, 0, 0, EndpointStatus.READY, 1, 0)));
-        for (int i = 0; i < ROUNDS && !late(began); i++) {
-            now += STEP;
-            rules.requestReceived(
-                    now, new Request(i, i % settings.requestClasses().size(), 0, 0, PATIENCE, 0, false, false));
-            rules.attemptCompleted(now + STEP / 2, i, 0, 1, Outcome.OK, STEP / 2, true, new float[0]);
-            rules.timerFired(now + STEP / 2, i);
+        for (int i = 0; i < ROUNDS && !isOverTime(startedNanos); i++) {
+            now += POLICY_STEP_NANOS;
+            int classIndex = i % settings.requestClasses().size();
+            policy.requestReceived(now, new Request(i, classIndex, 0, 0, REQUEST_TIMEOUT_NANOS, 0, false, false));
+            long responseNanos = POLICY_STEP_NANOS / 2;
+            policy.attemptCompleted(now + responseNanos, i, 0, 1, Outcome.OK, responseNanos, true, new float[0]);
+            policy.timerFired(now + responseNanos, i);
         }
     }
 
-    private static final class Unheard implements LoadBalancer.Actions {
+    /** Carries out nothing that the policy decides. */
+    private static final class IgnoredActions implements LoadBalancer.Actions {
         @Override
         public void forward(long request, long upstream, long timeout) {}
 
--- a/sidecar/src/main/java/topazvalve/sidecar/admin/AdminServer.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/admin/AdminServer.java
@@ -19,7 +19,6 @@
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaderValues;
 import io.netty.handler.codec.http.HttpObjectAggregator;
-import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpServerCodec;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
@@ -38,68 +37,74 @@
 import topazvalve.sidecar.listen.AcceptLimit;
 
 /**
- * Listens for operators: one call on each connection, bounded in size, time and number. A caller that says
- * nothing can keep nobody out, since one connection too many closes the oldest.
+ * Serves the admin endpoint over HTTP/1.1: one call on each connection, limited in size, time and number. A silent
+ * caller can't keep others out, since a connection above the limit closes the oldest one.
  */
 public final class AdminServer {
     private static final Logger LOG = LoggerFactory.getLogger("admin");
-    /** Descriptors that the door may hold. */
-    public static final int MOST_CONNECTIONS = 16;
-    /** Of these, for callers that come while the oldest one's is released. */
+    /** Descriptors that the admin endpoint may hold. */
+    public static final int MAX_CONNECTIONS = 16;
+    /** Those of them for connections that come while the oldest one is being closed. */
     private static final int SPARE_CONNECTIONS = 4;
 
-    private static final int LONGEST_LINE = 1024;
-    private static final int LARGEST_HEAD = 8192;
-    private static final int LARGEST_BODY = 1024;
-    /** From the connecting to the close, whatever has or has not come. */
-    private static final long CALL_TIME_MS = 2_000;
+    private static final int MAX_REQUEST_LINE_BYTES = 1024;
+    private static final int MAX_HEADER_BYTES = 8192;
+    private static final int MAX_BODY_BYTES = 1024;
+    /** How long a connection may last, whatever was sent on it. */
+    private static final long MAX_CONNECTION_MILLIS = 2_000;
 
-    private final AdminCalls calls;
+    private final AdminRoutes routes;
     private final Set<Channel> connections = new LinkedHashSet<>();
 
-    /** Calls are answered, and {@code figures} asked, on the loop that the channels are given. */
-    public AdminServer(Lifecycle lifecycle, Supplier<String> figures) {
-        this.calls = new AdminCalls(lifecycle, figures);
+    /** Creates a server; calls are handled, and {@code metricsText} called, on the event loop of the connections. */
+    public AdminServer(Lifecycle lifecycle, Supplier<String> metricsText) {
+        this.routes = new AdminRoutes(lifecycle, metricsText);
     }
 
-    /** Listens from now on. */
+    /** Starts to listen; the future completes once the address is bound. */
     public ChannelFuture listen(EventLoopGroup group, InetSocketAddress address) {
         return new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
-                .handler(new AcceptLimit(() -> MOST_CONNECTIONS))
+                .handler(new AcceptLimit(() -> MAX_CONNECTIONS))
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
-                    protected void initChannel(Channel made) {
-                        take(made);
+                    protected void initChannel(Channel channel) {
+                        initialize(channel);
                     }
                 })
                 .bind(address);
     }
 
-    private void take(Channel made) {
-        if (connections.size() >= MOST_CONNECTIONS - SPARE_CONNECTIONS) {
-            Iterator<Channel> oldest = connections.iterator();
-            Channel closed = oldest.next();
-            oldest.remove();
-            closed.close();
+    private void initialize(Channel channel) {
+        if (connections.size() >= MAX_CONNECTIONS - SPARE_CONNECTIONS) {
+            closeOldest();
         }
-        connections.add(made);
-        Future<?> end = made.eventLoop().schedule(() -> made.close(), CALL_TIME_MS, TimeUnit.MILLISECONDS);
-        made.closeFuture().addListener(closed -> {
-            end.cancel(false);
-            connections.remove(made);
+        connections.add(channel);
+        Future<?> timeout =
+                channel.eventLoop().schedule(() -> channel.close(), MAX_CONNECTION_MILLIS, TimeUnit.MILLISECONDS);
+        channel.closeFuture().addListener(closed -> {
+            timeout.cancel(false);
+            connections.remove(channel);
         });
-        made.pipeline()
+        channel.pipeline()
                 .addLast(
-                        new HttpServerCodec(LONGEST_LINE, LARGEST_HEAD, LARGEST_BODY),
-                        new HttpObjectAggregator(LARGEST_BODY, true),
-                        new Handler());
+                        new HttpServerCodec(MAX_REQUEST_LINE_BYTES, MAX_HEADER_BYTES, MAX_BODY_BYTES),
+                        new HttpObjectAggregator(MAX_BODY_BYTES, true),
+                        new CallHandler());
     }
 
-    private final class Handler extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private void closeOldest() {
+        Iterator<Channel> iterator = connections.iterator();
+        Channel oldest = iterator.next();
+        iterator.remove();
+        oldest.close();
+    }
+
+    /** Answers the first call on a connection and ignores what follows. */
+    private final class CallHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private boolean answered;
 
         @Override
@@ -108,19 +113,19 @@
                 return;
             }
             answered = true;
-            AdminCalls.Reply reply = request.decoderResult().isFailure()
-                    ? new AdminCalls.Reply(HttpResponseStatus.BAD_REQUEST, "not a call\n", null)
-                    : calls.answer(request.method(), new QueryStringDecoder(request.uri()).rawPath());
-            ByteBuf body = ByteBufUtil.writeUtf8(context.alloc(), reply.text());
-            FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, reply.status(), body);
+            AdminRoutes.Response result = request.decoderResult().isFailure()
+                    ? AdminRoutes.Response.badRequest()
+                    : routes.handle(request.method(), new QueryStringDecoder(request.uri()).rawPath());
+            ByteBuf body = ByteBufUtil.writeUtf8(context.alloc(), result.text());
+            FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, result.status(), body);
             response.headers()
                     .set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.TEXT_PLAIN)
                     .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-            if (reply.allow() != null) {
-                response.headers().set(HttpHeaderNames.ALLOW, reply.allow().name());
+            if (result.allow() != null) {
+                response.headers().set(HttpHeaderNames.ALLOW, result.allow().name());
             }
             HttpUtil.setContentLength(response, body.readableBytes());
-            // What may still come must not turn the close into a reset, which could overtake the answer.
+            // Only the output: with unread input a full close would be a reset, which could overtake the response.
             context.writeAndFlush(response)
                     .addListener(ChannelFutureListener.CLOSE_ON_FAILURE)
                     .addListener(done -> ((DuplexChannel) context.channel()).shutdownOutput());
--- a/sidecar/src/main/java/topazvalve/sidecar/admin/package-info.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/admin/package-info.java
@@ -1,2 +1,2 @@
-/** The operators' door: a second listener for readiness, figures and draining. */
+/** The admin endpoint: a second listener for readiness, metrics and draining. */
 package topazvalve.sidecar.admin;
--- a/sidecar/src/main/java/topazvalve/sidecar/config/package-info.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/config/package-info.java
@@ -1,2 +1,2 @@
-/** What one sidecar is told, read and checked. */
+/** The configuration of one sidecar: reading, validation and resource limits. */
 package topazvalve.sidecar.config;
--- a/sidecar/src/main/java/topazvalve/sidecar/package-info.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/package-info.java
@@ -1,2 +1,2 @@
-/** The sidecar on real sockets: one event loop thread carries the module's decisions out. */
+/** The sidecar process: start, warm-up, configuration reload and shutdown of its proxies, on one event loop. */
 package topazvalve.sidecar;
--- a/sidecar/src/test/java/topazvalve/sidecar/ConfigTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/ConfigTest.java
@@ -15,6 +15,7 @@
 import topazvalve.policy.LoadBalancer.Idempotency;
 import topazvalve.policy.LoadBalancer.Settings;
 import topazvalve.sidecar.config.Config;
+import topazvalve.sidecar.config.InvalidConfigException;
 
 /** The configuration, and the settings in it as the module is told them. */
 class ConfigTest {
@@ -59,12 +60,12 @@
         Path file = folder.resolve("config.json");
         for (int length = 0; length < whole.length(); length++) {
             Files.writeString(file, whole.substring(0, length));
-            assertThrows(IllegalArgumentException.class, () -> Config.read(file), "cut at " + length);
+            assertThrows(InvalidConfigException.class, () -> Config.read(file), "cut at " + length);
         }
         String twice = whole.replaceFirst("\\{", "{\"seed\":\"1\",");
         for (String bad : List.of(whole + whole, whole + "}", twice)) {
             Files.writeString(file, bad);
-            assertThrows(IllegalArgumentException.class, () -> Config.read(file), bad);
+            assertThrows(InvalidConfigException.class, () -> Config.read(file), bad);
         }
         Files.writeString(file, whole);
         assertEquals("n0", Config.read(file).name());
--- a/sidecar/src/test/java/topazvalve/sidecar/DeployedIT.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/DeployedIT.java
@@ -212,7 +212,10 @@
             String log = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
             assertEquals(
                     2, log.lines().filter(line -> line.contains("ready at")).count(), log);
-            assertEquals(2, log.lines().filter(line -> line.contains("ending")).count(), log);
+            assertEquals(
+                    2,
+                    log.lines().filter(line -> line.contains("shutting down")).count(),
+                    log);
         }
     }
 
@@ -261,7 +264,7 @@
             hangUp();
             BufferedReader log = process.errorReader();
             String line = log.readLine();
-            while (!line.contains("not taken")) {
+            while (!line.contains("configuration reload rejected")) {
                 line = log.readLine();
             }
             write(json.put("discovery", third.endpoint()).toString());
--- a/sidecar/src/test/java/topazvalve/sidecar/SidecarFixture.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/SidecarFixture.java
@@ -65,9 +65,9 @@
                 maxClients,
                 metrics,
                 lifecycle,
-                new ByteBudget(config.bodyBytes()),
+                new ByteBudget(config.limits().bodyBytes()),
                 List.of());
-        frontend = proxy.front();
+        frontend = proxy.frontend();
         exchanges = proxy.exchanges();
         loop.submit(() -> proxy.start(config)).sync();
         clientListener = ClientListener.binding(config.listen());
--- a/sidecar/src/test/java/topazvalve/sidecar/StreamsIT.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/StreamsIT.java
@@ -140,7 +140,7 @@
             }
             operator(listener, both, at(one));
             hangUp(process);
-            awaitLine(process, "new configuration taken");
+            awaitLine(process, "configuration reloaded");
             for (int i = 0; i < 8; i++) {
                 try (Socket socket = connect(listener)) {
                     assertEquals('b', letter(socket), "the other one drains");
@@ -148,7 +148,7 @@
             }
             operator(listener, "", "");
             hangUp(process);
-            awaitLine(process, "not taken");
+            awaitLine(process, "configuration reload rejected");
             try (Socket socket = connect(listener)) {
                 assertEquals('b', letter(socket), "what was in force stays");
             }
