--- a/sidecar/src/main/java/topazvalve/sidecar/Main.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/Main.java
@@ -58,7 +58,7 @@
         }
         Config config = Config.read(Path.of(configFile));
         OperatorFile operatorFile = OperatorFile.read(operatorFile());
-        ClientListener clients = ClientListener.given(config.listen(), System.getenv(DESCRIPTOR_VARIABLE));
+        ClientListener clients = ClientListener.inheritedOrBinding(config.listen(), System.getenv(DESCRIPTOR_VARIABLE));
         return new StartupInputs(config, operatorFile, clients);
     }
 
--- a/sidecar/src/main/java/topazvalve/sidecar/Sidecar.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/Sidecar.java
@@ -107,11 +107,11 @@
         ResourceLimits limits = configuration.config().limits();
         int descriptors = limits.clientDescriptors();
         int spareDescriptors = (descriptors - limits.maxClients()) / processes;
-        frontend.whenMoreAreHeld(clients::resume);
+        frontend.onConnectionLimitRaised(clients::resume);
         return clients.open(
                 group,
                 frontend.connectionInitializer(),
-                () -> Math.min(descriptors, frontend.mostHeld() + spareDescriptors));
+                () -> Math.min(descriptors, frontend.connectionLimit() + spareDescriptors));
     }
 
     /** Continues once a socket listens. A sidecar that can't listen exits, so that whoever started it notices. */
--- a/sidecar/src/main/java/topazvalve/sidecar/TcpProxies.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/TcpProxies.java
@@ -54,7 +54,7 @@
     }
 
     private static ClientListener listen(MultiThreadIoEventLoopGroup group, TcpProxy proxy, TcpSettings settings) {
-        ClientListener listener = ClientListener.beside(settings.listen());
+        ClientListener listener = ClientListener.bindingSharedPort(settings.listen());
         ChannelFuture opened = listener.open(group, proxy.connections(), () -> Integer.MAX_VALUE);
         opened.addListener(done -> {
             if (done.isSuccess()) {
