--- a/hollow-fleet/src/test/java/topazvalve/hollowfleet/hollow/HeldTest.java
+++ b/hollow-fleet/src/test/java/topazvalve/hollowfleet/hollow/HeldTest.java
@@ -31,9 +31,9 @@
     @Test
     void everyEntryThatTakesAnothersPlaceIsTold() {
         take(UpdateKind.FULL, entry(0, 1, EndpointStatus.READY), entry(2, 3, EndpointStatus.DRAINING));
-        assertEquals(List.of("0:0GONE>1READY", "2:0GONE>3DRAINING"), told);
+        assertEquals(List.of("0:0REMOVED>1READY", "2:0REMOVED>3DRAINING"), told);
         take(UpdateKind.DELTA, entry(0, 1, EndpointStatus.READY), entry(2, 4, EndpointStatus.REMOVED));
-        assertEquals(List.of("2:3DRAINING>4GONE"), told);
+        assertEquals(List.of("2:3DRAINING>4REMOVED"), told);
         assertEquals(1, held.present());
     }
 
@@ -44,7 +44,7 @@
         int gone = truth.changed(0, EndpointStatus.REMOVED, 5);
         take(UpdateKind.FULL, entry(0, first, EndpointStatus.READY), entry(1, other, EndpointStatus.READY));
         take(UpdateKind.FULL);
-        assertEquals(List.of("0:1READY>" + gone + "GONE", "1:2READY>2GONE"), told);
+        assertEquals(List.of("0:1READY>" + gone + "REMOVED", "1:2READY>2REMOVED"), told);
         assertEquals(0, held.present());
     }
 
@@ -54,7 +54,7 @@
         int gone = truth.changed(0, EndpointStatus.REMOVED, 5);
         take(UpdateKind.FULL, entry(0, first, EndpointStatus.READY));
         take(UpdateKind.DELTA, entry(0, 0, EndpointStatus.REMOVED));
-        assertEquals(List.of("0:1READY>" + gone + "GONE"), told);
+        assertEquals(List.of("0:1READY>" + gone + "REMOVED"), told);
     }
 
     @Test
