--- a/core/src/test/java/topazvalve/core/classes/ClassTableTest.java
+++ b/core/src/test/java/topazvalve/core/classes/ClassTableTest.java
@@ -10,16 +10,16 @@
 import topazvalve.policy.LoadBalancer.KeyScope;
 import topazvalve.policy.LoadBalancer.RequestClass;
 
-/** What a class's number means, over several configurations. */
+/** The numbers of request classes over several configurations. */
 class ClassTableTest {
     private final ClassTable table = new ClassTable();
 
-    private static RequestClass rules(Idempotency semantics, long deadline) {
-        return new RequestClass(1, 0, deadline, 1, 0, semantics, KeyScope.ALL, 0, false);
+    private static RequestClass rules(Idempotency idempotency, long deadlineNanos) {
+        return new RequestClass(1, 0, deadlineNanos, 1, 0, idempotency, KeyScope.ALL, 0, false);
     }
 
     @Test
-    void numbersFollowTheFirstFile() {
+    void classesAreNumberedInTheOrderOfTheFirstConfiguration() {
         table.update(
                 List.of("a", "b"), List.of(rules(Idempotency.NON_IDEMPOTENT, 1), rules(Idempotency.IDEMPOTENT, 1)));
         assertEquals(0, table.find("a").number());
@@ -27,9 +27,9 @@
         assertNull(table.find("c"));
     }
 
-    /** An unsafe class that becomes repeatable must not make its open requests repeatable. */
+    /** A non-idempotent class that becomes idempotent must not make its open requests idempotent. */
     @Test
-    void anotherEffectIsAnotherNumber() {
+    void classWithAnotherEffectGetsAnotherNumber() {
         table.update(List.of("a"), List.of(rules(Idempotency.NON_IDEMPOTENT, 1)));
         table.update(List.of("a"), List.of(rules(Idempotency.IDEMPOTENT, 1)));
         assertNotEquals(0, table.find("a").number());
@@ -40,13 +40,13 @@
     }
 
     @Test
-    void newFiguresKeepTheNumber() {
+    void classWithOtherDeadlineKeepsItsNumber() {
         table.update(
                 List.of("a", "b"), List.of(rules(Idempotency.NON_IDEMPOTENT, 1), rules(Idempotency.NON_IDEMPOTENT, 1)));
         table.update(List.of("b"), List.of(rules(Idempotency.NON_IDEMPOTENT, 7)));
         assertEquals(1, table.find("b").number());
         assertEquals(7, table.rules().get(1).deadlineNanos());
         assertNull(table.find("a"), "no longer in force");
-        assertEquals(2, table.rules().size(), "but still there for what is open");
+        assertEquals(2, table.rules().size(), "but still listed for open requests");
     }
 }
--- a/core/src/test/java/topazvalve/core/lifecycle/LifecycleTest.java
+++ b/core/src/test/java/topazvalve/core/lifecycle/LifecycleTest.java
@@ -5,13 +5,13 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Who may come and who should go, from the start to the end. */
+/** Whether clients are accepted and connections drained, from start to shutdown. */
 class LifecycleTest {
     private final Lifecycle lifecycle = new Lifecycle();
 
     @Test
-    void takesClientsOnceStartedAndWhileNoLameDuck() {
-        assertFalse(lifecycle.acceptsClients(), "not yet warm");
+    void acceptsClientsOnceStartedUnlessLameDuck() {
+        assertFalse(lifecycle.acceptsClients(), "not started");
         assertFalse(lifecycle.isDraining());
         lifecycle.markStarted();
         assertTrue(lifecycle.acceptsClients());
@@ -23,16 +23,16 @@
         assertFalse(lifecycle.closesIdleConnections());
     }
 
-    /** One that is told before it has started stays a lame duck. */
+    /** A sidecar that became a lame duck before its start stays one. */
     @Test
-    void startDoesNotTurnALameDuckBack() {
+    void startDoesNotRevokeLameDuck() {
         lifecycle.setLameDuck(true);
         lifecycle.markStarted();
         assertFalse(lifecycle.acceptsClients());
     }
 
     @Test
-    void nothingTurnsTheEndBack() {
+    void shutdownCannotBeRevoked() {
         lifecycle.markStarted();
         lifecycle.shutDown(1_000_000_000);
         assertFalse(lifecycle.setLameDuck(false));
--- a/core/src/test/java/topazvalve/core/stream/RequestBodyTest.java
+++ b/core/src/test/java/topazvalve/core/stream/RequestBodyTest.java
@@ -13,37 +13,37 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** What is held of a body, for how long, and that none of it is lost on its way. */
+/** What a body buffers, for how long, and that none of its bytes are lost. */
 class RequestBodyTest {
     private final Random random = new Random(7);
-    private final ByteArrayOutputStream read = new ByteArrayOutputStream();
-    private int dropped;
-    private int rooms;
+    private final ByteArrayOutputStream readBytes = new ByteArrayOutputStream();
+    private int notReplayableCalls;
+    private int spaceAvailableCalls;
 
-    private RequestBody body(long budget) {
-        RequestBody body = new RequestBody(new ByteBudget(budget), -1);
-        body.onProgress(() -> {}, () -> dropped++);
-        body.onSpaceAvailable(() -> rooms++);
+    private RequestBody newBody(long budgetBytes) {
+        RequestBody body = new RequestBody(new ByteBudget(budgetBytes), -1);
+        body.onProgress(() -> {}, () -> notReplayableCalls++);
+        body.onSpaceAvailable(() -> spaceAvailableCalls++);
         return body;
     }
 
-    private byte[] bytes(int size) {
+    private byte[] randomBytes(int size) {
         byte[] bytes = new byte[size];
         random.nextBytes(bytes);
         return bytes;
     }
 
     private void readAll(RequestBody body) {
-        for (ByteBuf piece = body.nextChunk(); piece != null; piece = body.nextChunk()) {
-            read.writeBytes(ByteBufUtil.getBytes(piece));
-            piece.release();
+        for (ByteBuf chunk = body.nextChunk(); chunk != null; chunk = body.nextChunk()) {
+            readBytes.writeBytes(ByteBufUtil.getBytes(chunk));
+            chunk.release();
         }
     }
 
     @Test
-    void smallBodyIsReadAsOftenAsItIsAskedFor() {
-        RequestBody body = body(1 << 20);
-        byte[] bytes = bytes(50_000);
+    void bodyWithinItsQuotaIsReplayable() {
+        RequestBody body = newBody(1 << 20);
+        byte[] bytes = randomBytes(50_000);
         body.add(Unpooled.wrappedBuffer(bytes, 0, 20_000));
         body.startReading(() -> {});
         readAll(body);
@@ -51,51 +51,51 @@
         body.add(Unpooled.wrappedBuffer(bytes, 20_000, 30_000));
         body.complete();
         for (int attempt = 0; attempt < 3; attempt++) {
-            read.reset();
+            readBytes.reset();
             body.startReading(() -> {});
             readAll(body);
             assertTrue(body.isFullyRead());
-            assertArrayEquals(bytes, read.toByteArray());
+            assertArrayEquals(bytes, readBytes.toByteArray());
             assertTrue(body.isReplayable());
         }
         assertEquals(50_000, body.length());
-        assertEquals(0, dropped);
+        assertEquals(0, notReplayableCalls);
     }
 
-    /** Far more than may be held goes through in pieces of any size, and no more than a share is kept. */
+    /** A body far above its quota passes in chunks of any size, and no more than the quota is buffered. */
     @Test
-    void largeBodyGoesThroughWithinItsShare() {
-        RequestBody body = body(0);
-        byte[] bytes = bytes(2_000_000);
-        int at = 0;
+    void bodyAboveItsQuotaPassesAndIsNotReplayable() {
+        RequestBody body = newBody(0);
+        byte[] bytes = randomBytes(2_000_000);
+        int position = 0;
         boolean reading = false;
-        while (at < bytes.length) {
+        while (position < bytes.length) {
             if (body.isFull()) {
                 if (!reading) {
-                    assertTrue(body.isReplayable(), "all is there until somebody reads");
+                    assertTrue(body.isReplayable(), "nothing is released before it is read");
                     body.startReading(() -> {});
                     reading = true;
                 }
-                int before = rooms;
+                int callsBefore = spaceAvailableCalls;
                 readAll(body);
                 assertFalse(body.isFull());
-                assertTrue(rooms > before, "whoever waits for room is told");
+                assertTrue(spaceAvailableCalls > callsBefore, "space is reported");
             }
-            int size = Math.min(1 + random.nextInt(9000), bytes.length - at);
-            body.add(Unpooled.wrappedBuffer(bytes, at, size));
-            at += size;
+            int size = Math.min(1 + random.nextInt(9000), bytes.length - position);
+            body.add(Unpooled.wrappedBuffer(bytes, position, size));
+            position += size;
         }
         body.complete();
         readAll(body);
         assertTrue(body.isFullyRead());
-        assertArrayEquals(bytes, read.toByteArray());
+        assertArrayEquals(bytes, readBytes.toByteArray());
         assertFalse(body.isReplayable());
-        assertEquals(1, dropped, "told once");
+        assertEquals(1, notReplayableCalls, "reported once");
     }
 
-    /** Its share may grow while nobody reads: whoever waits for room must not wait for ever. */
+    /** The quota may grow while nobody reads: whoever waits for space must not wait for ever. */
     @Test
-    void roomIsToldAlsoWhenTheShareHasGrown() {
+    void spaceIsReportedAlsoWhenTheQuotaHasGrown() {
         ByteBudget budget = new ByteBudget(3 * ByteBudget.MIN_QUOTA_BYTES);
         RequestBody[] others = new RequestBody[3];
         for (int i = 0; i < others.length; i++) {
@@ -103,34 +103,34 @@
             others[i].add(Unpooled.wrappedBuffer(new byte[1]));
         }
         RequestBody body = new RequestBody(budget, -1);
-        body.onSpaceAvailable(() -> rooms++);
-        body.add(Unpooled.wrappedBuffer(bytes(20_000)));
+        body.onSpaceAvailable(() -> spaceAvailableCalls++);
+        body.add(Unpooled.wrappedBuffer(randomBytes(20_000)));
         assertTrue(body.isFull());
         for (RequestBody other : others) {
             other.discard();
         }
         assertFalse(body.isFull());
-        rooms = 0;
+        spaceAvailableCalls = 0;
         body.startReading(() -> {});
         readAll(body);
-        assertTrue(rooms > 0);
-        assertTrue(body.isReplayable(), "there was no need to let go of anything");
+        assertTrue(spaceAvailableCalls > 0);
+        assertTrue(body.isReplayable(), "nothing had to be released");
     }
 
     @Test
-    void discardedBodyHoldsNothingAndTakesNothing() {
-        RequestBody body = body(0);
-        body.add(Unpooled.wrappedBuffer(bytes(20_000)));
+    void discardedBodyBuffersAndAcceptsNothing() {
+        RequestBody body = newBody(0);
+        body.add(Unpooled.wrappedBuffer(randomBytes(20_000)));
         assertTrue(body.isFull());
         body.discard();
-        body.add(Unpooled.wrappedBuffer(bytes(20_000)));
+        body.add(Unpooled.wrappedBuffer(randomBytes(20_000)));
         assertFalse(body.isFull());
         assertNull(body.nextChunk());
         assertFalse(body.isReplayable());
     }
 
     @Test
-    void budgetIsSharedOutAmongTheBodiesUnderWay() {
+    void budgetIsDividedAmongTheBodiesInProgress() {
         ByteBudget budget = new ByteBudget(400_000);
         assertEquals(ByteBudget.MAX_QUOTA_BYTES, budget.quotaBytes());
         RequestBody[] bodies = new RequestBody[4];
@@ -139,9 +139,9 @@
             bodies[i].add(Unpooled.wrappedBuffer(new byte[1]));
         }
         assertEquals(100_000, budget.quotaBytes());
-        for (RequestBody each : bodies) {
-            each.discard();
-            each.discard();
+        for (RequestBody body : bodies) {
+            body.discard();
+            body.discard();
         }
         assertEquals(ByteBudget.MAX_QUOTA_BYTES, budget.quotaBytes());
     }
