--- a/logging/src/main/java/topazvalve/logging/package-info.java
+++ b/logging/src/main/java/topazvalve/logging/package-info.java
@@ -1,2 +1,2 @@
-/** The one place that says where log lines go and what they look like. */
+/** Where log lines go and what they look like, for every program of the project. */
 package topazvalve.logging;
--- a/logging/src/test/java/topazvalve/logging/LineFormatterTest.java
+++ b/logging/src/test/java/topazvalve/logging/LineFormatterTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 class LineFormatterTest {
-    private static LogRecord nasty() {
+    private static LogRecord recordWithControlCharacters() {
         LogRecord entry = new LogRecord(Level.WARNING, "a \"b\"\n{c} \u0001 ü");
         entry.setLoggerName("upstream");
         entry.setInstant(Instant.parse("2026-01-02T03:04:05.678Z"));
@@ -22,8 +22,8 @@
     }
 
     @Test
-    void textIsOneLineWhateverIsInIt() {
-        String line = new LineFormatter(false).format(nasty());
+    void textIsOneLineWhateverCharactersItHas() {
+        String line = new LineFormatter(false).format(recordWithControlCharacters());
         assertEquals(1, line.lines().count());
         assertEquals(
                 0,
@@ -33,20 +33,20 @@
     }
 
     @Test
-    void jsonParsesBackToWhatWentIn() throws Exception {
-        String line = new LineFormatter(true).format(nasty());
+    void jsonParsesBackToTheRecord() throws Exception {
+        String line = new LineFormatter(true).format(recordWithControlCharacters());
         assertEquals(1, line.lines().count());
-        Map<String, String> read = new LinkedHashMap<>();
+        Map<String, String> fields = new LinkedHashMap<>();
         try (JsonParser parser = new JsonFactory().createParser(line)) {
             for (JsonToken token = parser.nextToken(); token != null; token = parser.nextToken()) {
                 if (token == JsonToken.VALUE_STRING) {
-                    read.put(parser.currentName(), parser.getText());
+                    fields.put(parser.currentName(), parser.getText());
                 }
             }
         }
-        assertEquals("a \"b\"\n{c} \u0001 ü", read.get("message"));
-        assertEquals("java.lang.IllegalStateException: bro\nken", read.get("exception"));
+        assertEquals("a \"b\"\n{c} \u0001 ü", fields.get("message"));
+        assertEquals("java.lang.IllegalStateException: bro\nken", fields.get("exception"));
         assertEquals(
-                "[time, level, logger, message, exception, at]", read.keySet().toString());
+                "[time, level, logger, message, exception, at]", fields.keySet().toString());
     }
 }
--- a/toml/src/main/java/topazvalve/toml/InvalidFileException.java
+++ b/toml/src/main/java/topazvalve/toml/InvalidFileException.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** A file is refused; the message has one line for each fault, and nothing of the file is played. */
+/** A file that was rejected as a whole. The message has one line for each problem. */
 public final class InvalidFileException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
     private final transient List<Problem> problems;
@@ -13,7 +13,7 @@
         this.problems = List.copyOf(problems);
     }
 
-    /** All faults, in the file's order. */
+    /** Returns all problems, in the order of the file's lines. */
     public List<Problem> problems() {
         return problems;
     }
--- a/toml/src/main/java/topazvalve/toml/KeyLines.java
+++ b/toml/src/main/java/topazvalve/toml/KeyLines.java
@@ -6,53 +6,63 @@
 import java.util.regex.Pattern;
 
 /**
- * In which line of a TOML file each key stands: the parser's tree does not say. Paths are as in
+ * Finds the line of each key of a TOML file, which the parser's tree does not tell. Paths are as in
  * {@code class.0.aim}; tables and arrays of tables have the line of their header.
  */
 final class KeyLines {
     private static final Pattern HEADER = Pattern.compile("\\s*(\\[\\[?)\\s*([^\\]]+?)\\s*\\]\\]?\\s*(#.*)?");
     private static final Pattern KEY = Pattern.compile("\\s*([A-Za-z0-9_\\-.\"' ]+?)\\s*=.*");
+    private static final String ARRAY_HEADER = "[[";
 
-    private final Map<String, Integer> lines = new HashMap<>();
+    private final Map<String, Integer> lineByPath = new HashMap<>();
+    private final Map<String, Integer> arraySizes = new HashMap<>();
 
     KeyLines(String text) {
-        Map<String, Integer> counts = new HashMap<>();
-        String table = "";
-        int number = 0;
+        String prefix = "";
+        int lineNumber = 0;
         for (String line : text.split("\n", -1)) {
-            number++;
+            lineNumber++;
             Matcher header = HEADER.matcher(line);
             Matcher key = KEY.matcher(line);
             if (header.matches()) {
-                table = plain(header.group(2));
-                if (header.group(1).equals("[[")) {
-                    int index = counts.merge(table, 1, Integer::sum) - 1;
-                    lines.putIfAbsent(table, number);
-                    table = table + "." + index;
-                }
-                lines.putIfAbsent(table, number);
-                table = table + ".";
+                prefix = addHeader(header, lineNumber) + ".";
             } else if (key.matches()) {
-                lines.putIfAbsent(table + plain(key.group(1)), number);
+                lineByPath.putIfAbsent(prefix + unquote(key.group(1)), lineNumber);
             }
         }
     }
 
-    private static String plain(String key) {
+    /** Notes the line of a table's header; returns the table's path. */
+    private String addHeader(Matcher header, int lineNumber) {
+        String path = unquote(header.group(2));
+        if (header.group(1).equals(ARRAY_HEADER)) {
+            int index = arraySizes.merge(path, 1, Integer::sum) - 1;
+            lineByPath.putIfAbsent(path, lineNumber);
+            path = path + "." + index;
+        }
+        lineByPath.putIfAbsent(path, lineNumber);
+        return path;
+    }
+
+    private static String unquote(String key) {
         return key.replaceAll("[\"' ]", "");
     }
 
-    /** The line of a key, or of the nearest thing around it that has one; 1 where nothing has. */
-    int of(String path) {
-        String at = path;
-        while (!at.isEmpty()) {
-            Integer line = lines.get(at);
+    /** Returns the line of a key, or of the innermost table around it that has one; 1 where none has. */
+    int lineOf(String path) {
+        String ancestor = path;
+        while (!ancestor.isEmpty()) {
+            Integer line = lineByPath.get(ancestor);
             if (line != null) {
                 return line;
             }
-            int dot = at.lastIndexOf('.');
-            at = dot < 0 ? "" : at.substring(0, dot);
+            ancestor = parentOf(ancestor);
         }
         return 1;
     }
+
+    private static String parentOf(String path) {
+        int lastDot = path.lastIndexOf('.');
+        return lastDot < 0 ? "" : path.substring(0, lastDot);
+    }
 }
--- a/toml/src/main/java/topazvalve/toml/Problem.java
+++ b/toml/src/main/java/topazvalve/toml/Problem.java
@@ -1,7 +1,15 @@
 package topazvalve.toml;
 
-/** One fault of a file: where, which key, and what was meant. */
+/**
+ * One problem of a file.
+ *
+ * @param file the file's name as messages show it
+ * @param line the line of the key, from 1 on
+ * @param key the key's full path, such as {@code class.0.aim}; empty if the problem is not with one key
+ * @param what what is wrong, and what was expected
+ */
 public record Problem(String file, int line, String key, String what) {
+    /** Returns the problem as one line: {@code file:line: key: what}. */
     @Override
     public String toString() {
         return file + ":" + line + ": " + (key.isEmpty() ? "" : key + ": ") + what;
--- a/toml/src/main/java/topazvalve/toml/Range.java
+++ b/toml/src/main/java/topazvalve/toml/Range.java
@@ -1,9 +1,14 @@
 package topazvalve.toml;
 
-/** Between two numbers, both included; each thing that has one draws its own value. */
+/**
+ * A range of numbers, both bounds included.
+ *
+ * @param low the lower bound
+ * @param high the upper bound, at least {@code low}
+ */
 public record Range(double low, double high) {
-    /** The value that lies this part of the way up; {@code part} from 0 to 1. */
-    public double at(double part) {
-        return low + (high - low) * part;
+    /** Returns the value at a fraction of the way from low to high; {@code fraction} is from 0 to 1. */
+    public double at(double fraction) {
+        return low + (high - low) * fraction;
     }
 }
--- a/toml/src/main/java/topazvalve/toml/Table.java
+++ b/toml/src/main/java/topazvalve/toml/Table.java
@@ -13,23 +13,36 @@
 import java.util.regex.Pattern;
 
 /**
- * One table of a file while it is read. Every key is asked for once, with what it may be; a fault is noted
- * and reading goes on, so that a file's faults are told all at once. What nobody asked for is a fault too.
+ * One table of a file while it is read. The reader requests each key once, with the values that it allows. A
+ * problem is noted and reading goes on with a value in bounds, so that all problems of a file are reported at once;
+ * a key that was never requested is a problem too.
+ *
+ * <p>Methods that take a {@code defaultValue} return it where the file lacks the key; null makes the key required.
  */
 public final class Table {
     private static final Pattern DURATION = Pattern.compile("([0-9]+(?:\\.[0-9]+)?)(us|ms|s|m)");
-    private static final Map<String, Double> UNITS = Map.of("us", 1e3, "ms", 1e6, "s", 1e9, "m", 60e9);
-    private static final double LONGEST = 86_400e9;
+    private static final Map<String, Double> NANOS_PER_UNIT = Map.of("us", 1e3, "ms", 1e6, "s", 1e9, "m", 60e9);
+    private static final double MAX_DURATION_NANOS = 86_400e9;
+    private static final long INVALID_DURATION = -1;
 
     private final String file;
     private final KeyLines lines;
     private final List<Problem> problems;
     private final String path;
     private final JsonNode node;
-    private final Set<String> asked = new LinkedHashSet<>();
-    private final List<Table> inner = new ArrayList<>();
+    private final Set<String> requestedKeys = new LinkedHashSet<>();
+    private final List<Table> innerTables = new ArrayList<>();
 
-    public Table(String file, KeyLines lines, List<Problem> problems, String path, JsonNode node) {
+    /**
+     * Creates a table.
+     *
+     * @param file the file's name in messages
+     * @param lines the lines of the file's keys
+     * @param problems takes the problems of all of the file's tables
+     * @param path the table's path; empty for the root
+     * @param node the parsed table
+     */
+    Table(String file, KeyLines lines, List<Problem> problems, String path, JsonNode node) {
         this.file = file;
         this.lines = lines;
         this.problems = problems;
@@ -37,143 +50,163 @@
         this.node = node;
     }
 
-    private String at(String key) {
+    private String pathOf(String key) {
         return path.isEmpty() ? key : path + "." + key;
     }
 
-    /** Notes a fault of this key. */
+    /** Notes a problem with a key of this table, or with the table itself if {@code key} is empty. */
     public void wrong(String key, String what) {
-        String full = key.isEmpty() ? path : at(key);
-        problems.add(new Problem(file, lines.of(full), full, what));
+        String fullPath = key.isEmpty() ? path : pathOf(key);
+        problems.add(new Problem(file, lines.lineOf(fullPath), fullPath, what));
     }
 
-    /** Whether the file gives this key. */
+    /** Returns whether the file has this key, and counts the key as requested. */
     public boolean has(String key) {
-        asked.add(key);
+        requestedKeys.add(key);
         return node.has(key);
     }
 
-    private JsonNode value(String key, boolean required, String meant) {
-        asked.add(key);
+    /** Returns a key's value, or null where the file lacks it; that is a problem if the key is required. */
+    private JsonNode value(String key, boolean required, String expected) {
+        requestedKeys.add(key);
         JsonNode value = node.get(key);
         if (value == null && required) {
-            wrong(key, "missing; " + meant);
+            wrong(key, "missing; " + expected);
         }
         return value;
     }
 
-    /** Nanoseconds from a text such as {@code "250ms"}; {@code absent} null makes the key required. */
-    public long duration(String key, String absent, String least, String most) {
-        String meant = "a duration from " + least + " to " + most + " in quotes, such as \"250ms\" (us, ms, s, m)";
-        JsonNode value = value(key, absent == null, meant);
+    /**
+     * Reads a duration, a text such as {@code "250ms"}.
+     *
+     * @param min the least duration allowed, as text
+     * @param max the greatest duration allowed, as text; a day at most
+     * @return nanoseconds
+     */
+    public long duration(String key, String defaultValue, String min, String max) {
+        String expected = "a duration from " + min + " to " + max + " in quotes, such as \"250ms\" (us, ms, s, m)";
+        JsonNode value = value(key, defaultValue == null, expected);
         if (value == null) {
-            return absent == null ? nanos(least) : nanos(absent);
+            return parseDuration(defaultValue == null ? min : defaultValue);
         }
-        long read = value.isTextual() ? nanos(value.asText()) : -1;
-        if (read < nanos(least) || read > nanos(most)) {
-            wrong(key, value + " is not " + meant);
-            return nanos(least);
+        long nanos = value.isTextual() ? parseDuration(value.asText()) : INVALID_DURATION;
+        if (nanos < parseDuration(min) || nanos > parseDuration(max)) {
+            wrong(key, value + " is not " + expected);
+            return parseDuration(min);
         }
-        return read;
+        return nanos;
     }
 
-    private static long nanos(String text) {
-        Matcher matcher = DURATION.matcher(text);
+    /** Returns nanoseconds, or {@link #INVALID_DURATION}. */
+    private static long parseDuration(String text) {
         if (text.equals("0")) {
             return 0;
         }
-        double nanos = matcher.matches() ? Double.parseDouble(matcher.group(1)) * UNITS.get(matcher.group(2)) : -1;
-        return nanos > LONGEST ? -1 : Math.round(nanos);
+        Matcher matcher = DURATION.matcher(text);
+        if (!matcher.matches()) {
+            return INVALID_DURATION;
+        }
+        double nanos = Double.parseDouble(matcher.group(1)) * NANOS_PER_UNIT.get(matcher.group(2));
+        return nanos > MAX_DURATION_NANOS ? INVALID_DURATION : Math.round(nanos);
     }
 
-    /** A number within bounds; {@code absent} null makes the key required. */
-    public double number(String key, Double absent, double least, double most) {
-        String meant = "a number from " + text(least) + " to " + text(most);
-        JsonNode value = value(key, absent == null, meant);
+    /** Reads a number from {@code min} to {@code max}. */
+    public double number(String key, Double defaultValue, double min, double max) {
+        String expected = "a number from " + format(min) + " to " + format(max);
+        JsonNode value = value(key, defaultValue == null, expected);
         if (value == null) {
-            return absent == null ? least : absent;
+            return defaultValue == null ? min : defaultValue;
         }
-        if (!value.isNumber() || !(value.asDouble() >= least && value.asDouble() <= most)) {
-            wrong(key, value + " is not " + meant);
-            return least;
+        if (!value.isNumber() || !(value.asDouble() >= min && value.asDouble() <= max)) {
+            wrong(key, value + " is not " + expected);
+            return min;
         }
         return value.asDouble();
     }
 
-    /** Two numbers within bounds, the lower one first, or one number for both. */
-    public Range range(String key, Range absent, double least, double most) {
-        String meant = "a number, or two in brackets, from " + text(least) + " to " + text(most);
-        JsonNode value = value(key, absent == null, meant);
+    /** Reads a range within {@code min} and {@code max}: two numbers, the lower one first, or one for both. */
+    public Range range(String key, Range defaultValue, double min, double max) {
+        String expected = "a number, or two in brackets, from " + format(min) + " to " + format(max);
+        JsonNode value = value(key, defaultValue == null, expected);
         if (value == null) {
-            return absent == null ? new Range(least, least) : absent;
+            return defaultValue == null ? new Range(min, min) : defaultValue;
         }
         JsonNode low = value.isArray() ? value.path(0) : value;
         JsonNode high = value.isArray() ? value.path(1) : value;
-        if ((value.isArray() && value.size() != 2)
-                || !low.isNumber()
-                || !high.isNumber()
-                || !(low.asDouble() >= least && high.asDouble() <= most && low.asDouble() <= high.asDouble())) {
-            wrong(key, value + " is not " + meant);
-            return new Range(least, least);
+        boolean wrongSize = value.isArray() && value.size() != 2;
+        if (wrongSize || !isRangeWithin(low, high, min, max)) {
+            wrong(key, value + " is not " + expected);
+            return new Range(min, min);
         }
         return new Range(low.asDouble(), high.asDouble());
     }
 
-    /** A whole number within bounds; {@code absent} null makes the key required. */
-    public int whole(String key, Integer absent, int least, int most) {
-        String meant = "a whole number from " + least + " to " + most;
-        JsonNode value = value(key, absent == null, meant);
+    private static boolean isRangeWithin(JsonNode low, JsonNode high, double min, double max) {
+        return low.isNumber()
+                && high.isNumber()
+                && low.asDouble() >= min
+                && high.asDouble() <= max
+                && low.asDouble() <= high.asDouble();
+    }
+
+    /** Reads a whole number from {@code min} to {@code max}. */
+    public int whole(String key, Integer defaultValue, int min, int max) {
+        String expected = "a whole number from " + min + " to " + max;
+        JsonNode value = value(key, defaultValue == null, expected);
         if (value == null) {
-            return absent == null ? least : absent;
+            return defaultValue == null ? min : defaultValue;
         }
-        if (!value.isIntegralNumber() || value.asLong() < least || value.asLong() > most) {
-            wrong(key, value + " is not " + meant);
-            return least;
+        if (!value.isIntegralNumber() || value.asLong() < min || value.asLong() > max) {
+            wrong(key, value + " is not " + expected);
+            return min;
         }
         return value.asInt();
     }
 
-    private static String text(double value) {
-        return value == Math.rint(value) ? Long.toString((long) value) : Double.toString(value);
+    private static String format(double number) {
+        return number == Math.rint(number) ? Long.toString((long) number) : Double.toString(number);
     }
 
-    /** True or false. */
-    public boolean flag(String key, boolean absent) {
+    /** Reads true or false. */
+    public boolean flag(String key, boolean defaultValue) {
         JsonNode value = value(key, false, "");
-        if (value != null && !value.isBoolean()) {
+        if (value == null) {
+            return defaultValue;
+        }
+        if (!value.isBoolean()) {
             wrong(key, value + " is neither true nor false");
-            return absent;
+            return defaultValue;
         }
-        return value == null ? absent : value.asBoolean();
+        return value.asBoolean();
     }
 
-    /** One word of a set, in small letters with dashes; {@code absent} null makes the key required. */
-    public <E extends Enum<E>> E choice(Class<E> type, String key, E absent) {
-        E[] all = type.getEnumConstants();
-        String meant = "one of "
-                + String.join(", ", Arrays.stream(all).map(Table::word).toList());
-        JsonNode value = value(key, absent == null, meant);
+    /** Reads one of an enum's constants, written as {@link #word} writes it. */
+    public <E extends Enum<E>> E choice(Class<E> type, String key, E defaultValue) {
+        E[] constants = type.getEnumConstants();
+        List<String> words = Arrays.stream(constants).map(Table::word).toList();
+        String expected = "one of " + String.join(", ", words);
+        JsonNode value = value(key, defaultValue == null, expected);
         if (value == null) {
-            return absent == null ? all[0] : absent;
+            return defaultValue == null ? constants[0] : defaultValue;
         }
-        for (E each : all) {
-            if (value.isTextual() && word(each).equals(value.asText())) {
-                return each;
-            }
+        int index = value.isTextual() ? words.indexOf(value.asText()) : -1;
+        if (index < 0) {
+            wrong(key, value + " is not " + expected);
+            return constants[0];
         }
-        wrong(key, value + " is not " + meant);
-        return all[0];
+        return constants[index];
     }
 
-    public static String word(Enum<?> value) {
-        return value.name().toLowerCase(Locale.ROOT).replace('_', '-');
+    /** Returns how files write an enum's constant: in small letters, with dashes. */
+    public static String word(Enum<?> constant) {
+        return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** A text that is not empty; {@code absent} null makes the key required. */
-    public String text(String key, String absent) {
-        JsonNode value = value(key, absent == null, "a text in quotes");
+    /** Reads a text that is not blank. */
+    public String text(String key, String defaultValue) {
+        JsonNode value = value(key, defaultValue == null, "a text in quotes");
         if (value == null) {
-            return absent == null ? "" : absent;
+            return defaultValue == null ? "" : defaultValue;
         }
         if (!value.isTextual() || value.asText().isBlank()) {
             wrong(key, value + " is not a text in quotes");
@@ -182,91 +215,101 @@
         return value.asText();
     }
 
-    /** Some texts, one at least unless {@code absent} is an empty list. */
-    public List<String> texts(String key, List<String> absent) {
-        boolean mayBeEmpty = absent != null && absent.isEmpty();
-        JsonNode value = value(key, absent == null, "a list of texts");
+    /** Reads a list of different texts, which may be empty only if {@code defaultValue} is. */
+    public List<String> texts(String key, List<String> defaultValue) {
+        JsonNode value = value(key, defaultValue == null, "a list of texts");
         if (value == null) {
-            return absent == null ? List.of() : absent;
+            return defaultValue == null ? List.of() : defaultValue;
         }
-        List<String> read = new ArrayList<>();
-        value.forEach(each -> read.add(each.isTextual() ? each.asText() : ""));
-        if (!value.isArray()
-                || (read.isEmpty() && !mayBeEmpty)
-                || read.contains("")
-                || Set.copyOf(read).size() < read.size()) {
+        List<String> texts = new ArrayList<>();
+        value.forEach(element -> texts.add(element.isTextual() ? element.asText() : ""));
+        boolean mayBeEmpty = defaultValue != null && defaultValue.isEmpty();
+        if (!value.isArray() || (texts.isEmpty() && !mayBeEmpty) || !areDistinctAndNotEmpty(texts)) {
             wrong(key, value + " is not a list of different texts in quotes");
-            return absent == null ? List.of("?") : absent;
+            return defaultValue == null ? List.of("?") : defaultValue;
         }
-        return read;
+        return texts;
     }
 
-    /** An inner table; empty where the file has none. */
+    private static boolean areDistinctAndNotEmpty(List<String> texts) {
+        return !texts.contains("") && Set.copyOf(texts).size() == texts.size();
+    }
+
+    /** Reads an inner table; it is an empty one where the file has none. */
     public Table table(String key) {
         JsonNode value = value(key, false, "");
         if (value != null && !value.isObject()) {
-            wrong(key, "is not a table [" + at(key) + "]");
+            wrong(key, "is not a table [" + pathOf(key) + "]");
             value = null;
         }
-        Table made = new Table(
-                file, lines, problems, at(key), value == null ? JsonNodeFactory.instance.objectNode() : value);
-        inner.add(made);
-        return made;
+        JsonNode innerNode = value == null ? JsonNodeFactory.instance.objectNode() : value;
+        Table inner = new Table(file, lines, problems, pathOf(key), innerNode);
+        innerTables.add(inner);
+        return inner;
     }
 
-    /** An array of tables; {@code least} is how many there must be. */
-    public List<Table> tables(String key, int least) {
-        JsonNode value = value(key, least > 0, "[[" + at(key) + "]] has to be given " + least + " times or more");
-        List<Table> made = new ArrayList<>();
-        if (value != null && !value.isArray()) {
-            wrong(key, "is not an array of tables [[" + at(key) + "]]");
-        } else if (value != null) {
-            for (int i = 0; i < value.size(); i++) {
-                if (value.get(i).isObject()) {
-                    made.add(new Table(file, lines, problems, at(key) + "." + i, value.get(i)));
-                } else {
-                    wrong(key, "is not an array of tables [[" + at(key) + "]]");
-                }
+    /** Reads an array of tables; if {@code minCount} is over 0 the file has to have it. */
+    public List<Table> tables(String key, int minCount) {
+        JsonNode value =
+                value(key, minCount > 0, "[[" + pathOf(key) + "]] has to be given " + minCount + " times or more");
+        if (value == null) {
+            return new ArrayList<>();
+        }
+        if (!value.isArray()) {
+            noteNoArrayOfTables(key);
+            return new ArrayList<>();
+        }
+        List<Table> tables = new ArrayList<>();
+        for (int i = 0; i < value.size(); i++) {
+            JsonNode element = value.get(i);
+            if (element.isObject()) {
+                tables.add(new Table(file, lines, problems, pathOf(key) + "." + i, element));
+            } else {
+                noteNoArrayOfTables(key);
             }
         }
-        inner.addAll(made);
-        return made;
+        innerTables.addAll(tables);
+        return tables;
+    }
+
+    private void noteNoArrayOfTables(String key) {
+        wrong(key, "is not an array of tables [[" + pathOf(key) + "]]");
     }
 
-    /** Notes every key, here and further in, that nobody asked for. */
-    public void finish() {
+    /** Notes every key that was never requested, here and in inner tables. */
+    void finish() {
         node.fieldNames().forEachRemaining(key -> {
-            if (!asked.contains(key)) {
-                wrong(key, "unknown key" + near(key, asked));
+            if (!requestedKeys.contains(key)) {
+                wrong(key, "unknown key" + suggestion(key, requestedKeys));
             }
         });
-        inner.forEach(Table::finish);
+        innerTables.forEach(Table::finish);
     }
 
-    private static String near(String given, Iterable<String> known) {
-        String best = null;
-        int least = Math.max(2, given.length() / 2);
-        for (String each : known) {
-            int far = distance(given, each);
-            if (far <= least) {
-                least = far - 1;
-                best = each;
+    private static String suggestion(String unknownKey, Iterable<String> knownKeys) {
+        String closest = null;
+        int maxDistance = Math.max(2, unknownKey.length() / 2);
+        for (String knownKey : knownKeys) {
+            int distance = editDistance(unknownKey, knownKey);
+            if (distance <= maxDistance) {
+                maxDistance = distance - 1;
+                closest = knownKey;
             }
         }
-        return best == null ? "; known are " + String.join(", ", known) : "; was \"" + best + "\" meant?";
+        return closest == null ? "; known are " + String.join(", ", knownKeys) : "; was \"" + closest + "\" meant?";
     }
 
-    /** Levenshtein's distance. */
-    private static int distance(String a, String b) {
+    /** Returns the Levenshtein distance of two texts. */
+    private static int editDistance(String a, String b) {
         int[] row = new int[b.length() + 1];
         Arrays.setAll(row, i -> i);
         for (int i = 1; i <= a.length(); i++) {
-            int corner = row[0];
+            int diagonal = row[0];
             row[0] = i;
             for (int j = 1; j <= b.length(); j++) {
-                int change = corner + (a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1);
-                corner = row[j];
-                row[j] = Math.min(change, 1 + Math.min(row[j], row[j - 1]));
+                int substitution = diagonal + (a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1);
+                diagonal = row[j];
+                row[j] = Math.min(substitution, 1 + Math.min(row[j], row[j - 1]));
             }
         }
         return row[b.length()];
