--- a/sidecar/src/test/java/topazvalve/sidecar/ConfigTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/ConfigTest.java
@@ -21,7 +21,7 @@
 class ConfigTest {
 
     @Test
-    void settingsReadAsOnTheSimulatorsWire() throws Exception {
+    void settingsAreReadAsInTheSimulatorsProtocol() throws Exception {
         Config config = SidecarFixture.config(SidecarFixture.configJson());
         Settings settings = config.options().settings();
         assertEquals(List.of("rate", "q"), settings.loadReportFields());
@@ -34,28 +34,37 @@
         assertEquals(41, config.known().revision());
     }
 
-    /** Who runs it must see from one line what to mend. */
+    /** One line has to tell the operator which key to correct. */
     @Test
     void mistakesNameTheirKey() throws Exception {
         for (String key : List.of("listen", "discovery", "seed", "settings")) {
             ObjectNode json = SidecarFixture.configJson();
             json.remove(key);
-            assertNames(key, json);
+            assertRejectedNaming(key, json);
         }
         ObjectNode json = SidecarFixture.configJson();
         json.withObject("/settings/rules").remove("rampTime");
-        assertNames("rules.rampTime", json);
+        assertRejectedNaming("rules.rampTime", json);
         json = SidecarFixture.configJson();
         json.withObject("/settings/caps").put("tryLimit", "many");
-        assertNames("caps.tryLimit", json);
+        assertRejectedNaming("caps.tryLimit", json);
         json = SidecarFixture.configJson();
         json.withObject("/limits").put("sockets", 3);
-        assertNames("limits.sockets", json);
+        assertRejectedNaming("limits.sockets", json);
     }
 
-    /** A file that lost its end, or had another pasted to it, must not pass. */
     @Test
-    void truncatedFileIsTurnedDownWhereverItWasCut(@TempDir Path folder) throws Exception {
+    void exceptionCarriesThePathOfTheKey() throws Exception {
+        ObjectNode json = SidecarFixture.configJson();
+        ((ObjectNode) json.at("/settings/profiles/1")).remove("keyScope");
+        InvalidConfigException mistake = assertThrows(InvalidConfigException.class, () -> SidecarFixture.config(json));
+        assertEquals("profiles.1.keyScope", mistake.key());
+        assertEquals("missing: profiles.1.keyScope", mistake.getMessage());
+    }
+
+    /** A truncated file, or one with another appended to it, is rejected. */
+    @Test
+    void truncatedFileIsRejected(@TempDir Path folder) throws Exception {
         String whole = SidecarFixture.configJson().toString();
         Path file = folder.resolve("config.json");
         for (int length = 0; length < whole.length(); length++) {
@@ -72,20 +81,20 @@
     }
 
     @Test
-    void deadlinesAndAttemptsAreNumbersAboveNought() throws Exception {
+    void deadlinesAndAttemptsMustBePositiveNumbers() throws Exception {
         for (String bad : List.of("0", "-1", "\"soon\"", "\"5\"", "null", "true", "[5]", "{}")) {
             ObjectNode json = SidecarFixture.configJson();
             json.withObject("/settings/caps").set("tryLimit", SidecarFixture.JSON.readTree(bad));
-            assertNames("caps.tryLimit", json);
+            assertRejectedNaming("caps.tryLimit", json);
             json = SidecarFixture.configJson();
             ((ObjectNode) json.at("/settings/profiles/1")).set("deadline", SidecarFixture.JSON.readTree(bad));
-            assertNames("profiles.1.deadline", json);
+            assertRejectedNaming("profiles.1.deadline", json);
         }
     }
 
-    /** Whatever a running sidecar has been told it must be told again: no default may creep in. */
+    /** Every key in force has to be there again: no default may replace it silently. */
     @Test
-    void runningSidecarTakesNoFileThatMissesAKey() throws Exception {
+    void reloadRejectsAFileThatMissesAKey() throws Exception {
         Config inForce = SidecarFixture.config(SidecarFixture.configJson());
         inForce.requireFit(inForce);
         for (String at : List.of(
@@ -114,7 +123,7 @@
         SidecarFixture.config(json).requireFit(inForce);
     }
 
-    private static void assertNames(String key, ObjectNode json) {
+    private static void assertRejectedNaming(String key, ObjectNode json) {
         String message = assertThrows(IllegalArgumentException.class, () -> SidecarFixture.config(json))
                 .getMessage();
         assertTrue(message.contains(key) && message.lines().count() == 1, message);
@@ -122,7 +131,7 @@
 
     /** There is no DNS: a name would block the event loop until the resolver gives up. */
     @Test
-    void onlyNumericAddressesAreTaken() {
+    void onlyNumericAddressesAreAccepted() {
         assertEquals(8080, Addresses.parse("127.0.0.1:8080").getPort());
         for (String bad : List.of("", "localhost:80", "127.0.0.1", "127.0.0.1:", "127.0.0.1:70000", ":80")) {
             assertNull(Addresses.parse(bad), bad);
--- a/sidecar/src/test/java/topazvalve/sidecar/DeployedIT.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/DeployedIT.java
@@ -21,7 +21,7 @@
 
 /** Both programs as the deploy file starts them, with the packaged jar. */
 class DeployedIT {
-    private static final String UP = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
+    private static final String UP_REQUEST = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
 
     @TempDir
     private Path folder;
@@ -29,7 +29,7 @@
     private Process process;
 
     @AfterEach
-    void end() {
+    void killProcess() {
         if (process != null) {
             process.destroyForcibly();
         }
@@ -54,8 +54,8 @@
         return Files.writeString(folder.resolve("config.json"), config);
     }
 
-    /** SIGHUP, to the program itself: the shell that started it has become it. */
-    private void hangUp() throws Exception {
+    /** Sends SIGHUP to the program itself: the shell that started it has replaced itself by it. */
+    private void sendSighup() throws Exception {
         assertEquals(
                 0,
                 new ProcessBuilder("kill", "-HUP", Long.toString(process.pid()))
@@ -63,7 +63,7 @@
                         .waitFor());
     }
 
-    private int exit() throws InterruptedException {
+    private int awaitExitStatus() throws InterruptedException {
         assertTrue(process.waitFor(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS), "still running");
         return process.exitValue();
     }
@@ -81,7 +81,7 @@
     static void awaitUp(Process process, InetSocketAddress address) throws Exception {
         while (true) {
             try (SidecarFixture.TestClient client = new SidecarFixture.TestClient(address)) {
-                if (client.send(UP).status() == 200) {
+                if (client.send(UP_REQUEST).status() == 200) {
                     return;
                 }
             } catch (ConnectException e) {
@@ -92,24 +92,18 @@
     }
 
     @Test
-    void simStartsAndEndsWithItsInput() throws Exception {
+    void simulatorAdapterExitsAtTheEndOfItsInput() throws Exception {
         start("sim", SidecarFixture.configJson());
         process.getOutputStream().close();
-        assertEquals(0, exit());
+        assertEquals(0, awaitExitStatus());
     }
 
-    /** At SIGTERM what is held is answered, new connections still get in, and the process ends by itself. */
+    /** After SIGTERM a request in flight is answered, new connections are still accepted, and the process exits. */
     @Test
-    void runServesAndEndsInOrderAtSigterm() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        try (StubServer upstream = new StubServer((socket, head) -> {
-            try {
-                return go.await(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS)
-                        && StubServer.reply(socket, "200 OK", "", "held");
-            } catch (InterruptedException e) {
-                return false;
-            }
-        })) {
+    void sidecarShutsDownGracefullyAtSigterm() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        try (StubServer upstream = new StubServer(
+                StubServer.afterRelease(release, (socket, head) -> StubServer.reply(socket, "200 OK", "", "held")))) {
             InetSocketAddress address = freeAddress();
             start("run", SidecarFixture.configJson(upstream).put("listen", "127.0.0.1:" + address.getPort()));
             awaitUp(address);
@@ -117,21 +111,21 @@
                     SidecarFixture.TestClient other = new SidecarFixture.TestClient(address)) {
                 StubServer.write(client.socket, SidecarFixture.lookRequest("a"));
                 StubServer.awaitNext(upstream.receivedHeads);
-                assertEquals(200, other.send(UP).status());
+                assertEquals(200, other.send(UP_REQUEST).status());
                 process.destroy();
-                // The end has begun once /up says no, or closes, on a connection that was there before.
+                // The shutdown has begun once /up on an existing connection is not 200 or closes the connection.
                 int up = 200;
                 while (up == 200) {
                     try {
-                        up = other.send(UP).status();
+                        up = other.send(UP_REQUEST).status();
                     } catch (IOException e) {
                         up = 0;
                     }
                 }
-                go.countDown();
+                release.countDown();
                 assertEquals("held", client.readResponse().body());
             }
-            assertEquals(0, exit());
+            assertEquals(0, awaitExitStatus());
         }
     }
 
@@ -143,11 +137,11 @@
                 .orElseThrow();
     }
 
-    static void awaitYes(InetSocketAddress door) throws Exception {
+    static void awaitReady(InetSocketAddress adminAddress) throws Exception {
         String ready = "GET /_ready HTTP/1.1\r\nHost: a\r\n\r\n";
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(StubServer.TIMEOUT_SECONDS);
         while (true) {
-            try (SidecarFixture.TestClient client = new SidecarFixture.TestClient(door)) {
+            try (SidecarFixture.TestClient client = new SidecarFixture.TestClient(adminAddress)) {
                 if (client.send(ready).status() == 200) {
                     return;
                 }
@@ -159,47 +153,47 @@
     }
 
     /**
-     * A second start on the platform's socket takes over: the first one answers what it holds and ends at
-     * SIGTERM, not one client is turned away, and neither loses its log.
+     * A second process on the shared socket takes over: the first one answers its requests in flight and exits at
+     * SIGTERM, no client is rejected, and both write their logs.
      */
     @Test
-    void secondStartOnTheSharedSocketTakesOver() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        try (StubServer upstream = new StubServer((socket, head) -> {
-            try {
-                return (!head.contains("Req-Id: held") || go.await(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS))
-                        && StubServer.reply(socket, "200 OK", "", "x");
-            } catch (InterruptedException e) {
-                return false;
-            }
-        })) {
+    void secondProcessOnTheSharedSocketTakesOver() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        StubServer.Responder reply = (socket, head) -> StubServer.reply(socket, "200 OK", "", "x");
+        StubServer.Responder replyAfterRelease = StubServer.afterRelease(release, reply);
+        try (StubServer upstream = new StubServer(
+                (socket, head) -> (head.contains("Req-Id: held") ? replyAfterRelease : reply).respond(socket, head))) {
             process = new ProcessBuilder("perl", "sidecar/src/test/resources/holder.pl").start();
             int port = Integer.parseInt(process.inputReader().readLine());
             InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
-            InetSocketAddress oldDoor = freeAddress();
-            InetSocketAddress newDoor = freeAddress();
+            InetSocketAddress oldAdmin = freeAddress();
+            InetSocketAddress newAdmin = freeAddress();
             ObjectNode json = SidecarFixture.configJson(upstream).put("listen", "127.0.0.1:" + port);
-            ProcessHandle old = startOnSharedSocket("old.json", json.put("admin", text(oldDoor)));
+            ProcessHandle old = startOnSharedSocket("old.json", json.put("admin", addressText(oldAdmin)));
             ProcessHandle next = null;
             try (SidecarFixture.TestClient held = new SidecarFixture.TestClient(address)) {
                 StubServer.write(held.socket, SidecarFixture.lookRequest("held"));
-                awaitYes(oldDoor);
+                awaitReady(oldAdmin);
                 StubServer.awaitNext(upstream.receivedHeads);
-                next = startOnSharedSocket("new.json", json.put("admin", text(newDoor)));
+                next = startOnSharedSocket("new.json", json.put("admin", addressText(newAdmin)));
                 for (int i = 0; !next.isAlive() || i < 3; i++) {
                     assertEquals(
-                            200, bedAsk(address, SidecarFixture.lookRequest("during" + i)), "while the new one starts");
+                            200,
+                            requestStatus(address, SidecarFixture.lookRequest("during" + i)),
+                            "while the second process starts");
                 }
-                awaitYes(newDoor);
+                awaitReady(newAdmin);
                 old.destroy();
                 for (int i = 0; i < 50; i++) {
                     assertEquals(
-                            200, bedAsk(address, SidecarFixture.lookRequest("after" + i)), "nobody is turned away");
+                            200,
+                            requestStatus(address, SidecarFixture.lookRequest("after" + i)),
+                            "no client is rejected");
                 }
-                go.countDown();
+                release.countDown();
                 assertEquals(200, held.readResponse().status());
                 old.onExit().get(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS);
-                assertEquals(200, bedAsk(address, SidecarFixture.lookRequest("alone")));
+                assertEquals(200, requestStatus(address, SidecarFixture.lookRequest("alone")));
                 assertTrue(next.isAlive());
             } finally {
                 old.destroyForcibly();
@@ -220,30 +214,30 @@
     }
 
     @Test
-    void descriptorThatIsNoListenerEndsWithOneLine() throws Exception {
+    void descriptorThatIsNoListenerExitsWithOneLine() throws Exception {
         Path file = write(SidecarFixture.configJson().toString());
         ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", command("run"));
         builder.environment().put("PROXY_CONFIG", file.toString());
         builder.environment().put("PROXY_FD", "0");
         process = builder.start();
         String err = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertEquals(2, exit());
+        assertEquals(2, awaitExitStatus());
         assertTrue(err.contains("PROXY_FD") && err.lines().count() == 1, err);
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String addressText(InetSocketAddress address) {
         return "127.0.0.1:" + address.getPort();
     }
 
-    private static int bedAsk(InetSocketAddress address, String request) throws IOException {
+    private static int requestStatus(InetSocketAddress address, String request) throws IOException {
         try (SidecarFixture.TestClient client = new SidecarFixture.TestClient(address)) {
             return client.send(request).status();
         }
     }
 
-    /** The JVM's own way with SIGHUP is to end: here each one brings the file's new discovery, under way. */
+    /** Each SIGHUP applies the file's new discovery address to the running process, which the JVM would else end. */
     @Test
-    void sighupTakesTheNewDiscoveryAndABadFileChangesNothing() throws Exception {
+    void sighupChangesDiscoveryAndABadFileChangesNothing() throws Exception {
         try (StubServer upstream = StubServer.respondingWith("x");
                 StubServer first = new StubServer((socket, head) -> true);
                 StubServer second = new StubServer((socket, head) -> true);
@@ -257,33 +251,33 @@
             awaitUp(address);
             StubServer.awaitNext(first.receivedHeads);
             write(json.put("discovery", second.endpoint()).toString());
-            hangUp();
+            sendSighup();
             assertTrue(StubServer.awaitNext(second.receivedHeads).contains("watch=1"));
             StubServer.awaitNext(first.closedConnections);
             write("{\"listen\":");
-            hangUp();
+            sendSighup();
             BufferedReader log = process.errorReader();
             String line = log.readLine();
             while (!line.contains("configuration reload rejected")) {
                 line = log.readLine();
             }
             write(json.put("discovery", third.endpoint()).toString());
-            hangUp();
+            sendSighup();
             assertTrue(StubServer.awaitNext(third.receivedHeads).contains("watch=1"));
             try (SidecarFixture.TestClient client = new SidecarFixture.TestClient(address)) {
                 assertEquals(200, client.send(SidecarFixture.lookRequest("a")).status());
             }
-            assertEquals(0, second.receivedHeads.size(), "a bad file starts nothing anew");
+            assertEquals(0, second.receivedHeads.size(), "a bad file opens no new watch");
         }
     }
 
     @Test
-    void badConfigurationEndsWithOneLineNamingTheKey() throws Exception {
+    void badConfigurationExitsWithOneLineNamingTheKey() throws Exception {
         ObjectNode json = SidecarFixture.configJson();
         json.withObject("/settings/rules").remove("rampTime");
         start("run", json);
         String err = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertEquals(2, exit());
+        assertEquals(2, awaitExitStatus());
         assertTrue(err.contains("rules.rampTime") && err.lines().count() == 1, err);
     }
 }
--- a/sidecar/src/test/java/topazvalve/sidecar/DescriptorsIT.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/DescriptorsIT.java
@@ -152,7 +152,7 @@
                 process.outputWriter().flush();
                 both.add(ProcessHandle.of(Long.parseLong(process.inputReader().readLine()))
                         .orElseThrow());
-                DeployedIT.awaitYes(door);
+                DeployedIT.awaitReady(door);
                 most += descriptors(both.get(both.size() - 1).pid());
             }
             flood(address);
--- /dev/null
+++ b/sidecar/src/test/java/topazvalve/sidecar/DrainTest.java
@@ -0,0 +1,98 @@
+package topazvalve.sidecar;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.IOException;
+import java.util.concurrent.CountDownLatch;
+import org.junit.jupiter.api.Test;
+
+/** Draining: of one endpoint, told by discovery, and of the sidecar itself at a shutdown. */
+class DrainTest {
+    /** A draining endpoint of the watch gets no new requests, and a broken watch is opened again. */
+    @Test
+    void drainingEndpointGetsNoRequestsAndABrokenWatchIsResubscribed() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        try (StubServer drained = StubServer.respondingWith("x");
+                StubServer other = StubServer.respondingWith("y")) {
+            String line = "{\"rev\":42,\"all\":false,\"targets\":["
+                    + SidecarFixture.endpointJson("s-0", drained.endpoint(), "DRAINING") + "]}\n";
+            try (StubServer discovery = new StubServer(watchSending(line, release))) {
+                ObjectNode json = SidecarFixture.configJson(drained, other).put("discovery", discovery.endpoint());
+                json.withObject("/settings").put("discovery", "subscribe");
+                try (SidecarFixture sidecar = new SidecarFixture(json)) {
+                    for (int i = 0; drained.receivedHeads.isEmpty(); i++) {
+                        assertEquals(
+                                200,
+                                sidecar.send(SidecarFixture.lookRequest("a" + i))
+                                        .status());
+                    }
+                    release.countDown();
+                    StubServer.awaitNext(drained.closedConnections);
+                    int before = drained.receivedHeads.size();
+                    for (int i = 0; i < 6; i++) {
+                        assertEquals(
+                                "y",
+                                sidecar.send(SidecarFixture.lookRequest("b" + i))
+                                        .body());
+                    }
+                    assertEquals(before, drained.receivedHeads.size());
+                    assertTrue(StubServer.awaitNext(discovery.receivedHeads).contains("from=41 "));
+                    assertTrue(
+                            StubServer.awaitNext(discovery.receivedHeads).contains("from=42 "),
+                            "resumed where the first one ended");
+                }
+            }
+        }
+    }
+
+    /** Discovery whose watch sends one line once released, and ends after that. */
+    private static StubServer.Responder watchSending(String line, CountDownLatch release) {
+        StubServer.Responder sendLine = StubServer.afterRelease(release, (socket, head) -> {
+            if (head.contains("from=41 ")) {
+                StubServer.write(socket, Integer.toHexString(line.length()) + "\r\n" + line + "\r\n");
+            }
+            return false;
+        });
+        return (socket, head) -> {
+            StubServer.write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+            return sendLine.respond(socket, head);
+        };
+    }
+
+    @Test
+    void shutdownAnswersInFlightRequestsAndClosesConnections() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        StubServer.Responder held =
+                StubServer.afterRelease(release, (socket, head) -> StubServer.reply(socket, "200 OK", "", "late"));
+        try (StubServer upstream = new StubServer(held);
+                SidecarFixture sidecar = SidecarFixture.startWith(upstream);
+                SidecarFixture.TestClient busy = new SidecarFixture.TestClient(sidecar.address);
+                SidecarFixture.TestClient idle = new SidecarFixture.TestClient(sidecar.address)) {
+            assertEquals(503, idle.send("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status());
+            StubServer.write(busy.socket, SidecarFixture.lookRequest("a"));
+            StubServer.awaitNext(upstream.receivedHeads);
+            sidecar.loop
+                    .submit(() -> sidecar.lifecycle.shutDown(Long.MAX_VALUE / 2))
+                    .sync();
+            assertEquals(-1, idle.socket.getInputStream().read(), "an idle connection is closed");
+            SidecarFixture.ClientResponse meanwhile = sidecar.send("GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
+            assertEquals(503, meanwhile.status(), "its client can still connect");
+            assertEquals("close", StubServer.header(meanwhile.head(), "Connection"));
+            sidecar.loop.submit(sidecar.clientListener::stop).sync();
+            assertThrows(
+                    IOException.class,
+                    () -> sidecar.send(SidecarFixture.lookRequest("b")),
+                    "until the listener is stopped");
+            assertFalse(sidecar.loop.submit(sidecar.frontend::isIdle).get());
+            release.countDown();
+            SidecarFixture.ClientResponse answer = busy.readResponse();
+            assertEquals("late", answer.body());
+            assertEquals("close", StubServer.header(answer.head(), "Connection"));
+            assertEquals(-1, busy.socket.getInputStream().read());
+        }
+    }
+}
--- a/sidecar/src/test/java/topazvalve/sidecar/UpstreamsTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/HttpConnectionTest.java
@@ -34,96 +34,102 @@
 import topazvalve.sidecar.http.UpstreamResponse;
 import topazvalve.sidecar.upstream.HttpCodec;
 
-/** Attempts and probes on real connections, and what they end as. */
-class UpstreamsTest {
-    private static final long LONG = 60_000_000_000L;
+/** Attempts and health checks on real HTTP connections, and their outcomes. */
+class HttpConnectionTest {
+    private static final long TIMEOUT_NANOS = 60_000_000_000L;
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
     private final BlockingQueue<float[]> reports = new LinkedBlockingQueue<>();
 
     @AfterEach
-    void end() {
+    void shutDownEventLoop() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    private ConnectionPools<UpstreamRequest, UpstreamResponse> upstreams(
-            InetSocketAddress address, long connectTimeout, int most) throws Exception {
-        return upstreams(address, connectTimeout, most, 0);
+    private ConnectionPools<UpstreamRequest, UpstreamResponse> newPools(
+            InetSocketAddress address, long connectTimeoutNanos, int maxConnections) throws Exception {
+        return newPools(address, connectTimeoutNanos, maxConnections, 0);
     }
 
-    private ConnectionPools<UpstreamRequest, UpstreamResponse> upstreams(
-            InetSocketAddress address, long connectTimeout, int most, long rest) throws Exception {
+    private ConnectionPools<UpstreamRequest, UpstreamResponse> newPools(
+            InetSocketAddress address, long connectTimeoutNanos, int maxConnections, long reuseDelayNanos)
+            throws Exception {
         SettingsReader options = new SettingsReader(
-                "caps.connectTimeout=" + connectTimeout + "\ncaps.connIdle=60000000000\nreport.fields=rate,q");
+                "caps.connectTimeout=" + connectTimeoutNanos + "\ncaps.connIdle=60000000000\nreport.fields=rate,q");
         return loop.submit(() -> {
-                    ConnectionPools<UpstreamRequest, UpstreamResponse> made = new ConnectionPools<>(
-                            loop, new EventLoopScheduler(loop), options, new HttpCodec(rest), most);
-                    made.endpointUpdated(1, address, 0, true);
-                    return made;
+                    ConnectionPools<UpstreamRequest, UpstreamResponse> pools = new ConnectionPools<>(
+                            loop,
+                            new EventLoopScheduler(loop),
+                            options,
+                            new HttpCodec(reuseDelayNanos),
+                            maxConnections);
+                    pools.endpointUpdated(1, address, 0, true);
+                    return pools;
                 })
                 .get();
     }
 
-    private void send(ConnectionPools<UpstreamRequest, UpstreamResponse> upstreams) {
-        loop.execute(() -> send(upstreams, 1, get("/api/x"), this::ended));
+    private void send(ConnectionPools<UpstreamRequest, UpstreamResponse> pools) {
+        loop.execute(() -> send(pools, 1, get("/api/x"), this::attemptCompleted));
     }
 
     private static Attempt<UpstreamRequest, UpstreamResponse> send(
-            ConnectionPools<UpstreamRequest, UpstreamResponse> upstreams,
+            ConnectionPools<UpstreamRequest, UpstreamResponse> pools,
             long to,
             UpstreamRequest message,
             AttemptListener<UpstreamRequest, UpstreamResponse> listener) {
-        return upstreams.startAttempt(to, message, RequestBody.of(new byte[0]), LONG, listener);
+        return pools.startAttempt(to, message, RequestBody.of(new byte[0]), TIMEOUT_NANOS, listener);
     }
 
-    private void ended(Outcome outcome, UpstreamResponse answer, float[] load) {
+    private void attemptCompleted(Outcome outcome, UpstreamResponse response, float[] load) {
         reports.add(load);
         outcomes.add(outcome);
     }
 
-    /** A second answer that comes late finds its connection resting: who waits for that one gets another. */
+    /** A late second response closes its idle connection, and a waiting attempt gets another one. */
     @Test
-    void lateSecondAnswerIsNobodys() throws Exception {
+    void lateSecondResponseIsNotTakenForTheNextRequests() throws Exception {
         BlockingQueue<Socket> sockets = new LinkedBlockingQueue<>();
         try (StubServer upstream = new StubServer((socket, head) -> {
             sockets.add(socket);
             return StubServer.reply(socket, "200 OK", "", "x");
         })) {
-            ConnectionPools<UpstreamRequest, UpstreamResponse> upstreams =
-                    upstreams(upstream.address(), LONG, 10, LONG);
-            send(upstreams);
+            ConnectionPools<UpstreamRequest, UpstreamResponse> pools =
+                    newPools(upstream.address(), TIMEOUT_NANOS, 10, TIMEOUT_NANOS);
+            send(pools);
             assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
-            send(upstreams);
+            send(pools);
             loop.submit(() -> {}).sync();
             Socket first = StubServer.awaitNext(sockets);
-            // In one write: the stub's own thread closes the socket as soon as the other side has.
+            // In one write: the stub's own thread closes the socket as soon as the peer has.
             first.getOutputStream()
                     .write("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nagain".getBytes(StandardCharsets.ISO_8859_1));
-            assertEquals("end", StubServer.awaitNext(upstream.closedConnections), "it is closed");
+            assertEquals("end", StubServer.awaitNext(upstream.closedConnections), "the idle connection is closed");
             assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
-            assertTrue(first != StubServer.awaitNext(sockets), "not on the one that had not rested");
+            assertTrue(
+                    first != StubServer.awaitNext(sockets), "not on the connection whose reuse delay had not passed");
         }
     }
 
-    /** Who waits for a resting connection gets it, with no new one; a drain meanwhile ends the wait. */
+    /** An attempt waits for a connection's reuse delay and opens no new one; a drain meanwhile ends the wait. */
     @Test
-    void restingConnectionIsWaitedFor() throws Exception {
+    void connectionIsReusedAfterItsReuseDelay() throws Exception {
         BlockingQueue<Socket> sockets = new LinkedBlockingQueue<>();
         try (StubServer upstream = new StubServer((socket, head) -> {
             sockets.add(socket);
             return StubServer.reply(socket, "200 OK", "", "x");
         })) {
-            ConnectionPools<UpstreamRequest, UpstreamResponse> upstreams =
-                    upstreams(upstream.address(), LONG, 10, 50_000_000);
-            send(upstreams);
+            ConnectionPools<UpstreamRequest, UpstreamResponse> pools =
+                    newPools(upstream.address(), TIMEOUT_NANOS, 10, 50_000_000);
+            send(pools);
             assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
-            send(upstreams);
+            send(pools);
             assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
             assertEquals(StubServer.awaitNext(sockets), StubServer.awaitNext(sockets));
             loop.submit(() -> {
-                        send(upstreams, 1, get("/api/x"), this::ended);
-                        upstreams.endpointUpdated(1, upstream.address(), 0, false);
+                        send(pools, 1, get("/api/x"), this::attemptCompleted);
+                        pools.endpointUpdated(1, upstream.address(), 0, false);
                     })
                     .sync();
             assertEquals(Outcome.CONNECT_FAILED, StubServer.awaitNext(outcomes));
@@ -131,8 +137,8 @@
         }
     }
 
-    /** A listener whose queue is full: its machine is there, but no connection comes up. */
-    private static List<Socket> fill(ServerSocket server) throws IOException {
+    /** Fills a listener's accept queue, so that no further connection to it comes up. */
+    private static List<Socket> fillAcceptQueue(ServerSocket server) throws IOException {
         List<Socket> fillers = new ArrayList<>();
         while (true) {
             Socket filler = new Socket();
@@ -145,30 +151,30 @@
         }
     }
 
-    /** Once a drain is told, a request that waits for its connection must not go there any more. */
+    /** Once an endpoint drains, a request that waits for a connection to it must not be sent there. */
     @Test
-    void drainEndsTheWaitForAConnection() throws Exception {
+    void drainFailsAttemptsThatWaitForAConnection() throws Exception {
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            List<Socket> fillers = fill(full);
+            List<Socket> fillers = fillAcceptQueue(full);
             InetSocketAddress address = (InetSocketAddress) full.getLocalSocketAddress();
-            ConnectionPools<UpstreamRequest, UpstreamResponse> upstreams = upstreams(address, LONG, 10);
-            send(upstreams);
-            loop.execute(() -> upstreams.endpointUpdated(1, address, 0, false));
+            ConnectionPools<UpstreamRequest, UpstreamResponse> pools = newPools(address, TIMEOUT_NANOS, 10);
+            send(pools);
+            loop.execute(() -> pools.endpointUpdated(1, address, 0, false));
             assertEquals(Outcome.CONNECT_FAILED, StubServer.awaitNext(outcomes));
-            send(upstreams);
-            assertEquals(Outcome.CONNECT_FAILED, StubServer.awaitNext(outcomes), "nor does a later one");
+            send(pools);
+            assertEquals(Outcome.CONNECT_FAILED, StubServer.awaitNext(outcomes), "nor is a later one");
             for (Socket filler : fillers) {
                 filler.close();
             }
         }
     }
 
-    /** A machine that is cut off says nothing: the connect time-out, not the request's, ends the wait. */
+    /** With an unreachable server the connect timeout, not the request's, ends the wait. */
     @Test
-    void silentConnectFailsAtItsOwnTimeout() throws Exception {
+    void unansweredConnectFailsAtTheConnectTimeout() throws Exception {
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            List<Socket> fillers = fill(full);
-            send(upstreams((InetSocketAddress) full.getLocalSocketAddress(), 100_000_000, 10));
+            List<Socket> fillers = fillAcceptQueue(full);
+            send(newPools((InetSocketAddress) full.getLocalSocketAddress(), 100_000_000, 10));
             assertEquals(Outcome.CONNECT_FAILED, StubServer.awaitNext(outcomes));
             for (Socket filler : fillers) {
                 filler.close();
@@ -176,88 +182,89 @@
         }
     }
 
-    /** A machine that vanished and came back under its address has not ended the connections to it. */
+    /** A machine that crashed and came back under its address has not closed the connections to it. */
     @Test
-    void connectionsToTheProcessBeforeARestartAreClosed() throws Exception {
+    void serverRestartClosesConnectionsToTheOldProcess() throws Exception {
         try (StubServer upstream = StubServer.respondingWith("x")) {
-            ConnectionPools<UpstreamRequest, UpstreamResponse> upstreams = upstreams(upstream.address(), LONG, 10);
-            send(upstreams);
+            ConnectionPools<UpstreamRequest, UpstreamResponse> pools = newPools(upstream.address(), TIMEOUT_NANOS, 10);
+            send(pools);
             assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
-            loop.execute(() -> upstreams.endpointUpdated(1, upstream.address(), 1_700_000_000_000L, true));
+            loop.execute(() -> pools.endpointUpdated(1, upstream.address(), 1_700_000_000_000L, true));
             StubServer.awaitNext(upstream.closedConnections);
-            send(upstreams);
+            send(pools);
             assertEquals(Outcome.OK, StubServer.awaitNext(outcomes), "on a new one");
         }
     }
 
-    /** Descriptors are few: over the limit an attempt is not sent, instead of the process running out. */
+    /** Above the limit an attempt is not sent: the process must not run out of descriptors. */
     @Test
-    void connectionsAreBounded() throws Exception {
+    void connectionsAreLimited() throws Exception {
         try (StubServer silent = new StubServer((socket, head) -> true)) {
-            ConnectionPools<UpstreamRequest, UpstreamResponse> upstreams = upstreams(silent.address(), LONG, 2);
-            send(upstreams);
-            send(upstreams);
+            ConnectionPools<UpstreamRequest, UpstreamResponse> pools = newPools(silent.address(), TIMEOUT_NANOS, 2);
+            send(pools);
+            send(pools);
             StubServer.awaitNext(silent.receivedHeads);
             StubServer.awaitNext(silent.receivedHeads);
-            send(upstreams);
+            send(pools);
             assertEquals(Outcome.NEVER_SENT, StubServer.awaitNext(outcomes));
         }
     }
 
-    /** Reports come in the settings' order, from answers and probes; bad ones are none, never a crash. */
+    /** Reports are read in the settings' order, from responses and health checks; malformed ones are ignored. */
     @Test
     void loadReportsAreRead() throws Exception {
         List<String> texts = List.of("{\"q\":2,\"rate\":1.5,\"more\":0}", "{\"q\":2}", "{", "[]", "{\"q\":\"x\"}");
         try (StubServer upstream = new StubServer((socket, head) -> head.startsWith("GET /metrics/load")
                 ? StubServer.reply(socket, "200 OK", "", "{\"rate\":7,\"q\":0}")
                 : StubServer.reply(socket, "200 OK", "Srv-Load: " + StubServer.header(head, "Say") + "\r\n", "x"))) {
-            ConnectionPools<UpstreamRequest, UpstreamResponse> upstreams = upstreams(upstream.address(), LONG, 10);
+            ConnectionPools<UpstreamRequest, UpstreamResponse> pools = newPools(upstream.address(), TIMEOUT_NANOS, 10);
             for (String text : texts) {
                 UpstreamRequest message = get("/");
                 message.headers().set("Say", text);
-                loop.execute(() -> send(upstreams, 1, message, this::ended));
+                loop.execute(() -> send(pools, 1, message, this::attemptCompleted));
                 assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
                 assertArrayEquals(
                         text.contains("rate") ? new float[] {1.5f, 2} : new float[0], StubServer.awaitNext(reports));
             }
-            loop.execute(() -> upstreams.sendHealthCheck(1, this::ended));
+            loop.execute(() -> pools.sendHealthCheck(1, this::attemptCompleted));
             assertArrayEquals(new float[] {7, 0}, StubServer.awaitNext(reports));
         }
     }
 
-    /** An answer beyond what a body may hold must not fill the memory. */
+    /** A response above the size limit must not fill the memory. */
     @Test
-    void overlongAnswerIsAnError() throws Exception {
+    void oversizedResponseIsAnError() throws Exception {
         String head = "HTTP/1.1 200 OK\r\nContent-Length: ";
-        for (String answer : List.of(
+        for (String response : List.of(
                 head + ((1 << 25) + 1) + "\r\n\r\nx",
                 "HTTP/1.1 500 No\r\n" + "Content-Length: 1200000\r\n\r\n" + "x".repeat(1_200_000))) {
             try (StubServer upstream = new StubServer((socket, request) -> {
-                StubServer.write(socket, answer);
+                StubServer.write(socket, response);
                 return true;
             })) {
-                send(upstreams(upstream.address(), LONG, 10));
+                send(newPools(upstream.address(), TIMEOUT_NANOS, 10));
                 assertEquals(Outcome.ERROR, StubServer.awaitNext(outcomes));
             }
         }
     }
 
     /**
-     * What comes right behind an answer, unasked for, must never be taken for the next one: not even by a
-     * request that is sent from within the first one's end.
+     * Data right behind a response must never be taken for the next response, not even by a request that is sent
+     * while the first attempt completes.
      */
     @Test
-    void whatFollowsAnAnswerIsNotTheNextOne() throws Exception {
+    void dataBehindAResponseIsNotTakenForTheNextOne() throws Exception {
         String stale = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale";
         for (String extra : List.of(stale, stale.substring(0, 20), "\u0000\u0007noise", "\r\n")) {
             try (StubServer upstream = new StubServer((socket, head) -> head.startsWith("GET /first")
                     ? StubServer.reply(socket, "200 OK", "", "first" + extra, 5)
                     : StubServer.reply(socket, "200 OK", "", "second"))) {
-                ConnectionPools<UpstreamRequest, UpstreamResponse> upstreams = upstreams(upstream.address(), LONG, 10);
+                ConnectionPools<UpstreamRequest, UpstreamResponse> pools =
+                        newPools(upstream.address(), TIMEOUT_NANOS, 10);
                 BlockingQueue<String> bodies = new LinkedBlockingQueue<>();
-                loop.execute(() -> send(upstreams, 1, get("/first"), (outcome, answer, load) -> {
-                    bodies.add(text(answer));
-                    send(upstreams, 1, get("/second"), (later, next, more) -> bodies.add(text(next)));
+                loop.execute(() -> send(pools, 1, get("/first"), (outcome, response, load) -> {
+                    bodies.add(text(response));
+                    send(pools, 1, get("/second"), (later, next, more) -> bodies.add(text(next)));
                 }));
                 assertEquals("first", StubServer.awaitNext(bodies));
                 assertEquals("second", StubServer.awaitNext(bodies), extra);
@@ -266,10 +273,10 @@
         }
     }
 
-    /** A spoilt answer may stand on a connection that stays open: it has failed now, not when time is up. */
+    /** A malformed response fails when it comes, not at the timeout, even on a connection that stays open. */
     @Test
-    void spoiltAnswersFailAtOnceAndEndTheirConnection() throws Exception {
-        for (String spoilt : List.of(
+    void malformedResponsesFailAtOnceAndCloseTheConnection() throws Exception {
+        for (String malformed : List.of(
                 "\u0001\u0002\u0003",
                 "\r\n\r\n",
                 "HTTP/2.x",
@@ -290,56 +297,56 @@
                 "HTTP/1.1 101 Switching\r\n\r\n",
                 "HTTP/1.1 100 Go on\r\n\r\n".repeat(100))) {
             try (StubServer upstream = new StubServer((socket, head) -> {
-                StubServer.write(socket, spoilt);
+                StubServer.write(socket, malformed);
                 return true;
             })) {
-                send(upstreams(upstream.address(), LONG, 10));
-                assertEquals(Outcome.ERROR, StubServer.awaitNext(outcomes), spoilt);
+                send(newPools(upstream.address(), TIMEOUT_NANOS, 10));
+                assertEquals(Outcome.ERROR, StubServer.awaitNext(outcomes), malformed);
                 StubServer.awaitNext(upstream.closedConnections);
             }
         }
     }
 
-    /** What a good answer brings besides spoils nothing: interim answers ahead, a report of any bytes. */
+    /** Interim responses and a load report of any bytes do not affect a valid response. */
     @Test
-    void interimAnswersAndUnreadableReportsSpoilNothing() throws Exception {
+    void interimResponsesAndUnreadableLoadReportsAreIgnored() throws Exception {
         try (StubServer upstream = new StubServer((socket, head) -> {
             StubServer.write(socket, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n");
             return StubServer.reply(socket, "200 OK", "Srv-Load: \u0001{\"rate\":1e99,\"q\":-3}\r\n", "x");
         })) {
-            ConnectionPools<UpstreamRequest, UpstreamResponse> upstreams = upstreams(upstream.address(), LONG, 10);
+            ConnectionPools<UpstreamRequest, UpstreamResponse> pools = newPools(upstream.address(), TIMEOUT_NANOS, 10);
             for (int i = 0; i < 3; i++) {
-                send(upstreams);
+                send(pools);
                 assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
                 assertArrayEquals(new float[0], StubServer.awaitNext(reports));
             }
-            assertEquals(0, upstream.closedConnections.size(), "and the connection is used again");
+            assertEquals(0, upstream.closedConnections.size(), "the connection is reused");
         }
     }
 
-    /** Idle connections to others must not keep a request from its own. */
+    /** Idle connections to other endpoints must not keep a request from getting its own. */
     @Test
-    void idleConnectionsMakeRoom() throws Exception {
+    void idleConnectionsAreEvictedForOtherEndpoints() throws Exception {
         try (StubServer first = StubServer.respondingWith("x");
                 StubServer second = StubServer.respondingWith("y")) {
-            ConnectionPools<UpstreamRequest, UpstreamResponse> upstreams = upstreams(first.address(), LONG, 1);
-            send(upstreams);
+            ConnectionPools<UpstreamRequest, UpstreamResponse> pools = newPools(first.address(), TIMEOUT_NANOS, 1);
+            send(pools);
             assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
             loop.execute(() -> {
-                upstreams.endpointUpdated(2, second.address(), 0, true);
-                send(upstreams, 2, get("/api/x"), this::ended);
+                pools.endpointUpdated(2, second.address(), 0, true);
+                send(pools, 2, get("/api/x"), this::attemptCompleted);
             });
             assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
         }
     }
 
-    /** Nothing may reach an upstream that is in the list no more, though its address may be another's now. */
+    /** A removed endpoint must get nothing: its address may be another's now. */
     @Test
-    void goneUpstreamTakesNothing() throws Exception {
+    void removedEndpointGetsNoRequests() throws Exception {
         try (StubServer upstream = StubServer.respondingWith("x")) {
-            ConnectionPools<UpstreamRequest, UpstreamResponse> upstreams = upstreams(upstream.address(), LONG, 10);
-            loop.execute(() -> upstreams.endpointRemoved(1));
-            send(upstreams);
+            ConnectionPools<UpstreamRequest, UpstreamResponse> pools = newPools(upstream.address(), TIMEOUT_NANOS, 10);
+            loop.execute(() -> pools.endpointRemoved(1));
+            send(pools);
             assertEquals(Outcome.CONNECT_FAILED, StubServer.awaitNext(outcomes));
             assertEquals(0, upstream.receivedHeads.size());
         }
@@ -349,7 +356,7 @@
         return new UpstreamRequest(HttpMethod.GET, path, new DefaultHttpHeaders());
     }
 
-    private static String text(UpstreamResponse answer) {
-        return answer == null ? "none" : new String(answer.body(), StandardCharsets.ISO_8859_1);
+    private static String text(UpstreamResponse response) {
+        return response == null ? "none" : new String(response.body(), StandardCharsets.ISO_8859_1);
     }
 }
--- a/sidecar/src/test/java/topazvalve/sidecar/ReadinessTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/ReadinessTest.java
@@ -19,21 +19,18 @@
 import topazvalve.sidecar.config.Config;
 import topazvalve.sidecar.listen.ClientListener;
 
-/**
- * What must not hold a start back: it says yes, and answers so, before ten seconds are over by the loop's own
- * clock, and with no list that is newer than the one it was given.
- */
+/** Faults that must not delay a start: it has to be ready, and to answer, within ten seconds. */
 class ReadinessTest {
-    private static final String UP = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
-    private static final long READY_S = 10;
-    private static final int FLOOD = 300;
+    private static final String UP_REQUEST = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
+    private static final long READY_TIMEOUT_SECONDS = 10;
+    private static final int FLOOD_CONNECTIONS = 300;
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
     private InetSocketAddress address;
 
     @AfterEach
-    void end() {
+    void shutDownEventLoop() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
@@ -42,7 +39,7 @@
         Config config = SidecarFixture.config(json.put("listen", "127.0.0.1:" + address.getPort()));
         EventLoop loop = group.next();
         loop.execute(() -> {
-            loop.schedule(() -> events.add("late"), READY_S, TimeUnit.SECONDS);
+            loop.schedule(() -> events.add("late"), READY_TIMEOUT_SECONDS, TimeUnit.SECONDS);
             new Sidecar(
                             group,
                             loop,
@@ -57,33 +54,33 @@
     private void assertReady() throws Exception {
         assertEquals("ready", StubServer.awaitNext(events));
         try (SidecarFixture.TestClient client = new SidecarFixture.TestClient(address)) {
-            assertEquals(200, client.send(UP).status());
+            assertEquals(200, client.send(UP_REQUEST).status());
         }
-        assertEquals(0, events.size(), "answered before it was late");
+        assertEquals(0, events.size(), "answered within the time limit");
     }
 
-    private static ObjectNode json(String discovery, StubServer... upstreams) throws IOException {
+    private static ObjectNode subscribingConfig(String discovery, StubServer... upstreams) throws IOException {
         ObjectNode json = SidecarFixture.configJson(upstreams);
         json.withObject("/settings").put("discovery", "subscribe");
         return discovery.isEmpty() ? json : json.put("discovery", discovery);
     }
 
-    /** It refuses, takes calls and says nothing, or turns them away; the list known is empty. */
+    /** Discovery refuses connections, is silent or rejects calls; the known endpoint list is empty. */
     @ParameterizedTest
     @ValueSource(strings = {"refuses", "silent", "full"})
-    void discoveryThatIsDownAndAnEmptyList(String how) throws Exception {
+    void startsWithoutDiscoveryAndEndpoints(String how) throws Exception {
         try (StubServer discovery = new StubServer((socket, head) ->
                 how.equals("silent") || StubServer.reply(socket, "503 Service Unavailable", "", ""))) {
-            start(json(how.equals("refuses") ? "" : discovery.endpoint()));
+            start(subscribingConfig(how.equals("refuses") ? "" : discovery.endpoint()));
             assertReady();
         }
     }
 
-    /** Nobody listens any more at most of the addresses known, and at one nobody answers. */
+    /** Nobody listens at most of the known addresses, and one server is silent. */
     @Test
-    void listThatIsOld() throws Exception {
+    void startsWithAnOutdatedEndpointList() throws Exception {
         try (StubServer silent = new StubServer((socket, head) -> true)) {
-            ObjectNode json = json("", silent);
+            ObjectNode json = subscribingConfig("", silent);
             ArrayNode targets = json.withObject("/known").withArray("targets");
             for (int i = 0; i < 20; i++) {
                 InetSocketAddress gone = DeployedIT.freeAddress();
@@ -94,13 +91,13 @@
         }
     }
 
-    /** Clients that say nothing connect from the first moment, and again whenever they are closed. */
+    /** Silent clients connect from the first moment, and again whenever they are closed. */
     @Test
-    void floodOfSilentClients() throws Exception {
-        ObjectNode json = json("");
+    void startsUnderAFloodOfSilentClients() throws Exception {
+        ObjectNode json = subscribingConfig("");
         json.withObject("/limits").put("sockets", 64);
         start(json);
-        try (Flood flood = new Flood(address, FLOOD)) {
+        try (Flood flood = new Flood(address, FLOOD_CONNECTIONS)) {
             assertReady();
             flood.awaitConnected();
         }
--- /dev/null
+++ b/sidecar/src/test/java/topazvalve/sidecar/RequestForwardingTest.java
@@ -0,0 +1,208 @@
+package topazvalve.sidecar;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.netty.buffer.ByteBuf;
+import io.netty.handler.codec.http.DefaultHttpHeaders;
+import io.netty.handler.codec.http.HttpMethod;
+import java.lang.ref.WeakReference;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import topazvalve.core.classes.ClassTable;
+import topazvalve.core.exchange.ExchangeRequest;
+import topazvalve.core.exchange.ResponseListener;
+import topazvalve.core.stream.FlowControl;
+import topazvalve.core.stream.RequestBody;
+import topazvalve.sidecar.http.UpstreamRequest;
+import topazvalve.sidecar.http.UpstreamResponse;
+
+/** Requests and responses through a whole sidecar between a client and servers on loopback. */
+class RequestForwardingTest {
+
+    @Test
+    void requestAndResponseAreForwardedUnchanged() throws Exception {
+        try (StubServer upstream = StubServer.respondingWith("{\"parts\":7}");
+                SidecarFixture sidecar = SidecarFixture.startWith(upstream)) {
+            SidecarFixture.ClientResponse answer =
+                    sidecar.send(SidecarFixture.postRequest("hold", "Idempotency-Key: 5c0f\r\nX-Trace: t1\r\n", "two"));
+            assertEquals(200, answer.status());
+            assertEquals("{\"parts\":7}", answer.body());
+            assertEquals("text/x-part", StubServer.header(answer.head(), "Content-Type"));
+            String head = StubServer.awaitNext(upstream.receivedHeads);
+            assertTrue(head.startsWith("POST /api/7f3a HTTP/1.1\r\n"), head);
+            assertEquals("9b1f", StubServer.header(head, "Req-Id"));
+            assertEquals("5c0f", StubServer.header(head, "Idempotency-Key"));
+            assertEquals("t1", StubServer.header(head, "X-Trace"));
+            int wait = Integer.parseInt(StubServer.header(head, "Req-Deadline-Ms"));
+            assertTrue(wait > 0 && wait < SidecarFixture.DEADLINE_MS, "some time is kept for the way back: " + wait);
+            assertEquals("two", StubServer.awaitNext(upstream.receivedBodies));
+            assertEquals(200, sidecar.send(SidecarFixture.lookRequest("a")).status());
+            assertTrue(StubServer.awaitNext(upstream.receivedHeads).startsWith("GET /api/7f3a?full=1 HTTP/1.1\r\n"));
+        }
+    }
+
+    /** The largest body that is forwarded as one part, in both directions. */
+    @Test
+    void largestBodiesAreForwarded() throws Exception {
+        String body = "x".repeat(1 << 16);
+        try (StubServer upstream = StubServer.respondingWith(body);
+                SidecarFixture sidecar = SidecarFixture.startWith(upstream)) {
+            assertEquals(
+                    body,
+                    sidecar.send(SidecarFixture.postRequest("book", "", body)).body());
+            assertEquals(body, StubServer.awaitNext(upstream.receivedBodies));
+        }
+    }
+
+    /** Servers do send large responses: failing one would have every server tried in turn. */
+    @Test
+    void largeResponseIsForwarded() throws Exception {
+        String body = "x".repeat(400_000);
+        try (StubServer upstream = StubServer.respondingWith(body);
+                SidecarFixture sidecar = SidecarFixture.startWith(upstream)) {
+            assertEquals(body, sidecar.send(SidecarFixture.lookRequest("a")).body());
+            assertEquals(1, upstream.receivedHeads.size());
+        }
+    }
+
+    /** A client that disconnects cancels its attempt, whose connection is closed and not reused. */
+    @Test
+    void clientDisconnectClosesTheAttemptsConnection() throws Exception {
+        try (StubServer silent = new StubServer((socket, head) -> true);
+                SidecarFixture sidecar = SidecarFixture.startWith(silent)) {
+            try (SidecarFixture.TestClient client = new SidecarFixture.TestClient(sidecar.address)) {
+                StubServer.write(client.socket, SidecarFixture.lookRequest("a"));
+                StubServer.awaitNext(silent.receivedHeads);
+            }
+            StubServer.awaitNext(silent.closedConnections);
+        }
+    }
+
+    /** With silent servers the client gets its error response while it still waits. */
+    @Test
+    void silentServerIsReportedBeforeTheClientsDeadline() throws Exception {
+        try (StubServer silent = new StubServer((socket, head) -> true);
+                SidecarFixture sidecar = SidecarFixture.startWith(silent)) {
+            String shorter =
+                    SidecarFixture.postRequest("book", "", "b").replace("Deadline-Ms: 20000", "Deadline-Ms: 1500");
+            assertEquals(502, sidecar.send(shorter).status());
+            StubServer.awaitNext(silent.closedConnections);
+        }
+    }
+
+    /** A stale connection turns requests into resets: it is closed before the server's own idle timeout. */
+    @Test
+    void idleConnectionIsClosedAfterItsTimeout() throws Exception {
+        try (StubServer upstream = StubServer.respondingWith("x")) {
+            ObjectNode json = SidecarFixture.configJson(upstream);
+            json.withObject("/settings/caps").put("connIdle", 500_000_000L);
+            try (SidecarFixture sidecar = new SidecarFixture(json)) {
+                assertEquals(200, sidecar.send(SidecarFixture.lookRequest("a")).status());
+                StubServer.awaitNext(upstream.closedConnections);
+                assertEquals(200, sidecar.send(SidecarFixture.lookRequest("b")).status());
+            }
+        }
+    }
+
+    @Test
+    void connectionIsReused() throws Exception {
+        CountDownLatch connections = new CountDownLatch(2);
+        ThreadLocal<Boolean> first = ThreadLocal.withInitial(() -> true);
+        StubServer.Responder counting = (socket, head) -> {
+            if (first.get()) {
+                first.set(false);
+                connections.countDown();
+            }
+            return StubServer.reply(socket, "200 OK", "", "x");
+        };
+        try (StubServer upstream = new StubServer(counting);
+                SidecarFixture sidecar = SidecarFixture.startWith(upstream)) {
+            for (int i = 0; i < 5; i++) {
+                assertEquals(
+                        200, sidecar.send(SidecarFixture.lookRequest("a" + i)).status());
+            }
+            assertEquals(1, connections.getCount(), "one connection for all five requests");
+        }
+    }
+
+    /** A client error is forwarded as the server sent it: no retry, and no server is ejected. */
+    @Test
+    void clientErrorsDoNotEjectAServer() throws Exception {
+        StubServer.Responder wrong = (socket, head) -> StubServer.reply(socket, "422 Unprocessable Content", "", "qty");
+        try (StubServer one = new StubServer(wrong);
+                StubServer two = new StubServer(wrong);
+                SidecarFixture sidecar = SidecarFixture.startWith(one, two)) {
+            for (int i = 0; i < 50; i++) {
+                SidecarFixture.ClientResponse answer = sidecar.send(SidecarFixture.lookRequest("w" + i));
+                assertEquals(422, answer.status());
+                assertEquals("qty", answer.body());
+            }
+            assertEquals(50, one.receivedHeads.size() + two.receivedHeads.size());
+            assertTrue(sidecar.loop
+                    .submit(() -> sidecar.metrics.text(sidecar.exchanges))
+                    .get()
+                    .contains("app.pool_ejected=0\n"));
+        }
+    }
+
+    /** A request's body is released with its response, not only when its deadline passes. */
+    @Test
+    void answeredRequestIsReleasedBeforeItsDeadline() throws Exception {
+        try (StubServer upstream = StubServer.respondingWith("x");
+                SidecarFixture sidecar = SidecarFixture.startWith(upstream)) {
+            WeakReference<RequestBody> body = submitAndAwaitResponse(sidecar);
+            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(StubServer.TIMEOUT_SECONDS);
+            while (body.get() != null && System.nanoTime() < end) {
+                System.gc();
+                Thread.sleep(20);
+            }
+            assertNull(body.get(), "still referenced after its response");
+        }
+    }
+
+    /** Sends a request with a deadline of ten minutes; returns its body once it is answered. */
+    private static WeakReference<RequestBody> submitAndAwaitResponse(SidecarFixture sidecar) throws Exception {
+        RequestBody body = RequestBody.of(new byte[1000]);
+        CountDownLatch done = new CountDownLatch(1);
+        ExchangeRequest<UpstreamRequest> job = new ExchangeRequest<>(
+                new ClassTable.Entry(2, "book", null),
+                0,
+                0,
+                600_000,
+                0,
+                false,
+                true,
+                new UpstreamRequest(HttpMethod.POST, "/api/x", new DefaultHttpHeaders()),
+                body);
+        sidecar.loop.execute(() -> sidecar.exchanges.submit(job, new ResponseListener<UpstreamResponse>() {
+            @Override
+            public void responseReceived(UpstreamResponse answer) {
+                done.countDown();
+            }
+
+            @Override
+            public void responseStarted(UpstreamResponse first, long length, FlowControl rest) {}
+
+            @Override
+            public void responseData(ByteBuf bytes) {}
+
+            @Override
+            public void responseCompleted() {}
+
+            @Override
+            public void responseAborted() {}
+
+            @Override
+            public void rejected(long wait) {}
+
+            @Override
+            public void failed() {}
+        }));
+        assertTrue(done.await(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS));
+        return new WeakReference<>(body);
+    }
+}
--- /dev/null
+++ b/sidecar/src/test/java/topazvalve/sidecar/RetryTest.java
@@ -0,0 +1,85 @@
+package topazvalve.sidecar;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Which requests are retried on another server, and after which failures. */
+class RetryTest {
+    /** A refused connection proves that nothing ran, so that even a non-idempotent request may be retried. */
+    @Test
+    void nonIdempotentRequestIsRetriedAfterARefusedConnection() throws Exception {
+        try (StubServer gone = StubServer.respondingWith("x");
+                StubServer upstream = StubServer.respondingWith("y");
+                SidecarFixture sidecar = SidecarFixture.startWith(gone, upstream)) {
+            gone.stop();
+            for (int i = 0; i < 4; i++) {
+                String request = SidecarFixture.postRequest("book", "", "b" + i).replace("9b1f", "9b1f" + i);
+                assertEquals("y", sidecar.send(request).body());
+                assertEquals("b" + i, StubServer.awaitNext(upstream.receivedBodies), "each once");
+            }
+            assertNull(upstream.receivedBodies.poll());
+        }
+    }
+
+    /** Once completely written, a non-idempotent request may have run: it fails and is not retried. */
+    @Test
+    void nonIdempotentRequestIsNotRetriedAfterAReset() throws Exception {
+        for (String how : List.of("reset", "close", "cut short", "nonsense", "500 Error", "503 No")) {
+            StubServer.Responder script = (socket, head) -> {
+                if (how.startsWith("5")) {
+                    return StubServer.reply(socket, how, "", "");
+                }
+                if (how.equals("cut short")) {
+                    StubServer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
+                } else if (how.equals("nonsense")) {
+                    StubServer.write(socket, "what is this\r\n\r\n");
+                }
+                return how.equals("reset") && StubServer.reset(socket);
+            };
+            try (StubServer one = new StubServer(script);
+                    StubServer two = new StubServer(script);
+                    SidecarFixture sidecar = SidecarFixture.startWith(one, two)) {
+                assertEquals(
+                        502,
+                        sidecar.send(SidecarFixture.postRequest("book", "", "b"))
+                                .status(),
+                        how);
+                assertEquals(1, one.receivedHeads.size() + two.receivedHeads.size(), how);
+            }
+        }
+    }
+
+    /** A retry is harmless for an idempotent request and for one whose key the servers know. */
+    @Test
+    void idempotentAndKeyedRequestsAreRetriedAfterAReset() throws Exception {
+        StubServer.Responder script = (socket, head) -> StubServer.reset(socket);
+        for (String request : List.of(
+                SidecarFixture.lookRequest("a"), SidecarFixture.postRequest("hold", "Idempotency-Key: 1\r\n", "b"))) {
+            try (StubServer one = new StubServer(script);
+                    StubServer two = new StubServer(script);
+                    SidecarFixture sidecar = SidecarFixture.startWith(one, two)) {
+                assertEquals(503, sidecar.send(request).status(), "every server was tried; the client may retry");
+                assertEquals(1, one.receivedHeads.size());
+                assertEquals(1, two.receivedHeads.size());
+            }
+        }
+    }
+
+    /** Srv-Declined proves that nothing ran; without that header a 503 proves nothing (tested above). */
+    @Test
+    void declinedNonIdempotentRequestIsRetried() throws Exception {
+        StubServer.Responder declines = (socket, head) -> StubServer.reply(socket, "503 No", "Srv-Declined: 1\r\n", "");
+        try (StubServer one = new StubServer(declines);
+                StubServer two = new StubServer(declines);
+                SidecarFixture sidecar = SidecarFixture.startWith(one, two)) {
+            SidecarFixture.ClientResponse answer = sidecar.send(SidecarFixture.postRequest("book", "", "b"));
+            assertEquals(503, answer.status());
+            assertEquals("0.750", StubServer.header(answer.head(), "Retry-After"), "the policy's backoff");
+            assertEquals(1, one.receivedHeads.size());
+            assertEquals(1, two.receivedHeads.size());
+        }
+    }
+}
--- a/sidecar/src/test/java/topazvalve/sidecar/StreamsIT.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/StreamsIT.java
@@ -29,12 +29,12 @@
     private final List<Process> started = new ArrayList<>();
 
     @AfterEach
-    void end() {
+    void killProcesses() {
         started.forEach(Process::destroyForcibly);
     }
 
-    /** Says its letter to each who connects, then gives back what comes. */
-    private static ServerSocket server(char letter) throws IOException {
+    /** Starts a server that sends its letter on each connection and then echoes what it receives. */
+    private static ServerSocket startLetterServer(char letter) throws IOException {
         ServerSocket server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
         StubServer.startDaemonThread(() -> {
             while (!server.isClosed()) {
@@ -56,11 +56,11 @@
         return server;
     }
 
-    private static String at(ServerSocket server) {
+    private static String quotedAddress(ServerSocket server) {
         return "\"127.0.0.1:" + server.getLocalPort() + "\"";
     }
 
-    private Path operator(InetSocketAddress listen, String servers, String draining) throws IOException {
+    private Path writeOperatorFile(InetSocketAddress listen, String servers, String draining) throws IOException {
         return Files.writeString(folder.resolve("operator.toml"), """
                 [[listener]]
                 name = "it"
@@ -72,13 +72,13 @@
                 """.formatted(listen.getPort(), servers, draining));
     }
 
-    private Process start(String name, InetSocketAddress address, InetSocketAddress door, Path operator)
+    private Process start(String name, InetSocketAddress address, InetSocketAddress admin, Path operator)
             throws IOException {
         Path file = Files.writeString(
                 folder.resolve(name),
                 SidecarFixture.configJson()
                         .put("listen", "127.0.0.1:" + address.getPort())
-                        .put("admin", "127.0.0.1:" + door.getPort())
+                        .put("admin", "127.0.0.1:" + admin.getPort())
                         .toString());
         ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", DeployedIT.command("run"));
         builder.environment().put("PROXY_CONFIG", file.toString());
@@ -102,7 +102,7 @@
         }
     }
 
-    private static char letter(Socket socket) throws IOException {
+    private static char readLetter(Socket socket) throws IOException {
         return (char) socket.getInputStream().read();
     }
 
@@ -112,24 +112,24 @@
         while (line != null && !line.contains(words)) {
             line = log.readLine();
         }
-        assertTrue(line != null, "never said: " + words);
+        assertTrue(line != null, "never logged: " + words);
     }
 
     @Test
-    void streamsPassAreCountedAndFollowTheFileAtSighup() throws Exception {
+    void streamsAreForwardedCountedAndReconfiguredAtSighup() throws Exception {
         InetSocketAddress address = DeployedIT.freeAddress();
-        InetSocketAddress door = DeployedIT.freeAddress();
+        InetSocketAddress admin = DeployedIT.freeAddress();
         InetSocketAddress listener = DeployedIT.freeAddress();
-        try (ServerSocket one = server('a');
-                ServerSocket two = server('b')) {
-            String both = at(one) + ", " + at(two);
-            Process process = start("c.json", address, door, operator(listener, both, ""));
+        try (ServerSocket one = startLetterServer('a');
+                ServerSocket two = startLetterServer('b')) {
+            String both = quotedAddress(one) + ", " + quotedAddress(two);
+            Process process = start("c.json", address, admin, writeOperatorFile(listener, both, ""));
             DeployedIT.awaitUp(process, address);
             try (Socket socket = connect(listener)) {
-                assertTrue("ab".indexOf(letter(socket)) >= 0);
+                assertTrue("ab".indexOf(readLetter(socket)) >= 0);
                 StubServer.write(socket, "echo");
                 assertEquals("echo", new String(socket.getInputStream().readNBytes(4), StandardCharsets.US_ASCII));
-                try (SidecarFixture.TestClient client = new SidecarFixture.TestClient(door)) {
+                try (SidecarFixture.TestClient client = new SidecarFixture.TestClient(admin)) {
                     String figures = client.send("GET /_vars HTTP/1.1\r\nHost: a\r\n\r\n")
                             .body();
                     assertTrue(
@@ -138,24 +138,24 @@
                             figures);
                 }
             }
-            operator(listener, both, at(one));
-            hangUp(process);
+            writeOperatorFile(listener, both, quotedAddress(one));
+            sendSighup(process);
             awaitLine(process, "configuration reloaded");
             for (int i = 0; i < 8; i++) {
                 try (Socket socket = connect(listener)) {
-                    assertEquals('b', letter(socket), "the other one drains");
+                    assertEquals('b', readLetter(socket), "the other server drains");
                 }
             }
-            operator(listener, "", "");
-            hangUp(process);
+            writeOperatorFile(listener, "", "");
+            sendSighup(process);
             awaitLine(process, "configuration reload rejected");
             try (Socket socket = connect(listener)) {
-                assertEquals('b', letter(socket), "what was in force stays");
+                assertEquals('b', readLetter(socket), "the settings in force stay");
             }
         }
     }
 
-    private static void hangUp(Process process) throws Exception {
+    private static void sendSighup(Process process) throws Exception {
         assertEquals(
                 0,
                 new ProcessBuilder("kill", "-HUP", Long.toString(process.pid()))
@@ -163,39 +163,39 @@
                         .waitFor());
     }
 
-    /** The old one's streams run on for their grace and end in order; new ones find the new one. */
+    /** The old process's streams go on for their grace period and end; new ones reach the new process. */
     @Test
     void secondProcessTakesTheListenerOver() throws Exception {
         InetSocketAddress listener = DeployedIT.freeAddress();
         InetSocketAddress address = DeployedIT.freeAddress();
         InetSocketAddress next = DeployedIT.freeAddress();
-        try (ServerSocket server = server('a')) {
-            Path operator = operator(listener, at(server), "");
+        try (ServerSocket server = startLetterServer('a')) {
+            Path operator = writeOperatorFile(listener, quotedAddress(server), "");
             Process old = start("old.json", address, DeployedIT.freeAddress(), operator);
             DeployedIT.awaitUp(old, address);
             try (Socket open = connect(listener)) {
-                assertEquals('a', letter(open));
-                Process young = start("new.json", next, DeployedIT.freeAddress(), operator);
-                awaitLine(young, "streams at");
+                assertEquals('a', readLetter(open));
+                Process replacement = start("new.json", next, DeployedIT.freeAddress(), operator);
+                awaitLine(replacement, "streams at");
                 old.destroy();
                 StubServer.write(open, "x");
-                assertEquals('x', letter(open), "runs on");
-                assertEquals(-1, open.getInputStream().read(), "until its grace is over");
+                assertEquals('x', readLetter(open), "still open");
+                assertEquals(-1, open.getInputStream().read(), "until its grace period is over");
             }
             assertTrue(old.waitFor(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS));
             assertEquals(0, old.exitValue());
             for (int i = 0; i < 8; i++) {
                 try (Socket socket = connect(listener)) {
-                    assertEquals('a', letter(socket));
+                    assertEquals('a', readLetter(socket));
                 }
             }
         }
     }
 
     @Test
-    void badFileEndsTheStartWithItsLinesAndStatusTwo() throws Exception {
+    void badOperatorFileExitsWithItsLinesAndStatusTwo() throws Exception {
         InetSocketAddress any = DeployedIT.freeAddress();
-        Process process = start("c.json", any, any, operator(any, "\"nowhere\"", "\"127.0.0.1:1\""));
+        Process process = start("c.json", any, any, writeOperatorFile(any, "\"nowhere\"", "\"127.0.0.1:1\""));
         String err = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
         assertTrue(process.waitFor(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         assertEquals(2, process.exitValue());
--- a/sidecar/src/test/java/topazvalve/sidecar/StubServer.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/StubServer.java
@@ -13,6 +13,7 @@
 import java.util.Set;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
@@ -50,6 +51,19 @@
         return new StubServer((socket, head) -> reply(socket, "200 OK", "Content-Type: text/x-part\r\n", body));
     }
 
+    /** Handles each request only after {@code release} has been counted down; closes the connection if it never is. */
+    static Responder afterRelease(CountDownLatch release, Responder responder) {
+        return (socket, head) -> awaitRelease(release) && responder.respond(socket, head);
+    }
+
+    private static boolean awaitRelease(CountDownLatch release) {
+        try {
+            return release.await(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        } catch (InterruptedException e) {
+            return false;
+        }
+    }
+
     static boolean reply(Socket socket, String status, String headers, String body) throws IOException {
         return reply(socket, status, headers, body, body.length());
     }
