--- a/discovery-client/src/main/java/topazvalve/discovery/client/DiscoveryCall.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/DiscoveryCall.java
@@ -24,40 +24,57 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One call for a list, the whole once or a watch: connects, asks, and cuts what comes into objects. Its owner
- * is told of each, and of the call's end unless it closed the call itself. On the loop alone.
+ * One HTTP request for an endpoint list: a watch, whose response goes on until it is closed, or a fetch. It connects,
+ * sends the request, splits the response into JSON objects and supervises the peer by timeouts. Used on the event
+ * loop only.
+ *
+ * <p>The listener decides what a valid update is and reports the first one by {@link #answered}. A watch has an idle
+ * timeout from then on; before, and for a fetch, the response timeout applies.
  */
 public final class DiscoveryCall extends SimpleChannelInboundHandler<HttpObject> {
-    /** A call may wait in discovery's queue, for 2 s where that is known, before it is answered or fails. */
-    private static final long ANSWER_MS = 2_500;
-    /** A queue may be longer: so long an answer may take all the same, if the owner lets the late call be. */
-    private static final long LONGEST_ANSWER_MS = 5_000;
+    /** After this time without a response the listener is notified. A call may wait in discovery's queue for 2 s. */
+    private static final long RESPONSE_OVERDUE_MILLIS = 2_500;
+    /** After this time without a response the call fails. Discovery's queue may be longer than is known. */
+    private static final long RESPONSE_TIMEOUT_MILLIS = 5_000;
     /**
-     * An answered watch brings an empty line every 2 s. One that has fallen silent counts as told 6 s later:
-     * by then it must be noticed, opened anew (a connect of up to 1 s, and a call that waits) and answered.
+     * After this time without an update or a heartbeat an answered watch is idle, in milliseconds. Discovery sends a
+     * heartbeat every 2 s; {@code docs/design/crossings.md} derives the bound.
      */
     public static final long IDLE_TIMEOUT_MILLIS = 3_000;
 
+    /** The default of the longest time for a connect, in milliseconds. */
     public static final int CONNECT_TIMEOUT_MILLIS = 1_000;
 
-    /** Hears of a call until it is over. */
+    private static final String HOSTS_PATH = "/discovery/hosts";
+    private static final String RETRY_AFTER_SECONDS = "[0-9]{1,6}(\\.[0-9]{1,6})?";
+    private static final int MILLIS_PER_SECOND = 1_000;
+
+    /** The owner of a call. No method is called after {@link #failed} or {@link DiscoveryCall#close}. */
     public interface Listener {
-        /** A whole object has come; what is thrown, or a call of {@link DiscoveryCall#fail}, ends the call. */
-        void objectReceived(byte[] text) throws IOException;
+        /**
+         * Called with each complete JSON object.
+         *
+         * @param json the object in UTF-8
+         * @throws IOException to let the call fail, as does any other exception
+         */
+        void objectReceived(byte[] json) throws IOException;
 
-        /** An empty line: there is nothing new. */
+        /** Called for a blank line, which means that nothing has changed. */
         void heartbeatReceived();
 
-        /** A watch that was answered has brought no whole line for {@link #IDLE_TIMEOUT_MILLIS}. */
+        /**
+         * Called if an answered watch has received neither an object nor a heartbeat for
+         * {@link DiscoveryCall#IDLE_TIMEOUT_MILLIS}. The call stays open.
+         */
         void watchIdle();
 
-        /** No whole object came in time. It may come yet: a call that is let be fails later on. */
+        /** Called if no object or heartbeat came in time. The call stays open for a while and fails after that. */
         void answerOverdue();
 
         /**
-         * The call has ended with this failure.
+         * Called once if the call has ended with a failure.
          *
-         * @param retryAfterMillis for how long the peer asked to stay away, in milliseconds; 0 if it did not
+         * @param retryAfterMillis the peer's Retry-After in milliseconds; 0 if it gave none
          */
         void failed(DiscoveryFailure failure, long retryAfterMillis);
     }
@@ -65,97 +82,111 @@
     private final EventLoop loop;
     private final InetSocketAddress address;
     private final boolean watching;
-    private final Listener owner;
-    private final JsonObjectFramer lines = new JsonObjectFramer();
+    private final Listener listener;
+    private final JsonObjectFramer framer = new JsonObjectFramer();
+    private final JsonObjectFramer.Handler framerHandler = new FramerHandler();
     private Channel channel;
-    private Future<?> silence;
+    private Future<?> timeout;
     private boolean answered;
     private boolean over;
 
-    /** Of a watch, or of one whole list; nothing is done before {@link #open}. */
+    /**
+     * Creates a call that does nothing before {@link #open}.
+     *
+     * @param watching whether it is a watch; otherwise the response is a single list
+     * @param owner is notified of what the call receives and how it ends
+     */
     public DiscoveryCall(EventLoop loop, InetSocketAddress address, boolean watching, Listener owner) {
         this.loop = loop;
         this.address = address;
         this.watching = watching;
-        this.owner = owner;
+        this.listener = owner;
     }
 
-    /** Connects, within {@code connectMs}, and asks with this query: empty, or from its question mark on. */
-    public void open(int connectMs, String query) {
-        heard();
+    /**
+     * Connects and sends the request.
+     *
+     * @param connectTimeoutMillis the longest time for the connect, in milliseconds
+     * @param query the query of the request, which is empty or starts with a question mark
+     */
+    public void open(int connectTimeoutMillis, String query) {
+        restartTimeout();
         new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMs)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMillis)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
-                    protected void initChannel(Channel made) {
-                        channel = made;
-                        made.pipeline().addLast(new HttpClientCodec(), DiscoveryCall.this);
+                    protected void initChannel(Channel created) {
+                        channel = created;
+                        created.pipeline().addLast(new HttpClientCodec(), DiscoveryCall.this);
                     }
                 })
                 .connect(address)
-                .addListener(done -> {
-                    if (done.isSuccess()) {
-                        ask(query);
+                .addListener(connect -> {
+                    if (connect.isSuccess()) {
+                        sendRequest(query);
                     } else {
-                        fail(new DiscoveryFailure.ConnectFailed(done.cause().getMessage()));
+                        fail(new DiscoveryFailure.ConnectFailed(connect.cause().getMessage()));
                     }
                 });
     }
 
-    private void ask(String query) {
+    private void sendRequest(String query) {
         DefaultFullHttpRequest request =
-                new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/discovery/hosts" + query);
-        request.headers().set(HttpHeaderNames.HOST, address.getAddress().getHostAddress() + ":" + address.getPort());
+                new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, HOSTS_PATH + query);
+        request.headers().set(HttpHeaderNames.HOST, RelaySelector.hostAndPort(address));
         channel.writeAndFlush(request);
     }
 
-    /** Something was understood: the peer has from now on as long as before. */
-    private void heard() {
-        if (silence != null) {
-            silence.cancel(false);
+    private void restartTimeout() {
+        if (timeout != null) {
+            timeout.cancel(false);
         }
-        silence = watching && answered
-                ? loop.schedule(this::silent, IDLE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
-                : loop.schedule(this::late, ANSWER_MS, TimeUnit.MILLISECONDS);
+        timeout = watching && answered
+                ? loop.schedule(this::idle, IDLE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
+                : loop.schedule(this::responseOverdue, RESPONSE_OVERDUE_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void late() {
-        silence = loop.schedule(
-                () -> fail(new DiscoveryFailure.Overdue()), LONGEST_ANSWER_MS - ANSWER_MS, TimeUnit.MILLISECONDS);
-        owner.answerOverdue();
+    private void responseOverdue() {
+        timeout = loop.schedule(
+                () -> fail(new DiscoveryFailure.Overdue()),
+                RESPONSE_TIMEOUT_MILLIS - RESPONSE_OVERDUE_MILLIS,
+                TimeUnit.MILLISECONDS);
+        listener.answerOverdue();
     }
 
-    private void silent() {
+    private void idle() {
         if (!over) {
-            owner.watchIdle();
+            listener.watchIdle();
         }
     }
 
-    /** The owner has understood an answer: of a watch, silence counts from now on. */
+    /** Records that the listener has received a valid update or heartbeat; a watch has an idle timeout from now on. */
     public void answered() {
         answered = true;
     }
 
+    /** Returns whether {@link #answered} was called. */
     public boolean isAnswered() {
         return answered;
     }
 
+    /** Returns whether the call has failed, was closed, or is a fetch whose list is complete. */
     public boolean isOver() {
         return over;
     }
 
-    /** Ends it; its owner hears no more. */
+    /** Closes the call, which must have been opened; its listener is not called any more. */
     public void close() {
         over = true;
-        silence.cancel(false);
+        timeout.cancel(false);
         if (channel != null) {
             channel.close();
         }
     }
 
-    /** Ends it and tells its owner why; does nothing if it is over. */
+    /** Closes the call and notifies its listener of the failure; does nothing if the call is over. */
     public void fail(DiscoveryFailure failure) {
         fail(failure, 0);
     }
@@ -163,7 +194,7 @@
     private void fail(DiscoveryFailure failure, long retryAfterMillis) {
         if (!over) {
             close();
-            owner.failed(failure, retryAfterMillis);
+            listener.failed(failure, retryAfterMillis);
         }
     }
 
@@ -177,47 +208,53 @@
             return;
         }
         if (message instanceof HttpResponse response && !response.status().equals(HttpResponseStatus.OK)) {
-            fail(new DiscoveryFailure.BadStatus(response.status().code()), retryAfterMs(response));
+            fail(new DiscoveryFailure.BadStatus(response.status().code()), retryAfterMillis(response));
             return;
         }
         if (message instanceof HttpContent content) {
-            lines.take(content.content(), taker);
+            framer.feed(content.content(), framerHandler);
             if (!over && message instanceof LastHttpContent) {
-                if (watching || !answered || lines.open()) {
-                    fail(new DiscoveryFailure.ResponseEnded());
-                } else {
-                    close();
-                }
+                responseEnded();
             }
         }
     }
 
-    /** {@code Retry-After} in seconds, whole or decimal; 0 where it is missing or can't be read. */
-    private static long retryAfterMs(HttpResponse response) {
-        String said = response.headers().get(HttpHeaderNames.RETRY_AFTER, "");
-        return said.matches("[0-9]{1,6}(\\.[0-9]{1,6})?") ? Math.round(Double.parseDouble(said) * 1_000) : 0;
+    private void responseEnded() {
+        boolean listComplete = answered && !framer.isObjectOpen();
+        if (watching || !listComplete) {
+            fail(new DiscoveryFailure.ResponseEnded());
+        } else {
+            close();
+        }
     }
 
-    private final JsonObjectFramer.Taker taker = new JsonObjectFramer.Taker() {
+    /** Returns {@code Retry-After}, which may be a decimal number of seconds; 0 if it is missing or not a number. */
+    private static long retryAfterMillis(HttpResponse response) {
+        String seconds = response.headers().get(HttpHeaderNames.RETRY_AFTER, "");
+        return seconds.matches(RETRY_AFTER_SECONDS) ? Math.round(Double.parseDouble(seconds) * MILLIS_PER_SECOND) : 0;
+    }
+
+    /** Passes objects and heartbeats on to the listener, each of which restarts the timeout. */
+    private final class FramerHandler implements JsonObjectFramer.Handler {
         @Override
-        public boolean object(byte[] text) throws IOException {
-            owner.objectReceived(text);
-            return goesOn();
+        public boolean objectReceived(byte[] json) throws IOException {
+            listener.objectReceived(json);
+            return proceed();
         }
 
         @Override
-        public boolean empty() {
-            owner.heartbeatReceived();
-            return goesOn();
+        public boolean heartbeatReceived() {
+            listener.heartbeatReceived();
+            return proceed();
         }
 
-        private boolean goesOn() {
+        private boolean proceed() {
             if (!over) {
-                heard();
+                restartTimeout();
             }
             return !over;
         }
-    };
+    }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
--- a/discovery-client/src/main/java/topazvalve/discovery/client/EndpointUpdate.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/EndpointUpdate.java
@@ -12,57 +12,79 @@
 import topazvalve.policy.LoadBalancer.EndpointStatus;
 
 /**
- * A list or a change of it, as discovery writes it.
+ * A full snapshot of the endpoint list or a delta to it, as received from discovery or a relay.
  *
- * @param versions how far it has come at each source; empty where only {@code rev} is told
+ * @param revision the sender's version of the list after the update
+ * @param fullSnapshot whether {@code endpoints} is the whole list; otherwise it holds the endpoints that changed
+ * @param endpoints the endpoints, without those that could not be parsed
+ * @param versions the version at each source; empty if the sender reports only {@code revision}
  */
 public record EndpointUpdate(long revision, boolean fullSnapshot, List<Endpoint> endpoints, VersionVector versions) {
+    /** The state before the first update: no endpoint, revision 0. */
     public static final EndpointUpdate NONE = new EndpointUpdate(0, true, List.of());
+
     private static final Logger LOG = LoggerFactory.getLogger("discovery");
+    private static final int DEFAULT_CAPACITY = 1;
 
-    /** One of which only its {@code rev} is told. */
+    /** Creates an update of a sender that reports only a revision. */
     public EndpointUpdate(long revision, boolean fullSnapshot, List<Endpoint> endpoints) {
         this(revision, fullSnapshot, endpoints, VersionVector.NONE);
     }
 
-    /** As it is written; an {@link IllegalArgumentException} for versions that can't be read. */
-    public static EndpointUpdate of(JsonNode node) {
-        List<Endpoint> targets = new ArrayList<>();
-        for (JsonNode each : node.path("targets")) {
-            Endpoint target = target(each);
-            if (target != null) {
-                targets.add(target);
+    /** Returns whether a JSON object has the members that every update has. */
+    static boolean isUpdate(JsonNode json) {
+        return json.path("rev").isWhole() && json.path("targets").isArray();
+    }
+
+    /**
+     * Parses discovery's JSON. Endpoints that can't be parsed are logged and left out; other missing members get
+     * defaults.
+     *
+     * @throws topazvalve.discovery.state.InvalidVersionException if {@code versions} can't be parsed
+     */
+    public static EndpointUpdate of(JsonNode json) {
+        List<Endpoint> endpoints = new ArrayList<>();
+        for (JsonNode each : json.path("targets")) {
+            Endpoint endpoint = parseEndpoint(each);
+            if (endpoint != null) {
+                endpoints.add(endpoint);
             }
         }
         return new EndpointUpdate(
-                node.path("rev").asLong(),
-                node.path("all").asBoolean(),
-                targets,
-                VersionVector.parse(node.path("versions").asText("")));
+                json.path("rev").asLong(),
+                json.path("all").asBoolean(),
+                endpoints,
+                VersionVector.parse(json.path("versions").asText("")));
     }
 
-    /** An entry, or null where it can't be understood. */
-    private static Endpoint target(JsonNode node) {
-        String uid = node.path("uid").asText("");
-        EndpointStatus state = switch (node.path("state").asText()) {
+    /** Returns the endpoint, or null if its name, status or address is missing or invalid. */
+    private static Endpoint parseEndpoint(JsonNode json) {
+        String uid = json.path("uid").asText("");
+        EndpointStatus status = parseStatus(json.path("state").asText());
+        InetSocketAddress address = Addresses.parse(json.path("endpoint").asText(""));
+        boolean addressMissing = address == null && status != EndpointStatus.REMOVED;
+        if (uid.isEmpty() || status == null || addressMissing) {
+            LOG.warn("ignoring invalid endpoint: {}", json);
+            return null;
+        }
+        return new Endpoint(
+                uid,
+                address,
+                json.path("az").asText(""),
+                json.path("model").asText(""),
+                (int) json.path("pod_group").asLong(),
+                status,
+                (float) json.path("capacity_hint").asDouble(DEFAULT_CAPACITY),
+                json.path("boot_ms").asLong());
+    }
+
+    /** Returns the status, or null if there is none of this name. */
+    private static EndpointStatus parseStatus(String state) {
+        return switch (state) {
             case "SERVING" -> EndpointStatus.READY;
             case "DRAINING" -> EndpointStatus.DRAINING;
             case "DELETED" -> EndpointStatus.REMOVED;
             default -> null;
         };
-        InetSocketAddress endpoint = Addresses.parse(node.path("endpoint").asText(""));
-        if (uid.isEmpty() || state == null || (endpoint == null && state != EndpointStatus.REMOVED)) {
-            LOG.warn("entry passed over: {}", node);
-            return null;
-        }
-        return new Endpoint(
-                uid,
-                endpoint,
-                node.path("az").asText(""),
-                node.path("model").asText(""),
-                (int) node.path("pod_group").asLong(),
-                state,
-                (float) node.path("capacity_hint").asDouble(1),
-                node.path("boot_ms").asLong());
     }
 }
--- a/discovery-client/src/main/java/topazvalve/discovery/client/JsonObjectFramer.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/JsonObjectFramer.java
@@ -5,108 +5,119 @@
 import java.io.IOException;
 
 /**
- * Cuts what discovery sends into JSON objects, by their braces: an object may take one line or, indented,
- * several. A line that holds nothing, between objects, is a sign of life; one within an object is none, or a
- * trickle without end would pass for life.
+ * Splits a byte stream into JSON objects by counting braces, so that an object may take one line or, indented,
+ * several. A blank line between objects is a heartbeat. Blank lines within an object are not, because an object that
+ * never ends would then keep a connection alive.
  */
 final class JsonObjectFramer {
-    private static final int LONGEST = 4 << 20;
-    /** Room that is kept for the next object; a change of a few hundred servers fits. */
-    static final int KEPT = 64 << 10;
+    private static final int MAX_OBJECT_BYTES = 4 << 20;
+    /** The buffer space that is kept for the next object; enough for changes of a few hundred endpoints. */
+    static final int RETAINED_BUFFER_BYTES = 64 << 10;
 
-    /** What is told, one after the other, until one of them says that it is enough. */
-    interface Taker {
-        /** A whole object has come; false if nothing more is wanted. */
-        boolean object(byte[] text) throws IOException;
+    /** Receives objects and heartbeats in their order. */
+    interface Handler {
+        /** Called with a complete object; returns false if the rest of the input is to be ignored. */
+        boolean objectReceived(byte[] json) throws IOException;
 
-        /** An empty line has come; false if nothing more is wanted. */
-        boolean empty();
+        /** Called for a blank line between objects; returns false if the rest of the input is to be ignored. */
+        boolean heartbeatReceived();
     }
 
-    /** Tells how much it holds on to. */
-    private static final class Room extends ByteArrayOutputStream {
-        int bytes() {
+    /** A byte buffer that tells its capacity. */
+    private static final class ObjectBuffer extends ByteArrayOutputStream {
+        int capacity() {
             return buf.length;
         }
     }
 
-    private Room object = new Room();
+    private ObjectBuffer object = new ObjectBuffer();
     private int depth;
-    private boolean quoted;
+    private boolean inString;
     private boolean escaped;
-    /** The present line has held an object or a part of one. */
-    private boolean used;
+    /** Whether the current line contained an object or a part of one. */
+    private boolean lineHasObject;
 
-    /** Takes more bytes; what can't be part of an object, or is too long, is an exception that says so. */
-    void take(ByteBuf bytes, Taker taker) throws IOException {
-        // Copied out first: byte by byte from a buffer, a list of thousands takes several times its parsing.
-        byte[] some = new byte[bytes.readableBytes()];
-        bytes.readBytes(some);
-        int at = 0;
-        boolean wanted = true;
-        while (wanted && at < some.length) {
-            byte next = some[at];
+    /**
+     * Consumes all readable bytes and calls the handler.
+     *
+     * @throws IOException if an object is too long, there is other text between objects, or the handler throws it
+     */
+    void feed(ByteBuf input, Handler handler) throws IOException {
+        // Reading an array is several times faster than reading the buffer byte by byte.
+        byte[] bytes = new byte[input.readableBytes()];
+        input.readBytes(bytes);
+        int position = 0;
+        boolean proceed = true;
+        while (proceed && position < bytes.length) {
+            byte next = bytes[position];
             if (depth > 0 || next == '{') {
-                int end = within(some, at);
-                add(some, at, end);
-                at = end;
-                wanted = depth > 0 || taker.object(whole());
+                int end = scanObject(bytes, position);
+                append(bytes, position, end);
+                position = end;
+                proceed = depth > 0 || handler.objectReceived(takeObject());
             } else {
-                at++;
-                if (next == '\n') {
-                    wanted = used || taker.empty();
-                    used = false;
-                } else if (next != ' ' && next != '\t' && next != '\r') {
-                    throw new IOException("a line that is no list");
-                }
+                position++;
+                proceed = acceptBetweenObjects(next, handler);
             }
         }
     }
 
-    /** Whether an object has begun and not ended. */
-    boolean open() {
+    private boolean acceptBetweenObjects(byte next, Handler handler) throws IOException {
+        if (next == '\n') {
+            boolean proceed = lineHasObject || handler.heartbeatReceived();
+            lineHasObject = false;
+            return proceed;
+        }
+        if (next != ' ' && next != '\t' && next != '\r') {
+            throw new IOException("text outside a JSON object");
+        }
+        return true;
+    }
+
+    /** Returns whether an object has started and not ended. */
+    boolean isObjectOpen() {
         return depth > 0;
     }
 
-    private byte[] whole() {
-        byte[] text = object.toByteArray();
-        if (object.bytes() > KEPT) {
-            // Changes follow a whole list: what held a megabyte once is not kept for as long as the watch.
-            object = new Room();
+    /** Returns the capacity of the buffer, in bytes. */
+    int bufferCapacity() {
+        return object.capacity();
+    }
+
+    private byte[] takeObject() {
+        byte[] json = object.toByteArray();
+        if (object.capacity() > RETAINED_BUFFER_BYTES) {
+            // A large snapshot is followed by small changes: its buffer must not live as long as the watch.
+            object = new ObjectBuffer();
         } else {
             object.reset();
         }
-        return text;
-    }
-
-    /** Bytes that are kept for what comes. */
-    int room() {
-        return object.bytes();
+        return json;
     }
 
-    private void add(byte[] some, int from, int to) throws IOException {
-        used = true;
-        if (object.size() + to - from > LONGEST) {
-            throw new IOException("a list of over " + LONGEST + " bytes");
+    private void append(byte[] bytes, int from, int to) throws IOException {
+        lineHasObject = true;
+        if (object.size() + to - from > MAX_OBJECT_BYTES) {
+            throw new IOException("JSON object of over " + MAX_OBJECT_BYTES + " bytes");
         }
-        object.write(some, from, to - from);
+        object.write(bytes, from, to - from);
     }
 
-    /** Goes on through an object, to behind its last byte or as far as there is something. */
-    private int within(byte[] some, int from) {
-        for (int at = from; at < some.length; at++) {
-            byte next = some[at];
-            if (quoted) {
-                quoted = escaped || next != '"';
+    /** Advances through an object; returns the position after its last byte, or the end of the input. */
+    private int scanObject(byte[] bytes, int from) {
+        for (int position = from; position < bytes.length; position++) {
+            byte next = bytes[position];
+            if (inString) {
+                inString = escaped || next != '"';
                 escaped = !escaped && next == '\\';
             } else if (next == '"') {
-                quoted = true;
+                inString = true;
             } else if (next == '{') {
                 depth++;
             } else if (next == '}' && --depth == 0) {
-                return at + 1;
+                return position + 1;
             }
         }
-        return some.length;
+        return bytes.length;
     }
 }
--- a/discovery-client/src/main/java/topazvalve/discovery/client/PushedDiscovery.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/PushedDiscovery.java
@@ -1,21 +1,29 @@
 package topazvalve.discovery.client;
 
+import java.util.concurrent.TimeUnit;
+import topazvalve.policy.LoadBalancer.DiscoveryMode;
 import topazvalve.policy.SettingsReader;
 
 /**
- * How a pushed list is followed. All that its source has counts as told, watch or no watch, so that a source
- * that is back has to be heard within {@code rules.stopSendingWithin}.
+ * The timing of a watch that {@link DiscoveryClient} keeps open by itself, for discovery modes in which the policy
+ * does not subscribe. A sidecar must learn of a change within {@code rules.stopSendingWithin}, also when it had no
+ * watch as the change was made, so that the times are fractions of it.
  *
- * @param backoffMillis from a failure to the next call: a fifth of that time
- * @param connectTimeoutMillis how long a connect may take: half of it
+ * @param backoffMillis the time from a failure to the next call, in milliseconds
+ * @param connectTimeoutMillis the longest time for a connect, in milliseconds
  */
 public record PushedDiscovery(int backoffMillis, int connectTimeoutMillis) {
-    /** As these settings ask for; null where lists are not pushed. */
+    private static final int BACKOFF_DIVISOR = 5;
+    private static final int CONNECT_TIMEOUT_DIVISOR = 2;
+
+    /** Returns the timing for these settings, or null if the policy subscribes by itself. */
     public static PushedDiscovery of(SettingsReader options) {
-        if (options.settings().discoveryMode() != topazvalve.policy.LoadBalancer.DiscoveryMode.AUTOMATIC) {
+        if (options.settings().discoveryMode() != DiscoveryMode.AUTOMATIC) {
             return null;
         }
-        int withinMs = (int) (options.settings().limits().drainGraceNanos() / 1_000_000);
-        return new PushedDiscovery(Math.max(1, withinMs / 5), Math.max(1, withinMs / 2));
+        long graceNanos = options.settings().limits().drainGraceNanos();
+        int graceMillis = (int) TimeUnit.NANOSECONDS.toMillis(graceNanos);
+        return new PushedDiscovery(
+                Math.max(1, graceMillis / BACKOFF_DIVISOR), Math.max(1, graceMillis / CONNECT_TIMEOUT_DIVISOR));
     }
 }
--- a/discovery-client/src/main/java/topazvalve/discovery/client/RelaySelector.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/RelaySelector.java
@@ -10,31 +10,39 @@
 import topazvalve.discovery.state.RendezvousOrder;
 
 /**
- * Relays to choose from, in this sidecar's own order, and whom it asks of them.
+ * The relays of a sidecar and which of them it follows.
  *
- * @param order where they listen, the one to ask first in front
- * @param following whom to ask and when
+ * @param order the relays' addresses, in the order in which this sidecar tries them
+ * @param failover the state machine that selects one of them, by its index in {@code order}
  */
-public record RelaySelector(List<InetSocketAddress> order, FailoverStateMachine following) {
-    /** For the sidecar of this name; {@code seed} is its own. Null where there are no relays. */
+public record RelaySelector(List<InetSocketAddress> order, FailoverStateMachine failover) {
+    /**
+     * Creates a selector with the order of {@link RendezvousOrder}.
+     *
+     * @param name the unique name of the sidecar
+     * @param addresses the relays' resolved addresses, in any order
+     * @param seed the seed of the sidecar's random delays
+     * @return the selector, or null if there are no relays
+     */
     public static RelaySelector of(String name, List<InetSocketAddress> addresses, long seed) {
         if (addresses.isEmpty()) {
             return null;
         }
         Map<String, InetSocketAddress> byText = new HashMap<>();
-        addresses.forEach(address -> byText.put(text(address), address));
+        addresses.forEach(address -> byText.put(hostAndPort(address), address));
         List<InetSocketAddress> order = new ArrayList<>();
         RendezvousOrder.of(name, List.copyOf(byText.keySet())).forEach(text -> order.add(byText.get(text)));
         return new RelaySelector(
                 List.copyOf(order), new FailoverStateMachine(order.size(), new SplittableRandom(seed)));
     }
 
-    static String text(InetSocketAddress address) {
+    /** Returns an address as {@code 10.0.0.1:8600}. */
+    static String hostAndPort(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    /** Where the one listens that is asked or followed now. */
-    InetSocketAddress now() {
-        return order.get(following.currentIndex());
+    /** Returns the address of the relay that is connected to or followed. */
+    InetSocketAddress currentAddress() {
+        return order.get(failover.currentIndex());
     }
 }
--- a/discovery-client/src/main/java/topazvalve/discovery/client/package-info.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/package-info.java
@@ -1,2 +1,2 @@
-/** The list of order servers, as discovery tells it. */
+/** The client of the endpoint discovery protocol: watches and fetches over HTTP, and failover between relays. */
 package topazvalve.discovery.client;
--- a/discovery-client/src/main/java/topazvalve/discovery/json/JsonNode.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/json/JsonNode.java
@@ -7,17 +7,19 @@
 import java.util.Set;
 
 /**
- * A value of JSON (RFC 8259) that can't change: an object, a list, a text, a number (whole ones as
- * {@link Long}, others as {@link Double}), true, false, null, or nothing where a path leads nowhere. Reading
- * never fails; what is not of the kind asked for gives the kind's default.
+ * An immutable JSON value (RFC 8259): an object, an array, a string, a number, a boolean or null. The missing node
+ * stands for a value that does not exist. Accessors never fail: they return a default if the value is of another
+ * type.
  */
 public final class JsonNode implements Iterable<JsonNode> {
+    /** The missing node. */
     static final JsonNode MISSING = new JsonNode(null);
+    /** JSON's null. */
     static final JsonNode NULL = new JsonNode(Void.class);
 
     private final Object value;
 
-    /** Of a map of nodes, a list of nodes, a text, a number or a truth value. */
+    /** Creates a node of a map of nodes, a list of nodes, a {@link String}, {@link Long}, {@link Double} or boolean. */
     JsonNode(Object value) {
         this.value = value;
     }
@@ -30,91 +32,95 @@
         return value instanceof List<?> list ? list : List.of();
     }
 
-    /** The member of an object, or the node that stands for nothing. */
+    /** Returns a member of an object; the missing node if there is none or this is no object. */
     public JsonNode path(String key) {
         return members().get(key) instanceof JsonNode member ? member : MISSING;
     }
 
-    /** Whether an object has a member of this name, be it null. */
+    /** Returns whether this is an object with a member of this name, which may be null. */
     public boolean has(String key) {
         return members().containsKey(key);
     }
 
-    /** Whether an object has a member of this name that is not null. */
+    /** Returns whether this is an object with a member of this name that is not null. */
     public boolean hasNonNull(String key) {
         return has(key) && !path(key).isNull();
     }
 
-    /** The names of an object's members, in the order that they were written in. */
+    /** Returns the names of an object's members in document order; empty if this is no object. */
     @SuppressWarnings("unchecked")
     public Set<String> keys() {
         return Collections.unmodifiableSet((Set<String>) members().keySet());
     }
 
+    /** Returns whether this is an object. */
     public boolean isObject() {
         return value instanceof Map<?, ?>;
     }
 
+    /** Returns whether this is an array. */
     public boolean isArray() {
         return value instanceof List<?>;
     }
 
-    /** Whether it is an object or a list, be it empty. */
+    /** Returns whether this is an object or an array. */
     public boolean isContainer() {
         return isObject() || isArray();
     }
 
+    /** Returns whether this is a number. */
     public boolean isNumber() {
         return value instanceof Number;
     }
 
-    /** Whether it is a number written without fraction and exponent that fits 64 bits. */
+    /** Returns whether this is a number without fraction and exponent that fits 64 bits. */
     public boolean isWhole() {
         return value instanceof Long;
     }
 
+    /** Returns whether this is JSON's null; false for the missing node. */
     public boolean isNull() {
         return value == Void.class;
     }
 
-    /** How many entries a list or members an object has. */
+    /** Returns the number of elements of an array or members of an object; 0 for other values. */
     public int size() {
         return isObject() ? members().size() : items().size();
     }
 
-    /** A list's entries, or an object's values. */
+    /** Iterates over the elements of an array or the members' values of an object. */
     @Override
     @SuppressWarnings("unchecked")
     public Iterator<JsonNode> iterator() {
         return (Iterator<JsonNode>) (isObject() ? members().values() : items()).iterator();
     }
 
-    /** A text, number or truth value as text; empty for all else. */
+    /** Returns a string, number or boolean as text; empty for other values. */
     public String asText() {
         return asText("");
     }
 
-    /** A text, number or truth value as text. */
-    public String asText(String otherwise) {
-        return value == null || isNull() || isObject() || isArray() ? otherwise : value.toString();
+    /** Returns a string, number or boolean as text; the default for other values. */
+    public String asText(String defaultValue) {
+        return value == null || isNull() || isObject() || isArray() ? defaultValue : value.toString();
     }
 
-    /** A number's value, cut to a whole one; 0 for all else. */
+    /** Returns a number without its fraction; 0 for other values. */
     public long asLong() {
         return asLong(0);
     }
 
-    /** A number's value, cut to a whole one. */
-    public long asLong(long otherwise) {
-        return value instanceof Number number ? number.longValue() : otherwise;
+    /** Returns a number without its fraction; the default for other values. */
+    public long asLong(long defaultValue) {
+        return value instanceof Number number ? number.longValue() : defaultValue;
     }
 
-    /** A number's value. */
-    public double asDouble(double otherwise) {
-        return value instanceof Number number ? number.doubleValue() : otherwise;
+    /** Returns a number; the default for other values. */
+    public double asDouble(double defaultValue) {
+        return value instanceof Number number ? number.doubleValue() : defaultValue;
     }
 
-    /** Whether it is true. */
+    /** Returns true if this is JSON's true; false for all other values. */
     public boolean asBoolean() {
         return Boolean.TRUE.equals(value);
     }
@@ -129,7 +135,7 @@
         return value == null ? 0 : value.hashCode();
     }
 
-    /** For log lines: texts are not quoted. */
+    /** Returns the value for a log line, with strings unquoted; this is not JSON. */
     @Override
     public String toString() {
         return isNull() ? "null" : String.valueOf(value);
--- a/discovery-client/src/main/java/topazvalve/discovery/json/JsonReader.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/json/JsonReader.java
@@ -15,86 +15,101 @@
 import java.util.Map;
 
 /**
- * Reads JSON into {@link JsonNode}s by Jackson's streaming parser. Its object mapper would do as well, but its
- * start costs a sidecar 70 ms of CPU and 700 classes.
+ * Parses JSON into {@link JsonNode}s with Jackson's streaming parser. Jackson's object mapper is not used, because it
+ * costs a starting sidecar 70 ms of CPU time and 700 classes.
  */
 public final class JsonReader {
-    private static final int DEEPEST = 64;
+    private static final int MAX_NESTING_DEPTH = 64;
     private static final JsonFactory FACTORY = JsonFactory.builder()
-            .streamReadConstraints(
-                    StreamReadConstraints.builder().maxNestingDepth(DEEPEST).build())
+            .streamReadConstraints(StreamReadConstraints.builder()
+                    .maxNestingDepth(MAX_NESTING_DEPTH)
+                    .build())
             .build();
 
     private JsonReader() {}
 
-    /** The first value of a text; the node that stands for nothing where there is none. */
-    public static JsonNode read(String text) throws JsonProcessingException {
-        try (JsonParser parser = FACTORY.createParser(text)) {
-            return first(parser);
+    /**
+     * Parses the first value of a text and ignores what follows. An empty text gives the missing node.
+     *
+     * @throws JsonProcessingException if the value is not valid JSON or is nested too deeply
+     */
+    public static JsonNode read(String json) throws JsonProcessingException {
+        try (JsonParser parser = FACTORY.createParser(json)) {
+            return parseFirst(parser);
         } catch (JsonProcessingException e) {
             throw e;
         } catch (IOException e) {
-            throw new UncheckedIOException("a text in memory", e);
+            throw new UncheckedIOException("cannot read a string in memory", e);
         }
     }
 
-    /** The first value of a text in UTF-8; the node that stands for nothing where there is none. */
-    public static JsonNode read(byte[] text) throws IOException {
-        try (JsonParser parser = FACTORY.createParser(text)) {
-            return first(parser);
+    /**
+     * Parses the first value of a text in UTF-8 and ignores what follows. An empty text gives the missing node.
+     *
+     * @throws IOException if the value is not valid JSON or is nested too deeply
+     */
+    public static JsonNode read(byte[] json) throws IOException {
+        try (JsonParser parser = FACTORY.createParser(json)) {
+            return parseFirst(parser);
         }
     }
 
-    /** A text in UTF-8 that holds one value and nothing more, with no member given twice. */
-    public static JsonNode readStrictly(byte[] text) throws IOException {
-        try (JsonParser parser = FACTORY.createParser(text)) {
+    /**
+     * Parses a text in UTF-8 that has to consist of one value. An empty text gives the missing node.
+     *
+     * @throws IOException if the text is not valid JSON, is nested too deeply, goes on after the value, or an object
+     *     has two members of the same name
+     */
+    public static JsonNode readStrictly(byte[] json) throws IOException {
+        try (JsonParser parser = FACTORY.createParser(json)) {
             parser.enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION.mappedFeature());
-            JsonNode node = first(parser);
+            JsonNode node = parseFirst(parser);
             if (parser.nextToken() != null) {
-                throw new JsonParseException(parser, "more follows the end of the value");
+                throw new JsonParseException(parser, "unexpected text after the value");
             }
             return node;
         }
     }
 
-    private static JsonNode first(JsonParser parser) throws IOException {
-        return parser.nextToken() == null ? JsonNode.MISSING : value(parser);
+    private static JsonNode parseFirst(JsonParser parser) throws IOException {
+        return parser.nextToken() == null ? JsonNode.MISSING : parseValue(parser);
     }
 
-    private static JsonNode value(JsonParser parser) throws IOException {
+    private static JsonNode parseValue(JsonParser parser) throws IOException {
         return switch (parser.currentToken()) {
-            case START_OBJECT -> object(parser);
-            case START_ARRAY -> array(parser);
+            case START_OBJECT -> parseObject(parser);
+            case START_ARRAY -> parseArray(parser);
             case VALUE_STRING -> new JsonNode(parser.getText());
-            case VALUE_NUMBER_INT -> whole(parser);
+            case VALUE_NUMBER_INT -> parseInteger(parser);
             case VALUE_NUMBER_FLOAT -> new JsonNode(parser.getDoubleValue());
             case VALUE_TRUE -> new JsonNode(true);
             case VALUE_FALSE -> new JsonNode(false);
             case VALUE_NULL -> JsonNode.NULL;
-            default -> throw new JsonParseException(parser, "not a value");
+            default -> throw new JsonParseException(parser, "not a JSON value");
         };
     }
 
-    private static JsonNode whole(JsonParser parser) throws IOException {
+    /** Returns an integer, as floating-point number if it does not fit 64 bits. */
+    private static JsonNode parseInteger(JsonParser parser) throws IOException {
         return parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
                 ? new JsonNode(parser.getDoubleValue())
                 : new JsonNode(parser.getLongValue());
     }
 
-    private static JsonNode object(JsonParser parser) throws IOException {
+    private static JsonNode parseObject(JsonParser parser) throws IOException {
         Map<String, JsonNode> members = new LinkedHashMap<>();
         while (parser.nextToken() != JsonToken.END_OBJECT) {
             String key = parser.currentName();
             parser.nextToken();
-            members.put(key, value(parser));
+            members.put(key, parseValue(parser));
         }
         return new JsonNode(members);
     }
 
-    private static JsonNode array(JsonParser parser) throws IOException {
+    private static JsonNode parseArray(JsonParser parser) throws IOException {
         List<JsonNode> items = new ArrayList<>();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
-            items.add(value(parser));
+            items.add(parseValue(parser));
         }
         return new JsonNode(items);
     }
--- a/discovery-client/src/main/java/topazvalve/discovery/json/package-info.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/json/package-info.java
@@ -1,2 +1,2 @@
-/** The one JSON reader: a second would cost the start again. */
+/** A small JSON reader on Jackson's streaming parser, shared by all modules that read JSON when they start. */
 package topazvalve.discovery.json;
--- a/discovery-client/src/test/java/topazvalve/discovery/client/JsonObjectFramerTest.java
+++ b/discovery-client/src/test/java/topazvalve/discovery/client/JsonObjectFramerTest.java
@@ -10,32 +10,34 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class LinesTest {
-    private final List<Integer> objects = new ArrayList<>();
-    private final JsonObjectFramer lines = new JsonObjectFramer();
+/** The buffer of the framer. What it splits is tested through the client, in the sidecar module. */
+class JsonObjectFramerTest {
+    private final List<Integer> objectLengths = new ArrayList<>();
+    private final JsonObjectFramer framer = new JsonObjectFramer();
 
-    private void take(String text) throws IOException {
-        lines.take(Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII), new JsonObjectFramer.Taker() {
+    private void feed(String text) throws IOException {
+        framer.feed(Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII), new JsonObjectFramer.Handler() {
             @Override
-            public boolean object(byte[] object) {
-                objects.add(object.length);
+            public boolean objectReceived(byte[] json) {
+                objectLengths.add(json.length);
                 return true;
             }
 
             @Override
-            public boolean empty() {
+            public boolean heartbeatReceived() {
                 return true;
             }
         });
     }
 
     @Test
-    void whatHeldAWholeListIsNotKeptForAsLongAsTheWatch() throws IOException {
-        String list = "{\"targets\":\"" + "x".repeat(900_000) + "\"}";
-        take(list.substring(0, 500_000));
-        assertTrue(lines.room() >= 500_000 && lines.open());
-        take(list.substring(500_000) + "\n{\"rev\":2}\n");
-        assertEquals(List.of(list.length(), 9), objects);
-        assertTrue(lines.room() <= JsonObjectFramer.KEPT, lines.room() + " bytes are kept");
+    void theBufferOfALargeSnapshotIsReleasedAfterIt() throws IOException {
+        String snapshot = "{\"targets\":\"" + "x".repeat(900_000) + "\"}";
+        feed(snapshot.substring(0, 500_000));
+        assertTrue(framer.bufferCapacity() >= 500_000 && framer.isObjectOpen());
+        feed(snapshot.substring(500_000) + "\n{\"rev\":2}\n");
+        assertEquals(List.of(snapshot.length(), 9), objectLengths);
+        int capacity = framer.bufferCapacity();
+        assertTrue(capacity <= JsonObjectFramer.RETAINED_BUFFER_BYTES, capacity + " bytes are kept");
     }
 }
--- a/sidecar/src/test/java/topazvalve/sidecar/RelaysTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/RelaysTest.java
@@ -65,7 +65,7 @@
             order.add(each.address());
         }
         RelaySelector of =
-                new RelaySelector(order, RelaySelector.of("n", order, 1).following());
+                new RelaySelector(order, RelaySelector.of("n", order, 1).failover());
         DiscoveryClient discovery = new DiscoveryClient(
                 loop, NOBODY, known, null, of, (kind, targets) -> told.add(new Told(kind, targets)));
         loop.execute(() -> discovery.watch(true));
