--- a/relay/src/main/java/topazvalve/relay/Backfill.java
+++ b/relay/src/main/java/topazvalve/relay/Backfill.java
@@ -44,7 +44,7 @@
      * Asks for the changes since {@code from}, unless a request is in flight already.
      *
      * @param from the version that a subscriber has; null if it has none of this source
-     * @param address where the source is asked
+     * @param address the source's address
      * @return whether there is an answer to wait for
      */
     boolean request(SourceVersion from, InetSocketAddress address) {
--- a/relay/src/main/java/topazvalve/relay/CatchUpService.java
+++ b/relay/src/main/java/topazvalve/relay/CatchUpService.java
@@ -10,7 +10,7 @@
 import topazvalve.discovery.state.VersionVector;
 
 /**
- * Brings subscribers to the newest state and keeps them there. {@link EndpointStore} decides what a subscriber
+ * Sends subscribers the newest state and every change after it. {@link EndpointStore} decides what a subscriber
  * lacks; this class decides when it is sent, and parks a subscriber that can't be answered yet. On the event
  * loop alone.
  */
@@ -56,7 +56,7 @@
         }
     }
 
-    /** Brings a watch to the newest state if that can be done now; else parks or ends it. */
+    /** Sends a watch the newest state if it can be answered now; else parks or ends it. */
     void catchUp(Subscriber subscriber) {
         CatchUp due = store.catchUp(subscriber.versions());
         if (due == CatchUp.SNAPSHOT && sources.requestBackfill(subscriber.versions())) {
@@ -66,7 +66,7 @@
         } else if (due == CatchUp.DELTA) {
             sendDelta(subscriber);
         } else if (subscriber.isResponseStarted()) {
-            // It followed, and this relay has fallen behind: its next relay has not, or will not for long.
+            // It followed, and this relay has an older state now: another relay will serve it sooner.
             subscriber.close();
         } else {
             park(subscriber);
@@ -88,10 +88,10 @@
         }
     }
 
-    /** A relay that heard every source since the watch was parked is not behind: the source has restarted. */
+    /** A relay with messages of every source since the watch was parked is up to date: the source has restarted. */
     private boolean isSnapshotDueAfterPark(CatchUp due) {
         return due == CatchUp.SNAPSHOT
-                || (due == CatchUp.AHEAD_OR_RESTARTED && sources.allHeardWithin(PARK_TIMEOUT_NANOS));
+                || (due == CatchUp.AHEAD_OR_RESTARTED && sources.allActiveWithin(PARK_TIMEOUT_NANOS));
     }
 
     private void sendDelta(Subscriber subscriber) {
@@ -125,12 +125,12 @@
         });
     }
 
-    /** Brings every subscriber that follows to the newest state, whatever it has. */
+    /** Sends every subscriber that follows what it lacks of the newest state. */
     void catchUpFollowing() {
         subscribers.forEachFollowing(this::catchUp);
     }
 
-    /** Brings a subscriber that was too slow, and has now taken what waited for it, to the newest state. */
+    /** Sends the newest state to a subscriber that missed changes and has now read what waited for it. */
     void becameWritable(Subscriber subscriber) {
         if (subscriber.state() == Subscriber.State.FOLLOWING && !subscriber.isUpToDate()) {
             catchUp(subscriber);
@@ -165,7 +165,7 @@
         return before.equals(batch.from()) ? batch.to() : before.merge(batch.to());
     }
 
-    /** Says to every subscriber that follows that nothing has changed, if a source was heard lately. */
+    /** Sends a heartbeat to every subscriber that follows, if a source is healthy. */
     void sendHeartbeats() {
         if (!sources.isAnyHealthy()) {
             return;
--- a/relay/src/main/java/topazvalve/relay/DiscoveryRelay.java
+++ b/relay/src/main/java/topazvalve/relay/DiscoveryRelay.java
@@ -18,8 +18,8 @@
  *
  * <p>This class joins the parts: {@link SourceGroup} feeds the {@link EndpointStore}; {@link CatchUpService}
  * sends subscribers what they lack, through {@link ChangeBatcher} and {@link SnapshotCache};
- * {@link RequestHandler} admits connections; {@link SourceHealthMonitor} ends subscriptions while no source is
- * heard, so that the subscribers find another relay or keep the list that they have.
+ * {@link RequestHandler} admits connections; {@link SourceHealthMonitor} ends subscriptions once no source is
+ * healthy, so that the subscribers find another relay or keep the list that they have.
  */
 public final class DiscoveryRelay {
     private static final long HEARTBEAT_INTERVAL_MILLIS = 2_000;
--- a/relay/src/main/java/topazvalve/relay/RejectionReason.java
+++ b/relay/src/main/java/topazvalve/relay/RejectionReason.java
@@ -6,9 +6,9 @@
     TOO_MANY_SUBSCRIBERS("full\n"),
     /** Too many older snapshots are still being written to slow subscribers. */
     TOO_MANY_SNAPSHOTS("too many whole lists are being sent\n"),
-    /** No source was heard lately, so that the relay can't say that its list is fresh. */
+    /** No source is healthy, so that the relay can't say that its list is fresh. */
     NO_HEALTHY_SOURCE("no source is heard\n"),
-    /** Some source was never heard, so that the list would lack its endpoints. */
+    /** Some source has not sent a snapshot yet, so that the list would lack its endpoints. */
     INCOMPLETE_LIST("not every source was heard yet\n"),
     /** The subscriber has a newer version than this relay. */
     SUBSCRIBER_AHEAD("behind what you have\n");
--- a/relay/src/main/java/topazvalve/relay/RequestHandler.java
+++ b/relay/src/main/java/topazvalve/relay/RequestHandler.java
@@ -113,7 +113,7 @@
 
     /**
      * Returns the versions that a subscriber has. A bare revision is enough only where it says all: with one
-     * source, which tells no epoch.
+     * source, which sends no epoch.
      */
     private VersionVector versionsOf(DiscoveryRequest request) {
         if (!request.versions().isEmpty() || request.from() == 0 || sources.size() > 1) {
--- a/relay/src/main/java/topazvalve/relay/SnapshotCache.java
+++ b/relay/src/main/java/topazvalve/relay/SnapshotCache.java
@@ -23,7 +23,7 @@
         this.store = store;
     }
 
-    /** Notes that the store has changed: the next snapshot is encoded anew. */
+    /** Notes that the store has changed: the next snapshot has to be encoded. */
     void invalidate() {
         if (current != null) {
             olderSnapshots.add(current);
--- a/relay/src/main/java/topazvalve/relay/SourceGroup.java
+++ b/relay/src/main/java/topazvalve/relay/SourceGroup.java
@@ -5,9 +5,9 @@
 import topazvalve.discovery.client.DiscoveryCall;
 import topazvalve.discovery.state.VersionVector;
 
-/** All sources of a relay, and whether they were heard lately. On the event loop alone. */
+/** All sources of a relay, and which of them are healthy. On the event loop alone. */
 final class SourceGroup {
-    /** A source says something every 2 s; it counts as lost after the idle timeout that sidecars use too. */
+    /** A source sends a message every 2 s; it is healthy until the idle timeout, which sidecars use too. */
     private static final long MAX_IDLE_NANOS = TimeUnit.MILLISECONDS.toNanos(DiscoveryCall.IDLE_TIMEOUT_MILLIS);
 
     private final List<SourceSubscription> sources;
@@ -33,7 +33,7 @@
         return sources.get(0).name();
     }
 
-    /** Returns whether any source was heard lately: the relay's list is then no older than that. */
+    /** Returns whether any source is healthy: the relay's list is then no older than the idle timeout. */
     boolean isAnyHealthy() {
         return sources.stream().anyMatch(SourceGroup::isHealthy);
     }
@@ -46,20 +46,20 @@
         return source.idleNanos() <= MAX_IDLE_NANOS;
     }
 
-    /** Returns whether every source was heard within the last {@code nanos}. */
-    boolean allHeardWithin(long nanos) {
+    /** Returns whether every source has sent a message within the last {@code nanos}. */
+    boolean allActiveWithin(long nanos) {
         return sources.stream().allMatch(source -> source.idleNanos() < nanos);
     }
 
     /**
-     * Asks the first source that can tell it for the changes since a subscriber's versions; returns whether
+     * Asks the first source that may have them for the changes since a subscriber's versions; returns whether
      * there is an answer to wait for.
      */
     boolean requestBackfill(VersionVector versions) {
         return sources.stream().anyMatch(source -> source.requestBackfill(versions.versionOf(source.name())));
     }
 
-    /** Appends for each source how long it has been silent, as {@code key=value} lines. */
+    /** Appends for each source how long it has sent no message, as {@code key=value} lines. */
     void appendIdleTimes(StringBuilder page) {
         for (SourceSubscription source : sources) {
             long idleMillis = TimeUnit.NANOSECONDS.toMillis(source.idleNanos());
--- a/relay/src/main/java/topazvalve/relay/SourceHealthMonitor.java
+++ b/relay/src/main/java/topazvalve/relay/SourceHealthMonitor.java
@@ -5,7 +5,7 @@
 import topazvalve.discovery.state.EndpointStore;
 
 /**
- * Notices when the last healthy source of a relay is lost, and when one is heard again. On the event loop
+ * Notices when the last healthy source of a relay is lost, and when one is healthy again. On the event loop
  * alone.
  */
 final class SourceHealthMonitor {
--- a/relay/src/main/java/topazvalve/relay/SourceSubscription.java
+++ b/relay/src/main/java/topazvalve/relay/SourceSubscription.java
@@ -18,7 +18,7 @@
 import topazvalve.relay.RelaySettings.SourceSettings;
 
 /**
- * Watches one source and applies what it says to the {@link EndpointStore}; connects anew, to the source's next
+ * Watches one source and applies its updates to the {@link EndpointStore}; reconnects, to the source's next
  * address, when the watch fails. On the event loop alone.
  */
 final class SourceSubscription {
@@ -48,7 +48,7 @@
     private final Backfill backfill;
     private State state = State.CLOSED;
     private DiscoveryCall call;
-    /** What the source said last does not follow on the store's state: a snapshot is asked for. */
+    /** The next watch must start with a snapshot, because the last update did not follow on the store's state. */
     private boolean snapshotNeeded = true;
 
     private long lastMessageNanos;
@@ -62,7 +62,7 @@
         this.failover = new FailoverStateMachine(settings.addresses().size(), new SplittableRandom(seed));
         this.listener = listener;
         this.backfill = new Backfill(loop, settings.name(), store, listener);
-        // As if it had last spoken long ago: it is not healthy before it is heard.
+        // Long ago, so that the source is not healthy before its first message.
         this.lastMessageNanos = System.nanoTime() - TimeUnit.DAYS.toNanos(1);
     }
 
@@ -82,7 +82,7 @@
         backfill.close();
     }
 
-    /** Returns how many nanoseconds ago the source said anything. */
+    /** Returns how many nanoseconds ago the source sent its last message. */
     long idleNanos() {
         return System.nanoTime() - lastMessageNanos;
     }
--- a/relay/src/test/java/topazvalve/relay/RelayFileTest.java
+++ b/relay/src/test/java/topazvalve/relay/RelayFileTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import topazvalve.toml.InvalidFileException;
 
-/** A relay's file: what it leaves out, and what is refused, with its line and its key. */
+/** Defaults of a relay's file, and its problems with their line and key. */
 class RelayFileTest {
-    private static final String GOOD = """
+    private static final String VALID_FILE = """
             listen = "127.0.0.1:8600"
             [[source]]
             name = "eu"
@@ -19,8 +19,8 @@
             """;
 
     @Test
-    void whatIsLeftOutHasItsDefault() {
-        RelaySettings settings = RelayFile.parse("r.toml", GOOD);
+    void missingKeysHaveTheirDefaults() {
+        RelaySettings settings = RelayFile.parse("r.toml", VALID_FILE);
         assertEquals("relay", settings.name());
         assertEquals(RelaySettings.DEFAULT_MAX_SUBSCRIBERS, settings.maxSubscribers());
         assertEquals(RelaySettings.DEFAULT_STALL_TIMEOUT_MILLIS, settings.stallTimeoutMillis());
@@ -37,11 +37,11 @@
                 "addresses = []|addresses",
                 "address = \"127.0.0.1:1\"|address"
             })
-    void aSourcesFaultIsToldWithItsLine(String line, String key) {
-        String text = GOOD.replaceAll("(?m)^" + line.split(" ")[0] + " = .*\n", "") + line + "\n";
-        InvalidFileException bad = assertThrows(InvalidFileException.class, () -> RelayFile.parse("r.toml", text));
-        assertTrue(bad.getMessage().contains("source.0." + key + ": "), bad.getMessage());
-        assertTrue(bad.getMessage().startsWith("r.toml:"), bad.getMessage());
+    void anInvalidSourceIsReportedWithItsLine(String line, String key) {
+        String text = VALID_FILE.replaceAll("(?m)^" + line.split(" ")[0] + " = .*\n", "") + line + "\n";
+        InvalidFileException invalid = assertThrows(InvalidFileException.class, () -> RelayFile.parse("r.toml", text));
+        assertTrue(invalid.getMessage().contains("source.0." + key + ": "), invalid.getMessage());
+        assertTrue(invalid.getMessage().startsWith("r.toml:"), invalid.getMessage());
     }
 
     @ParameterizedTest
@@ -52,17 +52,18 @@
                 "listen = \"here\"|listen", "most_callers = 0|most_callers", "caller_bytes = 1|caller_bytes",
                 "logged_entries = 0|logged_entries", "stall = \"1ms\"|stall", "stal = \"1s\"|stal"
             })
-    void aKeysFaultIsToldWithItsLine(String line, String key) {
-        String text = line + "\n" + (key.equals("listen") ? GOOD.substring(GOOD.indexOf('\n') + 1) : GOOD);
-        InvalidFileException bad = assertThrows(InvalidFileException.class, () -> RelayFile.parse("r.toml", text));
-        assertTrue(bad.getMessage().startsWith("r.toml:1: " + key + ": "), bad.getMessage());
+    void anInvalidKeyIsReportedWithItsLine(String line, String key) {
+        String text =
+                line + "\n" + (key.equals("listen") ? VALID_FILE.substring(VALID_FILE.indexOf('\n') + 1) : VALID_FILE);
+        InvalidFileException invalid = assertThrows(InvalidFileException.class, () -> RelayFile.parse("r.toml", text));
+        assertTrue(invalid.getMessage().startsWith("r.toml:1: " + key + ": "), invalid.getMessage());
     }
 
     @Test
-    void twoSourcesOfOneNameAreNone() {
-        String twice = GOOD + "[[source]]\nname = \"eu\"\naddresses = [\"127.0.0.1:9\"]\n";
-        InvalidFileException bad = assertThrows(InvalidFileException.class, () -> RelayFile.parse("r.toml", twice));
-        assertTrue(bad.getMessage().startsWith("r.toml:6: source.1.name: "), bad.getMessage());
+    void sourceNamesAreDistinctAndOneSourceIsRequired() {
+        String twice = VALID_FILE + "[[source]]\nname = \"eu\"\naddresses = [\"127.0.0.1:9\"]\n";
+        InvalidFileException invalid = assertThrows(InvalidFileException.class, () -> RelayFile.parse("r.toml", twice));
+        assertTrue(invalid.getMessage().startsWith("r.toml:6: source.1.name: "), invalid.getMessage());
         assertThrows(InvalidFileException.class, () -> RelayFile.parse("r.toml", "listen = \"127.0.0.1:1\"\n"));
     }
 }
--- a/relay/src/test/java/topazvalve/relay/SourceReaderTest.java
+++ b/relay/src/test/java/topazvalve/relay/SourceReaderTest.java
@@ -12,14 +12,14 @@
 import topazvalve.discovery.state.EndpointStore.Update;
 import topazvalve.discovery.state.SourceVersion;
 
-/** What a source writes, in any layout. */
+/** Messages of sources, in any layout of JSON. */
 class SourceReaderTest {
     private static Update read(String text) throws IOException {
         return SourceReader.read(text.getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
-    void anEntryKeepsAllThatItSaysOnOneLine() throws IOException {
+    void anEntryKeepsAllItsFieldsOnOneLine() throws IOException {
         Update update = read("{\n \"rev\": 4, \"epoch\": 2, \"note\": {\"x\": [1]}, \"all\": true,\n"
                 + "\"targets\": [\n  {\"uid\": \"a\",\n \"tags\": {\"uid\": \"inner\",\n"
                 + "\"n\": [1.50, null]},\n \"state\": \"DELETED\"}]}");
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void anEntryWithoutANameIsPassedOverAndTheRestTaken() throws IOException {
+    void anEntryWithoutAValidUidIsSkipped() throws IOException {
         assertEquals(
                 1,
                 read("{\"rev\":4,\"targets\":[{\"state\":\"SERVING\"},{\"uid\":7}," + "{\"uid\":\"b\"},{\"uid\":\""
@@ -55,7 +55,7 @@
                 "{\"rev\":1,\"targets\":[1]}",
                 "{\"rev\":1,\"targets\":[{\"uid\":\"a\"}"
             })
-    void whatIsNoListIsRefused(String text) {
+    void aMessageThatIsNoEndpointListIsRejected(String text) {
         assertThrows(MalformedSourceMessageException.class, () -> read(text));
     }
 }
--- a/toml/src/main/java/topazvalve/toml/KeyLines.java
+++ b/toml/src/main/java/topazvalve/toml/KeyLines.java
@@ -6,7 +6,7 @@
 import java.util.regex.Pattern;
 
 /**
- * Finds the line of each key of a TOML file, which the parser's tree does not tell. Paths are as in
+ * Finds the line of each key of a TOML file, which the parser's tree lacks. Paths are as in
  * {@code class.0.aim}; tables and arrays of tables have the line of their header.
  */
 final class KeyLines {
