--- a/core/src/main/java/topazvalve/core/exchange/ExchangeAttempt.java
+++ b/core/src/main/java/topazvalve/core/exchange/ExchangeAttempt.java
@@ -33,7 +33,7 @@
     }
 
     @Override
-    public void responseStarted(Attempt<Q, A> attempt, A first, long length, FlowControl rest) {
+    public void responseStarted(Attempt<Q, A> attempt, A firstPart, long length, FlowControl flowControl) {
         if (!exchange.startResponse(number)) {
             attempt.cancel();
             return;
@@ -42,7 +42,7 @@
                 .dispatcher()
                 .dispatch((policy, now) ->
                         policy.responseStarted(now, exchange.id, number, endpoint, now - startedAtNanos));
-        exchange.listener.responseStarted(first, length, rest);
+        exchange.listener.responseStarted(firstPart, length, flowControl);
     }
 
     @Override
@@ -51,21 +51,22 @@
     }
 
     @Override
-    public void attemptCompleted(Outcome outcome, A answer, float[] load) {
+    public void attemptCompleted(Outcome outcome, A response, float[] loadReport) {
         // A response does not wait for queued events. Its fault must not keep the policy from hearing of the end:
         // the attempt would count as in flight for ever.
-        lifecycle.dispatcher().runGuarded(() -> respond(outcome, answer));
+        lifecycle.dispatcher().runGuarded(() -> respond(outcome, response));
         lifecycle.dispatcher().dispatch((policy, now) -> {
             exchange.attemptEnded();
             long elapsedNanos = now - startedAtNanos;
             boolean requestCompleted = !exchange.isOpen();
-            policy.attemptCompleted(now, exchange.id, number, endpoint, outcome, elapsedNanos, requestCompleted, load);
+            policy.attemptCompleted(
+                    now, exchange.id, number, endpoint, outcome, elapsedNanos, requestCompleted, loadReport);
             lifecycle.removeIfSettled(exchange);
         });
     }
 
     /** Answers the client if this attempt's response is the one that it gets. */
-    private void respond(Outcome outcome, A answer) {
+    private void respond(Outcome outcome, A response) {
         boolean responding = exchange.isRespondingWith(number);
         if (responding && outcome == Outcome.OK) {
             lifecycle.complete(exchange, this::finishResponse);
@@ -74,7 +75,7 @@
         } else if (outcome == Outcome.OK && exchange.state() == ExchangeState.ATTEMPTING) {
             lifecycle.complete(exchange, () -> {
                 exchange.counters.requestServed();
-                exchange.listener.responseReceived(answer);
+                exchange.listener.responseReceived(response);
             });
         }
     }
--- a/core/src/main/java/topazvalve/core/exchange/ExchangeHandler.java
+++ b/core/src/main/java/topazvalve/core/exchange/ExchangeHandler.java
@@ -1,6 +1,11 @@
 package topazvalve.core.exchange;
 
-/** Accepts exchanges from frontends. */
+/**
+ * Accepts exchanges from frontends.
+ *
+ * @param <Q> request of the protocol
+ * @param <A> response of the protocol
+ */
 public interface ExchangeHandler<Q, A> {
     /**
      * Submits an exchange. Its listener gets one final answer, possibly within this call.
--- a/core/src/main/java/topazvalve/core/exchange/ExchangeManager.java
+++ b/core/src/main/java/topazvalve/core/exchange/ExchangeManager.java
@@ -16,6 +16,9 @@
  * This class puts the parts together and is their only public face: {@link ExchangeLifecycle} owns the
  * exchanges, {@link PolicyDispatcher} calls the policy, {@link PolicyActionExecutor} carries out what it
  * orders, and {@link EndpointUpdater} passes on endpoint lists. Used on the event loop alone.
+ *
+ * @param <Q> request of the protocol
+ * @param <A> response of the protocol
  */
 public final class ExchangeManager<Q, A> implements ExchangeHandler<Q, A>, Metrics.Gauges, EndpointDiscovery.Listener {
 
--- a/core/src/main/java/topazvalve/core/exchange/ExchangeRequest.java
+++ b/core/src/main/java/topazvalve/core/exchange/ExchangeRequest.java
@@ -15,6 +15,7 @@
  * @param write whether the request may change something
  * @param message the request in terms of its protocol; the core does not look at it
  * @param body body of the request
+ * @param <Q> request of the protocol
  */
 public record ExchangeRequest<Q>(
         ClassTable.Entry requestClass,
--- a/core/src/main/java/topazvalve/core/exchange/PolicyActionExecutor.java
+++ b/core/src/main/java/topazvalve/core/exchange/PolicyActionExecutor.java
@@ -98,8 +98,8 @@
         long sentAtNanos = scheduler.now();
         backend.sendHealthCheck(
                 endpoint,
-                (outcome, answer, load) -> dispatcher.dispatch(
-                        (policy, now) -> policy.healthCheckCompleted(now, endpoint, outcome, now - sentAtNanos, load)));
+                (outcome, response, loadReport) -> dispatcher.dispatch((policy, now) ->
+                        policy.healthCheckCompleted(now, endpoint, outcome, now - sentAtNanos, loadReport)));
     }
 
     @Override
--- a/core/src/main/java/topazvalve/core/exchange/PolicyDispatcher.java
+++ b/core/src/main/java/topazvalve/core/exchange/PolicyDispatcher.java
@@ -76,7 +76,7 @@
         LOG.error("Failed to handle event", cause);
     }
 
-    /** Returns how many upstream endpoints the policy has ejected now. */
+    /** Returns how many endpoints the policy has ejected now. */
     int ejectedCount() {
         return policy.ejectedCount(scheduler.now());
     }
--- a/core/src/main/java/topazvalve/core/pool/Attempt.java
+++ b/core/src/main/java/topazvalve/core/pool/Attempt.java
@@ -14,6 +14,9 @@
  * <p>An attempt waits for a connection (PENDING), is written on one (WRITING), is handed over to the connection
  * in full (HANDED_OVER), and is written (WRITTEN); from each of these states it can become COMPLETED. Its
  * listener is notified of the end exactly once. Used on the event loop alone.
+ *
+ * @param <Q> request of the protocol
+ * @param <A> response of the protocol
  */
 public final class Attempt<Q, A> {
     /** The load report of an attempt that brought none. */
@@ -155,9 +158,9 @@
      *
      * @param length length of the response's body in bytes; -1 where it is not known
      */
-    public void responseStarted(A first, long length, FlowControl rest) {
+    public void responseStarted(A firstPart, long length, FlowControl flowControl) {
         cancelTimeout();
-        listener.responseStarted(this, first, length, rest);
+        listener.responseStarted(this, firstPart, length, flowControl);
     }
 
     /** Passes on the next bytes of a streamed response; the listener takes ownership of the buffer. */
@@ -174,7 +177,7 @@
     }
 
     /** Ends the attempt with what its connection, which stays open, has received; does nothing after its end. */
-    public void complete(Outcome outcome, A answer, float[] load) {
+    public void complete(Outcome outcome, A response, float[] loadReport) {
         if (isCompleted()) {
             return;
         }
@@ -185,6 +188,6 @@
             body.stopReading();
         }
         onWrittenOrCompleted.accept(this);
-        listener.attemptCompleted(outcome, answer, load);
+        listener.attemptCompleted(outcome, response, loadReport);
     }
 }
--- a/core/src/main/java/topazvalve/core/pool/AttemptListener.java
+++ b/core/src/main/java/topazvalve/core/pool/AttemptListener.java
@@ -4,7 +4,12 @@
 import topazvalve.core.stream.FlowControl;
 import topazvalve.policy.LoadBalancer.Outcome;
 
-/** Receives what becomes of an attempt. */
+/**
+ * Receives what becomes of an attempt.
+ *
+ * @param <Q> request of the protocol
+ * @param <A> response of the protocol
+ */
 public interface AttemptListener<Q, A> {
     /** Reports that the last byte was written: from now on the server may have run the attempt. */
     default void requestWritten() {}
@@ -12,10 +17,11 @@
     /**
      * Starts a response that is too large to be buffered.
      *
+     * @param firstPart head of the response and its first bytes, as the protocol has them
      * @param length length of the response's body in bytes; -1 where it is not known
-     * @param rest pauses and resumes the parts that follow
+     * @param flowControl pauses and resumes the parts that follow
      */
-    default void responseStarted(Attempt<Q, A> attempt, A first, long length, FlowControl rest) {}
+    default void responseStarted(Attempt<Q, A> attempt, A firstPart, long length, FlowControl flowControl) {}
 
     /** Receives the next bytes of a streamed response and takes ownership of the buffer. */
     default void responseData(ByteBuf bytes) {
@@ -25,8 +31,8 @@
     /**
      * Reports the end of the attempt; called exactly once.
      *
-     * @param answer the complete response for {@link Outcome#OK}; null for a streamed one and other outcomes
-     * @param load the server's load report; {@link Attempt#NO_LOAD} if there is none
+     * @param response the complete response for {@link Outcome#OK}; null for a streamed one and other outcomes
+     * @param loadReport the server's load report; {@link Attempt#NO_LOAD} if there is none
      */
-    void attemptCompleted(Outcome outcome, A answer, float[] load);
+    void attemptCompleted(Outcome outcome, A response, float[] loadReport);
 }
--- a/core/src/main/java/topazvalve/core/pool/Backend.java
+++ b/core/src/main/java/topazvalve/core/pool/Backend.java
@@ -4,7 +4,12 @@
 import topazvalve.core.stream.RequestBody;
 import topazvalve.policy.SettingsReader;
 
-/** Carries attempts to endpoints. {@link ConnectionPools} is the implementation over sockets. */
+/**
+ * Carries attempts to endpoints. {@link ConnectionPools} is the implementation over sockets.
+ *
+ * @param <Q> request of the protocol
+ * @param <A> response of the protocol
+ */
 public interface Backend<Q, A> {
     /**
      * Starts an attempt. Its listener is notified of one end, possibly within this call.
--- a/core/src/main/java/topazvalve/core/pool/Codec.java
+++ b/core/src/main/java/topazvalve/core/pool/Codec.java
@@ -2,7 +2,12 @@
 
 import topazvalve.policy.SettingsReader;
 
-/** The protocol spoken with endpoints; the pools know nothing of it. */
+/**
+ * The protocol spoken with endpoints; the pools know nothing of it.
+ *
+ * @param <Q> request of the protocol
+ * @param <A> response of the protocol
+ */
 public interface Codec<Q, A> {
     /** Creates the protocol's part of a connection that is about to be opened. */
     ConnectionHandler<Q, A> newConnectionHandler(PooledConnection<Q, A> connection);
--- a/core/src/main/java/topazvalve/core/pool/ConnectionHandler.java
+++ b/core/src/main/java/topazvalve/core/pool/ConnectionHandler.java
@@ -2,7 +2,12 @@
 
 import io.netty.channel.Channel;
 
-/** The protocol's part of one connection, which carries one attempt at a time. */
+/**
+ * The protocol's part of one connection, which carries one attempt at a time.
+ *
+ * @param <Q> request of the protocol
+ * @param <A> response of the protocol
+ */
 public interface ConnectionHandler<Q, A> {
     /** Adds the protocol's handlers to a channel that is not connected yet. */
     void configure(Channel channel);
--- a/core/src/main/java/topazvalve/core/pool/ConnectionPools.java
+++ b/core/src/main/java/topazvalve/core/pool/ConnectionPools.java
@@ -14,6 +14,9 @@
 /**
  * The pools of connections to all endpoints, and the attempts on them. An attempt is written once, on one
  * connection, and has one outcome; nothing is retried here. Used on the event loop alone.
+ *
+ * @param <Q> request of the protocol
+ * @param <A> response of the protocol
  */
 public final class ConnectionPools<Q, A> implements Backend<Q, A> {
     private static final double DEFAULT_CONNECT_TIMEOUT_NANOS = 1e9;
--- a/core/src/main/java/topazvalve/core/pool/PooledConnection.java
+++ b/core/src/main/java/topazvalve/core/pool/PooledConnection.java
@@ -16,6 +16,9 @@
 /**
  * One connection to an endpoint. It is CONNECTING at first, then LEASED to one attempt after the other and IDLE
  * between them; from each of these states it can become CLOSED.
+ *
+ * @param <Q> request of the protocol
+ * @param <A> response of the protocol
  */
 public final class PooledConnection<Q, A> {
     private enum State {
--- a/core/src/test/java/topazvalve/core/exchange/ExchangeScenario.java
+++ b/core/src/test/java/topazvalve/core/exchange/ExchangeScenario.java
@@ -5,14 +5,9 @@
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
-import java.lang.reflect.InvocationTargetException;
-import java.lang.reflect.Method;
-import java.lang.reflect.Proxy;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 import topazvalve.core.classes.ClassTable;
 import topazvalve.core.endpoint.Endpoint;
 import topazvalve.core.endpoint.EndpointDiscovery;
@@ -21,13 +16,11 @@
 import topazvalve.core.stream.ByteBudget;
 import topazvalve.core.stream.FlowControl;
 import topazvalve.core.stream.RequestBody;
-import topazvalve.policy.LoadBalancer;
 import topazvalve.policy.LoadBalancer.EndpointStatus;
 import topazvalve.policy.LoadBalancer.Idempotency;
 import topazvalve.policy.LoadBalancer.Outcome;
 import topazvalve.policy.LoadBalancer.UpdateKind;
 import topazvalve.policy.SettingsReader;
-import topazvalve.policy.SidecarPolicy;
 
 /**
  * One exchange and two endpoints, with the real core and the real policy in simulated time. It knows which events
@@ -59,7 +52,6 @@
     private static final int MAX_ROGUE_FORWARDS = 2;
     private static final int MAX_EXCHANGES = 2;
     private static final int TIMEOUT_MILLIS = 400;
-    private static final int POLICY_SEED = 7;
     private static final int BODY_BYTES = 8;
     private static final long EVENT_INTERVAL_NANOS = 1_000_000;
     private static final long SETTLE_NANOS = 10_000_000_000L;
@@ -76,10 +68,8 @@
     private final ExchangeManager<String, String> manager;
     private final List<String> finalAnswers = new ArrayList<>();
     private final List<ByteBuf> responseBuffers = new ArrayList<>();
-    private final Map<Integer, Integer> outcomesByAttempt = new HashMap<>();
-    private LoadBalancer.Actions actions;
+    private final CountingPolicyFactory policyFactory = new CountingPolicyFactory();
     private final long id;
-    private int forwardCount;
     private boolean responseStarted;
     private boolean disconnected;
     private int attemptsUntilDisconnect;
@@ -105,7 +95,7 @@
         this.rogue = rogue;
         body = bodyComplete ? RequestBody.of(new byte[BODY_BYTES]) : new RequestBody(budget, -1);
         manager = new ExchangeManager<>(
-                scheduler, settings(MAX_ATTEMPTS), this::createPolicy, backend, MAX_EXCHANGES, new Metrics(), classes);
+                scheduler, settings(MAX_ATTEMPTS), policyFactory, backend, MAX_EXCHANGES, new Metrics(), classes);
         manager.start(
                 EndpointDiscovery.fixed(List::of, (kind, endpoints) -> {}),
                 List.of(
@@ -137,38 +127,6 @@
         return new Endpoint("s" + number, address, "z", "k", number, status, 1, 0);
     }
 
-    /** Creates the real policy between two proxies, which count what it orders and what it is notified of. */
-    private LoadBalancer createPolicy(LoadBalancer.Settings settings, LoadBalancer.Actions executor) {
-        actions = executor;
-        LoadBalancer.Actions countingActions = (LoadBalancer.Actions) Proxy.newProxyInstance(
-                ExchangeScenario.class.getClassLoader(),
-                new Class<?>[] {LoadBalancer.Actions.class},
-                (proxy, method, arguments) -> {
-                    if (method.getName().equals("forward")) {
-                        forwardCount++;
-                    }
-                    return invoke(executor, method, arguments);
-                });
-        LoadBalancer policy = new SidecarPolicy(settings, POLICY_SEED, countingActions);
-        return (LoadBalancer) Proxy.newProxyInstance(
-                ExchangeScenario.class.getClassLoader(),
-                new Class<?>[] {LoadBalancer.class},
-                (proxy, method, arguments) -> {
-                    if (method.getName().equals("attemptCompleted")) {
-                        outcomesByAttempt.merge((Integer) arguments[2], 1, Integer::sum);
-                    }
-                    return invoke(policy, method, arguments);
-                });
-    }
-
-    private static Object invoke(Object target, Method method, Object[] arguments) throws Throwable {
-        try {
-            return method.invoke(target, arguments);
-        } catch (InvocationTargetException e) {
-            throw e.getCause();
-        }
-    }
-
     /** Checks that the client gets one answer whose parts come in order. */
     private final class CheckingListener implements ResponseListener<String> {
         @Override
@@ -266,7 +224,7 @@
     }
 
     private void addEnvironmentEvents(List<ScenarioEvent> events) {
-        if (rogue && forwardCount < MAX_ATTEMPTS + MAX_ROGUE_FORWARDS) {
+        if (rogue && policyFactory.forwardCount() < MAX_ATTEMPTS + MAX_ROGUE_FORWARDS) {
             events.add(ScenarioEvent.of(EventType.ROGUE_FORWARD));
         }
         events.add(ScenarioEvent.of(EventType.TIMER_FIRED));
@@ -372,8 +330,7 @@
 
     private void forwardWithoutPolicy() {
         if (manager.trackedCount() > 0) {
-            forwardCount++;
-            actions.forward(id, OTHER_ENDPOINT, 0);
+            policyFactory.forwardWithoutPolicy(id, OTHER_ENDPOINT);
         }
     }
 
@@ -398,7 +355,9 @@
     /** Checks what holds at every moment. */
     private void checkInvariants() {
         assertEquals(0, manager.faultCount(), "an event was not handled");
-        outcomesByAttempt.forEach((number, count) -> assertEquals(1, count, "outcomes of attempt " + number));
+        policyFactory
+                .outcomesByAttempt()
+                .forEach((number, count) -> assertEquals(1, count, "outcomes of attempt " + number));
         assertTrue(backend.startedAttempts.size() <= MAX_ATTEMPTS, "more attempts than allowed");
         assertTrue(
                 !disconnected || backend.startedAttempts.size() == attemptsUntilDisconnect,
@@ -438,7 +397,10 @@
         }
         checkInvariants();
         assertEquals(disconnected ? 0 : 1, finalAnswers.size(), "final answers");
-        assertEquals(forwardCount, outcomesByAttempt.size(), "each ordered attempt has an outcome");
+        assertEquals(
+                policyFactory.forwardCount(),
+                policyFactory.outcomesByAttempt().size(),
+                "each ordered attempt has an outcome");
         assertEquals(0, manager.trackedCount(), "exchanges still tracked");
         responseBuffers.forEach(bytes -> assertEquals(0, bytes.refCnt(), "a buffer is lost"));
     }
