--- a/cli/src/main/java/topazvalve/cli/SimulatorVerb.java
+++ b/cli/src/main/java/topazvalve/cli/SimulatorVerb.java
@@ -1,9 +1,5 @@
 package topazvalve.cli;
 
-import java.io.BufferedInputStream;
-import java.io.FileDescriptor;
-import java.io.FileInputStream;
-import java.io.FileOutputStream;
 import java.io.IOException;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
@@ -21,10 +17,7 @@
 
     @Override
     public Integer call() throws IOException {
-        topazvalve.simulator.Main.run(
-                new BufferedInputStream(new FileInputStream(FileDescriptor.in), 1 << 16),
-                new FileOutputStream(FileDescriptor.out),
-                policy::make);
+        topazvalve.simulator.Main.runOnStandardStreams(policy::make);
         return ExitCode.DONE;
     }
 }
--- /dev/null
+++ b/simulator-adapter/src/main/java/topazvalve/simulator/FrameInput.java
@@ -0,0 +1,68 @@
+package topazvalve.simulator;
+
+import java.io.IOException;
+import java.io.InputStream;
+import java.nio.ByteBuffer;
+import java.nio.ByteOrder;
+import java.util.Optional;
+
+/** Reads frames from a stream: a header with the time, the length and the number of records, then a body. */
+final class FrameInput {
+    private static final int HEADER_BYTES = 16;
+    private static final int INITIAL_BODY_BYTES = 1 << 16;
+    /** Arrays can't be quite as long as the greatest int. */
+    private static final int MAX_FRAME_BYTES = Integer.MAX_VALUE - 64;
+
+    private final InputStream in;
+    private final byte[] header = new byte[HEADER_BYTES];
+    private byte[] body = new byte[INITIAL_BODY_BYTES];
+
+    /**
+     * One frame: a batch of events at one time.
+     *
+     * @param nowNanos the simulator's clock in nanoseconds
+     * @param recordCount how many records the body has
+     * @param records the body, which is valid until the next frame is read
+     */
+    record Frame(long nowNanos, long recordCount, FrameReader records) {}
+
+    FrameInput(InputStream in) {
+        this.in = in;
+    }
+
+    /**
+     * Reads the next frame; empty at the end of the input.
+     *
+     * @throws ProtocolException if the frame is cut short, or its header out of range
+     */
+    Optional<Frame> next() throws IOException {
+        int headerBytes = in.readNBytes(header, 0, HEADER_BYTES);
+        if (headerBytes == 0) {
+            return Optional.empty();
+        }
+        if (headerBytes < HEADER_BYTES) {
+            throw new ProtocolException("header cut short after " + headerBytes + " bytes");
+        }
+        ByteBuffer fields = ByteBuffer.wrap(header).order(ByteOrder.LITTLE_ENDIAN);
+        long nowNanos = fields.getLong();
+        long frameBytes = Integer.toUnsignedLong(fields.getInt());
+        long recordCount = Integer.toUnsignedLong(fields.getInt());
+        if (nowNanos < 0 || frameBytes < HEADER_BYTES || frameBytes > MAX_FRAME_BYTES) {
+            throw new ProtocolException("clock or length out of range");
+        }
+        int bodyBytes = (int) frameBytes - HEADER_BYTES;
+        readBody(bodyBytes);
+        return Optional.of(new Frame(nowNanos, recordCount, new FrameReader(body, bodyBytes)));
+    }
+
+    private void readBody(int expectedBytes) throws IOException {
+        if (body.length < expectedBytes) {
+            body = new byte[expectedBytes + expectedBytes / 2];
+        }
+        int bodyBytes = in.readNBytes(body, 0, expectedBytes);
+        if (bodyBytes < expectedBytes) {
+            throw new ProtocolException(
+                    "states " + (expectedBytes + HEADER_BYTES) + " bytes, ends after " + (bodyBytes + HEADER_BYTES));
+        }
+    }
+}
--- a/simulator-adapter/src/main/java/topazvalve/simulator/FrameReader.java
+++ b/simulator-adapter/src/main/java/topazvalve/simulator/FrameReader.java
@@ -4,12 +4,20 @@
 import java.nio.ByteOrder;
 import java.nio.charset.StandardCharsets;
 
-/** Reads little-endian fields of one frame's body and never runs past the end of the current record. */
+/**
+ * Reads the records of one frame's body, whose numbers are little-endian. It never reads beyond the end of the
+ * current record: a field that is cut short is a {@link ProtocolException}.
+ */
 final class FrameReader {
+    private static final float[] NO_LOAD_REPORT = {};
+    private static final int RECORD_HEADER_BYTES = Byte.BYTES + Integer.BYTES;
+    private static final int PORT_BITS = 16;
+
     private final ByteBuffer buffer;
     private int recordStart;
     private int recordEnd;
 
+    /** Creates a reader of the first {@code length} bytes. */
     FrameReader(byte[] bytes, int length) {
         buffer = ByteBuffer.wrap(bytes, 0, length).order(ByteOrder.LITTLE_ENDIAN);
     }
@@ -17,11 +25,11 @@
     /** Starts the next record and returns its code. */
     int nextRecord() {
         recordStart = buffer.position();
-        if (buffer.remaining() < 5) {
+        if (buffer.remaining() < RECORD_HEADER_BYTES) {
             throw new ProtocolException("record header cut short at byte " + recordStart);
         }
-        int code = buffer.get() & 0xff;
-        long length = buffer.getInt() & 0xffffffffL;
+        int code = Byte.toUnsignedInt(buffer.get());
+        long length = Integer.toUnsignedLong(buffer.getInt());
         if (length > buffer.remaining()) {
             throw new ProtocolException("record at byte " + recordStart + " states " + length + " bytes, "
                     + buffer.remaining() + " are left");
@@ -30,93 +38,103 @@
         return code;
     }
 
-    /** Ends a record; fields added by later versions of the wire are passed over. */
+    /** Ends a record and skips the fields that later versions of the protocol may have added to it. */
     void endRecord() {
         buffer.position(recordEnd);
     }
 
+    /** Returns the offset of the current record in the body, for messages. */
     int recordStart() {
         return recordStart;
     }
 
+    /** Returns whether all of the body is read. */
     boolean atEnd() {
         return !buffer.hasRemaining();
     }
 
-    private void need(long bytes) {
+    private void requireRemaining(long bytes) {
         if (bytes > recordEnd - buffer.position()) {
             throw new ProtocolException("field cut short in the record at byte " + recordStart);
         }
     }
 
-    int u8() {
-        need(1);
-        return buffer.get() & 0xff;
+    int readUnsignedByte() {
+        requireRemaining(Byte.BYTES);
+        return Byte.toUnsignedInt(buffer.get());
+    }
+
+    /** Reads a byte that is 0 for false and anything else for true. */
+    boolean readBoolean() {
+        return readUnsignedByte() != 0;
     }
 
-    int u16() {
-        need(2);
-        return buffer.getShort() & 0xffff;
+    int readUnsignedShort() {
+        requireRemaining(Short.BYTES);
+        return Short.toUnsignedInt(buffer.getShort());
     }
 
-    long u32() {
-        need(4);
-        return buffer.getInt() & 0xffffffffL;
+    long readUnsignedInt() {
+        requireRemaining(Integer.BYTES);
+        return Integer.toUnsignedLong(buffer.getInt());
     }
 
-    long i64() {
-        need(8);
+    long readLong() {
+        requireRemaining(Long.BYTES);
         return buffer.getLong();
     }
 
-    float f32() {
-        need(4);
+    float readFloat() {
+        requireRemaining(Float.BYTES);
         return buffer.getFloat();
     }
 
-    /** A time: unsigned on the wire, but no clock or span reaches the top bit. */
-    long time(String field) {
-        long value = i64();
-        if (value < 0) {
+    /** Reads a time in nanoseconds. It is unsigned in the protocol, but no real one reaches the top bit. */
+    long readNanos(String field) {
+        long nanos = readLong();
+        if (nanos < 0) {
             throw new ProtocolException(field + " out of range in the record at byte " + recordStart);
         }
-        return value;
+        return nanos;
     }
 
-    /** An upstream: four address bytes and a port, packed as one opaque number. */
-    long upstream() {
-        long address = u32();
-        return address << 16 | u16();
+    /** Reads an endpoint's IPv4 address and port, packed into one opaque number. */
+    long readEndpointId() {
+        long address = readUnsignedInt();
+        return address << PORT_BITS | readUnsignedShort();
     }
 
-    byte[] bytes(long count) {
-        need(count);
-        byte[] out = new byte[(int) count];
-        buffer.get(out);
-        return out;
+    byte[] readBytes(long count) {
+        requireRemaining(count);
+        byte[] bytes = new byte[(int) count];
+        buffer.get(bytes);
+        return bytes;
     }
 
-    String text(long count) {
-        return new String(bytes(count), StandardCharsets.UTF_8);
+    /** Reads text of {@code count} bytes in UTF-8. */
+    String readText(long count) {
+        return new String(readBytes(count), StandardCharsets.UTF_8);
     }
 
-    float[] report() {
-        int count = u8();
+    /** Reads a load report, which is empty when the endpoint sent none. */
+    float[] readLoadReport() {
+        int count = readUnsignedByte();
         if (count == 0) {
-            return ReplyFrame.NO_REPORT;
+            return NO_LOAD_REPORT;
         }
         float[] values = new float[count];
         for (int i = 0; i < count; i++) {
-            values[i] = f32();
+            values[i] = readFloat();
         }
         return values;
     }
 
-    /** The value an ordinal names, or an error saying which field was out of range. */
-    <T> T choice(T[] values, int ordinal, String field) {
-        if (ordinal >= values.length) {
+    /** Reads a byte that is the ordinal of one of {@code constants}; {@code field} names it in the error. */
+    <E extends Enum<E>> E readEnum(E[] constants, String field) {
+        int ordinal = readUnsignedByte();
+        if (ordinal >= constants.length) {
             throw new ProtocolException(field + " " + ordinal + " out of range in the record at byte " + recordStart);
         }
-        return values[ordinal];
+        return constants[ordinal];
     }
 }
--- a/simulator-adapter/src/main/java/topazvalve/simulator/LoadBalancerFactory.java
+++ b/simulator-adapter/src/main/java/topazvalve/simulator/LoadBalancerFactory.java
@@ -2,9 +2,9 @@
 
 import topazvalve.policy.LoadBalancer;
 
-/** Makes an instance that decides; {@link topazvalve.policy.SidecarPolicy} in service. */
+/** Creates the instances that the adapter hosts; in service these are {@link topazvalve.policy.SidecarPolicy}. */
 @FunctionalInterface
 public interface LoadBalancerFactory {
-    /** A new instance with these settings, whose only chance is the seed. */
+    /** Creates an instance with these settings, which draws all its random numbers from {@code seed}. */
     LoadBalancer make(LoadBalancer.Settings settings, long seed, LoadBalancer.Actions actions);
 }
--- a/simulator-adapter/src/main/java/topazvalve/simulator/ProtocolException.java
+++ b/simulator-adapter/src/main/java/topazvalve/simulator/ProtocolException.java
@@ -1,10 +1,14 @@
 package topazvalve.simulator;
 
-/** Input that breaks the wire's format; the message says what and where. */
+/** Input that doesn't follow the simulator's protocol; the message says what is wrong, and where. */
 final class ProtocolException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     ProtocolException(String message) {
         super(message);
     }
+
+    ProtocolException(String message, Throwable cause) {
+        super(message, cause);
+    }
 }
--- a/simulator-adapter/src/main/java/topazvalve/simulator/ReplyFrame.java
+++ b/simulator-adapter/src/main/java/topazvalve/simulator/ReplyFrame.java
@@ -8,128 +8,155 @@
 import java.util.Arrays;
 import topazvalve.policy.LoadBalancer.Actions;
 
-/** Collects the actions of one batch as a reply frame; written whole or not at all. */
+/**
+ * Collects the actions of one batch as a reply frame, which is written completely or not at all. Numbers are
+ * little-endian.
+ */
 final class ReplyFrame {
-    static final float[] NO_REPORT = {};
-    private static final int HEADER = 8;
-
-    private byte[] bytes = new byte[1 << 16];
+    private static final int INITIAL_BYTES = 1 << 16;
+    private static final int COUNT_OFFSET = 0;
+    private static final int LENGTH_OFFSET = 4;
+    private static final int HEADER_BYTES = 8;
+    private static final int RECORD_HEADER_BYTES = Byte.BYTES + Integer.BYTES;
+
+    private static final int INSTANCE_BYTES = Short.BYTES;
+    private static final int REQUEST_BYTES = Integer.BYTES;
+    private static final int ATTEMPT_BYTES = Byte.BYTES;
+    private static final int PORT_BITS = 16;
+    private static final int ENDPOINT_BYTES = Integer.BYTES + Short.BYTES;
+    private static final int TIME_BYTES = Long.BYTES;
+    private static final int TOKEN_BYTES = Long.BYTES;
+    private static final int PEER_BYTES = Short.BYTES;
+    private static final int DATA_LENGTH_BYTES = Short.BYTES;
+    private static final int FLAG_BYTES = Byte.BYTES;
+
+    private byte[] bytes = new byte[INITIAL_BYTES];
     private ByteBuffer buffer = ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN);
-    private int count;
+    private int actionCount;
 
+    /** Creates an empty reply. */
     ReplyFrame() {
         clear();
     }
 
-    /** A sink that writes actions in one sidecar's name. */
-    Actions sink(int sidecar) {
-        return new Sink(sidecar);
+    /** Returns what adds the actions of one instance to this reply. */
+    Actions actionsOf(int instanceId) {
+        return new InstanceActions(instanceId);
     }
 
-    void clear() {
-        buffer.position(HEADER);
-        count = 0;
+    private void clear() {
+        buffer.position(HEADER_BYTES);
+        actionCount = 0;
     }
 
+    /** Writes the frame and begins the next one. */
     void writeTo(OutputStream out) throws IOException {
-        buffer.putInt(0, count);
-        buffer.putInt(4, buffer.position());
+        buffer.putInt(COUNT_OFFSET, actionCount);
+        buffer.putInt(LENGTH_OFFSET, buffer.position());
         out.write(bytes, 0, buffer.position());
         out.flush();
         clear();
     }
 
-    private void begin(int code, int fields, int sidecar) {
-        if (buffer.remaining() < fields + 5) {
+    private void ensureRemaining(int count) {
+        if (buffer.remaining() < count) {
             int position = buffer.position();
-            bytes = Arrays.copyOf(bytes, Math.max(bytes.length * 2, position + fields + 5));
+            bytes = Arrays.copyOf(bytes, Math.max(bytes.length * 2, position + count));
             buffer = ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN).position(position);
         }
-        buffer.put((byte) code).putInt(fields).putShort((short) sidecar);
-        count++;
     }
 
-    private final class Sink implements Actions {
-        private final int sidecar;
+    /** Adds the actions of one instance. */
+    private final class InstanceActions implements Actions {
+        private final int instanceId;
 
-        Sink(int sidecar) {
-            this.sidecar = sidecar;
+        InstanceActions(int instanceId) {
+            this.instanceId = instanceId;
         }
 
-        private void upstream(long id) {
-            buffer.putInt((int) (id >>> 16)).putShort((short) id);
+        /** Begins a record with {@code fieldBytes} bytes behind the instance's id, which the caller adds. */
+        private void beginRecord(ActionType type, int fieldBytes) {
+            int recordBytes = INSTANCE_BYTES + fieldBytes;
+            ensureRemaining(RECORD_HEADER_BYTES + recordBytes);
+            buffer.put(type.code()).putInt(recordBytes).putShort((short) instanceId);
+            actionCount++;
         }
 
-        private void text(int code, int head, byte[] data) {
-            begin(code, head + 2 + data.length, sidecar);
+        private void putEndpoint(long endpointId) {
+            buffer.putInt((int) (endpointId >>> PORT_BITS)).putShort((short) endpointId);
+        }
+
+        private void putData(byte[] data) {
+            buffer.putShort((short) data.length).put(data);
         }
 
         @Override
-        public void forward(long request, long upstream, long timeout) {
-            begin(1, 20, sidecar);
+        public void forward(long request, long endpoint, long timeoutNanos) {
+            beginRecord(ActionType.FORWARD, REQUEST_BYTES + ENDPOINT_BYTES + TIME_BYTES);
             buffer.putInt((int) request);
-            upstream(upstream);
-            buffer.putLong(timeout);
+            putEndpoint(endpoint);
+            buffer.putLong(timeoutNanos);
         }
 
         @Override
-        public void reject(long request, long wait) {
-            begin(2, 14, sidecar);
-            buffer.putInt((int) request).putLong(wait);
+        public void reject(long request, long retryAfterNanos) {
+            beginRecord(ActionType.REJECT, REQUEST_BYTES + TIME_BYTES);
+            buffer.putInt((int) request).putLong(retryAfterNanos);
         }
 
         @Override
         public void fail(long request) {
-            begin(3, 6, sidecar);
+            beginRecord(ActionType.FAIL, REQUEST_BYTES);
             buffer.putInt((int) request);
         }
 
         @Override
         public void cancelAttempt(long request, int attempt) {
-            begin(4, 7, sidecar);
+            beginRecord(ActionType.CANCEL_ATTEMPT, REQUEST_BYTES + ATTEMPT_BYTES);
             buffer.putInt((int) request).put((byte) attempt);
         }
 
         @Override
-        public void setTimer(long token, long at) {
-            begin(5, 18, sidecar);
-            buffer.putLong(token).putLong(at);
+        public void setTimer(long token, long atNanos) {
+            beginRecord(ActionType.SET_TIMER, TOKEN_BYTES + TIME_BYTES);
+            buffer.putLong(token).putLong(atNanos);
         }
 
         @Override
-        public void sendHealthCheck(long upstream) {
-            begin(6, 8, sidecar);
-            upstream(upstream);
+        public void sendHealthCheck(long endpoint) {
+            beginRecord(ActionType.SEND_HEALTH_CHECK, ENDPOINT_BYTES);
+            putEndpoint(endpoint);
         }
 
         @Override
-        public void closeIdleConnections(long upstream) {
-            begin(7, 8, sidecar);
-            upstream(upstream);
+        public void closeIdleConnections(long endpoint) {
+            beginRecord(ActionType.CLOSE_IDLE_CONNECTIONS, ENDPOINT_BYTES);
+            putEndpoint(endpoint);
         }
 
         @Override
         public void sendGossip(int peer, byte[] message) {
-            text(8, 4, message);
-            buffer.putShort((short) peer).putShort((short) message.length).put(message);
+            beginRecord(ActionType.SEND_GOSSIP, PEER_BYTES + DATA_LENGTH_BYTES + message.length);
+            buffer.putShort((short) peer);
+            putData(message);
         }
 
         @Override
         public void log(String line) {
-            byte[] data = line.getBytes(StandardCharsets.UTF_8);
-            text(9, 2, data);
-            buffer.putShort((short) data.length).put(data);
+            byte[] text = line.getBytes(StandardCharsets.UTF_8);
+            beginRecord(ActionType.LOG, DATA_LENGTH_BYTES + text.length);
+            putData(text);
         }
 
         @Override
-        public void watchEndpoints(boolean on) {
-            begin(11, 3, sidecar);
-            buffer.put((byte) (on ? 1 : 0));
+        public void watchEndpoints(boolean enabled) {
+            beginRecord(ActionType.WATCH_ENDPOINTS, FLAG_BYTES);
+            buffer.put((byte) (enabled ? 1 : 0));
         }
 
         @Override
         public void fetchEndpoints() {
-            begin(12, 2, sidecar);
+            beginRecord(ActionType.FETCH_ENDPOINTS, 0);
         }
     }
 }
--- a/simulator-adapter/src/main/java/topazvalve/simulator/package-info.java
+++ b/simulator-adapter/src/main/java/topazvalve/simulator/package-info.java
@@ -1,2 +1,6 @@
-/** The simulator's wire: reads event frames, drives one module instance a sidecar, writes action frames. */
+/**
+ * Hosts load balancer instances for the operators' simulator. {@link topazvalve.simulator.FrameInput} reads frames
+ * of events, {@link topazvalve.simulator.InstanceHost} passes each event to its instance, and
+ * {@link topazvalve.simulator.ReplyFrame} collects the instances' actions.
+ */
 package topazvalve.simulator;
--- a/simulator-adapter/src/test/java/topazvalve/simulator/PackagedJarIT.java
+++ b/simulator-adapter/src/test/java/topazvalve/simulator/PackagedJarIT.java
@@ -28,7 +28,7 @@
         try (OutputStream in = process.getOutputStream()) {
             in.write(input);
         } catch (IOException e) {
-            // The process may have refused its arguments before reading.
+            // The process may have rejected its arguments before reading.
         }
         byte[] out = process.getInputStream().readAllBytes();
         String err = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void endOfInputIsAnOrderlyEnd() throws Exception {
+    void endOfInputEndsTheProcessWithSuccess() throws Exception {
         Result result = run(new byte[0], "adapter");
         assertEquals(0, result.status);
         assertEquals(0, result.out.length);
@@ -44,17 +44,18 @@
 
     @Test
     void malformedInputEndsWithAMessageAndNoOutput() throws Exception {
-        byte[] provision = new WireTest.Frame().provision(1, WireTest.OPTIONS).bytes(1);
+        byte[] provision =
+                new FrameBuilder().instanceStarted(1, FrameBuilder.SETTINGS).bytes(1);
         Map<String, byte[]> bad = Map.of(
                 "header cut short",
                 new byte[] {1, 2, 3},
                 "ends after",
                 Arrays.copyOf(provision, provision.length - 3),
                 "unknown event code 99",
-                new WireTest.Frame().record(99).end().bytes(1),
+                new FrameBuilder().beginRecord(99).endRecord().bytes(1),
                 "setting missing: rules.rampTime",
-                new WireTest.Frame()
-                        .provision(1, WireTest.OPTIONS.replace("rules.rampTime", "x"))
+                new FrameBuilder()
+                        .instanceStarted(1, FrameBuilder.SETTINGS.replace("rules.rampTime", "x"))
                         .bytes(1));
         for (Map.Entry<String, byte[]> each : bad.entrySet()) {
             Result result = run(each.getValue(), "adapter");
@@ -67,8 +68,8 @@
 
     @Test
     void repliesBeforeAMalformedFrameAreComplete() throws Exception {
-        byte[] whole = new WireTest.Frame().bytes(5);
-        Result result = run(WireTest.join(whole, whole, new byte[] {9}), "adapter");
+        byte[] frame = new FrameBuilder().bytes(5);
+        Result result = run(FrameBuilder.join(frame, frame, new byte[] {9}), "adapter");
         assertEquals(1, result.status);
         assertArrayEquals(new byte[] {0, 0, 0, 0, 8, 0, 0, 0, 0, 0, 0, 0, 8, 0, 0, 0}, result.out);
         assertTrue(result.err.contains("frame 2: header cut short"), result.err);
