--- a/sidecar/src/test/java/topazvalve/sidecar/AdminTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/AdminTest.java
@@ -13,7 +13,6 @@
 
 /** The admin endpoint of a running sidecar. */
 class AdminTest {
-    private static final String UP_REQUEST = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
 
     private static String call(String method, String path) {
         return method + " " + path + " HTTP/1.1\r\nHost: a\r\n\r\n";
@@ -21,10 +20,10 @@
 
     private static int status(SidecarFixture sidecar, String request) throws Exception {
         try (SidecarFixture.TestClient client = new SidecarFixture.TestClient(sidecar.adminAddress)) {
-            SidecarFixture.ClientResponse answer = client.send(request);
-            assertEquals("close", StubServer.header(answer.head(), "Connection"));
+            SidecarFixture.ClientResponse response = client.send(request);
+            assertEquals("close", StubServer.header(response.head(), "Connection"));
             assertEquals(-1, client.socket.getInputStream().read(), "one call on each connection");
-            return answer.status();
+            return response.status();
         }
     }
 
@@ -66,9 +65,9 @@
     /** Fetches the metrics as an operator does. */
     private static String fetchMetrics(SidecarFixture sidecar) throws Exception {
         try (SidecarFixture.TestClient client = new SidecarFixture.TestClient(sidecar.adminAddress)) {
-            SidecarFixture.ClientResponse answer = client.send(call("GET", "/_vars"));
-            assertEquals(200, answer.status());
-            return answer.body();
+            SidecarFixture.ClientResponse response = client.send(call("GET", "/_vars"));
+            assertEquals(200, response.status());
+            return response.body();
         }
     }
 
@@ -88,13 +87,13 @@
         CountDownLatch release = new CountDownLatch(1);
         StubServer.Responder afterRelease =
                 StubServer.afterRelease(release, (socket, head) -> StubServer.reply(socket, "200 OK", "", "x"));
-        try (StubServer upstream = new StubServer((socket, head) -> switch (StubServer.header(head, "Req-Id")) {
+        try (StubServer server = new StubServer((socket, head) -> switch (StubServer.header(head, "Req-Id")) {
                     case "held" -> afterRelease.respond(socket, head);
                     case "9b1f" -> StubServer.reply(socket, "500 No", "", "");
                     case "shed" -> StubServer.reply(socket, "503 No", "Srv-Declined: 1\r\n", "");
                     default -> StubServer.reply(socket, "200 OK", "", "x");
                 });
-                SidecarFixture sidecar = SidecarFixture.startWith(upstream);
+                SidecarFixture sidecar = SidecarFixture.startWith(server);
                 SidecarFixture.TestClient held = new SidecarFixture.TestClient(sidecar.address)) {
             assertEquals("""
                     app.ok.look=0
@@ -156,28 +155,28 @@
     @Test
     void lameDuckStillServesAndCanBeTurnedOff() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        try (StubServer upstream = new StubServer(StubServer.afterRelease(
+        try (StubServer server = new StubServer(StubServer.afterRelease(
                         release, (socket, head) -> StubServer.reply(socket, "200 OK", "", "x")));
-                SidecarFixture sidecar = SidecarFixture.startWith(upstream);
+                SidecarFixture sidecar = SidecarFixture.startWith(server);
                 SidecarFixture.TestClient idle = new SidecarFixture.TestClient(sidecar.address);
                 SidecarFixture.TestClient busy = new SidecarFixture.TestClient(sidecar.address)) {
             sidecar.loop.submit(sidecar.lifecycle::markStarted).sync();
-            assertEquals(200, idle.send(UP_REQUEST).status());
+            assertEquals(200, idle.send(SidecarFixture.UP_REQUEST).status());
             StubServer.write(busy.socket, SidecarFixture.lookRequest("a"));
-            StubServer.awaitNext(upstream.receivedHeads);
+            StubServer.awaitNext(server.receivedHeads);
             setLameDuck(sidecar, true);
-            assertEquals(503, sidecar.send(UP_REQUEST).status());
+            assertEquals(503, sidecar.send(SidecarFixture.UP_REQUEST).status());
             assertEquals(-1, idle.socket.getInputStream().read(), "an idle connection is closed");
             release.countDown();
-            SidecarFixture.ClientResponse answer = busy.readResponse();
-            assertEquals(200, answer.status());
-            assertEquals("close", StubServer.header(answer.head(), "Connection"));
+            SidecarFixture.ClientResponse response = busy.readResponse();
+            assertEquals(200, response.status());
+            assertEquals("close", StubServer.header(response.head(), "Connection"));
             SidecarFixture.ClientResponse late = sidecar.send(SidecarFixture.lookRequest("b"));
             assertEquals(200, late.status(), "a new client is served");
             assertEquals("close", StubServer.header(late.head(), "Connection"));
             setLameDuck(sidecar, false);
             try (SidecarFixture.TestClient kept = new SidecarFixture.TestClient(sidecar.address)) {
-                assertEquals(200, kept.send(UP_REQUEST).status());
+                assertEquals(200, kept.send(SidecarFixture.UP_REQUEST).status());
                 assertEquals(
                         200, kept.send(SidecarFixture.lookRequest("c")).status(), "connections are kept open again");
             }
@@ -188,13 +187,13 @@
     @Test
     void pipelinedRequestsAreAnsweredBeforeALameDuckCloses() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        try (StubServer upstream = new StubServer(StubServer.afterRelease(
+        try (StubServer server = new StubServer(StubServer.afterRelease(
                         release,
                         (socket, head) -> StubServer.reply(socket, "200 OK", "", StubServer.header(head, "Req-Id"))));
-                SidecarFixture sidecar = SidecarFixture.startWith(upstream);
+                SidecarFixture sidecar = SidecarFixture.startWith(server);
                 SidecarFixture.TestClient client = new SidecarFixture.TestClient(sidecar.address)) {
             StubServer.write(client.socket, SidecarFixture.lookRequest("a") + SidecarFixture.lookRequest("b"));
-            StubServer.awaitNext(upstream.receivedHeads);
+            StubServer.awaitNext(server.receivedHeads);
             setLameDuck(sidecar, true);
             release.countDown();
             assertEquals("a", client.readResponse().body());
--- a/sidecar/src/test/java/topazvalve/sidecar/DeployedIT.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/DeployedIT.java
@@ -21,7 +21,6 @@
 
 /** Both programs as the deploy file starts them, with the packaged jar. */
 class DeployedIT {
-    private static final String UP_REQUEST = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
 
     @TempDir
     private Path folder;
@@ -55,7 +54,7 @@
     }
 
     /** Sends SIGHUP to the program itself: the shell that started it has replaced itself by it. */
-    private void sendSighup() throws Exception {
+    static void sendSighup(Process process) throws Exception {
         assertEquals(
                 0,
                 new ProcessBuilder("kill", "-HUP", Long.toString(process.pid()))
@@ -81,7 +80,7 @@
     static void awaitUp(Process process, InetSocketAddress address) throws Exception {
         while (true) {
             try (SidecarFixture.TestClient client = new SidecarFixture.TestClient(address)) {
-                if (client.send(UP_REQUEST).status() == 200) {
+                if (client.send(SidecarFixture.UP_REQUEST).status() == 200) {
                     return;
                 }
             } catch (ConnectException e) {
@@ -102,22 +101,22 @@
     @Test
     void sidecarShutsDownGracefullyAtSigterm() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        try (StubServer upstream = new StubServer(
+        try (StubServer server = new StubServer(
                 StubServer.afterRelease(release, (socket, head) -> StubServer.reply(socket, "200 OK", "", "held")))) {
             InetSocketAddress address = freeAddress();
-            start("run", SidecarFixture.configJson(upstream).put("listen", "127.0.0.1:" + address.getPort()));
+            start("run", SidecarFixture.configJson(server).put("listen", "127.0.0.1:" + address.getPort()));
             awaitUp(address);
             try (SidecarFixture.TestClient client = new SidecarFixture.TestClient(address);
                     SidecarFixture.TestClient other = new SidecarFixture.TestClient(address)) {
                 StubServer.write(client.socket, SidecarFixture.lookRequest("a"));
-                StubServer.awaitNext(upstream.receivedHeads);
-                assertEquals(200, other.send(UP_REQUEST).status());
+                StubServer.awaitNext(server.receivedHeads);
+                assertEquals(200, other.send(SidecarFixture.UP_REQUEST).status());
                 process.destroy();
                 // The shutdown has begun once /up on an existing connection is not 200 or closes the connection.
                 int up = 200;
                 while (up == 200) {
                     try {
-                        up = other.send(UP_REQUEST).status();
+                        up = other.send(SidecarFixture.UP_REQUEST).status();
                     } catch (IOException e) {
                         up = 0;
                     }
@@ -161,20 +160,20 @@
         CountDownLatch release = new CountDownLatch(1);
         StubServer.Responder reply = (socket, head) -> StubServer.reply(socket, "200 OK", "", "x");
         StubServer.Responder replyAfterRelease = StubServer.afterRelease(release, reply);
-        try (StubServer upstream = new StubServer(
+        try (StubServer server = new StubServer(
                 (socket, head) -> (head.contains("Req-Id: held") ? replyAfterRelease : reply).respond(socket, head))) {
             process = new ProcessBuilder("perl", "sidecar/src/test/resources/holder.pl").start();
             int port = Integer.parseInt(process.inputReader().readLine());
             InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
             InetSocketAddress oldAdmin = freeAddress();
             InetSocketAddress newAdmin = freeAddress();
-            ObjectNode json = SidecarFixture.configJson(upstream).put("listen", "127.0.0.1:" + port);
+            ObjectNode json = SidecarFixture.configJson(server).put("listen", "127.0.0.1:" + port);
             ProcessHandle old = startOnSharedSocket("old.json", json.put("admin", addressText(oldAdmin)));
             ProcessHandle next = null;
             try (SidecarFixture.TestClient held = new SidecarFixture.TestClient(address)) {
                 StubServer.write(held.socket, SidecarFixture.lookRequest("held"));
                 awaitReady(oldAdmin);
-                StubServer.awaitNext(upstream.receivedHeads);
+                StubServer.awaitNext(server.receivedHeads);
                 next = startOnSharedSocket("new.json", json.put("admin", addressText(newAdmin)));
                 for (int i = 0; !next.isAlive() || i < 3; i++) {
                     assertEquals(
@@ -238,12 +237,12 @@
     /** Each SIGHUP applies the file's new discovery address to the running process, which the JVM would else end. */
     @Test
     void sighupChangesDiscoveryAndABadFileChangesNothing() throws Exception {
-        try (StubServer upstream = StubServer.respondingWith("x");
+        try (StubServer server = StubServer.respondingWith("x");
                 StubServer first = new StubServer((socket, head) -> true);
                 StubServer second = new StubServer((socket, head) -> true);
                 StubServer third = new StubServer((socket, head) -> true)) {
             InetSocketAddress address = freeAddress();
-            ObjectNode json = SidecarFixture.configJson(upstream)
+            ObjectNode json = SidecarFixture.configJson(server)
                     .put("listen", "127.0.0.1:" + address.getPort())
                     .put("discovery", first.endpoint());
             json.withObject("/settings").put("discovery", "subscribe");
@@ -251,18 +250,18 @@
             awaitUp(address);
             StubServer.awaitNext(first.receivedHeads);
             write(json.put("discovery", second.endpoint()).toString());
-            sendSighup();
+            sendSighup(process);
             assertTrue(StubServer.awaitNext(second.receivedHeads).contains("watch=1"));
             StubServer.awaitNext(first.closedConnections);
             write("{\"listen\":");
-            sendSighup();
+            sendSighup(process);
             BufferedReader log = process.errorReader();
             String line = log.readLine();
             while (!line.contains("configuration reload rejected")) {
                 line = log.readLine();
             }
             write(json.put("discovery", third.endpoint()).toString());
-            sendSighup();
+            sendSighup(process);
             assertTrue(StubServer.awaitNext(third.receivedHeads).contains("watch=1"));
             try (SidecarFixture.TestClient client = new SidecarFixture.TestClient(address)) {
                 assertEquals(200, client.send(SidecarFixture.lookRequest("a")).status());
--- a/sidecar/src/test/java/topazvalve/sidecar/DrainTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/DrainTest.java
@@ -68,18 +68,18 @@
         CountDownLatch release = new CountDownLatch(1);
         StubServer.Responder held =
                 StubServer.afterRelease(release, (socket, head) -> StubServer.reply(socket, "200 OK", "", "late"));
-        try (StubServer upstream = new StubServer(held);
-                SidecarFixture sidecar = SidecarFixture.startWith(upstream);
+        try (StubServer server = new StubServer(held);
+                SidecarFixture sidecar = SidecarFixture.startWith(server);
                 SidecarFixture.TestClient busy = new SidecarFixture.TestClient(sidecar.address);
                 SidecarFixture.TestClient idle = new SidecarFixture.TestClient(sidecar.address)) {
-            assertEquals(503, idle.send("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status());
+            assertEquals(503, idle.send(SidecarFixture.UP_REQUEST).status());
             StubServer.write(busy.socket, SidecarFixture.lookRequest("a"));
-            StubServer.awaitNext(upstream.receivedHeads);
+            StubServer.awaitNext(server.receivedHeads);
             sidecar.loop
                     .submit(() -> sidecar.lifecycle.shutDown(Long.MAX_VALUE / 2))
                     .sync();
             assertEquals(-1, idle.socket.getInputStream().read(), "an idle connection is closed");
-            SidecarFixture.ClientResponse meanwhile = sidecar.send("GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
+            SidecarFixture.ClientResponse meanwhile = sidecar.send(SidecarFixture.UP_REQUEST);
             assertEquals(503, meanwhile.status(), "its client can still connect");
             assertEquals("close", StubServer.header(meanwhile.head(), "Connection"));
             sidecar.loop.submit(sidecar.clientListener::stop).sync();
@@ -89,9 +89,9 @@
                     "until the listener is stopped");
             assertFalse(sidecar.loop.submit(sidecar.frontend::isIdle).get());
             release.countDown();
-            SidecarFixture.ClientResponse answer = busy.readResponse();
-            assertEquals("late", answer.body());
-            assertEquals("close", StubServer.header(answer.head(), "Connection"));
+            SidecarFixture.ClientResponse response = busy.readResponse();
+            assertEquals("late", response.body());
+            assertEquals("close", StubServer.header(response.head(), "Connection"));
             assertEquals(-1, busy.socket.getInputStream().read());
         }
     }
--- a/sidecar/src/test/java/topazvalve/sidecar/HttpConnectionTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/HttpConnectionTest.java
@@ -91,12 +91,12 @@
     @Test
     void lateSecondResponseIsNotTakenForTheNextRequests() throws Exception {
         BlockingQueue<Socket> sockets = new LinkedBlockingQueue<>();
-        try (StubServer upstream = new StubServer((socket, head) -> {
+        try (StubServer server = new StubServer((socket, head) -> {
             sockets.add(socket);
             return StubServer.reply(socket, "200 OK", "", "x");
         })) {
             ConnectionPools<UpstreamRequest, UpstreamResponse> pools =
-                    newPools(upstream.address(), TIMEOUT_NANOS, 10, TIMEOUT_NANOS);
+                    newPools(server.address(), TIMEOUT_NANOS, 10, TIMEOUT_NANOS);
             send(pools);
             assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
             send(pools);
@@ -105,7 +105,7 @@
             // In one write: the stub's own thread closes the socket as soon as the peer has.
             first.getOutputStream()
                     .write("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nagain".getBytes(StandardCharsets.ISO_8859_1));
-            assertEquals("end", StubServer.awaitNext(upstream.closedConnections), "the idle connection is closed");
+            assertEquals("end", StubServer.awaitNext(server.closedConnections), "the idle connection is closed");
             assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
             assertTrue(
                     first != StubServer.awaitNext(sockets), "not on the connection whose reuse delay had not passed");
@@ -116,12 +116,12 @@
     @Test
     void connectionIsReusedAfterItsReuseDelay() throws Exception {
         BlockingQueue<Socket> sockets = new LinkedBlockingQueue<>();
-        try (StubServer upstream = new StubServer((socket, head) -> {
+        try (StubServer server = new StubServer((socket, head) -> {
             sockets.add(socket);
             return StubServer.reply(socket, "200 OK", "", "x");
         })) {
             ConnectionPools<UpstreamRequest, UpstreamResponse> pools =
-                    newPools(upstream.address(), TIMEOUT_NANOS, 10, 50_000_000);
+                    newPools(server.address(), TIMEOUT_NANOS, 10, 50_000_000);
             send(pools);
             assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
             send(pools);
@@ -129,11 +129,11 @@
             assertEquals(StubServer.awaitNext(sockets), StubServer.awaitNext(sockets));
             loop.submit(() -> {
                         send(pools, 1, get("/api/x"), this::attemptCompleted);
-                        pools.endpointUpdated(1, upstream.address(), 0, false);
+                        pools.endpointUpdated(1, server.address(), 0, false);
                     })
                     .sync();
             assertEquals(Outcome.CONNECT_FAILED, StubServer.awaitNext(outcomes));
-            assertEquals("end", StubServer.awaitNext(upstream.closedConnections), "its connections are closed");
+            assertEquals("end", StubServer.awaitNext(server.closedConnections), "its connections are closed");
         }
     }
 
@@ -185,12 +185,12 @@
     /** A machine that crashed and came back under its address has not closed the connections to it. */
     @Test
     void serverRestartClosesConnectionsToTheOldProcess() throws Exception {
-        try (StubServer upstream = StubServer.respondingWith("x")) {
-            ConnectionPools<UpstreamRequest, UpstreamResponse> pools = newPools(upstream.address(), TIMEOUT_NANOS, 10);
+        try (StubServer server = StubServer.respondingWith("x")) {
+            ConnectionPools<UpstreamRequest, UpstreamResponse> pools = newPools(server.address(), TIMEOUT_NANOS, 10);
             send(pools);
             assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
-            loop.execute(() -> pools.endpointUpdated(1, upstream.address(), 1_700_000_000_000L, true));
-            StubServer.awaitNext(upstream.closedConnections);
+            loop.execute(() -> pools.endpointUpdated(1, server.address(), 1_700_000_000_000L, true));
+            StubServer.awaitNext(server.closedConnections);
             send(pools);
             assertEquals(Outcome.OK, StubServer.awaitNext(outcomes), "on a new one");
         }
@@ -214,10 +214,10 @@
     @Test
     void loadReportsAreRead() throws Exception {
         List<String> texts = List.of("{\"q\":2,\"rate\":1.5,\"more\":0}", "{\"q\":2}", "{", "[]", "{\"q\":\"x\"}");
-        try (StubServer upstream = new StubServer((socket, head) -> head.startsWith("GET /metrics/load")
+        try (StubServer server = new StubServer((socket, head) -> head.startsWith("GET /metrics/load")
                 ? StubServer.reply(socket, "200 OK", "", "{\"rate\":7,\"q\":0}")
                 : StubServer.reply(socket, "200 OK", "Srv-Load: " + StubServer.header(head, "Say") + "\r\n", "x"))) {
-            ConnectionPools<UpstreamRequest, UpstreamResponse> pools = newPools(upstream.address(), TIMEOUT_NANOS, 10);
+            ConnectionPools<UpstreamRequest, UpstreamResponse> pools = newPools(server.address(), TIMEOUT_NANOS, 10);
             for (String text : texts) {
                 UpstreamRequest message = get("/");
                 message.headers().set("Say", text);
@@ -238,11 +238,11 @@
         for (String response : List.of(
                 head + ((1 << 25) + 1) + "\r\n\r\nx",
                 "HTTP/1.1 500 No\r\n" + "Content-Length: 1200000\r\n\r\n" + "x".repeat(1_200_000))) {
-            try (StubServer upstream = new StubServer((socket, request) -> {
+            try (StubServer server = new StubServer((socket, request) -> {
                 StubServer.write(socket, response);
                 return true;
             })) {
-                send(newPools(upstream.address(), TIMEOUT_NANOS, 10));
+                send(newPools(server.address(), TIMEOUT_NANOS, 10));
                 assertEquals(Outcome.ERROR, StubServer.awaitNext(outcomes));
             }
         }
@@ -256,11 +256,11 @@
     void dataBehindAResponseIsNotTakenForTheNextOne() throws Exception {
         String stale = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale";
         for (String extra : List.of(stale, stale.substring(0, 20), "\u0000\u0007noise", "\r\n")) {
-            try (StubServer upstream = new StubServer((socket, head) -> head.startsWith("GET /first")
+            try (StubServer server = new StubServer((socket, head) -> head.startsWith("GET /first")
                     ? StubServer.reply(socket, "200 OK", "", "first" + extra, 5)
                     : StubServer.reply(socket, "200 OK", "", "second"))) {
                 ConnectionPools<UpstreamRequest, UpstreamResponse> pools =
-                        newPools(upstream.address(), TIMEOUT_NANOS, 10);
+                        newPools(server.address(), TIMEOUT_NANOS, 10);
                 BlockingQueue<String> bodies = new LinkedBlockingQueue<>();
                 loop.execute(() -> send(pools, 1, get("/first"), (outcome, response, load) -> {
                     bodies.add(text(response));
@@ -268,7 +268,7 @@
                 }));
                 assertEquals("first", StubServer.awaitNext(bodies));
                 assertEquals("second", StubServer.awaitNext(bodies), extra);
-                StubServer.awaitNext(upstream.closedConnections);
+                StubServer.awaitNext(server.closedConnections);
             }
         }
     }
@@ -296,13 +296,13 @@
                 "HTTP/1.1 200 OK\r\nX: " + "x".repeat(20_000),
                 "HTTP/1.1 101 Switching\r\n\r\n",
                 "HTTP/1.1 100 Go on\r\n\r\n".repeat(100))) {
-            try (StubServer upstream = new StubServer((socket, head) -> {
+            try (StubServer server = new StubServer((socket, head) -> {
                 StubServer.write(socket, malformed);
                 return true;
             })) {
-                send(newPools(upstream.address(), TIMEOUT_NANOS, 10));
+                send(newPools(server.address(), TIMEOUT_NANOS, 10));
                 assertEquals(Outcome.ERROR, StubServer.awaitNext(outcomes), malformed);
-                StubServer.awaitNext(upstream.closedConnections);
+                StubServer.awaitNext(server.closedConnections);
             }
         }
     }
@@ -310,17 +310,17 @@
     /** Interim responses and a load report of any bytes do not affect a valid response. */
     @Test
     void interimResponsesAndUnreadableLoadReportsAreIgnored() throws Exception {
-        try (StubServer upstream = new StubServer((socket, head) -> {
+        try (StubServer server = new StubServer((socket, head) -> {
             StubServer.write(socket, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n");
             return StubServer.reply(socket, "200 OK", "Srv-Load: \u0001{\"rate\":1e99,\"q\":-3}\r\n", "x");
         })) {
-            ConnectionPools<UpstreamRequest, UpstreamResponse> pools = newPools(upstream.address(), TIMEOUT_NANOS, 10);
+            ConnectionPools<UpstreamRequest, UpstreamResponse> pools = newPools(server.address(), TIMEOUT_NANOS, 10);
             for (int i = 0; i < 3; i++) {
                 send(pools);
                 assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
                 assertArrayEquals(new float[0], StubServer.awaitNext(reports));
             }
-            assertEquals(0, upstream.closedConnections.size(), "the connection is reused");
+            assertEquals(0, server.closedConnections.size(), "the connection is reused");
         }
     }
 
@@ -343,12 +343,12 @@
     /** A removed endpoint must get nothing: its address may be another's now. */
     @Test
     void removedEndpointGetsNoRequests() throws Exception {
-        try (StubServer upstream = StubServer.respondingWith("x")) {
-            ConnectionPools<UpstreamRequest, UpstreamResponse> pools = newPools(upstream.address(), TIMEOUT_NANOS, 10);
+        try (StubServer server = StubServer.respondingWith("x")) {
+            ConnectionPools<UpstreamRequest, UpstreamResponse> pools = newPools(server.address(), TIMEOUT_NANOS, 10);
             loop.execute(() -> pools.endpointRemoved(1));
             send(pools);
             assertEquals(Outcome.CONNECT_FAILED, StubServer.awaitNext(outcomes));
-            assertEquals(0, upstream.receivedHeads.size());
+            assertEquals(0, server.receivedHeads.size());
         }
     }
 
--- a/sidecar/src/test/java/topazvalve/sidecar/ReadinessTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/ReadinessTest.java
@@ -21,7 +21,6 @@
 
 /** Faults that must not delay a start: it has to be ready, and to answer, within ten seconds. */
 class ReadinessTest {
-    private static final String UP_REQUEST = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
     private static final long READY_TIMEOUT_SECONDS = 10;
     private static final int FLOOD_CONNECTIONS = 300;
 
@@ -54,13 +53,13 @@
     private void assertReady() throws Exception {
         assertEquals("ready", StubServer.awaitNext(events));
         try (SidecarFixture.TestClient client = new SidecarFixture.TestClient(address)) {
-            assertEquals(200, client.send(UP_REQUEST).status());
+            assertEquals(200, client.send(SidecarFixture.UP_REQUEST).status());
         }
         assertEquals(0, events.size(), "answered within the time limit");
     }
 
-    private static ObjectNode subscribingConfig(String discovery, StubServer... upstreams) throws IOException {
-        ObjectNode json = SidecarFixture.configJson(upstreams);
+    private static ObjectNode subscribingConfig(String discovery, StubServer... servers) throws IOException {
+        ObjectNode json = SidecarFixture.configJson(servers);
         json.withObject("/settings").put("discovery", "subscribe");
         return discovery.isEmpty() ? json : json.put("discovery", discovery);
     }
--- a/sidecar/src/test/java/topazvalve/sidecar/RequestForwardingTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/RequestForwardingTest.java
@@ -25,23 +25,23 @@
 
     @Test
     void requestAndResponseAreForwardedUnchanged() throws Exception {
-        try (StubServer upstream = StubServer.respondingWith("{\"parts\":7}");
-                SidecarFixture sidecar = SidecarFixture.startWith(upstream)) {
-            SidecarFixture.ClientResponse answer =
+        try (StubServer server = StubServer.respondingWith("{\"parts\":7}");
+                SidecarFixture sidecar = SidecarFixture.startWith(server)) {
+            SidecarFixture.ClientResponse response =
                     sidecar.send(SidecarFixture.postRequest("hold", "Idempotency-Key: 5c0f\r\nX-Trace: t1\r\n", "two"));
-            assertEquals(200, answer.status());
-            assertEquals("{\"parts\":7}", answer.body());
-            assertEquals("text/x-part", StubServer.header(answer.head(), "Content-Type"));
-            String head = StubServer.awaitNext(upstream.receivedHeads);
+            assertEquals(200, response.status());
+            assertEquals("{\"parts\":7}", response.body());
+            assertEquals("text/x-part", StubServer.header(response.head(), "Content-Type"));
+            String head = StubServer.awaitNext(server.receivedHeads);
             assertTrue(head.startsWith("POST /api/7f3a HTTP/1.1\r\n"), head);
             assertEquals("9b1f", StubServer.header(head, "Req-Id"));
             assertEquals("5c0f", StubServer.header(head, "Idempotency-Key"));
             assertEquals("t1", StubServer.header(head, "X-Trace"));
             int wait = Integer.parseInt(StubServer.header(head, "Req-Deadline-Ms"));
             assertTrue(wait > 0 && wait < SidecarFixture.DEADLINE_MS, "some time is kept for the way back: " + wait);
-            assertEquals("two", StubServer.awaitNext(upstream.receivedBodies));
+            assertEquals("two", StubServer.awaitNext(server.receivedBodies));
             assertEquals(200, sidecar.send(SidecarFixture.lookRequest("a")).status());
-            assertTrue(StubServer.awaitNext(upstream.receivedHeads).startsWith("GET /api/7f3a?full=1 HTTP/1.1\r\n"));
+            assertTrue(StubServer.awaitNext(server.receivedHeads).startsWith("GET /api/7f3a?full=1 HTTP/1.1\r\n"));
         }
     }
 
@@ -49,12 +49,12 @@
     @Test
     void largestBodiesAreForwarded() throws Exception {
         String body = "x".repeat(1 << 16);
-        try (StubServer upstream = StubServer.respondingWith(body);
-                SidecarFixture sidecar = SidecarFixture.startWith(upstream)) {
+        try (StubServer server = StubServer.respondingWith(body);
+                SidecarFixture sidecar = SidecarFixture.startWith(server)) {
             assertEquals(
                     body,
                     sidecar.send(SidecarFixture.postRequest("book", "", body)).body());
-            assertEquals(body, StubServer.awaitNext(upstream.receivedBodies));
+            assertEquals(body, StubServer.awaitNext(server.receivedBodies));
         }
     }
 
@@ -62,10 +62,10 @@
     @Test
     void largeResponseIsForwarded() throws Exception {
         String body = "x".repeat(400_000);
-        try (StubServer upstream = StubServer.respondingWith(body);
-                SidecarFixture sidecar = SidecarFixture.startWith(upstream)) {
+        try (StubServer server = StubServer.respondingWith(body);
+                SidecarFixture sidecar = SidecarFixture.startWith(server)) {
             assertEquals(body, sidecar.send(SidecarFixture.lookRequest("a")).body());
-            assertEquals(1, upstream.receivedHeads.size());
+            assertEquals(1, server.receivedHeads.size());
         }
     }
 
@@ -97,12 +97,12 @@
     /** A stale connection turns requests into resets: it is closed before the server's own idle timeout. */
     @Test
     void idleConnectionIsClosedAfterItsTimeout() throws Exception {
-        try (StubServer upstream = StubServer.respondingWith("x")) {
-            ObjectNode json = SidecarFixture.configJson(upstream);
+        try (StubServer server = StubServer.respondingWith("x")) {
+            ObjectNode json = SidecarFixture.configJson(server);
             json.withObject("/settings/caps").put("connIdle", 500_000_000L);
             try (SidecarFixture sidecar = new SidecarFixture(json)) {
                 assertEquals(200, sidecar.send(SidecarFixture.lookRequest("a")).status());
-                StubServer.awaitNext(upstream.closedConnections);
+                StubServer.awaitNext(server.closedConnections);
                 assertEquals(200, sidecar.send(SidecarFixture.lookRequest("b")).status());
             }
         }
@@ -119,8 +119,8 @@
             }
             return StubServer.reply(socket, "200 OK", "", "x");
         };
-        try (StubServer upstream = new StubServer(counting);
-                SidecarFixture sidecar = SidecarFixture.startWith(upstream)) {
+        try (StubServer server = new StubServer(counting);
+                SidecarFixture sidecar = SidecarFixture.startWith(server)) {
             for (int i = 0; i < 5; i++) {
                 assertEquals(
                         200, sidecar.send(SidecarFixture.lookRequest("a" + i)).status());
@@ -137,9 +137,9 @@
                 StubServer two = new StubServer(wrong);
                 SidecarFixture sidecar = SidecarFixture.startWith(one, two)) {
             for (int i = 0; i < 50; i++) {
-                SidecarFixture.ClientResponse answer = sidecar.send(SidecarFixture.lookRequest("w" + i));
-                assertEquals(422, answer.status());
-                assertEquals("qty", answer.body());
+                SidecarFixture.ClientResponse response = sidecar.send(SidecarFixture.lookRequest("w" + i));
+                assertEquals(422, response.status());
+                assertEquals("qty", response.body());
             }
             assertEquals(50, one.receivedHeads.size() + two.receivedHeads.size());
             assertTrue(sidecar.loop
@@ -152,8 +152,8 @@
     /** A request's body is released with its response, not only when its deadline passes. */
     @Test
     void answeredRequestIsReleasedBeforeItsDeadline() throws Exception {
-        try (StubServer upstream = StubServer.respondingWith("x");
-                SidecarFixture sidecar = SidecarFixture.startWith(upstream)) {
+        try (StubServer server = StubServer.respondingWith("x");
+                SidecarFixture sidecar = SidecarFixture.startWith(server)) {
             WeakReference<RequestBody> body = submitAndAwaitResponse(sidecar);
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(StubServer.TIMEOUT_SECONDS);
             while (body.get() != null && System.nanoTime() < end) {
@@ -180,7 +180,7 @@
                 body);
         sidecar.loop.execute(() -> sidecar.exchanges.submit(job, new ResponseListener<UpstreamResponse>() {
             @Override
-            public void responseReceived(UpstreamResponse answer) {
+            public void responseReceived(UpstreamResponse response) {
                 done.countDown();
             }
 
--- a/sidecar/src/test/java/topazvalve/sidecar/RetryTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/RetryTest.java
@@ -12,15 +12,15 @@
     @Test
     void nonIdempotentRequestIsRetriedAfterARefusedConnection() throws Exception {
         try (StubServer gone = StubServer.respondingWith("x");
-                StubServer upstream = StubServer.respondingWith("y");
-                SidecarFixture sidecar = SidecarFixture.startWith(gone, upstream)) {
+                StubServer server = StubServer.respondingWith("y");
+                SidecarFixture sidecar = SidecarFixture.startWith(gone, server)) {
             gone.stop();
             for (int i = 0; i < 4; i++) {
                 String request = SidecarFixture.postRequest("book", "", "b" + i).replace("9b1f", "9b1f" + i);
                 assertEquals("y", sidecar.send(request).body());
-                assertEquals("b" + i, StubServer.awaitNext(upstream.receivedBodies), "each once");
+                assertEquals("b" + i, StubServer.awaitNext(server.receivedBodies), "each once");
             }
-            assertNull(upstream.receivedBodies.poll());
+            assertNull(server.receivedBodies.poll());
         }
     }
 
@@ -75,9 +75,9 @@
         try (StubServer one = new StubServer(declines);
                 StubServer two = new StubServer(declines);
                 SidecarFixture sidecar = SidecarFixture.startWith(one, two)) {
-            SidecarFixture.ClientResponse answer = sidecar.send(SidecarFixture.postRequest("book", "", "b"));
-            assertEquals(503, answer.status());
-            assertEquals("0.750", StubServer.header(answer.head(), "Retry-After"), "the policy's backoff");
+            SidecarFixture.ClientResponse response = sidecar.send(SidecarFixture.postRequest("book", "", "b"));
+            assertEquals(503, response.status());
+            assertEquals("0.750", StubServer.header(response.head(), "Retry-After"), "the policy's backoff");
             assertEquals(1, one.receivedHeads.size());
             assertEquals(1, two.receivedHeads.size());
         }
--- a/sidecar/src/test/java/topazvalve/sidecar/SidecarFixture.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/SidecarFixture.java
@@ -28,6 +28,9 @@
 
 /** A sidecar inside the test's process whose endpoints are known from the start, and a client for it. */
 final class SidecarFixture implements AutoCloseable {
+    /** Asks whether the sidecar accepts clients. */
+    static final String UP_REQUEST = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
+
     static final ObjectMapper JSON = new ObjectMapper();
     static final int DEADLINE_MS = 20_000;
     static final int MAX_CONNECTIONS = 100;
@@ -86,8 +89,8 @@
                 .localAddress();
     }
 
-    static SidecarFixture startWith(StubServer... upstreams) throws Exception {
-        return new SidecarFixture(configJson(upstreams));
+    static SidecarFixture startWith(StubServer... servers) throws Exception {
+        return new SidecarFixture(configJson(servers));
     }
 
     /** Reads and validates a configuration. */
@@ -96,7 +99,7 @@
     }
 
     /** A configuration with the classes look (idempotent), hold (keyed) and book (non-idempotent), and one tenant. */
-    static ObjectNode configJson(StubServer... upstreams) throws IOException {
+    static ObjectNode configJson(StubServer... servers) throws IOException {
         ObjectNode root = (ObjectNode) JSON.readTree("""
                 {"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
                  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
@@ -115,8 +118,8 @@
                     "keyScope":"all","keyTtl":60000000000},
                    {"name":"book","slo":20000000000,"deadline":20000000000,"semantics":"once"}]}}""");
         ArrayNode targets = root.withObject("/known").withArray("/targets");
-        for (int i = 0; i < upstreams.length; i++) {
-            targets.add(endpointJson("s-" + i, upstreams[i].endpoint(), "SERVING"));
+        for (int i = 0; i < servers.length; i++) {
+            targets.add(endpointJson("s-" + i, servers[i].endpoint(), "SERVING"));
         }
         return root;
     }
--- a/sidecar/src/test/java/topazvalve/sidecar/StreamsIT.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/StreamsIT.java
@@ -139,7 +139,7 @@
                 }
             }
             writeOperatorFile(listener, both, quotedAddress(one));
-            sendSighup(process);
+            DeployedIT.sendSighup(process);
             awaitLine(process, "configuration reloaded");
             for (int i = 0; i < 8; i++) {
                 try (Socket socket = connect(listener)) {
@@ -147,7 +147,7 @@
                 }
             }
             writeOperatorFile(listener, "", "");
-            sendSighup(process);
+            DeployedIT.sendSighup(process);
             awaitLine(process, "configuration reload rejected");
             try (Socket socket = connect(listener)) {
                 assertEquals('b', readLetter(socket), "the settings in force stay");
@@ -155,14 +155,6 @@
         }
     }
 
-    private static void sendSighup(Process process) throws Exception {
-        assertEquals(
-                0,
-                new ProcessBuilder("kill", "-HUP", Long.toString(process.pid()))
-                        .start()
-                        .waitFor());
-    }
-
     /** The old process's streams go on for their grace period and end; new ones reach the new process. */
     @Test
     void secondProcessTakesTheListenerOver() throws Exception {
