--- a/sidecar/src/test/java/topazvalve/sidecar/DescriptorsIT.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/DescriptorsIT.java
@@ -19,28 +19,29 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import topazvalve.sidecar.SidecarFixture.TestClient;
 
-/** The packaged sidecar under a real limit on its descriptors, beset by clients that say nothing. */
+/** The packaged sidecar under a real limit on its descriptors, flooded by silent clients. */
 class DescriptorsIT {
-    private static final String UP = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
-    private static final int SOCKETS = 200;
-    private static final int CLIENTS = SOCKETS * 3 / 8;
-    private static final int SILENT = 600;
+    private static final String READINESS_CHECK = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
+    private static final int DESCRIPTOR_LIMIT = 200;
+    private static final int CLIENT_SHARE = DESCRIPTOR_LIMIT * 3 / 8;
+    private static final int SILENT_CLIENTS = 600;
     private static final int ROUNDS = 20;
-    /** Discovery's calls, and an operator's. */
-    private static final int OTHERS = 6;
+    /** For calls to discovery and of an operator. */
+    private static final int OTHER_DESCRIPTORS = 6;
 
     @TempDir
     private Path folder;
 
     private Process process;
-    private final List<SidecarFixture.TestClient> silent = new ArrayList<>();
+    private final List<TestClient> silent = new ArrayList<>();
 
     @AfterEach
-    void end() throws IOException {
+    void stopProcess() throws IOException {
         process.destroyForcibly();
-        for (SidecarFixture.TestClient each : silent) {
-            each.close();
+        for (TestClient client : silent) {
+            client.close();
         }
     }
 
@@ -50,58 +51,62 @@
         }
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String hostAndPort(InetSocketAddress address) {
         return "127.0.0.1:" + address.getPort();
     }
 
     private ObjectNode config(InetSocketAddress listen, InetSocketAddress discovery) throws IOException {
         ObjectNode json =
-                SidecarFixture.configJson().put("listen", text(listen)).put("discovery", text(discovery));
-        json.withObject("/limits").put("sockets", SOCKETS);
+                SidecarFixture.configJson().put("listen", hostAndPort(listen)).put("discovery", hostAndPort(discovery));
+        json.withObject("/limits").put("sockets", DESCRIPTOR_LIMIT);
         json.withObject("/settings").put("discovery", "subscribe");
         return json;
     }
 
     private static String command() throws IOException {
-        return "ulimit -n " + SOCKETS + "; " + DeployedIT.command("run");
+        return "ulimit -n " + DESCRIPTOR_LIMIT + "; " + DeployedIT.command("run");
     }
 
     private void flood(InetSocketAddress address) throws IOException {
-        for (int i = 0; i < SILENT; i++) {
-            silent.add(new SidecarFixture.TestClient(address));
+        for (int i = 0; i < SILENT_CLIENTS; i++) {
+            silent.add(new TestClient(address));
         }
     }
 
     /**
-     * Discovery is down, and clients far beyond the limit connect and say nothing: who works keeps its
-     * connection, who comes is served, discovery is called as soon as it is back, and nothing runs out.
+     * Discovery is down, and far more silent clients connect than the limit allows: an active client keeps its
+     * connection, a new one is served, discovery is called once it is back, and no accept fails.
      */
     @Test
-    void silentClientsLeaveDescriptorsToAllOthers() throws Exception {
+    void silentClientsLeaveDescriptorsForAllOthers() throws Exception {
         InetSocketAddress address = DeployedIT.freeAddress();
         InetSocketAddress discovery = DeployedIT.freeAddress();
-        InetSocketAddress door = DeployedIT.freeAddress();
+        InetSocketAddress admin = DeployedIT.freeAddress();
         Path file = Files.writeString(
                 folder.resolve("config.json"),
-                config(address, discovery).put("admin", text(door)).toString());
+                config(address, discovery).put("admin", hostAndPort(admin)).toString());
         ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", command());
         builder.environment().put("PROXY_CONFIG", file.toString());
         process = builder.start();
         DeployedIT.awaitUp(process, address);
-        try (SidecarFixture.TestClient working = new SidecarFixture.TestClient(address)) {
-            assertEquals(200, working.send(UP).status());
-            long most = descriptors(process.pid()) + CLIENTS + OTHERS;
+        try (TestClient active = new TestClient(address)) {
+            assertEquals(200, active.send(READINESS_CHECK).status());
+            long maxDescriptors = descriptors(process.pid()) + CLIENT_SHARE + OTHER_DESCRIPTORS;
             flood(address);
             for (int i = 0; i < ROUNDS; i++) {
-                assertEquals(200, working.send(UP).status(), "who works keeps its connection");
-                try (SidecarFixture.TestClient next = new SidecarFixture.TestClient(address);
-                        SidecarFixture.TestClient operator = new SidecarFixture.TestClient(door)) {
-                    assertEquals(200, next.send(UP).status());
+                assertEquals(200, active.send(READINESS_CHECK).status(), "an active client keeps its connection");
+                try (TestClient next = new TestClient(address);
+                        TestClient operator = new TestClient(admin)) {
+                    assertEquals(200, next.send(READINESS_CHECK).status());
                     assertEquals(
-                            200, operator.send(UP.replace("/up", "/_ready")).status());
+                            200,
+                            operator.send(READINESS_CHECK.replace("/up", "/_ready"))
+                                    .status());
                 }
-                long held = descriptors(process.pid());
-                assertTrue(held <= most, held + " descriptors held, not " + most);
+                long openDescriptors = descriptors(process.pid());
+                assertTrue(
+                        openDescriptors <= maxDescriptors,
+                        openDescriptors + " descriptors held, not " + maxDescriptors);
             }
         }
         try (ServerSocket back = new ServerSocket(discovery.getPort(), 1, InetAddress.getLoopbackAddress())) {
@@ -113,16 +118,16 @@
         assertFalse(log.contains("Too many open files"), log);
     }
 
-    /** A flood from before the program listens neither holds its start back nor takes all descriptors. */
+    /** The flood begins before the process listens. */
     @Test
-    void floodFromTheFirstMomentHoldsNoStartBack() throws Exception {
+    void floodDuringTheStartDelaysNothing() throws Exception {
         InetSocketAddress address = DeployedIT.freeAddress();
         Path file = Files.writeString(
                 folder.resolve("config.json"),
                 config(address, DeployedIT.freeAddress()).toString());
         ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", command());
         builder.environment().put("PROXY_CONFIG", file.toString());
-        try (Flood flood = new Flood(address, SILENT)) {
+        try (Flood flood = new Flood(address, SILENT_CLIENTS)) {
             process = builder.start();
             DeployedIT.awaitUp(process, address);
             flood.awaitConnected();
@@ -132,40 +137,44 @@
         assertTrue(log.contains("ready at") && !log.contains("Too many open files"), log);
     }
 
-    /** Two processes take clients from one socket: together they hold no more than one may. */
+    /** Two processes accept from one socket; together they hold no more than one of them may. */
     @Test
-    void silentClientsOfTwoProcessesHoldOneShare() throws Exception {
+    void silentClientsOfTwoProcessesStayWithinOneShare() throws Exception {
         process = new ProcessBuilder("perl", "sidecar/src/test/resources/holder.pl").start();
         int port = Integer.parseInt(process.inputReader().readLine());
         InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
-        List<ProcessHandle> both = new ArrayList<>();
+        List<ProcessHandle> processes = new ArrayList<>();
         try {
-            long most = CLIENTS + 2 * OTHERS;
+            long maxDescriptors = CLIENT_SHARE + 2 * OTHER_DESCRIPTORS;
             for (String name : List.of("old.json", "new.json")) {
-                InetSocketAddress door = DeployedIT.freeAddress();
+                InetSocketAddress admin = DeployedIT.freeAddress();
                 Path file = Files.writeString(
                         folder.resolve(name),
                         config(address, DeployedIT.freeAddress())
-                                .put("admin", text(door))
+                                .put("admin", hostAndPort(admin))
                                 .toString());
                 process.outputWriter().write(file + "\t" + command() + "\n");
                 process.outputWriter().flush();
-                both.add(ProcessHandle.of(Long.parseLong(process.inputReader().readLine()))
-                        .orElseThrow());
-                DeployedIT.awaitYes(door);
-                most += descriptors(both.get(both.size() - 1).pid());
+                processes.add(
+                        ProcessHandle.of(Long.parseLong(process.inputReader().readLine()))
+                                .orElseThrow());
+                DeployedIT.awaitYes(admin);
+                maxDescriptors +=
+                        descriptors(processes.get(processes.size() - 1).pid());
             }
             flood(address);
             for (int i = 0; i < ROUNDS; i++) {
-                try (SidecarFixture.TestClient next = new SidecarFixture.TestClient(address)) {
-                    assertEquals(200, next.send(UP).status());
+                try (TestClient next = new TestClient(address)) {
+                    assertEquals(200, next.send(READINESS_CHECK).status());
                 }
-                long held =
-                        descriptors(both.get(0).pid()) + descriptors(both.get(1).pid());
-                assertTrue(held <= most, held + " descriptors held, not " + most);
+                long openDescriptors = descriptors(processes.get(0).pid())
+                        + descriptors(processes.get(1).pid());
+                assertTrue(
+                        openDescriptors <= maxDescriptors,
+                        openDescriptors + " descriptors held, not " + maxDescriptors);
             }
         } finally {
-            both.forEach(ProcessHandle::destroy);
+            processes.forEach(ProcessHandle::destroy);
         }
         process.outputWriter().close();
         String log = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
--- a/sidecar/src/test/java/topazvalve/sidecar/Flood.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/Flood.java
@@ -6,33 +6,37 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** Clients that say nothing: each in turn is closed and connects again, as fast as one thread can. */
+/**
+ * Silent clients that keep a sidecar's accept queue busy: one thread closes each in turn and connects it again as
+ * fast as it can.
+ */
 final class Flood implements AutoCloseable {
     private final InetSocketAddress address;
-    private final SocketChannel[] held;
-    private final CountDownLatch connected = new CountDownLatch(1);
+    private final SocketChannel[] channels;
+    private final CountDownLatch firstConnected = new CountDownLatch(1);
     private final CountDownLatch ended = new CountDownLatch(1);
-    private volatile boolean over;
+    private volatile boolean stopped;
 
+    /** Starts a flood from {@code clients} connections. */
     Flood(InetSocketAddress address, int clients) {
         this.address = address;
-        this.held = new SocketChannel[clients];
+        this.channels = new SocketChannel[clients];
         StubServer.startDaemonThread(this::run);
     }
 
     private void run() {
         try {
-            for (int i = 0; !over; i = (i + 1) % held.length) {
+            for (int i = 0; !stopped; i = (i + 1) % channels.length) {
                 close(i);
                 try {
-                    held[i] = SocketChannel.open(address);
-                    connected.countDown();
+                    channels[i] = SocketChannel.open(address);
+                    firstConnected.countDown();
                 } catch (IOException e) {
-                    // Nobody listens yet.
-                    held[i] = null;
+                    // The sidecar does not listen yet.
+                    channels[i] = null;
                 }
             }
-            for (int i = 0; i < held.length; i++) {
+            for (int i = 0; i < channels.length; i++) {
                 close(i);
             }
         } finally {
@@ -42,26 +46,27 @@
 
     private void close(int client) {
         try {
-            if (held[client] != null) {
-                held[client].close();
+            if (channels[client] != null) {
+                channels[client].close();
             }
         } catch (IOException e) {
             throw new AssertionError(e);
         }
     }
 
+    /** Waits until a client has connected. */
     void awaitConnected() throws InterruptedException {
-        if (!connected.await(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
-            throw new AssertionError("nobody ever connected");
+        if (!firstConnected.await(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+            throw new AssertionError("no client ever connected");
         }
     }
 
     @Override
     public void close() {
-        over = true;
+        stopped = true;
         try {
             if (!ended.await(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
-                throw new AssertionError("the flood goes on");
+                throw new AssertionError("the flood did not end");
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/sidecar/src/test/java/topazvalve/sidecar/OpenConnections.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/OpenConnections.java
@@ -6,32 +6,37 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import topazvalve.core.time.EventLoopScheduler;
 
-/** Counts the descriptors that a listener's connections hold: a closed one's until the loop's next look. */
+/**
+ * Counts the descriptors that a listener's connections hold. A closed connection counts until the event loop's
+ * next select, which releases its descriptor.
+ */
 final class OpenConnections {
-    private int now;
-    private volatile int most;
-    private final AtomicInteger taken = new AtomicInteger();
+    private int open;
+    private volatile int maxOpen;
+    private final AtomicInteger accepted = new AtomicInteger();
 
-    ChannelHandler counting(ChannelHandler each) {
+    /** Returns an initializer that counts each accepted connection and then runs {@code connectionInitializer}. */
+    ChannelHandler counting(ChannelHandler connectionInitializer) {
         return new ChannelInitializer<Channel>() {
             @Override
-            protected void initChannel(Channel made) {
-                now++;
-                taken.incrementAndGet();
-                most = Math.max(most, now);
-                made.closeFuture()
-                        .addListener(closed -> EventLoopScheduler.afterNextSelect(made.eventLoop(), () -> now--));
-                made.pipeline().addLast(each);
+            protected void initChannel(Channel channel) {
+                open++;
+                accepted.incrementAndGet();
+                maxOpen = Math.max(maxOpen, open);
+                channel.closeFuture()
+                        .addListener(closed -> EventLoopScheduler.afterNextSelect(channel.eventLoop(), () -> open--));
+                channel.pipeline().addLast(connectionInitializer);
             }
         };
     }
 
-    /** The most at a time so far. */
-    int most() {
-        return most;
+    /** Returns the largest number of connections that were open at a time. */
+    int maxOpen() {
+        return maxOpen;
     }
 
-    int taken() {
-        return taken.get();
+    /** Returns how many connections were accepted in all. */
+    int acceptedCount() {
+        return accepted.get();
     }
 }
