--- a/sidecar/src/test/java/topazvalve/sidecar/DescriptorsIT.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/DescriptorsIT.java
@@ -158,7 +158,7 @@
                 processes.add(
                         ProcessHandle.of(Long.parseLong(process.inputReader().readLine()))
                                 .orElseThrow());
-                DeployedIT.awaitYes(admin);
+                DeployedIT.awaitReady(admin);
                 maxDescriptors +=
                         descriptors(processes.get(processes.size() - 1).pid());
             }
