--- a/sidecar/src/test/java/topazvalve/sidecar/DiscoveryTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/DiscoveryClientTest.java
@@ -23,17 +23,17 @@
 import topazvalve.policy.LoadBalancer.EndpointStatus;
 import topazvalve.policy.LoadBalancer.UpdateKind;
 
-/** The list and its watch against a discovery that answers in awkward ways. */
-class DiscoveryTest {
+/** {@link DiscoveryClient} against a stub of discovery that responds correctly, wrongly, late or not at all. */
+class DiscoveryClientTest {
     private static final String CHUNKED = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private static final String HALF_1 = "{\"rev\":43,\"all\":false,\"targets\":[" + entry("DRAINING") + ",";
     private static final String HALF_2 = "{\"uid\":\"odd\",\"state\":\"???\"}]}\n";
 
-    private record Told(UpdateKind kind, List<Endpoint> targets) {}
+    private record Notification(UpdateKind kind, List<Endpoint> endpoints) {}
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final BlockingQueue<Told> told = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Notification> notifications = new LinkedBlockingQueue<>();
 
     @AfterEach
     void end() {
@@ -48,22 +48,26 @@
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    private DiscoveryClient discovery(StubServer stub) {
-        return discovery(stub, new EndpointUpdate(41, true, List.of()));
+    private DiscoveryClient client(StubServer stub) {
+        return client(stub, new EndpointUpdate(41, true, List.of()));
     }
 
-    private DiscoveryClient discovery(StubServer stub, EndpointUpdate known) {
-        return discovery(stub, known, null);
+    private DiscoveryClient client(StubServer stub, EndpointUpdate known) {
+        return client(stub, known, null);
     }
 
-    private DiscoveryClient discovery(StubServer stub, EndpointUpdate known, PushedDiscovery pushed) {
+    private DiscoveryClient client(StubServer stub, EndpointUpdate known, PushedDiscovery pushed) {
         return new DiscoveryClient(
-                loop, stub.address(), known, pushed, (kind, targets) -> told.add(new Told(kind, targets)));
+                loop,
+                stub.address(),
+                known,
+                pushed,
+                (kind, targets) -> notifications.add(new Notification(kind, targets)));
     }
 
-    /** An object over several lines, cut anywhere; its empty lines and braces within words say nothing. */
+    /** An object may take several lines and chunks; blank lines in it and braces in strings have no meaning. */
     @Test
-    void indentedListsAreTakenWholeAndOnAWatch() throws Exception {
+    void indentedUpdatesAreAcceptedFromAFetchAndAWatch() throws Exception {
         String indented = SidecarFixture.JSON
                 .writerWithDefaultPrettyPrinter()
                 .writeValueAsString(SidecarFixture.JSON.readTree("{\"rev\":43,\"all\":true,\"targets\":["
@@ -80,39 +84,43 @@
             StubServer.write(socket, chunk("\n{\"rev\":44,\n \"all\":false,\n\"targets\":[]}\n"));
             return true;
         })) {
-            DiscoveryClient discovery = discovery(stub);
+            DiscoveryClient discovery = client(stub);
             loop.execute(discovery::fetch);
-            Told list = StubServer.awaitNext(told);
+            Notification list = StubServer.awaitNext(notifications);
             assertEquals(UpdateKind.FULL, list.kind);
-            assertEquals("m}\"{", list.targets.get(0).machineKind());
+            assertEquals("m}\"{", list.endpoints.get(0).machineKind());
             loop.execute(() -> discovery.watch(true));
-            assertEquals(list, StubServer.awaitNext(told), "the same on a watch");
-            assertEquals(new Told(UpdateKind.DELTA, List.of()), StubServer.awaitNext(told));
+            assertEquals(list, StubServer.awaitNext(notifications), "a watch gives the same as a fetch");
+            assertEquals(new Notification(UpdateKind.DELTA, List.of()), StubServer.awaitNext(notifications));
         }
     }
 
-    /** Silence says nothing of discovery's load: the watch is opened anew at once, and nobody has to ask. */
+    /** The client resubscribes by itself and without backoff. */
     @Test
-    void watchThatFallsSilentIsOpenedAnew() throws Exception {
+    void idleWatchIsResubscribedWithoutNotifyingAFailure() throws Exception {
         try (StubServer stub = new StubServer((socket, head) -> {
             StubServer.write(socket, CHUNKED + chunk("\n"));
             return true;
         })) {
-            DiscoveryClient discovery = discovery(stub);
+            DiscoveryClient discovery = client(stub);
             loop.execute(() -> discovery.watch(true));
             StubServer.awaitNext(stub.receivedHeads);
-            long began = System.nanoTime();
-            assertEquals(new Told(UpdateKind.DELTA, List.of()), StubServer.awaitNext(told));
+            long startNanos = System.nanoTime();
+            assertEquals(new Notification(UpdateKind.DELTA, List.of()), StubServer.awaitNext(notifications));
             StubServer.awaitNext(stub.receivedHeads);
-            assertEquals("end", StubServer.awaitNext(stub.closedConnections), "the old one is closed");
-            assertTrue(System.nanoTime() - began >= TimeUnit.SECONDS.toNanos(2), "after a missed line");
-            assertEquals(new Told(UpdateKind.DELTA, List.of()), StubServer.awaitNext(told), "no failure is told");
+            assertEquals("end", StubServer.awaitNext(stub.closedConnections), "the idle watch is closed");
+            assertTrue(
+                    System.nanoTime() - startNanos >= TimeUnit.SECONDS.toNanos(2), "not before a heartbeat was missed");
+            assertEquals(
+                    new Notification(UpdateKind.DELTA, List.of()),
+                    StubServer.awaitNext(notifications),
+                    "no failure is notified");
         }
     }
 
-    /** The module does not ask for lists that are pushed, nor is it told that it should. */
+    /** With pushed discovery the policy does not subscribe, and is not notified of failures. */
     @Test
-    void pushedListIsFollowedThroughEveryFailure() throws Exception {
+    void pushedDiscoveryResubscribesAfterEveryFailure() throws Exception {
         AtomicInteger calls = new AtomicInteger();
         try (StubServer stub = new StubServer((socket, head) -> {
             if (calls.incrementAndGet() <= 3) {
@@ -123,16 +131,16 @@
             return true;
         })) {
             DiscoveryClient discovery =
-                    discovery(stub, new EndpointUpdate(41, true, List.of()), new PushedDiscovery(10, 1000));
+                    client(stub, new EndpointUpdate(41, true, List.of()), new PushedDiscovery(10, 1000));
             loop.execute(discovery::followPushed);
-            assertEquals(UpdateKind.FULL, StubServer.awaitNext(told).kind);
+            assertEquals(UpdateKind.FULL, StubServer.awaitNext(notifications).kind);
             assertEquals(4, calls.get());
         }
     }
 
-    /** Answers to a fetch and a watch cross: what the watch tells of before the fetched list is old. */
+    /** The responses to a fetch and a watch may cross: deltas from before the snapshot are outdated. */
     @Test
-    void changesOlderThanAFetchedListAreNotTaken() throws Exception {
+    void deltasOlderThanAFetchedSnapshotAreIgnored() throws Exception {
         CountDownLatch fetched = new CountDownLatch(1);
         String whole = "{\"rev\":45,\"all\":true,\"targets\":[" + entry("DRAINING") + "]}\n";
         try (StubServer stub = new StubServer((socket, head) -> {
@@ -147,13 +155,16 @@
                             + chunk("{\"rev\":46,\"all\":false,\"targets\":[]}\n"));
             return true;
         })) {
-            DiscoveryClient discovery = discovery(stub);
+            DiscoveryClient discovery = client(stub);
             loop.execute(() -> discovery.watch(true));
-            assertEquals(new Told(UpdateKind.DELTA, List.of()), StubServer.awaitNext(told));
+            assertEquals(new Notification(UpdateKind.DELTA, List.of()), StubServer.awaitNext(notifications));
             loop.execute(discovery::fetch);
-            assertEquals(UpdateKind.FULL, StubServer.awaitNext(told).kind);
+            assertEquals(UpdateKind.FULL, StubServer.awaitNext(notifications).kind);
             fetched.countDown();
-            assertEquals(new Told(UpdateKind.DELTA, List.of()), StubServer.awaitNext(told), "only what is newer");
+            assertEquals(
+                    new Notification(UpdateKind.DELTA, List.of()),
+                    StubServer.awaitNext(notifications),
+                    "only the delta that is newer");
         }
     }
 
@@ -165,39 +176,44 @@
         }
     }
 
-    /** Lines come split over chunks and chunks hold several; an odd entry spoils none but itself. */
+    /** Updates may be split over chunks, and chunks may hold several. An invalid endpoint is left out. */
     @Test
-    void watchIsReadLineByLineAndItsEndIsAFailure() throws Exception {
+    void aWatchDeliversEachUpdateAndItsEndIsAFailure() throws Exception {
         try (StubServer stub = new StubServer((socket, head) -> {
             StubServer.write(socket, CHUNKED + chunk("\n") + chunk(HALF_1));
             StubServer.write(
                     socket, chunk(HALF_2 + "{\"rev\":44,\"all\":true,\"targets\":[" + entry("SERVING") + "]}\n"));
             return false;
         })) {
-            DiscoveryClient discovery = discovery(stub);
+            DiscoveryClient discovery = client(stub);
             loop.execute(() -> discovery.watch(true));
             assertTrue(StubServer.awaitNext(stub.receivedHeads)
                     .startsWith("GET /discovery/hosts?watch=1&from=41 HTTP/1.1"));
-            assertEquals(new Told(UpdateKind.DELTA, List.of()), StubServer.awaitNext(told), "an empty line: no news");
-            Told delta = StubServer.awaitNext(told);
+            assertEquals(
+                    new Notification(UpdateKind.DELTA, List.of()),
+                    StubServer.awaitNext(notifications),
+                    "a heartbeat: nothing has changed");
+            Notification delta = StubServer.awaitNext(notifications);
             assertEquals(UpdateKind.DELTA, delta.kind);
             assertEquals(
                     List.of(EndpointStatus.DRAINING),
-                    delta.targets.stream().map(Endpoint::status).toList());
+                    delta.endpoints.stream().map(Endpoint::status).toList());
             assertEquals(
                     List.of(EndpointStatus.READY),
-                    StubServer.awaitNext(told).targets.stream()
+                    StubServer.awaitNext(notifications).endpoints.stream()
                             .map(Endpoint::status)
                             .toList());
-            assertEquals(new Told(UpdateKind.FAILED, List.of()), StubServer.awaitNext(told));
+            assertEquals(new Notification(UpdateKind.FAILED, List.of()), StubServer.awaitNext(notifications));
             loop.execute(() -> discovery.watch(true));
-            assertTrue(StubServer.awaitNext(stub.receivedHeads).contains("from=44 "), "goes on from the last version");
+            assertTrue(
+                    StubServer.awaitNext(stub.receivedHeads).contains("from=44 "),
+                    "resubscribes from the last revision");
         }
     }
 
-    /** Each call that fails is told of once, so that the module's waits between calls hold. */
+    /** The policy counts failures for its backoff. */
     @Test
-    void everyFailureIsToldOnce() throws Exception {
+    void everyFailureIsNotifiedOnce() throws Exception {
         for (String reply : List.of(
                 "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
                 "",
@@ -209,20 +225,20 @@
                 StubServer.write(socket, reply);
                 return false;
             })) {
-                DiscoveryClient discovery = discovery(stub);
+                DiscoveryClient discovery = client(stub);
                 loop.execute(() -> discovery.watch(true));
-                assertEquals(UpdateKind.FAILED, StubServer.awaitNext(told).kind, reply);
+                assertEquals(UpdateKind.FAILED, StubServer.awaitNext(notifications).kind, reply);
                 loop.execute(discovery::fetch);
-                assertEquals(UpdateKind.FAILED, StubServer.awaitNext(told).kind, reply);
+                assertEquals(UpdateKind.FAILED, StubServer.awaitNext(notifications).kind, reply);
                 loop.submit(() -> {}).sync();
-                assertEquals(0, told.size(), reply);
+                assertEquals(0, notifications.size(), reply);
             }
         }
     }
 
-    /** Nobody believes at once that every server is gone. */
+    /** A watch may restart with a lower revision, but a fetch may not give an older snapshot. */
     @Test
-    void anEmptyListOrAnOlderOneIsNotTaken() throws Exception {
+    void emptyAndStaleSnapshotsAreRejected() throws Exception {
         EndpointUpdate known =
                 new EndpointUpdate(41, true, List.of(new Endpoint("s-1", null, "", "", 0, EndpointStatus.READY, 1, 0)));
         String empty = "{\"rev\":42,\"all\":true,\"targets\":[]}\n";
@@ -232,20 +248,20 @@
                 StubServer.write(socket, CHUNKED + chunk(line));
                 return true;
             })) {
-                DiscoveryClient discovery = discovery(stub, known);
+                DiscoveryClient discovery = client(stub, known);
                 loop.execute(discovery::fetch);
-                assertEquals(new Told(UpdateKind.FAILED, List.of()), StubServer.awaitNext(told), line);
+                assertEquals(new Notification(UpdateKind.FAILED, List.of()), StubServer.awaitNext(notifications), line);
                 loop.execute(() -> discovery.watch(true));
                 UpdateKind taken = line.equals(empty) ? UpdateKind.FAILED : UpdateKind.FULL;
-                assertEquals(taken, StubServer.awaitNext(told).kind, line);
+                assertEquals(taken, StubServer.awaitNext(notifications).kind, line);
                 loop.submit(discovery::close).sync();
             }
         }
     }
 
-    /** Bytes that come and come without an end of a line hold a call for no longer than silence does. */
+    /** Bytes that do not complete an update do not restart the timeout. */
     @Test
-    void anAnswerWithoutEndIsGivenUp() throws Exception {
+    void anUpdateThatNeverEndsTimesOut() throws Exception {
         try (StubServer stub = new StubServer((socket, head) -> {
             StubServer.write(socket, CHUNKED + chunk("{\"rev\":42,"));
             try {
@@ -259,85 +275,88 @@
             }
             return true;
         })) {
-            DiscoveryClient discovery = discovery(stub);
+            DiscoveryClient discovery = client(stub);
             loop.execute(() -> discovery.watch(true));
-            assertEquals(new Told(UpdateKind.FAILED, List.of()), StubServer.awaitNext(told));
+            assertEquals(new Notification(UpdateKind.FAILED, List.of()), StubServer.awaitNext(notifications));
         }
     }
 
     /**
-     * A call that was lost in a cut counts as failed well before 5 s, so that the next is answered within
-     * 6 s; the loop's own clock tells the order. Its own answer is taken if it comes first after all.
+     * A call without response fails well before 5 s, so that the next one is answered within 6 s; a timer of 3 s on
+     * the loop shows the order. The overdue call is followed if it is answered first after all.
      */
     @Test
-    void callThatHangsDoesNotHoldUpTheNext() throws Exception {
+    void anOverdueCallDoesNotDelayTheNextAndMayStillTakeOver() throws Exception {
         BlockingQueue<Socket> asked = new LinkedBlockingQueue<>();
         try (StubServer stub = new StubServer((socket, head) -> asked.add(socket))) {
-            DiscoveryClient discovery = discovery(stub);
-            Told mark = new Told(UpdateKind.CACHED, List.of());
+            DiscoveryClient discovery = client(stub);
+            Notification mark = new Notification(UpdateKind.CACHED, List.of());
             loop.submit(() -> {
-                        loop.schedule(() -> told.add(mark), 3, TimeUnit.SECONDS);
+                        loop.schedule(() -> notifications.add(mark), 3, TimeUnit.SECONDS);
                         discovery.watch(true);
                     })
                     .sync();
-            assertEquals(new Told(UpdateKind.FAILED, List.of()), StubServer.awaitNext(told));
+            assertEquals(new Notification(UpdateKind.FAILED, List.of()), StubServer.awaitNext(notifications));
             loop.submit(() -> discovery.watch(true)).sync();
             Socket first = StubServer.awaitNext(asked);
             StubServer.awaitNext(asked);
             StubServer.write(first, CHUNKED + chunk("\n"));
-            assertEquals("end", StubServer.awaitNext(stub.closedConnections), "the second is not needed any more");
-            List<Told> both = List.of(StubServer.awaitNext(told), StubServer.awaitNext(told));
+            assertEquals("end", StubServer.awaitNext(stub.closedConnections), "the second call is not needed any more");
+            List<Notification> both = List.of(StubServer.awaitNext(notifications), StubServer.awaitNext(notifications));
             assertTrue(both.contains(mark), both.toString());
-            assertTrue(both.contains(new Told(UpdateKind.DELTA, List.of())), both.toString());
+            assertTrue(both.contains(new Notification(UpdateKind.DELTA, List.of())), both.toString());
         }
     }
 
-    /** The next call is answered sooner than one that is late: what that one says then is not heard. */
+    /** The next call is answered before the overdue one, whose update is then ignored. */
     @Test
-    void answerThatComesAfterTheNextOnesIsNotHeard() throws Exception {
+    void anOverdueCallIsIgnoredOnceTheNextIsAnswered() throws Exception {
         BlockingQueue<Socket> asked = new LinkedBlockingQueue<>();
         try (StubServer stub = new StubServer((socket, head) -> asked.add(socket))) {
-            DiscoveryClient discovery = discovery(stub);
-            long began = System.nanoTime();
+            DiscoveryClient discovery = client(stub);
+            long startNanos = System.nanoTime();
             loop.submit(() -> discovery.watch(true)).sync();
-            assertEquals(new Told(UpdateKind.FAILED, List.of()), StubServer.awaitNext(told));
+            assertEquals(new Notification(UpdateKind.FAILED, List.of()), StubServer.awaitNext(notifications));
             loop.submit(() -> discovery.watch(true)).sync();
             Socket late = StubServer.awaitNext(asked);
             Socket next = StubServer.awaitNext(asked);
             StubServer.write(next, CHUNKED + chunk("\n"));
-            assertEquals(new Told(UpdateKind.DELTA, List.of()), StubServer.awaitNext(told));
+            assertEquals(new Notification(UpdateKind.DELTA, List.of()), StubServer.awaitNext(notifications));
             try {
                 StubServer.write(
                         late, CHUNKED + chunk("{\"rev\":40,\"all\":true,\"targets\":[" + entry("SERVING") + "]}\n"));
             } catch (IOException ended) {
-                // On a machine that took so long the late call's own time is over, and it has been closed.
-                assertTrue(System.nanoTime() - began >= TimeUnit.SECONDS.toNanos(5), ended.toString());
+                // On a slow machine the overdue call has timed out and was closed.
+                assertTrue(System.nanoTime() - startNanos >= TimeUnit.SECONDS.toNanos(5), ended.toString());
             }
             assertEquals("end", StubServer.awaitNext(stub.closedConnections));
-            assertEquals(0, told.size());
+            assertEquals(0, notifications.size());
             StubServer.write(next, chunk("{\"rev\":42,\"all\":false,\"targets\":[]}\n"));
-            assertEquals(new Told(UpdateKind.DELTA, List.of()), StubServer.awaitNext(told), "the next one is followed");
+            assertEquals(
+                    new Notification(UpdateKind.DELTA, List.of()),
+                    StubServer.awaitNext(notifications),
+                    "the next call is followed");
         }
     }
 
     @Test
-    void wholeListIsFetchedOnce() throws Exception {
+    void snapshotIsFetchedOnce() throws Exception {
         String body = "{\"rev\":41,\"all\":true,\"targets\":[" + entry("SERVING") + "]}";
         try (StubServer stub = new StubServer((socket, head) -> StubServer.reply(socket, "200 OK", "", body))) {
-            DiscoveryClient discovery = discovery(stub);
+            DiscoveryClient discovery = client(stub);
             loop.execute(discovery::fetch);
             assertTrue(StubServer.awaitNext(stub.receivedHeads).startsWith("GET /discovery/hosts HTTP/1.1"));
-            Told list = StubServer.awaitNext(told);
+            Notification list = StubServer.awaitNext(notifications);
             assertEquals(UpdateKind.FULL, list.kind);
-            assertEquals(9, list.targets.get(0).address().getPort());
+            assertEquals(9, list.endpoints.get(0).address().getPort());
             StubServer.awaitNext(stub.closedConnections);
-            assertEquals(0, told.size());
+            assertEquals(0, notifications.size());
         }
     }
 
-    /** After a move the new service's list holds, whatever its version; the old one is heard no more. */
+    /** The list of the new address is accepted whatever its revision; the old watch is closed. */
     @Test
-    void movedWatchAsksForTheWholeListAndDropsTheOldOne() throws Exception {
+    void changedAddressResubscribesFromZeroAndClosesTheOldWatch() throws Exception {
         StubServer.Responder silent = (socket, head) -> {
             StubServer.write(socket, CHUNKED + chunk("{\"rev\":50,\"all\":true,\"targets\":[]}\n"));
             return true;
@@ -348,25 +367,25 @@
                     StubServer.write(socket, CHUNKED + chunk(whole));
                     return true;
                 })) {
-            DiscoveryClient discovery = discovery(old);
+            DiscoveryClient discovery = client(old);
             loop.execute(() -> discovery.watch(true));
-            assertEquals(UpdateKind.FULL, StubServer.awaitNext(told).kind);
+            assertEquals(UpdateKind.FULL, StubServer.awaitNext(notifications).kind);
             loop.execute(() -> discovery.changeAddress(next.address()));
             assertEquals("end", StubServer.awaitNext(old.closedConnections), "the old watch is closed");
             assertTrue(StubServer.awaitNext(next.receivedHeads)
                     .startsWith("GET /discovery/hosts?watch=1&from=0 HTTP/1.1"));
-            Told list = StubServer.awaitNext(told);
+            Notification list = StubServer.awaitNext(notifications);
             assertEquals(UpdateKind.FULL, list.kind);
-            assertEquals(1, list.targets.size());
+            assertEquals(1, list.endpoints.size());
             old.stop();
             loop.submit(() -> {}).sync();
-            assertEquals(0, told.size(), "neither a failure nor a word of the old one");
+            assertEquals(0, notifications.size(), "no notification from the old watch");
         }
     }
 
-    /** A new service that tells changes only leaves open who is gone: the whole list is asked for besides. */
+    /** A delta does not tell which endpoints of the old address are gone, so that the snapshot is fetched too. */
     @Test
-    void movedWatchThatTellsOnlyChangesIsFollowedByTheWholeList() throws Exception {
+    void deltaFromAChangedAddressIsFollowedByAFetchOfTheSnapshot() throws Exception {
         String whole = "{\"rev\":3,\"all\":true,\"targets\":[" + entry("SERVING") + "]}";
         try (StubServer old = new StubServer((socket, head) -> true);
                 StubServer next = new StubServer((socket, head) -> {
@@ -376,12 +395,12 @@
                     StubServer.write(socket, CHUNKED + chunk("{\"rev\":3,\"all\":false,\"targets\":[]}\n"));
                     return true;
                 })) {
-            DiscoveryClient discovery = discovery(old);
+            DiscoveryClient discovery = client(old);
             loop.execute(() -> discovery.watch(true));
             StubServer.awaitNext(old.receivedHeads);
             loop.execute(() -> discovery.changeAddress(next.address()));
-            assertEquals(UpdateKind.DELTA, StubServer.awaitNext(told).kind);
-            assertEquals(UpdateKind.FULL, StubServer.awaitNext(told).kind);
+            assertEquals(UpdateKind.DELTA, StubServer.awaitNext(notifications).kind);
+            assertEquals(UpdateKind.FULL, StubServer.awaitNext(notifications).kind);
         }
     }
 }
--- a/sidecar/src/test/java/topazvalve/sidecar/RelaysTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/DiscoveryRelaysTest.java
@@ -26,16 +26,16 @@
 import topazvalve.policy.LoadBalancer.UpdateKind;
 import topazvalve.toml.InvalidFileException;
 
-/** Relays asked in discovery's place: the next at once, versions told and held to, and the file's keys. */
-class RelaysTest {
+/** {@link DiscoveryClient} with relays: failover, the versions that it sends and checks, and the operators' file. */
+class DiscoveryRelaysTest {
     private static final String CHUNKED = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    private static final InetSocketAddress NOBODY = new InetSocketAddress("127.0.0.1", 1);
+    private static final InetSocketAddress UNUSED_ADDRESS = new InetSocketAddress("127.0.0.1", 1);
 
-    private record Told(UpdateKind kind, List<Endpoint> targets) {}
+    private record Notification(UpdateKind kind, List<Endpoint> endpoints) {}
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final BlockingQueue<Told> told = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Notification> notifications = new LinkedBlockingQueue<>();
 
     @AfterEach
     void end() {
@@ -46,20 +46,20 @@
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    private static String line(long rev, boolean all, String versions, String state) {
+    private static String update(long rev, boolean all, String versions, String state) {
         return chunk("{\"rev\":" + rev + ",\"all\":" + all + ",\"versions\":\"" + versions + "\",\"targets\":["
                 + SidecarFixture.endpointJson("s-1", "127.0.0.1:9", state) + "]}\n");
     }
 
-    /** One that answers with a line, and then with an empty one whenever it is asked. */
-    private static StubServer telling(String line) {
+    /** A relay that responds to each request with this update. */
+    private static StubServer relaySending(String line) {
         return new StubServer((socket, head) -> {
             StubServer.write(socket, CHUNKED + line);
             return true;
         });
     }
 
-    private DiscoveryClient following(EndpointUpdate known, StubServer... relays) {
+    private DiscoveryClient subscribedClient(EndpointUpdate known, StubServer... relays) {
         List<InetSocketAddress> order = new ArrayList<>();
         for (StubServer each : relays) {
             order.add(each.address());
@@ -67,34 +67,43 @@
         RelaySelector of =
                 new RelaySelector(order, RelaySelector.of("n", order, 1).failover());
         DiscoveryClient discovery = new DiscoveryClient(
-                loop, NOBODY, known, null, of, (kind, targets) -> told.add(new Told(kind, targets)));
+                loop,
+                UNUSED_ADDRESS,
+                known,
+                null,
+                of,
+                (kind, targets) -> notifications.add(new Notification(kind, targets)));
         loop.execute(() -> discovery.watch(true));
         return discovery;
     }
 
     @Test
-    void theNextRelayIsAskedAtOnceAndSaidHowFarTheListHasCome() throws Exception {
-        try (StubServer first = telling(line(41, true, "eu:1.41", "SERVING"));
-                StubServer second = telling(line(42, false, "eu:1.42", "DRAINING"))) {
-            following(EndpointUpdate.NONE, first, second);
-            assertEquals(UpdateKind.FULL, StubServer.awaitNext(told).kind);
-            assertTrue(StubServer.awaitNext(first.receivedHeads).contains("?watch=1&from=0 "), "nothing is known yet");
+    void failsOverWithoutDelayAndSendsTheKnownVersions() throws Exception {
+        try (StubServer first = relaySending(update(41, true, "eu:1.41", "SERVING"));
+                StubServer second = relaySending(update(42, false, "eu:1.42", "DRAINING"))) {
+            subscribedClient(EndpointUpdate.NONE, first, second);
+            assertEquals(UpdateKind.FULL, StubServer.awaitNext(notifications).kind);
+            assertTrue(
+                    StubServer.awaitNext(first.receivedHeads).contains("?watch=1&from=0 "), "no version is known yet");
             first.stop();
-            assertEquals(UpdateKind.DELTA, StubServer.awaitNext(told).kind, "the module hears of no failure");
+            assertEquals(UpdateKind.DELTA, StubServer.awaitNext(notifications).kind, "no failure is notified");
             String head = StubServer.awaitNext(second.receivedHeads);
             assertTrue(head.contains("?watch=1&from=41&versions=eu:1.41 "), head);
         }
     }
 
     @Test
-    void aRelayThatIsOlderThanWhatIsInForceIsNotFollowed() throws Exception {
-        try (StubServer first = telling(line(900, true, "eu:2.900", "DRAINING"));
-                StubServer older = telling(line(899, true, "eu:2.899", "SERVING"));
-                StubServer third = telling(line(5, false, "eu:3.5", "SERVING"))) {
-            DiscoveryClient discovery = following(EndpointUpdate.NONE, first, older, third);
-            assertEquals(UpdateKind.FULL, StubServer.awaitNext(told).kind);
+    void aRelayWithAnOlderListIsSkipped() throws Exception {
+        try (StubServer first = relaySending(update(900, true, "eu:2.900", "DRAINING"));
+                StubServer older = relaySending(update(899, true, "eu:2.899", "SERVING"));
+                StubServer third = relaySending(update(5, false, "eu:3.5", "SERVING"))) {
+            DiscoveryClient discovery = subscribedClient(EndpointUpdate.NONE, first, older, third);
+            assertEquals(UpdateKind.FULL, StubServer.awaitNext(notifications).kind);
             first.stop();
-            assertEquals(UpdateKind.DELTA, StubServer.awaitNext(told).kind, "the third's word, not the second's");
+            assertEquals(
+                    UpdateKind.DELTA,
+                    StubServer.awaitNext(notifications).kind,
+                    "the update of the third relay, not the second");
             StubServer.awaitNext(older.receivedHeads);
             assertEquals(
                     VersionVector.parse("eu:3.5"),
@@ -103,33 +112,34 @@
     }
 
     @Test
-    void aRelayThatFallsSilentIsLeftForTheNext() throws Exception {
-        try (StubServer silent = telling(chunk("\n"));
-                StubServer next = telling(chunk("\n"))) {
-            following(EndpointUpdate.NONE, silent, next);
-            assertEquals(UpdateKind.DELTA, StubServer.awaitNext(told).kind);
-            long began = System.nanoTime();
+    void anIdleRelayIsLeftForTheNext() throws Exception {
+        try (StubServer silent = relaySending(chunk("\n"));
+                StubServer next = relaySending(chunk("\n"))) {
+            subscribedClient(EndpointUpdate.NONE, silent, next);
+            assertEquals(UpdateKind.DELTA, StubServer.awaitNext(notifications).kind);
+            long startNanos = System.nanoTime();
             StubServer.awaitNext(next.receivedHeads);
-            assertTrue(System.nanoTime() - began >= TimeUnit.SECONDS.toNanos(2), "not before it missed one");
+            assertTrue(
+                    System.nanoTime() - startNanos >= TimeUnit.SECONDS.toNanos(2), "not before a heartbeat was missed");
             assertEquals("end", StubServer.awaitNext(silent.closedConnections));
         }
     }
 
     @Test
-    void oneThatAsksToComeBackLaterIsPassedOver() throws Exception {
+    void aRelayThatRespondsWithRetryAfterIsSkipped() throws Exception {
         try (StubServer full = new StubServer((socket, head) ->
                         StubServer.reply(socket, "503 Service Unavailable", "Retry-After: 2\r\n", ""));
-                StubServer next = telling(line(41, true, "eu:1.41", "SERVING"))) {
-            following(EndpointUpdate.NONE, full, next);
-            assertEquals(UpdateKind.FULL, StubServer.awaitNext(told).kind);
+                StubServer next = relaySending(update(41, true, "eu:1.41", "SERVING"))) {
+            subscribedClient(EndpointUpdate.NONE, full, next);
+            assertEquals(UpdateKind.FULL, StubServer.awaitNext(notifications).kind);
             StubServer.awaitNext(full.receivedHeads);
             StubServer.awaitNext(next.receivedHeads);
         }
     }
 
-    /** Nobody answers, then somebody does: the list in force stayed, and the module heard of no failure. */
+    /** The relay fails three times and then responds. The policy is not notified of the failures. */
     @Test
-    void whoFindsNobodyGoesOnAskingAndKeepsItsList() throws Exception {
+    void keepsTheListAndRetriesWhileNoRelayResponds() throws Exception {
         BlockingQueue<String> asked = new LinkedBlockingQueue<>();
         try (StubServer relay = new StubServer((socket, head) -> {
             asked.add(head);
@@ -139,26 +149,30 @@
             StubServer.write(socket, CHUNKED + chunk("\n"));
             return true;
         })) {
-            DiscoveryClient discovery = following(new EndpointUpdate(41, true, List.of()), relay);
-            assertEquals(new Told(UpdateKind.DELTA, List.of()), StubServer.awaitNext(told));
+            DiscoveryClient discovery = subscribedClient(new EndpointUpdate(41, true, List.of()), relay);
+            assertEquals(new Notification(UpdateKind.DELTA, List.of()), StubServer.awaitNext(notifications));
             assertEquals(4, asked.size());
             assertEquals(41, loop.submit(discovery::revision).get());
         }
     }
 
     @Test
-    void versionsThatCantBeReadAreNotTaken() throws Exception {
-        try (StubServer odd = telling(line(41, true, "eu=41", "SERVING"));
-                StubServer next = telling(line(41, true, "eu:1.41", "DRAINING"))) {
-            following(EndpointUpdate.NONE, odd, next);
+    void anUpdateWithInvalidVersionsIsRejected() throws Exception {
+        try (StubServer odd = relaySending(update(41, true, "eu=41", "SERVING"));
+                StubServer next = relaySending(update(41, true, "eu:1.41", "DRAINING"))) {
+            subscribedClient(EndpointUpdate.NONE, odd, next);
             assertEquals(
                     "DRAINING",
-                    StubServer.awaitNext(told).targets.get(0).status().name());
+                    StubServer.awaitNext(notifications)
+                            .endpoints
+                            .get(0)
+                            .status()
+                            .name());
         }
     }
 
     @Test
-    void theOperatorsFileNamesRelays() {
+    void operatorFileListsRelayAddresses() {
         assertEquals(
                 List.of(new InetSocketAddress("10.0.0.1", 8600)),
                 OperatorFile.parse("o.toml", "[relays]\naddresses = [\"10.0.0.1:8600\"]\n")
@@ -181,7 +195,7 @@
                 "addresses = [\"10.0.0.1:0\"]|addresses", "addresses = \"10.0.0.1:8600\"|addresses",
                 "addresses = [\"10.0.0.1:1\", \"10.0.0.1:1\"]|addresses", "adresses = [\"10.0.0.1:1\"]|adresses"
             })
-    void whatIsNoRelayIsRefusedWithLineAndKey(String line, String key) {
+    void invalidRelayAddressesAreRejectedWithLineAndKey(String line, String key) {
         InvalidFileException bad = assertThrows(
                 InvalidFileException.class, () -> OperatorFile.parse("o.toml", "[relays]\n" + line + "\n"));
         assertTrue(bad.getMessage().startsWith("o.toml:2: relays." + key + ": "), bad.getMessage());
