--- a/sidecar/src/test/java/topazvalve/sidecar/ConfigTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/ConfigTest.java
@@ -15,13 +15,14 @@
 import topazvalve.policy.LoadBalancer.Idempotency;
 import topazvalve.policy.LoadBalancer.Settings;
 import topazvalve.sidecar.config.Config;
+import topazvalve.sidecar.config.InvalidConfigException;
 
 /** The configuration, and the settings in it as the module is told them. */
 class ConfigTest {
 
     @Test
-    void settingsReadAsOnTheSimulatorsWire() throws Exception {
-        Config config = Bed.config(Bed.json());
+    void settingsAreReadAsInTheSimulatorsProtocol() throws Exception {
+        Config config = SidecarFixture.config(SidecarFixture.configJson());
         Settings settings = config.options().settings();
         assertEquals(List.of("rate", "q"), settings.loadReportFields());
         assertEquals(
@@ -33,59 +34,68 @@
         assertEquals(41, config.known().revision());
     }
 
-    /** Who runs it must see from one line what to mend. */
+    /** One line has to tell the operator which key to correct. */
     @Test
     void mistakesNameTheirKey() throws Exception {
         for (String key : List.of("listen", "discovery", "seed", "settings")) {
-            ObjectNode json = Bed.json();
+            ObjectNode json = SidecarFixture.configJson();
             json.remove(key);
-            assertNames(key, json);
+            assertRejectedNaming(key, json);
         }
-        ObjectNode json = Bed.json();
+        ObjectNode json = SidecarFixture.configJson();
         json.withObject("/settings/rules").remove("rampTime");
-        assertNames("rules.rampTime", json);
-        json = Bed.json();
+        assertRejectedNaming("rules.rampTime", json);
+        json = SidecarFixture.configJson();
         json.withObject("/settings/caps").put("tryLimit", "many");
-        assertNames("caps.tryLimit", json);
-        json = Bed.json();
+        assertRejectedNaming("caps.tryLimit", json);
+        json = SidecarFixture.configJson();
         json.withObject("/limits").put("sockets", 3);
-        assertNames("limits.sockets", json);
+        assertRejectedNaming("limits.sockets", json);
     }
 
-    /** A file that lost its end, or had another pasted to it, must not pass. */
     @Test
-    void truncatedFileIsTurnedDownWhereverItWasCut(@TempDir Path folder) throws Exception {
-        String whole = Bed.json().toString();
+    void exceptionCarriesThePathOfTheKey() throws Exception {
+        ObjectNode json = SidecarFixture.configJson();
+        ((ObjectNode) json.at("/settings/profiles/1")).remove("keyScope");
+        InvalidConfigException mistake = assertThrows(InvalidConfigException.class, () -> SidecarFixture.config(json));
+        assertEquals("profiles.1.keyScope", mistake.key());
+        assertEquals("missing: profiles.1.keyScope", mistake.getMessage());
+    }
+
+    /** A truncated file, or one with another appended to it, is rejected. */
+    @Test
+    void truncatedFileIsRejected(@TempDir Path folder) throws Exception {
+        String whole = SidecarFixture.configJson().toString();
         Path file = folder.resolve("config.json");
         for (int length = 0; length < whole.length(); length++) {
             Files.writeString(file, whole.substring(0, length));
-            assertThrows(IllegalArgumentException.class, () -> Config.read(file), "cut at " + length);
+            assertThrows(InvalidConfigException.class, () -> Config.read(file), "cut at " + length);
         }
         String twice = whole.replaceFirst("\\{", "{\"seed\":\"1\",");
         for (String bad : List.of(whole + whole, whole + "}", twice)) {
             Files.writeString(file, bad);
-            assertThrows(IllegalArgumentException.class, () -> Config.read(file), bad);
+            assertThrows(InvalidConfigException.class, () -> Config.read(file), bad);
         }
         Files.writeString(file, whole);
         assertEquals("n0", Config.read(file).name());
     }
 
     @Test
-    void deadlinesAndAttemptsAreNumbersAboveNought() throws Exception {
+    void deadlinesAndAttemptsMustBePositiveNumbers() throws Exception {
         for (String bad : List.of("0", "-1", "\"soon\"", "\"5\"", "null", "true", "[5]", "{}")) {
-            ObjectNode json = Bed.json();
-            json.withObject("/settings/caps").set("tryLimit", Bed.JSON.readTree(bad));
-            assertNames("caps.tryLimit", json);
-            json = Bed.json();
-            ((ObjectNode) json.at("/settings/profiles/1")).set("deadline", Bed.JSON.readTree(bad));
-            assertNames("profiles.1.deadline", json);
+            ObjectNode json = SidecarFixture.configJson();
+            json.withObject("/settings/caps").set("tryLimit", SidecarFixture.JSON.readTree(bad));
+            assertRejectedNaming("caps.tryLimit", json);
+            json = SidecarFixture.configJson();
+            ((ObjectNode) json.at("/settings/profiles/1")).set("deadline", SidecarFixture.JSON.readTree(bad));
+            assertRejectedNaming("profiles.1.deadline", json);
         }
     }
 
-    /** Whatever a running sidecar has been told it must be told again: no default may creep in. */
+    /** Every key in force has to be there again: no default may replace it silently. */
     @Test
-    void runningSidecarTakesNoFileThatMissesAKey() throws Exception {
-        Config inForce = Bed.config(Bed.json());
+    void reloadRejectsAFileThatMissesAKey() throws Exception {
+        Config inForce = SidecarFixture.config(SidecarFixture.configJson());
         inForce.requireFit(inForce);
         for (String at : List.of(
                 "/settings/caps/connIdle",
@@ -94,34 +104,34 @@
                 "/settings/zones",
                 "/known",
                 "/name")) {
-            ObjectNode json = Bed.json();
+            ObjectNode json = SidecarFixture.configJson();
             int slash = at.lastIndexOf('/');
             String key = at.substring(slash + 1);
             ((ObjectNode) json.at(at.substring(0, slash))).remove(key);
             String message = assertThrows(
                             IllegalArgumentException.class,
-                            () -> Bed.config(json).requireFit(inForce))
+                            () -> SidecarFixture.config(json).requireFit(inForce))
                     .getMessage();
             assertTrue(message.contains(key), message);
         }
-        ObjectNode json = Bed.json();
+        ObjectNode json = SidecarFixture.configJson();
         json.withObject("/settings").put("discovery", "subscribe");
-        Config other = Bed.config(json);
+        Config other = SidecarFixture.config(json);
         assertThrows(IllegalArgumentException.class, () -> other.requireFit(inForce));
-        json = Bed.json();
+        json = SidecarFixture.configJson();
         json.withObject("/settings").withArray("/profiles").remove(0);
-        Bed.config(json).requireFit(inForce);
+        SidecarFixture.config(json).requireFit(inForce);
     }
 
-    private static void assertNames(String key, ObjectNode json) {
-        String message = assertThrows(IllegalArgumentException.class, () -> Bed.config(json))
+    private static void assertRejectedNaming(String key, ObjectNode json) {
+        String message = assertThrows(IllegalArgumentException.class, () -> SidecarFixture.config(json))
                 .getMessage();
         assertTrue(message.contains(key) && message.lines().count() == 1, message);
     }
 
     /** There is no DNS: a name would block the event loop until the resolver gives up. */
     @Test
-    void onlyNumericAddressesAreTaken() {
+    void onlyNumericAddressesAreAccepted() {
         assertEquals(8080, Addresses.parse("127.0.0.1:8080").getPort());
         for (String bad : List.of("", "localhost:80", "127.0.0.1", "127.0.0.1:", "127.0.0.1:70000", ":80")) {
             assertNull(Addresses.parse(bad), bad);
--- a/sidecar/src/test/java/topazvalve/sidecar/DeployedIT.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/DeployedIT.java
@@ -21,7 +21,6 @@
 
 /** Both programs as the deploy file starts them, with the packaged jar. */
 class DeployedIT {
-    private static final String UP = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
 
     @TempDir
     private Path folder;
@@ -29,7 +28,7 @@
     private Process process;
 
     @AfterEach
-    void end() {
+    void killProcess() {
         if (process != null) {
             process.destroyForcibly();
         }
@@ -54,8 +53,8 @@
         return Files.writeString(folder.resolve("config.json"), config);
     }
 
-    /** SIGHUP, to the program itself: the shell that started it has become it. */
-    private void hangUp() throws Exception {
+    /** Sends SIGHUP to the program itself: the shell that started it has replaced itself by it. */
+    static void sendSighup(Process process) throws Exception {
         assertEquals(
                 0,
                 new ProcessBuilder("kill", "-HUP", Long.toString(process.pid()))
@@ -63,8 +62,8 @@
                         .waitFor());
     }
 
-    private int exit() throws InterruptedException {
-        assertTrue(process.waitFor(Stub.LIMIT_S, TimeUnit.SECONDS), "still running");
+    private int awaitExitStatus() throws InterruptedException {
+        assertTrue(process.waitFor(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS), "still running");
         return process.exitValue();
     }
 
@@ -80,8 +79,8 @@
 
     static void awaitUp(Process process, InetSocketAddress address) throws Exception {
         while (true) {
-            try (Bed.Client client = new Bed.Client(address)) {
-                if (client.ask(UP).status() == 200) {
+            try (SidecarFixture.TestClient client = new SidecarFixture.TestClient(address)) {
+                if (client.send(SidecarFixture.UP_REQUEST).status() == 200) {
                     return;
                 }
             } catch (ConnectException e) {
@@ -92,45 +91,40 @@
     }
 
     @Test
-    void simStartsAndEndsWithItsInput() throws Exception {
-        start("sim", Bed.json());
+    void simulatorAdapterExitsAtTheEndOfItsInput() throws Exception {
+        start("sim", SidecarFixture.configJson());
         process.getOutputStream().close();
-        assertEquals(0, exit());
+        assertEquals(0, awaitExitStatus());
     }
 
-    /** At SIGTERM what is held is answered, new connections still get in, and the process ends by itself. */
+    /** After SIGTERM a request in flight is answered, new connections are still accepted, and the process exits. */
     @Test
-    void runServesAndEndsInOrderAtSigterm() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        try (Stub upstream = new Stub((socket, head) -> {
-            try {
-                return go.await(Stub.LIMIT_S, TimeUnit.SECONDS) && Stub.reply(socket, "200 OK", "", "held");
-            } catch (InterruptedException e) {
-                return false;
-            }
-        })) {
+    void sidecarShutsDownGracefullyAtSigterm() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        try (StubServer server = new StubServer(
+                StubServer.afterRelease(release, (socket, head) -> StubServer.reply(socket, "200 OK", "", "held")))) {
             InetSocketAddress address = freeAddress();
-            start("run", Bed.json(upstream).put("listen", "127.0.0.1:" + address.getPort()));
+            start("run", SidecarFixture.configJson(server).put("listen", "127.0.0.1:" + address.getPort()));
             awaitUp(address);
-            try (Bed.Client client = new Bed.Client(address);
-                    Bed.Client other = new Bed.Client(address)) {
-                Stub.write(client.socket, Bed.look("a"));
-                Stub.next(upstream.heads);
-                assertEquals(200, other.ask(UP).status());
+            try (SidecarFixture.TestClient client = new SidecarFixture.TestClient(address);
+                    SidecarFixture.TestClient other = new SidecarFixture.TestClient(address)) {
+                StubServer.write(client.socket, SidecarFixture.lookRequest("a"));
+                StubServer.awaitNext(server.receivedHeads);
+                assertEquals(200, other.send(SidecarFixture.UP_REQUEST).status());
                 process.destroy();
-                // The end has begun once /up says no, or closes, on a connection that was there before.
+                // The shutdown has begun once /up on an existing connection is not 200 or closes the connection.
                 int up = 200;
                 while (up == 200) {
                     try {
-                        up = other.ask(UP).status();
+                        up = other.send(SidecarFixture.UP_REQUEST).status();
                     } catch (IOException e) {
                         up = 0;
                     }
                 }
-                go.countDown();
-                assertEquals("held", client.read().body());
+                release.countDown();
+                assertEquals("held", client.readResponse().body());
             }
-            assertEquals(0, exit());
+            assertEquals(0, awaitExitStatus());
         }
     }
 
@@ -142,12 +136,12 @@
                 .orElseThrow();
     }
 
-    static void awaitYes(InetSocketAddress door) throws Exception {
+    static void awaitReady(InetSocketAddress adminAddress) throws Exception {
         String ready = "GET /_ready HTTP/1.1\r\nHost: a\r\n\r\n";
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Stub.LIMIT_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(StubServer.TIMEOUT_SECONDS);
         while (true) {
-            try (Bed.Client client = new Bed.Client(door)) {
-                if (client.ask(ready).status() == 200) {
+            try (SidecarFixture.TestClient client = new SidecarFixture.TestClient(adminAddress)) {
+                if (client.send(ready).status() == 200) {
                     return;
                 }
             } catch (ConnectException e) {
@@ -158,126 +152,131 @@
     }
 
     /**
-     * A second start on the platform's socket takes over: the first one answers what it holds and ends at
-     * SIGTERM, not one client is turned away, and neither loses its log.
+     * A second process on the shared socket takes over: the first one answers its requests in flight and exits at
+     * SIGTERM, no client is rejected, and both write their logs.
      */
     @Test
-    void secondStartOnTheSharedSocketTakesOver() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        try (Stub upstream = new Stub((socket, head) -> {
-            try {
-                return (!head.contains("Req-Id: held") || go.await(Stub.LIMIT_S, TimeUnit.SECONDS))
-                        && Stub.reply(socket, "200 OK", "", "x");
-            } catch (InterruptedException e) {
-                return false;
-            }
-        })) {
+    void secondProcessOnTheSharedSocketTakesOver() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        StubServer.Responder reply = (socket, head) -> StubServer.reply(socket, "200 OK", "", "x");
+        StubServer.Responder replyAfterRelease = StubServer.afterRelease(release, reply);
+        try (StubServer server = new StubServer(
+                (socket, head) -> (head.contains("Req-Id: held") ? replyAfterRelease : reply).respond(socket, head))) {
             process = new ProcessBuilder("perl", "sidecar/src/test/resources/holder.pl").start();
             int port = Integer.parseInt(process.inputReader().readLine());
             InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
-            InetSocketAddress oldDoor = freeAddress();
-            InetSocketAddress newDoor = freeAddress();
-            ObjectNode json = Bed.json(upstream).put("listen", "127.0.0.1:" + port);
-            ProcessHandle old = startOnSharedSocket("old.json", json.put("admin", text(oldDoor)));
+            InetSocketAddress oldAdmin = freeAddress();
+            InetSocketAddress newAdmin = freeAddress();
+            ObjectNode json = SidecarFixture.configJson(server).put("listen", "127.0.0.1:" + port);
+            ProcessHandle old = startOnSharedSocket("old.json", json.put("admin", addressText(oldAdmin)));
             ProcessHandle next = null;
-            try (Bed.Client held = new Bed.Client(address)) {
-                Stub.write(held.socket, Bed.look("held"));
-                awaitYes(oldDoor);
-                Stub.next(upstream.heads);
-                next = startOnSharedSocket("new.json", json.put("admin", text(newDoor)));
+            try (SidecarFixture.TestClient held = new SidecarFixture.TestClient(address)) {
+                StubServer.write(held.socket, SidecarFixture.lookRequest("held"));
+                awaitReady(oldAdmin);
+                StubServer.awaitNext(server.receivedHeads);
+                next = startOnSharedSocket("new.json", json.put("admin", addressText(newAdmin)));
                 for (int i = 0; !next.isAlive() || i < 3; i++) {
-                    assertEquals(200, bedAsk(address, Bed.look("during" + i)), "while the new one starts");
+                    assertEquals(
+                            200,
+                            requestStatus(address, SidecarFixture.lookRequest("during" + i)),
+                            "while the second process starts");
                 }
-                awaitYes(newDoor);
+                awaitReady(newAdmin);
                 old.destroy();
                 for (int i = 0; i < 50; i++) {
-                    assertEquals(200, bedAsk(address, Bed.look("after" + i)), "nobody is turned away");
+                    assertEquals(
+                            200,
+                            requestStatus(address, SidecarFixture.lookRequest("after" + i)),
+                            "no client is rejected");
                 }
-                go.countDown();
-                assertEquals(200, held.read().status());
-                old.onExit().get(Stub.LIMIT_S, TimeUnit.SECONDS);
-                assertEquals(200, bedAsk(address, Bed.look("alone")));
+                release.countDown();
+                assertEquals(200, held.readResponse().status());
+                old.onExit().get(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS);
+                assertEquals(200, requestStatus(address, SidecarFixture.lookRequest("alone")));
                 assertTrue(next.isAlive());
             } finally {
                 old.destroyForcibly();
                 if (next != null) {
                     next.destroy();
-                    next.onExit().get(Stub.LIMIT_S, TimeUnit.SECONDS);
+                    next.onExit().get(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS);
                 }
             }
             process.outputWriter().close();
             String log = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
             assertEquals(
                     2, log.lines().filter(line -> line.contains("ready at")).count(), log);
-            assertEquals(2, log.lines().filter(line -> line.contains("ending")).count(), log);
+            assertEquals(
+                    2,
+                    log.lines().filter(line -> line.contains("shutting down")).count(),
+                    log);
         }
     }
 
     @Test
-    void descriptorThatIsNoListenerEndsWithOneLine() throws Exception {
-        Path file = write(Bed.json().toString());
+    void descriptorThatIsNoListenerExitsWithOneLine() throws Exception {
+        Path file = write(SidecarFixture.configJson().toString());
         ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", command("run"));
         builder.environment().put("PROXY_CONFIG", file.toString());
         builder.environment().put("PROXY_FD", "0");
         process = builder.start();
         String err = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertEquals(2, exit());
+        assertEquals(2, awaitExitStatus());
         assertTrue(err.contains("PROXY_FD") && err.lines().count() == 1, err);
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String addressText(InetSocketAddress address) {
         return "127.0.0.1:" + address.getPort();
     }
 
-    private static int bedAsk(InetSocketAddress address, String request) throws IOException {
-        try (Bed.Client client = new Bed.Client(address)) {
-            return client.ask(request).status();
+    private static int requestStatus(InetSocketAddress address, String request) throws IOException {
+        try (SidecarFixture.TestClient client = new SidecarFixture.TestClient(address)) {
+            return client.send(request).status();
         }
     }
 
-    /** The JVM's own way with SIGHUP is to end: here each one brings the file's new discovery, under way. */
+    /** Each SIGHUP applies the file's new discovery address to the running process, which the JVM would else end. */
     @Test
-    void sighupTakesTheNewDiscoveryAndABadFileChangesNothing() throws Exception {
-        try (Stub upstream = Stub.serving("x");
-                Stub first = new Stub((socket, head) -> true);
-                Stub second = new Stub((socket, head) -> true);
-                Stub third = new Stub((socket, head) -> true)) {
+    void sighupChangesDiscoveryAndABadFileChangesNothing() throws Exception {
+        try (StubServer server = StubServer.respondingWith("x");
+                StubServer first = new StubServer((socket, head) -> true);
+                StubServer second = new StubServer((socket, head) -> true);
+                StubServer third = new StubServer((socket, head) -> true)) {
             InetSocketAddress address = freeAddress();
-            ObjectNode json = Bed.json(upstream)
+            ObjectNode json = SidecarFixture.configJson(server)
                     .put("listen", "127.0.0.1:" + address.getPort())
                     .put("discovery", first.endpoint());
             json.withObject("/settings").put("discovery", "subscribe");
             start("run", json);
             awaitUp(address);
-            Stub.next(first.heads);
+            StubServer.awaitNext(first.receivedHeads);
             write(json.put("discovery", second.endpoint()).toString());
-            hangUp();
-            assertTrue(Stub.next(second.heads).contains("watch=1"));
-            Stub.next(first.ended);
+            sendSighup(process);
+            assertTrue(StubServer.awaitNext(second.receivedHeads).contains("watch=1"));
+            StubServer.awaitNext(first.closedConnections);
             write("{\"listen\":");
-            hangUp();
+            sendSighup(process);
             BufferedReader log = process.errorReader();
             String line = log.readLine();
-            while (!line.contains("not taken")) {
+            while (!line.contains("configuration reload rejected")) {
                 line = log.readLine();
             }
             write(json.put("discovery", third.endpoint()).toString());
-            hangUp();
-            assertTrue(Stub.next(third.heads).contains("watch=1"));
-            try (Bed.Client client = new Bed.Client(address)) {
-                assertEquals(200, client.ask(Bed.look("a")).status());
+            sendSighup(process);
+            assertTrue(StubServer.awaitNext(third.receivedHeads).contains("watch=1"));
+            try (SidecarFixture.TestClient client = new SidecarFixture.TestClient(address)) {
+                assertEquals(200, client.send(SidecarFixture.lookRequest("a")).status());
             }
-            assertEquals(0, second.heads.size(), "a bad file starts nothing anew");
+            assertEquals(0, second.receivedHeads.size(), "a bad file opens no new watch");
         }
     }
 
     @Test
-    void badConfigurationEndsWithOneLineNamingTheKey() throws Exception {
-        ObjectNode json = Bed.json();
+    void badConfigurationExitsWithOneLineNamingTheKey() throws Exception {
+        ObjectNode json = SidecarFixture.configJson();
         json.withObject("/settings/rules").remove("rampTime");
         start("run", json);
         String err = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertEquals(2, exit());
+        assertEquals(2, awaitExitStatus());
         assertTrue(err.contains("rules.rampTime") && err.lines().count() == 1, err);
     }
 }
--- /dev/null
+++ b/sidecar/src/test/java/topazvalve/sidecar/DiscoveryRelaysTest.java
@@ -0,0 +1,203 @@
+package topazvalve.sidecar;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.netty.channel.EventLoop;
+import io.netty.channel.MultiThreadIoEventLoopGroup;
+import io.netty.channel.nio.NioIoHandler;
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import topazvalve.core.endpoint.Endpoint;
+import topazvalve.discovery.client.DiscoveryClient;
+import topazvalve.discovery.client.EndpointUpdate;
+import topazvalve.discovery.client.RelaySelector;
+import topazvalve.discovery.state.VersionVector;
+import topazvalve.policy.LoadBalancer.UpdateKind;
+import topazvalve.toml.InvalidFileException;
+
+/** {@link DiscoveryClient} with relays: failover, the versions that it sends and checks, and the operators' file. */
+class DiscoveryRelaysTest {
+    private static final String CHUNKED = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    private static final InetSocketAddress UNUSED_ADDRESS = new InetSocketAddress("127.0.0.1", 1);
+
+    private record Notification(UpdateKind kind, List<Endpoint> endpoints) {}
+
+    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final EventLoop loop = group.next();
+    private final BlockingQueue<Notification> notifications = new LinkedBlockingQueue<>();
+
+    @AfterEach
+    void end() {
+        group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+    }
+
+    private static String chunk(String text) {
+        return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
+    }
+
+    private static String update(long rev, boolean all, String versions, String state) {
+        return chunk("{\"rev\":" + rev + ",\"all\":" + all + ",\"versions\":\"" + versions + "\",\"targets\":["
+                + SidecarFixture.endpointJson("s-1", "127.0.0.1:9", state) + "]}\n");
+    }
+
+    /** A relay that responds to each request with this update. */
+    private static StubServer relaySending(String line) {
+        return new StubServer((socket, head) -> {
+            StubServer.write(socket, CHUNKED + line);
+            return true;
+        });
+    }
+
+    private DiscoveryClient subscribedClient(EndpointUpdate known, StubServer... relays) {
+        List<InetSocketAddress> order = new ArrayList<>();
+        for (StubServer each : relays) {
+            order.add(each.address());
+        }
+        RelaySelector of =
+                new RelaySelector(order, RelaySelector.of("n", order, 1).failover());
+        DiscoveryClient discovery = new DiscoveryClient(
+                loop,
+                UNUSED_ADDRESS,
+                known,
+                null,
+                of,
+                (kind, targets) -> notifications.add(new Notification(kind, targets)));
+        loop.execute(() -> discovery.watch(true));
+        return discovery;
+    }
+
+    @Test
+    void failsOverWithoutDelayAndSendsTheKnownVersions() throws Exception {
+        try (StubServer first = relaySending(update(41, true, "eu:1.41", "SERVING"));
+                StubServer second = relaySending(update(42, false, "eu:1.42", "DRAINING"))) {
+            subscribedClient(EndpointUpdate.NONE, first, second);
+            assertEquals(UpdateKind.FULL, StubServer.awaitNext(notifications).kind);
+            assertTrue(
+                    StubServer.awaitNext(first.receivedHeads).contains("?watch=1&from=0 "), "no version is known yet");
+            first.stop();
+            assertEquals(UpdateKind.DELTA, StubServer.awaitNext(notifications).kind, "no failure is notified");
+            String head = StubServer.awaitNext(second.receivedHeads);
+            assertTrue(head.contains("?watch=1&from=41&versions=eu:1.41 "), head);
+        }
+    }
+
+    @Test
+    void aRelayWithAnOlderListIsSkipped() throws Exception {
+        try (StubServer first = relaySending(update(900, true, "eu:2.900", "DRAINING"));
+                StubServer older = relaySending(update(899, true, "eu:2.899", "SERVING"));
+                StubServer third = relaySending(update(5, false, "eu:3.5", "SERVING"))) {
+            DiscoveryClient discovery = subscribedClient(EndpointUpdate.NONE, first, older, third);
+            assertEquals(UpdateKind.FULL, StubServer.awaitNext(notifications).kind);
+            first.stop();
+            assertEquals(
+                    UpdateKind.DELTA,
+                    StubServer.awaitNext(notifications).kind,
+                    "the update of the third relay, not the second");
+            StubServer.awaitNext(older.receivedHeads);
+            assertEquals(
+                    VersionVector.parse("eu:3.5"),
+                    loop.submit(discovery::versions).get());
+        }
+    }
+
+    @Test
+    void anIdleRelayIsLeftForTheNext() throws Exception {
+        try (StubServer silent = relaySending(chunk("\n"));
+                StubServer next = relaySending(chunk("\n"))) {
+            subscribedClient(EndpointUpdate.NONE, silent, next);
+            assertEquals(UpdateKind.DELTA, StubServer.awaitNext(notifications).kind);
+            long startNanos = System.nanoTime();
+            StubServer.awaitNext(next.receivedHeads);
+            assertTrue(
+                    System.nanoTime() - startNanos >= TimeUnit.SECONDS.toNanos(2), "not before a heartbeat was missed");
+            assertEquals("end", StubServer.awaitNext(silent.closedConnections));
+        }
+    }
+
+    @Test
+    void aRelayThatRespondsWithRetryAfterIsSkipped() throws Exception {
+        try (StubServer full = new StubServer((socket, head) ->
+                        StubServer.reply(socket, "503 Service Unavailable", "Retry-After: 2\r\n", ""));
+                StubServer next = relaySending(update(41, true, "eu:1.41", "SERVING"))) {
+            subscribedClient(EndpointUpdate.NONE, full, next);
+            assertEquals(UpdateKind.FULL, StubServer.awaitNext(notifications).kind);
+            StubServer.awaitNext(full.receivedHeads);
+            StubServer.awaitNext(next.receivedHeads);
+        }
+    }
+
+    /** The relay fails three times and then responds. The policy is not notified of the failures. */
+    @Test
+    void keepsTheListAndRetriesWhileNoRelayResponds() throws Exception {
+        BlockingQueue<String> asked = new LinkedBlockingQueue<>();
+        try (StubServer relay = new StubServer((socket, head) -> {
+            asked.add(head);
+            if (asked.size() < 4) {
+                return false;
+            }
+            StubServer.write(socket, CHUNKED + chunk("\n"));
+            return true;
+        })) {
+            DiscoveryClient discovery = subscribedClient(new EndpointUpdate(41, true, List.of()), relay);
+            assertEquals(new Notification(UpdateKind.DELTA, List.of()), StubServer.awaitNext(notifications));
+            assertEquals(4, asked.size());
+            assertEquals(41, loop.submit(discovery::revision).get());
+        }
+    }
+
+    @Test
+    void anUpdateWithInvalidVersionsIsRejected() throws Exception {
+        try (StubServer odd = relaySending(update(41, true, "eu=41", "SERVING"));
+                StubServer next = relaySending(update(41, true, "eu:1.41", "DRAINING"))) {
+            subscribedClient(EndpointUpdate.NONE, odd, next);
+            assertEquals(
+                    "DRAINING",
+                    StubServer.awaitNext(notifications)
+                            .endpoints
+                            .get(0)
+                            .status()
+                            .name());
+        }
+    }
+
+    @Test
+    void operatorFileListsRelayAddresses() {
+        assertEquals(
+                List.of(new InetSocketAddress("10.0.0.1", 8600)),
+                OperatorFile.parse("o.toml", "[relays]\naddresses = [\"10.0.0.1:8600\"]\n")
+                        .relays());
+        assertEquals(OperatorFile.NONE, OperatorFile.parse("o.toml", ""));
+        assertFalse(OperatorFile.parse(
+                        "o.toml",
+                        "[[listener]]\nname = \"a\"\nprotocol = \"tcp\"\n"
+                                + "listen = \"127.0.0.1:7000\"\nservers = [\"127.0.0.1:7101\"]\n")
+                .listeners()
+                .isEmpty());
+    }
+
+    @ParameterizedTest
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "addresses = [\"relay-1:8600\"]|addresses", "addresses = [\"10.0.0.1\"]|addresses",
+                "addresses = [\"10.0.0.1:0\"]|addresses", "addresses = \"10.0.0.1:8600\"|addresses",
+                "addresses = [\"10.0.0.1:1\", \"10.0.0.1:1\"]|addresses", "adresses = [\"10.0.0.1:1\"]|adresses"
+            })
+    void invalidRelayAddressesAreRejectedWithLineAndKey(String line, String key) {
+        InvalidFileException bad = assertThrows(
+                InvalidFileException.class, () -> OperatorFile.parse("o.toml", "[relays]\n" + line + "\n"));
+        assertTrue(bad.getMessage().startsWith("o.toml:2: relays." + key + ": "), bad.getMessage());
+    }
+}
--- a/sidecar/src/test/java/topazvalve/sidecar/ReadinessTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/ReadinessTest.java
@@ -19,30 +19,26 @@
 import topazvalve.sidecar.config.Config;
 import topazvalve.sidecar.listen.ClientListener;
 
-/**
- * What must not hold a start back: it says yes, and answers so, before ten seconds are over by the loop's own
- * clock, and with no list that is newer than the one it was given.
- */
+/** Faults that must not delay a start: it has to be ready, and to answer, within ten seconds. */
 class ReadinessTest {
-    private static final String UP = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
-    private static final long READY_S = 10;
-    private static final int FLOOD = 300;
+    private static final long READY_TIMEOUT_SECONDS = 10;
+    private static final int FLOOD_CONNECTIONS = 300;
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
     private InetSocketAddress address;
 
     @AfterEach
-    void end() {
+    void shutDownEventLoop() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
     private void start(ObjectNode json) throws Exception {
         address = DeployedIT.freeAddress();
-        Config config = Bed.config(json.put("listen", "127.0.0.1:" + address.getPort()));
+        Config config = SidecarFixture.config(json.put("listen", "127.0.0.1:" + address.getPort()));
         EventLoop loop = group.next();
         loop.execute(() -> {
-            loop.schedule(() -> events.add("late"), READY_S, TimeUnit.SECONDS);
+            loop.schedule(() -> events.add("late"), READY_TIMEOUT_SECONDS, TimeUnit.SECONDS);
             new Sidecar(
                             group,
                             loop,
@@ -55,52 +51,52 @@
     }
 
     private void assertReady() throws Exception {
-        assertEquals("ready", Stub.next(events));
-        try (Bed.Client client = new Bed.Client(address)) {
-            assertEquals(200, client.ask(UP).status());
+        assertEquals("ready", StubServer.awaitNext(events));
+        try (SidecarFixture.TestClient client = new SidecarFixture.TestClient(address)) {
+            assertEquals(200, client.send(SidecarFixture.UP_REQUEST).status());
         }
-        assertEquals(0, events.size(), "answered before it was late");
+        assertEquals(0, events.size(), "answered within the time limit");
     }
 
-    private static ObjectNode json(String discovery, Stub... upstreams) throws IOException {
-        ObjectNode json = Bed.json(upstreams);
+    private static ObjectNode subscribingConfig(String discovery, StubServer... servers) throws IOException {
+        ObjectNode json = SidecarFixture.configJson(servers);
         json.withObject("/settings").put("discovery", "subscribe");
         return discovery.isEmpty() ? json : json.put("discovery", discovery);
     }
 
-    /** It refuses, takes calls and says nothing, or turns them away; the list known is empty. */
+    /** Discovery refuses connections, is silent or rejects calls; the known endpoint list is empty. */
     @ParameterizedTest
     @ValueSource(strings = {"refuses", "silent", "full"})
-    void discoveryThatIsDownAndAnEmptyList(String how) throws Exception {
-        try (Stub discovery = new Stub(
-                (socket, head) -> how.equals("silent") || Stub.reply(socket, "503 Service Unavailable", "", ""))) {
-            start(json(how.equals("refuses") ? "" : discovery.endpoint()));
+    void startsWithoutDiscoveryAndEndpoints(String how) throws Exception {
+        try (StubServer discovery = new StubServer((socket, head) ->
+                how.equals("silent") || StubServer.reply(socket, "503 Service Unavailable", "", ""))) {
+            start(subscribingConfig(how.equals("refuses") ? "" : discovery.endpoint()));
             assertReady();
         }
     }
 
-    /** Nobody listens any more at most of the addresses known, and at one nobody answers. */
+    /** Nobody listens at most of the known addresses, and one server is silent. */
     @Test
-    void listThatIsOld() throws Exception {
-        try (Stub silent = new Stub((socket, head) -> true)) {
-            ObjectNode json = json("", silent);
+    void startsWithAnOutdatedEndpointList() throws Exception {
+        try (StubServer silent = new StubServer((socket, head) -> true)) {
+            ObjectNode json = subscribingConfig("", silent);
             ArrayNode targets = json.withObject("/known").withArray("targets");
             for (int i = 0; i < 20; i++) {
                 InetSocketAddress gone = DeployedIT.freeAddress();
-                targets.add(Bed.target("gone-" + i, "127.0.0.1:" + gone.getPort(), "SERVING"));
+                targets.add(SidecarFixture.endpointJson("gone-" + i, "127.0.0.1:" + gone.getPort(), "SERVING"));
             }
             start(json);
             assertReady();
         }
     }
 
-    /** Clients that say nothing connect from the first moment, and again whenever they are closed. */
+    /** Silent clients connect from the first moment, and again whenever they are closed. */
     @Test
-    void floodOfSilentClients() throws Exception {
-        ObjectNode json = json("");
+    void startsUnderAFloodOfSilentClients() throws Exception {
+        ObjectNode json = subscribingConfig("");
         json.withObject("/limits").put("sockets", 64);
         start(json);
-        try (Flood flood = new Flood(address, FLOOD)) {
+        try (Flood flood = new Flood(address, FLOOD_CONNECTIONS)) {
             assertReady();
             flood.awaitConnected();
         }
