--- a/policy/src/main/java/topazvalve/policy/LoadBalancer.java
+++ b/policy/src/main/java/topazvalve/policy/LoadBalancer.java
@@ -3,43 +3,44 @@
 import java.util.List;
 
 /**
- * The decisions of one sidecar's load balancer: what it is told (the methods), what it orders
- * ({@link Actions}) and what it is set to ({@link Settings}). {@link SidecarPolicy} implements it.
+ * The load-balancing decisions of one sidecar: the host reports events by calling the methods, the instance answers
+ * with {@link Actions}, and {@link Settings} configure it. {@link SidecarPolicy} implements the interface.
  *
- * <p><b>What the host owes.</b> One instance belongs to one sidecar and one thread. Every event carries the
- * time in nanoseconds on one clock that never runs back; its zero has no meaning. {@link #start} comes first,
- * then {@link #endpointsUpdated} with a {@link UpdateKind#CACHED} list. Request ids are never used twice. Every
- * {@link Actions#forward} is answered by exactly one {@link #attemptCompleted}, also after the request has ended, and
- * attempts are numbered 0, 1, 2, ... in the order of their sends. Timers fire at or after their time, never
- * inside the call that set them. A restart of the sidecar is a new instance with a new seed.
+ * <p><b>Duties of the host.</b> One instance belongs to one sidecar and is called by one thread. Every event carries
+ * the time in nanoseconds on a clock that never runs backwards; its origin has no meaning. {@link #start} is called
+ * first, then {@link #endpointsUpdated} with a {@link UpdateKind#CACHED} list. Request ids are never reused. Every
+ * {@link Actions#forward} is answered by exactly one {@link #attemptCompleted}, even after the request has ended, and
+ * attempts are numbered 0, 1, 2, ... in the order in which they were sent. A timer fires at or after its time, never
+ * inside the call that set it. After a restart of the sidecar, the host creates a new instance with a new seed.
  *
- * <p><b>What the instance owes.</b> Actions are given during an event's call and take effect at that event's
- * time, in order. Each request gets one final answer: the first {@link Outcome#OK} (the host passes it on),
- * {@link Actions#reject} or {@link Actions#fail}, no later than its deadline plus
- * {@link Limits#answerSlackNanos()}. The same settings, seed and events give the same actions. Events about
- * requests, attempts or upstreams that the instance no longer holds are ignored.
+ * <p><b>Duties of the instance.</b> Actions are requested during an event's call and take effect at that event's
+ * time, in order. Each request gets one final answer: its first {@link Outcome#OK}, which the host passes on,
+ * {@link Actions#reject} or {@link Actions#fail}, no later than its deadline plus {@link Limits#answerSlackNanos()}.
+ * The same settings, seed and events produce the same actions. Events about requests, attempts or endpoints that the
+ * instance does not know are ignored.
  *
- * <p>Settings that make no sense are rejected with an {@link IllegalArgumentException} naming the setting.
+ * <p>The constructors of the settings records throw an {@link InvalidSettingException} that names the setting if a
+ * value is out of bounds.
  */
 public interface LoadBalancer {
 
     /** How an attempt ended. */
     enum Outcome {
-        /** Served; the first one finishes the request. */
+        /** The server answered; the first such outcome completes the request. */
         OK(false),
-        /** The upstream answered with an error, perhaps after running the request. */
+        /** The server answered with an error; it may have run the request. */
         ERROR(false),
-        /** Turned away unseen: queue full or draining. */
+        /** The server rejected the request without running it: its queue is full, or it is draining. */
         REJECTED(true),
-        /** No answer in time; it may have run or may be running still. */
+        /** No answer arrived in time; the request may have run, or may still be running. */
         TIMEOUT(false),
-        /** No connection in time: down, unreachable, or its connection table is full. */
+        /** No connection was established in time. */
         CONNECT_FAILED(true),
-        /** The connection broke while the attempt was out. */
+        /** The connection broke while the attempt was outstanding. */
         RESET(false),
-        /** Withdrawn by this balancer. */
+        /** The attempt was cancelled by {@link Actions#cancelAttempt}. */
         CANCELLED(false),
-        /** Never sent: the request had ended, or it had no attempt or time left. */
+        /** The attempt was never sent: the request had ended, or had no attempt or time left. */
         NEVER_SENT(true);
 
         private final boolean neverRan;
@@ -48,32 +49,32 @@
             this.neverRan = neverRan;
         }
 
-        /** Whether this outcome proves that the attempt had no effect. */
+        /** Returns whether this outcome proves that the server did not run the request. */
         public boolean provesNeverRan() {
             return neverRan;
         }
 
-        /** Whether this side gave it up, as where its client left: until then its upstream was not late. */
+        /** Returns whether this sidecar gave the attempt up, for example because its client disconnected. */
         boolean withdrawn() {
             return this == CANCELLED || this == NEVER_SENT;
         }
     }
 
-    /** What a class of request allows after an attempt that may have run. */
+    /** Whether a request may be sent again after an attempt that may have run: always, with its key, or never. */
     enum Idempotency {
         IDEMPOTENT,
         IDEMPOTENCY_KEY,
         NON_IDEMPOTENT
     }
 
-    /** Which upstreams drop a repeat of a keyed request: all, those of one zone, those of one cell. */
+    /** Which endpoints recognize a repeated idempotency key: all, those of the same zone, or those of the same cell. */
     enum KeyScope {
         ALL,
         ZONE,
         CELL
     }
 
-    /** State of an upstream in a list. */
+    /** State of an endpoint in an endpoint list. */
     enum EndpointStatus {
         REMOVED,
         READY,
@@ -81,8 +82,8 @@
     }
 
     /**
-     * Kind of a list event: changes only, everything, the last list known before a start, or a failed
-     * call.
+     * Kind of an endpoint update: changes only, a full snapshot, the last list known before a start, or a failed call
+     * to discovery.
      */
     enum UpdateKind {
         DELTA,
@@ -91,13 +92,13 @@
         FAILED
     }
 
-    /** Whether the list comes by itself or must be subscribed to. */
+    /** Whether endpoint updates arrive unasked, or only after {@link Actions#watchEndpoints}. */
     enum DiscoveryMode {
         AUTOMATIC,
         SUBSCRIBE
     }
 
-    /** What {@link EndpointInfo#weight()} holds; LIVE changes with the load, SILENT is always 1. */
+    /** What {@link EndpointInfo#weight()} contains: LIVE follows the load, SILENT is always 1. */
     enum WeightKind {
         SILENT,
         NOMINAL,
@@ -106,15 +107,18 @@
     }
 
     /**
-     * A class of request; times in nanoseconds.
+     * A class of requests. Times are in nanoseconds.
      *
-     * @param latencyObjectiveNanos an answer within this time earns the full worth
-     * @param objectiveStretch the aim grows by this many times the request's own work, up to the deadline
-     * @param deadlineNanos the longest a client waits over all its tries
-     * @param lateFraction part of the worth earned between aim and deadline
-     * @param keyTtlNanos for BY_KEY: how long repeats are dropped, from the first send that may have run
-     * @param streaming the response is streamed: {@link LoadBalancer#responseStarted} reports its start, and its
-     *     attempt counts as in flight until its outcome
+     * @param latencyObjectiveNanos an answer within this time earns the full priority weight; above 0
+     * @param objectiveStretch the objective grows by this many times the request's cost hint, up to the deadline
+     * @param deadlineNanos the longest that a client waits over all its own attempts; at least the objective
+     * @param priorityWeight what an answer within the objective is worth; finite, 0 or more
+     * @param lateFraction the fraction of the weight that an answer between objective and deadline earns
+     * @param keyScope for idempotency keys: which endpoints recognize a repeated key
+     * @param keyTtlNanos for idempotency keys: how long a key is recognized, from the first attempt that may have run;
+     *     0 or more
+     * @param streaming whether responses are streamed: {@link LoadBalancer#responseStarted} reports the start, and the
+     *     attempt counts as an open stream until its outcome
      */
     record RequestClass(
             long latencyObjectiveNanos,
@@ -137,8 +141,10 @@
     }
 
     /**
-     * A tenant: its part of the service and the rate, over all sidecars, up to which its work has full
-     * worth.
+     * A tenant.
+     *
+     * @param quotaFraction its fraction of the service; 0 or more
+     * @param quotaPerSecond the rate over all sidecars up to which its requests have their full weight; 0 or more
      */
     record Tenant(double quotaFraction, double quotaPerSecond) {
         public Tenant {
@@ -147,8 +153,12 @@
     }
 
     /**
-     * What the host allows; a disallowed action is never asked for. {@link SidecarPolicy} makes no use of
-     * peers or parallel tries so far.
+     * Actions that the host allows; the instance never requests another. {@link SidecarPolicy} does not use gossip and
+     * hedging.
+     *
+     * @param maxAttempts the most attempts of one request; at least 1
+     * @param maxRetryAfterNanos the longest Retry-After that {@link Actions#reject} may give; 0 or more
+     * @param connectTimeoutNanos how long the host waits for a connection; 0 or more
      */
     record Capabilities(
             boolean cancellation,
@@ -165,17 +175,32 @@
         }
     }
 
-    /** What the host is charged, as a part of all worth: for one probe a first try, for one full message. */
+    /**
+     * Costs of an action, as a fraction of the total priority weight.
+     *
+     * @param healthCheck the cost of one health check per first attempt; 0 or more
+     * @param gossipMessage the cost of one message of full size; 0 or more
+     */
     record Costs(double healthCheck, double gossipMessage) {
         public Costs {
             require(healthCheck >= 0 && gossipMessage >= 0, "charges");
         }
 
-        /** Nothing is charged for. */
+        /** All actions are free. */
         public static final Costs NONE = new Costs(0, 0);
     }
 
-    /** The numbers behind the four rules; times in nanoseconds. */
+    /**
+     * Limits that the policy keeps to. Times are in nanoseconds, 0 or more.
+     *
+     * @param answerSlackNanos how long after its deadline a request may be answered
+     * @param pollIntervalNanos within this time the watch on the endpoint list is renewed
+     * @param drainGraceNanos how long after a change of the list an endpoint that is no longer ready may get requests
+     * @param coldCapacityFraction the fraction of its capacity that a started endpoint has at first; above 0, at most 1
+     * @param slowStartNanos the time from an endpoint's start until it has its full capacity
+     * @param overloadFactor a warming endpoint fails at this many times its capacity; at least 1
+     * @param overloadWindowNanos the time over which that load is measured
+     */
     record Limits(
             long answerSlackNanos,
             long pollIntervalNanos,
@@ -193,14 +218,16 @@
     }
 
     /**
-     * What an instance is set to. {@link SidecarPolicy} makes no use of rank, zone, weights,
-     * the unit of worth or the worth over share; hosts fill them in for modules that do.
+     * Settings of an instance. {@link SidecarPolicy} does not use the instance index, the zone, the kind of weights and
+     * the fraction over quota; hosts fill them in for other implementations.
      *
-     * @param instanceIndex this sidecar's number among {@code replicas}
-     * @param clockResolutionNanos shortest time between two events
-     * @param loadReportFields names of the values in a load report
-     * @param weightByWork worth counts per unit of work, not per request
-     * @param overQuotaFraction what a request beyond its tenant's quota is worth, as a part of its class's worth
+     * @param instanceIndex this sidecar's number among the instances; 0 or more
+     * @param instanceCount the number of sidecars that share the endpoints; at least 1
+     * @param clockResolutionNanos the shortest time between two events; 0 or more
+     * @param requestClasses at least one class; a request names its class by the index
+     * @param loadReportFields names of the values in a load report, in order
+     * @param weightByWork whether priority weights count per unit of work, not per request
+     * @param overQuotaFraction the fraction of its weight that a request beyond its tenant's quota has; from 0 to 1
      */
     record Settings(
             int instanceIndex,
@@ -227,7 +254,7 @@
             loadReportFields = List.copyOf(loadReportFields);
         }
 
-        /** The same settings with other classes. */
+        /** Returns these settings with other request classes. */
         public Settings withRequestClasses(List<RequestClass> replacements) {
             return new Settings(
                     instanceIndex,
@@ -248,14 +275,14 @@
     }
 
     /**
-     * An upstream as the list shows it.
+     * An endpoint as discovery lists it.
      *
-     * @param id opaque and stable over restarts
-     * @param startedAtNanos when it last started; 0 for long ago
+     * @param id an opaque number that stays the same over restarts
+     * @param startedAtNanos the time of the last start on the events' clock; 0 for long ago
      */
     record EndpointInfo(
             long id, int zone, int machineKind, int cell, EndpointStatus status, float weight, long startedAtNanos) {
-        /** The same upstream, gone. */
+        /** Returns the same endpoint with status {@link EndpointStatus#REMOVED}. */
         public EndpointInfo asRemoved() {
             return new EndpointInfo(id, zone, machineKind, cell, EndpointStatus.REMOVED, weight, startedAtNanos);
         }
@@ -264,9 +291,11 @@
     /**
      * A client's request.
      *
-     * @param timeLeftNanos until the client gives this try up
-     * @param costHintNanos rough work to expect in nanoseconds; 0 where unknown
-     * @param clientRetry the client marked it as a repeat
+     * @param id unique for the lifetime of the instance
+     * @param requestClass the index of its class in {@link Settings#requestClasses()}
+     * @param timeLeftNanos the time until the client gives up
+     * @param costHintNanos the expected work in nanoseconds; 0 if unknown
+     * @param clientRetry whether the client marked the request as a retry
      */
     record Request(
             long id,
@@ -278,70 +307,76 @@
             boolean clientRetry,
             boolean write) {}
 
-    /** What an instance orders. The host carries each out at the time of the event being handled. */
+    /** Actions of an instance. The host carries out each at the time of the event that is being handled. */
     interface Actions {
-        /** Starts the request's next attempt; a time-out of 0 lasts until the client gives up. */
+        /** Sends the request's next attempt; with a timeout of 0 nanoseconds it lasts until the client gives up. */
         void forward(long request, long endpoint, long timeoutNanos);
 
-        /** Final answer: not done, a retry is harmless; {@code wait} 0 gives no guidance. */
+        /** Gives the final answer that the request may be retried, after the given nanoseconds; 0 gives no guidance. */
         void reject(long request, long retryAfterNanos);
 
-        /** Final answer: failed, with no promise about effects. */
+        /** Gives the final answer that the request failed and may have run. */
         void fail(long request);
 
-        /** Stops waiting for one attempt. */
+        /** Stops waiting for an attempt. */
         void cancelAttempt(long request, int attempt);
 
-        /** Asks for {@link LoadBalancer#timerFired} with this token at or after a time. */
+        /** Requests {@link LoadBalancer#timerFired} with this token at or after the given time. */
         void setTimer(long token, long atNanos);
 
-        /** Probes an upstream. */
+        /** Sends a health check; {@link LoadBalancer#healthCheckCompleted} reports the result. */
         void sendHealthCheck(long endpoint);
 
-        /** Closes idle connections to an upstream. */
+        /** Closes the idle connections to an endpoint. */
         void closeIdleConnections(long endpoint);
 
-        /** Sends at most 256 bytes to a peer, or to every one if {@code peer} is {@link #ALL_PEERS}. */
+        /** Sends a message of at most 256 bytes to another sidecar, or to all with {@link #ALL_PEERS}. */
         void sendGossip(int peer, byte[] message);
 
         /** Writes a line for operators. */
         void log(String line);
 
-        /** Subscribes to list changes, or ends it; answered by one list event. */
+        /** Starts or ends the watch on the endpoint list; one endpoint update follows. */
         void watchEndpoints(boolean enabled);
 
-        /** Asks for the whole list once; answered by one list event. */
+        /** Requests a full snapshot of the endpoint list; one endpoint update follows. */
         void fetchEndpoints();
 
-        /** Every peer. */
+        /** All other sidecars. */
         int ALL_PEERS = 0xffff;
     }
 
-    /** The instance begins. */
+    /** Starts the instance. */
     void start(long now);
 
-    /** News of the list; {@code entries} is empty for {@link UpdateKind#FAILED}. */
+    /** Handles an endpoint update; {@code endpoints} is empty for {@link UpdateKind#FAILED}. */
     void endpointsUpdated(long now, UpdateKind kind, List<EndpointInfo> endpoints);
 
-    /** A client's request has arrived. */
+    /**
+     * Handles a complete request.
+     *
+     * @throws UnknownRequestClassException if the settings have no such class
+     */
     void requestReceived(long now, Request request);
 
     /**
-     * A client's request has arrived but for the end of its body, which is passed on as it comes. Its
-     * client's time begins with {@link #requestBodyCompleted}.
+     * Handles a request whose body is still arriving and is passed on as it arrives. The client's time starts with
+     * {@link #requestBodyCompleted}.
+     *
+     * @throws UnknownRequestClassException if the settings have no such class
      */
     void requestStarted(long now, Request request);
 
-    /** The last byte of a request's body has come. */
+    /** Handles the arrival of the last byte of a request's body. */
     void requestBodyCompleted(long now, long request);
 
-    /** A request's body is no longer held: after the attempt that has read it there can be no other. */
+    /** Reports that a request's body is no longer replayable, so that no further attempt can be sent. */
     void bodyNotReplayable(long now, long request);
 
-    /** A streamed answer has begun: its attempt belongs to the client, its deadline no longer holds. */
+    /** Reports that a streamed response has started; the request's deadline no longer applies. */
     void responseStarted(long now, long request, int attempt, long endpoint, long elapsedNanos);
 
-    /** An attempt has ended; {@code ended} says that the request has, by this outcome or before. */
+    /** Handles the end of an attempt; {@code requestCompleted} if the request has ended, now or before. */
     void attemptCompleted(
             long now,
             long request,
@@ -352,32 +387,32 @@
             boolean requestCompleted,
             float[] loadReport);
 
-    /** The client has left. */
+    /** Handles the client's disconnection; the request gets no answer. */
     void clientDisconnected(long now, long request);
 
-    /** A timer is due. */
+    /** Handles a timer that is due. */
     void timerFired(long now, long token);
 
-    /** A probe's result. */
+    /** Handles the result of a health check. */
     default void healthCheckCompleted(
             long now, long endpoint, Outcome outcome, long elapsedNanos, float[] loadReport) {}
 
     /**
-     * New settings hold from now on. A class keeps its number and its effect for ever, and new ones come
-     * behind; requests that are open keep the class and the try limit they came under. Tenants and the way of
-     * discovery stay as they were at the start.
+     * Applies new settings from now on. A class keeps its index and idempotency, and new classes are appended; open
+     * requests keep the class and the number of attempts with which they arrived. Tenants and the discovery mode stay
+     * as they were at the start.
      */
     void settingsChanged(long now, Settings settings);
 
-    /** How many ready upstreams are now avoided for what was seen of them. Changes nothing. */
+    /** Returns the number of ready endpoints that are ejected for every class now; has no side effect. */
     int ejectedCount(long now);
 
-    /** A message from another sidecar of this tier. */
+    /** Handles a message from another sidecar. */
     default void gossipReceived(long now, int from, byte[] message) {}
 
     private static void require(boolean holds, String setting) {
         if (!holds) {
-            throw new IllegalArgumentException("setting makes no sense: " + setting);
+            throw new InvalidSettingException(setting, "setting makes no sense: " + setting);
         }
     }
 }
--- a/policy/src/main/java/topazvalve/policy/SettingsReader.java
+++ b/policy/src/main/java/topazvalve/policy/SettingsReader.java
@@ -17,14 +17,14 @@
 import topazvalve.policy.LoadBalancer.WeightKind;
 
 /**
- * The one reader of an instance's settings, for every host: turns path=value lines into {@link Settings} and
- * answers for what only hosts need (names, connection limits). Keys it does not know are skipped; what makes
- * no sense is an {@link IllegalArgumentException} naming the key.
+ * Reads an instance's settings, for every host: turns lines of the form path=value into {@link Settings} and answers
+ * for what only hosts need (names, connection limits). It skips unknown keys. Where a key of the settings has another
+ * name than the record's component ({@code slo}, {@code worth}, {@code semantics}), this class maps it.
  */
 public final class SettingsReader {
     private final Map<String, String> values = new HashMap<>();
 
-    /** Reads one path=value a line. */
+    /** Reads one path=value per line; lines without {@code =} are skipped, the last value of a path counts. */
     public SettingsReader(String text) {
         for (String line : text.split("\n")) {
             int equals = line.indexOf('=');
@@ -36,7 +36,11 @@
         }
     }
 
-    /** What the module is set to. */
+    /**
+     * Returns the settings of an instance.
+     *
+     * @throws InvalidSettingException if a setting is missing, can't be read or is out of bounds
+     */
     public Settings settings() {
         List<RequestClass> classes = new ArrayList<>();
         int classCount = (int) required("profiles.count");
@@ -103,7 +107,7 @@
                 (long) required("rules.tipAfter"));
     }
 
-    /** The names of a list of objects, in order; those without a name are named by their number. */
+    /** Returns the names of a list of objects, in order; an object without a name is named by its index. */
     public List<String> names(String path) {
         List<String> names = new ArrayList<>();
         int count = (int) number(path + ".count", 0);
@@ -113,7 +117,7 @@
         return names;
     }
 
-    /** A list of plain values, empty where absent. */
+    /** Returns the comma-separated values of a key; empty if it is absent. */
     public List<String> list(String key) {
         String text = values.getOrDefault(key, "");
         return text.isEmpty() ? List.of() : List.of(text.split(","));
@@ -125,12 +129,16 @@
 
     private double required(String key) {
         if (!values.containsKey(key)) {
-            throw new IllegalArgumentException("setting missing: " + key);
+            throw new InvalidSettingException(key, "setting missing: " + key);
         }
         return number(key, 0);
     }
 
-    /** A number, or {@code absent} where the key is missing or empty. */
+    /**
+     * Returns a number, or {@code absent} if the key is missing or empty.
+     *
+     * @throws InvalidSettingException if the value is not a number
+     */
     public double number(String key, double absent) {
         String text = values.get(key);
         if (text == null || text.isEmpty()) {
@@ -139,24 +147,23 @@
         try {
             return Double.parseDouble(text);
         } catch (NumberFormatException e) {
-            throw new IllegalArgumentException("setting is not a number: " + key + "=" + text);
+            throw new InvalidSettingException(key, "setting is not a number: " + key + "=" + text);
         }
     }
 
     private Idempotency idempotency(String key) {
         String text = values.get(key);
         if (text == null) {
-            throw new IllegalArgumentException("setting missing: " + key);
+            throw new InvalidSettingException(key, "setting missing: " + key);
         }
         return switch (text.toLowerCase(Locale.ROOT)) {
             case "repeatable" -> Idempotency.IDEMPOTENT;
             case "by_key" -> Idempotency.IDEMPOTENCY_KEY;
             case "once" -> Idempotency.NON_IDEMPOTENT;
-            default -> throw new IllegalArgumentException("setting has an unknown value: " + key + "=" + text);
+            default -> throw new InvalidSettingException(key, "setting has an unknown value: " + key + "=" + text);
         };
     }
 
-    /** An enum setting. */
     private <E extends Enum<E>> E choice(Class<E> type, String key, E absent) {
         String text = values.get(key);
         if (text == null) {
@@ -165,7 +172,7 @@
         try {
             return Enum.valueOf(type, text.toUpperCase(Locale.ROOT));
         } catch (IllegalArgumentException e) {
-            throw new IllegalArgumentException("setting has an unknown value: " + key + "=" + text);
+            throw new InvalidSettingException(key, "setting has an unknown value: " + key + "=" + text);
         }
     }
 }
--- a/policy/src/main/java/topazvalve/policy/package-info.java
+++ b/policy/src/main/java/topazvalve/policy/package-info.java
@@ -1,2 +1,2 @@
-/** Decisions of a client-side load balancer: {@link topazvalve.policy.LoadBalancer} is the interface. */
+/** The load-balancing policy of one sidecar; {@link topazvalve.policy.LoadBalancer} is the interface for its hosts. */
 package topazvalve.policy;
