--- a/discovery-client/src/main/java/topazvalve/discovery/client/DiscoverySession.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/DiscoverySession.java
@@ -29,8 +29,8 @@
 
     private final Set<EndpointCall> calls = new HashSet<>();
     private InetSocketAddress discoveryAddress;
-    /** Null if the last call did not fail. */
-    private DiscoveryFailure lastFailure;
+    /** Null if the last call did not fail. The text is kept, as a record's first equals() loads 70 classes. */
+    private String lastFailureMessage;
 
     private long lastResponseNanos = System.nanoTime();
 
@@ -93,7 +93,7 @@
 
     /** Records that a call has received an update or a heartbeat. */
     void responseReceived() {
-        lastFailure = null;
+        lastFailureMessage = null;
         lastResponseNanos = System.nanoTime();
     }
 
@@ -103,10 +103,11 @@
 
     /** Records that a call has failed, and logs it unless it is the same failure as the last one. */
     void callFailed(DiscoveryFailure failure) {
-        if (!failure.equals(lastFailure)) {
-            LOG.warn("endpoint update failed, keeping the current endpoint list: {}", failure.message());
+        String message = failure.message();
+        if (!message.equals(lastFailureMessage)) {
+            LOG.warn("endpoint update failed, keeping the current endpoint list: {}", message);
         }
-        lastFailure = failure;
+        lastFailureMessage = message;
     }
 
     /** Notifies the listener of an update. */
