--- a/simulation/src/main/java/topazvalve/simulation/measure/OpenLoop.java
+++ b/simulation/src/main/java/topazvalve/simulation/measure/OpenLoop.java
@@ -34,7 +34,7 @@
     private final String name;
     private final double rate;
     private final long end;
-    private final RandomStreams chance;
+    private final RandomStreams random;
     private final Histogram latency = new Histogram(1_000, LONGEST, 3);
     private final ArrayDeque<Channel> idle = new ArrayDeque<>();
     private final ArrayDeque<Long> waiting = new ArrayDeque<>();
@@ -51,7 +51,7 @@
         this.rate = rate;
         this.planned = System.nanoTime();
         this.end = planned + lengthNanos;
-        this.chance = RandomStreams.stream(seed, name);
+        this.random = RandomStreams.stream(seed, name);
     }
 
     /** Begins. */
@@ -79,7 +79,7 @@
         while (planned <= now && planned < end) {
             sent++;
             ask(planned);
-            planned += Math.max(1, (long) chance.exponential(1e9 / rate));
+            planned += Math.max(1, (long) random.exponential(1e9 / rate));
         }
         if (planned < end) {
             loop.schedule(this::due, Math.max(0, planned - System.nanoTime()), TimeUnit.NANOSECONDS);
@@ -133,10 +133,10 @@
     private void write(Channel channel, long meant) {
         channel.pipeline().get(Handler.class).meant = meant;
         DefaultFullHttpRequest request = new DefaultFullHttpRequest(
-                HttpVersion.HTTP_1_1, HttpMethod.GET, "/api/" + Long.toHexString(chance.any()));
+                HttpVersion.HTTP_1_1, HttpMethod.GET, "/api/" + Long.toHexString(random.any()));
         request.headers()
                 .set(HttpHeaderNames.HOST, "app.svc")
-                .set("Req-Id", name + "-" + Long.toHexString(chance.any()))
+                .set("Req-Id", name + "-" + Long.toHexString(random.any()))
                 .set("Req-Kind", "look-up")
                 .set("Req-Deadline-Ms", "5000");
         channel.writeAndFlush(request);
--- a/simulation/src/main/java/topazvalve/simulation/model/Clock.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/Clock.java
@@ -1,10 +1,17 @@
 package topazvalve.simulation.model;
 
-/** The time of a world, and what is to happen in it. One thread; nanoseconds that never run back. */
+/**
+ * The time of a simulation and its event queue. Times are nanoseconds from an arbitrary origin and never decrease. A
+ * clock and everything that it runs belong to one thread.
+ */
 public interface Clock {
-    /** The present. */
+    /** Returns the present time in nanoseconds. */
     long now();
 
-    /** Runs {@code event} at a time, or at once after the present event if that time is past. */
-    void at(long time, Runnable event);
+    /**
+     * Schedules an event. An event whose time is past runs as soon as the present event has returned.
+     *
+     * @param time when to run it, in nanoseconds of this clock
+     */
+    void scheduleAt(long time, Runnable event);
 }
--- a/simulation/src/main/java/topazvalve/simulation/model/ColdServerMonitor.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/ColdServerMonitor.java
@@ -1,13 +1,13 @@
 package topazvalve.simulation.model;
 
-/** Is told of each window of a cold server as work comes in. */
+/** Observes the load of cold servers. It is called for each attempt that reaches one. */
 public interface ColdServerMonitor {
     /**
-     * The window that ends now.
+     * Reports the sliding window that ends now.
      *
-     * @param offered what all sent, in requests of mean work
-     * @param allowed what the settings let it take: their factor times its capacity over the window
-     * @param informed the part of it that came from those who knew of its start
+     * @param offered the work of all attempts in the window, in requests of mean work
+     * @param allowed the limit for the window, in requests of mean work (overload factor times capacity)
+     * @param informed the fraction (0 to 1) of {@code offered} whose senders knew of the server's last start
      */
-    void window(OrderServer server, double offered, double allowed, double informed);
+    void coldLoadMeasured(OrderServer server, double offered, double allowed, double informed);
 }
--- /dev/null
+++ b/simulation/src/main/java/topazvalve/simulation/model/CongestionDetector.java
@@ -0,0 +1,65 @@
+package topazvalve.simulation.model;
+
+import topazvalve.simulation.scenario.MachineKind;
+
+/**
+ * Congestion of a server: it turns slow when it has held too many attempts for long enough, and recovers when it has
+ * held few for long enough. The thresholds and times are the {@code crowded...} values of its kind of machine.
+ */
+final class CongestionDetector {
+    private static final long NEVER = -1;
+    /** Recovery needs the load to fall to the threshold divided by this number. */
+    private static final double RECOVERY_DIVISOR = 4;
+
+    private final MachineKind kind;
+    private boolean congested;
+    private long overloadedSince = NEVER;
+    private long recoveringSince = NEVER;
+
+    CongestionDetector(MachineKind kind) {
+        this.kind = kind;
+    }
+
+    /** The process starts: it isn't congested. */
+    void reset() {
+        congested = false;
+        overloadedSince = NEVER;
+    }
+
+    /** Returns how many times slower the server is; 1 unless it is congested. */
+    double slowdown() {
+        return congested ? kind.crowdedSlower() : 1;
+    }
+
+    /** The number of attempts that the server holds may have changed. */
+    void update(long now, double attemptsPerCore) {
+        if (kind.crowdedAt() == 0) {
+            return;
+        }
+        if (congested) {
+            updateRecovery(now, attemptsPerCore);
+        } else {
+            updateOverload(now, attemptsPerCore);
+        }
+    }
+
+    private void updateOverload(long now, double attemptsPerCore) {
+        if (attemptsPerCore < kind.crowdedAt()) {
+            overloadedSince = NEVER;
+        } else if (overloadedSince == NEVER) {
+            overloadedSince = now;
+        }
+        congested = overloadedSince != NEVER && now - overloadedSince >= kind.crowdedAfter();
+        recoveringSince = NEVER;
+    }
+
+    private void updateRecovery(long now, double attemptsPerCore) {
+        if (attemptsPerCore > kind.crowdedAt() / RECOVERY_DIVISOR) {
+            recoveringSince = NEVER;
+        } else if (recoveringSince == NEVER) {
+            recoveringSince = now;
+        }
+        congested = recoveringSince == NEVER || now - recoveringSince < kind.crowdedRest();
+        overloadedSince = NEVER;
+    }
+}
--- a/simulation/src/main/java/topazvalve/simulation/model/EndpointDirectory.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/EndpointDirectory.java
@@ -9,49 +9,53 @@
 import topazvalve.simulation.scenario.Scenario.News;
 
 /**
- * What discovery knows of the servers, which is late: a process that ends or drains is noticed after a while,
- * a machine that falls silent after a longer one. How it is asked is not its concern.
+ * The endpoint list of discovery. It lags behind the servers: the end or drain of a process is noticed after a delay,
+ * the disappearance of a machine after a longer one. Each change has a revision. Transport is the caller's concern.
  */
 public final class EndpointDirectory {
-    /** One line of the list. */
+    /** A server and its listed state; {@code startedAt} is the start of its process, 0 for long ago. */
     public record Entry(OrderServer server, EndpointStatus state, long startedAt, long changedAtRevision) {}
 
-    private static final int REMEMBERED = 4096;
+    private static final double NANOS_PER_SECOND = 1e9;
+    private static final int MAX_LOG_ENTRIES = 4096;
 
     private final Clock clock;
-    private final News news;
-    private final RandomStreams chance;
+    private final News settings;
+    private final RandomStreams random;
     private final Map<Long, Entry> entries = new LinkedHashMap<>();
     private final List<Entry> log = new ArrayList<>();
-    private final List<Consumer<Entry>> followers = new ArrayList<>();
+    private final List<Consumer<Entry>> listeners = new ArrayList<>();
     private long revision = 1;
-    private boolean down;
+    private boolean unavailable;
 
-    /** An empty list. */
-    public EndpointDirectory(Clock clock, News news, RandomStreams chance) {
+    /** Creates an empty list. */
+    public EndpointDirectory(Clock clock, News news, RandomStreams random) {
         this.clock = clock;
-        this.news = news;
-        this.chance = chance;
+        this.settings = news;
+        this.random = random;
     }
 
-    /** Lists a server as it is, at once. */
-    public void list(OrderServer server) {
-        put(server, EndpointStatus.READY);
+    /** Lists a server as ready, without delay. */
+    public void add(OrderServer server) {
+        apply(server, EndpointStatus.READY);
     }
 
-    /** A server's state has changed, which is noticed after a while; {@code silently} after a longer one. */
-    public void happened(OrderServer server, EndpointStatus state, boolean silently) {
-        double delay = (silently ? news.silentNotice() : news.notice()).at(chance.part());
+    /**
+     * A server's state has changed. The list follows after a delay, unless the server has started again meanwhile.
+     *
+     * @param silently whether the server can't say so itself, which takes longer to notice
+     */
+    public void stateChanged(OrderServer server, EndpointStatus state, boolean silently) {
+        double delaySeconds = (silently ? settings.silentNotice() : settings.notice()).at(random.part());
         long started = server.startedAt();
-        clock.at(clock.now() + (long) (delay * 1e9), () -> {
-            // What has been overtaken meanwhile is not listed any more.
+        clock.scheduleAt(clock.now() + (long) (delaySeconds * NANOS_PER_SECOND), () -> {
             if (server.startedAt() == started) {
-                put(server, state);
+                apply(server, state);
             }
         });
     }
 
-    private void put(OrderServer server, EndpointStatus state) {
+    private void apply(OrderServer server, EndpointStatus state) {
         Entry entry = new Entry(server, state, server.startedAt(), ++revision);
         if (state == EndpointStatus.REMOVED) {
             entries.remove(server.id());
@@ -59,44 +63,52 @@
             entries.put(server.id(), entry);
         }
         log.add(entry);
-        if (log.size() > REMEMBERED) {
-            log.subList(0, REMEMBERED / 2).clear();
+        if (log.size() > MAX_LOG_ENTRIES) {
+            log.subList(0, MAX_LOG_ENTRIES / 2).clear();
         }
-        List.copyOf(followers).forEach(each -> each.accept(entry));
+        List.copyOf(listeners).forEach(each -> each.accept(entry));
     }
 
-    /** Follows every change from now on. */
-    public void follow(Consumer<Entry> follower) {
-        followers.add(follower);
+    /** Calls a listener with every change from now on. */
+    public void addListener(Consumer<Entry> follower) {
+        listeners.add(follower);
     }
 
-    /** All lines. */
-    public List<Entry> all() {
+    /** Returns all entries, in the order in which the servers were listed. */
+    public List<Entry> entries() {
         return List.copyOf(entries.values());
     }
 
-    /** The newest change's number. */
+    /** Returns the revision of the latest change. */
     public long revision() {
         return revision;
     }
 
-    /** The changes after a revision; null where they are no longer known. */
-    public List<Entry> since(long after) {
-        if (after > revision
-                || (!log.isEmpty() && log.get(0).changedAtRevision() > after + 1)
-                || (log.isEmpty() && after < revision)) {
+    /** Returns the changes after a revision, or null if the log no longer has all of them. */
+    public List<Entry> changesSince(long after) {
+        if (!hasAllSince(after)) {
             return null;
         }
         return log.stream().filter(each -> each.changedAtRevision() > after).toList();
     }
 
-    /** Whether discovery answers nobody now. */
-    public boolean down() {
-        return down;
+    private boolean hasAllSince(long after) {
+        if (after > revision) {
+            return false;
+        }
+        if (log.isEmpty()) {
+            return after == revision;
+        }
+        return log.get(0).changedAtRevision() <= after + 1;
+    }
+
+    /** Returns whether discovery is down. */
+    public boolean isUnavailable() {
+        return unavailable;
     }
 
-    /** Ends or starts the service; the list stays. */
-    public void down(boolean next) {
-        down = next;
+    /** Takes the service down or up; the list is kept. */
+    public void setUnavailable(boolean next) {
+        unavailable = next;
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/model/FaultPlayer.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/FaultPlayer.java
@@ -2,189 +2,222 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 import topazvalve.policy.LoadBalancer.EndpointStatus;
 import topazvalve.simulation.model.OrderServer.Mode;
 import topazvalve.simulation.scenario.Fault;
 import topazvalve.simulation.scenario.Scenario;
 import topazvalve.simulation.scenario.Scenario.Chaos;
 
-/** Plays faults on a stage at their times. Each fault draws whom it strikes from a stream of its own. */
+/** Plays the faults of a scenario at their times. Each fault draws the servers it affects from a stream of its own. */
 public final class FaultPlayer {
-    /** When the process of a machine that was drained or restarted is back, at the least. */
-    private static final long SHORTEST_STOP = 50_000_000;
+    private static final double NANOS_PER_SECOND = 1e9;
+    /** The least time for which the process of a drained or replaced server is down. */
+    private static final long MIN_DOWNTIME_NANOS = 50_000_000;
 
-    private final FaultTarget stage;
+    /** The largest part of packets or responses that a drawn fault affects. */
+    private static final double MAX_DRAWN_RATE = 0.5;
+    /** A drawn size stands for a slowdown; a part is this many times smaller. */
+    private static final double DRAWN_RATE_DIVISOR = 10;
 
-    private FaultPlayer(FaultTarget stage) {
-        this.stage = stage;
+    private static final long DRAWN_DELAY_NANOS = 20_000_000;
+
+    /** A drained server rejects new attempts during the last one of so many parts of the drain. */
+    private static final int DRAIN_PARTS = 3;
+
+    private final FaultTarget target;
+
+    private FaultPlayer(FaultTarget target) {
+        this.target = target;
     }
 
-    /** Schedules all faults of a scenario, written and drawn; returns them for the report. */
-    public static List<Fault> play(FaultTarget stage, Scenario scenario, long seed) {
-        FaultPlayer player = new FaultPlayer(stage);
+    /** Schedules all faults of a scenario, written and drawn, and returns them for the report. */
+    public static List<Fault> scheduleAll(FaultTarget target, Scenario scenario, long seed) {
+        FaultPlayer player = new FaultPlayer(target);
         List<Fault> all = plan(scenario, seed);
-        long start = stage.clock().now();
+        long start = target.clock().now();
         for (int i = 0; i < all.size(); i++) {
             Fault fault = all.get(i);
-            RandomStreams chance = RandomStreams.stream(seed, "fault." + i);
-            stage.clock().at(start + fault.start(), () -> player.begin(fault, chance));
+            RandomStreams random = RandomStreams.stream(seed, "fault." + i);
+            target.clock().scheduleAt(start + fault.start(), () -> player.begin(fault, random));
         }
         return all;
     }
 
-    /** The faults of a run: those written, then those drawn from the seed. */
+    /** Returns the faults of a run: those written, then those drawn from the seed. */
     static List<Fault> plan(Scenario scenario, long seed) {
         List<Fault> all = new ArrayList<>(scenario.faults());
-        Chaos chaos = scenario.chaos();
-        for (int i = 0; i < chaos.count(); i++) {
-            RandomStreams chance = RandomStreams.stream(seed, "chaos." + i);
-            Fault.Kind kind = chaos.kinds().get(chance.below(chaos.kinds().size()));
-            long length = (long) (chaos.length().at(chance.part()) * 1e9);
-            long start = (long) (chance.part() * Math.max(0, scenario.length() - length));
-            double size = chaos.size().at(chance.part());
-            boolean part = kind == Fault.Kind.LOSS || kind == Fault.Kind.SPOIL;
-            all.add(new Fault(
-                    kind,
-                    start,
-                    length,
-                    chaos.share().at(chance.part()),
-                    part ? Math.min(0.5, size / 10) : size,
-                    20_000_000));
+        for (int i = 0; i < scenario.chaos().count(); i++) {
+            all.add(drawFault(scenario, RandomStreams.stream(seed, "chaos." + i)));
         }
         return all;
     }
 
-    private void begin(Fault fault, RandomStreams chance) {
-        stage.note("begins: " + describe(fault));
-        Clock clock = stage.clock();
+    private static Fault drawFault(Scenario scenario, RandomStreams random) {
+        Chaos chaos = scenario.chaos();
+        Fault.Kind kind = chaos.kinds().get(random.below(chaos.kinds().size()));
+        long length = (long) (chaos.length().at(random.part()) * NANOS_PER_SECOND);
+        long start = (long) (random.part() * Math.max(0, scenario.length() - length));
+        double size = chaos.size().at(random.part());
+        if (kind == Fault.Kind.LOSS || kind == Fault.Kind.SPOIL) {
+            size = Math.min(MAX_DRAWN_RATE, size / DRAWN_RATE_DIVISOR);
+        }
+        double share = chaos.share().at(random.part());
+        return new Fault(kind, start, length, share, size, DRAWN_DELAY_NANOS);
+    }
+
+    private void begin(Fault fault, RandomStreams random) {
+        target.recordEvent("begins: " + describe(fault));
         switch (fault.kind()) {
-            case OVERLOAD -> {
-                stage.overload(fault.size());
-                later(fault, () -> stage.overload(1));
-            }
-            case SHARED_SLOW -> slow(fault, stage.servers());
-            case SLOW -> slow(fault, struck(fault, chance));
-            case LOSS -> {
-                stage.link().loss(fault.size());
-                later(fault, () -> stage.link().loss(0));
-            }
-            case DELAY -> {
-                stage.link().extra(fault.by());
-                later(fault, () -> stage.link().extra(0));
-            }
-            case DISCOVERY_DOWN -> {
-                stage.directory().down(true);
-                later(fault, () -> stage.directory().down(false));
-            }
-            case INSTANCE_RESTART -> {
-                int count = count(fault.share(), stage.instanceCount());
-                int first = chance.below(stage.instanceCount());
-                for (int i = 0; i < count; i++) {
-                    int number = (first + i) % stage.instanceCount();
-                    long at = clock.now() + (long) (chance.part() * fault.length());
-                    clock.at(at, () -> stage.restartInstance(number));
-                }
-                later(fault, () -> {});
-            }
-            case SPOIL -> {
-                List<OrderServer> struck = struck(fault, chance);
-                struck.forEach(each -> each.spoil(fault.size()));
-                later(fault, () -> struck.forEach(each -> each.spoil(0)));
-            }
-            case SILENT -> inMode(fault, chance, Mode.SILENT);
-            case FROZEN -> inMode(fault, chance, Mode.FROZEN);
-            case REFUSE -> inMode(fault, chance, Mode.REFUSING);
-            case RESET -> {
-                struck(fault, chance).forEach(OrderServer::breakAll);
-                later(fault, () -> {});
-            }
-            case VANISH -> stop(fault, chance, true);
-            case RESTART -> stop(fault, chance, false);
-            case REPLACE, REPLACE_IN_PLACE -> {
-                struck(fault, chance).forEach(old -> replace(fault, old));
-                later(fault, () -> {});
-            }
-            case DRAIN -> {
-                struck(fault, chance).forEach(server -> drain(fault, server));
-                later(fault, () -> {});
-            }
+            case OVERLOAD -> overload(fault);
+            case SHARED_SLOW -> slowDown(fault, target.servers());
+            case SLOW -> slowDown(fault, drawServers(fault, random));
+            case LOSS -> losePackets(fault);
+            case DELAY -> delayPackets(fault);
+            case DISCOVERY_DOWN -> takeDiscoveryDown(fault);
+            case INSTANCE_RESTART -> restartInstances(fault, random);
+            case SPOIL -> corruptResponses(fault, random);
+            case SILENT -> setModeFor(fault, random, Mode.SILENT);
+            case FROZEN -> setModeFor(fault, random, Mode.FROZEN);
+            case REFUSE -> setModeFor(fault, random, Mode.REFUSING);
+            case RESET -> resetConnections(fault, random);
+            case VANISH -> stopServers(fault, random, true);
+            case RESTART -> stopServers(fault, random, false);
+            case REPLACE, REPLACE_IN_PLACE -> replaceServers(fault, random);
+            case DRAIN -> drainServers(fault, random);
             default -> throw new IllegalStateException("no such fault: " + fault.kind());
         }
     }
 
     private static String describe(Fault fault) {
-        return fault.kind().name().toLowerCase(java.util.Locale.ROOT).replace('_', '-') + " ("
-                + Math.round(fault.share() * 100) + "% for " + fault.length() / 1_000_000_000.0 + " s)";
+        String kind = fault.kind().name().toLowerCase(Locale.ROOT).replace('_', '-');
+        return kind + " (" + Math.round(fault.share() * 100) + "% for " + fault.length() / NANOS_PER_SECOND + " s)";
     }
 
-    private void later(Fault fault, Runnable undo) {
-        stage.clock().at(stage.clock().now() + fault.length(), () -> {
-            stage.note("ends: " + describe(fault));
+    /** Schedules the end of a fault, and what undoes it. */
+    private void endLater(Fault fault, Runnable undo) {
+        target.clock().scheduleAt(target.clock().now() + fault.length(), () -> {
+            target.recordEvent("ends: " + describe(fault));
             undo.run();
         });
     }
 
-    private static int count(double share, int of) {
-        return Math.min(of, Math.max(1, (int) Math.round(share * of)));
+    private static int affectedCount(double share, int total) {
+        return Math.min(total, Math.max(1, (int) Math.round(share * total)));
     }
 
-    /** Servers that serve now, drawn without repeats. */
-    private List<OrderServer> struck(Fault fault, RandomStreams chance) {
-        List<OrderServer> left = new ArrayList<>(
-                stage.servers().stream().filter(each -> each.mode() == Mode.UP).toList());
-        List<OrderServer> struck = new ArrayList<>();
-        int count = left.isEmpty() ? 0 : count(fault.share(), left.size());
-        while (struck.size() < count) {
-            struck.add(left.remove(chance.below(left.size())));
+    /** Draws the affected servers, without repetition, from those that are up. */
+    private List<OrderServer> drawServers(Fault fault, RandomStreams random) {
+        List<OrderServer> candidates = new ArrayList<>(
+                target.servers().stream().filter(each -> each.mode() == Mode.UP).toList());
+        List<OrderServer> drawn = new ArrayList<>();
+        int count = candidates.isEmpty() ? 0 : affectedCount(fault.share(), candidates.size());
+        while (drawn.size() < count) {
+            drawn.add(candidates.remove(random.below(candidates.size())));
         }
-        return struck;
+        return drawn;
+    }
+
+    private void overload(Fault fault) {
+        target.setLoadFactor(fault.size());
+        endLater(fault, () -> target.setLoadFactor(1));
     }
 
-    private void slow(Fault fault, List<OrderServer> servers) {
-        servers.forEach(each -> each.slower(fault.size()));
-        later(fault, () -> servers.forEach(each -> each.slower(1)));
+    private void losePackets(Fault fault) {
+        target.link().setLossRate(fault.size());
+        endLater(fault, () -> target.link().setLossRate(0));
     }
 
-    private void inMode(Fault fault, RandomStreams chance, Mode mode) {
-        List<OrderServer> struck = struck(fault, chance);
-        struck.forEach(each -> each.mode(mode));
-        later(fault, () -> struck.stream().filter(each -> each.mode() == mode).forEach(each -> each.mode(Mode.UP)));
+    private void delayPackets(Fault fault) {
+        target.link().setExtraDelay(fault.by());
+        endLater(fault, () -> target.link().setExtraDelay(0));
     }
 
-    private void stop(Fault fault, RandomStreams chance, boolean silently) {
-        List<OrderServer> struck = struck(fault, chance);
-        for (OrderServer each : struck) {
+    private void takeDiscoveryDown(Fault fault) {
+        target.directory().setUnavailable(true);
+        endLater(fault, () -> target.directory().setUnavailable(false));
+    }
+
+    private void restartInstances(Fault fault, RandomStreams random) {
+        int count = affectedCount(fault.share(), target.instanceCount());
+        int first = random.below(target.instanceCount());
+        for (int i = 0; i < count; i++) {
+            int number = (first + i) % target.instanceCount();
+            long at = target.clock().now() + (long) (random.part() * fault.length());
+            target.clock().scheduleAt(at, () -> target.restartInstance(number));
+        }
+        endLater(fault, () -> {});
+    }
+
+    private void slowDown(Fault fault, List<OrderServer> servers) {
+        servers.forEach(each -> each.setSlowdown(fault.size()));
+        endLater(fault, () -> servers.forEach(each -> each.setSlowdown(1)));
+    }
+
+    private void corruptResponses(Fault fault, RandomStreams random) {
+        List<OrderServer> servers = drawServers(fault, random);
+        servers.forEach(each -> each.setCorruptionRate(fault.size()));
+        endLater(fault, () -> servers.forEach(each -> each.setCorruptionRate(0)));
+    }
+
+    private void setModeFor(Fault fault, RandomStreams random, Mode mode) {
+        List<OrderServer> servers = drawServers(fault, random);
+        servers.forEach(each -> each.setMode(mode));
+        endLater(
+                fault,
+                () -> servers.stream().filter(each -> each.mode() == mode).forEach(each -> each.setMode(Mode.UP)));
+    }
+
+    private void resetConnections(Fault fault, RandomStreams random) {
+        drawServers(fault, random).forEach(OrderServer::resetAll);
+        endLater(fault, () -> {});
+    }
+
+    private void stopServers(Fault fault, RandomStreams random, boolean silently) {
+        List<OrderServer> servers = drawServers(fault, random);
+        for (OrderServer each : servers) {
             each.stop(silently);
-            stage.directory().happened(each, EndpointStatus.REMOVED, silently);
+            target.directory().stateChanged(each, EndpointStatus.REMOVED, silently);
         }
-        later(fault, () -> struck.forEach(this::startAgain));
+        endLater(fault, () -> servers.forEach(this::restart));
     }
 
-    private void startAgain(OrderServer server) {
+    private void restart(OrderServer server) {
         server.start();
-        if (!server.fallen()) {
-            stage.directory().happened(server, EndpointStatus.READY, false);
+        if (!server.crashedWhileCold()) {
+            target.directory().stateChanged(server, EndpointStatus.READY, false);
         }
     }
 
+    private void replaceServers(Fault fault, RandomStreams random) {
+        drawServers(fault, random).forEach(old -> replace(fault, old));
+        endLater(fault, () -> {});
+    }
+
     private void replace(Fault fault, OrderServer old) {
-        old.remove();
-        stage.directory().happened(old, EndpointStatus.REMOVED, false);
-        stage.clock().at(stage.clock().now() + Math.max(SHORTEST_STOP, fault.length()), () -> {
-            OrderServer fresh = stage.replace(old, fault.kind() == Fault.Kind.REPLACE_IN_PLACE);
-            fresh.start();
-            stage.directory().happened(fresh, EndpointStatus.READY, false);
+        old.decommission();
+        target.directory().stateChanged(old, EndpointStatus.REMOVED, false);
+        target.clock().scheduleAt(target.clock().now() + Math.max(MIN_DOWNTIME_NANOS, fault.length()), () -> {
+            boolean sameAddress = fault.kind() == Fault.Kind.REPLACE_IN_PLACE;
+            OrderServer replacement = target.replaceServer(old, sameAddress);
+            replacement.start();
+            target.directory().stateChanged(replacement, EndpointStatus.READY, false);
         });
     }
 
-    /** Told as draining; it goes on until everybody has heard, declines what is new, and starts anew. */
+    private void drainServers(Fault fault, RandomStreams random) {
+        drawServers(fault, random).forEach(server -> drain(fault, server));
+        endLater(fault, () -> {});
+    }
+
+    /** Lists a server as draining; it serves on until all instances know, rejects what is new, and restarts. */
     private void drain(Fault fault, OrderServer server) {
-        stage.directory().happened(server, EndpointStatus.DRAINING, false);
-        long end = stage.clock().now() + Math.max(SHORTEST_STOP, fault.length());
-        stage.clock().at(end - fault.length() / 3, server::drain);
-        stage.clock().at(end, () -> {
+        target.directory().stateChanged(server, EndpointStatus.DRAINING, false);
+        long end = target.clock().now() + Math.max(MIN_DOWNTIME_NANOS, fault.length());
+        target.clock().scheduleAt(end - fault.length() / DRAIN_PARTS, server::drain);
+        target.clock().scheduleAt(end, () -> {
             server.stop(false);
-            stage.clock().at(end + SHORTEST_STOP, () -> startAgain(server));
+            target.clock().scheduleAt(end + MIN_DOWNTIME_NANOS, () -> restart(server));
         });
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/model/FaultTarget.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/FaultTarget.java
@@ -2,45 +2,45 @@
 
 import java.util.List;
 
-/** What faults act upon: the same in virtual time and on real sockets. */
+/** What faults act upon, in virtual time and on real sockets alike. */
 public interface FaultTarget {
-    /** The clock. */
+    /** Returns the clock of the run. */
     Clock clock();
 
-    /** What stands on it. */
-    Topology scene();
+    /** Returns the servers, the network and discovery. */
+    Topology topology();
 
-    /** Kills an instance and starts it anew. */
+    /** Kills a sidecar instance and starts it again. */
     void restartInstance(int number);
 
-    /** A server under a new id takes another's place, at its address or at another one. */
-    OrderServer replace(OrderServer old, boolean sameAddress);
+    /** Replaces a server by one with a new id, at the same address or at another one; returns the new one. */
+    OrderServer replaceServer(OrderServer old, boolean sameAddress);
 
-    /** Something has begun or ended, for the record. */
-    void note(String what);
+    /** Records the begin or end of a fault for the report. */
+    void recordEvent(String what);
 
-    /** The servers that are there now. */
+    /** Returns the servers that exist now. */
     default List<OrderServer> servers() {
-        return scene().fleet().servers();
+        return topology().fleet().servers();
     }
 
-    /** How many instances there are. */
+    /** Returns the number of sidecar instances. */
     default int instanceCount() {
-        return scene().scenario().fleet().instances();
+        return topology().scenario().fleet().instances();
     }
 
-    /** What discovery knows. */
+    /** Returns the endpoint list of discovery. */
     default EndpointDirectory directory() {
-        return scene().directory();
+        return topology().directory();
     }
 
-    /** The links to the servers. */
+    /** Returns the network between instances and servers. */
     default Link link() {
-        return scene().link();
+        return topology().link();
     }
 
-    /** From now on clients ask so many times as much. */
-    default void overload(double times) {
-        scene().rhythm().overload(times);
+    /** Multiplies the clients' request rate by a factor from now on; 1 restores it. */
+    default void setLoadFactor(double times) {
+        topology().trafficPattern().setLoadFactor(times);
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/model/Fleet.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/Fleet.java
@@ -5,7 +5,7 @@
 import topazvalve.simulation.scenario.MachineKind;
 import topazvalve.simulation.scenario.Scenario;
 
-/** The order servers of a world: who stands where, drawn from the seed. */
+/** The order servers of a run and their pods, drawn from the seed. */
 public final class Fleet {
     private final Scenario scenario;
     private final Clock clock;
@@ -14,7 +14,7 @@
     private final List<OrderServer> servers = new ArrayList<>();
     private long lastId;
 
-    /** Warm servers, in pods that alternate between the zones. */
+    /** Creates warm servers, in pods that alternate between the zones. */
     public Fleet(Scenario scenario, Clock clock, long seed) {
         this.scenario = scenario;
         this.clock = clock;
@@ -24,22 +24,22 @@
         int perZone = (spec.servers() + zones - 1) / zones;
         int podsOfZone = Math.max(1, (perZone + spec.podSize() - 1) / spec.podSize());
         for (int i = 0; i < podsOfZone * zones; i++) {
-            RandomStreams chance = RandomStreams.stream(seed, "pod." + i);
-            boolean limited = chance.happens(spec.limitedPods());
-            pods.add(new Pod(clock, i, i % zones, limited ? spec.podLimit().at(chance.part()) : 1));
+            RandomStreams random = RandomStreams.stream(seed, "pod." + i);
+            boolean limited = random.happens(spec.limitedPods());
+            pods.add(new Pod(clock, i, i % zones, limited ? spec.podLimit().at(random.part()) : 1));
         }
         for (int i = 0; i < spec.servers(); i++) {
-            servers.add(make(pods.get(i % pods.size()), kind(RandomStreams.stream(seed, "kind." + i))));
+            servers.add(make(pods.get(i % pods.size()), drawKind(RandomStreams.stream(seed, "kind." + i))));
         }
     }
 
-    private int kind(RandomStreams chance) {
-        double all =
+    private int drawKind(RandomStreams random) {
+        double totalShares =
                 scenario.machines().stream().mapToDouble(MachineKind::share).sum();
-        double at = chance.part() * all;
+        double remaining = random.part() * totalShares;
         for (int i = 0; i < scenario.machines().size(); i++) {
-            at -= scenario.machines().get(i).share();
-            if (at < 0) {
+            remaining -= scenario.machines().get(i).share();
+            if (remaining < 0) {
                 return i;
             }
         }
@@ -59,12 +59,12 @@
                 RandomStreams.stream(seed, "server." + id));
     }
 
-    /** Those that are there now. */
+    /** Returns the servers that exist now. */
     public List<OrderServer> servers() {
         return servers;
     }
 
-    /** A new one of the same kind and pod in place of one that is gone. */
+    /** Replaces a server by a new one of the same kind in the same pod, and returns the new one. */
     public OrderServer replace(OrderServer old) {
         OrderServer fresh = make(old.pod(), old.kindNumber());
         servers.set(servers.indexOf(old), fresh);
--- a/simulation/src/main/java/topazvalve/simulation/model/IdempotencyCache.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/IdempotencyCache.java
@@ -3,30 +3,30 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The keys that an order server has met of late: the least lately met one goes first. */
+/** The idempotency keys that an order server has seen lately. The least recently seen key is evicted first. */
 final class IdempotencyCache {
-    private final long keep;
-    private final Map<Long, Long> met;
+    private final long retentionNanos;
+    private final Map<Long, Long> lastSeenAt;
 
-    IdempotencyCache(int most, long keep) {
-        this.keep = keep;
-        this.met = new LinkedHashMap<>(16, 0.75f, true) {
+    IdempotencyCache(int capacity, long retentionNanos) {
+        this.retentionNanos = retentionNanos;
+        this.lastSeenAt = new LinkedHashMap<>(16, 0.75f, true) {
             private static final long serialVersionUID = 1;
 
             @Override
             protected boolean removeEldestEntry(Map.Entry<Long, Long> eldest) {
-                return size() > most;
+                return size() > capacity;
             }
         };
     }
 
-    /** Meets a key; whether it was known. */
-    boolean meet(long key, long now) {
-        Long last = met.put(key, now);
-        return last != null && now - last <= keep;
+    /** Records a key and returns whether it was seen within the retention time before. */
+    boolean recordAndCheck(long key, long now) {
+        Long previous = lastSeenAt.put(key, now);
+        return previous != null && now - previous <= retentionNanos;
     }
 
     void clear() {
-        met.clear();
+        lastSeenAt.clear();
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/model/Link.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/Link.java
@@ -2,45 +2,46 @@
 
 import topazvalve.simulation.scenario.Scenario.Network;
 
-/** One-way delays between instances and servers, with what a fault adds. */
+/** The network between sidecar instances and servers: one-way delays, and what faults add to them. */
 public final class Link {
-    /** How long a lost packet is missed before it is sent again; doubled each time. */
-    private static final long RESEND = 200_000_000;
+    /** The delay before the first retransmission of a lost packet; it doubles with each further one. */
+    private static final long FIRST_RETRANSMISSION_NANOS = 200_000_000;
+
+    private static final int MAX_RETRANSMISSIONS = 6;
 
-    private static final int MOST_RESENDS = 6;
     private final Network network;
-    private final RandomStreams chance;
-    private double loss;
-    private long extra;
+    private final RandomStreams random;
+    private double lossRate;
+    private long extraDelayNanos;
 
-    /** A link without faults. */
-    public Link(Network network, RandomStreams chance) {
+    /** Creates a network without faults. */
+    public Link(Network network, RandomStreams random) {
         this.network = network;
-        this.chance = chance;
+        this.random = random;
     }
 
-    /** Draws the delay of one message. */
-    public long delay(boolean crossZone) {
+    /** Draws the one-way delay of a message, in nanoseconds. */
+    public long nextDelayNanos(boolean crossZone) {
         long base = crossZone ? network.crossZone() : network.sameZone();
-        long delay = base + extra;
+        long delay = base + extraDelayNanos;
         if (network.jitter() > 0) {
-            delay += (long) chance.exponential(base * network.jitter());
+            delay += (long) random.exponential(base * network.jitter());
         }
-        long resend = RESEND;
-        for (int i = 0; loss > 0 && i < MOST_RESENDS && chance.happens(loss); i++) {
-            delay += resend;
-            resend *= 2;
+        long retransmission = FIRST_RETRANSMISSION_NANOS;
+        for (int i = 0; lossRate > 0 && i < MAX_RETRANSMISSIONS && random.happens(lossRate); i++) {
+            delay += retransmission;
+            retransmission *= 2;
         }
         return delay;
     }
 
-    /** From now on this part of the packets is lost. */
-    public void loss(double part) {
-        loss = part;
+    /** Sets the fraction (0 to 1) of packets that are lost from now on. */
+    public void setLossRate(double rate) {
+        lossRate = rate;
     }
 
-    /** From now on every message takes so much longer. */
-    public void extra(long nanoseconds) {
-        extra = nanoseconds;
+    /** Sets the delay that is added to every message from now on; 0 for none. */
+    public void setExtraDelay(long nanos) {
+        extraDelayNanos = nanos;
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/model/OrderServer.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/OrderServer.java
@@ -1,85 +1,77 @@
 package topazvalve.simulation.model;
 
 import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.function.BiConsumer;
 import topazvalve.simulation.scenario.MachineKind;
 import topazvalve.simulation.scenario.MachineKind.Cancel;
-import topazvalve.simulation.scenario.MachineKind.WarmBy;
 import topazvalve.simulation.scenario.Scenario.Limits;
 
 /**
- * One order server, on whatever clock: what it does with the attempts that reach it, and what its troubles
- * make of that. Its cores are shared evenly among the attempts in work. How bytes come and go is not its
- * concern.
+ * One order server, on either clock: its queue and processor, its connections, and the effect of faults on them. Bytes
+ * and sockets are the caller's concern.
  */
 public final class OrderServer {
-    /** What a new connection or an attempt meets. */
+    /** How the server treats connections and attempts. */
     public enum Mode {
-        /** Serving. */
+        /** It serves. */
         UP,
-        /** Takes attempts and answers none. */
+        /** It takes attempts and never responds. */
         SILENT,
-        /** Stands still; connections are made, nothing else happens. */
+        /** It accepts connections, and nothing else happens. */
         FROZEN,
-        /** No new connections. */
+        /** It refuses new connections. */
         REFUSING,
         /** The process has ended: connections are refused. */
         DOWN,
-        /** The machine says nothing: connections never come up. */
+        /** The machine is unreachable: connections are never established. */
         VANISHED
     }
 
-    private static final long COLD_STEP = 200_000_000;
-    private static final double DONE = 0.5;
-    /** Jobs of mean work that chance may add to a cold server's budget of N: at most 2 x root of N + 2. */
-    private static final int SLACK_JOBS = 4;
+    private static final long WARM_UP_STEP_NANOS = 200_000_000;
+    /** A pause takes the mean length times a factor that is uniform from this one to this one plus 1. */
+    private static final double MIN_PAUSE_FACTOR = 0.5;
 
     private final Clock clock;
     private final MachineKind kind;
     private final int kindNumber;
     private final long id;
     private final Pod pod;
-    private final double speed;
-    private final RandomStreams chance;
+    private final double fullSpeed;
+    private final double coreSpeed;
+    private final RandomStreams random;
     private final Limits limits;
     private final double meanWork;
     private final int slots;
-    private final int room;
-    private final IdempotencyCache keys;
-    private final List<ServerAttempt> running = new ArrayList<>();
-    private final ArrayDeque<ServerAttempt> waiting = new ArrayDeque<>();
-    private BiConsumer<OrderServer, Double> whenFallen = (server, informed) -> {};
-
-    private ColdServerMonitor coldWatch;
+    private final int capacity;
+    private final IdempotencyCache idempotencyCache;
+    private final SharedProcessor processor;
+    private final ArrayDeque<ServerAttempt> queue = new ArrayDeque<>();
+    private final WarmUp warmUp;
+    private final CongestionDetector congestion;
+    private BiConsumer<OrderServer, Double> coldCrashListener = (server, informedFraction) -> {};
+
+    private ColdServerMonitor coldServerMonitor;
+    private ColdLoadWindow coldLoad;
+    private boolean crashedWhileCold;
 
     private Mode mode = Mode.UP;
-    private double slower = 1;
-    private double spoilt;
-    private long pausedUntil;
     private boolean draining;
-    private long startedAt;
-    private boolean cold;
-    private double workSinceStart;
-    private ColdCapacityBudget budget;
-    private boolean fallen;
-    private boolean crowded;
-    private long crowdedSince = -1;
-    private long restingSince = -1;
+    private double slowdown = 1;
+    private double corruptionRate;
+    private long pausedUntil;
     private int connections;
-    private int life;
-    private double owedWork;
-
-    /** Work that each running attempt has had, in nanoseconds of a standard core. */
-    private double progress;
+    private int incarnation;
+    /** Work of accepting connections that the next attempt to start has to do first. */
+    private double connectionWork;
 
-    private long progressAt;
-    private double rate;
-    private long planned = Long.MAX_VALUE;
-    private long plan;
-
-    /** A warm server that has run for long. */
+    /**
+     * Creates a warm server that has run for long.
+     *
+     * @param kindNumber the index of its kind in the scenario
+     * @param meanWork mean work of a request in nanoseconds of a standard core
+     * @param random its own stream of random numbers
+     */
     public OrderServer(
             Clock clock,
             long id,
@@ -88,7 +80,7 @@
             Pod pod,
             Limits limits,
             double meanWork,
-            RandomStreams chance) {
+            RandomStreams random) {
         this.clock = clock;
         this.id = id;
         this.kind = kind;
@@ -96,402 +88,362 @@
         this.pod = pod;
         this.limits = limits;
         this.meanWork = meanWork;
-        this.chance = chance;
-        this.speed = kind.speed().at(chance.part());
+        this.random = random;
+        this.coreSpeed = kind.speed().at(random.part());
+        this.fullSpeed = coreSpeed * kind.cores();
         this.slots = Math.max(1, (int) Math.round(kind.slots() * kind.cores()));
-        this.room = slots + (int) Math.round(kind.queue() * kind.cores());
-        this.keys = kind.knownKeys() > 0 ? new IdempotencyCache(kind.knownKeys() * kind.cores(), kind.keyTime()) : null;
-        this.progressAt = clock.now();
+        this.capacity = slots + (int) Math.round(kind.queue() * kind.cores());
+        this.idempotencyCache =
+                kind.knownKeys() > 0 ? new IdempotencyCache(kind.knownKeys() * kind.cores(), kind.keyTime()) : null;
+        this.processor = new SharedProcessor(clock, kind.cores(), this::completionDue);
+        this.warmUp = new WarmUp(kind, fullSpeed);
+        this.congestion = new CongestionDetector(kind);
         pod.add(this);
         if (kind.pauseEvery() > 0) {
             schedulePause();
         }
     }
 
-    /** Its id, the same over restarts. */
+    /** Returns its id, which stays the same over restarts. */
     public long id() {
         return id;
     }
 
-    /** Its kind's place in the scenario. */
+    /** Returns the index of its kind in the scenario. */
     public int kindNumber() {
         return kindNumber;
     }
 
-    /** Its kind. */
+    /** Returns its kind of machine. */
     public MachineKind kind() {
         return kind;
     }
 
-    /** Where it stands. */
+    /** Returns the pod that it belongs to. */
     public Pod pod() {
         return pod;
     }
 
-    /** When its process last started; 0 for long ago. */
+    /** Returns when its process last started, in nanoseconds of the clock; 0 for long ago. */
     public long startedAt() {
-        return startedAt;
+        return warmUp.startedAt();
     }
 
-    /** What those who connect or ask meet. */
+    /** Returns how it treats connections and attempts now. */
     public Mode mode() {
         return mode;
     }
 
-    /** Whether it was pushed over while cold. */
-    public boolean fallen() {
-        return fallen;
+    /** Returns whether it crashed under overload while it was cold; it doesn't start again then. */
+    public boolean crashedWhileCold() {
+        return crashedWhileCold;
     }
 
-    /** Connections that are open. */
+    /** Returns the number of open connections. */
     public int connections() {
         return connections;
     }
 
-    /** Attempts in work and waiting. */
-    public int held() {
-        return running.size() + waiting.size();
+    /** Returns the number of attempts that are running or queued. */
+    public int attemptsHeld() {
+        return processor.runningCount() + queue.size();
     }
 
-    /** Tells who pushed it over: the part of the work that came from those who knew of its start. */
-    public void onFallen(BiConsumer<OrderServer, Double> listener) {
-        whenFallen = listener;
+    /**
+     * Sets the listener for a crash under overload while cold. Its second argument is the fraction (0 to 1) of the
+     * work whose senders knew of the server's start.
+     */
+    public void onColdCrash(BiConsumer<OrderServer, Double> listener) {
+        coldCrashListener = listener;
     }
 
+    /** Measures the load of this server while it is cold; it no longer crashes. */
+    public void monitorColdLoad(ColdServerMonitor monitor) {
+        coldServerMonitor = monitor;
+    }
+
+    /** Returns the work a nanosecond that all cores do when warm. */
     double fullSpeed() {
-        return speed * kind.cores();
+        return fullSpeed;
     }
 
-    double use() {
-        return mode == Mode.UP ? speed * Math.min(kind.cores(), running.size()) : 0;
+    /** Returns the work a nanosecond of the cores that have something to do, when warm. */
+    double speedInUse() {
+        return mode == Mode.UP ? coreSpeed * Math.min(kind.cores(), processor.runningCount()) : 0;
     }
 
     // Connections.
 
-    /** Accepts a connection, or says that its table is full. */
-    public boolean accept() {
+    /** Accepts a connection, or returns false if it has as many as it can hold. */
+    public boolean acceptConnection() {
         if (connections >= kind.connections()) {
             return false;
         }
         connections++;
-        owedWork += kind.connectionCost();
+        connectionWork += kind.connectionCost();
         return true;
     }
 
-    /** A connection that it accepted in this of its lives has ended. */
-    public void closed(int acceptedIn) {
-        if (acceptedIn == life) {
+    /**
+     * A connection has closed. Without effect if the process that accepted it has ended.
+     *
+     * @param acceptedIn the {@link #incarnation} in which it was accepted
+     */
+    public void connectionClosed(int acceptedIn) {
+        if (acceptedIn == incarnation) {
             connections--;
         }
     }
 
-    /** Which of its lives this is: a process that ends takes its connections with it. */
-    public int life() {
-        return life;
-    }
-
-    /** Measures what this server is sent while it is cold, in place of letting it fall. */
-    public void watchCold(ColdServerMonitor watch) {
-        coldWatch = watch;
-    }
-
-    private double slack() {
-        return Math.min(SLACK_JOBS, 2 * Math.sqrt(budget.allowed() / meanWork) + 2) * meanWork;
+    /** Returns the number of its present process. A process that ends takes its connections with it. */
+    public int incarnation() {
+        return incarnation;
     }
 
     // Attempts.
 
     /**
-     * Takes an attempt that has come whole.
+     * Takes an attempt that has arrived completely: starts, queues, rejects or ignores it, or crashes under it.
      *
-     * @param informed whether its sender knew when this server last started
+     * @param senderInformed whether its sender knew when this server last started
      */
-    public void offer(ServerAttempt job, boolean informed) {
+    public void offer(ServerAttempt attempt, boolean senderInformed) {
         if (mode == Mode.DOWN || mode == Mode.VANISHED || mode == Mode.SILENT) {
             return;
         }
         long now = clock.now();
-        if (cold) {
-            budget.offer(now, job.work, presentSpeed(now), informed);
-            if (coldWatch != null) {
-                coldWatch.window(
-                        this, budget.offered() / meanWork, budget.allowed() / meanWork, budget.informedShare());
-            } else if (budget.over(slack())) {
-                fall();
-                job.broken();
-                return;
-            }
+        if (warmUp.isCold() && crashesUnder(attempt, senderInformed, now)) {
+            crash();
+            attempt.reset();
+            return;
         }
-        if (draining || (held() >= room && kind.declines())) {
-            job.declined();
+        if (draining || (attemptsHeld() >= capacity && kind.declines())) {
+            attempt.rejected();
             return;
         }
-        job.holder = this;
-        settle();
-        if (running.size() < slots) {
-            begin(job);
+        attempt.server = this;
+        advance();
+        if (processor.runningCount() < slots) {
+            start(attempt);
         } else {
-            waiting.add(job);
+            queue.add(attempt);
         }
-        watchCrowd(now);
-        replan();
+        updateCongestion(now);
+        reschedule();
     }
 
-    /** The sender has given an attempt up; what that stops is up to the kind. */
-    public void cancel(ServerAttempt job) {
-        if (job.holder != this || kind.cancel() == Cancel.NOTHING || (job.running && kind.cancel() == Cancel.WAITING)) {
+    private boolean crashesUnder(ServerAttempt attempt, boolean senderInformed, long now) {
+        coldLoad.record(now, attempt.work, presentSpeed(now), senderInformed);
+        if (coldServerMonitor != null) {
+            coldServerMonitor.coldLoadMeasured(
+                    this, coldLoad.offeredRequests(), coldLoad.allowedRequests(), coldLoad.informedFraction());
+            return false;
+        }
+        return coldLoad.isOverloaded();
+    }
+
+    /** The sender has cancelled an attempt. The kind of machine decides whether that stops it. */
+    public void cancel(ServerAttempt attempt) {
+        if (attempt.server != this || !stopsOnCancel(attempt)) {
             return;
         }
-        settle();
-        if (job.running) {
-            running.remove(job);
+        advance();
+        if (attempt.running) {
+            processor.remove(attempt);
         } else {
-            waiting.remove(job);
+            queue.remove(attempt);
         }
-        job.holder = null;
-        job.dropped();
-        refill();
-        replan();
+        attempt.server = null;
+        attempt.discarded();
+        startQueued();
+        reschedule();
     }
 
-    private void begin(ServerAttempt job) {
-        double work = job.work + owedWork;
-        owedWork = 0;
-        if (keys != null && job.key != 0 && keys.meet(job.key, clock.now())) {
-            work -= job.work * kind.keyGain();
+    private boolean stopsOnCancel(ServerAttempt attempt) {
+        return kind.cancel() == Cancel.ALL || (kind.cancel() == Cancel.WAITING && !attempt.running);
+    }
+
+    private void start(ServerAttempt attempt) {
+        double work = attempt.work + connectionWork;
+        connectionWork = 0;
+        if (idempotencyCache != null && attempt.key != 0 && idempotencyCache.recordAndCheck(attempt.key, clock.now())) {
+            work -= attempt.work * kind.keyGain();
         }
-        job.finish = progress + work;
-        job.running = true;
-        running.add(job);
-        job.began();
+        processor.start(attempt, work);
+        attempt.started();
     }
 
-    private void refill() {
-        while (running.size() < slots && !waiting.isEmpty()) {
-            ServerAttempt next = waiting.poll();
+    private void startQueued() {
+        while (processor.runningCount() < slots && !queue.isEmpty()) {
+            ServerAttempt next = queue.poll();
             if (kind.honoursDeadline() && clock.now() > next.deadline) {
-                next.holder = null;
-                next.dropped();
+                next.server = null;
+                next.discarded();
             } else {
-                begin(next);
+                start(next);
             }
         }
     }
 
-    /** Brings the progress up to now, at the rate that held until now. */
-    void settle() {
-        long now = clock.now();
-        double done = rate * (now - progressAt);
-        progress += done;
-        if (cold) {
-            workSinceStart += done * running.size();
-        }
-        progressAt = now;
+    private void completionDue() {
+        advance();
+        processor.removeFinished(this::complete);
+        startQueued();
+        updateCongestion(clock.now());
+        reschedule();
     }
 
-    /** What all cores do together, in work a nanosecond, but for stand-stills. */
-    private double presentSpeed(long now) {
-        double warmth = warmth(now);
-        return fullSpeed() * warmth / slower / (crowded ? kind.crowdedSlower() : 1) * pod.factor();
+    private void complete(ServerAttempt attempt) {
+        attempt.server = null;
+        boolean success = !random.happens(kind.errors());
+        boolean corrupted = random.happens(corruptionRate);
+        attempt.completed(success, corrupted);
     }
 
-    private double warmth(long now) {
-        if (!cold) {
-            return 1;
-        }
-        double part = kind.coldTime() == 0 ? 1 : (double) (now - startedAt) / kind.coldTime();
-        if (kind.warmBy() == WarmBy.WORK && kind.coldTime() > 0) {
-            // Half the work that a warm one does in the time makes it warm before the time is over.
-            part = Math.max(part, workSinceStart / (0.5 * fullSpeed() * kind.coldTime()));
-        }
-        if (part >= 1) {
-            cold = false;
-            return 1;
-        }
-        return kind.coldShare() + (1 - kind.coldShare()) * part;
+    /** Removes all attempts, the running ones first, without a response. */
+    private List<ServerAttempt> removeAllAttempts() {
+        List<ServerAttempt> removed = processor.removeAll();
+        removed.addAll(queue);
+        queue.clear();
+        removed.forEach(each -> each.server = null);
+        return removed;
     }
 
-    /** Works out the rate that holds from now on and when the next attempt is done. */
-    void replan() {
-        long now = clock.now();
-        boolean still = (mode != Mode.UP && mode != Mode.REFUSING) || now < pausedUntil || running.isEmpty();
-        rate = still ? 0 : presentSpeed(now) / Math.max(kind.cores(), running.size());
-        if (rate == 0) {
-            planned = Long.MAX_VALUE;
-            plan++;
-            return;
-        }
-        double least = Double.MAX_VALUE;
-        for (int i = 0; i < running.size(); i++) {
-            least = Math.min(least, running.get(i).finish);
-        }
-        long at = now + Math.max(0, (long) Math.ceil((least - progress) / rate));
-        if (at != planned) {
-            planned = at;
-            long mine = ++plan;
-            clock.at(at, () -> finishDue(mine));
-        }
-    }
+    // Speed.
 
-    private void finishDue(long mine) {
-        if (mine != plan) {
-            return;
-        }
-        planned = Long.MAX_VALUE;
-        settle();
-        for (int i = running.size() - 1; i >= 0; i--) {
-            ServerAttempt job = running.get(i);
-            if (job.finish <= progress + DONE) {
-                running.remove(i);
-                job.holder = null;
-                job.served(!chance.happens(kind.errors()), chance.happens(spoilt));
-            }
-        }
-        refill();
-        watchCrowd(clock.now());
-        replan();
+    /** Accounts for the work done until now, at the speed that held until now. */
+    void advance() {
+        warmUp.addWork(processor.advance());
     }
 
-    /** Held by more than it bears for long enough, it turns slow, and stays so until it has rested. */
-    private void watchCrowd(long now) {
-        if (kind.crowdedAt() == 0) {
-            return;
-        }
-        double held = (double) held() / kind.cores();
-        if (!crowded) {
-            crowdedSince = held < kind.crowdedAt() ? -1 : crowdedSince < 0 ? now : crowdedSince;
-            crowded = crowdedSince >= 0 && now - crowdedSince >= kind.crowdedAfter();
-            restingSince = -1;
+    /** Applies the speed that holds from now on, and schedules the next completion. */
+    void reschedule() {
+        long now = clock.now();
+        boolean serving = mode == Mode.UP || mode == Mode.REFUSING;
+        if (serving && now >= pausedUntil && processor.runningCount() > 0) {
+            processor.run(presentSpeed(now));
         } else {
-            restingSince = held > kind.crowdedAt() / 4 ? -1 : restingSince < 0 ? now : restingSince;
-            crowded = restingSince < 0 || now - restingSince < kind.crowdedRest();
-            crowdedSince = -1;
+            processor.halt();
         }
     }
 
-    // Troubles.
-
-    private void change(Runnable what) {
-        settle();
-        what.run();
-        replan();
+    /** Returns the work a nanosecond that all cores do now, pauses aside. */
+    private double presentSpeed(long now) {
+        return fullSpeed * warmUp.speedFraction(now) / slowdown / congestion.slowdown() * pod.speedFactor();
     }
 
-    /** From now on it runs so many times slower; 1 is its own speed. */
-    public void slower(double times) {
-        change(() -> slower = times);
+    private void updateCongestion(long now) {
+        congestion.update(now, (double) attemptsHeld() / kind.cores());
     }
 
-    /** From now on this part of its answers is spoilt. */
-    public void spoil(double part) {
-        spoilt = part;
+    // Faults.
+
+    /** Makes the server this many times slower from now on; 1 restores its own speed. */
+    public void setSlowdown(double times) {
+        advance();
+        slowdown = times;
+        reschedule();
     }
 
-    /** From now on it serves, is silent, stands still or refuses; a silent one never answers what it took. */
-    public void mode(Mode next) {
-        change(() -> {
-            mode = next;
-            if (next == Mode.SILENT) {
-                forget();
-            }
-        });
+    /** Sets the fraction (0 to 1) of responses that are damaged from now on. */
+    public void setCorruptionRate(double rate) {
+        corruptionRate = rate;
     }
 
-    private void forget() {
-        running.forEach(each -> each.holder = null);
-        waiting.forEach(each -> each.holder = null);
-        running.clear();
-        waiting.clear();
+    /** Sets how it treats connections and attempts. A server that turns silent never responds to those it holds. */
+    public void setMode(Mode next) {
+        advance();
+        mode = next;
+        if (next == Mode.SILENT) {
+            removeAllAttempts();
+        }
+        reschedule();
     }
 
-    /** Declines what is new and goes on with what it has. */
+    /** Rejects new attempts from now on, and finishes those that it holds. */
     public void drain() {
         draining = true;
     }
 
-    /** Breaks every attempt that it holds. */
-    public void breakAll() {
-        settle();
-        List<ServerAttempt> held = new ArrayList<>(running);
-        held.addAll(waiting);
-        forget();
-        held.forEach(ServerAttempt::broken);
-        replan();
+    /** Resets every attempt that it holds. */
+    public void resetAll() {
+        advance();
+        removeAllAttempts().forEach(ServerAttempt::reset);
+        reschedule();
     }
 
-    /** The process ends: what it holds is broken, or lost without a word where the whole machine goes. */
+    /**
+     * Ends the process.
+     *
+     * @param silently true if the whole machine disappears: attempts are lost without a reset
+     */
     public void stop(boolean silently) {
-        settle();
+        advance();
         if (silently) {
-            forget();
+            removeAllAttempts();
         } else {
-            breakAll();
+            resetAll();
         }
         mode = silently ? Mode.VANISHED : Mode.DOWN;
         connections = 0;
-        life++;
-        replan();
+        incarnation++;
+        reschedule();
     }
 
-    /** The process starts, cold. A server that was pushed over stays down. */
+    /** Starts the process, cold. A server that crashed while cold stays down. */
     public void start() {
-        if (fallen) {
+        if (crashedWhileCold) {
             return;
         }
-        long now = clock.now();
         mode = Mode.UP;
         draining = false;
-        startedAt = now;
-        progressAt = now;
-        workSinceStart = 0;
-        crowded = false;
-        crowdedSince = -1;
-        cold = kind.coldShare() < 1;
-        budget = new ColdCapacityBudget(limits.tipAfter(), limits.overloadFactor());
-        if (keys != null) {
-            keys.clear();
+        processor.skipToPresent();
+        warmUp.start(clock.now());
+        congestion.reset();
+        coldLoad = new ColdLoadWindow(limits.tipAfter(), limits.overloadFactor(), meanWork);
+        if (idempotencyCache != null) {
+            idempotencyCache.clear();
         }
-        warmUp();
+        updateWarmUp();
     }
 
-    private void warmUp() {
-        if (cold && mode != Mode.DOWN) {
-            settle();
-            replan();
-            clock.at(clock.now() + COLD_STEP, this::warmUp);
+    private void updateWarmUp() {
+        if (warmUp.isCold() && mode != Mode.DOWN) {
+            advance();
+            reschedule();
+            clock.scheduleAt(clock.now() + WARM_UP_STEP_NANOS, this::updateWarmUp);
         }
     }
 
-    private void fall() {
-        fallen = true;
-        double informed = budget.informedShare();
+    private void crash() {
+        crashedWhileCold = true;
+        double informedFraction = coldLoad.informedFraction();
         stop(false);
-        whenFallen.accept(this, informed);
+        coldCrashListener.accept(this, informedFraction);
     }
 
-    /** It is gone for good. */
-    public void remove() {
+    /** Ends the process for good and leaves the pod. */
+    public void decommission() {
         stop(false);
         pod.remove(this);
     }
 
     private void schedulePause() {
-        long at = clock.now() + (long) chance.exponential(kind.pauseEvery());
-        clock.at(at, () -> {
-            long length = (long) (kind.pause() * (0.5 + chance.part()));
+        long at = clock.now() + (long) random.exponential(kind.pauseEvery());
+        clock.scheduleAt(at, () -> {
+            long length = (long) (kind.pause() * (MIN_PAUSE_FACTOR + random.part()));
             pause(length);
             schedulePause();
         });
     }
 
-    /** Stands still for so long. */
-    public void pause(long length) {
-        settle();
-        pausedUntil = Math.max(pausedUntil, clock.now() + length);
-        replan();
-        clock.at(pausedUntil, () -> {
-            settle();
-            replan();
+    private void pause(long nanos) {
+        advance();
+        pausedUntil = Math.max(pausedUntil, clock.now() + nanos);
+        reschedule();
+        clock.scheduleAt(pausedUntil, () -> {
+            advance();
+            reschedule();
         });
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/model/Pod.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/Pod.java
@@ -3,60 +3,68 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Servers of one zone that may share a limit; nobody is told which pods do. */
+/** Servers of one zone that may share a capacity limit. Discovery doesn't list which pods have one. */
 public final class Pod {
-    private static final long LOOK = 50_000_000;
+    private static final long UPDATE_INTERVAL_NANOS = 50_000_000;
+    /** Smaller changes of the speed factor are ignored. */
+    private static final double MIN_CHANGE = 0.01;
+
     private final int number;
     private final int zone;
-    private final double limit;
-    private final List<OrderServer> members = new ArrayList<>();
-    private double factor = 1;
+    private final double capacityLimit;
+    private final List<OrderServer> servers = new ArrayList<>();
+    private double speedFactor = 1;
 
-    /** {@code limit} is a part of the members' capacity together; 1 for none. */
-    public Pod(Clock clock, int number, int zone, double limit) {
+    /**
+     * Creates a pod without servers.
+     *
+     * @param capacityLimit the fraction of the servers' joint capacity that they may use; 1 for no limit
+     */
+    public Pod(Clock clock, int number, int zone, double capacityLimit) {
         this.number = number;
         this.zone = zone;
-        this.limit = limit;
-        if (limit < 1) {
-            clock.at(clock.now() + LOOK, () -> look(clock));
+        this.capacityLimit = capacityLimit;
+        if (capacityLimit < 1) {
+            clock.scheduleAt(clock.now() + UPDATE_INTERVAL_NANOS, () -> updateSpeedFactor(clock));
         }
     }
 
-    /** Its number, which the list shows. */
+    /** Returns its number, which discovery lists. */
     public int number() {
         return number;
     }
 
-    /** The zone that all of it is in. */
+    /** Returns the index of its zone. */
     public int zone() {
         return zone;
     }
 
-    void add(OrderServer member) {
-        members.add(member);
+    void add(OrderServer server) {
+        servers.add(server);
     }
 
-    void remove(OrderServer member) {
-        members.remove(member);
+    void remove(OrderServer server) {
+        servers.remove(server);
     }
 
-    double factor() {
-        return factor;
+    /** Returns the factor (0 to 1) by which the limit slows each server. */
+    double speedFactor() {
+        return speedFactor;
     }
 
-    private void look(Clock clock) {
-        double use = 0;
-        double all = 0;
-        for (OrderServer each : members) {
-            use += each.use();
-            all += each.fullSpeed();
+    private void updateSpeedFactor(Clock clock) {
+        double inUse = 0;
+        double capacity = 0;
+        for (OrderServer each : servers) {
+            inUse += each.speedInUse();
+            capacity += each.fullSpeed();
         }
-        double next = use == 0 ? 1 : Math.min(1, limit * all / use);
-        if (Math.abs(next - factor) > 0.01) {
-            members.forEach(OrderServer::settle);
-            factor = next;
-            members.forEach(OrderServer::replan);
+        double next = inUse == 0 ? 1 : Math.min(1, capacityLimit * capacity / inUse);
+        if (Math.abs(next - speedFactor) > MIN_CHANGE) {
+            servers.forEach(OrderServer::advance);
+            speedFactor = next;
+            servers.forEach(OrderServer::reschedule);
         }
-        clock.at(clock.now() + LOOK, () -> look(clock));
+        clock.scheduleAt(clock.now() + UPDATE_INTERVAL_NANOS, () -> updateSpeedFactor(clock));
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/model/RandomStreams.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/RandomStreams.java
@@ -7,8 +7,8 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Randomness by name: each purpose has a stream of its own, made of the run's seed and that name alone, so
- * that a fault that is changed shifts no arrival and no work.
+ * A stream of random numbers. Each purpose has a stream of its own, which depends on the run's seed and the purpose's
+ * name alone; thus another fault doesn't change the arrivals or the work.
  */
 public final class RandomStreams {
     private final UniformRandomProvider random;
@@ -21,39 +21,39 @@
         this.gaussian = ZigguratSampler.NormalizedGaussian.of(random);
     }
 
-    /** The stream of this name: xoroshiro128++, seeded by MurmurHash3 of seed and name. */
+    /** Creates the stream of a name: xoroshiro128++, seeded by MurmurHash3 of seed and name. */
     public static RandomStreams stream(long seed, String name) {
         byte[] bytes = (seed + ":" + name).getBytes(StandardCharsets.UTF_8);
         long[] state = MurmurHash3.hash128x64(bytes);
         return new RandomStreams(RandomSource.XO_RO_SHI_RO_128_PP.create(state));
     }
 
-    /** From 0 (included) to 1. */
+    /** Draws a number from 0 (inclusive) to 1 (exclusive). */
     public double part() {
         return random.nextDouble();
     }
 
-    /** True with this probability. */
+    /** Draws true with this probability; probabilities up to 0 or from 1 on draw nothing. */
     public boolean happens(double probability) {
         return probability > 0 && (probability >= 1 || random.nextDouble() < probability);
     }
 
-    /** A whole number from 0 to {@code bound} - 1. */
+    /** Draws an integer from 0 to {@code bound} - 1. */
     public int below(int bound) {
         return random.nextInt(bound);
     }
 
-    /** Any long. */
+    /** Draws any long. */
     public long any() {
         return random.nextLong();
     }
 
-    /** Exponential with this mean. */
+    /** Draws from the exponential distribution with this mean. */
     public double exponential(double mean) {
         return mean * exponential.sample();
     }
 
-    /** Lognormal with mean 1 and this coefficient of variation. */
+    /** Draws from the lognormal distribution with mean 1 and this coefficient of variation; 0 draws nothing. */
     public double lognormal(double variation) {
         if (variation == 0) {
             return 1;
@@ -62,7 +62,7 @@
         return Math.exp(Math.sqrt(variance) * gaussian.sample() - variance / 2);
     }
 
-    /** The stream itself, for samplers. */
+    /** Returns the underlying generator, for samplers. */
     public UniformRandomProvider random() {
         return random;
     }
--- a/simulation/src/main/java/topazvalve/simulation/model/RequestGenerator.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/RequestGenerator.java
@@ -7,70 +7,100 @@
 import topazvalve.simulation.scenario.WorkClass;
 
 /**
- * The clients of one instance: when the next request comes, whatever became of the last (an open loop), and
- * what it is. Draws from a stream of its own, in an order that nothing else can shift.
+ * The requests of one instance's clients. The load is an open loop: arrivals don't depend on earlier responses. All is
+ * drawn from a stream of its own, so that nothing else can change it.
  */
 public final class RequestGenerator {
-    /** One request as meant. */
-    public record Wish(
+    /**
+     * A request as a client means it.
+     *
+     * @param requestClass index of its class in the scenario
+     * @param work in nanoseconds of a standard core
+     * @param patienceNanos how long the client waits for the response
+     * @param leavesEarly whether the client disconnects when its patience ends
+     * @param retries whether the client retries once after a failure that allows it
+     * @param honoursRetryAfter whether the client heeds Retry-After
+     */
+    public record GeneratedRequest(
             int requestClass,
             long key,
             double work,
-            long patience,
+            long patienceNanos,
             boolean leavesEarly,
             boolean retries,
-            boolean heeds) {}
+            boolean honoursRetryAfter) {}
+
+    private static final double NANOS_PER_SECOND = 1e9;
+    /** The least exponent that the sampler of keys takes. */
+    private static final double MIN_ZIPF_EXPONENT = 1e-9;
+    /** An impatient client waits for a fraction of its deadline from this one on, this range wide. */
+    private static final double MIN_PATIENCE = 0.05;
+
+    private static final double PATIENCE_RANGE = 0.5;
 
     private final Scenario scenario;
-    private final RandomStreams chance;
-    private final TrafficPattern rhythm;
-    private final double rate;
-    private final double shares;
+    private final RandomStreams random;
+    private final TrafficPattern trafficPattern;
+    private final double ratePerNano;
+    private final double totalShares;
     private final DiscreteSampler keys;
 
-    /** Askers of instance {@code number}; all share one rhythm. */
-    public RequestGenerator(Scenario scenario, long seed, int number, TrafficPattern rhythm) {
+    /** Creates the generator of instance {@code number}; all generators of a run share one traffic pattern. */
+    public RequestGenerator(Scenario scenario, long seed, int number, TrafficPattern trafficPattern) {
         this.scenario = scenario;
-        this.chance = RandomStreams.stream(seed, "asker." + number);
-        this.rhythm = rhythm;
-        this.rate = scenario.instanceRate() * chance.lognormal(scenario.load().instanceSpread()) / 1e9;
-        this.shares = scenario.classes().stream().mapToDouble(WorkClass::share).sum();
+        this.random = RandomStreams.stream(seed, "asker." + number);
+        this.trafficPattern = trafficPattern;
+        this.ratePerNano =
+                scenario.instanceRate() * random.lognormal(scenario.load().instanceSpread()) / NANOS_PER_SECOND;
+        this.totalShares =
+                scenario.classes().stream().mapToDouble(WorkClass::share).sum();
         this.keys = RejectionInversionZipfSampler.of(
-                chance.random(),
+                random.random(),
                 scenario.load().keys(),
-                Math.max(1e-9, scenario.load().zipf()));
+                Math.max(MIN_ZIPF_EXPONENT, scenario.load().zipf()));
     }
 
-    /** Nanoseconds until the next moment to look; whether a request comes then is {@link #comes}. */
-    public long gap() {
-        return (long) chance.exponential(1 / (rate * rhythm.most()));
+    /**
+     * Draws the nanoseconds until the next candidate arrival. {@link #arrivesAt} decides whether a request arrives then
+     * (thinning of a Poisson process of the maximal rate).
+     */
+    public long nextGapNanos() {
+        return (long) random.exponential(1 / (ratePerNano * trafficPattern.maxFactor()));
     }
 
-    /** Whether a request comes at this moment, from the start of the run: thinning of a faster stream. */
-    public boolean comes(long time) {
-        double most = rhythm.most();
-        return chance.part() * most < rhythm.factor(time);
+    /** Decides whether a request arrives at a candidate time, in nanoseconds from the start of the run. */
+    public boolean arrivesAt(long time) {
+        double maxFactor = trafficPattern.maxFactor();
+        return random.part() * maxFactor < trafficPattern.factorAt(time);
     }
 
-    /** What the request is. */
-    public Wish wish() {
-        List<WorkClass> classes = scenario.classes();
-        double at = chance.part() * shares;
-        int number = 0;
-        while (number < classes.size() - 1 && at >= classes.get(number).share()) {
-            at -= classes.get(number++).share();
-        }
-        WorkClass kind = classes.get(number);
+    /** Draws the request that arrives. */
+    public GeneratedRequest next() {
+        int classNumber = drawClass();
+        WorkClass requestClass = scenario.classes().get(classNumber);
         Scenario.Clients clients = scenario.clients();
-        boolean early = chance.happens(clients.impatient());
-        long patience = early ? (long) (kind.deadline() * (0.05 + 0.5 * chance.part())) : kind.deadline();
-        return new Wish(
-                number,
+        boolean leavesEarly = random.happens(clients.impatient());
+        long patience = leavesEarly
+                ? (long) (requestClass.deadline() * (MIN_PATIENCE + PATIENCE_RANGE * random.part()))
+                : requestClass.deadline();
+        return new GeneratedRequest(
+                classNumber,
                 keys.sample(),
-                kind.work() * chance.lognormal(kind.spread()),
+                requestClass.work() * random.lognormal(requestClass.spread()),
                 patience,
-                early,
-                chance.happens(clients.retries()),
-                chance.happens(clients.honour()));
+                leavesEarly,
+                random.happens(clients.retries()),
+                random.happens(clients.honour()));
+    }
+
+    private int drawClass() {
+        List<WorkClass> classes = scenario.classes();
+        double remaining = random.part() * totalShares;
+        int number = 0;
+        while (number < classes.size() - 1 && remaining >= classes.get(number).share()) {
+            remaining -= classes.get(number).share();
+            number++;
+        }
+        return number;
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/model/ServerAttempt.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/ServerAttempt.java
@@ -1,27 +1,29 @@
 package topazvalve.simulation.model;
 
 /**
- * One attempt as an order server holds it. Whoever carries the answer back extends it. A server tells exactly
- * one of {@link #served}, {@link #declined}, {@link #broken} and {@link #dropped}, or nothing at all: a
- * silent one never does.
+ * One attempt as an order server holds it. Whoever carries the response back extends this class. A server calls
+ * exactly one of {@link #completed}, {@link #rejected}, {@link #reset} and {@link #discarded}, or none at all: a silent
+ * server never responds.
  */
 public abstract class ServerAttempt {
     final double work;
     final int requestClass;
     final long key;
     final long deadline;
-    /** The progress of the processor at which it is done. */
-    double finish;
-    /** Where it is: null once it is over. */
-    OrderServer holder;
+    /** The progress of the processor at which it is finished. */
+    double finishProgress;
+    /** The server that holds it; null when none does. */
+    OrderServer server;
 
     boolean running;
 
     /**
-     * A job that has not been offered yet.
+     * Creates an attempt that hasn't reached a server yet.
      *
-     * @param work nanoseconds of one standard core
-     * @param deadline until when its client waits, on the world's clock
+     * @param work its work in nanoseconds of a standard core
+     * @param requestClass the index of its request's class in the scenario
+     * @param key its idempotency key; 0 for none
+     * @param deadline when its client stops waiting, in nanoseconds of the clock
      */
     protected ServerAttempt(double work, int requestClass, long key, long deadline) {
         this.work = work;
@@ -30,18 +32,23 @@
         this.deadline = deadline;
     }
 
-    /** It begins to run: from now on it has an effect. */
-    protected abstract void began();
+    /** The server starts to work on it: from now on it may have an effect. */
+    protected abstract void started();
 
-    /** It has run; {@code good} is false where the server answers with an error. */
-    protected abstract void served(boolean good, boolean spoilt);
+    /**
+     * The server has finished it.
+     *
+     * @param success false if the response is an error
+     * @param corrupted whether the response is damaged
+     */
+    protected abstract void completed(boolean success, boolean corrupted);
 
-    /** Turned away unseen. */
-    protected abstract void declined();
+    /** The server has rejected it without running it. */
+    protected abstract void rejected();
 
-    /** Its connection has been broken by the server's end. */
-    protected abstract void broken();
+    /** The server has reset its connection. */
+    protected abstract void reset();
 
-    /** Taken off before it ran, after a cancel or past its deadline. */
-    protected abstract void dropped();
+    /** The server has removed it, after a cancellation or because its deadline was past before it started. */
+    protected abstract void discarded();
 }
--- a/simulation/src/main/java/topazvalve/simulation/model/Topology.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/Topology.java
@@ -4,60 +4,60 @@
 import java.util.List;
 import topazvalve.simulation.scenario.Scenario;
 
-/** What stands on a stage, drawn from scenario and seed: the same on either clock. */
+/** The servers, network, discovery and traffic pattern of a run, drawn from scenario and seed alike on either clock. */
 public final class Topology {
-    private static final int NOTES = 500;
+    private static final int MAX_RECORDED_EVENTS = 500;
 
     private final Scenario scenario;
     private final Fleet fleet;
     private final EndpointDirectory directory;
     private final Link link;
-    private final TrafficPattern rhythm;
-    private final List<String> notes = new ArrayList<>();
+    private final TrafficPattern trafficPattern;
+    private final List<String> recordedEvents = new ArrayList<>();
 
-    /** Servers that run for long, an empty list, links without faults. */
+    /** Creates warm servers, an empty endpoint list and a network without faults. */
     public Topology(Scenario scenario, Clock clock, long seed) {
         this.scenario = scenario;
         this.fleet = new Fleet(scenario, clock, seed);
         this.directory = new EndpointDirectory(clock, scenario.news(), RandomStreams.stream(seed, "directory"));
         this.link = new Link(scenario.network(), RandomStreams.stream(seed, "link"));
-        this.rhythm = new TrafficPattern(scenario.load(), RandomStreams.stream(seed, "rhythm"));
+        this.trafficPattern = new TrafficPattern(scenario.load(), RandomStreams.stream(seed, "rhythm"));
     }
 
-    /** What was read. */
+    /** Returns the scenario. */
     public Scenario scenario() {
         return scenario;
     }
 
-    /** The order servers. */
+    /** Returns the order servers. */
     public Fleet fleet() {
         return fleet;
     }
 
-    /** What discovery knows. */
+    /** Returns the endpoint list of discovery. */
     public EndpointDirectory directory() {
         return directory;
     }
 
-    /** The links to the servers. */
+    /** Returns the network between instances and servers. */
     public Link link() {
         return link;
     }
 
-    /** How all clients' rates go up and down. */
-    public TrafficPattern rhythm() {
-        return rhythm;
+    /** Returns how the request rate of all clients varies. */
+    public TrafficPattern trafficPattern() {
+        return trafficPattern;
     }
 
-    /** Keeps a note, {@code elapsed} nanoseconds into the run; only so many. */
-    public void note(long elapsed, String what) {
-        if (notes.size() < NOTES) {
-            notes.add(elapsed / 1_000_000 + " ms: " + what);
+    /** Records an event for the report, {@code elapsed} nanoseconds after the start; only the first 500 are kept. */
+    public void recordEvent(long elapsed, String what) {
+        if (recordedEvents.size() < MAX_RECORDED_EVENTS) {
+            recordedEvents.add(elapsed / 1_000_000 + " ms: " + what);
         }
     }
 
-    /** The notes, oldest first. */
-    public List<String> notes() {
-        return List.copyOf(notes);
+    /** Returns the recorded events, oldest first. */
+    public List<String> recordedEvents() {
+        return List.copyOf(recordedEvents);
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/model/TrafficPattern.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/TrafficPattern.java
@@ -2,43 +2,49 @@
 
 import topazvalve.simulation.scenario.Scenario.Load;
 
-/** How the rate of all clients goes up and down together, as a part of the mean. */
+/** How the request rate of all clients varies over time, as a factor of the mean rate. */
 public final class TrafficPattern {
+    private static final long MIN_PHASE_NANOS = 1_000_000;
+
     private final Load load;
-    private final RandomStreams chance;
-    private boolean high;
-    private long until;
-    private double overload = 1;
+    private final RandomStreams random;
+    private boolean burst;
+    private long phaseEndsAt;
+    private double loadFactor = 1;
 
-    /** Draws bursts from this stream. */
-    public TrafficPattern(Load load, RandomStreams chance) {
+    /** Creates a pattern that draws the lengths of bursts from {@code random}. */
+    public TrafficPattern(Load load, RandomStreams random) {
         this.load = load;
-        this.chance = chance;
+        this.random = random;
     }
 
-    /** Clients ask so many times as much. */
-    public void overload(double times) {
-        overload = times;
+    /** Multiplies the rate by a factor from now on; 1 restores it. */
+    public void setLoadFactor(double factor) {
+        loadFactor = factor;
     }
 
-    /** The factor at a time, in nanoseconds from the start; called with times that never run back. */
-    public double factor(long time) {
-        return overload
+    /**
+     * Returns the factor at a time.
+     *
+     * @param time nanoseconds from the start; must not decrease from call to call
+     */
+    public double factorAt(long time) {
+        return loadFactor
                 * switch (load.shape()) {
                     case POISSON -> 1;
                     case WAVE -> 1 + load.swing() * Math.sin(2 * Math.PI * time / load.period());
                     case BURSTY -> {
-                        while (time >= until) {
-                            high = !high;
-                            until += Math.max(1_000_000, (long) chance.exponential(load.period() / 2.0));
+                        while (time >= phaseEndsAt) {
+                            burst = !burst;
+                            phaseEndsAt += Math.max(MIN_PHASE_NANOS, (long) random.exponential(load.period() / 2.0));
                         }
-                        yield high ? 1 + load.swing() : 1 - load.swing();
+                        yield burst ? 1 + load.swing() : 1 - load.swing();
                     }
                 };
     }
 
-    /** No factor is above this one, at present. */
-    public double most() {
-        return overload * (1 + load.swing());
+    /** Returns an upper bound of the factor under the present load factor. */
+    public double maxFactor() {
+        return loadFactor * (1 + load.swing());
     }
 }
--- /dev/null
+++ b/simulation/src/main/java/topazvalve/simulation/model/WarmUp.java
@@ -0,0 +1,66 @@
+package topazvalve.simulation.model;
+
+import topazvalve.simulation.scenario.MachineKind;
+import topazvalve.simulation.scenario.MachineKind.WarmBy;
+
+/** The warm-up of a server process: its speed rises linearly from the cold fraction to full speed. */
+final class WarmUp {
+    /** The fraction of a warm server's work over the warm-up time that ends the warm-up early. */
+    private static final double SUFFICIENT_WORK_FRACTION = 0.5;
+
+    private final MachineKind kind;
+    private final double fullSpeed;
+    private boolean cold;
+    private long startedAt;
+    private double workSinceStart;
+
+    /**
+     * Creates the state of a server that has been warm for long.
+     *
+     * @param fullSpeed the server's speed when warm, in work a nanosecond
+     */
+    WarmUp(MachineKind kind, double fullSpeed) {
+        this.kind = kind;
+        this.fullSpeed = fullSpeed;
+    }
+
+    /** The process starts, cold if its kind of machine has a warm-up. */
+    void start(long now) {
+        startedAt = now;
+        workSinceStart = 0;
+        cold = kind.coldShare() < 1;
+    }
+
+    /** Returns when the process last started, in nanoseconds of the clock; 0 for long ago. */
+    long startedAt() {
+        return startedAt;
+    }
+
+    boolean isCold() {
+        return cold;
+    }
+
+    /** Adds work that the server has done, in nanoseconds of a standard core. */
+    void addWork(double work) {
+        if (cold) {
+            workSinceStart += work;
+        }
+    }
+
+    /** Returns the present fraction of the full speed (0 to 1), and ends the warm-up when it is complete. */
+    double speedFraction(long now) {
+        if (!cold) {
+            return 1;
+        }
+        double completed = kind.coldTime() == 0 ? 1 : (double) (now - startedAt) / kind.coldTime();
+        if (kind.warmBy() == WarmBy.WORK && kind.coldTime() > 0) {
+            double sufficientWork = SUFFICIENT_WORK_FRACTION * fullSpeed * kind.coldTime();
+            completed = Math.max(completed, workSinceStart / sufficientWork);
+        }
+        if (completed >= 1) {
+            cold = false;
+            return 1;
+        }
+        return kind.coldShare() + (1 - kind.coldShare()) * completed;
+    }
+}
--- a/simulation/src/main/java/topazvalve/simulation/real/DiscoveryStandIn.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/DiscoveryStandIn.java
@@ -56,7 +56,7 @@
     DiscoveryStandIn(EventLoop loop, RealWorld world, News news) {
         this.world = world;
         this.news = news;
-        world.directory().follow(this::changed);
+        world.directory().addListener(this::changed);
         loop.scheduleWithFixedDelay(() -> watches.forEach(each -> write(each, "\n")), BEAT_S, BEAT_S, TimeUnit.SECONDS);
         loop.scheduleWithFixedDelay(this::lookWhetherDown, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
     }
@@ -80,7 +80,7 @@
     }
 
     private void lookWhetherDown() {
-        if (world.directory().down()) {
+        if (world.directory().isUnavailable()) {
             Set.copyOf(watches).forEach(each -> each.channel.close());
             watches.clear();
         }
@@ -93,7 +93,7 @@
     private void changed(Entry entry) {
         long at = world.clock().now() + world.newsDelay();
         world.clock()
-                .at(
+                .scheduleAt(
                         at,
                         () -> Set.copyOf(watches)
                                 .forEach(each -> tell(
@@ -117,7 +117,7 @@
     /** The list as an instance had it before it started. */
     ObjectNode known() {
         EndpointDirectory directory = world.directory();
-        return listing(directory.all(), directory.revision(), true);
+        return listing(directory.entries(), directory.revision(), true);
     }
 
     private final class Handler extends SimpleChannelInboundHandler<FullHttpRequest> {
@@ -134,7 +134,9 @@
             String from = uri.parameters().getOrDefault("from", List.of("0")).get(0);
             long now = world.clock().now();
             long begins = Math.max(now, busyUntil);
-            if (!uri.path().equals("/discovery/hosts") || world.directory().down() || begins - now > news.patience()) {
+            if (!uri.path().equals("/discovery/hosts")
+                    || world.directory().isUnavailable()
+                    || begins - now > news.patience()) {
                 FullHttpResponse response =
                         new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.SERVICE_UNAVAILABLE);
                 HttpUtil.setContentLength(response, 0);
@@ -142,14 +144,14 @@
                 return;
             }
             busyUntil = begins + news.callTime();
-            world.clock().at(busyUntil, () -> answer(context.channel(), watching, Long.parseLong(from)));
+            world.clock().scheduleAt(busyUntil, () -> answer(context.channel(), watching, Long.parseLong(from)));
         }
 
         private void answer(Channel channel, boolean watching, long from) {
             EndpointDirectory directory = world.directory();
             HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-            List<Entry> changes = watching && from > 0 ? directory.since(from) : null;
-            List<Entry> entries = changes != null ? changes : directory.all();
+            List<Entry> changes = watching && from > 0 ? directory.changesSince(from) : null;
+            List<Entry> entries = changes != null ? changes : directory.entries();
             ObjectNode listing = listing(entries, directory.revision(), changes == null);
             if (watching) {
                 HttpUtil.setTransferEncodingChunked(head, true);
--- a/simulation/src/main/java/topazvalve/simulation/real/LoopClock.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/LoopClock.java
@@ -22,7 +22,7 @@
     }
 
     @Override
-    public void at(long time, Runnable event) {
+    public void scheduleAt(long time, Runnable event) {
         loop.schedule(event, Math.max(0, time - now()), TimeUnit.NANOSECONDS);
     }
 
--- a/simulation/src/main/java/topazvalve/simulation/real/RealClients.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/RealClients.java
@@ -44,7 +44,7 @@
     private final RealWorld world;
     private final Scenario scenario;
     private final EventLoop loop;
-    private final RandomStreams chance;
+    private final RandomStreams random;
     private final List<RequestGenerator> askers = new ArrayList<>();
     private final List<ArrayDeque<Channel>> idle = new ArrayList<>();
     private long lastId;
@@ -53,7 +53,7 @@
         this.world = world;
         this.scenario = world.scenario();
         this.loop = loop;
-        this.chance = RandomStreams.stream(seed, "clients");
+        this.random = RandomStreams.stream(seed, "clients");
         for (int i = 0; i < scenario.fleet().instances(); i++) {
             askers.add(new RequestGenerator(scenario, seed, i, rhythm));
             idle.add(new ArrayDeque<>());
@@ -74,11 +74,11 @@
     /** Times come from the plan, not from when the loop got round to them. */
     private void next(int number, long planned) {
         RequestGenerator asker = askers.get(number);
-        long at = planned + Math.max(1, asker.gap());
+        long at = planned + Math.max(1, asker.nextGapNanos());
         if (at < world.end()) {
-            world.clock().at(at, () -> {
-                if (asker.comes(world.sinceStart(at))) {
-                    RequestGenerator.Wish wish = asker.wish();
+            world.clock().scheduleAt(at, () -> {
+                if (asker.arrivesAt(world.sinceStart(at))) {
+                    RequestGenerator.GeneratedRequest wish = asker.next();
                     world.tally().asked(wish.requestClass(), world.sinceStart(at));
                     new Try(number, wish, at, false).send();
                 }
@@ -90,7 +90,7 @@
     /** One request on its way, and what the client does about its end. */
     private final class Try {
         private final int number;
-        private final RequestGenerator.Wish wish;
+        private final RequestGenerator.GeneratedRequest wish;
         private final long firstAt;
         private final boolean retry;
         private final WorkClass kind;
@@ -102,7 +102,7 @@
         private boolean onceMore;
         private boolean over;
 
-        Try(int number, RequestGenerator.Wish wish, long firstAt, boolean retry) {
+        Try(int number, RequestGenerator.GeneratedRequest wish, long firstAt, boolean retry) {
             this.number = number;
             this.wish = wish;
             this.firstAt = firstAt;
@@ -112,7 +112,7 @@
             this.id = Traces.id(number, mine);
             long now = world.clock().now();
             // The first one's time runs from when it was meant to be sent.
-            this.deadline = (retry ? now : firstAt) + wish.patience();
+            this.deadline = (retry ? now : firstAt) + wish.patienceNanos();
             this.left = deadline - now;
             this.trace = new Trace(mine, number, kind, world.sinceStart(now), world.sinceStart(deadline));
         }
@@ -122,10 +122,10 @@
                     .put(id, new Traces.Sent(trace, number, wish.requestClass(), wish.key(), wish.work(), deadline));
             world.oracle().sent(trace);
             world.request();
-            world.clock().at(deadline, this::giveUp);
+            world.clock().scheduleAt(deadline, this::giveUp);
             long forget = deadline + 10_000_000_000L;
-            world.clock().at(forget, () -> world.traces().remove(id));
-            connect(chance.happens(scenario.clients().reconnect()));
+            world.clock().scheduleAt(forget, () -> world.traces().remove(id));
+            connect(random.happens(scenario.clients().reconnect()));
         }
 
         private void connect(boolean anew) {
@@ -256,12 +256,12 @@
                                 world.sinceStart(firstAt),
                                 world.clock().now() - firstAt);
             } else if (wish.retries() && !retry && harmless) {
-                long pause = wish.heeds()
+                long pause = wish.honoursRetryAfter()
                         ? Math.max(
                                 scenario.clients().backoff(),
                                 Math.min(wait, scenario.clients().maxRetryAfter()))
                         : scenario.clients().backoff();
-                world.clock().at(world.clock().now() + pause, () -> {
+                world.clock().scheduleAt(world.clock().now() + pause, () -> {
                     world.tally().retry();
                     new Try(number, wish, firstAt, true).send();
                 });
@@ -275,7 +275,7 @@
 
     private final class Handler extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final int number;
-        private final boolean slow = chance.happens(scenario.clients().slowReaders());
+        private final boolean slow = random.happens(scenario.clients().slowReaders());
         private Try current;
         private boolean used;
 
@@ -305,7 +305,7 @@
             if (slow) {
                 context.channel().config().setAutoRead(false);
                 world.clock()
-                        .at(
+                        .scheduleAt(
                                 world.clock().now() + SLOW_READ,
                                 () -> context.channel().config().setAutoRead(true));
             }
--- a/simulation/src/main/java/topazvalve/simulation/real/RealWorld.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/RealWorld.java
@@ -123,8 +123,8 @@
             long began = System.nanoTime();
             List<Fault> faults = onLoop(() -> {
                 start = clock.now();
-                List<Fault> played = FaultPlayer.play(this, scenario, seed);
-                new RealClients(this, loop, seed, scene.rhythm()).start();
+                List<Fault> played = FaultPlayer.scheduleAll(this, scenario, seed);
+                new RealClients(this, loop, seed, scene.trafficPattern()).start();
                 return played;
             });
             int seconds = (int) (scenario.length() / 1_000_000_000L);
@@ -155,7 +155,7 @@
                     oracle.counts(),
                     oracle.breaches(),
                     faults,
-                    scene.notes(),
+                    scene.recordedEvents(),
                     digest.getValue(),
                     requests,
                     0,
@@ -191,7 +191,7 @@
         });
         open.forEach(CompletableFuture::join);
         onLoop(() -> {
-            servers().forEach(directory()::list);
+            servers().forEach(directory()::add);
             discovery = new DiscoveryStandIn(loop, this, scenario.news());
             return null;
         });
@@ -202,9 +202,9 @@
     }
 
     private void introduce(OrderServer server, InetSocketAddress where, Runnable open) {
-        server.onFallen((fallen, informed) -> {
+        server.onColdCrash((fallen, informed) -> {
             oracle.fell(fallen.id(), informed, elapsed());
-            note("server " + fallen.id() + " was pushed over while cold");
+            recordEvent("server " + fallen.id() + " was pushed over while cold");
         });
         stands.put(server.id(), ServerStandIn.open(loop, this, server, where, open));
     }
@@ -308,7 +308,7 @@
 
     /** One way between an instance and a server, beyond what loopback takes. */
     long way(int instance, OrderServer server) {
-        return link().delay(instance % scenario.fleet().zones().size()
+        return link().nextDelayNanos(instance % scenario.fleet().zones().size()
                 != server.pod().zone());
     }
 
@@ -369,7 +369,7 @@
     }
 
     @Override
-    public Topology scene() {
+    public Topology topology() {
         return scene;
     }
 
@@ -385,12 +385,12 @@
                 () -> {
                     try {
                         sidecars.get(number).start(scenario, discoveryPorts.get(number), known, fresh);
-                        directory().all().stream()
+                        directory().entries().stream()
                                 .filter(each -> each.state() != EndpointStatus.READY)
                                 .forEach(each ->
                                         oracle.drainTold(number, each.server().id(), elapsed()));
                     } catch (IOException e) {
-                        note("sidecar " + number + " could not be started again: " + e.getMessage());
+                        recordEvent("sidecar " + number + " could not be started again: " + e.getMessage());
                     }
                 },
                 100,
@@ -398,15 +398,15 @@
     }
 
     @Override
-    public OrderServer replace(OrderServer old, boolean sameAddress) {
+    public OrderServer replaceServer(OrderServer old, boolean sameAddress) {
         OrderServer fresh = scene.fleet().replace(old);
         introduce(fresh, sameAddress ? stands.get(old.id()).address() : ServerStandIn.ANY, () -> {});
         return fresh;
     }
 
     @Override
-    public void note(String what) {
-        scene.note(elapsed(), what);
+    public void recordEvent(String what) {
+        scene.recordEvent(elapsed(), what);
         if (what.startsWith("begins: ")) {
             now.add(what.substring(8));
         } else if (what.startsWith("ends: ")) {
--- a/simulation/src/main/java/topazvalve/simulation/real/ServerStandIn.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/ServerStandIn.java
@@ -53,7 +53,7 @@
     private ServerStandIn(EventLoop loop, RealWorld world, OrderServer server) {
         this.world = world;
         this.server = server;
-        this.life = server.life();
+        this.life = server.incarnation();
         loop.scheduleWithFixedDelay(this::look, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
     }
 
@@ -65,7 +65,7 @@
         stand.listening = bound.channel();
         bound.addListener(done -> {
             if (!done.isSuccess()) {
-                world.note("no socket for server " + server.id() + " at " + where + ": " + done.cause());
+                world.recordEvent("no socket for server " + server.id() + " at " + where + ": " + done.cause());
             }
             stand.address =
                     done.isSuccess() ? (InetSocketAddress) bound.channel().localAddress() : where;
@@ -99,10 +99,10 @@
     /** Brings the sockets in line with what has become of the model. */
     private void look() {
         Mode mode = server.mode();
-        if (server.life() != life) {
-            life = server.life();
+        if (server.incarnation() != life) {
+            life = server.incarnation();
             if (mode != Mode.VANISHED) {
-                Set.copyOf(connections).forEach(ServerStandIn::reset);
+                Set.copyOf(connections).forEach(ServerStandIn::resetConnection);
             }
         }
         if (mode == seen) {
@@ -119,7 +119,7 @@
             connections.forEach(each -> each.config().setAutoRead(false));
         } else if (seen == Mode.VANISHED) {
             // Back again, it knows nothing of old connections.
-            Set.copyOf(connections).forEach(ServerStandIn::reset);
+            Set.copyOf(connections).forEach(ServerStandIn::resetConnection);
         } else {
             connections.forEach(each -> each.config().setAutoRead(true));
         }
@@ -130,26 +130,26 @@
     private void rebind() {
         ChannelFuture bound = bootstrap().bind(address);
         listening = bound.channel();
-        bound.addListener(done -> world.note(
+        bound.addListener(done -> world.recordEvent(
                 "server " + server.id() + (done.isSuccess() ? " listens again" : " has no socket: " + done.cause())));
     }
 
-    private static void reset(Channel channel) {
+    private static void resetConnection(Channel channel) {
         channel.config().setOption(ChannelOption.SO_LINGER, 0);
         channel.close();
     }
 
     private void take(Channel made) {
-        if (server.mode() == Mode.DOWN || (server.mode() != Mode.VANISHED && !server.accept())) {
-            reset(made);
+        if (server.mode() == Mode.DOWN || (server.mode() != Mode.VANISHED && !server.acceptConnection())) {
+            resetConnection(made);
             return;
         }
-        int accepted = server.life();
+        int accepted = server.incarnation();
         connections.add(made);
         world.tally().connection();
         made.closeFuture().addListener(closed -> {
             connections.remove(made);
-            server.closed(accepted);
+            server.connectionClosed(accepted);
         });
         if (server.mode() == Mode.VANISHED || server.mode() == Mode.FROZEN) {
             made.config().setAutoRead(false);
@@ -187,7 +187,7 @@
             RealJob job = new RealJob(context.channel(), id, sent);
             current = job;
             long there = world.way(sent.instance(), server);
-            world.clock().at(world.clock().now() + there, () -> arrive(job, sent));
+            world.clock().scheduleAt(world.clock().now() + there, () -> arrive(job, sent));
         }
 
         private void arrive(RealJob job, Traces.Sent sent) {
@@ -249,7 +249,7 @@
 
         private void back(Runnable answer) {
             over = true;
-            world.clock().at(world.clock().now() + world.way(sent.instance(), server), () -> {
+            world.clock().scheduleAt(world.clock().now() + world.way(sent.instance(), server), () -> {
                 if (server.mode() != Mode.VANISHED) {
                     answer.run();
                 }
@@ -257,12 +257,12 @@
         }
 
         @Override
-        protected void began() {
+        protected void started() {
             ran = true;
         }
 
         @Override
-        protected void served(boolean good, boolean spoilt) {
+        protected void completed(boolean good, boolean spoilt) {
             if (good && spoilt) {
                 spoil(sent.trace().id() % 3);
                 return;
@@ -297,19 +297,19 @@
         }
 
         @Override
-        protected void declined() {
+        protected void rejected() {
             turnedAway = true;
             back(() -> answer(channel, HttpResponseStatus.SERVICE_UNAVAILABLE, "", true));
         }
 
         @Override
-        protected void broken() {
+        protected void reset() {
             over = true;
-            reset(channel);
+            resetConnection(channel);
         }
 
         @Override
-        protected void dropped() {
+        protected void discarded() {
             over = true;
             if (!ran) {
                 world.oracle().neverRan(sent.trace());
@@ -326,25 +326,25 @@
         }
 
         @Override
-        protected void began() {}
+        protected void started() {}
 
         @Override
-        protected void served(boolean good, boolean spoilt) {
+        protected void completed(boolean good, boolean spoilt) {
             answer(channel, HttpResponseStatus.OK, "", false);
         }
 
         @Override
-        protected void declined() {
+        protected void rejected() {
             answer(channel, HttpResponseStatus.SERVICE_UNAVAILABLE, "", true);
         }
 
         @Override
-        protected void broken() {
-            reset(channel);
+        protected void reset() {
+            resetConnection(channel);
         }
 
         @Override
-        protected void dropped() {}
+        protected void discarded() {}
     }
 
     void close() {
--- a/simulation/src/main/java/topazvalve/simulation/virtual/ColdLoadExperiment.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/ColdLoadExperiment.java
@@ -131,7 +131,7 @@
     private ColdLoadExperiment() {}
 
     @Override
-    public void window(OrderServer server, double offered, double allowed, double informed) {
+    public void coldLoadMeasured(OrderServer server, double offered, double allowed, double informed) {
         double part = offered / (allowed + 2 * Math.sqrt(allowed) + 2);
         peaks.merge(server.id(), part, Math::max);
         if (informed >= INFORMED) {
--- a/simulation/src/main/java/topazvalve/simulation/virtual/DelayLine.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/DelayLine.java
@@ -65,7 +65,7 @@
     private void schedule() {
         if (!scheduled && first < next) {
             scheduled = true;
-            clock.at(times[slot(first)], this::fire);
+            clock.scheduleAt(times[slot(first)], this::fire);
         }
     }
 
--- a/simulation/src/main/java/topazvalve/simulation/virtual/Peer.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/Peer.java
@@ -23,7 +23,7 @@
             if (!closed) {
                 closed = true;
                 idle = false;
-                peer.server.closed(life);
+                peer.server.connectionClosed(life);
             }
         }
     }
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualAttempt.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualAttempt.java
@@ -29,12 +29,12 @@
     }
 
     @Override
-    protected void began() {
+    protected void started() {
         ran = true;
     }
 
     @Override
-    protected void served(boolean good, boolean spoilt) {
+    protected void completed(boolean good, boolean spoilt) {
         if (good && !spoilt) {
             instance.servedAtServer(call);
         }
@@ -42,18 +42,18 @@
     }
 
     @Override
-    protected void declined() {
+    protected void rejected() {
         turnedAway = true;
         instance.comesBack(this, Outcome.REJECTED);
     }
 
     @Override
-    protected void broken() {
+    protected void reset() {
         instance.comesBack(this, Outcome.RESET);
     }
 
     @Override
-    protected void dropped() {
+    protected void discarded() {
         if (!ran) {
             instance.neverRan(call);
         }
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualClients.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualClients.java
@@ -42,23 +42,23 @@
 
     private void next(int number) {
         RequestGenerator asker = askers.get(number);
-        long at = world.clock().now() + Math.max(1, asker.gap());
+        long at = world.clock().now() + Math.max(1, asker.nextGapNanos());
         if (at < world.end()) {
-            world.clock().at(at, () -> {
-                if (asker.comes(world.elapsed())) {
-                    ask(number, asker.wish());
+            world.clock().scheduleAt(at, () -> {
+                if (asker.arrivesAt(world.elapsed())) {
+                    ask(number, asker.next());
                 }
                 next(number);
             });
         }
     }
 
-    private void ask(int number, RequestGenerator.Wish wish) {
+    private void ask(int number, RequestGenerator.GeneratedRequest wish) {
         world.tally().asked(wish.requestClass(), world.elapsed());
         submit(number, wish, world.clock().now(), false);
     }
 
-    private void submit(int number, RequestGenerator.Wish wish, long firstAt, boolean retry) {
+    private void submit(int number, RequestGenerator.GeneratedRequest wish, long firstAt, boolean retry) {
         VirtualInstance instance = world.instances().get(number);
         long now = world.clock().now();
         if (!instance.running()) {
@@ -67,7 +67,7 @@
             return;
         }
         long id = ++lastId;
-        long deadline = now + wish.patience();
+        long deadline = now + wish.patienceNanos();
         Trace trace = new Trace(
                 id,
                 number,
@@ -88,7 +88,7 @@
                 (ended, answer, wait) -> answered(ended, answer, wait, wish));
         world.oracle().sent(trace);
         if (wish.leavesEarly()) {
-            world.clock().at(deadline, () -> leave(call));
+            world.clock().scheduleAt(deadline, () -> leave(call));
         } else {
             call.expiry = expiries.get(wish.requestClass()).add(call);
         }
@@ -106,7 +106,7 @@
         call.expiry = -1;
         world.instances().get(call.instance).expire(call);
         if (!call.over) {
-            world.clock().at(call.deadline + scenario.limits().answerSlack() + 1, () -> deadline(call));
+            world.clock().scheduleAt(call.deadline + scenario.limits().answerSlack() + 1, () -> deadline(call));
         }
     }
 
@@ -128,7 +128,7 @@
         }
     }
 
-    private void answered(VirtualCall call, Answer answer, long wait, RequestGenerator.Wish wish) {
+    private void answered(VirtualCall call, Answer answer, long wait, RequestGenerator.GeneratedRequest wish) {
         world.oracle().answered(call.trace, answer, world.elapsed());
         world.digest(call.id, answer);
         if (answer == Answer.SERVED) {
@@ -139,18 +139,19 @@
         }
     }
 
-    private void ended(int number, RequestGenerator.Wish wish, Answer answer, long wait, long firstAt, boolean retry) {
+    private void ended(
+            int number, RequestGenerator.GeneratedRequest wish, Answer answer, long wait, long firstAt, boolean retry) {
         WorkClass kind = scenario.classes().get(wish.requestClass());
         boolean harmless = answer == Answer.REFUSED
                 || kind.repeats() == Repeats.FREE
                 || (kind.repeats() == Repeats.KEYED && kind.scope() == Scope.ALL);
         if (wish.retries() && !retry && harmless) {
-            long pause = wish.heeds() && wait > 0
+            long pause = wish.honoursRetryAfter() && wait > 0
                     ? Math.max(
                             scenario.clients().backoff(),
                             Math.min(wait, scenario.clients().maxRetryAfter()))
                     : scenario.clients().backoff();
-            world.clock().at(world.clock().now() + pause, () -> {
+            world.clock().scheduleAt(world.clock().now() + pause, () -> {
                 world.tally().retry();
                 submit(number, wish, firstAt, true);
             });
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualClock.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualClock.java
@@ -69,7 +69,7 @@
     }
 
     @Override
-    public void at(long time, Runnable event) {
+    public void scheduleAt(long time, Runnable event) {
         place(Math.max(time, now), serial++, event);
     }
 
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualDiscovery.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualDiscovery.java
@@ -28,7 +28,7 @@
     private final News news;
     private final EndpointDirectory directory;
     private final Oracle oracle;
-    private final RandomStreams chance;
+    private final RandomStreams random;
     private final Map<Integer, Watch> watches = new HashMap<>();
     private final List<VirtualInstance> instances;
     private long busyUntil;
@@ -38,25 +38,25 @@
             News news,
             EndpointDirectory directory,
             Oracle oracle,
-            RandomStreams chance,
+            RandomStreams random,
             List<VirtualInstance> instances) {
         this.clock = clock;
         this.news = news;
         this.directory = directory;
         this.oracle = oracle;
-        this.chance = chance;
+        this.random = random;
         this.instances = instances;
-        directory.follow(entry -> watches.forEach((number, watch) -> change(number, watch, entry)));
+        directory.addListener(entry -> watches.forEach((number, watch) -> change(number, watch, entry)));
         lookWhetherDown();
     }
 
     private void lookWhetherDown() {
-        if (directory.down() && news.subscribe() && !watches.isEmpty()) {
+        if (directory.isUnavailable() && news.subscribe() && !watches.isEmpty()) {
             List<Integer> cut = new ArrayList<>(watches.keySet());
             watches.clear();
             cut.forEach(number -> instances.get(number).listed(UpdateKind.FAILED, List.of()));
         }
-        clock.at(clock.now() + LOOK, this::lookWhetherDown);
+        clock.scheduleAt(clock.now() + LOOK, this::lookWhetherDown);
     }
 
     /** Follows from the start, without a call; where instances need not ask. */
@@ -88,16 +88,16 @@
         long now = clock.now();
         int life = instance.life();
         long begins = Math.max(now, busyUntil);
-        boolean fails = directory.down() || begins - now > news.patience();
+        boolean fails = directory.isUnavailable() || begins - now > news.patience();
         long answered = fails ? now + news.patience() : begins + news.callTime();
         if (!fails) {
             busyUntil = answered;
         }
-        clock.at(answered, () -> {
+        clock.scheduleAt(answered, () -> {
             if (instance.life() != life) {
                 return;
             }
-            if (fails || directory.down()) {
+            if (fails || directory.isUnavailable()) {
                 instance.listed(UpdateKind.FAILED, List.of());
             } else {
                 answer(instance, lists, watching);
@@ -106,22 +106,22 @@
     }
 
     private void answer(VirtualInstance instance, boolean lists, boolean watching) {
-        List<Entry> changes = watching ? directory.since(instance.revision()) : null;
+        List<Entry> changes = watching ? directory.changesSince(instance.revision()) : null;
         if (watching) {
             Watch watch = new Watch();
             watch.toldUntil = directory.revision();
             watches.put(instance.number(), watch);
         }
         UpdateKind kind = changes == null && lists ? UpdateKind.FULL : UpdateKind.DELTA;
-        tell(instance, kind, changes != null ? changes : lists ? directory.all() : List.of());
+        tell(instance, kind, changes != null ? changes : lists ? directory.entries() : List.of());
     }
 
     private void change(int number, Watch watch, Entry entry) {
         VirtualInstance instance = instances.get(number);
         int life = instance.life();
-        long at = Math.max(watch.lastAt, clock.now() + (long) (chance.part() * news.spread()));
+        long at = Math.max(watch.lastAt, clock.now() + (long) (random.part() * news.spread()));
         watch.lastAt = at;
-        clock.at(at, () -> {
+        clock.scheduleAt(at, () -> {
             if (watches.get(number) == watch
                     && instance.life() == life
                     && entry.changedAtRevision() > watch.toldUntil) {
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualInstance.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualInstance.java
@@ -247,18 +247,18 @@
         VirtualAttempt attempt = new VirtualAttempt(this, call, mine, peer, world.attemptWork(call), now);
         call.attempts[mine] = attempt;
         if (timeout != 0 && now + timeout < call.deadline) {
-            world.clock().at(now + Math.max(0, timeout), () -> late(attempt));
+            world.clock().scheduleAt(now + Math.max(0, timeout), () -> late(attempt));
         }
         Peer.Connection idle = peer.take();
-        long there = world.link().delay(peer.crossZone);
+        long there = world.link().nextDelayNanos(peer.crossZone);
         if (idle != null) {
             world.busy(idle);
             attempt.connection = idle;
             attempt.written = true;
             world.oracle().carried(call.trace);
-            world.clock().at(now + there, () -> arrives(attempt));
+            world.clock().scheduleAt(now + there, () -> arrives(attempt));
         } else {
-            world.clock().at(now + there, () -> connects(attempt));
+            world.clock().scheduleAt(now + there, () -> connects(attempt));
         }
     }
 
@@ -273,25 +273,25 @@
         if (attempt.ended) {
             return;
         }
-        long back = world.link().delay(attempt.peer.crossZone);
+        long back = world.link().nextDelayNanos(attempt.peer.crossZone);
         if (mode == Mode.VANISHED) {
             world.clock()
-                    .at(
+                    .scheduleAt(
                             attempt.sentAt + world.scenario().limits().connectTimeout(),
                             () -> ended(attempt, Outcome.CONNECT_FAILED));
-        } else if (mode == Mode.DOWN || mode == Mode.REFUSING || !server.accept()) {
-            world.clock().at(now() + back, () -> ended(attempt, Outcome.CONNECT_FAILED));
+        } else if (mode == Mode.DOWN || mode == Mode.REFUSING || !server.acceptConnection()) {
+            world.clock().scheduleAt(now() + back, () -> ended(attempt, Outcome.CONNECT_FAILED));
         } else {
             world.tally().connection();
-            attempt.connection = new Peer.Connection(attempt.peer, server.life());
-            long there = world.link().delay(attempt.peer.crossZone);
-            world.clock().at(now() + back, () -> {
+            attempt.connection = new Peer.Connection(attempt.peer, server.incarnation());
+            long there = world.link().nextDelayNanos(attempt.peer.crossZone);
+            world.clock().scheduleAt(now() + back, () -> {
                 if (!attempt.ended) {
                     attempt.written = true;
                     world.oracle().carried(attempt.call.trace);
                 }
             });
-            world.clock().at(now() + back + there, () -> arrives(attempt));
+            world.clock().scheduleAt(now() + back + there, () -> arrives(attempt));
         }
     }
 
@@ -300,20 +300,21 @@
         if (attempt.ended || server.mode() == Mode.VANISHED) {
             return;
         }
-        if (server.life() != attempt.connection.life) {
+        if (server.incarnation() != attempt.connection.life) {
             comesBack(attempt, Outcome.RESET);
             return;
         }
         attempt.received = true;
         server.offer(attempt, attempt.peer.toldStart >= server.startedAt());
-        if (server.life() == attempt.connection.life || attempt.ran) {
+        if (server.incarnation() == attempt.connection.life || attempt.ran) {
             world.received(attempt);
         }
     }
 
     /** Something comes back from the server's end; it takes its time. */
     void comesBack(VirtualAttempt attempt, Outcome outcome) {
-        world.clock().at(now() + world.link().delay(attempt.peer.crossZone), () -> ended(attempt, outcome));
+        world.clock()
+                .scheduleAt(now() + world.link().nextDelayNanos(attempt.peer.crossZone), () -> ended(attempt, outcome));
     }
 
     void servedAtServer(VirtualCall call) {
@@ -347,7 +348,7 @@
         if (connection != null && !connection.closed) {
             boolean keeps = running
                     && (outcome == Outcome.OK || outcome == Outcome.ERROR || outcome == Outcome.REJECTED)
-                    && connection.life == attempt.peer.server.life();
+                    && connection.life == attempt.peer.server.incarnation();
             if (keeps) {
                 connection.idle = true;
                 attempt.peer.idle.addLast(connection);
@@ -387,7 +388,7 @@
     @Override
     public void setTimer(long token, long at) {
         int mine = life;
-        world.clock().at(at, () -> {
+        world.clock().scheduleAt(at, () -> {
             if (life == mine) {
                 tell(() -> balancer.timerFired(now(), token));
             }
@@ -416,7 +417,7 @@
 
         void send() {
             world.tally().probe();
-            world.clock().at(sentAt + world.link().delay(peer.crossZone), () -> {
+            world.clock().scheduleAt(sentAt + world.link().nextDelayNanos(peer.crossZone), () -> {
                 Mode mode = peer.server.mode();
                 if (mode == Mode.DOWN || mode == Mode.REFUSING) {
                     back(Outcome.CONNECT_FAILED);
@@ -424,11 +425,11 @@
                     peer.server.offer(this, true);
                 }
             });
-            world.clock().at(sentAt + PROBE_TIMEOUT, () -> end(Outcome.TIMEOUT));
+            world.clock().scheduleAt(sentAt + PROBE_TIMEOUT, () -> end(Outcome.TIMEOUT));
         }
 
         private void back(Outcome outcome) {
-            world.clock().at(now() + world.link().delay(peer.crossZone), () -> end(outcome));
+            world.clock().scheduleAt(now() + world.link().nextDelayNanos(peer.crossZone), () -> end(outcome));
         }
 
         private void end(Outcome outcome) {
@@ -439,25 +440,25 @@
         }
 
         @Override
-        protected void began() {}
+        protected void started() {}
 
         @Override
-        protected void served(boolean good, boolean spoilt) {
+        protected void completed(boolean good, boolean spoilt) {
             back(good ? Outcome.OK : Outcome.ERROR);
         }
 
         @Override
-        protected void declined() {
+        protected void rejected() {
             back(Outcome.REJECTED);
         }
 
         @Override
-        protected void broken() {
+        protected void reset() {
             back(Outcome.RESET);
         }
 
         @Override
-        protected void dropped() {}
+        protected void discarded() {}
     }
 
     @Override
@@ -476,7 +477,7 @@
 
     @Override
     public void log(String line) {
-        world.note("instance " + number + ": " + line);
+        world.recordEvent("instance " + number + ": " + line);
     }
 
     @Override
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualWorld.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualWorld.java
@@ -64,7 +64,7 @@
         this.noise = RandomStreams.stream(seed, "noise");
         this.restarts = RandomStreams.stream(seed, "restarts");
         servers().forEach(this::introduce);
-        servers().forEach(directory()::list);
+        servers().forEach(directory()::add);
         this.discovery = new VirtualDiscovery(
                 clock, scenario.news(), directory(), oracle, RandomStreams.stream(seed, "discovery"), instances);
         this.keepIdle = (long) (scenario.machines().stream()
@@ -79,7 +79,7 @@
         for (int i = 0; i < scenario.fleet().instances(); i++) {
             instances.add(make.apply(i));
         }
-        this.clients = new VirtualClients(this, seed, scene.rhythm());
+        this.clients = new VirtualClients(this, seed, scene.trafficPattern());
     }
 
     /** Makes a sidecar for a test. */
@@ -106,24 +106,24 @@
 
     private void introduce(OrderServer server) {
         if (coldWatch != null) {
-            server.watchCold(coldWatch);
+            server.monitorColdLoad(coldWatch);
         }
-        server.onFallen((fallen, informed) -> {
+        server.onColdCrash((fallen, informed) -> {
             oracle.fell(fallen.id(), informed, elapsed());
-            note("server " + fallen.id() + " was pushed over while cold");
+            recordEvent("server " + fallen.id() + " was pushed over while cold");
         });
     }
 
     /** Cold servers are watched and don't fall; before the run is played. */
     void watchCold(ColdServerMonitor watch) {
         coldWatch = watch;
-        servers().forEach(each -> each.watchCold(watch));
+        servers().forEach(each -> each.monitorColdLoad(watch));
     }
 
     /** Plays the whole run. */
     public Run play() {
         long began = System.nanoTime();
-        List<Fault> faults = FaultPlayer.play(this, scenario, seed);
+        List<Fault> faults = FaultPlayer.scheduleAll(this, scenario, seed);
         instances.forEach(this::begin);
         clients.start();
         long rest = scenario.classes().stream()
@@ -142,7 +142,7 @@
                 oracle.counts(),
                 oracle.breaches(),
                 faults,
-                scene.notes(),
+                scene.recordedEvents(),
                 digest.getValue(),
                 oracle.requests(),
                 clock.fired(),
@@ -160,7 +160,7 @@
                                 arm.settings(scenario, instance.number(), zone(instance.number())),
                                 restarts.any(),
                                 instance),
-                directory().all(),
+                directory().entries(),
                 directory().revision());
     }
 
@@ -172,7 +172,7 @@
     }
 
     @Override
-    public Topology scene() {
+    public Topology topology() {
         return scene;
     }
 
@@ -183,21 +183,21 @@
         discovery.forget(number);
         servers().forEach(each -> oracle.readyTold(number, each.id()));
         begin(instance);
-        directory().all().stream()
+        directory().entries().stream()
                 .filter(each -> each.state() != EndpointStatus.READY)
                 .forEach(each -> oracle.drainTold(number, each.server().id(), elapsed()));
     }
 
     @Override
-    public OrderServer replace(OrderServer old, boolean sameAddress) {
+    public OrderServer replaceServer(OrderServer old, boolean sameAddress) {
         OrderServer fresh = scene.fleet().replace(old);
         introduce(fresh);
         return fresh;
     }
 
     @Override
-    public void note(String what) {
-        scene.note(elapsed(), what);
+    public void recordEvent(String what) {
+        scene.recordEvent(elapsed(), what);
     }
 
     Scenario scenario() {
--- a/simulation/src/test/java/topazvalve/simulation/virtual/FaultySidecar.java
+++ b/simulation/src/test/java/topazvalve/simulation/virtual/FaultySidecar.java
@@ -39,7 +39,7 @@
             finish(call, Answer.SERVED, 0);
         } else if (breaks == Rule.AT_ONCE && picks(call)) {
             world.clock()
-                    .at(
+                    .scheduleAt(
                             world.clock().now() + (call.deadline - world.clock().now()) * 8 / 10,
                             () -> finish(call, Answer.FAILED, 0));
         } else {
@@ -67,7 +67,7 @@
     @Override
     void hangup(VirtualCall call) {
         if (breaks == Rule.CLIENT_LEFT) {
-            world.clock().at(world.clock().now() + AFTER_LEAVING, () -> send(call, 1, 0));
+            world.clock().scheduleAt(world.clock().now() + AFTER_LEAVING, () -> send(call, 1, 0));
         } else {
             super.hangup(call);
         }
@@ -84,7 +84,7 @@
             call.client.answered(call, answer, wait);
         }
         if (breaks == Rule.NOTHING_AFTER && picks(call) && call.tries < 2) {
-            world.clock().at(world.clock().now() + LATER, () -> send(call, 1, 0));
+            world.clock().scheduleAt(world.clock().now() + LATER, () -> send(call, 1, 0));
         }
     }
 
--- a/simulation/src/test/java/topazvalve/simulation/virtual/VirtualClockTest.java
+++ b/simulation/src/test/java/topazvalve/simulation/virtual/VirtualClockTest.java
@@ -22,9 +22,9 @@
         for (int i = 0; i < delays.size(); i++) {
             long delay = delays.get(i);
             String name = "e" + i;
-            clock.at(START + delay, () -> {
+            clock.scheduleAt(START + delay, () -> {
                 ran.add(name + "@" + (clock.now() - START));
-                clock.at(clock.now() + delay / 2, () -> ran.add(name + "b@" + (clock.now() - START)));
+                clock.scheduleAt(clock.now() + delay / 2, () -> ran.add(name + "b@" + (clock.now() - START)));
             });
         }
         clock.runUntil(START + 10_000_000_000L);
@@ -60,10 +60,10 @@
             at += gaps.get(i);
             String name = "t" + i;
             boolean taken = gaps.get(i) % 3 == 0;
-            clock.at(START + at, () -> {
+            clock.scheduleAt(START + at, () -> {
                 long number = line.add(name);
                 if (taken) {
-                    clock.at(clock.now() + 200_000_000, () -> line.remove(number));
+                    clock.scheduleAt(clock.now() + 200_000_000, () -> line.remove(number));
                 }
             });
             if (!taken) {
