--- a/policy/src/test/java/topazvalve/policy/EmbeddingExampleTest.java
+++ b/policy/src/test/java/topazvalve/policy/EmbeddingExampleTest.java
@@ -15,10 +15,10 @@
 class EmbeddingExampleTest {
 
     @Test
-    void hostDrivesTheModule() {
-        // The host's side: carries out what the module orders (here it only writes it down).
-        Recorder host = new Recorder(Recorder.settings(Recorder.REPEATABLE), 42);
-        LoadBalancer balancer = host.rules;
+    void hostDrivesThePolicy() {
+        // The host carries out the policy's actions; this one only records them.
+        RecordingHost host = new RecordingHost(RecordingHost.settings(RecordingHost.IDEMPOTENT), 42);
+        LoadBalancer balancer = host.policy;
         long now = host.now;
 
         balancer.endpointsUpdated(
@@ -28,17 +28,17 @@
                         new EndpointInfo(1, 0, 0, 0, EndpointStatus.READY, 1, 0),
                         new EndpointInfo(2, 0, 0, 0, EndpointStatus.READY, 1, 0)));
         balancer.requestReceived(now, new Request(100, 0, 0, 0, 1_000_000_000L, 0, false, false));
-        Recorder.Sent sent = host.last();
+        RecordingHost.SentAttempt sent = host.last();
         assertEquals(100, sent.request());
 
         now += 20_000_000;
-        balancer.attemptCompleted(now, 100, 0, sent.upstream(), Outcome.OK, 20_000_000, true, new float[0]);
-        assertTrue(host.answers.isEmpty(), "the host passed the answer on; nothing more is owed");
+        balancer.attemptCompleted(now, 100, 0, sent.endpoint(), Outcome.OK, 20_000_000, true, new float[0]);
+        assertTrue(host.answers.isEmpty(), "the host passed the response on; no further answer follows");
 
-        // A restart: a new instance, a new seed, no memory.
-        Recorder restarted = new Recorder(Recorder.settings(Recorder.REPEATABLE), 43);
-        restarted.rules.endpointsUpdated(now, UpdateKind.CACHED, List.of());
+        // After a restart: a new instance with a new seed and no state.
+        RecordingHost restarted = new RecordingHost(RecordingHost.settings(RecordingHost.IDEMPOTENT), 43);
+        restarted.policy.endpointsUpdated(now, UpdateKind.CACHED, List.of());
         restarted.request(101, 0);
-        assertEquals(List.of("refuse 101"), restarted.answers);
+        assertEquals(List.of("reject 101"), restarted.answers);
     }
 }
--- a/policy/src/test/java/topazvalve/policy/Recorder.java
+++ b/policy/src/test/java/topazvalve/policy/RecordingHost.java
@@ -19,33 +19,33 @@
 import topazvalve.policy.LoadBalancer.UpdateKind;
 import topazvalve.policy.LoadBalancer.WeightKind;
 
-/** A host for tests: it keeps the clock, rings timers and writes down what the module orders. */
-final class Recorder implements Actions {
+/** A host for tests: it has the clock, fires timers and records the policy's actions. */
+final class RecordingHost implements Actions {
     static final long MS = 1_000_000;
-    static final RequestClass REPEATABLE = requestClass(Idempotency.IDEMPOTENT, KeyScope.ALL);
-    static final RequestClass ONCE = requestClass(Idempotency.NON_IDEMPOTENT, KeyScope.ALL);
-    static final RequestClass BY_CELL = requestClass(Idempotency.IDEMPOTENCY_KEY, KeyScope.CELL);
-    static final RequestClass BY_ANY = requestClass(Idempotency.IDEMPOTENCY_KEY, KeyScope.ALL);
+    static final RequestClass IDEMPOTENT = requestClass(Idempotency.IDEMPOTENT, KeyScope.ALL);
+    static final RequestClass NON_IDEMPOTENT = requestClass(Idempotency.NON_IDEMPOTENT, KeyScope.ALL);
+    static final RequestClass KEY_PER_CELL = requestClass(Idempotency.IDEMPOTENCY_KEY, KeyScope.CELL);
+    static final RequestClass KEY_EVERYWHERE = requestClass(Idempotency.IDEMPOTENCY_KEY, KeyScope.ALL);
 
-    record Sent(long request, int attempt, long upstream, long at) {}
+    record SentAttempt(long request, int attempt, long endpoint, long at) {}
 
     record Timer(long at, long token) {}
 
     final List<String> log = new ArrayList<>();
-    final List<Sent> sends = new ArrayList<>();
+    final List<SentAttempt> attempts = new ArrayList<>();
     final List<String> answers = new ArrayList<>();
     final PriorityQueue<Timer> timers = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
-    final SidecarPolicy rules;
+    final SidecarPolicy policy;
     long now = 1_000 * MS;
-    int subscriptions;
+    int watchCount;
 
-    Recorder(Settings settings, long seed) {
-        rules = new SidecarPolicy(settings, seed, this);
-        rules.start(now);
+    RecordingHost(Settings settings, long seed) {
+        policy = new SidecarPolicy(settings, seed, this);
+        policy.start(now);
     }
 
-    static RequestClass requestClass(Idempotency semantics, KeyScope scope) {
-        return new RequestClass(500 * MS, 0, 1_000 * MS, 1, 0, semantics, scope, 700 * MS, false);
+    static RequestClass requestClass(Idempotency idempotency, KeyScope scope) {
+        return new RequestClass(500 * MS, 0, 1_000 * MS, 1, 0, idempotency, scope, 700 * MS, false);
     }
 
     static Settings settings(RequestClass... classes) {
@@ -70,12 +70,12 @@
                 1);
     }
 
-    /** Where probes are all but free, reports tell what is held, and attempts may not overlap. */
-    static Settings lookingSettings(int replicas, RequestClass... classes) {
+    /** Settings with cheap health checks whose reports contain the requests in flight. */
+    static Settings loadProbingSettings(int instanceCount, RequestClass... classes) {
         Settings base = settings(classes);
         return new Settings(
                 0,
-                replicas,
+                instanceCount,
                 0,
                 MS,
                 DiscoveryMode.AUTOMATIC,
@@ -90,21 +90,21 @@
                 1);
     }
 
-    static EndpointInfo upstream(long id) {
-        return upstream(id, EndpointStatus.READY, 0);
+    static EndpointInfo endpoint(long id) {
+        return endpoint(id, EndpointStatus.READY, 0);
     }
 
-    static EndpointInfo upstream(long id, EndpointStatus state, long startedAt) {
+    static EndpointInfo endpoint(long id, EndpointStatus state, long startedAt) {
         return new EndpointInfo(id, (int) (id % 2), 0, (int) (id / 3), state, 1, startedAt);
     }
 
-    /** Lists upstreams 0 to count - 1 as ready and long started. */
-    Recorder withUpstreams(int count) {
+    /** Lists endpoints 0 to count - 1 as ready and started long ago. */
+    RecordingHost withEndpoints(int count) {
         List<EndpointInfo> list = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            list.add(upstream(i));
+            list.add(endpoint(i));
         }
-        rules.endpointsUpdated(now, UpdateKind.CACHED, list);
+        policy.endpointsUpdated(now, UpdateKind.CACHED, list);
         return this;
     }
 
@@ -112,73 +112,73 @@
         request(id, requestClass, 1_000 * MS);
     }
 
-    void request(long id, int requestClass, long left) {
-        rules.requestReceived(now, new Request(id, requestClass, 0, 0, left, 0, false, false));
+    void request(long id, int requestClass, long timeLeft) {
+        policy.requestReceived(now, new Request(id, requestClass, 0, 0, timeLeft, 0, false, false));
     }
 
-    void outcome(Sent sent, Outcome outcome) {
-        rules.attemptCompleted(
+    void outcome(SentAttempt sent, Outcome outcome) {
+        policy.attemptCompleted(
                 now,
                 sent.request,
                 sent.attempt,
-                sent.upstream,
+                sent.endpoint,
                 outcome,
                 now - sent.at,
                 outcome == Outcome.OK,
                 new float[0]);
     }
 
-    /** Moves the clock, ringing every timer on its way. */
+    /** Advances the clock and fires the timers that are due. */
     void advance(long by) {
         long end = now + by;
         while (!timers.isEmpty() && timers.peek().at <= end) {
             Timer timer = timers.poll();
             now = Math.max(now, timer.at);
-            rules.timerFired(now, timer.token);
+            policy.timerFired(now, timer.token);
         }
         now = end;
     }
 
-    /** Serves ids from..to one by one, each answered after {@code took}. */
+    /** Receives requests from..to one by one and answers each after {@code took}. */
     void serve(long from, long to, int requestClass, long took) {
         for (long id = from; id < to; id++) {
             request(id, requestClass);
-            Sent sent = last();
+            SentAttempt sent = last();
             advance(took);
             outcome(sent, Outcome.OK);
         }
     }
 
-    /** Ids from..to, all at once. */
+    /** Receives requests from..to at once. */
     void burst(long from, long to, int requestClass) {
         for (long id = from; id < to; id++) {
             request(id, requestClass);
         }
     }
 
-    /** Attempts sent to an upstream since that many sends. */
-    long sentTo(long upstream, int since) {
-        return sends.stream().skip(since).filter(s -> s.upstream == upstream).count();
+    /** The number of attempts sent to an endpoint, without the first {@code since} attempts of all. */
+    long attemptsTo(long endpoint, int since) {
+        return attempts.stream().skip(since).filter(s -> s.endpoint == endpoint).count();
     }
 
-    Sent last() {
-        return sends.get(sends.size() - 1);
+    SentAttempt last() {
+        return attempts.get(attempts.size() - 1);
     }
 
-    List<Sent> sendsOf(long request) {
-        return sends.stream().filter(s -> s.request == request).toList();
+    List<SentAttempt> attemptsOf(long request) {
+        return attempts.stream().filter(s -> s.request == request).toList();
     }
 
     @Override
-    public void forward(long request, long upstream, long timeout) {
-        log.add("send " + request + " " + upstream + " " + timeout);
-        sends.add(new Sent(request, sendsOf(request).size(), upstream, now));
+    public void forward(long request, long endpoint, long timeout) {
+        log.add("send " + request + " " + endpoint + " " + timeout);
+        attempts.add(new SentAttempt(request, attemptsOf(request).size(), endpoint, now));
     }
 
     @Override
     public void reject(long request, long wait) {
-        log.add("refuse " + request + " " + wait);
-        answers.add("refuse " + request);
+        log.add("reject " + request + " " + wait);
+        answers.add("reject " + request);
     }
 
     @Override
@@ -199,13 +199,13 @@
     }
 
     @Override
-    public void sendHealthCheck(long upstream) {
-        log.add("probe " + upstream);
+    public void sendHealthCheck(long endpoint) {
+        log.add("probe " + endpoint);
     }
 
     @Override
-    public void closeIdleConnections(long upstream) {
-        log.add("close " + upstream);
+    public void closeIdleConnections(long endpoint) {
+        log.add("close " + endpoint);
     }
 
     @Override
@@ -221,7 +221,7 @@
     @Override
     public void watchEndpoints(boolean on) {
         log.add("subscribe " + on);
-        subscriptions++;
+        watchCount++;
     }
 
     @Override
--- /dev/null
+++ b/policy/src/test/java/topazvalve/policy/RetryTest.java
@@ -0,0 +1,71 @@
+package topazvalve.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static topazvalve.policy.RecordingHost.IDEMPOTENT;
+import static topazvalve.policy.RecordingHost.KEY_EVERYWHERE;
+import static topazvalve.policy.RecordingHost.KEY_PER_CELL;
+import static topazvalve.policy.RecordingHost.MS;
+import static topazvalve.policy.RecordingHost.NON_IDEMPOTENT;
+import static topazvalve.policy.RecordingHost.settings;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import topazvalve.policy.LoadBalancer.Outcome;
+
+/** What may be sent again, where to, and how often. */
+class RetryTest {
+
+    private static RecordingHost host(LoadBalancer.RequestClass... classes) {
+        return new RecordingHost(settings(classes), 7);
+    }
+
+    @Test
+    void nonIdempotentRequestIsRetriedOnlyIfItProvablyNeverRan() {
+        for (Outcome outcome : Outcome.values()) {
+            if (outcome == Outcome.OK) {
+                continue;
+            }
+            RecordingHost host = host(NON_IDEMPOTENT).withEndpoints(4);
+            host.request(1, 0);
+            host.outcome(host.last(), outcome);
+            assertEquals(outcome.provesNeverRan() ? 2 : 1, host.attempts.size(), outcome.toString());
+            if (!outcome.provesNeverRan()) {
+                assertEquals(List.of("fail 1"), host.answers);
+            }
+        }
+    }
+
+    @Test
+    void requestWithKeyIsRetriedOnlyInItsCellAndWithinTheKeysTtl() {
+        RecordingHost host = host(KEY_PER_CELL).withEndpoints(9);
+        host.request(1, 0);
+        long cell = host.last().endpoint() / 3;
+        host.outcome(host.last(), Outcome.ERROR);
+        assertEquals(2, host.attempts.size());
+        assertEquals(cell, host.last().endpoint() / 3);
+        host.now += 699 * MS;
+        host.outcome(host.last(), Outcome.ERROR);
+        assertEquals(2, host.attempts.size(), "the key is about to expire");
+        assertEquals(List.of("fail 1"), host.answers);
+    }
+
+    @Test
+    void requestWithKeyOfScopeAllMayBeRejectedAfterItMayHaveRun() {
+        RecordingHost host = host(KEY_EVERYWHERE).withEndpoints(1);
+        host.request(1, 0);
+        host.outcome(host.last(), Outcome.RESET);
+        host.advance(1_000 * MS);
+        assertEquals(List.of("reject 1"), host.answers);
+    }
+
+    @Test
+    void maxAttemptsIsKept() {
+        RecordingHost host = host(IDEMPOTENT).withEndpoints(9);
+        host.request(1, 0);
+        for (int i = 0; i < 5 && host.answers.isEmpty(); i++) {
+            host.outcome(host.last(), Outcome.REJECTED);
+        }
+        assertEquals(3, host.attempts.size());
+        assertEquals(List.of("reject 1"), host.answers);
+    }
+}
--- /dev/null
+++ b/policy/src/test/java/topazvalve/policy/SlowStartTest.java
@@ -0,0 +1,62 @@
+package topazvalve.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static topazvalve.policy.RecordingHost.IDEMPOTENT;
+import static topazvalve.policy.RecordingHost.MS;
+import static topazvalve.policy.RecordingHost.endpoint;
+import static topazvalve.policy.RecordingHost.settings;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.LoadBalancer.UpdateKind;
+
+/** What a warming endpoint gets from one sidecar. */
+class SlowStartTest {
+
+    private static RecordingHost host(LoadBalancer.RequestClass... classes) {
+        return new RecordingHost(settings(classes), 7);
+    }
+
+    @Test
+    void coldEndpointGetsNoMoreThanItsFractionOfAWarmOne() {
+        RecordingHost host = host(IDEMPOTENT).withEndpoints(4);
+        host.serve(0, 2_000, 0, 5 * MS);
+        host.policy.endpointsUpdated(host.now, UpdateKind.DELTA, List.of(endpoint(9, EndpointStatus.READY, host.now)));
+        int before = host.attempts.size();
+        host.serve(5_000, 5_300, 0, 5 * MS);
+        long cold = host.attemptsTo(9, before);
+        // 1.5 s at 200 a second over 4 warm endpoints: 75 each; the cold capacity is 0.3 and has hardly grown.
+        assertTrue(cold > 5 && cold < 40, "cold endpoint got " + cold);
+    }
+
+    @Test
+    void firstRequestsOfManySidecarsDoNotOverloadAColdEndpoint() {
+        int cold = 0;
+        int warm = 0;
+        for (int seed = 0; seed < 100; seed++) {
+            RecordingHost host = new RecordingHost(settings(IDEMPOTENT), seed).withEndpoints(4);
+            host.serve(0, 20, 0, 500 * MS);
+            host.policy.endpointsUpdated(
+                    host.now, UpdateKind.DELTA, List.of(endpoint(9, EndpointStatus.READY, host.now)));
+            int before = host.attempts.size();
+            host.serve(100, 105, 0, 300 * MS);
+            cold += (int) host.attemptsTo(9, before);
+            warm += 5 - (int) host.attemptsTo(9, before);
+        }
+        // A warm one gets about 120; the cold capacity of 0.3 grows to 0.4 in these 1.5 s.
+        assertTrue(cold > 5 && cold < 0.5 * warm / 4, "cold got " + cold + ", warm ones " + warm);
+    }
+
+    @Test
+    void sidecarWithoutTrafficYetSendsNothingToColdEndpoints() {
+        for (int seed = 0; seed < 20; seed++) {
+            RecordingHost host = new RecordingHost(settings(IDEMPOTENT), seed).withEndpoints(2);
+            host.policy.endpointsUpdated(
+                    host.now, UpdateKind.DELTA, List.of(endpoint(9, EndpointStatus.READY, host.now)));
+            host.burst(0, 3, 0);
+            assertEquals(0, host.attemptsTo(9, 0));
+        }
+    }
+}
