--- a/capacity/src/main/java/topazvalve/capacity/fit/Fit.java
+++ b/capacity/src/main/java/topazvalve/capacity/fit/Fit.java
@@ -5,78 +5,105 @@
 import java.util.Optional;
 
 /**
- * What was measured at some sizes, and the line through it. Where two lines that meet at one of the sizes
- * leave far less over than one, and that one misses a point by much, the points bend: it is said, and what is
- * above the bend goes by the upper line.
+ * The line fitted to values that were measured at several sizes. Where the line misses a point by much and two lines
+ * that meet at one of the sizes leave far smaller residuals, the fit also has a breakpoint; sizes above it are
+ * extrapolated by the upper line.
  *
- * @param points sorted by size
- * @param worstPercent the largest residual of the line, in per cent of the largest value
+ * @param points the measured points, sorted by size
+ * @param line the line through all points
+ * @param maxResidualPercent the largest residual of the line, in percent of the largest value
+ * @param breakpoint where the slope changes, if it does
  */
-public record Fit(List<Point> points, Line line, double worstPercent, Optional<Bend> bend) {
-    /** A line may miss a point by this part of the largest value before a bend is looked for. */
-    private static final double MISS_PERCENT = 10;
-    /** Two lines have to leave less than this part of the squares that one leaves. */
-    private static final double FAR_LESS = 0.2;
-    /** With fewer points than these two lines always fit, and say nothing. */
-    private static final int POINTS_FOR_BEND = 4;
-    /** Slopes of a bend differ by this part of the steeper one at least. */
-    private static final double DIFFER = 0.3;
+public record Fit(List<Point> points, Line line, double maxResidualPercent, Optional<Breakpoint> breakpoint) {
+    /** With fewer points a line has no residual. */
+    private static final int MIN_POINTS = 3;
+    /** With fewer points two lines always fit, whatever the values. */
+    private static final int MIN_POINTS_FOR_BREAKPOINT = 4;
+    /** A breakpoint is looked for only if the line's largest residual exceeds this. */
+    private static final double MIN_RESIDUAL_PERCENT_FOR_BREAKPOINT = 10;
+    /** Two lines have to leave less than this fraction of the one line's sum of squared residuals. */
+    private static final double MAX_REMAINING_SQUARES = 0.2;
+    /** The two slopes have to differ by at least this fraction of the steeper one. */
+    private static final double MIN_SLOPE_DIFFERENCE = 0.3;
 
-    /** Two lines that meet at the size {@code above}. */
-    public record Bend(double above, Line lower, Line upper) {}
+    /**
+     * A change of slope.
+     *
+     * @param size where the two lines meet
+     * @param lower the line up to that size
+     * @param upper the line above that size
+     */
+    public record Breakpoint(double size, Line lower, Line upper) {}
 
-    /** Fits a line; three points are needed, since any two lie on one. */
+    /**
+     * Fits a line to measured points, which may be in any order.
+     *
+     * @throws IllegalArgumentException if there are fewer than three points, or only one size
+     */
     public static Fit of(List<Point> measured) {
-        if (measured.size() < 3) {
+        if (measured.size() < MIN_POINTS) {
             throw new IllegalArgumentException("a line with a residual needs three points: " + measured);
         }
         List<Point> points =
                 measured.stream().sorted(Comparator.comparingDouble(Point::x)).toList();
         Line line = Line.through(points);
-        double largest =
-                points.stream().mapToDouble(each -> Math.abs(each.y())).max().orElseThrow();
-        double worst = points.stream()
-                .mapToDouble(each -> Math.abs(each.y() - line.at(each.x())))
+        double residualPercent = maxResidualPercent(points, line);
+        boolean mayHaveBreakpoint =
+                residualPercent > MIN_RESIDUAL_PERCENT_FOR_BREAKPOINT && points.size() >= MIN_POINTS_FOR_BREAKPOINT;
+        return new Fit(
+                points, line, residualPercent, mayHaveBreakpoint ? findBreakpoint(points, line) : Optional.empty());
+    }
+
+    private static double maxResidualPercent(List<Point> points, Line line) {
+        double largestValue =
+                points.stream().mapToDouble(point -> Math.abs(point.y())).max().orElseThrow();
+        double largestResidual = points.stream()
+                .mapToDouble(point -> Math.abs(point.y() - line.valueAt(point.x())))
                 .max()
                 .orElseThrow();
-        double percent = largest == 0 ? 0 : 100 * worst / largest;
-        return new Fit(
-                points,
-                line,
-                percent,
-                percent > MISS_PERCENT && points.size() >= POINTS_FOR_BEND ? bend(points, line) : Optional.empty());
+        return largestValue == 0 ? 0 : 100 * largestResidual / largestValue;
     }
 
-    private static Optional<Bend> bend(List<Point> points, Line one) {
-        Bend best = null;
-        double least = FAR_LESS * one.squares();
+    private static Optional<Breakpoint> findBreakpoint(List<Point> points, Line wholeLine) {
+        Breakpoint best = null;
+        double leastSquares = MAX_REMAINING_SQUARES * wholeLine.residualSumOfSquares();
         for (int i = 1; i < points.size() - 1; i++) {
             Line lower = Line.through(points.subList(0, i + 1));
             Line upper = Line.through(points.subList(i, points.size()));
-            double squares = lower.squares() + upper.squares();
-            double steeper = Math.max(Math.abs(lower.slope()), Math.abs(upper.slope()));
-            if (squares < least && Math.abs(lower.slope() - upper.slope()) > DIFFER * steeper) {
-                least = squares;
-                best = new Bend(points.get(i).x(), lower, upper);
+            double squares = lower.residualSumOfSquares() + upper.residualSumOfSquares();
+            if (squares < leastSquares && slopesDiffer(lower, upper)) {
+                leastSquares = squares;
+                best = new Breakpoint(points.get(i).x(), lower, upper);
             }
         }
         return Optional.ofNullable(best);
     }
 
-    /** The value at this size: by the line, or by the part of the bend that the size falls into. */
-    public double at(double x) {
-        return bend.map(each -> x > each.above() ? each.upper() : each.lower())
-                .orElse(line)
-                .at(x);
+    private static boolean slopesDiffer(Line lower, Line upper) {
+        double steeper = Math.max(Math.abs(lower.slope()), Math.abs(upper.slope()));
+        return Math.abs(lower.slope() - upper.slope()) > MIN_SLOPE_DIFFERENCE * steeper;
+    }
+
+    /** Returns the fitted value at a size, by the line on that size's side of the breakpoint if there is one. */
+    public double valueAt(double size) {
+        return lineFor(size).valueAt(size);
+    }
+
+    private Line lineFor(double size) {
+        if (breakpoint.isEmpty()) {
+            return line;
+        }
+        Breakpoint found = breakpoint.get();
+        return size > found.size() ? found.upper() : found.lower();
     }
 
-    /** Whether the size lies within those measured. */
-    public boolean covers(double x) {
-        return x >= points.get(0).x() && x <= largest();
+    /** Returns whether a size lies within the measured ones. */
+    public boolean covers(double size) {
+        return size >= points.get(0).x() && size <= maxSize();
     }
 
-    /** The largest size measured. */
-    public double largest() {
+    /** Returns the largest measured size. */
+    public double maxSize() {
         return points.get(points.size() - 1).x();
     }
 }
--- a/capacity/src/main/java/topazvalve/capacity/fit/Line.java
+++ b/capacity/src/main/java/topazvalve/capacity/fit/Line.java
@@ -6,29 +6,35 @@
 /**
  * A line of least squares.
  *
- * @param determination the part of the variance that the line explains (r squared); 1 where nothing varies
- * @param squares the sum of the squared residuals
+ * @param intercept the value at size 0
+ * @param slope the increase of the value for each unit of size
+ * @param rSquared the fraction of the variance that the line explains; 1 where the values do not vary
+ * @param residualSumOfSquares the sum of the squared residuals
  */
-public record Line(double intercept, double slope, double determination, double squares) {
+public record Line(double intercept, double slope, double rSquared, double residualSumOfSquares) {
 
-    /** The line through two points or more, at two sizes at least. */
+    /**
+     * Fits a line to points.
+     *
+     * @throws IllegalArgumentException if the points have fewer than two different sizes
+     */
     static Line through(List<Point> points) {
         SimpleRegression regression = new SimpleRegression();
-        points.forEach(each -> regression.addData(each.x(), each.y()));
+        points.forEach(point -> regression.addData(point.x(), point.y()));
         double slope = regression.getSlope();
         if (Double.isNaN(slope)) {
             throw new IllegalArgumentException("a line needs two sizes: " + points);
         }
-        double determination = regression.getRSquare();
+        double rSquared = regression.getRSquare();
         return new Line(
                 regression.getIntercept(),
                 slope,
-                Double.isNaN(determination) ? 1 : determination,
+                Double.isNaN(rSquared) ? 1 : rSquared,
                 Math.max(0, regression.getSumSquaredErrors()));
     }
 
-    /** Its height at this size. */
-    public double at(double x) {
-        return intercept + slope * x;
+    /** Returns the line's value at a size. */
+    public double valueAt(double size) {
+        return intercept + slope * size;
     }
 }
--- a/capacity/src/main/java/topazvalve/capacity/fit/package-info.java
+++ b/capacity/src/main/java/topazvalve/capacity/fit/package-info.java
@@ -1,2 +1,2 @@
-/** Lines through measured points, with what they leave over; a bend is said. */
+/** Least-squares lines through measured points, with their residuals and breakpoints. */
 package topazvalve.capacity.fit;
--- a/capacity/src/main/java/topazvalve/capacity/measure/CallMeasurement.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/CallMeasurement.java
@@ -1,13 +1,9 @@
 package topazvalve.capacity.measure;
 
-import com.fasterxml.jackson.databind.ObjectMapper;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
 import java.io.IOException;
-import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -15,124 +11,147 @@
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
 import topazvalve.capacity.need.Quantity;
-import topazvalve.capacity.plan.CapacityPlan;
 import topazvalve.simulation.measure.EchoServer;
 import topazvalve.simulation.measure.OpenLoop;
 
 /**
- * What the sidecar, on one core, adds to a call: open loop, direct and through it in turn, twice each in one
- * run, to servers that take no time.
+ * Measures the delay and CPU that the sidecar, pinned to one core, adds to a call. An open loop sends calls to
+ * servers that respond at once, directly and through the sidecar in turn.
  */
 final class CallMeasurement {
     private static final int SERVERS = 4;
     private static final int TURNS = 2;
     private static final String CORE = "7";
-    private static final long AFTER_MS = 300;
-    private static final long LONGEST = 60_000_000_000L;
-    private static final double MS = 1e6;
-
-    private final CapacityPlan plan;
-    private final Path home;
-    private final Path folder;
-    private final boolean quick;
-    private final Points points;
-    private final EventLoopGroup servers = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final MultiThreadIoEventLoopGroup clients = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private int streams;
-
-    CallMeasurement(CapacityPlan plan, Path home, Path folder, boolean quick, Points points) {
-        this.plan = plan;
-        this.home = home;
-        this.folder = folder;
-        this.quick = quick;
-        this.points = points;
+    private static final int READY_TIMEOUT_MILLIS = 15_000;
+    /** The wait for the responses that are outstanding when sending ends. */
+    private static final long DRAIN_MILLIS = 300;
+
+    private static final long MIN_LATENCY_NANOS = 1_000;
+    private static final long MAX_LATENCY_NANOS = 60_000_000_000L;
+    private static final int SIGNIFICANT_DIGITS = 3;
+    private static final double NANOS_PER_MILLI = 1e6;
+    private static final double PERCENT = 100;
+
+    private final MeasurementContext context;
+    private final MeasurementRecorder recorder;
+    private final EventLoopGroup serverGroup = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup clientGroup =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private int runs;
+
+    /** The latencies of the calls that went one way, and how many calls had no response. */
+    private static final class Route {
+        private final int port;
+        private final Histogram latencyNanos = new Histogram(MIN_LATENCY_NANOS, MAX_LATENCY_NANOS, SIGNIFICANT_DIGITS);
+        private long unanswered;
+
+        Route(int port) {
+            this.port = port;
+        }
+
+        double percentileMillis(double percentile) {
+            return latencyNanos.getValueAtPercentile(percentile) / NANOS_PER_MILLI;
+        }
     }
 
+    CallMeasurement(MeasurementContext context) {
+        this.context = context;
+        this.recorder = context.recorder();
+    }
+
+    /** Measures several rates, from the plan's calls per sidecar up, after a warm-up. */
     void run() throws IOException, InterruptedException {
-        points.part("packaged sidecar on core " + CORE + ", calls direct and through it in turn");
-        List<EchoServer> echoes = new ArrayList<>();
-        ObjectNode known = new ObjectMapper().createObjectNode().put("rev", 1).put("all", true);
-        ArrayNode targets = known.putArray("targets");
+        recorder.beginSection("packaged sidecar on core " + CORE + ", calls direct and through it in turn");
+        List<Integer> serverPorts = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
-            EchoServer made = new EchoServer(servers);
-            echoes.add(made);
-            targets.addObject()
-                    .put("uid", "s-" + i)
-                    .put("endpoint", "127.0.0.1:" + made.port())
-                    .put("az", "a")
-                    .put("model", "m")
-                    .put("pod_group", 0)
-                    .put("state", "SERVING")
-                    .put("capacity_hint", 1.0)
-                    .put("boot_ms", 0);
+            serverPorts.add(new EchoServer(serverGroup).port());
         }
-        double calls = plan.callsPerSidecar();
-        try (MeasuredSidecar sidecar = MeasuredSidecar.knowing(home, folder, known, List.of("taskset", "-c", CORE))) {
-            sidecar.awaitReady(15_000);
-            at(3 * calls, 1_000, sidecar, echoes.get(0).port(), false);
-            at(calls, quick ? 1_500 : 12_000, sidecar, echoes.get(0).port(), true);
-            if (!quick) {
-                at(3 * calls, 5_000, sidecar, echoes.get(0).port(), true);
-            }
-            at(10 * calls, quick ? 500 : 5_000, sidecar, echoes.get(0).port(), true);
-            at(20 * calls, quick ? 500 : 5_000, sidecar, echoes.get(0).port(), true);
+        try (MeasuredSidecar sidecar = MeasuredSidecar.start(
+                context, SidecarConfiguration.withKnownServers(serverPorts), List.of("taskset", "-c", CORE))) {
+            sidecar.awaitReady(READY_TIMEOUT_MILLIS);
+            measureRates(sidecar, serverPorts.get(0));
         } finally {
-            servers.shutdownGracefully(0, 1, TimeUnit.SECONDS);
-            clients.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+            serverGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+            clientGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         }
     }
 
-    private void at(double rate, long ms, MeasuredSidecar sidecar, int directPort, boolean counts)
-            throws IOException, InterruptedException {
-        Histogram direct = new Histogram(1_000, LONGEST, 3);
-        Histogram through = new Histogram(1_000, LONGEST, 3);
-        long cpu = 0;
-        long bad = 0;
-        for (int i = 0; i < (counts ? TURNS : 1); i++) {
-            bad += load(directPort, rate, ms, direct);
-            Map<String, Long> before = ProcessFigures.cpu(sidecar.pid());
-            bad += load(sidecar.port(), rate, ms, through);
-            cpu += ProcessFigures.cpuSince(before, sidecar.pid());
+    private void measureRates(MeasuredSidecar sidecar, int directPort) throws IOException, InterruptedException {
+        double planned = context.plan().callsPerSidecar();
+        warmUp(3 * planned, 1_000, sidecar, directPort);
+        measure(planned, context.quickOrFull(1_500, 12_000), sidecar, directPort);
+        if (!context.quick()) {
+            measure(3 * planned, 5_000, sidecar, directPort);
         }
-        if (!counts) {
-            return;
+        measure(10 * planned, context.quickOrFull(500, 5_000), sidecar, directPort);
+        measure(20 * planned, context.quickOrFull(500, 5_000), sidecar, directPort);
+    }
+
+    private void warmUp(double callsPerSecond, long durationMillis, MeasuredSidecar sidecar, int directPort)
+            throws InterruptedException {
+        sendCalls(new Route(directPort), callsPerSecond, durationMillis);
+        sendCalls(new Route(sidecar.port()), callsPerSecond, durationMillis);
+    }
+
+    private void measure(double callsPerSecond, long durationMillis, MeasuredSidecar sidecar, int directPort)
+            throws IOException, InterruptedException {
+        Route direct = new Route(directPort);
+        Route proxied = new Route(sidecar.port());
+        long cpuNanos = 0;
+        for (int i = 0; i < TURNS; i++) {
+            sendCalls(direct, callsPerSecond, durationMillis);
+            Map<String, Long> cpuBefore = ProcessMetrics.threadCpuNanos(sidecar.pid());
+            sendCalls(proxied, callsPerSecond, durationMillis);
+            cpuNanos += ProcessMetrics.cpuNanosSince(cpuBefore, sidecar.pid());
         }
-        points.say(String.format(
+        printLatencies(callsPerSecond, direct, proxied);
+        double elapsedNanos = TURNS * (durationMillis + DRAIN_MILLIS) * NANOS_PER_MILLI;
+        recorder.record(Quantity.CALL_CPU, callsPerSecond, PERCENT * cpuNanos / elapsedNanos);
+        recordAddedDelay(callsPerSecond, direct, proxied);
+    }
+
+    private void printLatencies(double callsPerSecond, Route direct, Route proxied) {
+        recorder.print(String.format(
                 Locale.ROOT,
                 "  %.0f calls a second, %d each way, %d not served: direct p50 "
                         + "%.2f p99 %.2f p99.9 %.2f ms, through p50 %.2f p99 %.2f p99.9 %.2f ms",
-                rate,
-                through.getTotalCount(),
-                bad,
-                at(direct, 50),
-                at(direct, 99),
-                at(direct, 99.9),
-                at(through, 50),
-                at(through, 99),
-                at(through, 99.9)));
-        points.add(Quantity.CALL_CPU, rate, 100.0 * cpu / (TURNS * (ms + AFTER_MS) * MS));
-        points.add(Quantity.CALL_ADDED_P50, rate, at(through, 50) - at(direct, 50));
-        if (at(direct, 99) > plan.budget().addedP99() / MS) {
-            points.say("  the direct way's p99 alone is over the plan's "
-                    + plan.budget().addedP99() / MS
+                callsPerSecond,
+                proxied.latencyNanos.getTotalCount(),
+                direct.unanswered + proxied.unanswered,
+                direct.percentileMillis(50),
+                direct.percentileMillis(99),
+                direct.percentileMillis(99.9),
+                proxied.percentileMillis(50),
+                proxied.percentileMillis(99),
+                proxied.percentileMillis(99.9)));
+    }
+
+    private void recordAddedDelay(double callsPerSecond, Route direct, Route proxied) {
+        recordAddedDelay(Quantity.CALL_ADDED_P50, 50, callsPerSecond, direct, proxied);
+        double allowedP99Millis = context.plan().budget().addedP99Nanos() / NANOS_PER_MILLI;
+        if (direct.percentileMillis(99) > allowedP99Millis) {
+            recorder.print("  the direct way's p99 alone is over the plan's "
+                    + allowedP99Millis
                     + " ms: this machine is too busy to tell what p99 and p99.9 the sidecar adds");
             return;
         }
-        points.add(Quantity.CALL_ADDED_P99, rate, at(through, 99) - at(direct, 99));
-        points.add(Quantity.CALL_ADDED_P999, rate, at(through, 99.9) - at(direct, 99.9));
+        recordAddedDelay(Quantity.CALL_ADDED_P99, 99, callsPerSecond, direct, proxied);
+        recordAddedDelay(Quantity.CALL_ADDED_P999, 99.9, callsPerSecond, direct, proxied);
     }
 
-    private static double at(Histogram histogram, double percentile) {
-        return histogram.getValueAtPercentile(percentile) / MS;
+    private void recordAddedDelay(
+            Quantity quantity, double percentile, double callsPerSecond, Route direct, Route proxied) {
+        recorder.record(
+                quantity, callsPerSecond, proxied.percentileMillis(percentile) - direct.percentileMillis(percentile));
     }
 
-    /** Loads one port; returns how many were not served. */
-    private long load(int port, double rate, long ms, Histogram into) throws InterruptedException {
-        int number = streams++;
-        OpenLoop calls = new OpenLoop(clients.next(), port, "c" + number, rate, (long) (ms * MS), number);
-        calls.start();
-        Thread.sleep(ms + AFTER_MS);
-        into.add(calls.latency());
-        return calls.sent() - calls.latency().getTotalCount();
+    private void sendCalls(Route route, double callsPerSecond, long durationMillis) throws InterruptedException {
+        int run = runs++;
+        long durationNanos = (long) (durationMillis * NANOS_PER_MILLI);
+        OpenLoop openLoop = new OpenLoop(clientGroup.next(), route.port, "c" + run, callsPerSecond, durationNanos, run);
+        openLoop.start();
+        Thread.sleep(durationMillis + DRAIN_MILLIS);
+        route.latencyNanos.add(openLoop.latency());
+        route.unanswered += openLoop.sent() - openLoop.latency().getTotalCount();
     }
 }
--- a/capacity/src/main/java/topazvalve/capacity/measure/CapacityMeasurement.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/CapacityMeasurement.java
@@ -12,38 +12,36 @@
 import topazvalve.capacity.need.Slopes;
 import topazvalve.capacity.plan.CapacityPlan;
 
-/** Measures all slopes and puts the plan's sizes into them. */
+/** Measures all slopes on this machine and estimates the demand at the plan's size from them. */
 public final class CapacityMeasurement {
     private CapacityMeasurement() {}
 
     /**
-     * Measures on this machine and returns the table; each line of what is found is said as it comes.
+     * Measures and returns the demand table; a full run takes some six minutes.
      *
-     * @param home where the packaged sidecar lies
-     * @param folder for the measured processes' files
-     * @param quick fewer sizes and shorter, in under a minute
+     * @param repositoryRoot where the packaged programs are
+     * @param workFolder where the measured processes' files go
+     * @param quick whether to measure fewer sizes and for a shorter time
+     * @param output takes the lines of text that report progress
+     * @throws IOException if a measured process cannot be started or does not do what the measurement needs
      */
-    public static DemandTable run(CapacityPlan plan, Path home, Path folder, boolean quick, Consumer<String> say)
+    public static DemandTable run(
+            CapacityPlan plan, Path repositoryRoot, Path workFolder, boolean quick, Consumer<String> output)
             throws IOException, InterruptedException {
-        Points points = new Points(say);
-        say.accept(machine(quick));
-        new ListMeasurement(plan, home, folder, quick, points).run();
-        new ServingMeasurement(plan, home, folder, quick, points).run();
-        new CallMeasurement(plan, home, folder, quick, points).run();
-        ConnectionMeasurement.run(home.resolve("simulation/capacity/connections.toml"), quick, points);
-        Slopes slopes = points.fit();
-        say.accept(machine(quick));
-        say.accept("");
-        say.accept("| slope | per | at 0 | for each | r2 | worst | sizes | bend |");
-        say.accept("| --- | --- | --- | --- | --- | --- | --- | --- |");
-        slopes.all().forEach((quantity, fit) -> say.accept(line(quantity, fit)));
-        if (!slopes.has(Quantity.CALL_ADDED_P99)) {
-            say.accept("not decided: the delay added to a call, which has no line in the table");
-        }
+        MeasurementRecorder recorder = new MeasurementRecorder(output);
+        MeasurementContext context = new MeasurementContext(plan, repositoryRoot, workFolder, quick, recorder);
+        output.accept(describeMachine(quick));
+        new ListMeasurement(context).run();
+        new ServingMeasurement(context).run();
+        new CallMeasurement(context).run();
+        ConnectionMeasurement.run(context);
+        Slopes slopes = recorder.fit();
+        output.accept(describeMachine(quick));
+        printSlopes(slopes, output);
         return DemandModel.of(plan, slopes);
     }
 
-    private static String machine(boolean quick) {
+    private static String describeMachine(boolean quick) {
         return String.format(
                 Locale.ROOT,
                 "%d cores, load %.1f, Java %s%s",
@@ -53,15 +51,17 @@
                 quick ? ", quick: fewer sizes, shorter" : "");
     }
 
+    private static void printSlopes(Slopes slopes, Consumer<String> output) {
+        output.accept("");
+        output.accept("| slope | per | at 0 | for each | r2 | worst | sizes | bend |");
+        output.accept("| --- | --- | --- | --- | --- | --- | --- | --- |");
+        slopes.all().forEach((quantity, fit) -> output.accept(line(quantity, fit)));
+        if (!slopes.has(Quantity.CALL_ADDED_P99)) {
+            output.accept("not decided: the delay added to a call, which has no line in the table");
+        }
+    }
+
     private static String line(Quantity quantity, Fit fit) {
-        String bend = fit.bend()
-                .map(each -> String.format(
-                        Locale.ROOT,
-                        "bends above %.4g: %.3g for each below, %.3g above",
-                        each.above(),
-                        each.lower().slope(),
-                        each.upper().slope()))
-                .orElse("none");
         return String.format(
                 Locale.ROOT,
                 "| %s | %s | %.4g %s | %.3g | %.3f | %.0f%% | %d, %.4g to %.4g | %s |",
@@ -70,11 +70,20 @@
                 fit.line().intercept(),
                 quantity.unit(),
                 fit.line().slope(),
-                fit.line().determination(),
-                fit.worstPercent(),
+                fit.line().rSquared(),
+                fit.maxResidualPercent(),
                 fit.points().size(),
                 fit.points().get(0).x(),
-                fit.largest(),
-                bend);
+                fit.maxSize(),
+                fit.breakpoint().map(CapacityMeasurement::describe).orElse("none"));
+    }
+
+    private static String describe(Fit.Breakpoint breakpoint) {
+        return String.format(
+                Locale.ROOT,
+                "bends above %.4g: %.3g for each below, %.3g above",
+                breakpoint.size(),
+                breakpoint.lower().slope(),
+                breakpoint.upper().slope());
     }
 }
--- /dev/null
+++ b/capacity/src/main/java/topazvalve/capacity/measure/ChildProcess.java
@@ -0,0 +1,31 @@
+package topazvalve.capacity.measure;
+
+import java.nio.file.Path;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+
+/** Helpers for starting and stopping the measured processes. */
+final class ChildProcess {
+    /** Options of the processes that serve endpoint lists, the same for all so that they compare. */
+    static final List<String> LIST_SERVER_JVM_OPTIONS = List.of("-XX:+UseSerialGC", "-Xmx1g", "-XX:-UsePerfData");
+
+    private ChildProcess() {}
+
+    /** Returns the path of a tool of the JDK that runs this process. */
+    static String jdkTool(String name) {
+        return Path.of(System.getProperty("java.home"), "bin", name).toString();
+    }
+
+    /** Stops a process and waits until it has ended; kills it if it has not ended in time. */
+    static void stop(Process process, int graceSeconds) {
+        process.destroy();
+        try {
+            if (!process.waitFor(graceSeconds, TimeUnit.SECONDS)) {
+                process.destroyForcibly();
+            }
+        } catch (InterruptedException e) {
+            process.destroyForcibly();
+            Thread.currentThread().interrupt();
+        }
+    }
+}
--- a/capacity/src/main/java/topazvalve/capacity/measure/ConnectionMeasurement.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/ConnectionMeasurement.java
@@ -12,34 +12,48 @@
 import topazvalve.simulation.virtual.VirtualWorld;
 
 /**
- * New connections for a call by the calls a second of one sidecar and one server, in virtual time: a
- * connection that is idle for the server's time is closed. The same seed gives the same figures.
+ * Measures in virtual time how many new connections a call needs, by the calls per second between one sidecar and
+ * one server: connections that are idle for too long are closed. The same seed gives the same result.
  */
 final class ConnectionMeasurement {
     private static final long SEED = 5;
-    private static final double[] PAIRS = {0.0234, 0.0667, 0.267, 1, 3};
+    private static final double[] CALLS_PER_SECOND_AND_PAIR = {0.0234, 0.0667, 0.267, 1, 3};
+    private static final String SCENARIO = "simulation/capacity/connections.toml";
 
     private ConnectionMeasurement() {}
 
-    static void run(Path file, boolean quick, Points points) throws IOException {
-        points.part("virtual time, " + file.getFileName());
+    /** Measures all rates; a quick run leaves out the highest. */
+    static void run(MeasurementContext context) throws IOException {
+        Path file = context.repositoryRoot().resolve(SCENARIO);
+        MeasurementRecorder recorder = context.recorder();
+        recorder.beginSection("virtual time, " + file.getFileName());
         Scenario scenario = ScenarioFile.read(file);
-        for (int i = 0; i < PAIRS.length - (quick ? 1 : 0); i++) {
-            points.add(Quantity.CONNECTIONS_PER_CALL, PAIRS[i], perCall(scenario, PAIRS[i]));
+        int rates = CALLS_PER_SECOND_AND_PAIR.length - (context.quick() ? 1 : 0);
+        for (int i = 0; i < rates; i++) {
+            double rate = CALLS_PER_SECOND_AND_PAIR[i];
+            recorder.record(Quantity.CONNECTIONS_PER_CALL, rate, connectionsPerCall(scenario, rate));
         }
     }
 
-    /** New connections for each attempt at this many calls a second of each pair. */
-    static double perCall(Scenario scenario, double callsOfPair) {
+    /** Returns the new connections for each attempt at a rate of calls between one sidecar and one server. */
+    static double connectionsPerCall(Scenario scenario, double callsPerSecondAndPair) {
+        double callsPerSecond = callsPerSecondAndPair * scenario.fleet().servers();
+        VirtualWorld world =
+                new VirtualWorld(withLoad(scenario, callsPerSecond), ExperimentArm.of(Policy.MODULE), SEED);
+        RunStatistics.Sums sums = world.play().tally().sums();
+        return (double) sums.connections() / Math.max(1, sums.attempts());
+    }
+
+    private static Scenario withLoad(Scenario scenario, double callsPerSecond) {
         Load load = scenario.load();
-        Scenario loaded = new Scenario(
+        return new Scenario(
                 scenario.name(),
                 scenario.about(),
                 scenario.length(),
                 scenario.settle(),
                 scenario.fleet(),
                 new Load(
-                        callsOfPair * scenario.fleet().servers(),
+                        callsPerSecond,
                         0,
                         load.shape(),
                         load.swing(),
@@ -55,10 +69,5 @@
                 scenario.clients(),
                 scenario.faults(),
                 scenario.chaos());
-        RunStatistics.Sums sums = new VirtualWorld(loaded, ExperimentArm.of(Policy.MODULE), SEED)
-                .play()
-                .tally()
-                .sums();
-        return (double) sums.connections() / Math.max(1, sums.attempts());
     }
 }
--- a/capacity/src/main/java/topazvalve/capacity/measure/ListMeasurement.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/ListMeasurement.java
@@ -1,170 +1,71 @@
 package topazvalve.capacity.measure;
 
 import java.io.IOException;
-import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import topazvalve.capacity.need.Quantity;
-import topazvalve.capacity.plan.CapacityPlan;
 
-/**
- * What a server in the list costs the packaged sidecar: it follows a stand-in source with lists of several
- * lengths. Whether a change is in force is asked at its operators' door, every millisecond or two; CPU is
- * taken while nobody asks.
- */
+/** Measures what each listed server costs the packaged sidecar, with endpoint lists of several lengths. */
 final class ListMeasurement {
-    private static final int START_LIMIT_MS = 15_000;
-    private static final int REST_MS = 2_000;
-    private static final int LIMIT_MS = 10_000;
-    private static final double MS = 1e6;
-    private static final double PERCENT = 100;
+    private static final int START_TIMEOUT_MILLIS = 15_000;
+    private static final int START_POLL_MILLIS = 10;
+    private static final double NANOS_PER_SECOND = 1e9;
 
-    private final CapacityPlan plan;
-    private final Path home;
-    private final Path folder;
-    private final boolean quick;
-    private final Points points;
+    private final MeasurementContext context;
+    private final MeasurementRecorder recorder;
 
-    ListMeasurement(CapacityPlan plan, Path home, Path folder, boolean quick, Points points) {
-        this.plan = plan;
-        this.home = home;
-        this.folder = folder;
-        this.quick = quick;
-        this.points = points;
+    ListMeasurement(MeasurementContext context) {
+        this.context = context;
+        this.recorder = context.recorder();
     }
 
-    /** Lists up to the plan's size, and one beyond it in full form. */
+    /** Measures lists up to the plan's length. A length at which the sidecar fails is reported and left out. */
     void run() throws IOException, InterruptedException {
-        int most = plan.fleet().servers();
-        int[] sizes = quick
-                ? new int[] {most / 57, most / 4, most}
-                : new int[] {most / 57, most / 12, most / 4, most / 2, most};
-        for (int size : sizes) {
+        for (int servers : listLengths()) {
             try {
-                at(size);
+                measure(servers);
             } catch (IOException e) {
-                points.say("  not measured with " + size + " servers: " + e.getMessage());
+                recorder.print("  not measured with " + servers + " servers: " + e.getMessage());
             }
         }
-        bytes();
+        recordLineBytes();
     }
 
-    private void at(int servers) throws IOException, InterruptedException {
-        points.part("packaged sidecar, " + servers + " servers listed");
-        points.add(
-                Quantity.LIST_BYTES, servers, ListText.whole(1, servers, false).length());
-        long emptyMs = plan.source().emptyLineEvery() / 1_000_000;
-        List<Double> starts = new ArrayList<>();
-        List<Double> cpus = new ArrayList<>();
-        for (int i = quick ? 1 : 3; i > 0; i--) {
-            try (MeasuredServer source = MeasuredServer.source(servers, 0, 1000, emptyMs);
-                    MeasuredSidecar sidecar = MeasuredSidecar.following(home, folder, source.port(), List.of())) {
-                sidecar.awaitListed(servers, START_LIMIT_MS, 10);
-                starts.add(sidecar.age() / 1e9);
-                cpus.add(ProcessFigures.cpuNanos(sidecar.handle()) / 1e9);
-                if (i == 1) {
-                    points.add(Quantity.SIDECAR_START, servers, Points.median(starts));
-                    points.add(Quantity.SIDECAR_START_CPU, servers, Points.median(cpus));
-                    running(servers, source, sidecar);
-                }
-            }
-        }
-    }
-
-    private void running(int servers, MeasuredServer source, MeasuredSidecar sidecar)
-            throws IOException, InterruptedException {
-        sidecar.awaitReady(START_LIMIT_MS);
-        Thread.sleep(500);
-        double rest = cpuPercent(sidecar, quick ? REST_MS : 3 * REST_MS);
-        points.add(Quantity.SIDECAR_REST_CPU, servers, rest);
-        changes(servers, source, sidecar, rest);
-        if (servers == plan.fleet().servers()) {
-            lines(servers, source, sidecar, rest);
-        }
-        points.add(Quantity.SIDECAR_RESIDENT, servers, ProcessFigures.residentMib(sidecar.pid()));
-        points.add(Quantity.SIDECAR_HEAP, servers, ProcessFigures.liveHeapMib(sidecar.pid()));
-    }
-
-    private static double cpuPercent(MeasuredSidecar sidecar, int ms) throws IOException, InterruptedException {
-        Map<String, Long> cpu = ProcessFigures.cpu(sidecar.pid());
-        long begun = System.nanoTime();
-        Thread.sleep(ms);
-        return PERCENT * ProcessFigures.cpuSince(cpu, sidecar.pid()) / (System.nanoTime() - begun);
-    }
-
-    private void changes(int servers, MeasuredServer source, MeasuredSidecar sidecar, double rest)
-            throws IOException, InterruptedException {
-        points.add(Quantity.CHANGE_TIME, servers, time(servers, 1, sidecar, quick ? 6 : 30, () -> source.change(1)));
-        points.add(
-                Quantity.CHANGE_CPU,
-                servers,
-                cpu(servers, sidecar, rest, quick ? 40 : 200, 10, () -> source.change(1)));
-        points.add(Quantity.LIST_TIME, servers, time(servers, 1, sidecar, quick ? 4 : 10, source::whole));
-        points.add(Quantity.LIST_CPU, servers, cpu(servers, sidecar, rest, quick ? 4 : 20, 100, source::whole));
-    }
-
-    /** One line may tell of many servers: what each of them adds. */
-    private void lines(int servers, MeasuredServer source, MeasuredSidecar sidecar, double rest)
-            throws IOException, InterruptedException {
-        for (int entries : lineSizes()) {
-            points.add(
-                    Quantity.LINE_TIME,
-                    entries,
-                    time(servers, entries, sidecar, quick ? 2 : 10, () -> source.change(entries)));
-            points.add(
-                    Quantity.LINE_CPU,
-                    entries,
-                    cpu(servers, sidecar, rest, quick ? 10 : 40, 25, () -> source.change(entries)));
-        }
-    }
-
-    private int[] lineSizes() {
-        return new int[] {1, 10, 100, plan.fleet().largestZone()};
-    }
-
-    /** Tells something that makes one server come or go. */
-    private interface Telling {
-        MeasuredServer.Told tell() throws IOException;
-    }
-
-    /** From the telling until it is in force, in milliseconds, the one in the middle. */
-    private static double time(int servers, int entries, MeasuredSidecar sidecar, int times, Telling telling)
-            throws IOException, InterruptedException {
-        List<Double> found = new ArrayList<>();
-        for (int i = 0; i < times; i++) {
-            MeasuredServer.Told told = telling.tell();
-            long inForce = sidecar.awaitListed(i % 2 == 0 ? servers + entries : servers, LIMIT_MS, 1);
-            found.add((inForce - told.nanos()) / MS);
-        }
-        return Points.median(found);
+    private int[] listLengths() {
+        int max = context.servers();
+        return context.quick()
+                ? new int[] {max / 57, max / 4, max}
+                : new int[] {max / 57, max / 12, max / 4, max / 2, max};
     }
 
-    /** CPU of one, in milliseconds, without what the sidecar takes at rest. */
-    private static double cpu(
-            int servers, MeasuredSidecar sidecar, double rest, int times, int pauseMs, Telling telling)
-            throws IOException, InterruptedException {
-        Map<String, Long> cpu = ProcessFigures.cpu(sidecar.pid());
-        long begun = System.nanoTime();
-        for (int i = 0; i < times; i++) {
-            telling.tell();
-            Thread.sleep(pauseMs);
+    private void measure(int servers) throws IOException, InterruptedException {
+        recorder.beginSection("packaged sidecar, " + servers + " servers listed");
+        int snapshotBytes = EndpointListJson.fullSnapshot(1, servers, false).length();
+        recorder.record(Quantity.LIST_BYTES, servers, snapshotBytes);
+        List<Double> startSeconds = new ArrayList<>();
+        List<Double> startCpuSeconds = new ArrayList<>();
+        for (int startsLeft = context.quickOrFull(1, 3); startsLeft > 0; startsLeft--) {
+            try (StandInSourceProcess source =
+                            StandInSourceProcess.startUnbounded(servers, context.emptyLineIntervalMillis());
+                    MeasuredSidecar sidecar =
+                            MeasuredSidecar.start(context, SidecarConfiguration.watching(source.port()), List.of())) {
+                sidecar.awaitListed(servers, START_TIMEOUT_MILLIS, START_POLL_MILLIS);
+                startSeconds.add(sidecar.ageNanos() / NANOS_PER_SECOND);
+                startCpuSeconds.add(ProcessMetrics.totalCpuNanos(sidecar.handle()) / NANOS_PER_SECOND);
+                if (startsLeft == 1) {
+                    recorder.record(Quantity.SIDECAR_START, servers, MeasurementRecorder.median(startSeconds));
+                    recorder.record(Quantity.SIDECAR_START_CPU, servers, MeasurementRecorder.median(startCpuSeconds));
+                    sidecar.awaitReady(START_TIMEOUT_MILLIS);
+                    new RunningSidecarMeasurement(context, servers, source, sidecar).run();
+                }
+            }
         }
-        sidecar.awaitListed(servers, LIMIT_MS, 5);
-        double atRest = rest / PERCENT * (System.nanoTime() - begun);
-        return Math.max(0, ProcessFigures.cpuSince(cpu, sidecar.pid()) - atRest) / times / MS;
     }
 
-    private void bytes() {
-        for (int entries : lineSizes()) {
-            points.add(Quantity.LINE_BYTES, entries, chunk(entries));
-            points.add(Quantity.CHANGE_BYTES, entries, entries * chunk(1));
+    private void recordLineBytes() {
+        for (int endpoints : RunningSidecarMeasurement.endpointsPerLine(context)) {
+            recorder.record(Quantity.LINE_BYTES, endpoints, EndpointListJson.deltaChunkLength(endpoints));
+            recorder.record(Quantity.CHANGE_BYTES, endpoints, endpoints * EndpointListJson.deltaChunkLength(1));
         }
     }
-
-    /** One line in its frame: the length in hexadecimal and two line ends. */
-    private static int chunk(int entries) {
-        int line = ListText.change(1_000_000, entries, true).length();
-        return line + Integer.toHexString(line).length() + 4;
-    }
 }
--- a/capacity/src/main/java/topazvalve/capacity/measure/RelayProcess.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/RelayProcess.java
@@ -3,35 +3,42 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.concurrent.TimeUnit;
+import java.util.ArrayList;
+import java.util.List;
 import topazvalve.simulation.process.RunLine;
 
-/** The packaged relay as a process of its own, following one source; only its jar is known here. */
+/** The packaged relay in a process of its own, subscribed to one source. */
 final class RelayProcess implements AutoCloseable {
+    private static final int STOP_GRACE_SECONDS = 5;
+
     private final Process process;
     private final int port;
 
-    RelayProcess(Path jar, Path folder, int sourcePort) throws IOException {
+    RelayProcess(Path jar, Path workFolder, int sourcePort) throws IOException {
         port = RunLine.freePort();
-        Path file = folder.resolve("relay-" + port + ".toml");
-        Files.writeString(
-                file,
-                "name = \"r0\"\nlisten = \"127.0.0.1:" + port + "\"\n[[source]]\n"
-                        + "name = \"s\"\naddresses = [\"127.0.0.1:" + sourcePort + "\"]\n");
-        process = new ProcessBuilder(
-                        Path.of(System.getProperty("java.home"), "bin/java").toString(),
-                        "-XX:+UseSerialGC",
-                        "-Xmx1g",
-                        "-XX:-UsePerfData",
-                        "-Djava.net.preferIPv4Stack=true",
-                        "-jar",
-                        jar.toString(),
-                        file.toString())
+        Path settingsFile = workFolder.resolve("relay-" + port + ".toml");
+        Path logFile = workFolder.resolve("relay-" + port + ".log");
+        Files.writeString(settingsFile, settings(port, sourcePort));
+        process = new ProcessBuilder(command(jar, settingsFile))
                 .redirectErrorStream(true)
-                .redirectOutput(folder.resolve("relay-" + port + ".log").toFile())
+                .redirectOutput(logFile.toFile())
                 .start();
     }
 
+    private static String settings(int port, int sourcePort) {
+        return "name = \"r0\"\nlisten = \"127.0.0.1:" + port + "\"\n[[source]]\n"
+                + "name = \"s\"\naddresses = [\"127.0.0.1:" + sourcePort + "\"]\n";
+    }
+
+    private static List<String> command(Path jar, Path settingsFile) {
+        List<String> command = new ArrayList<>();
+        command.add(ChildProcess.jdkTool("java"));
+        command.addAll(ChildProcess.LIST_SERVER_JVM_OPTIONS);
+        command.add("-Djava.net.preferIPv4Stack=true");
+        command.addAll(List.of("-jar", jar.toString(), settingsFile.toString()));
+        return command;
+    }
+
     int port() {
         return port;
     }
@@ -42,14 +49,6 @@
 
     @Override
     public void close() {
-        process.destroy();
-        try {
-            if (!process.waitFor(5, TimeUnit.SECONDS)) {
-                process.destroyForcibly();
-            }
-        } catch (InterruptedException e) {
-            process.destroyForcibly();
-            Thread.currentThread().interrupt();
-        }
+        ChildProcess.stop(process, STOP_GRACE_SECONDS);
     }
 }
--- a/capacity/src/main/java/topazvalve/capacity/measure/StandInSource.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/StandInSource.java
@@ -37,37 +37,64 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A source of lists as a process of its own: whole list, watch, empty lines. It answers calls in turn, so
- * many a second where it is bounded; one that has waited longer than it may fails. Commands come by standard
- * input: {@code change N} tells a change of N entries, which come and go by turns; {@code whole} tells the
- * same of one entry by the whole list; {@code calls} says how many calls came since it was last asked.
+ * A discovery source that runs as a process of its own: complete lists, watches and empty lines. With a bounded
+ * capacity it answers one call after another; a call that has waited longer than the timeout fails.
+ *
+ * <p>It reads commands from standard input, one a line, and writes replies to standard output:
+ *
+ * <ul>
+ *   <li>{@code change N} publishes a change of N extra servers, which are added and removed in turn;
+ *   <li>{@code whole} publishes a change of one extra server as a complete list;
+ *   <li>{@code calls} replies with the number of calls since the last such command.
+ * </ul>
+ *
+ * <p>All state belongs to the event loop.
  */
 @ChannelHandler.Sharable
 final class StandInSource extends SimpleChannelInboundHandler<FullHttpRequest> {
-    private static final int LARGEST = 1 << 12;
+    static final String COMMAND_DELTA = "change";
+    static final String COMMAND_SNAPSHOT = "whole";
+    static final String COMMAND_CALLS = "calls";
+    static final String REPLY_PORT = "port";
+    static final String REPLY_PUBLISHED = "told";
+    static final String REPLY_CALLS = "calls";
+
+    private static final int MAX_REQUEST_BYTES = 1 << 12;
     private static final int BACKLOG = 8192;
+    private static final double NANOS_PER_SECOND = 1e9;
+    private static final long FIRST_REVISION = 1;
 
     private final EventLoop loop;
     private final long nanosPerCall;
-    private final long timeout;
+    private final long timeoutNanos;
     private final int servers;
     private final Set<Channel> watches = new LinkedHashSet<>();
-    private final ByteBuf whole;
-    private long rev = 1;
-    private boolean come;
-    private long busyUntil;
+    private final ByteBuf firstSnapshot;
+    private long revision = FIRST_REVISION;
+    private boolean extraServersListed;
+    private long busyUntilNanos;
     private int calls;
 
-    private StandInSource(EventLoop loop, int servers, double callsPerSecond, long timeoutMs, long emptyMs) {
+    private StandInSource(
+            EventLoop loop, int servers, double callsPerSecond, long timeoutMillis, long emptyLineIntervalMillis) {
         this.loop = loop;
         this.servers = servers;
-        this.nanosPerCall = callsPerSecond > 0 ? (long) (1e9 / callsPerSecond) : 0;
-        this.timeout = timeoutMs * 1_000_000;
-        this.whole = bytes(ListText.whole(rev, servers, false));
-        loop.scheduleAtFixedRate(() -> tell(bytes("\n")), emptyMs, emptyMs, TimeUnit.MILLISECONDS);
+        this.nanosPerCall = callsPerSecond > 0 ? (long) (NANOS_PER_SECOND / callsPerSecond) : 0;
+        this.timeoutNanos = TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
+        this.firstSnapshot = buffer(EndpointListJson.fullSnapshot(revision, servers, false));
+        loop.scheduleAtFixedRate(
+                () -> sendToWatches(buffer("\n")),
+                emptyLineIntervalMillis,
+                emptyLineIntervalMillis,
+                TimeUnit.MILLISECONDS);
     }
 
-    /** Servers listed, calls a second (0: no bound), a call's longest wait, time between empty lines. */
+    /**
+     * Runs a source until standard input ends.
+     *
+     * @param args the number of listed servers, the calls per second (0: unbounded), the timeout of a waiting call
+     *     and the time between empty lines, both in milliseconds
+     */
     public static void main(String[] args) throws IOException, InterruptedException {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         StandInSource source = new StandInSource(
@@ -76,99 +103,122 @@
                 Double.parseDouble(args[1]),
                 Long.parseLong(args[2]),
                 Long.parseLong(args[3]));
-        Channel listening = new ServerBootstrap()
+        Channel listener = listen(group, source);
+        System.out.println(REPLY_PORT + " " + ((InetSocketAddress) listener.localAddress()).getPort());
+        BufferedReader commands = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
+        for (String line = commands.readLine(); line != null; line = commands.readLine()) {
+            String[] words = line.split(" ");
+            source.loop.execute(() -> source.execute(words));
+        }
+        System.exit(0);
+    }
+
+    private static Channel listen(MultiThreadIoEventLoopGroup group, StandInSource source) throws InterruptedException {
+        return new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
-                    protected void initChannel(Channel made) {
-                        made.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(LARGEST), source);
+                    protected void initChannel(Channel channel) {
+                        channel.pipeline()
+                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_REQUEST_BYTES), source);
                     }
                 })
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
                 .sync()
                 .channel();
-        System.out.println("port " + ((InetSocketAddress) listening.localAddress()).getPort());
-        BufferedReader commands = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
-        for (String line = commands.readLine(); line != null; line = commands.readLine()) {
-            String[] words = line.split(" ");
-            source.loop.execute(() -> source.command(words));
-        }
-        System.exit(0);
     }
 
-    private void command(String[] words) {
-        if (words[0].equals("calls")) {
-            System.out.println("calls " + calls);
+    private void execute(String[] command) {
+        if (command[0].equals(COMMAND_CALLS)) {
+            System.out.println(REPLY_CALLS + " " + calls);
             calls = 0;
             return;
         }
-        come = !come;
-        rev++;
-        ByteBuf line =
-                words[0].equals("whole") ? current() : bytes(ListText.change(rev, Integer.parseInt(words[1]), come));
-        long now = System.nanoTime();
-        tell(line);
-        System.out.println("told " + now + " " + rev);
+        extraServersListed = !extraServersListed;
+        revision++;
+        ByteBuf line = command[0].equals(COMMAND_SNAPSHOT)
+                ? currentSnapshot()
+                : buffer(EndpointListJson.delta(revision, Integer.parseInt(command[1]), extraServersListed));
+        long publishedAtNanos = System.nanoTime();
+        sendToWatches(line);
+        System.out.println(REPLY_PUBLISHED + " " + publishedAtNanos + " " + revision);
     }
 
-    private static ByteBuf bytes(String text) {
+    private static ByteBuf buffer(String text) {
         return Unpooled.unreleasableBuffer(Unpooled.wrappedBuffer(text.getBytes(StandardCharsets.UTF_8)));
     }
 
-    private void tell(ByteBuf line) {
-        watches.forEach(each -> each.writeAndFlush(new DefaultHttpContent(line.duplicate())));
+    private void sendToWatches(ByteBuf line) {
+        watches.forEach(channel -> channel.writeAndFlush(new DefaultHttpContent(line.duplicate())));
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
         QueryStringDecoder uri = new QueryStringDecoder(request.uri());
         boolean watching = uri.parameters().containsKey("watch");
-        long from = Long.parseLong(
-                uri.parameters().getOrDefault("from", List.of("0")).get(0));
-        long now = System.nanoTime();
+        List<String> from = uri.parameters().getOrDefault("from", List.of("0"));
+        long fromRevision = Long.parseLong(from.get(0));
+        long nowNanos = System.nanoTime();
         calls++;
         if (nanosPerCall == 0) {
-            answer(context.channel(), watching, from);
+            respond(context.channel(), watching, fromRevision);
             return;
         }
-        long begins = Math.max(now, busyUntil);
-        if (begins - now > timeout) {
-            loop.schedule(() -> refuse(context.channel()), timeout, TimeUnit.NANOSECONDS);
+        long startNanos = Math.max(nowNanos, busyUntilNanos);
+        if (startNanos - nowNanos > timeoutNanos) {
+            loop.schedule(() -> reject(context.channel()), timeoutNanos, TimeUnit.NANOSECONDS);
             return;
         }
-        busyUntil = begins + nanosPerCall;
-        loop.schedule(() -> answer(context.channel(), watching, from), busyUntil - now, TimeUnit.NANOSECONDS);
+        busyUntilNanos = startNanos + nanosPerCall;
+        loop.schedule(
+                () -> respond(context.channel(), watching, fromRevision),
+                busyUntilNanos - nowNanos,
+                TimeUnit.NANOSECONDS);
     }
 
-    private static void refuse(Channel channel) {
+    private static void reject(Channel channel) {
         FullHttpResponse response =
                 new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.SERVICE_UNAVAILABLE);
         HttpUtil.setContentLength(response, 0);
         channel.writeAndFlush(response);
     }
 
-    private void answer(Channel channel, boolean watching, long from) {
-        if (!watching) {
-            FullHttpResponse response =
-                    new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, whole.duplicate());
-            HttpUtil.setContentLength(response, whole.readableBytes());
-            channel.writeAndFlush(response);
-            return;
+    private void respond(Channel channel, boolean watching, long fromRevision) {
+        if (watching) {
+            beginWatch(channel, fromRevision);
+        } else {
+            sendFirstSnapshot(channel);
         }
+    }
+
+    private void sendFirstSnapshot(Channel channel) {
+        FullHttpResponse response =
+                new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, firstSnapshot.duplicate());
+        HttpUtil.setContentLength(response, firstSnapshot.readableBytes());
+        channel.writeAndFlush(response);
+    }
+
+    private void beginWatch(Channel channel, long fromRevision) {
         HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         HttpUtil.setTransferEncodingChunked(head, true);
         channel.write(head);
-        channel.writeAndFlush(
-                new DefaultHttpContent(from == rev ? bytes("\n") : rev == 1 ? whole.duplicate() : current()));
+        channel.writeAndFlush(new DefaultHttpContent(firstLine(fromRevision)));
         watches.add(channel);
         channel.closeFuture().addListener(closed -> watches.remove(channel));
     }
 
-    private ByteBuf current() {
-        return bytes(ListText.whole(rev, servers, come));
+    private ByteBuf firstLine(long fromRevision) {
+        if (fromRevision == revision) {
+            return buffer("\n");
+        }
+        return revision == FIRST_REVISION ? firstSnapshot.duplicate() : currentSnapshot();
+    }
+
+    private ByteBuf currentSnapshot() {
+        return buffer(EndpointListJson.fullSnapshot(revision, servers, extraServersListed));
     }
 
     @Override
--- /dev/null
+++ b/capacity/src/main/java/topazvalve/capacity/measure/StandInSourceProcess.java
@@ -0,0 +1,110 @@
+package topazvalve.capacity.measure;
+
+import java.io.BufferedReader;
+import java.io.IOException;
+import java.io.PrintWriter;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+
+/** A {@link StandInSource} in a process of its own, controlled through its standard input and output. */
+final class StandInSourceProcess implements AutoCloseable {
+    private static final int STOP_GRACE_SECONDS = 5;
+
+    private final Process process;
+    private final BufferedReader replies;
+    private final PrintWriter commands;
+    private final int port;
+
+    /**
+     * A change that the source has published.
+     *
+     * @param publishedAtNanos when, by the machine's monotonic clock, which all processes share
+     * @param revision the version of the endpoint list with this change
+     */
+    record PublishedChange(long publishedAtNanos, long revision) {}
+
+    private StandInSourceProcess(Process process) throws IOException {
+        this.process = process;
+        this.replies = process.inputReader(StandardCharsets.UTF_8);
+        this.commands = new PrintWriter(process.outputWriter(StandardCharsets.UTF_8), true);
+        this.port = (int) readReply(StandInSource.REPLY_PORT)[0];
+    }
+
+    /** Starts a source whose capacity is unbounded. */
+    static StandInSourceProcess startUnbounded(int servers, long emptyLineIntervalMillis) throws IOException {
+        long unusedTimeoutMillis = 1000;
+        return start(servers, 0, unusedTimeoutMillis, emptyLineIntervalMillis);
+    }
+
+    /**
+     * Starts a source.
+     *
+     * @param servers the length of its endpoint list
+     * @param callsPerSecond the calls that it answers; 0 is unbounded
+     * @param timeoutMillis the longest wait of a call before it fails
+     */
+    static StandInSourceProcess start(
+            int servers, double callsPerSecond, long timeoutMillis, long emptyLineIntervalMillis) throws IOException {
+        List<String> command = new ArrayList<>();
+        command.add(ChildProcess.jdkTool("java"));
+        command.addAll(ChildProcess.LIST_SERVER_JVM_OPTIONS);
+        command.addAll(List.of("-cp", System.getProperty("java.class.path"), StandInSource.class.getName()));
+        command.add(Integer.toString(servers));
+        command.add(Double.toString(callsPerSecond));
+        command.add(Long.toString(timeoutMillis));
+        command.add(Long.toString(emptyLineIntervalMillis));
+        return new StandInSourceProcess(new ProcessBuilder(command)
+                .redirectError(ProcessBuilder.Redirect.DISCARD)
+                .start());
+    }
+
+    /** Reads a reply and returns its numbers. */
+    private long[] readReply(String word) throws IOException {
+        String line = replies.readLine();
+        if (line == null || !line.startsWith(word + " ")) {
+            throw new MeasurementException("the stand-in source says: " + line);
+        }
+        String[] words = line.split(" ");
+        long[] numbers = new long[words.length - 1];
+        for (int i = 0; i < numbers.length; i++) {
+            numbers[i] = Long.parseLong(words[i + 1]);
+        }
+        return numbers;
+    }
+
+    int port() {
+        return port;
+    }
+
+    long pid() {
+        return process.pid();
+    }
+
+    /** Publishes a change of so many endpoints, which are added and removed in turn. */
+    PublishedChange publishDelta(int endpoints) throws IOException {
+        return publish(StandInSource.COMMAND_DELTA + " " + endpoints);
+    }
+
+    /** Publishes a change of one endpoint as a complete list. */
+    PublishedChange publishSnapshot() throws IOException {
+        return publish(StandInSource.COMMAND_SNAPSHOT);
+    }
+
+    private PublishedChange publish(String command) throws IOException {
+        commands.println(command);
+        long[] numbers = readReply(StandInSource.REPLY_PUBLISHED);
+        return new PublishedChange(numbers[0], numbers[1]);
+    }
+
+    /** Returns the number of calls since the last time this was requested. */
+    long callsSinceLastRequest() throws IOException {
+        commands.println(StandInSource.COMMAND_CALLS);
+        return readReply(StandInSource.REPLY_CALLS)[0];
+    }
+
+    @Override
+    public void close() {
+        ChildProcess.stop(process, STOP_GRACE_SECONDS);
+    }
+}
--- a/capacity/src/main/java/topazvalve/capacity/need/DemandTable.java
+++ b/capacity/src/main/java/topazvalve/capacity/need/DemandTable.java
@@ -1,78 +1,94 @@
 package topazvalve.capacity.need;
 
+import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
 import java.util.Locale;
 
-/** The table that a measurement ends with. */
-public record DemandTable(List<ResourceDemand> needs) {
+/**
+ * The result of a capacity measurement.
+ *
+ * @param rows the demands of all tiers, in the order in which they are printed
+ */
+public record DemandTable(List<ResourceDemand> rows) {
+    private static final String HEADER = "| role | when | what | need | allowed | ratio | how | from |";
+    private static final String HEADER_RULE = "| --- | --- | --- | --- | --- | --- | --- | --- |";
+    private static final String BOLD = "**";
+    /** Below this, three decimals would print as zero. */
+    private static final double MIN_FIXED_POINT = 0.0005;
 
+    /** Creates a table of these rows. */
     public DemandTable {
-        needs = List.copyOf(needs);
+        rows = List.copyOf(rows);
     }
 
-    /** Those over their budget, the furthest first. */
+    /** Returns the rows that exceed their budget, the highest ratio first. */
     public List<ResourceDemand> over() {
-        return needs.stream()
-                .filter(ResourceDemand::over)
+        return rows.stream()
+                .filter(ResourceDemand::exceedsBudget)
                 .sorted(Comparator.comparingDouble(ResourceDemand::ratio).reversed())
                 .toList();
     }
 
-    /** What belongs to one tier alone. */
+    /** Returns the table of one tier alone. */
     public DemandTable of(ResourceDemand.Tier tier) {
-        return new DemandTable(
-                needs.stream().filter(each -> each.tier() == tier).toList());
+        return new DemandTable(rows.stream().filter(row -> row.tier() == tier).toList());
     }
 
-    /** The tiers that have a line. */
+    /** Returns the tiers that have a row. */
     public List<ResourceDemand.Tier> tiers() {
-        return needs.stream().map(ResourceDemand::tier).distinct().toList();
+        return rows.stream().map(ResourceDemand::tier).distinct().toList();
     }
 
-    /** Whether every ratio of this tier is 1 or less. */
+    /** Returns whether no row of a tier exceeds its budget. */
     public boolean kept(ResourceDemand.Tier tier) {
-        return needs.stream().noneMatch(each -> each.tier() == tier && each.over());
+        return rows.stream().noneMatch(row -> row.tier() == tier && row.exceedsBudget());
     }
 
-    /** As Markdown, one line for each need of a tier. */
+    /** Returns the rows of a tier as a Markdown table, one line each after the header. */
     public List<String> lines(ResourceDemand.Tier tier) {
-        List<String> body = needs.stream()
-                .filter(each -> each.tier() == tier)
-                .map(DemandTable::line)
-                .toList();
-        return java.util.stream.Stream.concat(
-                        List.of(
-                                "| role | when | what | need | allowed | ratio | how | from |",
-                                "| --- | --- | --- | --- | --- | --- | --- | --- |")
-                                .stream(),
-                        body.stream())
-                .toList();
+        List<String> lines = new ArrayList<>(List.of(HEADER, HEADER_RULE));
+        for (ResourceDemand row : rows) {
+            if (row.tier() == tier) {
+                lines.add(line(row));
+            }
+        }
+        return List.copyOf(lines);
+    }
+
+    private static String line(ResourceDemand row) {
+        String emphasis = row.exceedsBudget() ? BOLD : "";
+        String cells = String.join(
+                " | ",
+                row.role(),
+                row.when(),
+                row.what(),
+                format(row.demand().value()) + " " + row.unit(),
+                format(row.budget()) + " " + row.unit(),
+                emphasis + format(row.ratio()) + emphasis,
+                row.demand().origin().label(),
+                row.demand().basis());
+        return "| " + cells + " |";
     }
 
-    private static String line(ResourceDemand need) {
-        return "| "
-                + String.join(
-                        " | ",
-                        need.role(),
-                        need.when(),
-                        need.what(),
-                        text(need.need().value()) + " " + need.unit(),
-                        text(need.allowed()) + " " + need.unit(),
-                        (need.over() ? "**" : "") + text(need.ratio()) + (need.over() ? "**" : ""),
-                        need.need().origin().word(),
-                        need.need().from())
-                + " |";
+    /** Formats three significant digits, or a whole number with separators from a thousand on. */
+    static String format(double value) {
+        return String.format(Locale.ROOT, pattern(Math.abs(value)), value);
     }
 
-    /** Three figures that count, or whole numbers with separators from a thousand on. */
-    static String text(double value) {
-        double size = Math.abs(value);
-        String form = size >= 1000
-                ? "%,.0f"
-                : size >= 100
-                        ? "%.0f"
-                        : size >= 10 ? "%.1f" : size >= 1 ? "%.2f" : size >= 0.0005 || size == 0 ? "%.3f" : "%.1e";
-        return String.format(Locale.ROOT, form, value);
+    private static String pattern(double magnitude) {
+        if (magnitude >= 1000) {
+            return "%,.0f";
+        }
+        if (magnitude >= 100) {
+            return "%.0f";
+        }
+        if (magnitude >= 10) {
+            return "%.1f";
+        }
+        if (magnitude >= 1) {
+            return "%.2f";
+        }
+        return magnitude >= MIN_FIXED_POINT || magnitude == 0 ? "%.3f" : "%.1e";
     }
 }
--- a/capacity/src/main/java/topazvalve/capacity/need/Origin.java
+++ b/capacity/src/main/java/topazvalve/capacity/need/Origin.java
@@ -1,21 +1,22 @@
 package topazvalve.capacity.need;
 
-/** How far a figure rests on runs; later ones rest on less. */
+/** How well measurements support an estimate, the best supported first. */
 public enum Origin {
-    /** Read off a line within the sizes measured. */
-    MEASURED,
-    /** Read off a line beyond the sizes measured. */
-    EXTENDED,
-    /** Worked out from the plan, or from several figures; no run shows it as a whole. */
-    RECKONED;
+    /** Read off a fitted line within the measured sizes. */
+    MEASURED("measured"),
+    /** Read off a fitted line beyond the measured sizes. */
+    EXTRAPOLATED("extended"),
+    /** Calculated from the plan or from several estimates; no single run confirms it. */
+    CALCULATED("reckoned");
 
-    /** Of two figures together: no better than the worse one. */
-    Origin with(Origin other) {
-        return compareTo(other) >= 0 ? this : other;
+    private final String label;
+
+    Origin(String label) {
+        this.label = label;
     }
 
-    /** In small letters. */
-    public String word() {
-        return name().toLowerCase(java.util.Locale.ROOT);
+    /** Returns the word that the demand table prints. */
+    public String label() {
+        return label;
     }
 }
--- a/capacity/src/main/java/topazvalve/capacity/need/Quantity.java
+++ b/capacity/src/main/java/topazvalve/capacity/need/Quantity.java
@@ -1,6 +1,9 @@
 package topazvalve.capacity.need;
 
-/** What is measured at several sizes; {@code per} is the size, {@code unit} that of the value. */
+/**
+ * A quantity that is measured at several sizes. The constants' names, in small letters, are printed in the demand
+ * table.
+ */
 public enum Quantity {
     SIDECAR_HEAP("sidecar, live heap", "server listed", "MiB"),
     SIDECAR_RESIDENT("sidecar, resident", "server listed", "MiB"),
@@ -50,17 +53,17 @@
         this.unit = unit;
     }
 
-    /** In words. */
+    /** Returns the quantity in words. */
     public String label() {
         return label;
     }
 
-    /** What it is measured by. */
+    /** Returns what one unit of size is, such as one listed server. */
     public String per() {
         return per;
     }
 
-    /** The value's unit; empty for a bare number. */
+    /** Returns the value's unit; empty for a number without one. */
     public String unit() {
         return unit;
     }
--- a/capacity/src/main/java/topazvalve/capacity/need/ResourceDemand.java
+++ b/capacity/src/main/java/topazvalve/capacity/need/ResourceDemand.java
@@ -1,24 +1,34 @@
 package topazvalve.capacity.need;
 
-/** One line of the table: what a role needs of something, beside what it is allowed in the same unit. */
+/**
+ * One row of the demand table: a role's demand for a resource beside its budget.
+ *
+ * @param tier how endpoint lists reach the sidecars
+ * @param role who needs the resource
+ * @param when the situation: an ordinary day or a failure
+ * @param what the resource
+ * @param unit the unit of demand and budget
+ * @param demand how much is needed
+ * @param budget how much is allowed
+ */
 public record ResourceDemand(
-        Tier tier, String role, String when, String what, String unit, Figure need, double allowed) {
+        Tier tier, String role, String when, String what, String unit, Estimate demand, double budget) {
 
-    /** How lists come to the sidecars. */
+    /** How endpoint lists reach the sidecars. */
     public enum Tier {
         /** Every sidecar calls the one source. */
         BEFORE,
-        /** Control machines stand between: relays. */
+        /** Relays on the control machines stand between source and sidecars. */
         AFTER
     }
 
-    /** Over 1: the budget is not kept. */
+    /** Returns demand over budget; above 1 the budget is exceeded. */
     public double ratio() {
-        return need.value() / allowed;
+        return demand.value() / budget;
     }
 
-    /** Whether the budget is not kept. */
-    public boolean over() {
+    /** Returns whether the budget is exceeded. */
+    public boolean exceedsBudget() {
         return ratio() > 1;
     }
 }
--- a/capacity/src/main/java/topazvalve/capacity/need/package-info.java
+++ b/capacity/src/main/java/topazvalve/capacity/need/package-info.java
@@ -1,2 +1,2 @@
-/** What each role needs at the planned size, beside what it is allowed: no clock, no socket. */
+/** The demand of each role at the planned size, beside its budget. No clock and no I/O. */
 package topazvalve.capacity.need;
--- a/capacity/src/main/java/topazvalve/capacity/plan/CapacityPlan.java
+++ b/capacity/src/main/java/topazvalve/capacity/plan/CapacityPlan.java
@@ -2,17 +2,29 @@
 
 import topazvalve.toml.Range;
 
-/** The size to design for, as read from a file. Durations in nanoseconds; other units are in the names. */
+/**
+ * The size to design for, as {@link PlanFile} reads it.
+ *
+ * @param name the plan's name
+ * @param fleet how many servers there are and how they are grouped
+ * @param load what happens on an ordinary day
+ * @param failure the failures to survive
+ * @param budget what each role may use
+ * @param source the discovery source that exists today
+ */
 public record CapacityPlan(String name, Fleet fleet, Load load, Failure failure, Budget budget, Source source) {
     private static final double SECONDS_PER_DAY = 86_400;
 
     /**
-     * How many of what.
+     * The servers and their groups.
      *
-     * @param servers order servers, each with its sidecar
+     * @param servers servers, each with its sidecar
+     * @param services services that the servers belong to
+     * @param regions regions
+     * @param zones zones of all regions
      * @param largestZone servers of the largest zone
      * @param rack servers behind one rack or switch
-     * @param deepestChain calls under one another, at most
+     * @param deepestChain the greatest depth of calls that cause one another
      * @param callersOfServer sidecars that call one server
      */
     public record Fleet(
@@ -26,11 +38,13 @@
             int callersOfServer) {}
 
     /**
-     * What happens on an ordinary day.
+     * An ordinary day.
      *
-     * @param changesPerDay of configuration
-     * @param failuresPerDay machines that fail; {@code restartsPerDay} are restarted or replaced
-     * @param changesPerRestart entries of the list that are told for one restart
+     * @param callsPerSecond calls of the whole fleet
+     * @param changesPerDay configuration changes
+     * @param failuresPerDay machines that fail
+     * @param restartsPerDay servers that are restarted or replaced
+     * @param changesPerRestart changes of the endpoint list for one restart
      */
     public record Load(
             double callsPerSecond,
@@ -40,55 +54,76 @@
             int changesPerRestart) {}
 
     /**
-     * What goes wrong at once.
+     * The failures to survive.
      *
-     * @param regionCutOff how long a region is without the others
-     * @param controlMachinesLost of the control machines
+     * @param restartedTogether servers that restart at the same time
+     * @param regionCutOffNanos how long a region is cut off from the others
+     * @param controlMachinesLost control machines that fail together
      */
-    public record Failure(int restartedTogether, long regionCutOff, int controlMachinesLost) {}
+    public record Failure(int restartedTogether, long regionCutOffNanos, int controlMachinesLost) {}
 
     /**
-     * What may be taken.
+     * What may be used.
      *
-     * @param inForceWithin a change, everywhere
-     * @param addedP99 to a call by its sidecar, for 99 in 100
+     * @param inForceWithinNanos the time until a change is in force at every sidecar
+     * @param addedP99Nanos the 99th percentile of the delay that a sidecar adds to a call
+     * @param sidecar what one sidecar may use for discovery
+     * @param control the machines that serve endpoint lists
      */
-    public record Budget(long inForceWithin, long addedP99, Sidecar sidecar, Control control) {}
+    public record Budget(long inForceWithinNanos, long addedP99Nanos, Sidecar sidecar, Control control) {}
 
-    /** What one sidecar may take for control; a core's per cent, mebibytes, bytes a second. */
+    /**
+     * What one sidecar may use for discovery.
+     *
+     * @param corePercent CPU, in percent of a core
+     * @param memoryMib resident memory in MiB
+     * @param bytesPerSecond bytes on the network
+     */
     public record Sidecar(double corePercent, double memoryMib, double bytesPerSecond) {}
 
-    /** The machines set aside for control, and what each has. */
+    /**
+     * The machines that serve endpoint lists.
+     *
+     * @param machines how many there are
+     * @param coresPerMachine cores of each
+     * @param memoryMibPerMachine memory of each, in MiB
+     * @param bytesPerSecondPerMachine network bandwidth of each
+     */
     public record Control(
             int machines, int coresPerMachine, double memoryMibPerMachine, double bytesPerSecondPerMachine) {}
 
     /**
-     * What serves lists today.
+     * The discovery source that exists today.
      *
-     * @param callsPerSecond what it answers, at worst and at best
-     * @param timeout a call that has waited so long for its turn fails
-     * @param emptyLineEvery on a watch with no changes
+     * @param callsPerSecond the calls it answers, at worst and at best
+     * @param timeoutNanos the longest time that a call waits for its turn before it fails
+     * @param emptyLineIntervalNanos the time between the empty lines on an idle watch
      */
-    public record Source(Range callsPerSecond, long timeout, long emptyLineEvery) {}
+    public record Source(Range callsPerSecond, long timeoutNanos, long emptyLineIntervalNanos) {}
 
-    /** Changes of the list and of configuration on an ordinary day, a second. */
+    /** Returns the mean rate of endpoint list and configuration changes on an ordinary day, per second. */
     public double changesPerSecond() {
         return (load.changesPerDay() + (load.failuresPerDay() + load.restartsPerDay()) * load.changesPerRestart())
                 / SECONDS_PER_DAY;
     }
 
-    /** Calls that a mean sidecar carries, a second. */
+    /** Returns the mean rate of calls through one sidecar, per second. */
     public double callsPerSidecar() {
         return load.callsPerSecond() / fleet.servers();
     }
 
-    /** Sidecars of a mean region. */
-    public int sidecarsOfRegion() {
-        return -Math.floorDiv(-fleet.servers(), fleet.regions());
+    /** Returns the number of sidecars of a mean region, rounded up. */
+    public int sidecarsPerRegion() {
+        return ceilDiv(fleet.servers(), fleet.regions());
     }
 
-    /** Watches that each control machine holds while all run. */
+    /** Returns the number of watches on each control machine while all of them run, rounded up. */
     public int watchesPerMachine() {
-        return -Math.floorDiv(-fleet.servers(), budget.control().machines());
+        return ceilDiv(fleet.servers(), budget.control().machines());
+    }
+
+    /** Returns a quotient of whole numbers, rounded up. */
+    public static int ceilDiv(int dividend, int divisor) {
+        return -Math.floorDiv(-dividend, divisor);
     }
 }
--- a/capacity/src/main/java/topazvalve/capacity/plan/package-info.java
+++ b/capacity/src/main/java/topazvalve/capacity/plan/package-info.java
@@ -1,2 +1,2 @@
-/** The plan's figures: the size to design for and what each role may take. */
+/** The capacity plan: the size to design for and each role's budget. */
 package topazvalve.capacity.plan;
--- a/capacity/src/test/java/topazvalve/capacity/ArchitectureTest.java
+++ b/capacity/src/test/java/topazvalve/capacity/ArchitectureTest.java
@@ -8,14 +8,14 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** Plan, fit and table are arithmetic: they know neither clock nor socket nor process. */
+/** Plan, fit and demand are pure calculations without clock, socket or process; packages have no cycles. */
 class ArchitectureTest {
     private static final JavaClasses CAPACITY = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("topazvalve.capacity");
 
     @Test
-    void arithmeticMeasuresNothing() {
+    void calculationsDoNoMeasuring() {
         noClasses()
                 .that()
                 .resideInAnyPackage("..capacity.plan..", "..capacity.fit..", "..capacity.need..")
--- a/capacity/src/test/java/topazvalve/capacity/measure/ConnectionMeasurementTest.java
+++ b/capacity/src/test/java/topazvalve/capacity/measure/ConnectionMeasurementTest.java
@@ -9,14 +9,14 @@
 import topazvalve.simulation.scenario.Scenario;
 import topazvalve.simulation.scenario.ScenarioFile;
 
-/** The row in virtual time: the same seed, the same figure; rarer calls open more connections each. */
+/** Connections in virtual time are reproducible, and rarer calls open more of them each. */
 class ConnectionMeasurementTest {
     @Test
-    void theSameSeedGivesTheSameFigureAndRareCallsOpenMore() throws IOException {
+    void isReproducibleAndRareCallsOpenMoreConnections() throws IOException {
         Scenario scenario = ScenarioFile.read(Path.of("../simulation/capacity/connections.toml"));
-        double rare = ConnectionMeasurement.perCall(scenario, 0.0234);
-        double often = ConnectionMeasurement.perCall(scenario, 0.267);
-        assertEquals(rare, ConnectionMeasurement.perCall(scenario, 0.0234));
-        assertTrue(rare > often && rare <= 1 && often > 0, rare + " " + often);
+        double rare = ConnectionMeasurement.connectionsPerCall(scenario, 0.0234);
+        double frequent = ConnectionMeasurement.connectionsPerCall(scenario, 0.267);
+        assertEquals(rare, ConnectionMeasurement.connectionsPerCall(scenario, 0.0234));
+        assertTrue(rare > frequent && rare <= 1 && frequent > 0, rare + " " + frequent);
     }
 }
--- a/capacity/src/test/java/topazvalve/capacity/measure/StandInSourceTest.java
+++ b/capacity/src/test/java/topazvalve/capacity/measure/StandInSourceTest.java
@@ -12,58 +12,61 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** What the measurement measures with does what it is said to do; no figure is looked at here. */
+/** The tools of the measurement: stand-in source, clients and process metrics. No measured value is checked. */
 class StandInSourceTest {
     private static final int SERVERS = 40;
+    /** Long enough that no empty line comes during a test. */
+    private static final int EMPTY_LINE_INTERVAL_MILLIS = 600_000;
+
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 
     @AfterEach
-    void end() {
+    void shutDown() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
     @Test
-    void eachWatchHasAChangeAndItsBytesAreCounted() throws IOException, InterruptedException {
-        try (MeasuredServer source = MeasuredServer.source(SERVERS, 0, 1000, 600_000);
-                Watchers watchers = new Watchers(group, source.port())) {
-            watchers.open(7, 1);
-            watchers.expect();
-            long before = watchers.bytes();
-            MeasuredServer.Told told = source.change(3);
-            assertEquals(2, told.rev());
-            assertTrue(watchers.awaitLast() > told.nanos());
-            int line = ListText.change(2, 3, true).length();
-            int chunk = line + Integer.toHexString(line).length() + 4;
-            assertEquals(7L * chunk, watchers.bytes() - before);
-            watchers.expect();
-            assertEquals(3, source.whole().rev());
-            watchers.awaitLast();
+    void everyWatchReceivesAChangeAndItsBytesAreCounted() throws IOException, InterruptedException {
+        try (StandInSourceProcess source = StandInSourceProcess.startUnbounded(SERVERS, EMPTY_LINE_INTERVAL_MILLIS);
+                WatchClients watches = new WatchClients(group, source.port())) {
+            watches.open(7, 1);
+            watches.expectChange();
+            long bytesBefore = watches.receivedBytes();
+            StandInSourceProcess.PublishedChange change = source.publishDelta(3);
+            assertEquals(2, change.revision());
+            assertTrue(watches.awaitChange() > change.publishedAtNanos());
+            int lineLength = EndpointListJson.delta(2, 3, true).length();
+            int chunkLength = lineLength + Integer.toHexString(lineLength).length() + 4;
+            assertEquals(7L * chunkLength, watches.receivedBytes() - bytesBefore);
+            watches.expectChange();
+            assertEquals(3, source.publishSnapshot().revision());
+            watches.awaitChange();
         }
     }
 
     @Test
-    void withoutABoundEachCallIsAnsweredAtOnce() throws IOException, InterruptedException {
-        try (MeasuredServer source = MeasuredServer.source(SERVERS, 0, 1000, 600_000)) {
-            Fetchers.run(group, source.port(), 30, 1, 20);
-            assertEquals(30, source.calls());
+    void unboundedSourceAnswersEveryCallAtOnce() throws IOException, InterruptedException {
+        try (StandInSourceProcess source = StandInSourceProcess.startUnbounded(SERVERS, EMPTY_LINE_INTERVAL_MILLIS)) {
+            SnapshotClients.run(group, source.port(), 30, 1, 20);
+            assertEquals(30, source.callsSinceLastRequest());
         }
     }
 
     @Test
-    void boundedItRefusesWhoWaitsTooLongAndTheyComeAgain() throws IOException, InterruptedException {
-        // 20 calls a second and 60 ms of patience: of 6 at once some are refused.
-        try (MeasuredServer source = MeasuredServer.source(SERVERS, 20, 60, 600_000)) {
-            double last = Fetchers.run(group, source.port(), 6, 1, 20);
-            assertTrue(last >= 6 / 20.0, last + " s");
-            assertTrue(source.calls() > 6);
+    void boundedSourceRejectsCallsAfterTheTimeoutAndClientsRetry() throws IOException, InterruptedException {
+        // With 20 calls per second and a timeout of 60 ms, some of 6 simultaneous calls are rejected.
+        try (StandInSourceProcess source = StandInSourceProcess.start(SERVERS, 20, 60, EMPTY_LINE_INTERVAL_MILLIS)) {
+            double seconds = SnapshotClients.run(group, source.port(), 6, 1, 20);
+            assertTrue(seconds >= 6 / 20.0, seconds + " s");
+            assertTrue(source.callsSinceLastRequest() > 6);
         }
     }
 
     @Test
-    void theSystemSaysWhatAProcessTakes() throws IOException, InterruptedException {
-        try (MeasuredServer source = MeasuredServer.source(SERVERS, 0, 1000, 600_000)) {
-            assertTrue(ProcessFigures.cpuSince(Map.of(), source.pid()) > 0);
-            assertTrue(ProcessFigures.residentMib(source.pid()) > ProcessFigures.liveHeapMib(source.pid()));
+    void readsCpuAndMemoryOfAProcess() throws IOException, InterruptedException {
+        try (StandInSourceProcess source = StandInSourceProcess.startUnbounded(SERVERS, EMPTY_LINE_INTERVAL_MILLIS)) {
+            assertTrue(ProcessMetrics.cpuNanosSince(Map.of(), source.pid()) > 0);
+            assertTrue(ProcessMetrics.residentMib(source.pid()) > ProcessMetrics.liveHeapMib(source.pid()));
         }
     }
 }
--- a/capacity/src/test/java/topazvalve/capacity/need/NeedsTest.java
+++ b/capacity/src/test/java/topazvalve/capacity/need/DemandModelTest.java
@@ -17,8 +17,8 @@
 import topazvalve.capacity.plan.CapacityPlan;
 import topazvalve.capacity.plan.PlanFile;
 
-/** The table's arithmetic on made-up slopes, each a round number. */
-class NeedsTest {
+/** The demand table calculated from made-up slopes, each a round number. */
+class DemandModelTest {
     private final Slopes slopes = new Slopes();
     private CapacityPlan plan;
 
@@ -31,7 +31,7 @@
     }
 
     @BeforeEach
-    void madeUp() throws IOException {
+    void createSlopes() throws IOException {
         plan = PlanFile.read(Path.of("../simulation/capacity/plan.toml"));
         for (Quantity each : Quantity.values()) {
             if (!each.name().startsWith("RELAY")) {
@@ -46,7 +46,7 @@
     }
 
     private ResourceDemand find(Tier tier, String role, String when, String what) {
-        List<ResourceDemand> found = DemandModel.of(plan, slopes).needs().stream()
+        List<ResourceDemand> found = DemandModel.of(plan, slopes).rows().stream()
                 .filter(each -> each.tier() == tier
                         && each.role().equals(role)
                         && each.when().startsWith(when)
@@ -57,75 +57,75 @@
     }
 
     @Test
-    void theSidecarsMemoryIsReadOffItsLine() {
-        ResourceDemand need = find(Tier.BEFORE, "sidecar", "ordinary", "memory");
-        assertEquals(157, need.need().value(), 1e-9);
-        assertEquals(256, need.allowed());
-        assertEquals(Origin.MEASURED, need.need().origin());
-        assertEquals("sidecar_resident", need.need().from());
-        assertFalse(need.over());
+    void sidecarMemoryIsReadOffItsLine() {
+        ResourceDemand demand = find(Tier.BEFORE, "sidecar", "ordinary", "memory");
+        assertEquals(157, demand.demand().value(), 1e-9);
+        assertEquals(256, demand.budget());
+        assertEquals(Origin.MEASURED, demand.demand().origin());
+        assertEquals("sidecar_resident", demand.demand().basis());
+        assertFalse(demand.exceedsBudget());
     }
 
     @Test
-    void beyondTheSizesMeasuredItIsSaidToBeExtended() {
+    void valueBeyondTheMeasuredSizesIsExtrapolated() {
         assertEquals(
-                Origin.EXTENDED,
-                find(Tier.BEFORE, "serves lists", "ordinary", "memory").need().origin());
+                Origin.EXTRAPOLATED,
+                find(Tier.BEFORE, "serves lists", "ordinary", "memory").demand().origin());
         assertEquals(
                 50 + 570,
-                find(Tier.BEFORE, "serves lists", "ordinary", "memory").need().value(),
+                find(Tier.BEFORE, "serves lists", "ordinary", "memory").demand().value(),
                 1e-9);
     }
 
     @Test
-    void relaysWithoutASlopeOfTheirOwnAreReckonedByTheSources() {
-        ResourceDemand need = find(Tier.AFTER, "serves lists", "ordinary", "memory");
-        assertEquals(Origin.RECKONED, need.need().origin());
-        assertEquals("source_memory", need.need().from());
-        assertEquals(50 + 35.7, need.need().value(), 1e-9);
+    void relayWithoutMeasuredSlopeIsEstimatedByTheSources() {
+        ResourceDemand demand = find(Tier.AFTER, "serves lists", "ordinary", "memory");
+        assertEquals(Origin.CALCULATED, demand.demand().origin());
+        assertEquals("source_memory", demand.demand().basis());
+        assertEquals(50 + 35.7, demand.demand().value(), 1e-9);
         line(Quantity.RELAY_MEMORY, 70, 0.2, 100, 356, 1_000);
-        need = find(Tier.AFTER, "serves lists", "ordinary", "memory");
-        assertEquals(Origin.MEASURED, need.need().origin());
-        assertEquals("relay_memory", need.need().from());
-        assertEquals(70 + 71.4, need.need().value(), 1e-9);
+        demand = find(Tier.AFTER, "serves lists", "ordinary", "memory");
+        assertEquals(Origin.MEASURED, demand.demand().origin());
+        assertEquals("relay_memory", demand.demand().basis());
+        assertEquals(70 + 71.4, demand.demand().value(), 1e-9);
     }
 
     @Test
-    void theOneSourceTakesHalfAnHourToAnswerAllOfThem() {
-        ResourceDemand need = find(Tier.BEFORE, "serves lists", "all that serve", "until the last has it");
-        assertEquals(1_900, need.need().value(), 1e-9);
-        assertEquals(1_900 / 9.0, need.ratio(), 1e-9);
-        assertTrue(need.over());
+    void singleSourceNeedsHalfAnHourForAllSidecars() {
+        ResourceDemand demand = find(Tier.BEFORE, "serves lists", "all that serve", "until the last has it");
+        assertEquals(1_900, demand.demand().value(), 1e-9);
+        assertEquals(1_900 / 9.0, demand.ratio(), 1e-9);
+        assertTrue(demand.exceedsBudget());
         assertFalse(DemandModel.of(plan, slopes).kept(Tier.BEFORE));
-        need = find(Tier.AFTER, "serves lists", "all that serve", "until the last has it");
-        assertEquals(16 / 3.0, need.need().value(), 1e-9);
-        assertFalse(need.over());
+        demand = find(Tier.AFTER, "serves lists", "all that serve", "until the last has it");
+        assertEquals(16 / 3.0, demand.demand().value(), 1e-9);
+        assertFalse(demand.exceedsBudget());
     }
 
     @Test
-    void aWholeListCountsInTheTimeInWhichItHasToBeInForce() {
-        ResourceDemand need = find(Tier.AFTER, "sidecar", "restart of", "bytes");
-        assertEquals(3 + (1_050 * 200 + 5_700 * 150) / 9.0, need.need().value(), 1e-6);
-        assertEquals(6_000, need.allowed());
-        assertTrue(need.over());
+    void completeListIsSpreadOverTheTimeInWhichItHasToBeInForce() {
+        ResourceDemand demand = find(Tier.AFTER, "sidecar", "restart of", "bytes");
+        assertEquals(3 + (1_050 * 200 + 5_700 * 150) / 9.0, demand.demand().value(), 1e-6);
+        assertEquals(6_000, demand.budget());
+        assertTrue(demand.exceedsBudget());
         assertEquals(
                 3 + 440 * 200 / 9.0,
                 find(Tier.AFTER, "sidecar", "a zone of 440 lost", "bytes")
-                        .need()
+                        .demand()
                         .value(),
                 1e-6);
     }
 
     @Test
-    void halfOfTheControlMachinesLeaveTheirWatchesToTheOthers() {
-        ResourceDemand need = find(Tier.AFTER, "serves lists", "8 of 16", "memory");
-        assertEquals(50 + 71.3, need.need().value(), 1e-9);
-        assertTrue(DemandModel.of(plan, slopes).needs().stream()
+    void watchesOfLostControlMachinesMoveToTheOthers() {
+        ResourceDemand demand = find(Tier.AFTER, "serves lists", "8 of 16", "memory");
+        assertEquals(50 + 71.3, demand.demand().value(), 1e-9);
+        assertTrue(DemandModel.of(plan, slopes).rows().stream()
                 .noneMatch(each -> each.tier() == Tier.BEFORE && each.when().startsWith("8 of 16")));
     }
 
     @Test
-    void whereNothingCostsAnythingEveryBudgetOfRelaysIsKeptAndOneSlopeBreaksIt() {
+    void slowChangesAloneExceedABudget() {
         line(Quantity.LIST_BYTES, 0, 0, 100, 1_500, 5_700);
         line(Quantity.CHANGE_BYTES, 0, 0, 1, 10, 100);
         DemandTable kept = DemandModel.of(plan, slopes);
@@ -137,7 +137,7 @@
     }
 
     @Test
-    void theTableSaysWhatIsOverTheFurthestFirst() {
+    void tableListsExceededBudgetsTheHighestRatioFirst() {
         List<ResourceDemand> over = DemandModel.of(plan, slopes).over();
         assertTrue(over.size() > 1);
         for (int i = 1; i < over.size(); i++) {
@@ -154,7 +154,7 @@
     }
 
     @Test
-    void aDelayThatTheMachineCouldNotTellHasNoLine() {
+    void delayThatWasNotMeasuredHasNoRow() {
         assertEquals(2, delays(slopes));
         Slopes without = new Slopes();
         slopes.all().forEach((quantity, fit) -> {
@@ -166,14 +166,14 @@
     }
 
     private long delays(Slopes measured) {
-        return DemandModel.of(plan, measured).needs().stream()
+        return DemandModel.of(plan, measured).rows().stream()
                 .filter(each -> each.what().startsWith("delay"))
                 .count();
     }
 
     @Test
-    void whatWasNotMeasuredIsNotGuessed() {
-        assertTrue(assertThrows(IllegalStateException.class, () -> DemandModel.of(plan, new Slopes()))
+    void missingSlopeIsAnError() {
+        assertTrue(assertThrows(NotMeasuredException.class, () -> DemandModel.of(plan, new Slopes()))
                 .getMessage()
                 .startsWith("not measured: "));
     }
--- a/capacity/src/test/java/topazvalve/capacity/plan/PlanFileTest.java
+++ b/capacity/src/test/java/topazvalve/capacity/plan/PlanFileTest.java
@@ -13,7 +13,7 @@
 import topazvalve.toml.InvalidFileException;
 import topazvalve.toml.Problem;
 
-/** The plan's file: what is read, and what is refused with file, line, key and what was meant. */
+/** Reads the plan's file, and rejects it with file, line, key and a suggestion. */
 class PlanFileTest {
     private static final Path FILE = Path.of("../simulation/capacity/plan.toml");
 
@@ -41,14 +41,14 @@
     }
 
     @Test
-    void thePlanIsTheUsersWords() throws IOException {
+    void readsThePlannedSize() throws IOException {
         CapacityPlan plan = PlanFile.read(FILE);
         assertEquals(5_700, plan.fleet().servers());
         assertEquals(320, plan.fleet().services());
         assertEquals(510_000, plan.load().callsPerSecond());
         assertEquals(15, plan.fleet().deepestChain());
-        assertEquals(1_400_000, plan.budget().addedP99());
-        assertEquals(9_000_000_000L, plan.budget().inForceWithin());
+        assertEquals(1_400_000, plan.budget().addedP99Nanos());
+        assertEquals(9_000_000_000L, plan.budget().inForceWithinNanos());
         assertEquals(14_000, plan.load().changesPerDay());
         assertEquals(2.0, plan.budget().sidecar().corePercent());
         assertEquals(256, plan.budget().sidecar().memoryMib());
@@ -58,16 +58,16 @@
     }
 
     @Test
-    void whatFollowsFromThePlanIsReckonedOnce() throws IOException {
+    void derivesRatesAndSharesFromThePlan() throws IOException {
         CapacityPlan plan = PlanFile.read(FILE);
         assertEquals((14_000 + 383 * 3) / 86_400.0, plan.changesPerSecond(), 1e-9);
         assertEquals(357, plan.watchesPerMachine());
-        assertEquals(1_425, plan.sidecarsOfRegion());
+        assertEquals(1_425, plan.sidecarsPerRegion());
         assertEquals(89.47, plan.callsPerSidecar(), 0.01);
     }
 
     @Test
-    void anUnknownKeyIsToldWithItsLineAndWhatWasMeant() {
+    void reportsUnknownKeyWithItsLineAndASuggestion() {
         String text = text().replace("\nservers = 5700", "\nserver = 5700");
         List<Problem> problems = problems(text);
         int line = line(text, "server = ");
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void aBudgetWithoutItsUnitIsTold() {
+    void reportsDurationWithoutUnit() {
         String text = text().replace("in_force_within = \"9s\"", "in_force_within = 9");
         Problem found = problems(text).get(0);
         assertEquals(line(text, "in_force_within"), found.line());
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void everyKeyHasToBeGiven() {
+    void everyKeyIsRequired() {
         String[] lines = text().split("\n");
         for (int i = 0; i < lines.length; i++) {
             if (lines[i].matches("[a-z0-9_]+ = .*")) {
@@ -106,19 +106,19 @@
     }
 
     @Test
-    void figuresThatContradictEachOtherAreTold() {
+    void reportsContradictingValues() {
         String text = text().replace("control_machines_lost = 8", "control_machines_lost = 16")
                 .replace("largest_zone = 440", "largest_zone = 5800")
                 .replace("zones = 13", "zones = 3");
-        List<String> told = problems(text).stream().map(Problem::toString).toList();
-        assertEquals(3, told.size(), told.toString());
-        assertTrue(told.get(0).contains("fleet.zones"), told.toString());
-        assertTrue(told.get(1).contains("fleet.largest_zone"), told.toString());
-        assertTrue(told.get(2).contains("failure.control_machines_lost"), told.toString());
+        List<String> messages = problems(text).stream().map(Problem::toString).toList();
+        assertEquals(3, messages.size(), messages.toString());
+        assertTrue(messages.get(0).contains("fleet.zones"), messages.toString());
+        assertTrue(messages.get(1).contains("fleet.largest_zone"), messages.toString());
+        assertTrue(messages.get(2).contains("failure.control_machines_lost"), messages.toString());
     }
 
     @Test
-    void allFaultsAreToldAtOnce() {
+    void reportsAllProblemsAtOnce() {
         String text =
                 text().replace("memory_mib = 256", "memory_mib = \"much\"").replace("rack = 40", "rack = 0");
         assertEquals(2, problems(text).size());
--- a/cli/src/test/java/topazvalve/cli/CapacityTest.java
+++ b/cli/src/test/java/topazvalve/cli/CapacityTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import topazvalve.capacity.need.DemandTable;
-import topazvalve.capacity.need.Figure;
+import topazvalve.capacity.need.Estimate;
 import topazvalve.capacity.need.Origin;
 import topazvalve.capacity.need.ResourceDemand;
 import topazvalve.capacity.need.ResourceDemand.Tier;
@@ -30,7 +30,7 @@
                 "ordinary day",
                 "memory",
                 "MiB",
-                new Figure(value, Origin.MEASURED, "sidecar_resident"),
+                new Estimate(value, Origin.MEASURED, "sidecar_resident"),
                 256);
     }
 
