--- a/sidecar/src/main/java/topazvalve/sidecar/ConfigReloader.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/ConfigReloader.java
@@ -59,7 +59,7 @@
 
     private void apply(Config nextConfig, OperatorFile nextOperatorFile) {
         try {
-            nextConfig.requireFit(config);
+            nextConfig.requireReloadableFrom(config);
         } catch (IllegalArgumentException e) {
             reject(e);
             return;
--- a/sidecar/src/main/java/topazvalve/sidecar/HttpProxy.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/HttpProxy.java
@@ -61,7 +61,7 @@
         discovery = new DiscoveryClient(
                 loop,
                 config.discovery(),
-                config.known(),
+                config.initialEndpoints(),
                 PushedDiscovery.of(config.options()),
                 RelaySelector.of(config.name(), relays, config.seed()),
                 exchanges);
@@ -71,7 +71,7 @@
 
     /** Starts with the endpoints that the configuration knows, and follows discovery. */
     void start(Config config) {
-        exchanges.start(discovery, config.known().endpoints());
+        exchanges.start(discovery, config.initialEndpoints().endpoints());
         discovery.followPushed();
     }
 
--- a/sidecar/src/main/java/topazvalve/sidecar/config/Config.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/config/Config.java
@@ -19,7 +19,7 @@
  * @param discovery where the endpoint list comes from
  * @param seed of the policy's random choices
  * @param limits what the process may use
- * @param known the endpoint list to start with
+ * @param initialEndpoints the endpoint list to start with
  * @param options the policy's settings
  * @param root the whole file, to compare with the next one at a reload
  */
@@ -30,7 +30,7 @@
         InetSocketAddress discovery,
         long seed,
         ResourceLimits limits,
-        EndpointUpdate known,
+        EndpointUpdate initialEndpoints,
         SettingsReader options,
         JsonNode root) {
 
@@ -65,7 +65,7 @@
      * @throws InvalidConfigException if a key in force is missing here, or one differs that changes only with a
      *     restart
      */
-    public void requireFit(Config inForce) {
+    public void requireReloadableFrom(Config inForce) {
         ReloadValidator.requireReloadable(inForce, this);
     }
 }
--- a/sidecar/src/test/java/topazvalve/sidecar/ConfigTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/ConfigTest.java
@@ -31,7 +31,7 @@
         assertEquals(List.of("look", "hold", "book"), config.options().names("profiles"));
         assertEquals(List.of("acme"), config.options().names("parties"));
         assertEquals(0x8c1f30d27a5be964L, config.seed());
-        assertEquals(41, config.known().revision());
+        assertEquals(41, config.initialEndpoints().revision());
     }
 
     /** One line has to tell the operator which key to correct. */
@@ -96,7 +96,7 @@
     @Test
     void reloadRejectsAFileThatMissesAKey() throws Exception {
         Config inForce = SidecarFixture.config(SidecarFixture.configJson());
-        inForce.requireFit(inForce);
+        inForce.requireReloadableFrom(inForce);
         for (String at : List.of(
                 "/settings/caps/connIdle",
                 "/settings/rules/askWithin",
@@ -110,17 +110,17 @@
             ((ObjectNode) json.at(at.substring(0, slash))).remove(key);
             String message = assertThrows(
                             IllegalArgumentException.class,
-                            () -> SidecarFixture.config(json).requireFit(inForce))
+                            () -> SidecarFixture.config(json).requireReloadableFrom(inForce))
                     .getMessage();
             assertTrue(message.contains(key), message);
         }
         ObjectNode json = SidecarFixture.configJson();
         json.withObject("/settings").put("discovery", "subscribe");
         Config other = SidecarFixture.config(json);
-        assertThrows(IllegalArgumentException.class, () -> other.requireFit(inForce));
+        assertThrows(IllegalArgumentException.class, () -> other.requireReloadableFrom(inForce));
         json = SidecarFixture.configJson();
         json.withObject("/settings").withArray("/profiles").remove(0);
-        SidecarFixture.config(json).requireFit(inForce);
+        SidecarFixture.config(json).requireReloadableFrom(inForce);
     }
 
     private static void assertRejectedNaming(String key, ObjectNode json) {
