--- a/sidecar/src/test/java/topazvalve/sidecar/StubServer.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/StubServer.java
@@ -4,6 +4,7 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
+import java.io.OutputStream;
 import java.io.UncheckedIOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -76,8 +77,10 @@
     }
 
     static void write(Socket socket, String text) throws IOException {
-        socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
-        socket.getOutputStream().flush();
+        // Taken once: the peer may close between the write and the flush, and then no stream can be obtained any more.
+        OutputStream output = socket.getOutputStream();
+        output.write(text.getBytes(StandardCharsets.ISO_8859_1));
+        output.flush();
     }
 
     /** Closes a connection with a reset instead of an orderly shutdown. */
