--- a/policy/src/main/java/topazvalve/policy/AdmissionController.java
+++ b/policy/src/main/java/topazvalve/policy/AdmissionController.java
@@ -75,7 +75,7 @@
     }
 
     private boolean mayTake(long now, EndpointState endpoint, RequestState request, boolean ignoreOutliers) {
-        return request.mayUse(endpoint)
+        return (request.attempts.isEmpty() || request.mayUse(endpoint))
                 && endpoint.inFlight < Math.max(1, (int) endpoint.concurrencyLimit)
                 && (ignoreOutliers || detector.mayTake(now, endpoint, request))
                 && (ignoreOutliers || !probing.isOverloaded(endpoint, request))
