--- a/policy/src/main/java/topazvalve/policy/SidecarPolicy.java
+++ b/policy/src/main/java/topazvalve/policy/SidecarPolicy.java
@@ -17,6 +17,7 @@
     private final AttemptTracker attempts;
     private final AdmissionController admission;
 
+    /** Creates the policy of one sidecar; {@code seed} is its only source of randomness. */
     public SidecarPolicy(Settings settings, long seed, Actions actions) {
         this.settings = settings;
         context = new PolicyContext(() -> this.settings, actions, new Random(seed), new TimerQueue(actions));
