--- a/cli/src/main/java/topazvalve/cli/ExperimentVerb.java
+++ b/cli/src/main/java/topazvalve/cli/ExperimentVerb.java
@@ -184,7 +184,7 @@
         if (seeds == null) {
             return plan;
         }
-        long[] range = ExperimentFile.seeds(seeds);
+        long[] range = ExperimentFile.parseSeeds(seeds);
         if (range == null) {
             throw new InvalidInputException("--seeds: " + seeds + " is not a range such as 1..20", null);
         }
--- a/cli/src/main/java/topazvalve/cli/SimulatorVerb.java
+++ b/cli/src/main/java/topazvalve/cli/SimulatorVerb.java
@@ -17,7 +17,7 @@
 
     @Override
     public Integer call() throws IOException {
-        topazvalve.simulator.Main.runOnStandardStreams(policy::make);
+        topazvalve.simulator.Main.runOnStandardStreams(policy::create);
         return ExitCode.DONE;
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/model/CongestionDetector.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/CongestionDetector.java
@@ -28,12 +28,12 @@
 
     /** Returns how many times slower the server is; 1 unless it is congested. */
     double slowdown() {
-        return congested ? kind.crowdedSlower() : 1;
+        return congested ? kind.congestionSlowdown() : 1;
     }
 
     /** The number of attempts that the server holds may have changed. */
     void update(long now, double attemptsPerCore) {
-        if (kind.crowdedAt() == 0) {
+        if (kind.congestedAt() == 0) {
             return;
         }
         if (congested) {
@@ -44,22 +44,22 @@
     }
 
     private void updateOverload(long now, double attemptsPerCore) {
-        if (attemptsPerCore < kind.crowdedAt()) {
+        if (attemptsPerCore < kind.congestedAt()) {
             overloadedSince = NEVER;
         } else if (overloadedSince == NEVER) {
             overloadedSince = now;
         }
-        congested = overloadedSince != NEVER && now - overloadedSince >= kind.crowdedAfter();
+        congested = overloadedSince != NEVER && now - overloadedSince >= kind.congestedAfter();
         recoveringSince = NEVER;
     }
 
     private void updateRecovery(long now, double attemptsPerCore) {
-        if (attemptsPerCore > kind.crowdedAt() / RECOVERY_DIVISOR) {
+        if (attemptsPerCore > kind.congestedAt() / RECOVERY_DIVISOR) {
             recoveringSince = NEVER;
         } else if (recoveringSince == NEVER) {
             recoveringSince = now;
         }
-        congested = recoveringSince == NEVER || now - recoveringSince < kind.crowdedRest();
+        congested = recoveringSince == NEVER || now - recoveringSince < kind.recoveryTime();
         overloadedSince = NEVER;
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/model/EndpointDirectory.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/EndpointDirectory.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import topazvalve.policy.LoadBalancer.EndpointStatus;
-import topazvalve.simulation.scenario.Scenario.News;
+import topazvalve.simulation.scenario.Scenario.DiscoverySettings;
 
 /**
  * The endpoint list of discovery. It lags behind the servers: the end or drain of a process is noticed after a delay,
@@ -20,7 +20,7 @@
     private static final int MAX_LOG_ENTRIES = 4096;
 
     private final Clock clock;
-    private final News settings;
+    private final DiscoverySettings settings;
     private final RandomStreams random;
     private final Map<Long, Entry> entries = new LinkedHashMap<>();
     private final List<Entry> log = new ArrayList<>();
@@ -29,9 +29,9 @@
     private boolean unavailable;
 
     /** Creates an empty list. */
-    public EndpointDirectory(Clock clock, News news, RandomStreams random) {
+    public EndpointDirectory(Clock clock, DiscoverySettings settings, RandomStreams random) {
         this.clock = clock;
-        this.settings = news;
+        this.settings = settings;
         this.random = random;
     }
 
@@ -46,7 +46,7 @@
      * @param silently whether the server can't say so itself, which takes longer to notice
      */
     public void stateChanged(OrderServer server, EndpointStatus state, boolean silently) {
-        double delaySeconds = (silently ? settings.silentNotice() : settings.notice()).at(random.part());
+        double delaySeconds = (silently ? settings.silentNoticeSeconds() : settings.noticeSeconds()).at(random.part());
         long started = server.startedAt();
         clock.scheduleAt(clock.now() + (long) (delaySeconds * NANOS_PER_SECOND), () -> {
             if (server.startedAt() == started) {
--- a/simulation/src/main/java/topazvalve/simulation/model/FaultPlayer.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/FaultPlayer.java
@@ -56,7 +56,7 @@
     private static Fault drawFault(Scenario scenario, RandomStreams random) {
         Chaos chaos = scenario.chaos();
         Fault.Kind kind = chaos.kinds().get(random.below(chaos.kinds().size()));
-        long length = (long) (chaos.length().at(random.part()) * NANOS_PER_SECOND);
+        long length = (long) (chaos.lengthSeconds().at(random.part()) * NANOS_PER_SECOND);
         long start = (long) (random.part() * Math.max(0, scenario.length() - length));
         double size = chaos.size().at(random.part());
         if (kind == Fault.Kind.LOSS || kind == Fault.Kind.SPOIL) {
@@ -129,7 +129,7 @@
     }
 
     private void delayPackets(Fault fault) {
-        target.link().setExtraDelay(fault.by());
+        target.link().setExtraDelay(fault.extraDelay());
         endLater(fault, () -> target.link().setExtraDelay(0));
     }
 
--- a/simulation/src/main/java/topazvalve/simulation/model/OrderServer.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/OrderServer.java
@@ -91,15 +91,16 @@
         this.random = random;
         this.coreSpeed = kind.speed().at(random.part());
         this.fullSpeed = coreSpeed * kind.cores();
-        this.slots = Math.max(1, (int) Math.round(kind.slots() * kind.cores()));
-        this.capacity = slots + (int) Math.round(kind.queue() * kind.cores());
-        this.idempotencyCache =
-                kind.knownKeys() > 0 ? new IdempotencyCache(kind.knownKeys() * kind.cores(), kind.keyTime()) : null;
+        this.slots = Math.max(1, (int) Math.round(kind.slotsPerCore() * kind.cores()));
+        this.capacity = slots + (int) Math.round(kind.queuePerCore() * kind.cores());
+        this.idempotencyCache = kind.cachedKeysPerCore() > 0
+                ? new IdempotencyCache(kind.cachedKeysPerCore() * kind.cores(), kind.keyRetention())
+                : null;
         this.processor = new SharedProcessor(clock, kind.cores(), this::completionDue);
         this.warmUp = new WarmUp(kind, fullSpeed);
         this.congestion = new CongestionDetector(kind);
         pod.add(this);
-        if (kind.pauseEvery() > 0) {
+        if (kind.meanPauseInterval() > 0) {
             schedulePause();
         }
     }
@@ -176,7 +177,7 @@
 
     /** Accepts a connection, or returns false if it has as many as it can hold. */
     public boolean acceptConnection() {
-        if (connections >= kind.connections()) {
+        if (connections >= kind.maxConnections()) {
             return false;
         }
         connections++;
@@ -217,7 +218,7 @@
             attempt.reset();
             return;
         }
-        if (draining || (attemptsHeld() >= capacity && kind.declines())) {
+        if (draining || (attemptsHeld() >= capacity && kind.rejectsWhenFull())) {
             attempt.rejected();
             return;
         }
@@ -267,7 +268,7 @@
         double work = attempt.work + connectionWork;
         connectionWork = 0;
         if (idempotencyCache != null && attempt.key != 0 && idempotencyCache.recordAndCheck(attempt.key, clock.now())) {
-            work -= attempt.work * kind.keyGain();
+            work -= attempt.work * kind.cachedKeySaving();
         }
         processor.start(attempt, work);
         attempt.started();
@@ -295,7 +296,7 @@
 
     private void complete(ServerAttempt attempt) {
         attempt.server = null;
-        boolean success = !random.happens(kind.errors());
+        boolean success = !random.happens(kind.errorRate());
         boolean corrupted = random.happens(corruptionRate);
         attempt.completed(success, corrupted);
     }
@@ -400,7 +401,7 @@
         processor.skipToPresent();
         warmUp.start(clock.now());
         congestion.reset();
-        coldLoad = new ColdLoadWindow(limits.tipAfter(), limits.overloadFactor(), meanWork);
+        coldLoad = new ColdLoadWindow(limits.coldLoadWindow(), limits.overloadFactor(), meanWork);
         if (idempotencyCache != null) {
             idempotencyCache.clear();
         }
@@ -429,9 +430,9 @@
     }
 
     private void schedulePause() {
-        long at = clock.now() + (long) random.exponential(kind.pauseEvery());
+        long at = clock.now() + (long) random.exponential(kind.meanPauseInterval());
         clock.scheduleAt(at, () -> {
-            long length = (long) (kind.pause() * (MIN_PAUSE_FACTOR + random.part()));
+            long length = (long) (kind.meanPause() * (MIN_PAUSE_FACTOR + random.part()));
             pause(length);
             schedulePause();
         });
--- a/simulation/src/main/java/topazvalve/simulation/model/RequestGenerator.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/RequestGenerator.java
@@ -86,11 +86,11 @@
         return new GeneratedRequest(
                 classNumber,
                 keys.sample(),
-                requestClass.work() * random.lognormal(requestClass.spread()),
+                requestClass.work() * random.lognormal(requestClass.workVariation()),
                 patience,
                 leavesEarly,
                 random.happens(clients.retries()),
-                random.happens(clients.honour()));
+                random.happens(clients.honourRetryAfter()));
     }
 
     private int drawClass() {
--- a/simulation/src/main/java/topazvalve/simulation/model/WarmUp.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/WarmUp.java
@@ -28,7 +28,7 @@
     void start(long now) {
         startedAt = now;
         workSinceStart = 0;
-        cold = kind.coldShare() < 1;
+        cold = kind.coldSpeedFraction() < 1;
     }
 
     /** Returns when the process last started, in nanoseconds of the clock; 0 for long ago. */
@@ -52,15 +52,15 @@
         if (!cold) {
             return 1;
         }
-        double completed = kind.coldTime() == 0 ? 1 : (double) (now - startedAt) / kind.coldTime();
-        if (kind.warmBy() == WarmBy.WORK && kind.coldTime() > 0) {
-            double sufficientWork = SUFFICIENT_WORK_FRACTION * fullSpeed * kind.coldTime();
+        double completed = kind.warmUpTime() == 0 ? 1 : (double) (now - startedAt) / kind.warmUpTime();
+        if (kind.warmBy() == WarmBy.WORK && kind.warmUpTime() > 0) {
+            double sufficientWork = SUFFICIENT_WORK_FRACTION * fullSpeed * kind.warmUpTime();
             completed = Math.max(completed, workSinceStart / sufficientWork);
         }
         if (completed >= 1) {
             cold = false;
             return 1;
         }
-        return kind.coldShare() + (1 - kind.coldShare()) * completed;
+        return kind.coldSpeedFraction() + (1 - kind.coldSpeedFraction()) * completed;
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/oracle/Oracle.java
+++ b/simulation/src/main/java/topazvalve/simulation/oracle/Oracle.java
@@ -6,229 +6,253 @@
 import java.util.List;
 import java.util.Map;
 import topazvalve.simulation.scenario.Scenario.Limits;
-import topazvalve.simulation.scenario.WorkClass.Repeats;
+import topazvalve.simulation.scenario.WorkClass;
+import topazvalve.simulation.scenario.WorkClass.Repeatability;
 import topazvalve.simulation.scenario.WorkClass.Scope;
 
 /**
- * Judges a run by what servers received and clients were answered. It is told nothing by the program and
- * believes nothing that the program says. All times are given by the caller, on one clock; one thread.
+ * Judges a run by what servers received and clients were answered; it relies on nothing that the sidecar reports. All
+ * times are nanoseconds on one clock that the caller chooses. Not thread-safe.
  */
 public final class Oracle {
-    /** How an answer reads to the client. */
+    /** What a response means to the client. */
     public enum Answer {
         SERVED,
         REFUSED,
         FAILED
     }
 
-    /** Breaches that are kept whole; the rest is counted. */
-    private static final int KEPT = 100;
-    /** The part of a request's time after which giving it up unsent counts as holding its answer back. */
-    private static final double HELD_BACK = 0.5;
-    /** Two thirds of a cold server's load must come from those who knew for it to be their fault. */
-    private static final double INFORMED = 2.0 / 3;
+    /** Further violations are counted, but not described. */
+    private static final int MAX_VIOLATIONS = 100;
+    /** The fraction of a request's time by which it must be answered if it was never sent to a server. */
+    private static final double MAX_UNSENT_FRACTION = 0.5;
+    /** A crash is the senders' fault if they knew of the start for at least this fraction of a cold server's load. */
+    private static final double MIN_INFORMED_FRACTION = 2.0 / 3;
+    /** How long after its client disconnected an attempt, first or further, may still begin. */
+    private static final long DISCONNECT_GRACE_NANOS = 100_000_000;
 
-    /** So long after its client left an attempt, first or further, may begin: the standing page. */
-    private static final long LEFT_GRACE = 100_000_000;
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    /** More than the number of instances; makes keys of instance and server unique. */
+    private static final long INSTANCE_LIMIT = 100_000;
 
     private final Limits limits;
-    private final long tolerance;
-    private final long flight;
+    private final long toleranceNanos;
+    private final long maxFlightNanos;
     private final Map<Rule, Integer> counts = new EnumMap<>(Rule.class);
-    private final List<Violation> breaches = new ArrayList<>();
-    private final Map<Long, Long> drains = new HashMap<>();
+    private final List<Violation> violations = new ArrayList<>();
+    private final Map<Long, Long> drainNotifiedAt = new HashMap<>();
     private long requests;
 
     /**
-     * An oracle that has seen nothing.
+     * Creates an oracle that has seen nothing.
      *
-     * @param tolerance nanoseconds that every limit is longer by: what the measuring itself may be off
-     * @param flight how long an attempt may be under way before a server has it whole
+     * @param toleranceNanos measurement error by which every limit is extended
+     * @param maxFlightNanos how long an attempt may be in flight before a server has received it completely
      */
-    public Oracle(Limits limits, long tolerance, long flight) {
+    public Oracle(Limits limits, long toleranceNanos, long maxFlightNanos) {
         this.limits = limits;
-        this.tolerance = tolerance;
-        this.flight = flight;
+        this.toleranceNanos = toleranceNanos;
+        this.maxFlightNanos = maxFlightNanos;
     }
 
-    private void broken(Rule rule, long at, String what) {
+    private void reportViolation(Rule rule, long at, String what) {
         counts.merge(rule, 1, Integer::sum);
-        if (breaches.size() < KEPT) {
-            breaches.add(new Violation(rule, at, what));
+        if (violations.size() < MAX_VIOLATIONS) {
+            violations.add(new Violation(rule, at, what));
         }
     }
 
     /** A client has sent a request. */
-    public void sent(Trace trace) {
+    public void requestSent(Trace trace) {
         requests++;
     }
 
     /**
-     * A server has an attempt whole.
+     * A server has received an attempt completely.
      *
-     * @param mayRun whether it took it; one that was turned away unseen never ran
+     * @param zone the server's zone
+     * @param pod the server's pod
+     * @param mayRun false if the server rejected it without running it
      */
-    public void received(Trace trace, long server, int zone, int pod, boolean mayRun, long at) {
+    public void attemptReceived(Trace trace, long server, int zone, int pod, boolean mayRun, long at) {
         trace.attempts++;
-        trace.remember(server, at);
-        if (trace.attempts > limits.attempts()) {
-            broken(Rule.ATTEMPTS, at, trace.attempts + " attempts: " + trace.describe());
+        trace.recordAttempt(server, at);
+        checkAttemptCount(trace, at);
+        checkNotAfterResponse(trace, at);
+        checkClientConnected(trace, at);
+        if (trace.attemptsMayHaveRun > 0) {
+            checkRepeat(trace, zone, pod, at);
         }
-        if (trace.answered() && at > trace.answeredAt + flight + tolerance) {
-            broken(Rule.NOTHING_AFTER, at, "sent after its answer: " + trace.describe());
+        checkNotDraining(trace, server, at);
+        if (mayRun) {
+            if (!trace.mayHaveRun) {
+                trace.firstRunAt = at;
+                trace.firstPod = pod;
+                trace.firstZone = zone;
+            }
+            trace.attemptsMayHaveRun++;
+            trace.mayHaveRun = true;
         }
-        if (at - LEFT_GRACE - flight - tolerance > trace.leftAt) {
-            broken(
-                    Rule.CLIENT_LEFT,
-                    at,
-                    (at - trace.leftAt) / 1_000_000 + " ms after its client left, attempt " + trace.attempts + ": "
-                            + trace.describe());
+    }
+
+    private void checkAttemptCount(Trace trace, long at) {
+        if (trace.attempts > limits.attempts()) {
+            reportViolation(Rule.ATTEMPTS, at, trace.attempts + " attempts: " + trace.describe());
         }
-        if (trace.mayHaveRun > 0) {
-            repeated(trace, zone, pod, at);
+    }
+
+    private void checkNotAfterResponse(Trace trace, long at) {
+        if (trace.answered() && at > trace.responseAt + maxFlightNanos + toleranceNanos) {
+            reportViolation(Rule.NOTHING_AFTER, at, "sent after its answer: " + trace.describe());
         }
-        Long told = drains.get(drainKey(trace.instance, server));
-        if (told != null && at > told + limits.drainGrace() + flight + tolerance) {
-            broken(
-                    Rule.DRAIN,
+    }
+
+    private void checkClientConnected(Trace trace, long at) {
+        // Subtracted, since disconnectedAt is Long.MAX_VALUE while the client is connected.
+        if (at - DISCONNECT_GRACE_NANOS - maxFlightNanos - toleranceNanos > trace.disconnectedAt) {
+            long millis = (at - trace.disconnectedAt) / NANOS_PER_MILLI;
+            reportViolation(
+                    Rule.CLIENT_LEFT,
                     at,
-                    (at - told) / 1_000_000 + " ms after it was told of server " + server + ": " + trace.describe());
+                    millis + " ms after its client left, attempt " + trace.attempts + ": " + trace.describe());
         }
-        if (mayRun) {
-            if (!trace.everMayHaveRun) {
-                trace.firstAt = at;
-                trace.pod = pod;
-                trace.zone = zone;
-            }
-            trace.mayHaveRun++;
-            trace.everMayHaveRun = true;
+    }
+
+    private void checkNotDraining(Trace trace, long server, long at) {
+        Long notifiedAt = drainNotifiedAt.get(notificationKey(trace.instance, server));
+        if (notifiedAt != null && at > notifiedAt + limits.drainGrace() + maxFlightNanos + toleranceNanos) {
+            long millis = (at - notifiedAt) / NANOS_PER_MILLI;
+            reportViolation(
+                    Rule.DRAIN, at, millis + " ms after it was told of server " + server + ": " + trace.describe());
         }
     }
 
-    /**
-     * The network has taken an attempt on, which may never arrive: who waits for its answer holds nothing
-     * back.
-     */
-    public void carried(Trace trace) {
-        trace.carried = true;
-    }
-
-    private void repeated(Trace trace, int zone, int pod, long at) {
-        Repeats repeats = trace.requestClass.repeats();
-        if (repeats == Repeats.NEVER) {
-            broken(Rule.NEVER_TWICE, at, trace.describe());
-        } else if (repeats == Repeats.KEYED) {
-            Scope scope = trace.requestClass.scope();
-            boolean elsewhere = (scope == Scope.ZONE && zone != trace.zone) || (scope == Scope.POD && pod != trace.pod);
-            if (elsewhere || at - trace.firstAt > trace.requestClass.window() + flight + tolerance) {
-                broken(
-                        Rule.KEYED_REPEAT,
-                        at,
-                        (elsewhere ? "in another " + scope : "after the window") + ": " + trace.describe());
+    private void checkRepeat(Trace trace, int zone, int pod, long at) {
+        WorkClass requestClass = trace.requestClass;
+        if (requestClass.repeatability() == Repeatability.NEVER) {
+            reportViolation(Rule.NEVER_TWICE, at, trace.describe());
+        } else if (requestClass.repeatability() == Repeatability.KEYED) {
+            Scope scope = requestClass.scope();
+            boolean outOfScope =
+                    (scope == Scope.ZONE && zone != trace.firstZone) || (scope == Scope.POD && pod != trace.firstPod);
+            long windowEnd = requestClass.repeatWindow() + maxFlightNanos + toleranceNanos;
+            if (outOfScope) {
+                reportViolation(Rule.KEYED_REPEAT, at, "in another " + scope + ": " + trace.describe());
+            } else if (at - trace.firstRunAt > windowEnd) {
+                reportViolation(Rule.KEYED_REPEAT, at, "after the window: " + trace.describe());
             }
         }
     }
 
-    /** An attempt that a server had taken turned out never to run: it said so, or had dropped it. */
-    public void neverRan(Trace trace) {
-        trace.mayHaveRun--;
-        trace.everMayHaveRun = trace.mayHaveRun > 0;
+    /** An attempt has left for a server; it may never arrive, and its request may wait for it until its deadline. */
+    public void attemptInFlight(Trace trace) {
+        trace.attemptInFlight = true;
     }
 
-    /** A server has sent its answer to an attempt. */
-    public void served(Trace trace) {
+    /** A server that had accepted an attempt has discarded it before it ran. */
+    public void attemptNeverRan(Trace trace) {
+        trace.attemptsMayHaveRun--;
+        trace.mayHaveRun = trace.attemptsMayHaveRun > 0;
+    }
+
+    /** A server has sent its response to an attempt. */
+    public void responseSent(Trace trace) {
         trace.servedByServer = true;
     }
 
-    /** The client has a whole answer. */
-    public void answered(Trace trace, Answer answer, long at) {
-        trace.answers++;
-        if (trace.answers > 1) {
-            broken(Rule.ANSWERED_ONCE, at, "answered again: " + trace.describe());
+    /** The client has received a complete response. */
+    public void responseReceived(Trace trace, Answer answer, long at) {
+        trace.responses++;
+        if (trace.responses > 1) {
+            reportViolation(Rule.ANSWERED_ONCE, at, "answered again: " + trace.describe());
             return;
         }
-        trace.answeredAt = at;
-        if (at > trace.deadline + limits.answerSlack() + tolerance) {
-            broken(Rule.ANSWERED, at, "answered late: " + trace.describe());
+        trace.responseAt = at;
+        if (at > trace.deadline + limits.responseSlack() + toleranceNanos) {
+            reportViolation(Rule.ANSWERED, at, "answered late: " + trace.describe());
         }
         if (answer == Answer.SERVED && !trace.servedByServer) {
-            broken(Rule.TRUE_ANSWER, at, "served by no server: " + trace.describe());
+            reportViolation(Rule.TRUE_ANSWER, at, "served by no server: " + trace.describe());
         }
-        Repeats repeats = trace.requestClass.repeats();
-        boolean harmful =
-                repeats == Repeats.NEVER || (repeats == Repeats.KEYED && trace.requestClass.scope() != Scope.ALL);
-        if (answer == Answer.REFUSED && harmful && trace.everMayHaveRun) {
-            broken(Rule.HARMLESS_REFUSAL, at, trace.describe());
+        if (answer == Answer.REFUSED && trace.mayHaveRun && !trace.requestClass.retryIsHarmless()) {
+            reportViolation(Rule.HARMLESS_REFUSAL, at, trace.describe());
         }
-        if (answer != Answer.SERVED
-                && trace.attempts == 0
-                && !trace.carried
-                && at - trace.sentAt > HELD_BACK * (trace.deadline - trace.sentAt) + tolerance) {
-            broken(Rule.AT_ONCE, at, "given up, and held back: " + trace.describe());
+        if (answer != Answer.SERVED && wasHeldBack(trace, at)) {
+            reportViolation(Rule.AT_ONCE, at, "given up, and held back: " + trace.describe());
         }
     }
 
-    /** The client has what no order server gave for this request. */
-    public void forged(Trace trace, long at) {
-        broken(Rule.TRUE_ANSWER, at, "not the answer made for it: " + trace.describe());
+    private boolean wasHeldBack(Trace trace, long at) {
+        boolean unsent = trace.attempts == 0 && !trace.attemptInFlight;
+        double maxNanos = MAX_UNSENT_FRACTION * (trace.deadline - trace.sentAt) + toleranceNanos;
+        return unsent && at - trace.sentAt > maxNanos;
+    }
+
+    /** The client has received a response that no server gave to this request. */
+    public void responseForged(Trace trace, long at) {
+        reportViolation(Rule.TRUE_ANSWER, at, "not the answer made for it: " + trace.describe());
     }
 
-    /** The client has left: it expects no answer, and nothing is to be done for it any more. */
-    public void left(Trace trace, long at) {
-        trace.leftAt = at;
-        excused(trace);
+    /** The client has disconnected: it expects no response, and no further attempts may begin. */
+    public void clientDisconnected(Trace trace, long at) {
+        trace.disconnectedAt = at;
+        excuse(trace);
     }
 
-    /** Nobody can expect an answer: the sidecar was killed, or the client has left. */
-    public void excused(Trace trace) {
+    /** A request needs no response, because the sidecar was killed or the client has disconnected. */
+    public void excuse(Trace trace) {
         trace.excused = true;
     }
 
-    /** A request's time is over; called once its deadline and the slack are past. */
-    public void expired(Trace trace, long at) {
+    /** The deadline and the slack of a request are past. */
+    public void deadlinePassed(Trace trace, long at) {
         if (!trace.answered() && !trace.excused) {
             trace.excused = true;
-            broken(Rule.ANSWERED, at, "never answered: " + trace.describe());
+            reportViolation(Rule.ANSWERED, at, "never answered: " + trace.describe());
         }
     }
 
-    /** An instance has been told that a server drains or is gone; only the first time counts. */
-    public void drainTold(int instance, long server, long at) {
-        drains.putIfAbsent(drainKey(instance, server), at);
+    /** An instance has been notified that a server drains or is removed; only the first notification counts. */
+    public void drainNotified(int instance, long server, long at) {
+        drainNotifiedAt.putIfAbsent(notificationKey(instance, server), at);
     }
 
-    /** An instance has been told that a server is ready, or has itself started anew. */
-    public void readyTold(int instance, long server) {
-        drains.remove(drainKey(instance, server));
+    /** An instance has been notified that a server is ready, or has itself restarted. */
+    public void readyNotified(int instance, long server) {
+        drainNotifiedAt.remove(notificationKey(instance, server));
     }
 
-    private static long drainKey(int instance, long server) {
-        return server * 100_000 + instance;
+    private static long notificationKey(int instance, long server) {
+        return server * INSTANCE_LIMIT + instance;
     }
 
-    /** A cold server was pushed over; {@code informed} is the part of the work from those who knew. */
-    public void fell(long server, double informed, long at) {
-        if (informed >= INFORMED) {
-            broken(
+    /**
+     * A server has crashed under overload while it was cold.
+     *
+     * @param informedFraction the fraction (0 to 1) of its load whose senders knew of its start
+     */
+    public void serverCrashedWhileCold(long server, double informedFraction, long at) {
+        if (informedFraction >= MIN_INFORMED_FRACTION) {
+            long percent = Math.round(informedFraction * 100);
+            reportViolation(
                     Rule.COLD,
                     at,
-                    "server " + server + " was pushed over, " + Math.round(informed * 100)
-                            + " in 100 by who knew that it was cold");
+                    "server " + server + " was pushed over, " + percent + " in 100 by who knew that it was cold");
         }
     }
 
-    /** How many requests it has seen. */
+    /** Returns the number of requests that clients have sent. */
     public long requests() {
         return requests;
     }
 
-    /** How often each rule was broken; rules that held are not there. */
+    /** Returns how often each rule was violated; rules that held are absent. */
     public Map<Rule, Integer> counts() {
         return Map.copyOf(counts);
     }
 
-    /** The first breaches, with what broke the rule. */
-    public List<Violation> breaches() {
-        return List.copyOf(breaches);
+    /** Returns the first violations, at most 100, in the order in which they were found. */
+    public List<Violation> violations() {
+        return List.copyOf(violations);
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/oracle/Rule.java
+++ b/simulation/src/main/java/topazvalve/simulation/oracle/Rule.java
@@ -1,29 +1,29 @@
 package topazvalve.simulation.oracle;
 
-/** What must hold, whatever goes wrong. */
+/** The rules that must hold under every fault. */
 public enum Rule {
-    /** Each request that a running sidecar took has an answer by its deadline. */
+    /** Each request that a running sidecar accepted has a response by its deadline. */
     ANSWERED,
-    /** Not more than one. */
+    /** No request has more than one response. */
     ANSWERED_ONCE,
-    /** An answer that says served is one that an order server gave for this request. */
+    /** A response that says "served" is one that an order server gave to this request. */
     TRUE_ANSWER,
-    /** What must never run twice is not sent again once it may have run. */
+    /** A non-idempotent request is not sent again once it may have run. */
     NEVER_TWICE,
-    /** A keyed request is repeated only where and as long as a repeat is dropped. */
+    /** A request with an idempotency key is repeated only within the scope and the window of its key. */
     KEYED_REPEAT,
-    /** Who is told that trying again is harmless can rely on it. */
+    /** A client is told that a retry is harmless only if it is. */
     HARMLESS_REFUSAL,
-    /** At most so many attempts. */
+    /** No request has more attempts than the limit. */
     ATTEMPTS,
-    /** Nothing is sent for a request that has been answered. */
+    /** No attempt is sent after the response. */
     NOTHING_AFTER,
-    /** Nothing new to a server when the grace after its drain was told is over. */
+    /** A draining server gets no new attempts after the grace period that follows the notification. */
     DRAIN,
-    /** No cold server is pushed over. */
+    /** No cold server crashes under overload by senders that know that it is cold. */
     COLD,
-    /** What was given up is answered at once, not when half of its time is over. */
+    /** A request that is given up without an attempt is answered before half of its time has passed. */
     AT_ONCE,
-    /** No attempt, first or further, begins for a client that left 0.1 s before or earlier. */
+    /** No attempt, first or further, begins more than 0.1 s after its client disconnected. */
     CLIENT_LEFT
 }
--- a/simulation/src/main/java/topazvalve/simulation/oracle/Trace.java
+++ b/simulation/src/main/java/topazvalve/simulation/oracle/Trace.java
@@ -3,11 +3,11 @@
 import topazvalve.simulation.scenario.WorkClass;
 
 /**
- * What servers and the client saw of one request; times in nanoseconds of the world's clock. Written by the
- * {@link Oracle} alone.
+ * What servers and the client observed of one request. Times are nanoseconds of the oracle's clock. Only the
+ * {@link Oracle} changes it.
  */
 public final class Trace {
-    private static final int KEPT = 6;
+    private static final int MAX_DESCRIBED_ATTEMPTS = 6;
 
     final long id;
     final int instance;
@@ -15,27 +15,28 @@
     final long sentAt;
     final long deadline;
     int attempts;
-    boolean carried;
-    int mayHaveRun;
-    boolean everMayHaveRun;
-    long firstAt;
-    int pod;
-    int zone;
+    boolean attemptInFlight;
+    int attemptsMayHaveRun;
+    boolean mayHaveRun;
+    long firstRunAt;
+    int firstPod;
+    int firstZone;
     boolean servedByServer;
-    int answers;
-    long answeredAt = Long.MAX_VALUE;
+    int responses;
+    long responseAt = Long.MAX_VALUE;
     boolean excused;
-    /** When its client left; {@link Long#MAX_VALUE} while it waits. */
-    long leftAt = Long.MAX_VALUE;
+    /** When its client disconnected; {@link Long#MAX_VALUE} while it waits. */
+    long disconnectedAt = Long.MAX_VALUE;
 
-    private final long[] servers = new long[KEPT];
-    private final long[] times = new long[KEPT];
+    private final long[] servers = new long[MAX_DESCRIBED_ATTEMPTS];
+    private final long[] times = new long[MAX_DESCRIBED_ATTEMPTS];
 
     /**
-     * A request that a client has sent.
+     * Creates the trace of a request that a client has sent.
      *
+     * @param instance the number of the sidecar instance
      * @param sentAt when its last byte was written
-     * @param deadline until when the client waits
+     * @param deadline when the client stops waiting
      */
     public Trace(long id, int instance, WorkClass requestClass, long sentAt, long deadline) {
         this.id = id;
@@ -45,34 +46,34 @@
         this.deadline = deadline;
     }
 
-    /** Its number. */
+    /** Returns the request's number. */
     public long id() {
         return id;
     }
 
-    /** When it was sent. */
+    /** Returns when its last byte was written. */
     public long sentAt() {
         return sentAt;
     }
 
-    /** Whether its one answer has come. */
+    /** Returns whether the client has a response. */
     public boolean answered() {
-        return answers > 0;
+        return responses > 0;
     }
 
-    /** Attempts that servers have received whole. */
+    /** Returns the number of attempts that servers have received completely. */
     public int attempts() {
         return attempts;
     }
 
-    void remember(long server, long at) {
-        if (attempts <= KEPT) {
+    void recordAttempt(long server, long at) {
+        if (attempts <= MAX_DESCRIBED_ATTEMPTS) {
             servers[attempts - 1] = server;
             times[attempts - 1] = at;
         }
     }
 
-    /** The request, its attempts and their times, in milliseconds after it was sent. */
+    /** Returns the request, its attempts and their times in milliseconds after it was sent, as text. */
     String describe() {
         StringBuilder text = new StringBuilder("request ")
                 .append(id)
@@ -85,7 +86,7 @@
                 .append(" ms, deadline +")
                 .append((deadline - sentAt) / 1_000_000)
                 .append(')');
-        for (int i = 0; i < Math.min(attempts, KEPT); i++) {
+        for (int i = 0; i < Math.min(attempts, MAX_DESCRIBED_ATTEMPTS); i++) {
             text.append(i == 0 ? "; attempts" : ",")
                     .append(" server ")
                     .append(servers[i])
@@ -93,7 +94,7 @@
                     .append((times[i] - sentAt) / 1_000_000);
         }
         if (answered()) {
-            text.append("; answered at +").append((answeredAt - sentAt) / 1_000_000);
+            text.append("; answered at +").append((responseAt - sentAt) / 1_000_000);
         }
         return text.toString();
     }
--- a/simulation/src/main/java/topazvalve/simulation/oracle/Violation.java
+++ b/simulation/src/main/java/topazvalve/simulation/oracle/Violation.java
@@ -1,6 +1,11 @@
 package topazvalve.simulation.oracle;
 
-/** A rule that was broken: when, and by what. */
+/**
+ * The violation of a rule.
+ *
+ * @param at when it was found, in nanoseconds of the oracle's clock
+ * @param what the request or server, and what happened to it
+ */
 public record Violation(Rule rule, long at, String what) {
     @Override
     public String toString() {
--- a/simulation/src/main/java/topazvalve/simulation/oracle/package-info.java
+++ b/simulation/src/main/java/topazvalve/simulation/oracle/package-info.java
@@ -1,2 +1,2 @@
-/** Judges from what servers and clients saw, never from the program's word. */
+/** Checks rules on what servers and clients observed, independently of what the sidecar reports. */
 package topazvalve.simulation.oracle;
--- a/simulation/src/main/java/topazvalve/simulation/policy/Policy.java
+++ b/simulation/src/main/java/topazvalve/simulation/policy/Policy.java
@@ -1,65 +1,76 @@
 package topazvalve.simulation.policy;
 
+import java.util.List;
 import java.util.SplittableRandom;
 import topazvalve.policy.LoadBalancer;
 import topazvalve.policy.SidecarPolicy;
 
-/** Who decides: the project's module, or a textbook policy to hold it against. */
+/** The load-balancing policies that a simulation can use: the sidecar's own, and textbook policies to compare with. */
 public enum Policy {
-    /** The decision module. */
+    /** The sidecar's own policy. */
     MODULE {
         @Override
-        public LoadBalancer make(LoadBalancer.Settings settings, long seed, LoadBalancer.Actions actions) {
+        public LoadBalancer create(LoadBalancer.Settings settings, long seed, LoadBalancer.Actions actions) {
             return new SidecarPolicy(settings, seed, actions);
         }
     },
-    /** Any ready server, each as likely. */
+    /** A ready server at random, each with the same probability. */
     RANDOM {
         @Override
-        public LoadBalancer make(LoadBalancer.Settings settings, long seed, LoadBalancer.Actions actions) {
+        public LoadBalancer create(LoadBalancer.Settings settings, long seed, LoadBalancer.Actions actions) {
             SplittableRandom random = new SplittableRandom(seed);
-            return new Textbook(settings, actions, (servers, turn) -> random.nextInt(servers.size()));
+            return new TextbookLoadBalancer(settings, actions, (ready, turn) -> random.nextInt(ready.size()));
         }
     },
-    /** One ready server after the other, beginning anywhere. */
+    /** The ready servers in turn, from a random one on. */
     ROUND_ROBIN {
         @Override
-        public LoadBalancer make(LoadBalancer.Settings settings, long seed, LoadBalancer.Actions actions) {
-            long first = new SplittableRandom(seed).nextInt(1 << 20);
-            return new Textbook(settings, actions, (servers, turn) -> (int) ((first + turn) % servers.size()));
+        public LoadBalancer create(LoadBalancer.Settings settings, long seed, LoadBalancer.Actions actions) {
+            long first = new SplittableRandom(seed).nextInt(FIRST_TURN_BOUND);
+            return new TextbookLoadBalancer(settings, actions, (ready, turn) -> (int) ((first + turn) % ready.size()));
         }
     },
-    /** The ready server with the fewest of this instance's own requests; the first after a random place. */
+    /** The ready server with the fewest requests of this instance in flight; ties are broken at random. */
     LEAST_IN_FLIGHT {
         @Override
-        public LoadBalancer make(LoadBalancer.Settings settings, long seed, LoadBalancer.Actions actions) {
+        public LoadBalancer create(LoadBalancer.Settings settings, long seed, LoadBalancer.Actions actions) {
             SplittableRandom random = new SplittableRandom(seed);
-            return new Textbook(settings, actions, (servers, turn) -> {
-                int start = random.nextInt(servers.size());
-                int best = start;
-                for (int i = 1; i < servers.size(); i++) {
-                    int at = (start + i) % servers.size();
-                    if (servers.get(at).inFlight < servers.get(best).inFlight) {
-                        best = at;
-                    }
-                }
-                return best;
-            });
+            return new TextbookLoadBalancer(
+                    settings, actions, (ready, turn) -> leastInFlight(ready, random.nextInt(ready.size())));
         }
     },
-    /** Of two random ready servers the one with fewer of this instance's own requests. */
+    /** Of two random ready servers, the one with fewer requests of this instance in flight. */
     TWO_CHOICES {
         @Override
-        public LoadBalancer make(LoadBalancer.Settings settings, long seed, LoadBalancer.Actions actions) {
+        public LoadBalancer create(LoadBalancer.Settings settings, long seed, LoadBalancer.Actions actions) {
             SplittableRandom random = new SplittableRandom(seed);
-            return new Textbook(settings, actions, (servers, turn) -> {
-                int one = random.nextInt(servers.size());
-                int two = random.nextInt(servers.size());
-                return servers.get(two).inFlight < servers.get(one).inFlight ? two : one;
+            return new TextbookLoadBalancer(settings, actions, (ready, turn) -> {
+                int first = random.nextInt(ready.size());
+                int second = random.nextInt(ready.size());
+                return ready.get(second).inFlight < ready.get(first).inFlight ? second : first;
             });
         }
     };
 
-    /** A new instance's decisions; the same settings, seed and events give the same actions. */
-    public abstract LoadBalancer make(LoadBalancer.Settings settings, long seed, LoadBalancer.Actions actions);
+    /** Larger than any number of servers, so that each is about as likely to be the first. */
+    private static final int FIRST_TURN_BOUND = 1 << 20;
+
+    /** Returns the index of the least busy server; among equals the first from {@code start} on, wrapping around. */
+    private static int leastInFlight(List<TextbookLoadBalancer.Server> ready, int start) {
+        int best = start;
+        for (int i = 1; i < ready.size(); i++) {
+            int index = (start + i) % ready.size();
+            if (ready.get(index).inFlight < ready.get(best).inFlight) {
+                best = index;
+            }
+        }
+        return best;
+    }
+
+    /**
+     * Creates the load balancer of a new instance. The same settings, seed and events lead to the same actions.
+     *
+     * @param actions carries out what the load balancer decides
+     */
+    public abstract LoadBalancer create(LoadBalancer.Settings settings, long seed, LoadBalancer.Actions actions);
 }
--- a/simulation/src/main/java/topazvalve/simulation/policy/package-info.java
+++ b/simulation/src/main/java/topazvalve/simulation/policy/package-info.java
@@ -1,2 +1,2 @@
-/** Textbook balancers to compare with, and faulty ones to test the oracle with. */
+/** The load-balancing policies that a simulation can use: the sidecar's own and four from the textbook. */
 package topazvalve.simulation.policy;
--- a/simulation/src/main/java/topazvalve/simulation/real/DiscoveryStandIn.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/DiscoveryStandIn.java
@@ -34,7 +34,7 @@
 import topazvalve.policy.LoadBalancer.EndpointStatus;
 import topazvalve.simulation.model.EndpointDirectory;
 import topazvalve.simulation.model.EndpointDirectory.Entry;
-import topazvalve.simulation.scenario.Scenario.News;
+import topazvalve.simulation.scenario.Scenario.DiscoverySettings;
 
 /**
  * Discovery on loopback: the whole list, and a watch on its changes as JSON lines in chunks, with an empty
@@ -47,13 +47,13 @@
     private static final long LOOK_MS = 50;
 
     private final RealWorld world;
-    private final News news;
+    private final DiscoverySettings news;
     private final Set<Watch> watches = new HashSet<>();
     private long busyUntil;
 
     private record Watch(int instance, Channel channel) {}
 
-    DiscoveryStandIn(EventLoop loop, RealWorld world, News news) {
+    DiscoveryStandIn(EventLoop loop, RealWorld world, DiscoverySettings news) {
         this.world = world;
         this.news = news;
         world.directory().addListener(this::changed);
@@ -136,7 +136,7 @@
             long begins = Math.max(now, busyUntil);
             if (!uri.path().equals("/discovery/hosts")
                     || world.directory().isUnavailable()
-                    || begins - now > news.patience()) {
+                    || begins - now > news.callTimeout()) {
                 FullHttpResponse response =
                         new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.SERVICE_UNAVAILABLE);
                 HttpUtil.setContentLength(response, 0);
--- a/simulation/src/main/java/topazvalve/simulation/real/RealClients.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/RealClients.java
@@ -29,8 +29,7 @@
 import topazvalve.simulation.oracle.Trace;
 import topazvalve.simulation.scenario.Scenario;
 import topazvalve.simulation.scenario.WorkClass;
-import topazvalve.simulation.scenario.WorkClass.Repeats;
-import topazvalve.simulation.scenario.WorkClass.Scope;
+import topazvalve.simulation.scenario.WorkClass.Repeatability;
 
 /**
  * The applications beside the sidecars: an open loop over real connections. Latency counts from the time a
@@ -120,7 +119,7 @@
         void send() {
             world.traces()
                     .put(id, new Traces.Sent(trace, number, wish.requestClass(), wish.key(), wish.work(), deadline));
-            world.oracle().sent(trace);
+            world.oracle().requestSent(trace);
             world.request();
             world.clock().scheduleAt(deadline, this::giveUp);
             long forget = deadline + 10_000_000_000L;
@@ -156,7 +155,7 @@
                             write(done.channel());
                         } else {
                             // Nothing listens: nothing has run.
-                            world.oracle().excused(trace);
+                            world.oracle().excuse(trace);
                             ended(Answer.REFUSED, 0);
                         }
                     });
@@ -173,7 +172,7 @@
         private void write(Channel to) {
             channel = to;
             to.pipeline().get(Handler.class).current = this;
-            boolean get = kind.repeats() == Repeats.FREE;
+            boolean get = kind.repeatability() == Repeatability.FREE;
             ByteBuf body = get ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(BODY);
             DefaultFullHttpRequest request = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1,
@@ -185,7 +184,7 @@
                     .set("Req-Id", id)
                     .set("Req-Kind", kind.name())
                     .set("Req-Deadline-Ms", Math.max(1, left / 1_000_000));
-            if (kind.repeats() == Repeats.KEYED) {
+            if (kind.repeatability() == Repeatability.KEYED) {
                 request.headers().set("Idempotency-Key", id);
             }
             if (!get) {
@@ -200,13 +199,13 @@
             }
             over = true;
             if (wish.leavesEarly()) {
-                world.oracle().left(trace, world.elapsed());
+                world.oracle().clientDisconnected(trace, world.elapsed());
             }
             if (channel != null) {
                 channel.close();
             }
             world.tally().unanswered(wish.requestClass(), world.sinceStart(firstAt));
-            world.oracle().expired(trace, world.elapsed());
+            world.oracle().deadlinePassed(trace, world.elapsed());
         }
 
         /** Closed without an answer: once more where the close crossed the request, else nobody answers. */
@@ -218,7 +217,7 @@
                 onceMore = true;
                 connect(true);
             } else if (world.wasKilled(number, trace)) {
-                world.oracle().excused(trace);
+                world.oracle().excuse(trace);
                 ended(Answer.FAILED, 0);
             }
         }
@@ -229,9 +228,9 @@
                     && response.content().toString(StandardCharsets.US_ASCII).equals(bodyOf(id));
             Answer answer = code == 200 ? Answer.SERVED : code == 429 || code == 503 ? Answer.REFUSED : Answer.FAILED;
             if (code == 200 && !genuine) {
-                world.oracle().forged(trace, world.elapsed());
+                world.oracle().responseForged(trace, world.elapsed());
             }
-            world.oracle().answered(trace, answer, world.elapsed());
+            world.oracle().responseReceived(trace, answer, world.elapsed());
             world.digest(trace, answer);
             ended(answer, wait(response));
         }
@@ -246,9 +245,7 @@
 
         private void ended(Answer answer, long wait) {
             over = true;
-            boolean harmless = answer == Answer.REFUSED
-                    || kind.repeats() == Repeats.FREE
-                    || (kind.repeats() == Repeats.KEYED && kind.scope() == Scope.ALL);
+            boolean harmless = answer == Answer.REFUSED || kind.retryIsHarmless();
             if (answer == Answer.SERVED) {
                 world.tally()
                         .served(
--- a/simulation/src/main/java/topazvalve/simulation/real/RealWorld.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/RealWorld.java
@@ -153,7 +153,7 @@
                     seed,
                     tally,
                     oracle.counts(),
-                    oracle.breaches(),
+                    oracle.violations(),
                     faults,
                     scene.recordedEvents(),
                     digest.getValue(),
@@ -203,7 +203,7 @@
 
     private void introduce(OrderServer server, InetSocketAddress where, Runnable open) {
         server.onColdCrash((fallen, informed) -> {
-            oracle.fell(fallen.id(), informed, elapsed());
+            oracle.serverCrashedWhileCold(fallen.id(), informed, elapsed());
             recordEvent("server " + fallen.id() + " was pushed over while cold");
         });
         stands.put(server.id(), ServerStandIn.open(loop, this, server, where, open));
@@ -302,7 +302,7 @@
     }
 
     double attemptWork(Traces.Sent sent) {
-        double variation = scenario.classes().get(sent.requestClass()).noise();
+        double variation = scenario.classes().get(sent.requestClass()).attemptVariation();
         return variation == 0 ? sent.work() : sent.work() * noise.lognormal(variation);
     }
 
@@ -313,13 +313,13 @@
     }
 
     long newsDelay() {
-        return (long) (spread.part() * scenario.news().spread());
+        return (long) (spread.part() * scenario.news().maxPropagation());
     }
 
     void received(Traces.Sent sent, OrderServer server, boolean mayRun) {
         attemptsByServer[(int) Math.min(attemptsByServer.length - 1, server.id())]++;
         tally.attempt(elapsed());
-        oracle.received(
+        oracle.attemptReceived(
                 sent.trace(), server.id(), server.pod().zone(), server.pod().number(), mayRun, elapsed());
     }
 
@@ -327,9 +327,9 @@
         for (Entry each : entries) {
             toldStarts.put(each.server().id() * 100_000 + instance, each.startedAt());
             if (each.state() == EndpointStatus.READY) {
-                oracle.readyTold(instance, each.server().id());
+                oracle.readyNotified(instance, each.server().id());
             } else {
-                oracle.drainTold(instance, each.server().id(), elapsed());
+                oracle.drainNotified(instance, each.server().id(), elapsed());
             }
         }
     }
@@ -378,7 +378,7 @@
     public void restartInstance(int number) {
         killedAt.put(number, elapsed());
         sidecars.get(number).kill();
-        servers().forEach(each -> oracle.readyTold(number, each.id()));
+        servers().forEach(each -> oracle.readyNotified(number, each.id()));
         ObjectNode known = discovery.known();
         long fresh = restarts.any();
         loop.schedule(
@@ -387,8 +387,8 @@
                         sidecars.get(number).start(scenario, discoveryPorts.get(number), known, fresh);
                         directory().entries().stream()
                                 .filter(each -> each.state() != EndpointStatus.READY)
-                                .forEach(each ->
-                                        oracle.drainTold(number, each.server().id(), elapsed()));
+                                .forEach(each -> oracle.drainNotified(
+                                        number, each.server().id(), elapsed()));
                     } catch (IOException e) {
                         recordEvent("sidecar " + number + " could not be started again: " + e.getMessage());
                     }
--- a/simulation/src/main/java/topazvalve/simulation/real/ServerStandIn.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/ServerStandIn.java
@@ -154,7 +154,7 @@
         if (server.mode() == Mode.VANISHED || server.mode() == Mode.FROZEN) {
             made.config().setAutoRead(false);
         }
-        long idle = server.kind().idleClose();
+        long idle = server.kind().idleTimeout();
         made.pipeline()
                 .addLast(
                         new IdleStateHandler(0, 0, idle, TimeUnit.NANOSECONDS),
@@ -268,7 +268,7 @@
                 return;
             }
             if (good) {
-                world.oracle().served(sent.trace());
+                world.oracle().responseSent(sent.trace());
             }
             back(() -> answer(
                     channel,
@@ -287,7 +287,7 @@
                                 "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\ndone:", StandardCharsets.ISO_8859_1))
                         .addListener(done -> channel.close()));
             } else {
-                world.oracle().served(sent.trace());
+                world.oracle().responseSent(sent.trace());
                 back(() -> {
                     answer(channel, HttpResponseStatus.OK, RealClients.bodyOf(id), false);
                     channel.writeAndFlush(Unpooled.copiedBuffer(
@@ -312,7 +312,7 @@
         protected void discarded() {
             over = true;
             if (!ran) {
-                world.oracle().neverRan(sent.trace());
+                world.oracle().attemptNeverRan(sent.trace());
             }
         }
     }
--- a/simulation/src/main/java/topazvalve/simulation/real/SidecarProcess.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/SidecarProcess.java
@@ -90,7 +90,7 @@
         scenario.machines().forEach(each -> kinds.add(each.name()));
         settings.putObject("report").put("how", "silent").putArray("fields");
         long idle = scenario.machines().stream()
-                .mapToLong(each -> each.idleClose())
+                .mapToLong(each -> each.idleTimeout())
                 .min()
                 .orElseThrow();
         settings.putObject("caps")
@@ -103,13 +103,13 @@
                 .put("connIdle", idle);
         settings.putObject("charges").put("probe", 0.01);
         settings.putObject("rules")
-                .put("answerSlack", scenario.limits().answerSlack())
+                .put("answerSlack", scenario.limits().responseSlack())
                 .put("stopSendingWithin", scenario.limits().drainGrace())
-                .put("askWithin", scenario.limits().askWithin())
+                .put("askWithin", scenario.limits().resubscribeWithin())
                 .put("coldShare", scenario.limits().coldShare())
                 .put("rampTime", scenario.limits().rampTime())
                 .put("overloadFactor", scenario.limits().overloadFactor())
-                .put("tipAfter", scenario.limits().tipAfter());
+                .put("tipAfter", scenario.limits().coldLoadWindow());
         ArrayNode profiles = settings.putArray("profiles");
         scenario.classes().forEach(each -> profiles.add(profile(each)));
         return root;
@@ -118,18 +118,18 @@
     private static ObjectNode profile(WorkClass kind) {
         ObjectNode profile = JSON.createObjectNode()
                 .put("name", kind.name())
-                .put("slo", kind.aim())
+                .put("slo", kind.latencyObjective())
                 .put("deadline", kind.deadline())
-                .put("worth", kind.worth())
+                .put("worth", kind.priorityWeight())
                 .put(
                         "semantics",
-                        switch (kind.repeats()) {
+                        switch (kind.repeatability()) {
                             case FREE -> "repeatable";
                             case KEYED -> "by_key";
                             case NEVER -> "once";
                         });
-        if (kind.repeats() == WorkClass.Repeats.KEYED) {
-            profile.put("keyTtl", kind.window())
+        if (kind.repeatability() == WorkClass.Repeatability.KEYED) {
+            profile.put("keyTtl", kind.repeatWindow())
                     .put(
                             "keyScope",
                             switch (kind.scope()) {
--- a/simulation/src/main/java/topazvalve/simulation/scenario/ExperimentFile.java
+++ b/simulation/src/main/java/topazvalve/simulation/scenario/ExperimentFile.java
@@ -14,27 +14,42 @@
 import topazvalve.toml.Table;
 import topazvalve.toml.TomlFile;
 
-/** Reads an experiment from TOML: which scenarios, arms and seeds. Strict, as {@link ScenarioFile} is. */
+/** Reads experiment files (TOML): scenarios, arms and seeds. It is as strict as {@link ScenarioFile}. */
 public final class ExperimentFile {
     private static final Pattern SEEDS = Pattern.compile("([0-9]{1,9})(?:\\.\\.([0-9]{1,9}))?");
-    private static final int MOST_SEEDS = 10_000;
+    private static final int MAX_SEEDS = 10_000;
 
-    /** An arm as written; {@code attempts} 0 stands for the scenario's own. */
+    /** An arm of the file; {@code attempts} is 0 for the scenario's own limit. */
     public record ArmSpec(
             String name, Policy policy, int attempts, boolean cancel, boolean probes, boolean retryAfter) {}
 
-    /** An experiment as written; scenario files are beside the experiment's own. */
+    /** The contents of a file; relative paths of scenarios start from the folder of the experiment file. */
     public record Experiment(String name, List<Path> scenarios, long firstSeed, long lastSeed, List<ArmSpec> arms) {}
 
     private ExperimentFile() {}
 
-    /** Reads a file; {@link InvalidFileException} if it has faults. */
+    /**
+     * Reads a file.
+     *
+     * @throws InvalidFileException if its contents are invalid; it has all problems
+     */
     public static Experiment read(Path file) throws IOException {
         return TomlFile.parse(file.toString(), Files.readString(file), table -> experiment(file, table));
     }
 
     private static Experiment experiment(Path file, Table table) {
         String name = table.text("name", null);
+        List<Path> scenarios = scenarios(file, table);
+        long[] seeds = parseSeeds(table.text("seeds", "1..5"));
+        if (seeds == null) {
+            table.wrong("seeds", "is not a range of seeds such as \"1..20\"");
+            seeds = new long[] {1, 1};
+        }
+        List<ArmSpec> arms = arms(table);
+        return new Experiment(name, scenarios, seeds[0], seeds[1], arms);
+    }
+
+    private static List<Path> scenarios(Path file, Table table) {
         List<Path> scenarios = new ArrayList<>();
         for (String each : table.texts("scenarios", null)) {
             Path path = file.toAbsolutePath().resolveSibling(each);
@@ -43,38 +58,40 @@
             }
             scenarios.add(path);
         }
-        long[] seeds = seeds(table.text("seeds", "1..5"));
-        if (seeds == null) {
-            table.wrong("seeds", "is not a range of seeds such as \"1..20\"");
-            seeds = new long[] {1, 1};
-        }
+        return scenarios;
+    }
+
+    private static List<ArmSpec> arms(Table table) {
         List<ArmSpec> arms = new ArrayList<>();
         Set<String> names = new HashSet<>();
         for (Table arm : table.tables("arm", 1)) {
             Policy policy = arm.choice(Policy.class, "policy", null);
-            String armName = arm.text("name", Table.word(policy));
-            if (!names.add(armName)) {
-                arm.wrong("name", "\"" + armName + "\" is given twice");
+            String name = arm.text("name", Table.word(policy));
+            if (!names.add(name)) {
+                arm.wrong("name", "\"" + name + "\" is given twice");
             }
             arms.add(new ArmSpec(
-                    armName,
+                    name,
                     policy,
                     arm.whole("attempts", 0, 0, 4),
                     arm.flag("cancel", true),
                     arm.flag("probes", true),
                     arm.flag("retry_after", true)));
         }
-        return new Experiment(name, scenarios, seeds[0], seeds[1], arms);
+        return arms;
     }
 
-    /** The first and the last of a range such as {@code 1..20}; null if it is none. */
-    public static long[] seeds(String text) {
+    /** Returns the first and last seed of a range such as {@code 1..20}, or null if the text isn't a range. */
+    public static long[] parseSeeds(String text) {
         Matcher matcher = SEEDS.matcher(text);
         if (!matcher.matches()) {
             return null;
         }
         long first = Long.parseLong(matcher.group(1));
         long last = matcher.group(2) == null ? first : Long.parseLong(matcher.group(2));
-        return last < first || last - first >= MOST_SEEDS ? null : new long[] {first, last};
+        if (last < first || last - first >= MAX_SEEDS) {
+            return null;
+        }
+        return new long[] {first, last};
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/scenario/Fault.java
+++ b/simulation/src/main/java/topazvalve/simulation/scenario/Fault.java
@@ -5,74 +5,76 @@
 import topazvalve.toml.Table;
 
 /**
- * One thing that goes wrong; times in nanoseconds from the start of the run.
+ * A fault. Times are nanoseconds, the start from the start of the run.
  *
- * @param share the part of the servers, or instances, that it strikes; one at least
- * @param size how much: times slower, times the load, part of answers or packets
- * @param by how much longer a link takes, or how long a connection stays broken
+ * @param share the fraction (0 to 1) of the servers or instances that it affects; at least one is affected
+ * @param size its size, which depends on the kind: a slowdown, a load factor, or a fraction of responses or packets
+ * @param extraDelay the delay that every packet gets, for a fault of that kind
  */
-public record Fault(Kind kind, long start, long length, double share, double size, long by) {
+public record Fault(Kind kind, long start, long length, double share, double size, long extraDelay) {
 
-    /** What goes wrong, and what {@code size} means for it. */
+    /** Kinds of faults, and the meaning of {@code size}. */
     public enum Kind {
         /** Servers run {@code size} times slower. */
         SLOW,
-        /** Servers take requests and answer nothing, ever. */
+        /** Servers accept requests and never respond to them. */
         SILENT,
-        /** Servers stand still, then go on where they were. */
+        /** Servers stop working, and continue afterwards where they were. */
         FROZEN,
-        /** Servers break every connection, once. */
+        /** Servers reset every connection, once. */
         RESET,
         /** Servers refuse new connections. */
         REFUSE,
-        /** Machines fall silent: nothing connects, nothing comes back; then they start cold. */
+        /** Machines become unreachable, and start cold afterwards. */
         VANISH,
-        /** Processes end and start cold after the length. */
+        /** Processes end, and start cold afterwards. */
         RESTART,
-        /** Servers are gone; others under new ids stand in for them, cold. */
+        /** Servers end for good; cold ones with new ids and addresses replace them. */
         REPLACE,
-        /** The same, at the addresses of those that are gone. */
+        /** Servers end for good; cold ones with new ids replace them at the same addresses. */
         REPLACE_IN_PLACE,
-        /** The list says draining; after the length they start cold. */
+        /** Servers are listed as draining, and restart cold afterwards. */
         DRAIN,
-        /** Clients ask {@code size} times as much. */
+        /** Clients send {@code size} times as many requests. */
         OVERLOAD,
         /** Every server runs {@code size} times slower. */
         SHARED_SLOW,
-        /** This part of the packets to and from the servers is lost and sent again. */
+        /** The fraction {@code size} of the packets to and from the servers is lost and retransmitted. */
         LOSS,
-        /** Every packet to and from the servers takes longer. */
+        /** Every packet to and from the servers is delayed by {@code extraDelay}. */
         DELAY,
-        /** This part of the answers is spoilt. */
+        /** The fraction {@code size} of the responses is damaged. */
         SPOIL,
-        /** Sidecars are killed and start anew. */
+        /** Sidecar instances are killed and restart. */
         INSTANCE_RESTART,
-        /** Discovery answers nobody. */
+        /** Discovery doesn't respond. */
         DISCOVERY_DOWN
     }
 
+    /** Kinds that have a size. */
     private static final Set<Kind> SIZED =
             EnumSet.of(Kind.SLOW, Kind.OVERLOAD, Kind.SHARED_SLOW, Kind.LOSS, Kind.SPOIL);
-    private static final Set<Kind> PARTS = EnumSet.of(Kind.LOSS, Kind.SPOIL);
-    private static final Set<Kind> WHOLE =
+    /** Kinds whose size is a fraction. */
+    private static final Set<Kind> RATES = EnumSet.of(Kind.LOSS, Kind.SPOIL);
+    /** Kinds that affect everything, so that they have no share. */
+    private static final Set<Kind> GLOBAL =
             EnumSet.of(Kind.OVERLOAD, Kind.SHARED_SLOW, Kind.LOSS, Kind.DELAY, Kind.DISCOVERY_DOWN);
 
+    /** Reads a {@code [[fault]]} table; its problems are collected by the table. */
     static Fault read(Table table, long runLength) {
         Kind kind = table.choice(Kind.class, "kind", null);
         long start = table.duration("start", null, "0", "24m");
         long length = table.duration("length", kind == Kind.RESET ? "0" : null, "0", "24m");
-        double share = 1;
-        if (!WHOLE.contains(kind)) {
-            share = table.number("share", null, 0, 1);
-        }
+        double share = GLOBAL.contains(kind) ? 1 : table.number("share", null, 0, 1);
         double size = 1;
         if (SIZED.contains(kind)) {
-            size = PARTS.contains(kind) ? table.number("size", null, 0, 1) : table.number("size", null, 0.01, 1000);
+            boolean isRate = RATES.contains(kind);
+            size = table.number("size", null, isRate ? 0 : 0.01, isRate ? 1 : 1000);
         }
-        long by = kind == Kind.DELAY ? table.duration("by", null, "1us", "1m") : 0;
+        long extraDelay = kind == Kind.DELAY ? table.duration("by", null, "1us", "1m") : 0;
         if (start >= runLength) {
             table.wrong("start", "is not before the end of the run");
         }
-        return new Fault(kind, start, length, share, size, by);
+        return new Fault(kind, start, length, share, size, extraDelay);
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/scenario/MachineKind.java
+++ b/simulation/src/main/java/topazvalve/simulation/scenario/MachineKind.java
@@ -4,65 +4,75 @@
 import topazvalve.toml.Table;
 
 /**
- * A kind of order server; times in nanoseconds.
+ * A kind of order server. Times are in nanoseconds, work in nanoseconds of a standard core.
  *
- * @param share its part of the fleet, against the other kinds' shares
- * @param speed work done in a second by one core, in seconds of standard work
- * @param slots requests in work at once, for each core
- * @param queue further requests held, for each core; beyond it one is declined, or held all the same
- * @param coldShare the part of its capacity that it has when it starts
- * @param coldTime until when it is warm at the latest
- * @param pauseEvery mean time between two pauses; 0 for none
- * @param cancel what giving an attempt up stops
- * @param honoursDeadline drops waiting requests whose time is over
- * @param crowdedAt requests held for each core from which, held for {@code crowdedAfter}, it turns
- *     {@code crowdedSlower} times slower until down to a quarter for {@code crowdedRest}; 0: never
- * @param connections how many open ones it accepts
- * @param connectionCost work of accepting one
- * @param idleClose it closes a connection that is idle for so long
- * @param knownKeys how many keys it remembers, for each core, for {@code keyTime}; a request for one takes
- *     {@code keyGain} less of its work
+ * @param share its weight among the kinds in the draw of a server
+ * @param speed how many times as fast as a standard core a core is; each server draws from this range
+ * @param slotsPerCore requests that run at once, for each core
+ * @param queuePerCore requests that are queued, for each core
+ * @param rejectsWhenFull whether it rejects requests beyond slots and queue; otherwise it queues them all the same
+ * @param coldSpeedFraction the fraction (0 to 1) of its speed that it has when it starts
+ * @param warmUpTime how long after its start it is warm at the latest; 0 for at once
+ * @param warmBy whether work ends the warm-up earlier than time
+ * @param meanPauseInterval mean time between pauses; 0 for no pauses
+ * @param meanPause mean length of a pause
+ * @param errorRate the fraction (0 to 1) of requests to which it responds with an error
+ * @param cancel which attempts a cancellation stops
+ * @param honoursDeadline whether it discards queued requests whose deadline is past
+ * @param congestedAt attempts held for each core that congest the server; 0 for no congestion
+ * @param congestionSlowdown how many times slower a congested server is
+ * @param congestedAfter how long the server must hold so many attempts before it is congested
+ * @param recoveryTime how long the server must hold at most a quarter of them before it recovers
+ * @param maxConnections how many open connections it accepts
+ * @param connectionCost work of accepting a connection
+ * @param idleTimeout how long a connection may be idle before the server closes it
+ * @param cachedKeysPerCore how many idempotency keys it remembers, for each core; 0 for none
+ * @param cachedKeySaving the fraction (0 to 1) of its work that a request with a remembered key saves
+ * @param keyRetention how long it remembers a key
  */
 public record MachineKind(
         String name,
         double share,
         int cores,
         Range speed,
-        double slots,
-        double queue,
-        boolean declines,
-        double coldShare,
-        long coldTime,
+        double slotsPerCore,
+        double queuePerCore,
+        boolean rejectsWhenFull,
+        double coldSpeedFraction,
+        long warmUpTime,
         WarmBy warmBy,
-        long pauseEvery,
-        long pause,
-        double errors,
+        long meanPauseInterval,
+        long meanPause,
+        double errorRate,
         Cancel cancel,
         boolean honoursDeadline,
-        double crowdedAt,
-        double crowdedSlower,
-        long crowdedAfter,
-        long crowdedRest,
-        int connections,
+        double congestedAt,
+        double congestionSlowdown,
+        long congestedAfter,
+        long recoveryTime,
+        int maxConnections,
         long connectionCost,
-        long idleClose,
-        int knownKeys,
-        double keyGain,
-        long keyTime) {
+        long idleTimeout,
+        int cachedKeysPerCore,
+        double cachedKeySaving,
+        long keyRetention) {
 
-    /** What makes a cold server warm. */
+    /** What ends the warm-up of a server. */
     public enum WarmBy {
         TIME,
         WORK
     }
 
-    /** What a cancel stops at the server. */
+    /** Which attempts a cancellation stops at the server. */
     public enum Cancel {
         NOTHING,
         WAITING,
         ALL
     }
 
+    private static final double MIDDLE = 0.5;
+
+    /** Reads a {@code [[machine]]} table; its problems are collected by the table. */
     static MachineKind read(Table table) {
         MachineKind kind = new MachineKind(
                 table.text("name", null),
@@ -96,8 +106,8 @@
         return kind;
     }
 
-    /** Seconds of standard work that it does in a second when warm, at the middle of its speed. */
+    /** Returns its mean capacity when warm, in standard cores. */
     public double capacity() {
-        return cores * speed.at(0.5);
+        return cores * speed.at(MIDDLE);
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/scenario/Scenario.java
+++ b/simulation/src/main/java/topazvalve/simulation/scenario/Scenario.java
@@ -4,9 +4,12 @@
 import topazvalve.toml.Range;
 
 /**
- * A scenario as read: what there is, what is asked of it, and what goes wrong. Times in nanoseconds.
+ * A scenario: the fleet, the load on it, and the faults. Times are in nanoseconds unless a name says otherwise.
  *
- * @param settle the first part of the run, which does not count
+ * @param length the length of the run
+ * @param settle the time from the start of the run that statistics leave out
+ * @param news how discovery learns of the servers' states
+ * @param limits the limits of the oracle's rules
  */
 public record Scenario(
         String name,
@@ -16,7 +19,7 @@
         Fleet fleet,
         Load load,
         Network network,
-        News news,
+        DiscoverySettings news,
         Limits limits,
         List<MachineKind> machines,
         List<WorkClass> classes,
@@ -24,25 +27,28 @@
         List<Fault> faults,
         Chaos chaos) {
 
+    private static final double NANOS_PER_SECOND = 1e9;
+
     /**
-     * How many of what, and where.
+     * The servers and the sidecar instances.
      *
-     * @param podSize servers that share one pod, in one zone
-     * @param limitedPods part of the pods whose servers share a limit
-     * @param podLimit that limit, as a part of their capacity together
+     * @param podSize the number of servers of a pod
+     * @param limitedPods the fraction (0 to 1) of the pods whose servers share a capacity limit
+     * @param podLimit that limit, as a fraction of the servers' joint capacity
      */
     public record Fleet(
             int servers, int instances, List<String> zones, int podSize, double limitedPods, Range podLimit) {}
 
     /**
-     * What clients ask. Either {@code rate} or {@code utilisation} is above 0.
+     * The load of the clients. Either {@code rate} or {@code utilisation} is above 0.
      *
-     * @param rate first tries a second of a mean instance
-     * @param utilisation asked work as a part of what all servers can do
-     * @param swing for bursts and waves, how far the rate goes up and down, as a part of it
+     * @param rate requests a second, without clients' retries, of a mean instance
+     * @param utilisation the requests' work as a fraction of the capacity of all servers
+     * @param swing for bursts and waves, the amplitude as a fraction of the mean rate
      * @param period for bursts and waves, the mean length of one
      * @param instanceSpread coefficient of variation of the instances' rates
-     * @param keys how many keys there are; {@code zipf} is the exponent of their popularity
+     * @param keys the number of idempotency keys
+     * @param zipf the exponent of the keys' popularity
      */
     public record Load(
             double rate,
@@ -54,62 +60,95 @@
             int keys,
             double zipf) {}
 
-    /** How arrivals vary. */
+    /** How the request rate varies. */
     public enum Shape {
         POISSON,
         BURSTY,
         WAVE
     }
 
-    /** One-way delays; {@code jitter} is the part of a delay that is exponential on top. */
+    /**
+     * One-way delays.
+     *
+     * @param sameZone between an instance and a server of its zone
+     * @param crossZone between an instance and a server of another zone
+     * @param jitter mean of the exponential delay on top, as a fraction of the delay
+     * @param client between a client and its instance
+     */
     public record Network(long sameZone, long crossZone, double jitter, long client) {}
 
     /**
-     * How servers' states come to be known.
+     * How discovery learns of the servers' states and passes them on.
      *
-     * @param subscribe whether instances have to ask
-     * @param notice until a change of a process is listed; {@code silentNotice} until a silent death is
-     * @param spread until a listed change has reached who follows, at most
-     * @param callTime how long discovery works on one call; calls wait in turn
-     * @param patience a call that has waited so long fails
+     * @param subscribe whether instances have to subscribe; otherwise they get changes without a call
+     * @param noticeSeconds seconds until the change of a process is listed
+     * @param silentNoticeSeconds seconds until the disappearance of a machine is listed
+     * @param maxPropagation the longest time until a listed change has reached a watching instance
+     * @param callTime how long discovery works on a call; it serves one call at a time
+     * @param callTimeout how long a call may wait before it fails
      */
-    public record News(
-            boolean subscribe, Range notice, Range silentNotice, long spread, long callTime, long patience) {}
+    public record DiscoverySettings(
+            boolean subscribe,
+            Range noticeSeconds,
+            Range silentNoticeSeconds,
+            long maxPropagation,
+            long callTime,
+            long callTimeout) {}
 
-    /** The numbers behind the rules. */
+    /**
+     * The limits of the oracle's rules, which instances get as settings too.
+     *
+     * @param drainGrace how long after the notification of a drain a server may get new attempts
+     * @param responseSlack how much later than the deadline a response may come
+     * @param overloadFactor the multiple of its capacity under which a cold server crashes
+     * @param coldLoadWindow the window over which the load of a cold server is measured
+     * @param attempts the largest number of attempts of a request
+     * @param connectTimeout how long an attempt to connect may take
+     * @param resubscribeWithin how soon an instance must subscribe again after it lost its subscription
+     * @param coldShare the lowest cold speed fraction (0 to 1) of the kinds of machines
+     * @param rampTime the longest warm-up time of the kinds of machines
+     */
     public record Limits(
             long drainGrace,
-            long answerSlack,
+            long responseSlack,
             double overloadFactor,
-            long tipAfter,
+            long coldLoadWindow,
             int attempts,
             long connectTimeout,
-            long askWithin,
+            long resubscribeWithin,
             double coldShare,
             long rampTime) {}
 
     /**
-     * What clients do besides asking.
+     * The behaviour of clients. All fractions are from 0 to 1.
      *
-     * @param retries part of the first tries that are tried once more after a failure that allows it
-     * @param honour part of the clients that heed Retry-After
-     * @param impatient part of the tries that are given up early
-     * @param slowReaders part of the clients that read answers slowly; on real sockets alone
-     * @param reconnect part of the requests that come on a new connection; on real sockets alone
+     * @param retries the fraction of requests that are retried once after a failure that allows it
+     * @param backoff how long a client waits before a retry
+     * @param honourRetryAfter the fraction of clients that heed Retry-After
+     * @param maxRetryAfter the longest Retry-After that clients heed
+     * @param impatient the fraction of requests whose client disconnects early
+     * @param slowReaders the fraction of clients that read responses slowly; on real sockets only
+     * @param reconnect the fraction of requests that come on a new connection; on real sockets only
      */
     public record Clients(
             double retries,
             long backoff,
-            double honour,
+            double honourRetryAfter,
             long maxRetryAfter,
             double impatient,
             double slowReaders,
             double reconnect) {}
 
-    /** Faults drawn at random from the seed: how many, of which kinds, how long and how large. */
-    public record Chaos(int count, List<Fault.Kind> kinds, Range length, Range share, Range size) {}
+    /**
+     * Faults that are drawn from the seed.
+     *
+     * @param lengthSeconds the range of their lengths in seconds
+     * @param share the range of the fraction of servers or instances that they affect
+     * @param size the range of their sizes
+     */
+    public record Chaos(int count, List<Fault.Kind> kinds, Range lengthSeconds, Range share, Range size) {}
 
-    /** Mean work of a request. */
+    /** Returns the mean work of a request, in nanoseconds of a standard core. */
     public double meanWork() {
         double work = 0;
         double shares = 0;
@@ -120,7 +159,7 @@
         return work / shares;
     }
 
-    /** Mean capacity of one server, in seconds of standard work a second. */
+    /** Returns the mean capacity of a server, in standard cores. */
     public double meanCapacity() {
         double capacity = 0;
         double shares = 0;
@@ -131,10 +170,16 @@
         return capacity / shares;
     }
 
-    /** First tries a second of a mean instance. */
+    /** Returns the requests a second, without clients' retries, of a mean instance. */
     public double instanceRate() {
-        return load.rate() > 0
-                ? load.rate()
-                : load.utilisation() * meanCapacity() * fleet.servers() * 1e9 / meanWork() / fleet.instances();
+        if (load.rate() > 0) {
+            return load.rate();
+        }
+        return load.utilisation()
+                * meanCapacity()
+                * fleet.servers()
+                * NANOS_PER_SECOND
+                / meanWork()
+                / fleet.instances();
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/scenario/ScenarioFile.java
+++ b/simulation/src/main/java/topazvalve/simulation/scenario/ScenarioFile.java
@@ -9,11 +9,11 @@
 import java.util.Set;
 import topazvalve.simulation.scenario.Scenario.Chaos;
 import topazvalve.simulation.scenario.Scenario.Clients;
+import topazvalve.simulation.scenario.Scenario.DiscoverySettings;
 import topazvalve.simulation.scenario.Scenario.Fleet;
 import topazvalve.simulation.scenario.Scenario.Limits;
 import topazvalve.simulation.scenario.Scenario.Load;
 import topazvalve.simulation.scenario.Scenario.Network;
-import topazvalve.simulation.scenario.Scenario.News;
 import topazvalve.simulation.scenario.Scenario.Shape;
 import topazvalve.toml.InvalidFileException;
 import topazvalve.toml.Range;
@@ -21,18 +21,27 @@
 import topazvalve.toml.TomlFile;
 
 /**
- * Reads a scenario from TOML 1.0. All faults of a file are told at once, each with its line; a file with a
- * fault is not played at all.
+ * Reads scenario files (TOML 1.0). It reports all problems of a file at once, each with its line. The keys and their
+ * defaults are in {@code docs/experiments.md}.
  */
 public final class ScenarioFile {
     private ScenarioFile() {}
 
-    /** Reads a file; {@link InvalidFileException} if it has faults. */
+    /**
+     * Reads a file.
+     *
+     * @throws InvalidFileException if its contents are invalid; it has all problems
+     */
     public static Scenario read(Path file) throws IOException {
         return parse(file.toString(), Files.readString(file));
     }
 
-    /** Reads a text; {@code name} stands for it in messages. */
+    /**
+     * Reads the text of a file.
+     *
+     * @param name the file's name in messages
+     * @throws InvalidFileException if the text is invalid; it has all problems
+     */
     public static Scenario parse(String name, String text) {
         return TomlFile.parse(name, text, ScenarioFile::scenario);
     }
@@ -48,13 +57,13 @@
         Fleet fleet = fleet(table.table("fleet"));
         Load load = load(table.table("load"));
         Network network = network(table.table("network"));
-        News news = news(table.table("discovery"));
+        DiscoverySettings discovery = discovery(table.table("discovery"));
         List<MachineKind> machines =
                 table.tables("machine", 1).stream().map(MachineKind::read).toList();
         List<WorkClass> classes =
                 table.tables("class", 1).stream().map(WorkClass::read).toList();
-        unique(table, "machine", machines.stream().map(MachineKind::name).toList());
-        unique(table, "class", classes.stream().map(WorkClass::name).toList());
+        checkUnique(table, "machine", machines.stream().map(MachineKind::name).toList());
+        checkUnique(table, "class", classes.stream().map(WorkClass::name).toList());
         Limits limits = limits(table.table("rules"), machines);
         Clients clients = clients(table.table("clients"));
         List<Fault> faults = table.tables("fault", 0).stream()
@@ -62,11 +71,11 @@
                 .toList();
         Chaos chaos = chaos(table.table("chaos"));
         return new Scenario(
-                name, about, length, settle, fleet, load, network, news, limits, machines, classes, clients, faults,
-                chaos);
+                name, about, length, settle, fleet, load, network, discovery, limits, machines, classes, clients,
+                faults, chaos);
     }
 
-    private static void unique(Table table, String key, List<String> names) {
+    private static void checkUnique(Table table, String key, List<String> names) {
         Set<String> seen = new HashSet<>();
         for (int i = 0; i < names.size(); i++) {
             if (!seen.add(names.get(i))) {
@@ -86,13 +95,13 @@
     }
 
     private static Load load(Table table) {
-        boolean rate = table.has("rate");
-        if (rate == table.has("utilisation")) {
-            table.wrong(rate ? "utilisation" : "rate", "one of rate and utilisation has to be given");
+        boolean hasRate = table.has("rate");
+        if (hasRate == table.has("utilisation")) {
+            table.wrong(hasRate ? "utilisation" : "rate", "one of rate and utilisation has to be given");
         }
         return new Load(
-                rate ? table.number("rate", null, 0.001, 1e6) : 0,
-                rate ? 0 : table.number("utilisation", 0.5, 0.001, 100),
+                hasRate ? table.number("rate", null, 0.001, 1e6) : 0,
+                hasRate ? 0 : table.number("utilisation", 0.5, 0.001, 100),
                 table.choice(Shape.class, "shape", Shape.POISSON),
                 table.number("swing", 0.0, 0, 1),
                 table.duration("period", "10s", "10ms", "10m"),
@@ -109,8 +118,8 @@
                 table.duration("client", "50us", "0", "1s"));
     }
 
-    private static News news(Table table) {
-        return new News(
+    private static DiscoverySettings discovery(Table table) {
+        return new DiscoverySettings(
                 table.flag("subscribe", true),
                 table.range("notice_s", new Range(2, 3), 0, 600),
                 table.range("silent_notice_s", new Range(6, 13), 0, 600),
@@ -120,9 +129,12 @@
     }
 
     private static Limits limits(Table table, List<MachineKind> machines) {
-        double coldest =
-                machines.stream().mapToDouble(MachineKind::coldShare).min().orElse(1);
-        long longest = machines.stream().mapToLong(MachineKind::coldTime).max().orElse(0);
+        double coldestFraction = machines.stream()
+                .mapToDouble(MachineKind::coldSpeedFraction)
+                .min()
+                .orElse(1);
+        long longestWarmUp =
+                machines.stream().mapToLong(MachineKind::warmUpTime).max().orElse(0);
         return new Limits(
                 table.duration("drain_grace", "500ms", "0", "1m"),
                 table.duration("answer_slack", "20ms", "0", "10s"),
@@ -131,8 +143,8 @@
                 table.whole("attempts", 4, 1, 4),
                 table.duration("connect_timeout", "200ms", "1ms", "1m"),
                 table.duration("ask_within", "10s", "0", "10m"),
-                coldest,
-                longest);
+                coldestFraction,
+                longestWarmUp);
     }
 
     private static Clients clients(Table table) {
@@ -149,10 +161,7 @@
     private static Chaos chaos(Table table) {
         List<Fault.Kind> kinds = new ArrayList<>();
         for (String word : table.texts("kinds", List.of("slow"))) {
-            Fault.Kind found = null;
-            for (Fault.Kind each : Fault.Kind.values()) {
-                found = Table.word(each).equals(word) ? each : found;
-            }
+            Fault.Kind found = faultKind(word);
             if (found == null) {
                 table.wrong("kinds", "\"" + word + "\" is no kind of fault");
             } else {
@@ -166,4 +175,14 @@
                 table.range("share", new Range(0.1, 0.3), 0, 1),
                 table.range("size", new Range(2, 6), 0.01, 1000));
     }
+
+    /** Returns the kind of fault that a word of the file means, or null. */
+    private static Fault.Kind faultKind(String word) {
+        for (Fault.Kind each : Fault.Kind.values()) {
+            if (Table.word(each).equals(word)) {
+                return each;
+            }
+        }
+        return null;
+    }
 }
--- a/simulation/src/main/java/topazvalve/simulation/scenario/WorkClass.java
+++ b/simulation/src/main/java/topazvalve/simulation/scenario/WorkClass.java
@@ -3,43 +3,53 @@
 import topazvalve.toml.Table;
 
 /**
- * A class of request; times in nanoseconds.
+ * A class of requests. Times are in nanoseconds.
  *
- * @param share its part of the requests, against the other classes' shares
- * @param work mean work of one request, on a standard core
- * @param spread coefficient of variation of the work, which is lognormal
- * @param noise the same between two attempts at one request
- * @param aim an answer within this time has its full worth; a later one none
- * @param deadline when a client gives up, at the latest
- * @param window for a keyed class: how long the servers of its scope drop a repeat
+ * @param share its weight among the classes in the draw of a request
+ * @param work mean work of a request on a standard core
+ * @param workVariation coefficient of variation of the work, which is lognormal
+ * @param attemptVariation coefficient of variation of the work between attempts of one request
+ * @param latencyObjective a response within this time earns the priority weight, a later one nothing
+ * @param deadline how long a client waits at most
+ * @param repeatWindow for a keyed class, how long the servers of its scope drop repeats; otherwise 0
  */
 public record WorkClass(
         String name,
         double share,
         long work,
-        double spread,
-        double noise,
-        long aim,
+        double workVariation,
+        double attemptVariation,
+        long latencyObjective,
         long deadline,
-        double worth,
-        Repeats repeats,
+        double priorityWeight,
+        Repeatability repeatability,
         Scope scope,
-        long window) {
+        long repeatWindow) {
 
-    /** What may be done after an attempt that may have run. */
-    public enum Repeats {
+    /** Whether a request may be repeated after an attempt that may have run. */
+    public enum Repeatability {
         FREE,
         KEYED,
         NEVER
     }
 
-    /** Who drops a repeat of a keyed request. */
+    /** Which servers drop repeats of a keyed request. */
     public enum Scope {
         ALL,
         ZONE,
         POD
     }
 
+    /** Returns whether a client may retry a request that may have run: it is free, or every server drops repeats. */
+    public boolean retryIsHarmless() {
+        return switch (repeatability) {
+            case FREE -> true;
+            case KEYED -> scope == Scope.ALL;
+            case NEVER -> false;
+        };
+    }
+
+    /** Reads a {@code [[class]]} table; its problems are collected by the table. */
     static WorkClass read(Table table) {
         WorkClass read = new WorkClass(
                 table.text("name", null),
@@ -50,16 +60,16 @@
                 table.duration("aim", null, "1ms", "10m"),
                 table.duration("deadline", null, "1ms", "10m"),
                 table.number("worth", 1.0, 0, 1e6),
-                table.choice(Repeats.class, "repeats", null),
+                table.choice(Repeatability.class, "repeats", null),
                 table.choice(Scope.class, "scope", Scope.ALL),
                 table.duration("window", "0", "0", "10m"));
-        if (read.deadline < read.aim) {
+        if (read.deadline < read.latencyObjective) {
             table.wrong("deadline", "is shorter than the aim");
         }
-        if (read.repeats == Repeats.KEYED && read.window == 0) {
+        if (read.repeatability == Repeatability.KEYED && read.repeatWindow == 0) {
             table.wrong("window", "missing; for how long the servers drop a repeat of a keyed request");
         }
-        if (read.repeats != Repeats.KEYED && (table.has("scope") || table.has("window"))) {
+        if (read.repeatability != Repeatability.KEYED && (table.has("scope") || table.has("window"))) {
             table.wrong(table.has("scope") ? "scope" : "window", "only a keyed class has it");
         }
         return read;
--- a/simulation/src/main/java/topazvalve/simulation/scenario/package-info.java
+++ b/simulation/src/main/java/topazvalve/simulation/scenario/package-info.java
@@ -1,2 +1,2 @@
-/** What a scenario file says, read strictly. */
+/** Scenario and experiment files: their contents as records, and their strict readers. */
 package topazvalve.simulation.scenario;
--- a/simulation/src/main/java/topazvalve/simulation/tally/RunStatistics.java
+++ b/simulation/src/main/java/topazvalve/simulation/tally/RunStatistics.java
@@ -70,7 +70,7 @@
     public void served(int requestClass, long firstAt, long took) {
         WorkClass kind = scenario.classes().get(requestClass);
         int second = second(firstAt);
-        if (took <= kind.aim()) {
+        if (took <= kind.latencyObjective()) {
             good[requestClass][second]++;
         } else if (counts(firstAt)) {
             late[requestClass]++;
@@ -154,7 +154,7 @@
         double wanted = 0;
         for (int i = 0; i < classes; i++) {
             if (onlyClass < 0 || onlyClass == i) {
-                double worth = scenario.classes().get(i).worth();
+                double worth = scenario.classes().get(i).priorityWeight();
                 had += worth * Arrays.stream(good[i], from, to).sum();
                 wanted += worth * Arrays.stream(asked[i], from, to).sum();
             }
--- a/simulation/src/main/java/topazvalve/simulation/virtual/ExperimentArm.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/ExperimentArm.java
@@ -52,13 +52,13 @@
                         scenario.clients().maxRetryAfter(),
                         limits.connectTimeout()),
                 new LoadBalancer.Limits(
-                        limits.answerSlack(),
-                        limits.askWithin(),
+                        limits.responseSlack(),
+                        limits.resubscribeWithin(),
                         limits.drainGrace(),
                         limits.coldShare(),
                         limits.rampTime(),
                         limits.overloadFactor(),
-                        limits.tipAfter()),
+                        limits.coldLoadWindow()),
                 java.util.List.of(),
                 new LoadBalancer.Costs(0.01, 0),
                 false,
@@ -66,7 +66,7 @@
     }
 
     private static LoadBalancer.RequestClass requestClass(WorkClass kind) {
-        LoadBalancer.Idempotency semantics = switch (kind.repeats()) {
+        LoadBalancer.Idempotency semantics = switch (kind.repeatability()) {
             case FREE -> LoadBalancer.Idempotency.IDEMPOTENT;
             case KEYED -> LoadBalancer.Idempotency.IDEMPOTENCY_KEY;
             case NEVER -> LoadBalancer.Idempotency.NON_IDEMPOTENT;
@@ -77,6 +77,14 @@
             case POD -> LoadBalancer.KeyScope.CELL;
         };
         return new LoadBalancer.RequestClass(
-                kind.aim(), 0, kind.deadline(), kind.worth(), 0, semantics, scope, kind.window(), false);
+                kind.latencyObjective(),
+                0,
+                kind.deadline(),
+                kind.priorityWeight(),
+                0,
+                semantics,
+                scope,
+                kind.repeatWindow(),
+                false);
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualClients.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualClients.java
@@ -8,8 +8,6 @@
 import topazvalve.simulation.oracle.Trace;
 import topazvalve.simulation.scenario.Scenario;
 import topazvalve.simulation.scenario.WorkClass;
-import topazvalve.simulation.scenario.WorkClass.Repeats;
-import topazvalve.simulation.scenario.WorkClass.Scope;
 
 /** All clients: they ask whatever became of earlier requests, wait, give up, and some try once more. */
 final class VirtualClients {
@@ -86,7 +84,7 @@
                 firstAt,
                 world.attemptLimit() + 2,
                 (ended, answer, wait) -> answered(ended, answer, wait, wish));
-        world.oracle().sent(trace);
+        world.oracle().requestSent(trace);
         if (wish.leavesEarly()) {
             world.clock().scheduleAt(deadline, () -> leave(call));
         } else {
@@ -106,7 +104,7 @@
         call.expiry = -1;
         world.instances().get(call.instance).expire(call);
         if (!call.over) {
-            world.clock().scheduleAt(call.deadline + scenario.limits().answerSlack() + 1, () -> deadline(call));
+            world.clock().scheduleAt(call.deadline + scenario.limits().responseSlack() + 1, () -> deadline(call));
         }
     }
 
@@ -115,21 +113,21 @@
         if (call.over) {
             return;
         }
-        world.oracle().expired(call.trace, world.elapsed());
+        world.oracle().deadlinePassed(call.trace, world.elapsed());
         world.tally().unanswered(call.requestClass, world.sinceStart(call.firstAt));
         world.instances().get(call.instance).hangup(call);
     }
 
     private void leave(VirtualCall call) {
         if (!call.over) {
-            world.oracle().left(call.trace, world.elapsed());
+            world.oracle().clientDisconnected(call.trace, world.elapsed());
             world.tally().unanswered(call.requestClass, world.sinceStart(call.firstAt));
             world.instances().get(call.instance).hangup(call);
         }
     }
 
     private void answered(VirtualCall call, Answer answer, long wait, RequestGenerator.GeneratedRequest wish) {
-        world.oracle().answered(call.trace, answer, world.elapsed());
+        world.oracle().responseReceived(call.trace, answer, world.elapsed());
         world.digest(call.id, answer);
         if (answer == Answer.SERVED) {
             long took = world.clock().now() + 2 * scenario.network().client() - call.firstAt;
@@ -142,9 +140,7 @@
     private void ended(
             int number, RequestGenerator.GeneratedRequest wish, Answer answer, long wait, long firstAt, boolean retry) {
         WorkClass kind = scenario.classes().get(wish.requestClass());
-        boolean harmless = answer == Answer.REFUSED
-                || kind.repeats() == Repeats.FREE
-                || (kind.repeats() == Repeats.KEYED && kind.scope() == Scope.ALL);
+        boolean harmless = answer == Answer.REFUSED || kind.retryIsHarmless();
         if (wish.retries() && !retry && harmless) {
             long pause = wish.honoursRetryAfter() && wait > 0
                     ? Math.max(
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualDiscovery.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualDiscovery.java
@@ -12,7 +12,7 @@
 import topazvalve.simulation.model.EndpointDirectory.Entry;
 import topazvalve.simulation.model.RandomStreams;
 import topazvalve.simulation.oracle.Oracle;
-import topazvalve.simulation.scenario.Scenario.News;
+import topazvalve.simulation.scenario.Scenario.DiscoverySettings;
 
 /** Discovery as instances meet it: one service for all, calls in turn, watches on changes. */
 final class VirtualDiscovery {
@@ -25,7 +25,7 @@
     }
 
     private final Clock clock;
-    private final News news;
+    private final DiscoverySettings news;
     private final EndpointDirectory directory;
     private final Oracle oracle;
     private final RandomStreams random;
@@ -35,7 +35,7 @@
 
     VirtualDiscovery(
             Clock clock,
-            News news,
+            DiscoverySettings news,
             EndpointDirectory directory,
             Oracle oracle,
             RandomStreams random,
@@ -88,8 +88,8 @@
         long now = clock.now();
         int life = instance.life();
         long begins = Math.max(now, busyUntil);
-        boolean fails = directory.isUnavailable() || begins - now > news.patience();
-        long answered = fails ? now + news.patience() : begins + news.callTime();
+        boolean fails = directory.isUnavailable() || begins - now > news.callTimeout();
+        long answered = fails ? now + news.callTimeout() : begins + news.callTime();
         if (!fails) {
             busyUntil = answered;
         }
@@ -119,7 +119,7 @@
     private void change(int number, Watch watch, Entry entry) {
         VirtualInstance instance = instances.get(number);
         int life = instance.life();
-        long at = Math.max(watch.lastAt, clock.now() + (long) (random.part() * news.spread()));
+        long at = Math.max(watch.lastAt, clock.now() + (long) (random.part() * news.maxPropagation()));
         watch.lastAt = at;
         clock.scheduleAt(at, () -> {
             if (watches.get(number) == watch
@@ -136,9 +136,9 @@
         for (Entry each : entries) {
             lines.add(line(each));
             if (each.state() == EndpointStatus.READY) {
-                oracle.readyTold(instance.number(), each.server().id());
+                oracle.readyNotified(instance.number(), each.server().id());
             } else {
-                oracle.drainTold(instance.number(), each.server().id(), instance.world.elapsed());
+                oracle.drainNotified(instance.number(), each.server().id(), instance.world.elapsed());
             }
         }
         instance.heard(entries, directory.revision());
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualInstance.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualInstance.java
@@ -78,7 +78,7 @@
         running = false;
         life++;
         for (VirtualCall call : List.copyOf(calls.values())) {
-            world.oracle().excused(call.trace);
+            world.oracle().excuse(call.trace);
             call.over = true;
             for (int i = 0; i < call.tries && i < call.attempts.length; i++) {
                 if (call.attempts[i] != null) {
@@ -255,7 +255,7 @@
             world.busy(idle);
             attempt.connection = idle;
             attempt.written = true;
-            world.oracle().carried(call.trace);
+            world.oracle().attemptInFlight(call.trace);
             world.clock().scheduleAt(now + there, () -> arrives(attempt));
         } else {
             world.clock().scheduleAt(now + there, () -> connects(attempt));
@@ -288,7 +288,7 @@
             world.clock().scheduleAt(now() + back, () -> {
                 if (!attempt.ended) {
                     attempt.written = true;
-                    world.oracle().carried(attempt.call.trace);
+                    world.oracle().attemptInFlight(attempt.call.trace);
                 }
             });
             world.clock().scheduleAt(now() + back + there, () -> arrives(attempt));
@@ -318,11 +318,11 @@
     }
 
     void servedAtServer(VirtualCall call) {
-        world.oracle().served(call.trace);
+        world.oracle().responseSent(call.trace);
     }
 
     void neverRan(VirtualCall call) {
-        world.oracle().neverRan(call.trace);
+        world.oracle().attemptNeverRan(call.trace);
     }
 
     private void late(VirtualAttempt attempt) {
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualWorld.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualWorld.java
@@ -68,7 +68,7 @@
         this.discovery = new VirtualDiscovery(
                 clock, scenario.news(), directory(), oracle, RandomStreams.stream(seed, "discovery"), instances);
         this.keepIdle = (long) (scenario.machines().stream()
-                        .mapToLong(each -> each.idleClose())
+                        .mapToLong(each -> each.idleTimeout())
                         .min()
                         .orElseThrow()
                 * IDLE_SHARE);
@@ -94,7 +94,7 @@
         long extra = 0;
         for (Fault each : scenario.faults()) {
             extra = Math.max(extra, each.kind() == Fault.Kind.LOSS ? 2_000_000_000L : 0);
-            extra = Math.max(extra, each.kind() == Fault.Kind.DELAY ? 3 * each.by() : 0);
+            extra = Math.max(extra, each.kind() == Fault.Kind.DELAY ? 3 * each.extraDelay() : 0);
         }
         boolean drawn = scenario.chaos().count() > 0 && scenario.chaos().kinds().contains(Fault.Kind.LOSS);
         return (long) (3 * way * spread) + 1_000_000 + (drawn ? 2_000_000_000L : extra);
@@ -109,7 +109,7 @@
             server.monitorColdLoad(coldWatch);
         }
         server.onColdCrash((fallen, informed) -> {
-            oracle.fell(fallen.id(), informed, elapsed());
+            oracle.serverCrashedWhileCold(fallen.id(), informed, elapsed());
             recordEvent("server " + fallen.id() + " was pushed over while cold");
         });
     }
@@ -133,14 +133,14 @@
         clock.runUntil(end()
                 + 2 * rest
                 + scenario.clients().maxRetryAfter()
-                + scenario.limits().answerSlack());
+                + scenario.limits().responseSlack());
         return new Run(
                 scenario.name(),
                 arm.name(),
                 seed,
                 tally,
                 oracle.counts(),
-                oracle.breaches(),
+                oracle.violations(),
                 faults,
                 scene.recordedEvents(),
                 digest.getValue(),
@@ -156,7 +156,7 @@
         }
         instance.start(
                 arm.policy()
-                        .make(
+                        .create(
                                 arm.settings(scenario, instance.number(), zone(instance.number())),
                                 restarts.any(),
                                 instance),
@@ -181,11 +181,11 @@
         VirtualInstance instance = instances.get(number);
         instance.kill();
         discovery.forget(number);
-        servers().forEach(each -> oracle.readyTold(number, each.id()));
+        servers().forEach(each -> oracle.readyNotified(number, each.id()));
         begin(instance);
         directory().entries().stream()
                 .filter(each -> each.state() != EndpointStatus.READY)
-                .forEach(each -> oracle.drainTold(number, each.server().id(), elapsed()));
+                .forEach(each -> oracle.drainNotified(number, each.server().id(), elapsed()));
     }
 
     @Override
@@ -237,7 +237,7 @@
     }
 
     double attemptWork(VirtualCall call) {
-        double variation = scenario.classes().get(call.requestClass).noise();
+        double variation = scenario.classes().get(call.requestClass).attemptVariation();
         return variation == 0 ? call.work : call.work * noise.lognormal(variation);
     }
 
@@ -268,7 +268,7 @@
         }
         attemptsByServer[id]++;
         tally.attempt(elapsed());
-        oracle.received(
+        oracle.attemptReceived(
                 attempt.call.trace,
                 server.id(),
                 server.pod().zone(),
--- a/simulation/src/test/java/topazvalve/simulation/oracle/ClientLeftTest.java
+++ b/simulation/src/test/java/topazvalve/simulation/oracle/ClientLeftTest.java
@@ -50,12 +50,12 @@
         Scenario scenario = ScenarioFile.parse("left.toml", SCENARIO);
         Oracle oracle = new Oracle(scenario.limits(), TOLERANCE, FLIGHT);
         Trace trace = new Trace(1, 0, scenario.classes().get(0), 0, 2_000 * MS);
-        oracle.sent(trace);
+        oracle.requestSent(trace);
         for (int i = 1; i < attempts; i++) {
-            oracle.received(trace, i, 0, 0, true, LEFT_AT / 10 * i);
+            oracle.attemptReceived(trace, i, 0, 0, true, LEFT_AT / 10 * i);
         }
-        oracle.left(trace, LEFT_AT);
-        oracle.received(trace, attempts, 0, 0, true, last);
+        oracle.clientDisconnected(trace, LEFT_AT);
+        oracle.attemptReceived(trace, attempts, 0, 0, true, last);
         return oracle.counts();
     }
 }
--- a/simulation/src/test/java/topazvalve/simulation/virtual/FaultySidecar.java
+++ b/simulation/src/test/java/topazvalve/simulation/virtual/FaultySidecar.java
@@ -7,7 +7,7 @@
 import topazvalve.simulation.model.EndpointDirectory.Entry;
 import topazvalve.simulation.oracle.Oracle.Answer;
 import topazvalve.simulation.oracle.Rule;
-import topazvalve.simulation.scenario.WorkClass.Repeats;
+import topazvalve.simulation.scenario.WorkClass.Repeatability;
 
 /** A sidecar that breaks one rule now and then, for the oracle to find. */
 final class FaultySidecar extends VirtualInstance {
@@ -29,8 +29,8 @@
         return call.id % NOW_AND_THEN == 0;
     }
 
-    private boolean of(VirtualCall call, Repeats repeats) {
-        return world.scenario().classes().get(call.requestClass).repeats() == repeats;
+    private boolean of(VirtualCall call, Repeatability repeats) {
+        return world.scenario().classes().get(call.requestClass).repeatability() == repeats;
     }
 
     @Override
@@ -49,9 +49,9 @@
     }
 
     private void copies(VirtualCall call) {
-        boolean twice = (breaks == Rule.NEVER_TWICE && of(call, Repeats.NEVER))
-                || (breaks == Rule.KEYED_REPEAT && of(call, Repeats.KEYED));
-        int copies = twice ? 2 : breaks == Rule.ATTEMPTS && of(call, Repeats.FREE) ? 4 : 0;
+        boolean twice = (breaks == Rule.NEVER_TWICE && of(call, Repeatability.NEVER))
+                || (breaks == Rule.KEYED_REPEAT && of(call, Repeatability.KEYED));
+        int copies = twice ? 2 : breaks == Rule.ATTEMPTS && of(call, Repeatability.FREE) ? 4 : 0;
         for (int i = 0; i < copies && picks(call) && call.tries > 0; i++) {
             send(call, 1 + i % world.servers().size(), 0);
         }
