--- /dev/null
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/AttemptSender.java
@@ -0,0 +1,166 @@
+package topazvalve.simulation.virtual;
+
+import topazvalve.policy.LoadBalancer.Outcome;
+import topazvalve.simulation.model.OrderServer;
+import topazvalve.simulation.model.OrderServer.Mode;
+import topazvalve.simulation.virtual.ServerConnections.VirtualConnection;
+
+/** Carries the attempts of one instance to the servers and their responses back, over connections that it reuses. */
+final class AttemptSender {
+    private final VirtualWorld world;
+    private final VirtualInstance instance;
+
+    AttemptSender(VirtualWorld world, VirtualInstance instance) {
+        this.world = world;
+        this.instance = instance;
+    }
+
+    private long now() {
+        return world.clock().now();
+    }
+
+    /** Draws the one-way delay between the instance and the server of an attempt. */
+    private long nextDelayNanos(VirtualAttempt attempt) {
+        return world.link().nextDelayNanos(attempt.serverConnections.crossZone);
+    }
+
+    /**
+     * Sends an attempt on an idle connection, or on a new one if there is none.
+     *
+     * @param timeoutNanos when it times out; 0 for the deadline of its request
+     */
+    void send(VirtualAttempt attempt, long timeoutNanos) {
+        long now = now();
+        if (timeoutNanos != 0 && now + timeoutNanos < attempt.request.deadline) {
+            world.clock().scheduleAt(now + Math.max(0, timeoutNanos), () -> timeOut(attempt));
+        }
+        VirtualConnection idle = attempt.serverConnections.takeIdle();
+        long delay = nextDelayNanos(attempt);
+        if (idle == null) {
+            world.clock().scheduleAt(now + delay, () -> connect(attempt));
+            return;
+        }
+        world.connectionBusy(idle);
+        attempt.connection = idle;
+        written(attempt);
+        world.clock().scheduleAt(now + delay, () -> deliver(attempt));
+    }
+
+    private void written(VirtualAttempt attempt) {
+        attempt.written = true;
+        world.oracle().attemptInFlight(attempt.request.trace);
+    }
+
+    /** The attempt to connect has reached the server. */
+    private void connect(VirtualAttempt attempt) {
+        OrderServer server = attempt.serverConnections.server;
+        Mode mode = server.mode();
+        if (attempt.ended) {
+            return;
+        }
+        long delayBack = nextDelayNanos(attempt);
+        if (mode == Mode.VANISHED) {
+            long timesOutAt = attempt.sentAt + world.scenario().limits().connectTimeout();
+            world.clock().scheduleAt(timesOutAt, () -> end(attempt, Outcome.CONNECT_FAILED));
+        } else if (mode == Mode.DOWN || mode == Mode.REFUSING || !server.acceptConnection()) {
+            world.clock().scheduleAt(now() + delayBack, () -> end(attempt, Outcome.CONNECT_FAILED));
+        } else {
+            connected(attempt, delayBack);
+        }
+    }
+
+    /** The server has accepted the connection; the attempt is written once the instance learns of it. */
+    private void connected(VirtualAttempt attempt, long delayBack) {
+        world.statistics().connection();
+        OrderServer server = attempt.serverConnections.server;
+        attempt.connection = new VirtualConnection(attempt.serverConnections, server.incarnation());
+        long delay = nextDelayNanos(attempt);
+        world.clock().scheduleAt(now() + delayBack, () -> {
+            if (!attempt.ended) {
+                written(attempt);
+            }
+        });
+        world.clock().scheduleAt(now() + delayBack + delay, () -> deliver(attempt));
+    }
+
+    /** The attempt has reached the server completely. */
+    private void deliver(VirtualAttempt attempt) {
+        OrderServer server = attempt.serverConnections.server;
+        if (attempt.ended || server.mode() == Mode.VANISHED) {
+            return;
+        }
+        int connectedTo = attempt.connection.serverIncarnation;
+        if (server.incarnation() != connectedTo) {
+            sendBack(attempt, Outcome.RESET);
+            return;
+        }
+        server.offer(attempt, attempt.serverConnections.knownStart >= server.startedAt());
+        boolean crashed = server.incarnation() != connectedTo;
+        if (!crashed || attempt.ran) {
+            world.attemptReceived(attempt);
+        }
+    }
+
+    /** The server has sent a response or reset the connection, which takes its time to arrive. */
+    void sendBack(VirtualAttempt attempt, Outcome outcome) {
+        world.clock().scheduleAt(now() + nextDelayNanos(attempt), () -> end(attempt, outcome));
+    }
+
+    /** The server has completed an attempt successfully. */
+    void responseSent(VirtualRequest request) {
+        world.oracle().responseSent(request.trace);
+    }
+
+    /** The server has discarded an attempt before it ran. */
+    void attemptNeverRan(VirtualRequest request) {
+        world.oracle().attemptNeverRan(request.trace);
+    }
+
+    /** The timeout of an attempt is over; without effect if it has ended. */
+    void timeOut(VirtualAttempt attempt) {
+        if (!attempt.ended) {
+            abandon(attempt);
+            end(attempt, attempt.written ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED);
+        }
+    }
+
+    /** Cancels an attempt that hasn't ended. */
+    void cancel(VirtualAttempt attempt) {
+        abandon(attempt);
+        instance.dispatch(() -> end(attempt, Outcome.CANCELLED));
+    }
+
+    /** Cancels an attempt at its server and closes its connection, without ending it. */
+    void abandon(VirtualAttempt attempt) {
+        attempt.serverConnections.server.cancel(attempt);
+        if (attempt.connection != null) {
+            attempt.connection.close();
+        }
+    }
+
+    private void end(VirtualAttempt attempt, Outcome outcome) {
+        if (attempt.ended) {
+            return;
+        }
+        attempt.ended = true;
+        if (attempt.connection != null && !attempt.connection.closed) {
+            releaseConnection(attempt, outcome);
+        }
+        instance.attemptEnded(attempt, outcome);
+    }
+
+    /** Keeps the connection for further attempts if a response came on it, and closes it otherwise. */
+    private void releaseConnection(VirtualAttempt attempt, Outcome outcome) {
+        VirtualConnection connection = attempt.connection;
+        ServerConnections server = attempt.serverConnections;
+        boolean responded = outcome == Outcome.OK || outcome == Outcome.ERROR || outcome == Outcome.REJECTED;
+        boolean alive = connection.serverIncarnation == server.server.incarnation();
+        if (instance.running() && responded && alive) {
+            connection.idle = true;
+            server.idle.addLast(connection);
+            world.connectionIdle(connection);
+        } else {
+            connection.close();
+        }
+    }
+}
--- a/simulation/src/main/java/topazvalve/simulation/virtual/ColdLoadExperiment.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/ColdLoadExperiment.java
@@ -11,13 +11,12 @@
 import topazvalve.simulation.scenario.ScenarioFile;
 
 /**
- * Measures what whole fleets send to cold servers, over any window of the settings' time, against the N + 2 x
- * root of N + 2 requests of mean work from which the operators' standing page lets one fall. N is the
- * settings' factor times the server's present capacity over that window.
+ * Measures what fleets send to cold servers over a sliding window, relative to the load under which one crashes: N + 2
+ * x root of N + 2 requests of mean work, where N is the overload factor times the server's capacity over the window.
  */
 public final class ColdLoadExperiment implements ColdServerMonitor {
-    /** Part of a window's work from those who knew, from which a fall is their fault. */
-    private static final double INFORMED = 2.0 / 3;
+    /** A crash is the senders' fault if they knew of the start for at least this fraction of the load. */
+    private static final double MIN_INFORMED_FRACTION = 2.0 / 3;
 
     private static final String SCENARIO = """
             name = "cold-sums"
@@ -121,10 +120,10 @@
     private final Map<Long, Double> informedPeaks = new HashMap<>();
 
     /**
-     * What one run gave.
+     * The results of one run.
      *
-     * @param peaks of each server that was cold, the most it was sent, in parts of what lets it fall
-     * @param faults how many were sent more than that, two thirds of it by those who knew
+     * @param peaks the peak load of each server that was cold, as a fraction of the load under which it crashes
+     * @param faults the number of servers that were overloaded by senders that knew of their start
      */
     public record Result(List<Double> peaks, long faults) {}
 
@@ -132,25 +131,25 @@
 
     @Override
     public void coldLoadMeasured(OrderServer server, double offered, double allowed, double informed) {
-        double part = offered / (allowed + 2 * Math.sqrt(allowed) + 2);
-        peaks.merge(server.id(), part, Math::max);
-        if (informed >= INFORMED) {
-            informedPeaks.merge(server.id(), part, Math::max);
+        double fractionOfCrashLoad = offered / (allowed + 2 * Math.sqrt(allowed) + 2);
+        peaks.merge(server.id(), fractionOfCrashLoad, Math::max);
+        if (informed >= MIN_INFORMED_FRACTION) {
+            informedPeaks.merge(server.id(), fractionOfCrashLoad, Math::max);
         }
     }
 
     /**
-     * A fleet, and what it is put through.
+     * A fleet and its load.
      *
-     * @param utilisation of all servers' capacity, before bursts
-     * @param factor how many times its present capacity a cold server bears
-     * @param replaced part of the servers that cold ones replace within two seconds
+     * @param utilisation the load as a fraction of all servers' capacity, before bursts
+     * @param factor the overload factor
+     * @param replaced the fraction (0 to 1) of the servers that are replaced by cold ones within two seconds
      */
     public record Fleet(int instances, int servers, double utilisation, double factor, double replaced) {}
 
-    /** Plays one fleet in virtual time. */
+    /** Runs the experiment for one fleet. */
     static Result play(Policy policy, Fleet fleet, long seed) {
-        ColdLoadExperiment sums = new ColdLoadExperiment();
+        ColdLoadExperiment experiment = new ColdLoadExperiment();
         VirtualWorld world = new VirtualWorld(
                 ScenarioFile.parse(
                         "cold-sums.toml",
@@ -158,46 +157,55 @@
                                 fleet.servers, fleet.instances, fleet.utilisation, fleet.factor, fleet.replaced)),
                 ExperimentArm.of(policy),
                 seed);
-        world.watchCold(sums);
+        world.monitorColdLoad(experiment);
         world.play();
         return new Result(
-                List.copyOf(sums.peaks.values()),
-                sums.informedPeaks.values().stream().filter(each -> each > 1).count());
+                List.copyOf(experiment.peaks.values()),
+                experiment.informedPeaks.values().stream()
+                        .filter(each -> each > 1)
+                        .count());
     }
 
-    /** Prints a line for each size; arguments: factor, utilisation, part replaced, seeds, largest size. */
+    /**
+     * Prints a line for each size of a fleet.
+     *
+     * @param arguments overload factor, utilisation, fraction replaced, number of seeds, largest number of instances
+     */
     public static void main(String[] arguments) {
         double factor = Double.parseDouble(arguments[0]);
         double utilisation = Double.parseDouble(arguments[1]);
         double replaced = Double.parseDouble(arguments[2]);
         int seeds = Integer.parseInt(arguments[3]);
-        int largest = Integer.parseInt(arguments[4]);
+        int maxInstances = Integer.parseInt(arguments[4]);
         int[][] sizes = {{5, 12}, {14, 60}, {30, 40}, {100, 200}, {2000, 200}};
         System.out.println("instances servers cold median p99 most over over-by-who-knew");
         for (int[] size : sizes) {
-            if (size[0] > largest) {
+            if (size[0] > maxInstances) {
                 return;
             }
-            List<Double> all = new ArrayList<>();
-            long faults = 0;
-            for (int seed = 1; seed <= seeds; seed++) {
-                Fleet fleet = new Fleet(size[0], size[1], utilisation, factor, replaced);
-                Result result = play(Policy.MODULE, fleet, seed);
-                all.addAll(result.peaks());
-                faults += result.faults();
-            }
-            all.sort(null);
-            System.out.printf(
-                    Locale.ROOT,
-                    "%d %d %d %.2f %.2f %.2f %d %d%n",
-                    size[0],
-                    size[1],
-                    all.size(),
-                    all.get(all.size() / 2),
-                    all.get(all.size() * 99 / 100),
-                    all.get(all.size() - 1),
-                    all.stream().filter(each -> each > 1).count(),
-                    faults);
+            printRow(new Fleet(size[0], size[1], utilisation, factor, replaced), seeds);
+        }
+    }
+
+    private static void printRow(Fleet fleet, int seeds) {
+        List<Double> peaks = new ArrayList<>();
+        long faults = 0;
+        for (int seed = 1; seed <= seeds; seed++) {
+            Result result = play(Policy.MODULE, fleet, seed);
+            peaks.addAll(result.peaks());
+            faults += result.faults();
         }
+        peaks.sort(null);
+        System.out.printf(
+                Locale.ROOT,
+                "%d %d %d %.2f %.2f %.2f %d %d%n",
+                fleet.instances(),
+                fleet.servers(),
+                peaks.size(),
+                peaks.get(peaks.size() / 2),
+                peaks.get(peaks.size() * 99 / 100),
+                peaks.get(peaks.size() - 1),
+                peaks.stream().filter(each -> each > 1).count(),
+                faults);
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/virtual/EventHeap.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/EventHeap.java
@@ -2,78 +2,95 @@
 
 import java.util.Arrays;
 
-/** Events in order of their time, and of their making where that is the same: a binary heap in arrays. */
+/** Events ordered by time, and by serial number where the times are equal: a binary heap in parallel arrays. */
 final class EventHeap {
-    private long[] times = new long[256];
-    private long[] serials = new long[256];
-    private Runnable[] events = new Runnable[256];
+    private static final int INITIAL_SIZE = 256;
+
+    private long[] times = new long[INITIAL_SIZE];
+    private long[] serials = new long[INITIAL_SIZE];
+    private Runnable[] events = new Runnable[INITIAL_SIZE];
     private int size;
 
     boolean isEmpty() {
         return size == 0;
     }
 
-    /** The first event's time; not to be asked of an empty heap. */
+    /** Returns the first event's time. The heap must not be empty. */
     long firstTime() {
         return times[0];
     }
 
+    /** Returns the first event's serial number. The heap must not be empty. */
     long firstSerial() {
         return serials[0];
     }
 
-    void add(long when, long serial, Runnable event) {
+    void add(long time, long serial, Runnable event) {
         if (size == times.length) {
-            times = Arrays.copyOf(times, size * 2);
-            serials = Arrays.copyOf(serials, size * 2);
-            events = Arrays.copyOf(events, size * 2);
+            grow();
         }
-        int at = size++;
-        while (at > 0) {
-            int up = (at - 1) >>> 1;
-            if (times[up] < when || (times[up] == when && serials[up] < serial)) {
+        int index = size++;
+        while (index > 0) {
+            int parent = (index - 1) >>> 1;
+            if (isBefore(parent, time, serial)) {
                 break;
             }
-            set(at, times[up], serials[up], events[up]);
-            at = up;
+            move(parent, index);
+            index = parent;
         }
-        set(at, when, serial, event);
+        set(index, time, serial, event);
+    }
+
+    private void grow() {
+        times = Arrays.copyOf(times, size * 2);
+        serials = Arrays.copyOf(serials, size * 2);
+        events = Arrays.copyOf(events, size * 2);
+    }
+
+    private boolean isBefore(int index, long time, long serial) {
+        return times[index] < time || (times[index] == time && serials[index] < serial);
     }
 
-    private void set(int at, long time, long serial, Runnable event) {
-        times[at] = time;
-        serials[at] = serial;
-        events[at] = event;
+    private void move(int from, int to) {
+        set(to, times[from], serials[from], events[from]);
     }
 
+    private void set(int index, long time, long serial, Runnable event) {
+        times[index] = time;
+        serials[index] = serial;
+        events[index] = event;
+    }
+
+    /** Removes the first event and returns it. The heap must not be empty. */
     Runnable removeFirst() {
         Runnable first = events[0];
         size--;
-        long when = times[size];
+        long time = times[size];
         long serial = serials[size];
         Runnable event = events[size];
         events[size] = null;
-        int at = 0;
-        while (true) {
-            int down = 2 * at + 1;
-            if (down >= size) {
-                break;
-            }
-            int right = down + 1;
-            if (right < size
-                    && (times[right] < times[down]
-                            || (times[right] == times[down] && serials[right] < serials[down]))) {
-                down = right;
-            }
-            if (when < times[down] || (when == times[down] && serial < serials[down])) {
-                break;
-            }
-            set(at, times[down], serials[down], events[down]);
-            at = down;
-        }
         if (size > 0) {
-            set(at, when, serial, event);
+            insertFromRoot(time, serial, event);
         }
         return first;
     }
+
+    /** Puts an event into the place of the first one, and moves it down as far as necessary. */
+    private void insertFromRoot(long time, long serial, Runnable event) {
+        int index = 0;
+        int child = firstChild(index);
+        while (child < size && isBefore(child, time, serial)) {
+            move(child, index);
+            index = child;
+            child = firstChild(index);
+        }
+        set(index, time, serial, event);
+    }
+
+    /** Returns the child of a node that comes first; at least {@link #size} if the node has none. */
+    private int firstChild(int index) {
+        int left = 2 * index + 1;
+        int right = left + 1;
+        return right < size && isBefore(right, times[left], serials[left]) ? right : left;
+    }
 }
--- a/simulation/src/main/java/topazvalve/simulation/virtual/ExperimentArm.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/ExperimentArm.java
@@ -1,34 +1,35 @@
 package topazvalve.simulation.virtual;
 
+import java.util.List;
+import java.util.Locale;
 import topazvalve.policy.LoadBalancer;
 import topazvalve.simulation.policy.Policy;
 import topazvalve.simulation.scenario.Scenario;
 import topazvalve.simulation.scenario.WorkClass;
 
 /**
- * What is tried on a scenario: who decides, and under which settings.
+ * One arm of an experiment: a policy and its settings.
  *
- * @param attempts the attempt limit; 0 for the scenario's
+ * @param attempts the largest number of attempts of a request; 0 for the scenario's limit
  * @param cancel whether attempts may be cancelled
- * @param probes whether servers may be probed
- * @param retryAfter whether refusals say when to come back
+ * @param probes whether servers may be health-checked
+ * @param retryAfter whether rejections have a Retry-After
  */
 public record ExperimentArm(
         String name, Policy policy, int attempts, boolean cancel, boolean probes, boolean retryAfter) {
 
-    /** The policy with the scenario's own settings, all allowed. */
+    /** Returns the arm of a policy with the scenario's own settings, where everything is allowed. */
     public static ExperimentArm of(Policy policy) {
-        return new ExperimentArm(
-                policy.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-'), policy, 0, true, true, true);
+        return new ExperimentArm(policy.name().toLowerCase(Locale.ROOT).replace('_', '-'), policy, 0, true, true, true);
     }
 
+    /** Returns the largest number of attempts of a request. */
     int attempts(Scenario scenario) {
-        return attempts > 0
-                ? Math.min(attempts, scenario.limits().attempts())
-                : scenario.limits().attempts();
+        int limit = scenario.limits().attempts();
+        return attempts > 0 ? Math.min(attempts, limit) : limit;
     }
 
-    /** The settings as an instance of this arm is told them. */
+    /** Returns the settings of an instance of this arm. */
     LoadBalancer.Settings settings(Scenario scenario, int rank, int zone) {
         Scenario.Limits limits = scenario.limits();
         return new LoadBalancer.Settings(
@@ -41,7 +42,7 @@
                         : LoadBalancer.DiscoveryMode.AUTOMATIC,
                 LoadBalancer.WeightKind.SILENT,
                 scenario.classes().stream().map(ExperimentArm::requestClass).toList(),
-                java.util.List.of(),
+                List.of(),
                 new LoadBalancer.Capabilities(
                         cancel,
                         probes,
@@ -59,7 +60,7 @@
                         limits.rampTime(),
                         limits.overloadFactor(),
                         limits.coldLoadWindow()),
-                java.util.List.of(),
+                List.of(),
                 new LoadBalancer.Costs(0.01, 0),
                 false,
                 1);
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualAttempt.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualAttempt.java
@@ -3,28 +3,42 @@
 import topazvalve.policy.LoadBalancer.Outcome;
 import topazvalve.simulation.model.ServerAttempt;
 
-/** One attempt on its way to a server, there, and back. */
+/** One attempt of an instance, from its sending to its outcome. */
 final class VirtualAttempt extends ServerAttempt {
-    final VirtualInstance instance;
-    final VirtualCall call;
+    private final AttemptSender sender;
+    final VirtualRequest request;
     final int number;
-    final Peer peer;
+    final ServerConnections serverConnections;
     final long sentAt;
-    Peer.Connection connection;
+    /** Null until the server has accepted one. */
+    ServerConnections.VirtualConnection connection;
     /** Whether its last byte has been written. */
     boolean written;
-
-    boolean received;
-    boolean turnedAway;
+    /** Whether the server has rejected it. */
+    boolean rejected;
+    /** Whether the server has started it. */
     boolean ran;
+    /** Whether it has an outcome. */
     boolean ended;
 
-    VirtualAttempt(VirtualInstance instance, VirtualCall call, int number, Peer peer, double work, long sentAt) {
-        super(work, call.requestClass, call.key, call.deadline);
-        this.instance = instance;
-        this.call = call;
+    /**
+     * Creates an attempt that hasn't been sent yet.
+     *
+     * @param number the number of earlier attempts of its request
+     * @param work its work in nanoseconds of a standard core
+     */
+    VirtualAttempt(
+            AttemptSender sender,
+            VirtualRequest request,
+            int number,
+            ServerConnections serverConnections,
+            double work,
+            long sentAt) {
+        super(work, request.requestClass, request.key, request.deadline);
+        this.sender = sender;
+        this.request = request;
         this.number = number;
-        this.peer = peer;
+        this.serverConnections = serverConnections;
         this.sentAt = sentAt;
     }
 
@@ -34,28 +48,29 @@
     }
 
     @Override
-    protected void completed(boolean good, boolean spoilt) {
-        if (good && !spoilt) {
-            instance.servedAtServer(call);
+    protected void completed(boolean success, boolean corrupted) {
+        boolean served = success && !corrupted;
+        if (served) {
+            sender.responseSent(request);
         }
-        instance.comesBack(this, good && !spoilt ? Outcome.OK : Outcome.ERROR);
+        sender.sendBack(this, served ? Outcome.OK : Outcome.ERROR);
     }
 
     @Override
     protected void rejected() {
-        turnedAway = true;
-        instance.comesBack(this, Outcome.REJECTED);
+        rejected = true;
+        sender.sendBack(this, Outcome.REJECTED);
     }
 
     @Override
     protected void reset() {
-        instance.comesBack(this, Outcome.RESET);
+        sender.sendBack(this, Outcome.RESET);
     }
 
     @Override
     protected void discarded() {
         if (!ran) {
-            instance.neverRan(call);
+            sender.attemptNeverRan(request);
         }
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualClients.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualClients.java
@@ -3,158 +3,191 @@
 import java.util.ArrayList;
 import java.util.List;
 import topazvalve.simulation.model.RequestGenerator;
+import topazvalve.simulation.model.RequestGenerator.GeneratedRequest;
 import topazvalve.simulation.model.TrafficPattern;
 import topazvalve.simulation.oracle.Oracle.Answer;
 import topazvalve.simulation.oracle.Trace;
 import topazvalve.simulation.scenario.Scenario;
 import topazvalve.simulation.scenario.WorkClass;
 
-/** All clients: they ask whatever became of earlier requests, wait, give up, and some try once more. */
+/**
+ * All clients of a run in virtual time. They send requests independently of earlier responses, wait, disconnect, and
+ * some retry once.
+ */
 final class VirtualClients {
-    /** What the real host keeps of a client's wait for the answer's way back. */
-    private static final long ANSWER_ROOM = 10_000_000;
+    /** The part of a client's patience that the real sidecar reserves for the way of the response. */
+    private static final long RESPONSE_RESERVE_NANOS = 10_000_000;
+    /** Attempts that a request can hold beyond the limit, so that the oracle's tests can exceed it. */
+    private static final int SPARE_ATTEMPTS = 2;
 
     private final VirtualWorld world;
     private final Scenario scenario;
-    private final List<DelayLine<VirtualCall>> expiries = new ArrayList<>();
-    private final List<RequestGenerator> askers = new ArrayList<>();
+    /** By class of request. */
+    private final List<FixedDelayQueue<VirtualRequest>> expiryTimers = new ArrayList<>();
+
+    private final List<RequestGenerator> generators = new ArrayList<>();
     private long lastId;
 
-    VirtualClients(VirtualWorld world, long seed, TrafficPattern rhythm) {
+    /** What a client wants of one instance, over its tries. */
+    private record ClientRequest(int instance, GeneratedRequest generated, long firstSentAt) {
+        int requestClass() {
+            return generated.requestClass();
+        }
+    }
+
+    VirtualClients(VirtualWorld world, long seed, TrafficPattern trafficPattern) {
         this.world = world;
         this.scenario = world.scenario();
-        scenario.classes().forEach(kind -> {
-            long room = Math.max(1, kind.deadline() - ANSWER_ROOM);
-            expiries.add(new DelayLine<>(world.clock(), room, this::expire));
-        });
+        for (WorkClass requestClass : scenario.classes()) {
+            long expiresAfter = Math.max(1, requestClass.deadline() - RESPONSE_RESERVE_NANOS);
+            expiryTimers.add(new FixedDelayQueue<>(world.clock(), expiresAfter, this::expire));
+        }
         for (int i = 0; i < scenario.fleet().instances(); i++) {
-            askers.add(new RequestGenerator(scenario, seed, i, rhythm));
+            generators.add(new RequestGenerator(scenario, seed, i, trafficPattern));
         }
     }
 
+    /** Schedules the first request to each instance. */
     void start() {
-        for (int i = 0; i < askers.size(); i++) {
-            next(i);
+        for (int i = 0; i < generators.size(); i++) {
+            scheduleNext(i);
         }
     }
 
-    private void next(int number) {
-        RequestGenerator asker = askers.get(number);
-        long at = world.clock().now() + Math.max(1, asker.nextGapNanos());
-        if (at < world.end()) {
+    private long now() {
+        return world.clock().now();
+    }
+
+    private void scheduleNext(int instance) {
+        RequestGenerator generator = generators.get(instance);
+        long at = now() + Math.max(1, generator.nextGapNanos());
+        if (at < world.endsAt()) {
             world.clock().scheduleAt(at, () -> {
-                if (asker.arrivesAt(world.elapsed())) {
-                    ask(number, asker.next());
+                if (generator.arrivesAt(world.elapsed())) {
+                    sendFirst(new ClientRequest(instance, generator.next(), now()));
                 }
-                next(number);
+                scheduleNext(instance);
             });
         }
     }
 
-    private void ask(int number, RequestGenerator.GeneratedRequest wish) {
-        world.tally().asked(wish.requestClass(), world.elapsed());
-        submit(number, wish, world.clock().now(), false);
+    private void sendFirst(ClientRequest clientRequest) {
+        world.statistics().asked(clientRequest.requestClass(), world.elapsed());
+        send(clientRequest, false);
     }
 
-    private void submit(int number, RequestGenerator.GeneratedRequest wish, long firstAt, boolean retry) {
-        VirtualInstance instance = world.instances().get(number);
-        long now = world.clock().now();
+    private void send(ClientRequest clientRequest, boolean isRetry) {
+        VirtualInstance instance = world.instances().get(clientRequest.instance());
         if (!instance.running()) {
-            // Nothing listens: the client sees at once that nothing has run.
-            ended(number, wish, Answer.REFUSED, 0, firstAt, retry);
+            // The connection is refused, so the client knows that nothing has run.
+            endUnserved(clientRequest, isRetry, Answer.REFUSED, 0);
             return;
         }
+        VirtualRequest request = createRequest(clientRequest, isRetry);
+        world.oracle().requestSent(request.trace);
+        if (clientRequest.generated().leavesEarly()) {
+            world.clock().scheduleAt(request.deadline, () -> disconnect(request));
+        } else {
+            request.expiryTimer = expiryTimers.get(request.requestClass).add(request);
+        }
+        instance.requestReceived(request);
+    }
+
+    private VirtualRequest createRequest(ClientRequest clientRequest, boolean isRetry) {
+        GeneratedRequest generated = clientRequest.generated();
         long id = ++lastId;
-        long deadline = now + wish.patienceNanos();
+        long deadline = now() + generated.patienceNanos();
         Trace trace = new Trace(
                 id,
-                number,
-                scenario.classes().get(wish.requestClass()),
-                world.sinceStart(now),
+                clientRequest.instance(),
+                scenario.classes().get(generated.requestClass()),
+                world.sinceStart(now()),
                 world.sinceStart(deadline));
-        VirtualCall call = new VirtualCall(
+        return new VirtualRequest(
                 id,
-                number,
+                clientRequest.instance(),
                 trace,
-                wish.requestClass(),
-                wish.key(),
-                wish.work(),
+                generated.requestClass(),
+                generated.key(),
+                generated.work(),
                 deadline,
-                retry,
-                firstAt,
-                world.attemptLimit() + 2,
-                (ended, answer, wait) -> answered(ended, answer, wait, wish));
-        world.oracle().requestSent(trace);
-        if (wish.leavesEarly()) {
-            world.clock().scheduleAt(deadline, () -> leave(call));
-        } else {
-            call.expiry = expiries.get(wish.requestClass()).add(call);
-        }
-        instance.request(call);
+                isRetry,
+                clientRequest.firstSentAt(),
+                world.attemptLimit() + SPARE_ATTEMPTS,
+                (request, answer, retryAfterNanos) ->
+                        responseReceived(request, answer, retryAfterNanos, clientRequest));
     }
 
-    /** A call that is answered, and none of whose attempts is out, needs no look at its end. */
-    void forgotten(VirtualCall call) {
-        if (call.expiry >= 0) {
-            expiries.get(call.requestClass).remove(call.expiry);
+    /** The request has a response and no attempts in flight, so that its expiry would have no effect. */
+    void cancelExpiry(VirtualRequest request) {
+        if (request.expiryTimer != VirtualRequest.NO_TIMER) {
+            expiryTimers.get(request.requestClass).remove(request.expiryTimer);
         }
     }
 
-    private void expire(VirtualCall call) {
-        call.expiry = -1;
-        world.instances().get(call.instance).expire(call);
-        if (!call.over) {
-            world.clock().scheduleAt(call.deadline + scenario.limits().responseSlack() + 1, () -> deadline(call));
+    private void expire(VirtualRequest request) {
+        request.expiryTimer = VirtualRequest.NO_TIMER;
+        world.instances().get(request.instance).requestExpired(request);
+        if (!request.finished) {
+            long at = request.deadline + scenario.limits().responseSlack() + 1;
+            world.clock().scheduleAt(at, () -> deadlinePassed(request));
         }
     }
 
-    /** The client's time is over and it has no answer. */
-    private void deadline(VirtualCall call) {
-        if (call.over) {
-            return;
+    private void deadlinePassed(VirtualRequest request) {
+        if (!request.finished) {
+            world.oracle().deadlinePassed(request.trace, world.elapsed());
+            endUnanswered(request);
         }
-        world.oracle().deadlinePassed(call.trace, world.elapsed());
-        world.tally().unanswered(call.requestClass, world.sinceStart(call.firstAt));
-        world.instances().get(call.instance).hangup(call);
     }
 
-    private void leave(VirtualCall call) {
-        if (!call.over) {
-            world.oracle().clientDisconnected(call.trace, world.elapsed());
-            world.tally().unanswered(call.requestClass, world.sinceStart(call.firstAt));
-            world.instances().get(call.instance).hangup(call);
+    private void disconnect(VirtualRequest request) {
+        if (!request.finished) {
+            world.oracle().clientDisconnected(request.trace, world.elapsed());
+            endUnanswered(request);
         }
     }
 
-    private void answered(VirtualCall call, Answer answer, long wait, RequestGenerator.GeneratedRequest wish) {
-        world.oracle().responseReceived(call.trace, answer, world.elapsed());
-        world.digest(call.id, answer);
+    private void endUnanswered(VirtualRequest request) {
+        world.statistics().unanswered(request.requestClass, world.sinceStart(request.firstSentAt));
+        world.instances().get(request.instance).clientDisconnected(request);
+    }
+
+    private void responseReceived(
+            VirtualRequest request, Answer answer, long retryAfterNanos, ClientRequest clientRequest) {
+        world.oracle().responseReceived(request.trace, answer, world.elapsed());
+        world.updateDigest(request.id, answer);
         if (answer == Answer.SERVED) {
-            long took = world.clock().now() + 2 * scenario.network().client() - call.firstAt;
-            world.tally().served(call.requestClass, world.sinceStart(call.firstAt), took);
+            long latency = now() + 2 * scenario.network().client() - request.firstSentAt;
+            world.statistics().served(request.requestClass, world.sinceStart(request.firstSentAt), latency);
         } else {
-            ended(call.instance, wish, answer, wait, call.firstAt, call.retry);
+            endUnserved(clientRequest, request.isRetry, answer, retryAfterNanos);
         }
     }
 
-    private void ended(
-            int number, RequestGenerator.GeneratedRequest wish, Answer answer, long wait, long firstAt, boolean retry) {
-        WorkClass kind = scenario.classes().get(wish.requestClass());
-        boolean harmless = answer == Answer.REFUSED || kind.retryIsHarmless();
-        if (wish.retries() && !retry && harmless) {
-            long pause = wish.honoursRetryAfter() && wait > 0
-                    ? Math.max(
-                            scenario.clients().backoff(),
-                            Math.min(wait, scenario.clients().maxRetryAfter()))
-                    : scenario.clients().backoff();
-            world.clock().scheduleAt(world.clock().now() + pause, () -> {
-                world.tally().retry();
-                submit(number, wish, firstAt, true);
+    /** Retries a request that was rejected or failed if client and class allow it, and counts it otherwise. */
+    private void endUnserved(ClientRequest clientRequest, boolean isRetry, Answer answer, long retryAfterNanos) {
+        WorkClass requestClass = scenario.classes().get(clientRequest.requestClass());
+        boolean harmless = answer == Answer.REFUSED || requestClass.retryIsHarmless();
+        long firstSentAt = world.sinceStart(clientRequest.firstSentAt());
+        if (clientRequest.generated().retries() && !isRetry && harmless) {
+            long backoff = backoffNanos(clientRequest, retryAfterNanos);
+            world.clock().scheduleAt(now() + backoff, () -> {
+                world.statistics().retry();
+                send(clientRequest, true);
             });
         } else if (answer == Answer.REFUSED) {
-            world.tally().refused(wish.requestClass(), world.sinceStart(firstAt));
+            world.statistics().refused(clientRequest.requestClass(), firstSentAt);
         } else {
-            world.tally().failed(wish.requestClass(), world.sinceStart(firstAt));
+            world.statistics().failed(clientRequest.requestClass(), firstSentAt);
+        }
+    }
+
+    private long backoffNanos(ClientRequest clientRequest, long retryAfterNanos) {
+        Scenario.Clients clients = scenario.clients();
+        if (!clientRequest.generated().honoursRetryAfter() || retryAfterNanos <= 0) {
+            return clients.backoff();
         }
+        return Math.max(clients.backoff(), Math.min(retryAfterNanos, clients.maxRetryAfter()));
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualClock.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualClock.java
@@ -4,10 +4,10 @@
 import topazvalve.simulation.model.Clock;
 
 /**
- * Virtual time: events in order of their time, and of their making where that is the same.
+ * Virtual time. Events run in the order of their times, and in the order of their scheduling where the times are equal.
  *
- * <p>What is due soon lies in a wheel of short slices, unsorted; only the slice at hand is a heap, small
- * enough for the processor's cache. What is due later waits in one large heap until the wheel reaches it.
+ * <p>Events that are due soon are in a wheel of short slices, unsorted; only those of the current slice are in a heap,
+ * which is small enough for the processor's cache. Later events are in one large heap until the wheel reaches them.
  */
 final class VirtualClock implements Clock {
     /** A slice is 2^16 ns, 66 us long; 2^14 of them make a wheel of 1.07 s. */
@@ -15,10 +15,13 @@
 
     private static final int SLICES = 1 << 14;
 
+    /** The events of one slice of the wheel, unsorted. */
     private static final class Slice {
-        private long[] times = new long[8];
-        private long[] serials = new long[8];
-        private Runnable[] events = new Runnable[8];
+        private static final int INITIAL_SIZE = 8;
+
+        private long[] times = new long[INITIAL_SIZE];
+        private long[] serials = new long[INITIAL_SIZE];
+        private Runnable[] events = new Runnable[INITIAL_SIZE];
         private int size;
 
         void add(long time, long serial, Runnable event) {
@@ -32,7 +35,7 @@
             events[size++] = event;
         }
 
-        void pourInto(EventHeap heap) {
+        void moveTo(EventHeap heap) {
             for (int i = 0; i < size; i++) {
                 heap.add(times[i], serials[i], events[i]);
                 events[i] = null;
@@ -42,19 +45,19 @@
     }
 
     private final Slice[] wheel = new Slice[SLICES];
-    private final EventHeap atHand = new EventHeap();
-    private final EventHeap far = new EventHeap();
-    private int inWheel;
-    /** The slice whose events are at hand. */
-    private long slice;
+    private final EventHeap currentEvents = new EventHeap();
+    private final EventHeap farEvents = new EventHeap();
+    private int wheelEvents;
+    /** The number of the slice whose events are in {@link #currentEvents}. */
+    private long currentSlice;
 
-    private long serial;
+    private long nextSerial;
     private long now;
-    private long fired;
+    private long eventsRun;
 
     VirtualClock(long start) {
         this.now = start;
-        this.slice = start >> SLICE_BITS;
+        this.currentSlice = start >> SLICE_BITS;
         Arrays.setAll(wheel, i -> new Slice());
     }
 
@@ -63,38 +66,38 @@
         return now;
     }
 
-    /** How many events have been. */
-    long fired() {
-        return fired;
+    /** Returns the number of events that have run. */
+    long eventsRun() {
+        return eventsRun;
     }
 
     @Override
     public void scheduleAt(long time, Runnable event) {
-        place(Math.max(time, now), serial++, event);
+        insert(Math.max(time, now), nextSerial++, event);
     }
 
-    private void place(long when, long mine, Runnable event) {
-        long due = when >> SLICE_BITS;
-        if (due <= slice) {
-            atHand.add(when, mine, event);
-        } else if (due - slice < SLICES) {
-            wheel[(int) (due & SLICES - 1)].add(when, mine, event);
-            inWheel++;
+    private void insert(long time, long serial, Runnable event) {
+        long slice = time >> SLICE_BITS;
+        if (slice <= currentSlice) {
+            currentEvents.add(time, serial, event);
+        } else if (slice - currentSlice < SLICES) {
+            wheel[(int) (slice & SLICES - 1)].add(time, serial, event);
+            wheelEvents++;
         } else {
-            far.add(when, mine, event);
+            farEvents.add(time, serial, event);
         }
     }
 
-    /** Runs all events up to a time, which is then the present. */
+    /** Runs all events up to a time (inclusive), which is then the present. */
     void runUntil(long end) {
         long last = end >> SLICE_BITS;
         while (true) {
-            while (!atHand.isEmpty() && atHand.firstTime() <= end) {
-                now = atHand.firstTime();
-                fired++;
-                atHand.removeFirst().run();
+            while (!currentEvents.isEmpty() && currentEvents.firstTime() <= end) {
+                now = currentEvents.firstTime();
+                eventsRun++;
+                currentEvents.removeFirst().run();
             }
-            if (!atHand.isEmpty() || slice >= last) {
+            if (!currentEvents.isEmpty() || currentSlice >= last) {
                 break;
             }
             advance(last);
@@ -102,21 +105,21 @@
         now = end;
     }
 
-    /** Goes on to the next slice that has events, or to the last one asked for. */
+    /** Advances to the next slice, skipping empty ones if the wheel is empty, but not beyond the last one. */
     private void advance(long last) {
-        if (inWheel == 0) {
-            long next = far.isEmpty() ? last : Math.min(last, far.firstTime() >> SLICE_BITS);
-            slice = Math.max(slice + 1, next);
+        if (wheelEvents == 0) {
+            long next = farEvents.isEmpty() ? last : Math.min(last, farEvents.firstTime() >> SLICE_BITS);
+            currentSlice = Math.max(currentSlice + 1, next);
         } else {
-            slice++;
+            currentSlice++;
         }
-        while (!far.isEmpty() && (far.firstTime() >> SLICE_BITS) - slice < SLICES) {
-            long when = far.firstTime();
-            long mine = far.firstSerial();
-            place(when, mine, far.removeFirst());
+        while (!farEvents.isEmpty() && (farEvents.firstTime() >> SLICE_BITS) - currentSlice < SLICES) {
+            long time = farEvents.firstTime();
+            long serial = farEvents.firstSerial();
+            insert(time, serial, farEvents.removeFirst());
         }
-        Slice present = wheel[(int) (slice & SLICES - 1)];
-        inWheel -= present.size;
-        present.pourInto(atHand);
+        Slice slice = wheel[(int) (currentSlice & SLICES - 1)];
+        wheelEvents -= slice.size;
+        slice.moveTo(currentEvents);
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualDiscovery.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualDiscovery.java
@@ -14,18 +14,19 @@
 import topazvalve.simulation.oracle.Oracle;
 import topazvalve.simulation.scenario.Scenario.DiscoverySettings;
 
-/** Discovery as instances meet it: one service for all, calls in turn, watches on changes. */
+/** The discovery service as instances use it: it serves one call at a time, and notifies instances that watch. */
 final class VirtualDiscovery {
-    /** How often a service that is down is looked at by those who watch. */
-    private static final long LOOK = 100_000_000;
+    /** How long watches may survive the start of an outage. */
+    private static final long POLL_INTERVAL_NANOS = 100_000_000;
 
+    /** The state of one instance's watch. */
     private static final class Watch {
-        private long toldUntil;
-        private long lastAt;
+        private long notifiedRevision;
+        private long lastNotificationAt;
     }
 
     private final Clock clock;
-    private final DiscoverySettings news;
+    private final DiscoverySettings settings;
     private final EndpointDirectory directory;
     private final Oracle oracle;
     private final RandomStreams random;
@@ -35,42 +36,43 @@
 
     VirtualDiscovery(
             Clock clock,
-            DiscoverySettings news,
+            DiscoverySettings settings,
             EndpointDirectory directory,
             Oracle oracle,
             RandomStreams random,
             List<VirtualInstance> instances) {
         this.clock = clock;
-        this.news = news;
+        this.settings = settings;
         this.directory = directory;
         this.oracle = oracle;
         this.random = random;
         this.instances = instances;
-        directory.addListener(entry -> watches.forEach((number, watch) -> change(number, watch, entry)));
-        lookWhetherDown();
+        directory.addListener(entry -> watches.forEach((number, watch) -> propagate(number, watch, entry)));
+        breakWatchesWhileDown();
     }
 
-    private void lookWhetherDown() {
-        if (directory.isUnavailable() && news.subscribe() && !watches.isEmpty()) {
+    private void breakWatchesWhileDown() {
+        if (directory.isUnavailable() && settings.subscribe() && !watches.isEmpty()) {
             List<Integer> cut = new ArrayList<>(watches.keySet());
             watches.clear();
-            cut.forEach(number -> instances.get(number).listed(UpdateKind.FAILED, List.of()));
+            cut.forEach(number -> instances.get(number).endpointsUpdated(UpdateKind.FAILED, List.of()));
         }
-        clock.scheduleAt(clock.now() + LOOK, this::lookWhetherDown);
+        clock.scheduleAt(clock.now() + POLL_INTERVAL_NANOS, this::breakWatchesWhileDown);
     }
 
-    /** Follows from the start, without a call; where instances need not ask. */
-    void follow(VirtualInstance instance) {
+    /** Starts a watch without a call, where instances don't have to subscribe. */
+    void startWatch(VirtualInstance instance) {
         Watch watch = new Watch();
-        watch.toldUntil = directory.revision();
+        watch.notifiedRevision = directory.revision();
         watches.put(instance.number(), watch);
     }
 
-    /** A sidecar has ended: nobody listens. */
-    void forget(int instance) {
+    /** An instance has stopped, which ends its watch. */
+    void instanceStopped(int instance) {
         watches.remove(instance);
     }
 
+    /** An instance starts or ends its watch by a call. */
     void subscribe(VirtualInstance instance, boolean on) {
         if (!on) {
             watches.remove(instance.number());
@@ -80,72 +82,83 @@
         }
     }
 
+    /** An instance fetches the full list by a call. */
     void fetch(VirtualInstance instance) {
         call(instance, true, false);
     }
 
-    private void call(VirtualInstance instance, boolean lists, boolean watching) {
+    /**
+     * Performs a call. It waits for earlier calls, and fails if that takes too long or the service is down.
+     *
+     * @param wantsList whether the response has the full list if there is nothing better
+     * @param startsWatch whether the call starts a watch
+     */
+    private void call(VirtualInstance instance, boolean wantsList, boolean startsWatch) {
         long now = clock.now();
-        int life = instance.life();
-        long begins = Math.max(now, busyUntil);
-        boolean fails = directory.isUnavailable() || begins - now > news.callTimeout();
-        long answered = fails ? now + news.callTimeout() : begins + news.callTime();
+        int incarnation = instance.incarnation();
+        long startsAt = Math.max(now, busyUntil);
+        boolean fails = directory.isUnavailable() || startsAt - now > settings.callTimeout();
+        long endsAt = fails ? now + settings.callTimeout() : startsAt + settings.callTime();
         if (!fails) {
-            busyUntil = answered;
+            busyUntil = endsAt;
         }
-        clock.scheduleAt(answered, () -> {
-            if (instance.life() != life) {
+        clock.scheduleAt(endsAt, () -> {
+            if (instance.incarnation() != incarnation) {
                 return;
             }
             if (fails || directory.isUnavailable()) {
-                instance.listed(UpdateKind.FAILED, List.of());
+                instance.endpointsUpdated(UpdateKind.FAILED, List.of());
             } else {
-                answer(instance, lists, watching);
+                respond(instance, wantsList, startsWatch);
             }
         });
     }
 
-    private void answer(VirtualInstance instance, boolean lists, boolean watching) {
-        List<Entry> changes = watching ? directory.changesSince(instance.revision()) : null;
-        if (watching) {
-            Watch watch = new Watch();
-            watch.toldUntil = directory.revision();
-            watches.put(instance.number(), watch);
+    private void respond(VirtualInstance instance, boolean wantsList, boolean startsWatch) {
+        List<Entry> changes = null;
+        if (startsWatch) {
+            changes = directory.changesSince(instance.revision());
+            startWatch(instance);
+        }
+        if (changes != null) {
+            notifyInstance(instance, UpdateKind.DELTA, changes);
+        } else if (wantsList) {
+            notifyInstance(instance, UpdateKind.FULL, directory.entries());
+        } else {
+            notifyInstance(instance, UpdateKind.DELTA, List.of());
         }
-        UpdateKind kind = changes == null && lists ? UpdateKind.FULL : UpdateKind.DELTA;
-        tell(instance, kind, changes != null ? changes : lists ? directory.entries() : List.of());
     }
 
-    private void change(int number, Watch watch, Entry entry) {
+    private void propagate(int number, Watch watch, Entry entry) {
         VirtualInstance instance = instances.get(number);
-        int life = instance.life();
-        long at = Math.max(watch.lastAt, clock.now() + (long) (random.part() * news.maxPropagation()));
-        watch.lastAt = at;
+        int incarnation = instance.incarnation();
+        long at = Math.max(watch.lastNotificationAt, clock.now() + (long) (random.part() * settings.maxPropagation()));
+        watch.lastNotificationAt = at;
         clock.scheduleAt(at, () -> {
             if (watches.get(number) == watch
-                    && instance.life() == life
-                    && entry.changedAtRevision() > watch.toldUntil) {
-                watch.toldUntil = entry.changedAtRevision();
-                tell(instance, UpdateKind.DELTA, List.of(entry));
+                    && instance.incarnation() == incarnation
+                    && entry.changedAtRevision() > watch.notifiedRevision) {
+                watch.notifiedRevision = entry.changedAtRevision();
+                notifyInstance(instance, UpdateKind.DELTA, List.of(entry));
             }
         });
     }
 
-    private void tell(VirtualInstance instance, UpdateKind kind, List<Entry> entries) {
-        List<EndpointInfo> lines = new ArrayList<>(entries.size());
+    private void notifyInstance(VirtualInstance instance, UpdateKind kind, List<Entry> entries) {
+        List<EndpointInfo> endpoints = new ArrayList<>(entries.size());
         for (Entry each : entries) {
-            lines.add(line(each));
+            endpoints.add(toEndpointInfo(each));
             if (each.state() == EndpointStatus.READY) {
                 oracle.readyNotified(instance.number(), each.server().id());
             } else {
                 oracle.drainNotified(instance.number(), each.server().id(), instance.world.elapsed());
             }
         }
-        instance.heard(entries, directory.revision());
-        instance.listed(kind, lines);
+        instance.applyEntries(entries, directory.revision());
+        instance.endpointsUpdated(kind, endpoints);
     }
 
-    static EndpointInfo line(Entry entry) {
+    static EndpointInfo toEndpointInfo(Entry entry) {
         return new EndpointInfo(
                 entry.server().id(),
                 entry.server().pod().zone(),
--- /dev/null
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualHealthCheck.java
@@ -0,0 +1,77 @@
+package topazvalve.simulation.virtual;
+
+import topazvalve.policy.LoadBalancer.Outcome;
+import topazvalve.simulation.model.OrderServer.Mode;
+import topazvalve.simulation.model.ServerAttempt;
+
+/** A health check of an instance. The server queues and serves it like a request. */
+final class VirtualHealthCheck extends ServerAttempt {
+    private static final long TIMEOUT_NANOS = 250_000_000;
+    /** Its work in nanoseconds of a standard core. */
+    private static final double WORK = 130_000;
+
+    private final VirtualWorld world;
+    private final VirtualInstance instance;
+    private final ServerConnections target;
+    private final long sentAt;
+    private final int sentIn;
+    private boolean ended;
+
+    VirtualHealthCheck(VirtualWorld world, VirtualInstance instance, ServerConnections target) {
+        super(WORK, 0, 0, world.clock().now() + TIMEOUT_NANOS);
+        this.world = world;
+        this.instance = instance;
+        this.target = target;
+        this.sentAt = world.clock().now();
+        this.sentIn = instance.incarnation();
+    }
+
+    /** Sends it; the instance is notified of its outcome. */
+    void send() {
+        world.statistics().probe();
+        world.clock().scheduleAt(sentAt + world.link().nextDelayNanos(target.crossZone), this::arrive);
+        world.clock().scheduleAt(sentAt + TIMEOUT_NANOS, () -> end(Outcome.TIMEOUT));
+    }
+
+    private void arrive() {
+        Mode mode = target.server.mode();
+        if (mode == Mode.DOWN || mode == Mode.REFUSING) {
+            sendBack(Outcome.CONNECT_FAILED);
+        } else {
+            target.server.offer(this, true);
+        }
+    }
+
+    private void sendBack(Outcome outcome) {
+        long delay = world.link().nextDelayNanos(target.crossZone);
+        world.clock().scheduleAt(world.clock().now() + delay, () -> end(outcome));
+    }
+
+    private void end(Outcome outcome) {
+        if (!ended) {
+            ended = true;
+            instance.healthCheckEnded(sentIn, target.server.id(), outcome, sentAt);
+        }
+    }
+
+    @Override
+    protected void started() {}
+
+    @Override
+    protected void completed(boolean success, boolean corrupted) {
+        sendBack(success ? Outcome.OK : Outcome.ERROR);
+    }
+
+    @Override
+    protected void rejected() {
+        sendBack(Outcome.REJECTED);
+    }
+
+    @Override
+    protected void reset() {
+        sendBack(Outcome.RESET);
+    }
+
+    @Override
+    protected void discarded() {}
+}
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualInstance.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualInstance.java
@@ -1,60 +1,54 @@
 package topazvalve.simulation.virtual;
 
 import java.util.ArrayDeque;
-import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import topazvalve.policy.LoadBalancer;
 import topazvalve.policy.LoadBalancer.EndpointInfo;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
 import topazvalve.policy.LoadBalancer.Outcome;
 import topazvalve.policy.LoadBalancer.Request;
 import topazvalve.policy.LoadBalancer.UpdateKind;
 import topazvalve.simulation.model.EndpointDirectory.Entry;
-import topazvalve.simulation.model.OrderServer;
-import topazvalve.simulation.model.OrderServer.Mode;
-import topazvalve.simulation.model.ServerAttempt;
 import topazvalve.simulation.oracle.Oracle.Answer;
 
 /**
- * One sidecar in virtual time: hosts a {@link LoadBalancer} as the real one's engine does, and carries out what
- * it orders, over links that take time. Each send has one outcome, each request one final answer.
+ * One sidecar in virtual time. It hosts a {@link LoadBalancer} as the real sidecar's core does, and carries out its
+ * actions over links that take time. Each attempt has one outcome, each request one response.
  */
 class VirtualInstance implements LoadBalancer.Actions {
-    private static final float[] NO_REPORT = {};
-    private static final long PROBE_TIMEOUT = 250_000_000;
-    private static final double PROBE_WORK = 130_000;
+    static final float[] NO_LOAD_REPORT = {};
 
     final VirtualWorld world;
     private final int number;
-    private final int zone;
+    private final ServerTable servers;
+    private final AttemptSender sender;
     private LoadBalancer balancer;
-    /** By the server's id, which is small and given out in turn. */
-    private Peer[] peers = new Peer[16];
 
-    private final Map<Long, VirtualCall> calls = new HashMap<>();
+    private final Map<Long, VirtualRequest> requests = new HashMap<>();
     private final ArrayDeque<Runnable> events = new ArrayDeque<>();
-    private boolean telling;
+    private boolean dispatching;
     private boolean running;
-    private int life;
+    private int incarnation;
     private long revision;
 
     VirtualInstance(VirtualWorld world, int number, int zone) {
         this.world = world;
         this.number = number;
-        this.zone = zone;
+        this.servers = new ServerTable(zone);
+        this.sender = new AttemptSender(world, this);
     }
 
     int number() {
         return number;
     }
 
-    int life() {
-        return life;
+    /** Returns how often it was killed; events of an earlier incarnation have no effect. */
+    int incarnation() {
+        return incarnation;
     }
 
-    /** The newest revision of the list that it has heard. */
+    /** Returns the latest revision of the endpoint list of which it was notified. */
     long revision() {
         return revision;
     }
@@ -63,430 +57,262 @@
         return running;
     }
 
-    /** Begins with the list that it had when it last ran. */
-    void start(LoadBalancer made, List<Entry> known, long knownRevision) {
-        balancer = made;
+    /** Starts with a cached endpoint list. */
+    void start(LoadBalancer newBalancer, List<Entry> cached, long cachedRevision) {
+        balancer = newBalancer;
         running = true;
-        revision = knownRevision;
-        heard(known, knownRevision);
-        tell(() -> balancer.start(now()));
-        listed(UpdateKind.CACHED, known.stream().map(VirtualDiscovery::line).toList());
+        revision = cachedRevision;
+        applyEntries(cached, cachedRevision);
+        dispatch(() -> balancer.start(now()));
+        endpointsUpdated(
+                UpdateKind.CACHED,
+                cached.stream().map(VirtualDiscovery::toEndpointInfo).toList());
     }
 
-    /** Killed: nothing of it is left but for what servers still hold. */
+    /** Kills it. Only attempts that servers don't stop on a cancellation remain. */
     void kill() {
         running = false;
-        life++;
-        for (VirtualCall call : List.copyOf(calls.values())) {
-            world.oracle().excuse(call.trace);
-            call.over = true;
-            for (int i = 0; i < call.tries && i < call.attempts.length; i++) {
-                if (call.attempts[i] != null) {
-                    giveUp(call.attempts[i]);
+        incarnation++;
+        for (VirtualRequest request : List.copyOf(requests.values())) {
+            world.oracle().excuse(request.trace);
+            request.finished = true;
+            for (VirtualAttempt attempt : request.attempts) {
+                if (attempt != null) {
+                    sender.abandon(attempt);
                 }
             }
         }
-        calls.clear();
+        requests.clear();
         events.clear();
-        for (Peer each : peers) {
-            if (each != null) {
-                each.closeIdle();
-            }
-        }
-        Arrays.fill(peers, null);
+        servers.clear();
     }
 
     private long now() {
         return world.clock().now();
     }
 
-    private void tell(Runnable event) {
-        if (telling) {
+    /** Runs an event, or queues it while another one runs: the load balancer isn't called recursively. */
+    void dispatch(Runnable event) {
+        if (dispatching) {
             events.add(event);
             return;
         }
-        telling = true;
+        dispatching = true;
         try {
             event.run();
             while (!events.isEmpty()) {
                 events.poll().run();
             }
         } finally {
-            telling = false;
+            dispatching = false;
         }
     }
 
-    // The list.
+    // Endpoint list.
 
-    /** Takes over what the list says, before the balancer hears of it. */
-    void heard(List<Entry> entries, long listRevision) {
+    /** Applies changes of the endpoint list, before the load balancer is notified of them. */
+    void applyEntries(List<Entry> entries, long listRevision) {
         revision = Math.max(revision, listRevision);
-        for (Entry each : entries) {
-            OrderServer server = each.server();
-            Peer peer = meet(server);
-            if (each.startedAt() > peer.toldStart) {
-                peer.toldStart = each.startedAt();
-                peer.closeIdle();
-            }
-            if (each.state() != EndpointStatus.READY) {
-                peer.closeIdle();
-            }
-        }
+        servers.apply(entries);
     }
 
-    private Peer meet(OrderServer server) {
-        int id = (int) server.id();
-        if (id >= peers.length) {
-            peers = Arrays.copyOf(peers, Math.max(id + 1, peers.length * 2));
-        }
-        if (peers[id] == null) {
-            peers[id] = new Peer(server, server.pod().zone() != zone);
-        }
-        return peers[id];
+    /** Notifies the load balancer of changes of the endpoint list. */
+    void endpointsUpdated(UpdateKind kind, List<EndpointInfo> endpoints) {
+        dispatch(() -> balancer.endpointsUpdated(now(), kind, endpoints));
     }
 
-    private Peer peer(long id) {
-        return id < peers.length ? peers[(int) id] : null;
+    @Override
+    public void watchEndpoints(boolean on) {
+        world.discovery().subscribe(this, on);
     }
 
-    void listed(UpdateKind kind, List<EndpointInfo> lines) {
-        tell(() -> balancer.endpointsUpdated(now(), kind, lines));
+    @Override
+    public void fetchEndpoints() {
+        world.discovery().fetch(this);
     }
 
     // Requests.
 
-    /** Takes a client's request. */
-    void request(VirtualCall call) {
-        calls.put(call.id, call);
-        Request request =
-                new Request(call.id, call.requestClass, 0, call.key, call.deadline - now(), 0, call.retry, true);
-        tell(() -> balancer.requestReceived(now(), request));
-    }
-
-    /** The client's time is over for all that this instance can still do. */
-    void expire(VirtualCall call) {
-        for (int i = 0; i < call.attempts.length; i++) {
-            VirtualAttempt attempt = call.attempts[i];
-            if (attempt != null && !attempt.ended) {
-                late(attempt);
+    /** Accepts a client's request. */
+    void requestReceived(VirtualRequest received) {
+        requests.put(received.id, received);
+        Request request = new Request(
+                received.id,
+                received.requestClass,
+                0,
+                received.key,
+                received.deadline - now(),
+                0,
+                received.isRetry,
+                true);
+        dispatch(() -> balancer.requestReceived(now(), request));
+    }
+
+    /** The time is over in which a response could still reach the client. */
+    void requestExpired(VirtualRequest request) {
+        for (VirtualAttempt attempt : request.attempts) {
+            if (attempt != null) {
+                sender.timeOut(attempt);
             }
         }
-        if (!call.over) {
-            // As the real host: whatever the module may have missed.
-            fail(call.id);
+        if (!request.finished) {
+            // The real sidecar's core answers too if the load balancer doesn't.
+            fail(request.id);
         }
     }
 
-    /** The client has left: as in the real host, what is not written yet is given up, cancel or not. */
-    void hangup(VirtualCall call) {
-        if (!call.over) {
-            call.over = true;
-            forget(call);
-            tell(() -> balancer.clientDisconnected(now(), call.id));
-            for (VirtualAttempt attempt : call.attempts) {
-                if (attempt != null && !attempt.ended && !attempt.written) {
-                    giveUp(attempt);
-                    tell(() -> ended(attempt, Outcome.CANCELLED));
-                }
+    /** The client has disconnected. As in the real sidecar, attempts that are not written yet are cancelled. */
+    void clientDisconnected(VirtualRequest request) {
+        if (request.finished) {
+            return;
+        }
+        request.finished = true;
+        removeIfDone(request);
+        dispatch(() -> balancer.clientDisconnected(now(), request.id));
+        for (VirtualAttempt attempt : request.attempts) {
+            if (attempt != null && !attempt.ended && !attempt.written) {
+                sender.cancel(attempt);
             }
         }
     }
 
-    void finish(VirtualCall call, Answer answer, long wait) {
-        if (!call.over) {
-            call.over = true;
-            forget(call);
-            call.client.answered(call, answer, wait);
+    /** Responds to the client, unless it has a response already. */
+    void finish(VirtualRequest request, Answer answer, long retryAfterNanos) {
+        if (!request.finished) {
+            request.finished = true;
+            removeIfDone(request);
+            request.listener.responseReceived(request, answer, retryAfterNanos);
         }
     }
 
-    private void forget(VirtualCall call) {
-        if (call.over && call.out == 0) {
-            calls.remove(call.id);
-            world.clients().forgotten(call);
+    private void removeIfDone(VirtualRequest request) {
+        if (request.finished && request.attemptsInFlight == 0) {
+            requests.remove(request.id);
+            world.clients().cancelExpiry(request);
         }
     }
 
-    VirtualCall call(long id) {
-        return calls.get(id);
-    }
-
     @Override
-    public void reject(long request, long wait) {
-        VirtualCall call = calls.get(request);
-        if (call != null) {
-            finish(call, Answer.REFUSED, wait);
+    public void reject(long requestId, long retryAfterNanos) {
+        VirtualRequest request = requests.get(requestId);
+        if (request != null) {
+            finish(request, Answer.REFUSED, retryAfterNanos);
         }
     }
 
     @Override
-    public void fail(long request) {
-        VirtualCall call = calls.get(request);
-        if (call != null) {
-            finish(call, Answer.FAILED, 0);
+    public void fail(long requestId) {
+        VirtualRequest request = requests.get(requestId);
+        if (request != null) {
+            finish(request, Answer.FAILED, 0);
         }
     }
 
+    // Attempts.
+
     @Override
-    public void forward(long request, long upstream, long timeout) {
-        VirtualCall call = calls.get(request);
-        if (call != null) {
-            send(call, upstream, timeout);
+    public void forward(long requestId, long endpoint, long timeoutNanos) {
+        VirtualRequest request = requests.get(requestId);
+        if (request != null) {
+            send(request, endpoint, timeoutNanos);
         }
     }
 
-    void send(VirtualCall call, long upstream, long timeout) {
-        int mine = call.tries++;
-        call.out++;
-        long now = now();
-        Peer peer = peer(upstream);
-        if (refusesToSend(call, mine, now) || peer == null) {
-            tell(() -> outcome(call, mine, upstream, 0, peer == null ? Outcome.CONNECT_FAILED : Outcome.NEVER_SENT));
+    /** Sends an attempt, or ends it at once if the host doesn't allow it or doesn't know the endpoint. */
+    void send(VirtualRequest request, long endpoint, long timeoutNanos) {
+        int attemptNumber = request.attemptCount++;
+        request.attemptsInFlight++;
+        ServerConnections server = servers.get(endpoint);
+        if (mayNotSend(request, attemptNumber, now()) || server == null) {
+            Outcome outcome = server == null ? Outcome.CONNECT_FAILED : Outcome.NEVER_SENT;
+            dispatch(() -> completeAttempt(request, attemptNumber, endpoint, 0, outcome));
             return;
         }
-        VirtualAttempt attempt = new VirtualAttempt(this, call, mine, peer, world.attemptWork(call), now);
-        call.attempts[mine] = attempt;
-        if (timeout != 0 && now + timeout < call.deadline) {
-            world.clock().scheduleAt(now + Math.max(0, timeout), () -> late(attempt));
-        }
-        Peer.Connection idle = peer.take();
-        long there = world.link().nextDelayNanos(peer.crossZone);
-        if (idle != null) {
-            world.busy(idle);
-            attempt.connection = idle;
-            attempt.written = true;
-            world.oracle().attemptInFlight(call.trace);
-            world.clock().scheduleAt(now + there, () -> arrives(attempt));
-        } else {
-            world.clock().scheduleAt(now + there, () -> connects(attempt));
-        }
-    }
-
-    /** What the host holds back, whatever the module orders. */
-    boolean refusesToSend(VirtualCall call, int mine, long now) {
-        return call.over || mine >= world.attemptLimit() || now >= call.deadline;
+        VirtualAttempt attempt =
+                new VirtualAttempt(sender, request, attemptNumber, server, world.attemptWork(request), now());
+        request.attempts[attemptNumber] = attempt;
+        sender.send(attempt, timeoutNanos);
     }
 
-    private void connects(VirtualAttempt attempt) {
-        OrderServer server = attempt.peer.server;
-        Mode mode = server.mode();
-        if (attempt.ended) {
-            return;
-        }
-        long back = world.link().nextDelayNanos(attempt.peer.crossZone);
-        if (mode == Mode.VANISHED) {
-            world.clock()
-                    .scheduleAt(
-                            attempt.sentAt + world.scenario().limits().connectTimeout(),
-                            () -> ended(attempt, Outcome.CONNECT_FAILED));
-        } else if (mode == Mode.DOWN || mode == Mode.REFUSING || !server.acceptConnection()) {
-            world.clock().scheduleAt(now() + back, () -> ended(attempt, Outcome.CONNECT_FAILED));
-        } else {
-            world.tally().connection();
-            attempt.connection = new Peer.Connection(attempt.peer, server.incarnation());
-            long there = world.link().nextDelayNanos(attempt.peer.crossZone);
-            world.clock().scheduleAt(now() + back, () -> {
-                if (!attempt.ended) {
-                    attempt.written = true;
-                    world.oracle().attemptInFlight(attempt.call.trace);
-                }
-            });
-            world.clock().scheduleAt(now() + back + there, () -> arrives(attempt));
-        }
+    /** Returns whether the host holds an attempt back, whatever the load balancer decides. */
+    boolean mayNotSend(VirtualRequest request, int attemptNumber, long now) {
+        return request.finished || attemptNumber >= world.attemptLimit() || now >= request.deadline;
     }
 
-    private void arrives(VirtualAttempt attempt) {
-        OrderServer server = attempt.peer.server;
-        if (attempt.ended || server.mode() == Mode.VANISHED) {
-            return;
-        }
-        if (server.incarnation() != attempt.connection.life) {
-            comesBack(attempt, Outcome.RESET);
+    @Override
+    public void cancelAttempt(long requestId, int attemptNumber) {
+        VirtualRequest request = requests.get(requestId);
+        if (request == null || attemptNumber >= request.attempts.length) {
             return;
         }
-        attempt.received = true;
-        server.offer(attempt, attempt.peer.toldStart >= server.startedAt());
-        if (server.incarnation() == attempt.connection.life || attempt.ran) {
-            world.received(attempt);
-        }
-    }
-
-    /** Something comes back from the server's end; it takes its time. */
-    void comesBack(VirtualAttempt attempt, Outcome outcome) {
-        world.clock()
-                .scheduleAt(now() + world.link().nextDelayNanos(attempt.peer.crossZone), () -> ended(attempt, outcome));
-    }
-
-    void servedAtServer(VirtualCall call) {
-        world.oracle().responseSent(call.trace);
-    }
-
-    void neverRan(VirtualCall call) {
-        world.oracle().attemptNeverRan(call.trace);
-    }
-
-    private void late(VirtualAttempt attempt) {
-        if (!attempt.ended) {
-            giveUp(attempt);
-            ended(attempt, attempt.written ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED);
-        }
-    }
-
-    private void giveUp(VirtualAttempt attempt) {
-        attempt.peer.server.cancel(attempt);
-        if (attempt.connection != null) {
-            attempt.connection.close();
+        VirtualAttempt attempt = request.attempts[attemptNumber];
+        if (attempt != null && !attempt.ended) {
+            sender.cancel(attempt);
         }
     }
 
-    private void ended(VirtualAttempt attempt, Outcome outcome) {
-        if (attempt.ended) {
-            return;
-        }
-        attempt.ended = true;
-        Peer.Connection connection = attempt.connection;
-        if (connection != null && !connection.closed) {
-            boolean keeps = running
-                    && (outcome == Outcome.OK || outcome == Outcome.ERROR || outcome == Outcome.REJECTED)
-                    && connection.life == attempt.peer.server.incarnation();
-            if (keeps) {
-                connection.idle = true;
-                attempt.peer.idle.addLast(connection);
-                world.idle(connection);
-            } else {
-                connection.close();
-            }
-        }
-        if (running && calls.get(attempt.call.id) == attempt.call) {
-            tell(() ->
-                    outcome(attempt.call, attempt.number, attempt.peer.server.id(), now() - attempt.sentAt, outcome));
+    /** An attempt has ended; the load balancer is notified unless its request is forgotten. */
+    void attemptEnded(VirtualAttempt attempt, Outcome outcome) {
+        VirtualRequest request = attempt.request;
+        if (running && requests.get(request.id) == request) {
+            long endpoint = attempt.serverConnections.server.id();
+            dispatch(() -> completeAttempt(request, attempt.number, endpoint, now() - attempt.sentAt, outcome));
         }
     }
 
-    private void outcome(VirtualCall call, int attempt, long upstream, long elapsed, Outcome outcome) {
-        call.out--;
+    private void completeAttempt(
+            VirtualRequest request, int attemptNumber, long endpoint, long elapsedNanos, Outcome outcome) {
+        request.attemptsInFlight--;
         if (outcome == Outcome.OK) {
-            finish(call, Answer.SERVED, 0);
+            finish(request, Answer.SERVED, 0);
         }
-        balancer.attemptCompleted(now(), call.id, attempt, upstream, outcome, elapsed, call.over, NO_REPORT);
-        forget(call);
+        balancer.attemptCompleted(
+                now(), request.id, attemptNumber, endpoint, outcome, elapsedNanos, request.finished, NO_LOAD_REPORT);
+        removeIfDone(request);
     }
 
-    @Override
-    public void cancelAttempt(long request, int attempt) {
-        VirtualCall call = calls.get(request);
-        if (call != null
-                && attempt < call.attempts.length
-                && call.attempts[attempt] != null
-                && !call.attempts[attempt].ended) {
-            VirtualAttempt cancelled = call.attempts[attempt];
-            giveUp(cancelled);
-            tell(() -> ended(cancelled, Outcome.CANCELLED));
-        }
-    }
+    // Other actions.
 
     @Override
     public void setTimer(long token, long at) {
-        int mine = life;
+        int setIn = incarnation;
         world.clock().scheduleAt(at, () -> {
-            if (life == mine) {
-                tell(() -> balancer.timerFired(now(), token));
+            if (incarnation == setIn) {
+                dispatch(() -> balancer.timerFired(now(), token));
             }
         });
     }
 
     @Override
-    public void sendHealthCheck(long upstream) {
-        Peer peer = peer(upstream);
-        if (peer != null) {
-            new Probe(peer).send();
+    public void sendHealthCheck(long endpoint) {
+        ServerConnections server = servers.get(endpoint);
+        if (server != null) {
+            new VirtualHealthCheck(world, this, server).send();
         }
     }
 
-    /** A probe waits and is served like a request. */
-    private final class Probe extends ServerAttempt {
-        private final Peer peer;
-        private final long sentAt = now();
-        private final int mine = life;
-        private boolean ended;
-
-        Probe(Peer peer) {
-            super(PROBE_WORK, 0, 0, now() + PROBE_TIMEOUT);
-            this.peer = peer;
-        }
-
-        void send() {
-            world.tally().probe();
-            world.clock().scheduleAt(sentAt + world.link().nextDelayNanos(peer.crossZone), () -> {
-                Mode mode = peer.server.mode();
-                if (mode == Mode.DOWN || mode == Mode.REFUSING) {
-                    back(Outcome.CONNECT_FAILED);
-                } else {
-                    peer.server.offer(this, true);
-                }
-            });
-            world.clock().scheduleAt(sentAt + PROBE_TIMEOUT, () -> end(Outcome.TIMEOUT));
-        }
-
-        private void back(Outcome outcome) {
-            world.clock().scheduleAt(now() + world.link().nextDelayNanos(peer.crossZone), () -> end(outcome));
+    /** A health check has ended; without effect if the instance has been killed since it was sent. */
+    void healthCheckEnded(int sentIn, long endpoint, Outcome outcome, long sentAt) {
+        if (incarnation == sentIn) {
+            dispatch(() -> balancer.healthCheckCompleted(now(), endpoint, outcome, now() - sentAt, NO_LOAD_REPORT));
         }
-
-        private void end(Outcome outcome) {
-            if (!ended && life == mine) {
-                ended = true;
-                tell(() -> balancer.healthCheckCompleted(now(), peer.server.id(), outcome, now() - sentAt, NO_REPORT));
-            }
-        }
-
-        @Override
-        protected void started() {}
-
-        @Override
-        protected void completed(boolean good, boolean spoilt) {
-            back(good ? Outcome.OK : Outcome.ERROR);
-        }
-
-        @Override
-        protected void rejected() {
-            back(Outcome.REJECTED);
-        }
-
-        @Override
-        protected void reset() {
-            back(Outcome.RESET);
-        }
-
-        @Override
-        protected void discarded() {}
     }
 
     @Override
-    public void closeIdleConnections(long upstream) {
-        Peer peer = peer(upstream);
-        if (peer != null) {
-            peer.closeIdle();
+    public void closeIdleConnections(long endpoint) {
+        ServerConnections server = servers.get(endpoint);
+        if (server != null) {
+            server.closeIdle();
         }
     }
 
-    /** Instances share nothing. */
     @Override
     public void sendGossip(int peer, byte[] message) {
-        throw new UnsupportedOperationException("peers");
+        throw new UnsupportedOperationException("instances don't gossip in a simulation");
     }
 
     @Override
     public void log(String line) {
         world.recordEvent("instance " + number + ": " + line);
     }
-
-    @Override
-    public void watchEndpoints(boolean on) {
-        world.discovery().subscribe(this, on);
-    }
-
-    @Override
-    public void fetchEndpoints() {
-        world.discovery().fetch(this);
-    }
 }
--- /dev/null
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualRequest.java
@@ -0,0 +1,76 @@
+package topazvalve.simulation.virtual;
+
+import topazvalve.simulation.oracle.Oracle.Answer;
+import topazvalve.simulation.oracle.Trace;
+
+/** A request that a client has sent to an instance, and the state of its attempts. */
+final class VirtualRequest {
+    /** Receives the response to a request. */
+    interface ResponseListener {
+        /**
+         * The client has received the response.
+         *
+         * @param retryAfterNanos the Retry-After of the response; 0 for none
+         */
+        void responseReceived(VirtualRequest request, Answer answer, long retryAfterNanos);
+    }
+
+    /** The value of {@link #expiryTimer} when there is no timer. */
+    static final long NO_TIMER = -1;
+
+    final long id;
+    final int instance;
+    final Trace trace;
+    final int requestClass;
+    final long key;
+    final double work;
+    final long deadline;
+    final boolean isRetry;
+    final ResponseListener listener;
+    /** When the first try was sent, from which the latency counts. */
+    final long firstSentAt;
+
+    /** The attempts by their numbers; null for those that were never sent. */
+    final VirtualAttempt[] attempts;
+
+    int attemptCount;
+    int attemptsInFlight;
+    /** Whether the client has a response or has disconnected. */
+    boolean finished;
+
+    long expiryTimer = NO_TIMER;
+
+    /**
+     * Creates a request that hasn't been sent yet.
+     *
+     * @param instance the number of the instance
+     * @param requestClass the index of its class in the scenario
+     * @param work its work in nanoseconds of a standard core
+     * @param deadline when the client stops waiting, in nanoseconds of the clock
+     * @param maxAttempts the largest number of attempts that it can hold
+     */
+    VirtualRequest(
+            long id,
+            int instance,
+            Trace trace,
+            int requestClass,
+            long key,
+            double work,
+            long deadline,
+            boolean isRetry,
+            long firstSentAt,
+            int maxAttempts,
+            ResponseListener listener) {
+        this.id = id;
+        this.instance = instance;
+        this.trace = trace;
+        this.requestClass = requestClass;
+        this.key = key;
+        this.work = work;
+        this.deadline = deadline;
+        this.isRetry = isRetry;
+        this.firstSentAt = firstSentAt;
+        this.attempts = new VirtualAttempt[maxAttempts];
+        this.listener = listener;
+    }
+}
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualWorld.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualWorld.java
@@ -21,138 +21,160 @@
 import topazvalve.simulation.tally.Run;
 import topazvalve.simulation.tally.RunStatistics;
 
-/** One scenario, one arm, one seed, in virtual time: the same three give the same run to the last event. */
+/** A run of one scenario, arm and seed in virtual time. The same three give the same run to the last event. */
 public final class VirtualWorld implements FaultTarget {
-    /** A start far from 0, since a server that started at 0 counts as started long ago. */
+    /** The clock's time at the start. Far from 0, since a server that started at 0 counts as started long ago. */
     private static final long START = 1_000_000_000_000L;
 
-    private static final double IDLE_SHARE = 0.9;
+    /** Instances close idle connections after this fraction of the servers' shortest idle timeout. */
+    private static final double IDLE_FRACTION = 0.9;
+
+    /** How often an attempt on a new connection crosses the link before the server has received it. */
+    private static final int FLIGHT_CROSSINGS = 3;
+    /** The largest multiple of its mean that a random delay is assumed to take. */
+    private static final int MAX_JITTER_MULTIPLE = 20;
+
+    private static final long FLIGHT_SLACK_NANOS = 1_000_000;
+    /** The delay that retransmissions of lost packets are assumed to add at most. */
+    private static final long MAX_LOSS_DELAY_NANOS = 2_000_000_000;
+    /** Bytes of one response in the digest: request, time and answer. */
+    private static final int DIGEST_BYTES = 24;
+
+    private static final int ATTEMPT_COUNTER_GROWTH = 16;
 
     private final Scenario scenario;
     private final ExperimentArm arm;
     private final long seed;
     private final VirtualClock clock = new VirtualClock(START);
     private final Oracle oracle;
-    private ColdServerMonitor coldWatch;
-    private final RunStatistics tally;
-    private final Topology scene;
+    private ColdServerMonitor coldServerMonitor;
+    private final RunStatistics statistics;
+    private final Topology topology;
     private final VirtualDiscovery discovery;
     private final RandomStreams noise;
     private final RandomStreams restarts;
     private final List<VirtualInstance> instances = new ArrayList<>();
     private final VirtualClients clients;
-    private final DelayLine<Peer.Connection> idleConnections;
-    private final long keepIdle;
+    private final FixedDelayQueue<ServerConnections.VirtualConnection> idleConnections;
+    private final long idleTimeoutNanos;
     private final CRC32C digest = new CRC32C();
-    private final ByteBuffer digested = ByteBuffer.allocate(24);
+    private final ByteBuffer digestBuffer = ByteBuffer.allocate(DIGEST_BYTES);
     private long[] attemptsByServer;
 
-    /** Sets the scene. */
+    /** Creates the servers, instances and clients of a run that hasn't started yet. */
     public VirtualWorld(Scenario scenario, ExperimentArm arm, long seed) {
         this(scenario, arm, seed, null);
     }
 
-    /** For the oracle's tests: with sidecars of another make. */
-    VirtualWorld(Scenario scenario, ExperimentArm arm, long seed, Make others) {
+    /** Creates a run with instances from {@code factory}, for the oracle's tests; null for the usual ones. */
+    VirtualWorld(Scenario scenario, ExperimentArm arm, long seed, InstanceFactory factory) {
         this.scenario = scenario;
         this.arm = arm;
         this.seed = seed;
-        this.oracle = new Oracle(scenario.limits(), 0, flight(scenario));
-        this.tally = new RunStatistics(scenario);
-        this.scene = new Topology(scenario, clock, seed);
+        this.oracle = new Oracle(scenario.limits(), 0, maxFlightNanos(scenario));
+        this.statistics = new RunStatistics(scenario);
+        this.topology = new Topology(scenario, clock, seed);
         this.attemptsByServer = new long[servers().size() + 1];
         this.noise = RandomStreams.stream(seed, "noise");
         this.restarts = RandomStreams.stream(seed, "restarts");
-        servers().forEach(this::introduce);
+        servers().forEach(this::observe);
         servers().forEach(directory()::add);
         this.discovery = new VirtualDiscovery(
                 clock, scenario.news(), directory(), oracle, RandomStreams.stream(seed, "discovery"), instances);
-        this.keepIdle = (long) (scenario.machines().stream()
+        this.idleTimeoutNanos = (long) (scenario.machines().stream()
                         .mapToLong(each -> each.idleTimeout())
                         .min()
                         .orElseThrow()
-                * IDLE_SHARE);
-        this.idleConnections = new DelayLine<>(clock, keepIdle, this::stale);
-        IntFunction<VirtualInstance> make = others == null
+                * IDLE_FRACTION);
+        this.idleConnections = new FixedDelayQueue<>(clock, idleTimeoutNanos, this::closeIdle);
+        IntFunction<VirtualInstance> create = factory == null
                 ? number -> new VirtualInstance(this, number, zone(number))
-                : number -> others.make(this, number);
+                : number -> factory.create(this, number);
         for (int i = 0; i < scenario.fleet().instances(); i++) {
-            instances.add(make.apply(i));
+            instances.add(create.apply(i));
         }
-        this.clients = new VirtualClients(this, seed, scene.trafficPattern());
+        this.clients = new VirtualClients(this, seed, topology.trafficPattern());
     }
 
-    /** Makes a sidecar for a test. */
-    interface Make {
-        VirtualInstance make(VirtualWorld world, int number);
+    /** Creates an instance for a test. */
+    interface InstanceFactory {
+        VirtualInstance create(VirtualWorld world, int number);
     }
 
-    /** How long an attempt may be under way: a handshake, the way there, and what chance adds. */
-    private static long flight(Scenario scenario) {
+    /** Returns how long an attempt may be in flight: a handshake, the way there, random delays and those by faults. */
+    private static long maxFlightNanos(Scenario scenario) {
         long way = Math.max(scenario.network().sameZone(), scenario.network().crossZone());
-        double spread = 1 + 20 * scenario.network().jitter();
-        long extra = 0;
+        double spread = 1 + MAX_JITTER_MULTIPLE * scenario.network().jitter();
+        long faultDelay = 0;
         for (Fault each : scenario.faults()) {
-            extra = Math.max(extra, each.kind() == Fault.Kind.LOSS ? 2_000_000_000L : 0);
-            extra = Math.max(extra, each.kind() == Fault.Kind.DELAY ? 3 * each.extraDelay() : 0);
+            if (each.kind() == Fault.Kind.LOSS) {
+                faultDelay = Math.max(faultDelay, MAX_LOSS_DELAY_NANOS);
+            } else if (each.kind() == Fault.Kind.DELAY) {
+                faultDelay = Math.max(faultDelay, FLIGHT_CROSSINGS * each.extraDelay());
+            }
+        }
+        boolean drawsLoss =
+                scenario.chaos().count() > 0 && scenario.chaos().kinds().contains(Fault.Kind.LOSS);
+        if (drawsLoss) {
+            faultDelay = MAX_LOSS_DELAY_NANOS;
         }
-        boolean drawn = scenario.chaos().count() > 0 && scenario.chaos().kinds().contains(Fault.Kind.LOSS);
-        return (long) (3 * way * spread) + 1_000_000 + (drawn ? 2_000_000_000L : extra);
+        return (long) (FLIGHT_CROSSINGS * way * spread) + FLIGHT_SLACK_NANOS + faultDelay;
     }
 
+    /** Returns the zone of an instance. */
     int zone(int number) {
         return number % scenario.fleet().zones().size();
     }
 
-    private void introduce(OrderServer server) {
-        if (coldWatch != null) {
-            server.monitorColdLoad(coldWatch);
+    private void observe(OrderServer server) {
+        if (coldServerMonitor != null) {
+            server.monitorColdLoad(coldServerMonitor);
         }
-        server.onColdCrash((fallen, informed) -> {
-            oracle.serverCrashedWhileCold(fallen.id(), informed, elapsed());
-            recordEvent("server " + fallen.id() + " was pushed over while cold");
+        server.onColdCrash((crashed, informedFraction) -> {
+            oracle.serverCrashedWhileCold(crashed.id(), informedFraction, elapsed());
+            recordEvent("server " + crashed.id() + " was pushed over while cold");
         });
     }
 
-    /** Cold servers are watched and don't fall; before the run is played. */
-    void watchCold(ColdServerMonitor watch) {
-        coldWatch = watch;
-        servers().forEach(each -> each.monitorColdLoad(watch));
+    /** Measures the load of cold servers, which no longer crash. To be called before {@link #play}. */
+    void monitorColdLoad(ColdServerMonitor monitor) {
+        coldServerMonitor = monitor;
+        servers().forEach(each -> each.monitorColdLoad(monitor));
     }
 
-    /** Plays the whole run. */
+    /** Plays the run to its end and returns its results. To be called once. */
     public Run play() {
-        long began = System.nanoTime();
+        long startedAt = System.nanoTime();
         List<Fault> faults = FaultPlayer.scheduleAll(this, scenario, seed);
-        instances.forEach(this::begin);
+        instances.forEach(this::start);
         clients.start();
-        long rest = scenario.classes().stream()
+        long maxDeadline = scenario.classes().stream()
                 .mapToLong(each -> each.deadline())
                 .max()
                 .orElseThrow();
-        clock.runUntil(end()
-                + 2 * rest
+        clock.runUntil(endsAt()
+                + 2 * maxDeadline
                 + scenario.clients().maxRetryAfter()
                 + scenario.limits().responseSlack());
         return new Run(
                 scenario.name(),
                 arm.name(),
                 seed,
-                tally,
+                statistics,
                 oracle.counts(),
                 oracle.violations(),
                 faults,
-                scene.recordedEvents(),
+                topology.recordedEvents(),
                 digest.getValue(),
                 oracle.requests(),
-                clock.fired(),
-                System.nanoTime() - began,
+                clock.eventsRun(),
+                System.nanoTime() - startedAt,
                 attemptsByServer);
     }
 
-    private void begin(VirtualInstance instance) {
+    private void start(VirtualInstance instance) {
         if (!scenario.news().subscribe()) {
-            discovery.follow(instance);
+            discovery.startWatch(instance);
         }
         instance.start(
                 arm.policy()
@@ -164,7 +186,7 @@
                 directory().revision());
     }
 
-    // What parts of the world ask of it.
+    // For faults and for the parts of the run.
 
     @Override
     public Clock clock() {
@@ -173,16 +195,16 @@
 
     @Override
     public Topology topology() {
-        return scene;
+        return topology;
     }
 
     @Override
     public void restartInstance(int number) {
         VirtualInstance instance = instances.get(number);
         instance.kill();
-        discovery.forget(number);
+        discovery.instanceStopped(number);
         servers().forEach(each -> oracle.readyNotified(number, each.id()));
-        begin(instance);
+        start(instance);
         directory().entries().stream()
                 .filter(each -> each.state() != EndpointStatus.READY)
                 .forEach(each -> oracle.drainNotified(number, each.server().id(), elapsed()));
@@ -190,14 +212,14 @@
 
     @Override
     public OrderServer replaceServer(OrderServer old, boolean sameAddress) {
-        OrderServer fresh = scene.fleet().replace(old);
-        introduce(fresh);
+        OrderServer fresh = topology.fleet().replace(old);
+        observe(fresh);
         return fresh;
     }
 
     @Override
     public void recordEvent(String what) {
-        scene.recordEvent(elapsed(), what);
+        topology.recordEvent(elapsed(), what);
     }
 
     Scenario scenario() {
@@ -208,8 +230,8 @@
         return oracle;
     }
 
-    RunStatistics tally() {
-        return tally;
+    RunStatistics statistics() {
+        return statistics;
     }
 
     VirtualDiscovery discovery() {
@@ -220,38 +242,45 @@
         return instances;
     }
 
+    /** Returns the largest number of attempts of a request under this arm. */
     int attemptLimit() {
         return arm.attempts(scenario);
     }
 
-    long end() {
+    /** Returns when clients stop sending, in nanoseconds of the clock. */
+    long endsAt() {
         return START + scenario.length();
     }
 
+    /** Returns the nanoseconds since the start. */
     long elapsed() {
         return clock.now() - START;
     }
 
+    /** Converts a time of the clock to nanoseconds since the start. */
     long sinceStart(long time) {
         return time - START;
     }
 
-    double attemptWork(VirtualCall call) {
-        double variation = scenario.classes().get(call.requestClass).attemptVariation();
-        return variation == 0 ? call.work : call.work * noise.lognormal(variation);
+    /** Draws the work of one attempt, in nanoseconds of a standard core. */
+    double attemptWork(VirtualRequest request) {
+        double variation = scenario.classes().get(request.requestClass).attemptVariation();
+        return variation == 0 ? request.work : request.work * noise.lognormal(variation);
     }
 
-    void idle(Peer.Connection connection) {
-        connection.staleness = idleConnections.add(connection);
+    /** Starts the idle timer of a connection. */
+    void connectionIdle(ServerConnections.VirtualConnection connection) {
+        connection.idleTimer = idleConnections.add(connection);
     }
 
-    void busy(Peer.Connection connection) {
-        idleConnections.remove(connection.staleness);
+    /** Stops the idle timer of a connection. */
+    void connectionBusy(ServerConnections.VirtualConnection connection) {
+        idleConnections.remove(connection.idleTimer);
     }
 
-    private void stale(Peer.Connection connection) {
+    private void closeIdle(ServerConnections.VirtualConnection connection) {
         if (connection.idle) {
-            connection.peer.idle.remove(connection);
+            connection.owner.idle.remove(connection);
             connection.close();
         }
     }
@@ -260,26 +289,28 @@
         return clients;
     }
 
-    void received(VirtualAttempt attempt) {
-        OrderServer server = attempt.peer.server;
+    /** A server has received an attempt completely. */
+    void attemptReceived(VirtualAttempt attempt) {
+        OrderServer server = attempt.serverConnections.server;
         int id = (int) server.id();
         if (id >= attemptsByServer.length) {
-            attemptsByServer = Arrays.copyOf(attemptsByServer, id + 16);
+            attemptsByServer = Arrays.copyOf(attemptsByServer, id + ATTEMPT_COUNTER_GROWTH);
         }
         attemptsByServer[id]++;
-        tally.attempt(elapsed());
+        statistics.attempt(elapsed());
         oracle.attemptReceived(
-                attempt.call.trace,
+                attempt.request.trace,
                 server.id(),
                 server.pod().zone(),
                 server.pod().number(),
-                !attempt.turnedAway,
+                !attempt.rejected,
                 elapsed());
     }
 
-    void digest(long request, Answer answer) {
-        digested.clear();
-        digested.putLong(request).putLong(clock.now()).putLong(answer.ordinal());
-        digest.update(digested.flip());
+    /** Adds a response to the digest of the run. */
+    void updateDigest(long request, Answer answer) {
+        digestBuffer.clear();
+        digestBuffer.putLong(request).putLong(clock.now()).putLong(answer.ordinal());
+        digest.update(digestBuffer.flip());
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/virtual/package-info.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/package-info.java
@@ -1,2 +1,2 @@
-/** The world in virtual time, with the decision module hosted directly. */
+/** Runs in virtual time. The load balancers are called directly, without sidecar processes. */
 package topazvalve.simulation.virtual;
--- a/simulation/src/test/java/topazvalve/simulation/virtual/FaultySidecar.java
+++ b/simulation/src/test/java/topazvalve/simulation/virtual/FaultySidecar.java
@@ -25,72 +25,73 @@
         this.breaks = breaks;
     }
 
-    private boolean picks(VirtualCall call) {
-        return call.id % NOW_AND_THEN == 0;
+    private boolean picks(VirtualRequest request) {
+        return request.id % NOW_AND_THEN == 0;
     }
 
-    private boolean of(VirtualCall call, Repeatability repeats) {
-        return world.scenario().classes().get(call.requestClass).repeatability() == repeats;
+    private boolean of(VirtualRequest request, Repeatability repeats) {
+        return world.scenario().classes().get(request.requestClass).repeatability() == repeats;
     }
 
     @Override
-    void request(VirtualCall call) {
-        if (breaks == Rule.TRUE_ANSWER && picks(call)) {
-            finish(call, Answer.SERVED, 0);
-        } else if (breaks == Rule.AT_ONCE && picks(call)) {
+    void requestReceived(VirtualRequest request) {
+        if (breaks == Rule.TRUE_ANSWER && picks(request)) {
+            finish(request, Answer.SERVED, 0);
+        } else if (breaks == Rule.AT_ONCE && picks(request)) {
             world.clock()
                     .scheduleAt(
-                            world.clock().now() + (call.deadline - world.clock().now()) * 8 / 10,
-                            () -> finish(call, Answer.FAILED, 0));
+                            world.clock().now()
+                                    + (request.deadline - world.clock().now()) * 8 / 10,
+                            () -> finish(request, Answer.FAILED, 0));
         } else {
-            super.request(call);
-            copies(call);
+            super.requestReceived(request);
+            copies(request);
         }
     }
 
-    private void copies(VirtualCall call) {
-        boolean twice = (breaks == Rule.NEVER_TWICE && of(call, Repeatability.NEVER))
-                || (breaks == Rule.KEYED_REPEAT && of(call, Repeatability.KEYED));
-        int copies = twice ? 2 : breaks == Rule.ATTEMPTS && of(call, Repeatability.FREE) ? 4 : 0;
-        for (int i = 0; i < copies && picks(call) && call.tries > 0; i++) {
-            send(call, 1 + i % world.servers().size(), 0);
+    private void copies(VirtualRequest request) {
+        boolean twice = (breaks == Rule.NEVER_TWICE && of(request, Repeatability.NEVER))
+                || (breaks == Rule.KEYED_REPEAT && of(request, Repeatability.KEYED));
+        int copies = twice ? 2 : breaks == Rule.ATTEMPTS && of(request, Repeatability.FREE) ? 4 : 0;
+        for (int i = 0; i < copies && picks(request) && request.attemptCount > 0; i++) {
+            send(request, 1 + i % world.servers().size(), 0);
         }
     }
 
     @Override
-    boolean refusesToSend(VirtualCall call, int mine, long now) {
+    boolean mayNotSend(VirtualRequest request, int attemptNumber, long now) {
         boolean unbounded = breaks == Rule.ATTEMPTS || breaks == Rule.NOTHING_AFTER || breaks == Rule.CLIENT_LEFT;
-        return unbounded ? mine >= call.attempts.length : super.refusesToSend(call, mine, now);
+        return unbounded ? attemptNumber >= request.attempts.length : super.mayNotSend(request, attemptNumber, now);
     }
 
     /** A client that has left is not missed, and its request is sent on all the same. */
     @Override
-    void hangup(VirtualCall call) {
+    void clientDisconnected(VirtualRequest request) {
         if (breaks == Rule.CLIENT_LEFT) {
-            world.clock().scheduleAt(world.clock().now() + AFTER_LEAVING, () -> send(call, 1, 0));
+            world.clock().scheduleAt(world.clock().now() + AFTER_LEAVING, () -> send(request, 1, 0));
         } else {
-            super.hangup(call);
+            super.clientDisconnected(request);
         }
     }
 
     @Override
-    void finish(VirtualCall call, Answer answer, long wait) {
-        if (breaks == Rule.ANSWERED && picks(call)) {
+    void finish(VirtualRequest request, Answer answer, long wait) {
+        if (breaks == Rule.ANSWERED && picks(request)) {
             return;
         }
         boolean lies = breaks == Rule.HARMLESS_REFUSAL && answer == Answer.FAILED;
-        super.finish(call, lies ? Answer.REFUSED : answer, wait);
-        if (breaks == Rule.ANSWERED_ONCE && picks(call)) {
-            call.client.answered(call, answer, wait);
+        super.finish(request, lies ? Answer.REFUSED : answer, wait);
+        if (breaks == Rule.ANSWERED_ONCE && picks(request)) {
+            request.listener.responseReceived(request, answer, wait);
         }
-        if (breaks == Rule.NOTHING_AFTER && picks(call) && call.tries < 2) {
-            world.clock().scheduleAt(world.clock().now() + LATER, () -> send(call, 1, 0));
+        if (breaks == Rule.NOTHING_AFTER && picks(request) && request.attemptCount < 2) {
+            world.clock().scheduleAt(world.clock().now() + LATER, () -> send(request, 1, 0));
         }
     }
 
     @Override
-    void heard(List<Entry> entries, long listRevision) {
-        super.heard(entries, listRevision);
+    void applyEntries(List<Entry> entries, long listRevision) {
+        super.applyEntries(entries, listRevision);
         for (Entry each : entries) {
             if (each.state() == EndpointStatus.READY && each.startedAt() > newestStart) {
                 newestStart = each.startedAt();
@@ -100,9 +101,9 @@
     }
 
     @Override
-    void listed(UpdateKind kind, List<EndpointInfo> lines) {
+    void endpointsUpdated(UpdateKind kind, List<EndpointInfo> lines) {
         boolean deaf = breaks == Rule.DRAIN && kind != UpdateKind.CACHED;
-        super.listed(
+        super.endpointsUpdated(
                 deaf ? UpdateKind.DELTA : kind,
                 deaf
                         ? lines.stream()
@@ -112,7 +113,7 @@
     }
 
     @Override
-    public void forward(long request, long upstream, long timeout) {
-        super.forward(request, breaks == Rule.COLD && newestStart > 0 ? newest : upstream, timeout);
+    public void forward(long requestId, long endpoint, long timeoutNanos) {
+        super.forward(requestId, breaks == Rule.COLD && newestStart > 0 ? newest : endpoint, timeoutNanos);
     }
 }
--- a/simulation/src/test/java/topazvalve/simulation/virtual/VirtualClockTest.java
+++ b/simulation/src/test/java/topazvalve/simulation/virtual/VirtualClockTest.java
@@ -52,8 +52,8 @@
     void aRingTellsWhatIsLeft(@ForAll @Size(max = 80) List<@LongRange(min = 1, max = 400_000_000L) Long> gaps) {
         VirtualClock clock = new VirtualClock(START);
         List<String> due = new ArrayList<>();
-        DelayLine<String> line =
-                new DelayLine<>(clock, 300_000_000, name -> due.add(name + "@" + (clock.now() - START)));
+        FixedDelayQueue<String> line =
+                new FixedDelayQueue<>(clock, 300_000_000, name -> due.add(name + "@" + (clock.now() - START)));
         List<String> right = new ArrayList<>();
         long at = 0;
         for (int i = 0; i < gaps.size(); i++) {
