--- a/core/src/main/java/topazvalve/core/exchange/ExchangeLifecycle.java
+++ b/core/src/main/java/topazvalve/core/exchange/ExchangeLifecycle.java
@@ -141,7 +141,7 @@
         }
     }
 
-    /** Answers that the request was not run, unless it is answered already or a response is being streamed. */
+    /** Answers that a retry is harmless, unless the request is answered already or a response is being streamed. */
     void reject(long id, long retryAfterNanos) {
         completeUnlessResponding(id, exchange -> {
             exchange.counters.requestShed();
--- a/core/src/main/java/topazvalve/core/pool/PooledConnection.java
+++ b/core/src/main/java/topazvalve/core/pool/PooledConnection.java
@@ -15,7 +15,8 @@
 
 /**
  * One connection to an endpoint. It is CONNECTING at first, then LEASED to one attempt after the other and IDLE
- * between them; from each of these states it can become CLOSED.
+ * between them; from each of these states it can become CLOSED. An idle connection may be reserved for an attempt
+ * until its reuse delay is over; it stays IDLE meanwhile. One for which no socket could be opened stays CONNECTING.
  *
  * @param <Q> request of the protocol
  * @param <A> response of the protocol
--- a/discovery-client/src/main/java/topazvalve/discovery/client/WatchManager.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/WatchManager.java
@@ -36,7 +36,10 @@
         return wanted;
     }
 
-    /** Closes all watches, and opens a new one if a watch is wanted. */
+    /**
+     * Closes the current watch and a failback in progress, and opens a new watch if one is wanted. Overdue watches
+     * stay open until they are answered or fail.
+     */
     void setWanted(boolean wanted) {
         this.wanted = wanted;
         closeWatches();
@@ -231,6 +234,10 @@
             }
         }
 
+        /**
+         * Arranges for the next watch: with relays the next relay is tried; without, the policy is notified of the
+         * failure and subscribes again, or, where lists are pushed, this manager does so after a backoff.
+         */
         private void resubscribe(DiscoveryFailure failure, long retryAfterMillis) {
             session.callFailed(failure);
             boolean wasCurrent = current == this;
--- a/policy/src/main/java/topazvalve/policy/AttemptState.java
+++ b/policy/src/main/java/topazvalve/policy/AttemptState.java
@@ -7,7 +7,7 @@
     final double loadWhenSent; // as last reported
     long startedAt; // when the endpoint had the complete request; from then on the attempt is in flight
     int inFlightBefore;
-    boolean inFlight;
+    boolean started;
     boolean settled;
     boolean countedInTotal; // by ConcurrencyLimiter
     boolean openStream;
--- a/policy/src/main/java/topazvalve/policy/AttemptTracker.java
+++ b/policy/src/main/java/topazvalve/policy/AttemptTracker.java
@@ -52,7 +52,7 @@
     private void startAttempt(long now, AttemptState attempt, RequestState request) {
         attempt.startedAt = now;
         attempt.inFlightBefore = attempt.endpoint.inFlight++;
-        attempt.inFlight = true;
+        attempt.started = true;
         limiter.attemptStarted(attempt);
         detector.attemptStarted(now, attempt.endpoint, request);
     }
@@ -84,7 +84,7 @@
             return;
         }
         attempt.settled = true;
-        if (attempt.inFlight) {
+        if (attempt.started) {
             attempt.endpoint.inFlight--;
             attempt.openStream = request.streaming && request.requestClass.streaming() && attempt.outstanding;
             attempt.endpoint.openStreams += attempt.openStream ? 1 : 0;
--- a/policy/src/main/java/topazvalve/policy/ConcurrencyLimiter.java
+++ b/policy/src/main/java/topazvalve/policy/ConcurrencyLimiter.java
@@ -17,7 +17,7 @@
     private final EndpointRegistry registry;
     private final ResponseTimeEstimator estimator;
     private final ArrayDeque<AttemptState> started = new ArrayDeque<>();
-    private int inFlight; // attempts until they end, or are out for the shortest objective
+    private int totalInFlight; // attempts until they end, or are out for the shortest objective
     private final DecayingSum requestedWork = new DecayingSum(0); // of all requests that arrived
     private final DecayingSum requestedTime = new DecayingSum(0); // good response times of the requests that arrived
     private final DecayingSum relativeTimes = new DecayingSum(0); // response times in multiples of a good one
@@ -66,11 +66,11 @@
             release(started.poll());
         }
         double limit = 1 + goodInFlight + Math.sqrt(goodInFlight);
-        return inFlight >= limit * (hasHighPriority(request) ? 1 : UNRESERVED_FRACTION);
+        return totalInFlight >= limit * (isNotOutranked(request) ? 1 : UNRESERVED_FRACTION);
     }
 
     /** Whether no class has a far higher priority weight for the time that it takes. */
-    boolean hasHighPriority(RequestState request) {
+    boolean isNotOutranked(RequestState request) {
         double own = PRIORITY_TOLERANCE * priority(request.request.requestClass());
         boolean outranked = false;
         for (int i = 0; i < context.settings().requestClasses().size(); i++) {
@@ -87,11 +87,11 @@
     void attemptStarted(AttemptState attempt) {
         started.add(attempt);
         attempt.countedInTotal = true;
-        inFlight++;
+        totalInFlight++;
     }
 
     private void release(AttemptState attempt) {
-        inFlight -= attempt.countedInTotal ? 1 : 0;
+        totalInFlight -= attempt.countedInTotal ? 1 : 0;
         attempt.countedInTotal = false;
     }
 
@@ -103,7 +103,7 @@
         boolean early = now <= request.objectiveAt;
         attempts.add(now, outcome.withdrawn() && early ? 0 : 1);
         attemptsInTime.add(now, outcome == Outcome.OK && early ? 1 : 0);
-        if (!attempt.inFlight) {
+        if (!attempt.started) {
             return;
         }
         long responseTime = now - attempt.startedAt;
--- a/policy/src/main/java/topazvalve/policy/OutlierDetector.java
+++ b/policy/src/main/java/topazvalve/policy/OutlierDetector.java
@@ -7,11 +7,11 @@
     private static final double MAX_SLOWDOWN = 2; // machines of one fleet differ about twofold from their mean
     private static final double SLOW_KIND_EXPONENT = 4;
     private static final double MIN_TURNS = 0.1; // so that the evidence is checked again
-    private static final int BELIEVED_HEALTH_CHECKS = 6; // one in so many: a server may not know health checks
+    private static final int BELIEVED_HEALTH_CHECKS = 6; // one in so many unanswered: a server may not know them
 
     /** Evidence about one endpoint; its exposure is waiting time in multiples of the expected time. */
     static final class Evidence {
-        private double load;
+        private double rate; // of exposure: sum of 1 / expected time over the attempts in flight
         private long integratedAt;
         private double exposure;
         private double responses;
@@ -19,17 +19,17 @@
         private long nextTrialAt; // 0 if not ejected
         private long backoff;
         private boolean healthCheckOutstanding;
-        private boolean healthy; // the last health check was answered, and no request has followed it
+        private boolean trialAllowed; // a health check or trial succeeded, and no request followed it
         private int unansweredHealthChecks;
 
         private void integrate(long now) {
-            exposure += load * (now - integratedAt);
+            exposure += rate * (now - integratedAt);
             integratedAt = now;
         }
 
         /** How many times slower than expected it answers; two responses at {@code assumed} are added. */
         private double slowdown(long now, double assumed) {
-            return (exposure + load * (now - integratedAt) + 2 * assumed) / (responses + 2);
+            return (exposure + rate * (now - integratedAt) + 2 * assumed) / (responses + 2);
         }
 
         private boolean isOutlier(long now, double expected, double objective) {
@@ -39,7 +39,7 @@
         }
 
         private void addResponse(boolean fast) {
-            double kept = fast || nextTrialAt > 0 ? 0.5 : 0.9;
+            double kept = fast || nextTrialAt > 0 ? 0.5 : 0.9; // less of what a trial or a fast response contradicts
             exposure *= kept;
             responses = responses * kept + 1;
             connectFailures = 0;
@@ -58,7 +58,7 @@
         evidence.integrate(now);
         if (!evidence.isOutlier(now, request.expectedTime, request.objective)) {
             evidence.nextTrialAt = 0;
-            evidence.healthy = false;
+            evidence.trialAllowed = false;
             return true;
         }
         if (evidence.nextTrialAt == 0) {
@@ -70,7 +70,7 @@
 
     private boolean passedHealthCheck(EndpointState endpoint) {
         boolean required = context.settings().capabilities().healthChecks();
-        boolean passed = endpoint.evidence.healthy || !required;
+        boolean passed = endpoint.evidence.trialAllowed || !required;
         if (!passed && !endpoint.evidence.healthCheckOutstanding) {
             endpoint.evidence.healthCheckOutstanding = true;
             context.actions().sendHealthCheck(endpoint.info.id());
@@ -88,7 +88,7 @@
     }
 
     private void extendBackoff(long now, Evidence evidence) {
-        evidence.healthy = false;
+        evidence.trialAllowed = false;
         evidence.backoff = Math.min(evidence.backoff * 2, estimator.shortestObjective() * 8);
         evidence.nextTrialAt = now + evidence.backoff;
     }
@@ -101,14 +101,14 @@
 
     void attemptStarted(long now, EndpointState endpoint, RequestState request) {
         endpoint.evidence.integrate(now);
-        endpoint.evidence.load += 1 / request.expectedTime;
+        endpoint.evidence.rate += 1 / request.expectedTime;
     }
 
     void attemptCompleted(long now, AttemptState attempt, LoadBalancer.Outcome outcome, RequestState request) {
         Evidence evidence = attempt.endpoint.evidence;
         evidence.integrate(now);
-        if (attempt.inFlight) {
-            evidence.load = attempt.endpoint.inFlight == 0 ? 0 : Math.max(0, evidence.load - 1 / request.expectedTime);
+        if (attempt.started) {
+            evidence.rate = attempt.endpoint.inFlight == 0 ? 0 : Math.max(0, evidence.rate - 1 / request.expectedTime);
         }
         switch (outcome) {
             case OK -> {
@@ -116,7 +116,7 @@
                 estimator.responseReceived(attempt.endpoint, request, responseTime);
                 evidence.addResponse(responseTime / request.expectedTime < evidence.slowdown(now, 1) / 2);
                 if (evidence.nextTrialAt > 0 && responseTime < request.objective) {
-                    evidence.healthy = true; // a successful trial: the next may follow at once
+                    evidence.trialAllowed = true; // a successful trial: the next may follow at once
                     evidence.nextTrialAt = now;
                     evidence.backoff = estimator.shortestObjective();
                 }
@@ -126,7 +126,7 @@
                 evidence.exposure += 2 * request.objective / request.expectedTime;
             }
             case CONNECT_FAILED -> evidence.connectFailures++;
-            default -> {}
+            default -> {} // a timeout shows in the exposure; a rejection in the concurrency limit
         }
     }
 
@@ -134,8 +134,8 @@
         Evidence evidence = endpoint.evidence;
         if (evidence.healthCheckOutstanding) {
             evidence.healthCheckOutstanding = false;
-            evidence.healthy = answered || ++evidence.unansweredHealthChecks % BELIEVED_HEALTH_CHECKS == 0;
-            if (!evidence.healthy) {
+            evidence.trialAllowed = answered || ++evidence.unansweredHealthChecks % BELIEVED_HEALTH_CHECKS == 0;
+            if (!evidence.trialAllowed) {
                 extendBackoff(now, evidence);
             }
         }
--- a/policy/src/main/java/topazvalve/policy/TenantQuota.java
+++ b/policy/src/main/java/topazvalve/policy/TenantQuota.java
@@ -80,7 +80,7 @@
     /** The newest request or, where there is no capacity for it, the newest of high priority. */
     private RequestState next(long now, Tenant tenant) {
         RequestState newest = tenant.queue.peek();
-        Predicate<RequestState> fits = limiter::hasHighPriority;
+        Predicate<RequestState> fits = limiter::isNotOutranked;
         fits = newest.queued && limiter.isFull(now, newest) ? fits : any -> true;
         return tenant.queue.stream().filter(fits).findFirst().orElse(newest);
     }
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/ClientConnection.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/ClientConnection.java
@@ -123,7 +123,7 @@
             return;
         }
         if (state == ConnectionState.READING_REQUEST || state == ConnectionState.AWAITING_RESPONSE) {
-            reject(new InvalidRequestException(HttpResponseStatus.REQUEST_TIMEOUT, "no whole request in time"));
+            rejectInvalid(new InvalidRequestException(HttpResponseStatus.REQUEST_TIMEOUT, "no whole request in time"));
         } else {
             channel.close();
         }
@@ -180,7 +180,7 @@
         if (message.decoderResult().isFailure()) {
             HttpResponseStatus status =
                     LocalResponses.decoderFailureStatus(message.decoderResult().cause());
-            reject(new InvalidRequestException(status, "malformed request"));
+            rejectInvalid(new InvalidRequestException(status, "malformed request"));
             return;
         }
         if (message instanceof HttpRequest head) {
@@ -201,7 +201,7 @@
         try {
             pendingRequest = requestReader.read(head, body);
         } catch (InvalidRequestException e) {
-            reject(e);
+            rejectInvalid(e);
             return;
         }
         if (pendingRequest != null) {
@@ -223,7 +223,7 @@
         }
         requestIdReserved = frontend.reserveRequestId(requestId);
         if (!requestIdReserved) {
-            reject(new InvalidRequestException(HttpResponseStatus.CONFLICT, "Req-Id in use"));
+            rejectInvalid(new InvalidRequestException(HttpResponseStatus.CONFLICT, "Req-Id in use"));
             return;
         }
         submit(pendingRequest.withTimeoutAtMost(lifecycle.maxRequestTimeoutNanos()));
@@ -342,12 +342,16 @@
     // Ends
 
     /** Answers with the fault, closes, and ends the submitted request if there is one. */
-    void reject(InvalidRequestException fault) {
+    void rejectInvalid(InvalidRequestException fault) {
         endExchange(LocalResponses.plainText(fault.status(), fault.getMessage()));
     }
 
     /** Handles that far more was pipelined than can be held; a response that has begun is still completed. */
     void pipelineFlooded() {
+        failAwaitedResponse();
+    }
+
+    private void failAwaitedResponse() {
         updateAutoRead();
         if (state == ConnectionState.AWAITING_RESPONSE) {
             endExchange(LocalResponses.failed());
@@ -358,7 +362,7 @@
     void pipelineEnded() {
         if (state == ConnectionState.AWAITING_RESPONSE) {
             // The rest of its body was dropped.
-            pipelineFlooded();
+            failAwaitedResponse();
         } else if (state == ConnectionState.IDLE || state == ConnectionState.READING_REQUEST) {
             linger(channel.writeAndFlush(Unpooled.EMPTY_BUFFER));
         }
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/LocalResponses.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/LocalResponses.java
@@ -32,7 +32,8 @@
     }
 
     /**
-     * Returns 503 for a request that did not run at a server, so that a retry is harmless.
+     * Returns 503 for a request that the client may retry without harm: it did not run, or running it again changes
+     * nothing.
      *
      * @param retryAfterNanos the wait before a retry, which the policy derives from the class and the settings, not
      *     from a server's header; sent as {@code Retry-After} in seconds, rounded up to milliseconds; 0 omits it
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/RequestBodyReceiver.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/RequestBodyReceiver.java
@@ -49,7 +49,7 @@
     void receive(HttpContent content) {
         connection.recordActivity();
         if (body.receivedBytes() + content.content().readableBytes() > RequestReader.MAX_BODY_BYTES) {
-            connection.reject(RequestReader.bodyTooLarge());
+            connection.rejectInvalid(RequestReader.bodyTooLarge());
             return;
         }
         boolean isLast = content instanceof LastHttpContent;
