--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/EndpointView.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/EndpointView.java
@@ -2,108 +2,123 @@
 
 import java.util.BitSet;
 import java.util.List;
+import java.util.function.Consumer;
 import topazvalve.core.endpoint.Endpoint;
-import topazvalve.hollowfleet.truth.ChangeHistory;
-import topazvalve.hollowfleet.truth.Names;
+import topazvalve.hollowfleet.history.ChangeHistory;
+import topazvalve.hollowfleet.history.ServerNames;
+import topazvalve.hollowfleet.oracle.EntryReplacement;
 import topazvalve.policy.LoadBalancer.EndpointStatus;
 import topazvalve.policy.LoadBalancer.UpdateKind;
 
 /**
- * The list that one instance has in force, in four bytes a server: the number of the change that its entry
- * came from, and its state. Tells the oracle of every entry that takes the place of another. On one loop.
+ * The endpoint list that one sidecar has in force, in four bytes for each server: the number of the change that the
+ * entry came from, and the status. Used on one event loop.
  */
 final class EndpointView {
-    /** What an instance's list does, one entry after the other. */
-    interface Watcher {
-        /**
-         * An entry has taken the place of another.
-         *
-         * @param before the change that was in force; 0 if none was
-         * @param now the change that is
-         * @param had the state that was in force
-         * @param has the state that is
-         */
-        void replaced(int server, int before, EndpointStatus had, int now, EndpointStatus has);
-    }
-
-    private static final int STATE_BITS = 2;
-    private static final int STATE_MASK = 3;
-    private static final EndpointStatus[] STATES = EndpointStatus.values();
+    private static final int STATUS_BITS = 2;
+    private static final int STATUS_MASK = (1 << STATUS_BITS) - 1;
+    private static final EndpointStatus[] STATUSES = EndpointStatus.values();
+    private static final int NO_CHANGE = 0;
 
-    private final ChangeHistory truth;
+    private final ChangeHistory history;
     private final int[] entries;
-    private int present;
+    private int listedCount;
 
-    EndpointView(ChangeHistory truth) {
-        this.truth = truth;
-        this.entries = new int[truth.servers()];
+    /** Creates a view in which no server is listed. */
+    EndpointView(ChangeHistory history) {
+        this.history = history;
+        this.entries = new int[history.serverCount()];
     }
 
-    /** What was known before a start is in force, and nothing else; nobody is told. */
-    void set(Known known) {
-        present = 0;
+    /** Replaces the view by what a sidecar knows when it starts; this counts as no replacement of entries. */
+    void reset(InitialEndpointList initialList) {
+        listedCount = 0;
         for (int server = 0; server < entries.length; server++) {
-            int change = known.change(server);
-            entries[server] =
-                    change == 0 ? 0 : change << STATE_BITS | truth.state(change).ordinal();
-            present += state(server) == EndpointStatus.REMOVED ? 0 : 1;
+            int change = initialList.change(server);
+            entries[server] = change == NO_CHANGE ? 0 : pack(change, history.status(change));
+            if (isListed(status(server))) {
+                listedCount++;
+            }
         }
     }
 
-    /** Takes a list or a change of it over. */
-    void take(UpdateKind kind, List<Endpoint> targets, Watcher watcher) {
-        BitSet named = kind == UpdateKind.FULL ? new BitSet(entries.length) : null;
-        for (Endpoint each : targets) {
-            int server = Names.number(each.uid());
-            if (server < 0 || server >= entries.length) {
-                continue;
-            }
-            if (named != null) {
-                named.set(server);
-            }
-            if (each.status() == EndpointStatus.REMOVED && each.cell() == 0) {
-                // Who passes lists on and hears that a server is not in one knows no more of it.
-                gone(server, watcher);
-            } else {
-                put(server, each.cell(), each.status(), watcher);
+    private static int pack(int change, EndpointStatus status) {
+        return change << STATUS_BITS | status.ordinal();
+    }
+
+    private static boolean isListed(EndpointStatus status) {
+        return status != EndpointStatus.REMOVED;
+    }
+
+    /**
+     * Applies an update of the endpoint list. Endpoints with unknown names are ignored.
+     *
+     * @param listener receives each replacement of an entry by a different one
+     */
+    void apply(UpdateKind kind, List<Endpoint> endpoints, Consumer<EntryReplacement> listener) {
+        BitSet updatedServers = new BitSet(entries.length);
+        for (Endpoint endpoint : endpoints) {
+            int server = ServerNames.numberOf(endpoint.uid());
+            if (server >= 0 && server < entries.length) {
+                updatedServers.set(server);
+                applyEndpoint(server, endpoint, listener);
             }
         }
-        if (named != null) {
-            for (int server = named.nextClearBit(0); server < entries.length; server = named.nextClearBit(server + 1)) {
-                gone(server, watcher);
-            }
+        if (kind == UpdateKind.FULL) {
+            removeAllExcept(updatedServers, listener);
+        }
+    }
+
+    private void applyEndpoint(int server, Endpoint endpoint, Consumer<EntryReplacement> listener) {
+        // A relay that finds a server missing in a list knows no change that removed it.
+        boolean removedWithoutChange = endpoint.status() == EndpointStatus.REMOVED && endpoint.cell() == NO_CHANGE;
+        if (removedWithoutChange) {
+            remove(server, listener);
+        } else {
+            replace(server, endpoint.cell(), endpoint.status(), listener);
+        }
+    }
+
+    private void removeAllExcept(BitSet keptServers, Consumer<EntryReplacement> listener) {
+        int server = keptServers.nextClearBit(0);
+        while (server < entries.length) {
+            remove(server, listener);
+            server = keptServers.nextClearBit(server + 1);
         }
     }
 
-    /** What a whole list leaves out is gone; by the newest change, if that says so. */
-    private void gone(int server, Watcher watcher) {
-        int latest = truth.latest(server);
-        boolean said = latest > change(server) && truth.state(latest) == EndpointStatus.REMOVED;
-        put(server, said ? latest : change(server), EndpointStatus.REMOVED, watcher);
+    /** Removes a server by its latest change if that says so, otherwise by the change in force. */
+    private void remove(int server, Consumer<EntryReplacement> listener) {
+        int latestChange = history.latestChange(server);
+        int currentChange = change(server);
+        boolean removedByLatest =
+                latestChange > currentChange && history.status(latestChange) == EndpointStatus.REMOVED;
+        replace(server, removedByLatest ? latestChange : currentChange, EndpointStatus.REMOVED, listener);
     }
 
-    private void put(int server, int change, EndpointStatus state, Watcher watcher) {
-        int before = change(server);
-        EndpointStatus had = state(server);
-        present += (state == EndpointStatus.REMOVED ? 0 : 1) - (had == EndpointStatus.REMOVED ? 0 : 1);
-        entries[server] = change << STATE_BITS | state.ordinal();
-        if (before != change || had != state) {
-            watcher.replaced(server, before, had, change, state);
+    private void replace(int server, int change, EndpointStatus status, Consumer<EntryReplacement> listener) {
+        int oldChange = change(server);
+        EndpointStatus oldStatus = status(server);
+        if (oldChange == change && oldStatus == status) {
+            return;
         }
+        listedCount += (isListed(status) ? 1 : 0) - (isListed(oldStatus) ? 1 : 0);
+        entries[server] = pack(change, status);
+        listener.accept(new EntryReplacement(server, oldChange, oldStatus, change, status));
     }
 
-    /** The change that a server's entry came from; 0 if there is none. */
+    /** Returns the change that a server's entry came from; 0 if there is none. */
     int change(int server) {
-        return entries[server] >>> STATE_BITS;
+        return entries[server] >>> STATUS_BITS;
     }
 
-    /** The state in force; gone where there is no entry. */
-    EndpointStatus state(int server) {
-        return STATES[entries[server] & STATE_MASK];
+    /** Returns a server's status; removed if it is not listed. */
+    EndpointStatus status(int server) {
+        return STATUSES[entries[server] & STATUS_MASK];
     }
 
-    /** How many servers are listed that are not gone. */
-    int present() {
-        return present;
+    /** Returns the number of servers that are listed and not removed. */
+    int listedCount() {
+        return listedCount;
     }
 }
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/HollowFleet.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/HollowFleet.java
@@ -11,78 +11,63 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import java.util.function.IntFunction;
+import java.util.function.IntPredicate;
 import java.util.function.LongSupplier;
-import java.util.function.Predicate;
+import topazvalve.hollowfleet.history.ChangeHistory;
 import topazvalve.hollowfleet.oracle.FleetOracle;
-import topazvalve.hollowfleet.truth.ChangeHistory;
 import topazvalve.policy.SettingsReader;
 
 /**
- * All hollow sidecars of a run, spread over some loops. Its methods are for one thread that is none of them:
- * each has the work done on the loops and waits for it.
+ * All hollow sidecars of a run, spread over some event loops. The methods are for one thread that is none of these
+ * loops'.
  */
 public final class HollowFleet {
-    private static final SettingsReader OPTIONS = new SettingsReader(String.join(
-            "\n",
-            "discovery=subscribe",
-            "quantum=5000000",
-            "caps.tryLimit=4",
-            "caps.connectTimeout=200000000",
-            "caps.connIdle=5000000000",
-            "rules.answerSlack=20000000",
-            "rules.stopSendingWithin=500000000",
-            "rules.coldShare=0.39",
-            "rules.rampTime=7400000000",
-            "rules.overloadFactor=4.0",
-            "rules.tipAfter=3000000000",
-            "rules.askWithin=10000000000",
-            "profiles.count=1",
-            "profiles.0.name=hollow",
-            "profiles.0.slo=400000000",
-            "profiles.0.deadline=1000000000",
-            "profiles.0.semantics=repeatable"));
-
-    private final List<LoopMonitor> sides = new ArrayList<>();
-    private final List<HollowSidecar> instances = new ArrayList<>();
-    private final List<Long> threads = new ArrayList<>();
+    private static final long SEED_FACTOR = 31;
+    private static final long START_SEED_STEP = 1_000_003;
+
+    private final List<LoopMonitor> monitors = new ArrayList<>();
+    private final List<HollowSidecar> sidecars = new ArrayList<>();
+    private final List<Long> threadIds = new ArrayList<>();
     private final long seed;
     private long starts;
 
-    /** Who serves an instance, and which source's servers it is owed. */
-    public record Place(int zone, int source, Targets targets) {}
-
     /**
-     * Makes {@code count} instances, none of them alive.
+     * Creates sidecars that are down.
      *
-     * @param lists how many lists there are: an instance is owed every so-manyth server, by its source
+     * @param loops the event loops to use
+     * @param count the number of sidecars
+     * @param placements the placement of each sidecar by its number
+     * @param history all changes; those that it has now are not measured
+     * @param clock nanoseconds, the clock of {@code history}
+     * @param listCount the number of endpoint lists; servers are assigned to them in turn
+     * @param seed the seed of all sidecars' random decisions
      */
     public HollowFleet(
             List<EventLoop> loops,
             int count,
-            IntFunction<Place> places,
-            ChangeHistory truth,
+            IntFunction<Placement> placements,
+            ChangeHistory history,
             FleetOracle oracle,
             LongSupplier clock,
-            int lists,
+            int listCount,
             long seed) {
         this.seed = seed;
+        SettingsReader settings = HollowSettings.reader();
         for (EventLoop loop : loops) {
-            LoopMonitor side = new LoopMonitor(loop, truth, oracle, clock, lists, truth.count());
-            sides.add(side);
-            threads.add(wait(loop.submit(() -> Thread.currentThread().getId())));
+            monitors.add(new LoopMonitor(loop, history, oracle, clock, listCount, history.changeCount()));
+            threadIds.add(await(loop.submit(() -> Thread.currentThread().getId())));
         }
         for (int i = 0; i < count; i++) {
-            LoopMonitor side = sides.get(i % sides.size());
-            Place place = places.apply(i);
-            HollowSidecar made = new HollowSidecar(
-                    i, place.zone, place.source, side.loop(), place.targets, OPTIONS, clock, truth, side.observer());
-            side.add(made);
-            instances.add(made);
+            LoopMonitor monitor = monitors.get(i % monitors.size());
+            HollowSidecar sidecar =
+                    new HollowSidecar(i, placements.apply(i), monitor.loop(), settings, clock, history, monitor);
+            monitor.add(sidecar);
+            sidecars.add(sidecar);
         }
-        sides.forEach(each -> wait(each.loop().submit(each::begin)));
+        monitors.forEach(monitor -> await(monitor.loop().submit(monitor::start)));
     }
 
-    private static <T> T wait(Future<T> future) {
+    private static <T> T await(Future<T> future) {
         try {
             return future.get();
         } catch (InterruptedException e) {
@@ -93,81 +78,93 @@
         }
     }
 
-    private <T> List<T> onLoops(Function<LoopMonitor, T> work) {
-        List<Future<T>> all = new ArrayList<>();
-        for (LoopMonitor each : sides) {
-            all.add(each.loop().submit((Callable<T>) () -> work.apply(each)));
+    /** Runs a task on each event loop and waits for the results. */
+    private <T> List<T> callOnLoops(Function<LoopMonitor, T> task) {
+        List<Future<T>> results = new ArrayList<>();
+        for (LoopMonitor monitor : monitors) {
+            results.add(monitor.loop().submit((Callable<T>) () -> task.apply(monitor)));
         }
-        return all.stream().map(HollowFleet::wait).toList();
+        return results.stream().map(HollowFleet::await).toList();
+    }
+
+    private void runOnLoops(Consumer<LoopMonitor> task) {
+        callOnLoops(monitor -> {
+            task.accept(monitor);
+            return null;
+        });
     }
 
-    private void on(int instance, Consumer<HollowSidecar> work) {
-        HollowSidecar one = instances.get(instance);
-        one.loop().execute(() -> work.accept(one));
+    private void execute(int number, Consumer<HollowSidecar> task) {
+        HollowSidecar sidecar = sidecars.get(number);
+        sidecar.loop().execute(() -> task.accept(sidecar));
     }
 
+    /** Returns the number of sidecars. */
     public int size() {
-        return instances.size();
+        return sidecars.size();
     }
 
-    /** Starts an instance some time from now, with what it is to know; a new life has a new seed. */
-    public void start(int instance, Known known, long delayNanos) {
-        long life = seed * 31 + instance + ++starts * 1_000_003L;
-        HollowSidecar one = instances.get(instance);
-        one.loop().execute(one::starting);
-        one.loop().schedule(() -> one.start(life, known), delayNanos, TimeUnit.NANOSECONDS);
+    /** Starts a sidecar after a delay. Each start has a seed of its own. */
+    public void start(int number, InitialEndpointList initialList, long delayNanos) {
+        starts++;
+        long startSeed = seed * SEED_FACTOR + number + starts * START_SEED_STEP;
+        HollowSidecar sidecar = sidecars.get(number);
+        sidecar.loop().execute(sidecar::startScheduled);
+        sidecar.loop().schedule(() -> sidecar.start(startSeed, initialList), delayNanos, TimeUnit.NANOSECONDS);
     }
 
-    /** Kills an instance. */
-    public void kill(int instance) {
-        on(instance, HollowSidecar::kill);
+    /** Kills a sidecar. */
+    public void kill(int number) {
+        execute(number, HollowSidecar::kill);
     }
 
-    /** From now on an instance reads what comes, or does not; while it does not, nothing is owed to it. */
-    public void reading(int instance, boolean on) {
-        on(instance, one -> {
-            one.tap().reading(on);
-            one.reachable(on);
+    /** Makes a sidecar stop or continue reading; while it does not read, it does not have to follow its list. */
+    public void setReadingEnabled(int number, boolean enabled) {
+        execute(number, sidecar -> {
+            sidecar.setReadingEnabled(enabled);
+            sidecar.setSourceReachable(enabled);
         });
     }
 
-    /** Notes for the instances of some zones whether who serves them can be reached. */
-    public void reachable(Predicate<Integer> zones, boolean now) {
-        onLoops(side -> {
-            side.instances().stream().filter(each -> zones.test(each.zone())).forEach(each -> each.reachable(now));
-            return null;
+    /** Notes whether the sidecars of some zones can reach a source or a relay from now on. */
+    public void setSourceReachable(IntPredicate zones, boolean reachable) {
+        runOnLoops(monitor -> {
+            for (HollowSidecar sidecar : monitor.sidecars()) {
+                if (zones.test(sidecar.zone())) {
+                    sidecar.setSourceReachable(reachable);
+                }
+            }
         });
     }
 
-    /** How many lack some of what is true now, of those that are owed anything. */
-    public int behind() {
-        return onLoops(LoopMonitor::behind).stream().mapToInt(Integer::intValue).sum();
+    /** Returns the number of sidecars that are about to start or lack a change that they could have. */
+    public int countBehind() {
+        return callOnLoops(LoopMonitor::countBehind).stream()
+                .mapToInt(Integer::intValue)
+                .sum();
     }
 
-    /** The source whose servers an instance is owed. */
-    public int source(int instance) {
-        return instances.get(instance).source();
+    /** Returns the number of the endpoint list that a sidecar has to have in force. */
+    public int list(int number) {
+        return sidecars.get(number).list();
     }
 
-    /** What was measured since this was last asked. */
-    public HollowMetrics figures() {
-        HollowMetrics all = new HollowMetrics();
-        onLoops(LoopMonitor::turn).forEach(all::add);
-        return all;
+    /** Returns the metrics since this was last called. */
+    public HollowMetrics takeMetrics() {
+        HollowMetrics sum = new HollowMetrics();
+        callOnLoops(LoopMonitor::takeMetrics).forEach(sum::add);
+        return sum;
     }
 
-    /** CPU of the loops since they began, nanoseconds; what the collector took is not in it. */
-    public long cpu() {
-        return threads.stream()
-                .mapToLong(each -> ManagementFactory.getThreadMXBean().getThreadCpuTime(each))
+    /** Returns the CPU time of the event loops since their start, in nanoseconds; garbage collection is not in it. */
+    public long cpuNanos() {
+        return threadIds.stream()
+                .mapToLong(id -> ManagementFactory.getThreadMXBean().getThreadCpuTime(id))
                 .sum();
     }
 
-    /** Ends all. */
+    /** Kills all sidecars. */
     public void close() {
-        onLoops(side -> {
-            side.instances().forEach(HollowSidecar::kill);
-            return null;
-        });
+        runOnLoops(monitor -> monitor.sidecars().forEach(HollowSidecar::kill));
     }
 }
--- /dev/null
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/HollowIncarnation.java
@@ -0,0 +1,135 @@
+package topazvalve.hollowfleet.hollow;
+
+import io.netty.channel.EventLoop;
+import java.util.List;
+import topazvalve.core.classes.ClassTable;
+import topazvalve.core.endpoint.Endpoint;
+import topazvalve.core.endpoint.EndpointDiscovery;
+import topazvalve.core.exchange.ExchangeManager;
+import topazvalve.core.metrics.Metrics;
+import topazvalve.core.time.EventLoopScheduler;
+import topazvalve.core.time.Scheduler;
+import topazvalve.discovery.client.DiscoveryClient;
+import topazvalve.discovery.client.EndpointUpdate;
+import topazvalve.discovery.client.RelaySelector;
+import topazvalve.hollowfleet.history.ServerNames;
+import topazvalve.policy.LoadBalancer.UpdateKind;
+import topazvalve.policy.SettingsReader;
+import topazvalve.policy.SidecarPolicy;
+
+/**
+ * One incarnation of a hollow sidecar, from its start to its end: the sidecar's own discovery client and policy.
+ * The policy decides when to watch, fetch and back off; it receives only the first endpoints of each list, so that
+ * thousands of sidecars fit into a process. Timers and responses after the end have no effect. Used on one event
+ * loop.
+ */
+final class HollowIncarnation implements EndpointDiscovery, EndpointDiscovery.Listener {
+    private static final int CORES = 1;
+
+    private final InitialEndpointList initialList;
+    private final EndpointDiscovery.Listener listener;
+    private final ExchangeManager<Object, Object> exchanges;
+    private final DiscoveryClient discovery;
+    private boolean ended;
+
+    /** A scheduler whose timers have no effect after the end of the incarnation. */
+    private final class IncarnationScheduler implements Scheduler {
+        private final Scheduler loopScheduler;
+
+        IncarnationScheduler(EventLoop loop) {
+            loopScheduler = new EventLoopScheduler(loop);
+        }
+
+        @Override
+        public long now() {
+            return loopScheduler.now();
+        }
+
+        @Override
+        public Timer schedule(long delayNanos, Runnable action) {
+            return loopScheduler.schedule(delayNanos, () -> {
+                if (!ended) {
+                    action.run();
+                }
+            });
+        }
+    }
+
+    /**
+     * Creates an incarnation that has not started.
+     *
+     * @param name the sidecar's name, by which it ranks its relays
+     * @param countedLoop the event loop that the discovery client uses
+     * @param listener receives the updates of the complete list
+     */
+    HollowIncarnation(
+            String name,
+            long seed,
+            EventLoop loop,
+            EventLoop countedLoop,
+            DiscoveryAddresses addresses,
+            SettingsReader settings,
+            InitialEndpointList initialList,
+            EndpointDiscovery.Listener listener) {
+        this.initialList = initialList;
+        this.listener = listener;
+        exchanges = new ExchangeManager<>(
+                new IncarnationScheduler(loop),
+                settings,
+                (policySettings, actions) -> new SidecarPolicy(policySettings, seed, actions),
+                new UnusedBackend(),
+                CORES,
+                new Metrics(),
+                new ClassTable());
+        discovery = new DiscoveryClient(
+                countedLoop,
+                addresses.source(),
+                new EndpointUpdate(initialList.revision(), true, initialList.policyEndpoints(), initialList.versions()),
+                null,
+                RelaySelector.of(name, addresses.relays(), seed),
+                this);
+    }
+
+    void start() {
+        exchanges.start(this, initialList.policyEndpoints());
+    }
+
+    void end() {
+        ended = true;
+        exchanges.stop();
+    }
+
+    @Override
+    public void endpointsUpdated(UpdateKind kind, List<Endpoint> endpoints) {
+        if (ended) {
+            return;
+        }
+        listener.endpointsUpdated(kind, endpoints);
+        exchanges.endpointsUpdated(
+                kind, endpoints.stream().filter(HollowIncarnation::isForPolicy).toList());
+    }
+
+    private static boolean isForPolicy(Endpoint endpoint) {
+        int server = ServerNames.numberOf(endpoint.uid());
+        return server >= 0 && server < HollowSidecar.POLICY_ENDPOINTS;
+    }
+
+    @Override
+    public void watch(boolean enabled) {
+        if (!ended) {
+            discovery.watch(enabled);
+        }
+    }
+
+    @Override
+    public void fetch() {
+        if (!ended) {
+            discovery.fetch();
+        }
+    }
+
+    @Override
+    public void close() {
+        discovery.close();
+    }
+}
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/HollowMetrics.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/HollowMetrics.java
@@ -2,69 +2,89 @@
 
 import org.HdrHistogram.Histogram;
 
-/** What was measured of some instances over some time; times in microseconds. */
+/** Measurements of some hollow sidecars over some time. Durations are in microseconds. */
 public final class HollowMetrics {
-    static final long LONGEST_MICROS = 3_600_000_000L;
-    private static final int DIGITS = 3;
-
-    /** From a change, or from when the source could be reached if that was later, to in force there. */
-    final Histogram changes = new Histogram(LONGEST_MICROS, DIGITS);
-    /** The same for changes made while the instance was down or its source out of reach. */
-    final Histogram caughtUp = new Histogram(LONGEST_MICROS, DIGITS);
-    /** From a start to the first answer. */
-    final Histogram answers = new Histogram(LONGEST_MICROS, DIGITS);
-    /** From a start from nothing to the whole list. */
-    final Histogram lists = new Histogram(LONGEST_MICROS, DIGITS);
-
-    long bytes;
-    long busiestSecond;
-    long busiestWindow;
-    long connections;
+    private static final long MAX_MICROS = 3_600_000_000L;
+    private static final int SIGNIFICANT_DIGITS = 3;
+    private static final long NANOS_PER_MICRO = 1_000;
+
+    private final Histogram changeMicros = new Histogram(MAX_MICROS, SIGNIFICANT_DIGITS);
+    private final Histogram catchUpMicros = new Histogram(MAX_MICROS, SIGNIFICANT_DIGITS);
+    private final Histogram firstResponseMicros = new Histogram(MAX_MICROS, SIGNIFICANT_DIGITS);
+    private final Histogram fullListMicros = new Histogram(MAX_MICROS, SIGNIFICANT_DIGITS);
+    private long bytes;
+    private long maxBytesPerSecond;
+    private long maxBytesPerWindow;
 
     void add(HollowMetrics other) {
-        changes.add(other.changes);
-        caughtUp.add(other.caughtUp);
-        answers.add(other.answers);
-        lists.add(other.lists);
+        changeMicros.add(other.changeMicros);
+        catchUpMicros.add(other.catchUpMicros);
+        firstResponseMicros.add(other.firstResponseMicros);
+        fullListMicros.add(other.fullListMicros);
         bytes += other.bytes;
-        busiestSecond = Math.max(busiestSecond, other.busiestSecond);
-        busiestWindow = Math.max(busiestWindow, other.busiestWindow);
-        connections += other.connections;
+        maxBytesPerSecond = Math.max(maxBytesPerSecond, other.maxBytesPerSecond);
+        maxBytesPerWindow = Math.max(maxBytesPerWindow, other.maxBytesPerWindow);
     }
 
-    public Histogram changes() {
-        return changes;
+    void recordChange(long nanos) {
+        record(changeMicros, nanos);
     }
 
-    public Histogram caughtUp() {
-        return caughtUp;
+    void recordCatchUp(long nanos) {
+        record(catchUpMicros, nanos);
     }
 
-    public Histogram answers() {
-        return answers;
+    void recordFirstResponse(long nanos) {
+        record(firstResponseMicros, nanos);
     }
 
-    public Histogram lists() {
-        return lists;
+    void recordFullList(long nanos) {
+        record(fullListMicros, nanos);
     }
 
-    /** Bytes that all instances read and wrote. */
-    public long bytes() {
-        return bytes;
+    private static void record(Histogram micros, long nanos) {
+        micros.recordValue(Math.max(0, Math.min(nanos / NANOS_PER_MICRO, MAX_MICROS)));
+    }
+
+    /** Records a sidecar's bytes in one second and in the window that ends with it. */
+    void recordTraffic(long bytesInSecond, long bytesInWindow) {
+        bytes += bytesInSecond;
+        maxBytesPerSecond = Math.max(maxBytesPerSecond, bytesInSecond);
+        maxBytesPerWindow = Math.max(maxBytesPerWindow, bytesInWindow);
+    }
+
+    /** Returns the times from a change, or from when its source could be reached if that was later, to in force. */
+    public Histogram changeMicros() {
+        return changeMicros;
     }
 
-    /** The most bytes that one instance had in a second. */
-    public long busiestSecond() {
-        return busiestSecond;
+    /** Returns the same for changes that were made while the sidecar was down or could not reach its source. */
+    public Histogram catchUpMicros() {
+        return catchUpMicros;
+    }
+
+    /** Returns the times from a start to the first response. */
+    public Histogram firstResponseMicros() {
+        return firstResponseMicros;
+    }
+
+    /** Returns the times from a start without a list to the complete list. */
+    public Histogram fullListMicros() {
+        return fullListMicros;
+    }
+
+    /** Returns the bytes that all sidecars read and wrote. */
+    public long bytes() {
+        return bytes;
     }
 
-    /** The most bytes that one instance had in the window that the oracle looks at. */
-    public long busiestWindow() {
-        return busiestWindow;
+    /** Returns the highest number of bytes that one sidecar read and wrote in a second. */
+    public long maxBytesPerSecond() {
+        return maxBytesPerSecond;
     }
 
-    /** Connections begun since the start of the run. */
-    public long connections() {
-        return connections;
+    /** Returns the highest number of bytes that one sidecar read and wrote in the oracle's window. */
+    public long maxBytesPerWindow() {
+        return maxBytesPerWindow;
     }
 }
--- /dev/null
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/ListChecker.java
@@ -0,0 +1,78 @@
+package topazvalve.hollowfleet.hollow;
+
+import topazvalve.hollowfleet.history.ChangeHistory;
+import topazvalve.hollowfleet.oracle.FleetOracle;
+
+/** Compares the endpoint lists of sidecars with the changes that they have to have in force. */
+final class ListChecker {
+    private final ChangeHistory history;
+    private final FleetOracle oracle;
+    private final int listCount;
+
+    ListChecker(ChangeHistory history, FleetOracle oracle, int listCount) {
+        this.history = history;
+        this.oracle = oracle;
+        this.listCount = listCount;
+    }
+
+    /**
+     * The changes that are required now, calculated once for each list that is requested.
+     */
+    final class RequiredChanges {
+        private final long nowNanos;
+        private final int[][] byList = new int[listCount][];
+
+        RequiredChanges(long nowNanos) {
+            this.nowNanos = nowNanos;
+        }
+
+        private int[] of(int list) {
+            if (byList[list] == null) {
+                byList[list] = oracle.requiredChanges(nowNanos, server -> server % listCount == list);
+            }
+            return byList[list];
+        }
+
+        /** Reports the required changes that a sidecar lacks; returns whether there are any. */
+        boolean reportMissing(HollowSidecar sidecar) {
+            int[] required = of(sidecar.list());
+            int missingCount = 0;
+            int exampleChange = 0;
+            for (int server = 0; server < required.length; server++) {
+                if (!hasInForce(sidecar, server, required[server])) {
+                    missingCount++;
+                    exampleChange = required[server];
+                }
+            }
+            if (missingCount > 0) {
+                oracle.changesMissing(sidecar.number(), exampleChange, missingCount, nowNanos);
+            }
+            return missingCount > 0;
+        }
+    }
+
+    private boolean hasInForce(HollowSidecar sidecar, int server, int requiredChange) {
+        EndpointView endpoints = sidecar.endpoints();
+        return oracle.isInForce(requiredChange, endpoints.change(server), endpoints.status(server));
+    }
+
+    /** Returns whether a sidecar is about to start, or lacks any change of its list. */
+    boolean isBehind(HollowSidecar sidecar) {
+        if (sidecar.isStartPending()) {
+            return true;
+        }
+        if (!sidecar.hasToFollow()) {
+            return false;
+        }
+        return !sidecar.hasResponse() || !sidecar.hasList() || lacksLatestChange(sidecar);
+    }
+
+    private boolean lacksLatestChange(HollowSidecar sidecar) {
+        for (int server = sidecar.list(); server < history.serverCount(); server += listCount) {
+            if (!hasInForce(sidecar, server, history.latestChange(server))) {
+                return true;
+            }
+        }
+        return false;
+    }
+}
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/LoopMonitor.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/LoopMonitor.java
@@ -5,189 +5,164 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
-import org.HdrHistogram.Histogram;
+import topazvalve.hollowfleet.history.ChangeHistory;
+import topazvalve.hollowfleet.oracle.EntryReplacement;
 import topazvalve.hollowfleet.oracle.FleetOracle;
-import topazvalve.hollowfleet.truth.ChangeHistory;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
 
 /**
- * The instances of one loop, watched from there: how long each change took to be in force, what each reads
- * and writes, and, every second, whether anything that is due is missing. On the loop alone, but for
- * {@link HollowMetrics}, which is handed out once it is no longer written.
+ * Observes the sidecars of one event loop: how long changes take to be in force, what the sidecars read and write,
+ * and once a second whether they lack a change that they have to have. Used on that event loop alone.
  */
-final class LoopMonitor {
-    private static final long LOOK_MS = 1_000;
+final class LoopMonitor implements HollowListener {
+    private static final long CHECK_INTERVAL_MILLIS = 1_000;
 
     private final EventLoop loop;
-    private final ChangeHistory truth;
+    private final ChangeHistory history;
     private final FleetOracle oracle;
     private final LongSupplier clock;
-    private final int lists;
-    private final int first;
-    private final List<HollowSidecar> instances = new ArrayList<>();
-    private final List<Meter> meters = new ArrayList<>();
-    private HollowMetrics figures = new HollowMetrics();
-    private long looks;
-
-    /** What one instance has read and written in the last seconds. */
-    private static final class Meter {
-        private final int[] seconds;
-        private long seen;
-        private long inWindow;
-        private boolean over;
-        private boolean late;
-
-        Meter(int window) {
-            seconds = new int[window];
-        }
-
-        /** Takes the bytes of the second that has ended; returns them. */
-        int take(long total, long number) {
-            int place = (int) (number % seconds.length);
-            int last = (int) Math.min(Integer.MAX_VALUE, total - seen);
-            seen = total;
-            inWindow += last - seconds[place];
-            seconds[place] = last;
-            return last;
+    private final ListChecker listChecker;
+    private final int lastInitialChange;
+    private final List<MonitoredSidecar> sidecars = new ArrayList<>();
+    private HollowMetrics metrics = new HollowMetrics();
+    private long checks;
+
+    /** A sidecar, its traffic, and which violations were reported since the metrics were last taken. */
+    private static final class MonitoredSidecar {
+        private final HollowSidecar sidecar;
+        private final TrafficMeter traffic;
+        private boolean trafficReported;
+        private boolean missingChangesReported;
+
+        MonitoredSidecar(HollowSidecar sidecar, int windowSeconds) {
+            this.sidecar = sidecar;
+            this.traffic = new TrafficMeter(windowSeconds);
         }
     }
 
     /**
-     * Watches no instance yet.
+     * Creates a monitor without sidecars.
      *
-     * @param first changes up to this one were made before anybody looked
+     * @param listCount the number of endpoint lists; servers are assigned to them in turn
+     * @param lastInitialChange the last change that was made before the run and is not measured
      */
-    LoopMonitor(EventLoop loop, ChangeHistory truth, FleetOracle oracle, LongSupplier clock, int lists, int first) {
+    LoopMonitor(
+            EventLoop loop,
+            ChangeHistory history,
+            FleetOracle oracle,
+            LongSupplier clock,
+            int listCount,
+            int lastInitialChange) {
         this.loop = loop;
-        this.truth = truth;
+        this.history = history;
         this.oracle = oracle;
         this.clock = clock;
-        this.lists = lists;
-        this.first = first;
+        this.listChecker = new ListChecker(history, oracle, listCount);
+        this.lastInitialChange = lastInitialChange;
     }
 
     EventLoop loop() {
         return loop;
     }
 
-    List<HollowSidecar> instances() {
-        return instances;
+    List<HollowSidecar> sidecars() {
+        return sidecars.stream().map(monitored -> monitored.sidecar).toList();
     }
 
-    void add(HollowSidecar instance) {
-        instances.add(instance);
-        meters.add(new Meter(oracle.allowed().windowSeconds()));
+    void add(HollowSidecar sidecar) {
+        sidecars.add(new MonitoredSidecar(sidecar, oracle.budget().windowSeconds()));
     }
 
-    /** Begins to look, once a second. */
-    void begin() {
-        loop.scheduleAtFixedRate(this::look, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+    /** Starts the checks. */
+    void start() {
+        loop.scheduleAtFixedRate(this::check, CHECK_INTERVAL_MILLIS, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** What an instance has to say; part of it is the oracle's. */
-    HollowSidecar.Observer observer() {
-        return new HollowSidecar.Observer() {
-            @Override
-            public void replaced(
-                    HollowSidecar instance, int server, int before, EndpointStatus had, int now, EndpointStatus has) {
-                long at = clock.getAsLong();
-                oracle.replaced(instance.number(), server, before, had, now, has, at);
-                if (!instance.empty()) {
-                    took(instance, before, now, at);
-                }
-            }
+    @Override
+    public void entryReplaced(HollowSidecar sidecar, EntryReplacement entry) {
+        long nowNanos = clock.getAsLong();
+        oracle.entryReplaced(sidecar.number(), entry, nowNanos);
+        if (sidecar.hasList()) {
+            recordChanges(sidecar, entry, nowNanos);
+        }
+    }
 
-            @Override
-            public void listed(HollowSidecar instance, boolean first, boolean filled) {
-                long took = clock.getAsLong() - instance.owedSince();
-                if (first) {
-                    record(figures.answers, took);
-                }
-                if (filled) {
-                    record(figures.lists, took);
-                }
-            }
-        };
+    /** Records all changes between old and new entry: the newest one replaces the others. */
+    private void recordChanges(HollowSidecar sidecar, EntryReplacement entry, long nowNanos) {
+        int lastKnownChange = Math.max(entry.oldChange(), lastInitialChange);
+        int change = entry.newChange();
+        while (change > lastKnownChange) {
+            recordChange(history.timeNanos(change), sidecar.reachableSinceNanos(), nowNanos);
+            change = history.previousChange(change);
+        }
     }
 
-    /** Every change between the two counts as in force now: the later ones have taken their place. */
-    private void took(HollowSidecar instance, int before, int now, long at) {
-        for (int change = now; change > Math.max(before, first); change = truth.before(change)) {
-            boolean waited = truth.at(change) < instance.owedSince();
-            record(waited ? figures.caughtUp : figures.changes, at - Math.max(truth.at(change), instance.owedSince()));
+    private void recordChange(long changedAtNanos, long reachableSinceNanos, long nowNanos) {
+        if (changedAtNanos < reachableSinceNanos) {
+            metrics.recordCatchUp(nowNanos - reachableSinceNanos);
+        } else {
+            metrics.recordChange(nowNanos - changedAtNanos);
         }
     }
 
-    private static void record(Histogram to, long nanos) {
-        to.recordValue(Math.max(0, Math.min(nanos / 1_000, HollowMetrics.LONGEST_MICROS)));
+    @Override
+    public void listUpdated(HollowSidecar sidecar, boolean firstResponse, boolean firstList) {
+        long nanosSinceStart = clock.getAsLong() - sidecar.reachableSinceNanos();
+        if (firstResponse) {
+            metrics.recordFirstResponse(nanosSinceStart);
+        }
+        if (firstList) {
+            metrics.recordFullList(nanosSinceStart);
+        }
     }
 
-    private void look() {
-        long now = clock.getAsLong();
-        looks++;
-        int[][] due = new int[lists][];
-        for (int i = 0; i < instances.size(); i++) {
-            HollowSidecar each = instances.get(i);
-            Meter meter = meters.get(i);
-            int bytes = meter.take(each.tap().bytes(), looks);
-            figures.bytes += bytes;
-            figures.busiestSecond = Math.max(figures.busiestSecond, bytes);
-            figures.busiestWindow = Math.max(figures.busiestWindow, meter.inWindow);
-            if (!meter.over) {
-                meter.over = oracle.bytes(each.number(), meter.inWindow, now);
-            }
-            if (each.owed() && now - each.owedSince() > oracle.allowed().late() && !meter.late) {
-                int source = each.source();
-                if (due[source] == null) {
-                    due[source] = oracle.due(now, server -> server % lists == source ? 1 : 0);
-                }
-                meter.late = late(each, due[source], now);
-            }
+    private void check() {
+        long nowNanos = clock.getAsLong();
+        checks++;
+        ListChecker.RequiredChanges requiredChanges = listChecker.new RequiredChanges(nowNanos);
+        for (MonitoredSidecar monitored : sidecars) {
+            checkTraffic(monitored, nowNanos);
+            checkList(monitored, requiredChanges, nowNanos);
         }
     }
 
-    private boolean late(HollowSidecar instance, int[] due, long now) {
-        int missing = 0;
-        int example = 0;
-        for (int server = 0; server < due.length; server++) {
-            if (!oracle.inForce(
-                    due[server], instance.held().change(server), instance.held().state(server))) {
-                missing++;
-                example = due[server];
-            }
+    private void checkTraffic(MonitoredSidecar monitored, long nowNanos) {
+        HollowSidecar sidecar = monitored.sidecar;
+        TrafficMeter traffic = monitored.traffic;
+        int bytesInSecond = traffic.secondEnded(sidecar.trafficBytes(), checks);
+        metrics.recordTraffic(bytesInSecond, traffic.bytesInWindow());
+        if (!monitored.trafficReported) {
+            monitored.trafficReported = oracle.trafficMeasured(sidecar.number(), traffic.bytesInWindow(), nowNanos);
         }
-        if (missing > 0) {
-            oracle.late(instance.number(), example, missing, now);
+    }
+
+    private void checkList(MonitoredSidecar monitored, ListChecker.RequiredChanges requiredChanges, long nowNanos) {
+        HollowSidecar sidecar = monitored.sidecar;
+        boolean reachableLongEnough =
+                nowNanos - sidecar.reachableSinceNanos() > oracle.budget().maxChangeDelayNanos();
+        if (sidecar.hasToFollow() && reachableLongEnough && !monitored.missingChangesReported) {
+            monitored.missingChangesReported = requiredChanges.reportMissing(sidecar);
         }
-        return missing > 0;
     }
 
-    /** How many lack some of what is true now and owed to them, or are to start; on the loop. */
-    int behind() {
+    /** Returns the number of sidecars that are about to start or lack a change of their list. */
+    int countBehind() {
         int behind = 0;
-        for (HollowSidecar each : instances) {
-            boolean lacks = each.isStarting() || (each.owed() && (!each.answered() || each.empty()));
-            for (int server = each.source(); !lacks && each.owed() && server < truth.servers(); server += lists) {
-                lacks = !oracle.inForce(
-                        truth.latest(server),
-                        each.held().change(server),
-                        each.held().state(server));
+        for (MonitoredSidecar monitored : sidecars) {
+            if (listChecker.isBehind(monitored.sidecar)) {
+                behind++;
             }
-            behind += lacks ? 1 : 0;
         }
         return behind;
     }
 
-    /** The figures since this was last asked; each rule may be broken anew by each instance. */
-    HollowMetrics turn() {
-        HollowMetrics done = figures;
-        done.connections =
-                instances.stream().mapToLong(each -> each.tap().connections()).sum();
-        figures = new HollowMetrics();
-        meters.forEach(each -> {
-            each.over = false;
-            each.late = false;
-        });
-        return done;
+    /** Returns the metrics since this was last called; each sidecar may violate each rule once again. */
+    HollowMetrics takeMetrics() {
+        HollowMetrics taken = metrics;
+        metrics = new HollowMetrics();
+        for (MonitoredSidecar monitored : sidecars) {
+            monitored.trafficReported = false;
+            monitored.missingChangesReported = false;
+        }
+        return taken;
     }
 }
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/TrafficCounter.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/TrafficCounter.java
@@ -14,35 +14,31 @@
 import java.util.Set;
 
 /**
- * Counts the bytes of one instance's connections, from outside: the event loop that the instance is given is
- * the real one but for the moment in which a connection is registered, when a counter is put under all that
- * the program puts there. Nothing else is changed. On one loop.
+ * Counts the bytes of one sidecar's connections without changing the sidecar. The sidecar gets a proxy of the event
+ * loop, which adds this handler below all others whenever a connection is registered. Used on one event loop.
  */
 @ChannelHandler.Sharable
 final class TrafficCounter extends ChannelDuplexHandler {
+    private static final String REGISTER_METHOD = "register";
+
     private final EventLoop loop;
     private final Set<Channel> channels = new HashSet<>();
-    private boolean reading = true;
+    private boolean readingEnabled = true;
     private long bytes;
-    private long connections;
 
     TrafficCounter(EventLoop loop) {
         this.loop = loop;
     }
 
-    /** The loop as the instance is to know it. */
-    EventLoop tapped() {
-        return (EventLoop)
-                Proxy.newProxyInstance(EventLoop.class.getClassLoader(), new Class<?>[] {EventLoop.class}, this::call);
+    /** Returns an event loop whose connections are counted. */
+    EventLoop countedLoop() {
+        return (EventLoop) Proxy.newProxyInstance(
+                EventLoop.class.getClassLoader(), new Class<?>[] {EventLoop.class}, this::invoke);
     }
 
-    private Object call(Object proxy, Method method, Object[] arguments) throws Throwable {
-        if (method.getName().equals("register") && arguments[0] instanceof Channel made) {
-            connections++;
-            channels.add(made);
-            made.closeFuture().addListener(closed -> channels.remove(made));
-            made.pipeline().addFirst(this);
-            made.config().setAutoRead(reading);
+    private Object invoke(Object proxy, Method method, Object[] arguments) throws Throwable {
+        if (method.getName().equals(REGISTER_METHOD) && arguments[0] instanceof Channel channel) {
+            count(channel);
         }
         try {
             return method.invoke(loop, arguments);
@@ -51,31 +47,39 @@
         }
     }
 
+    private void count(Channel channel) {
+        channels.add(channel);
+        channel.closeFuture().addListener(closed -> channels.remove(channel));
+        channel.pipeline().addFirst(this);
+        channel.config().setAutoRead(readingEnabled);
+    }
+
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
-        bytes += message instanceof ByteBuf read ? read.readableBytes() : 0;
+        countBytes(message);
         context.fireChannelRead(message);
     }
 
     @Override
     public void write(ChannelHandlerContext context, Object message, ChannelPromise promise) {
-        bytes += message instanceof ByteBuf written ? written.readableBytes() : 0;
+        countBytes(message);
         context.write(message, promise);
     }
 
-    /** Whether the instance's connections are read; one that does not read holds up who writes. */
-    void reading(boolean on) {
-        reading = on;
-        channels.forEach(each -> each.config().setAutoRead(on));
+    private void countBytes(Object message) {
+        if (message instanceof ByteBuf buffer) {
+            bytes += buffer.readableBytes();
+        }
+    }
+
+    /** Enables or disables reading from the sidecar's connections; without it the peer's writes are blocked. */
+    void setReadingEnabled(boolean enabled) {
+        readingEnabled = enabled;
+        channels.forEach(channel -> channel.config().setAutoRead(enabled));
     }
 
-    /** Bytes read and written so far, without what TCP and IP add. */
+    /** Returns the bytes read and written so far, without TCP and IP headers. */
     long bytes() {
         return bytes;
     }
-
-    /** Connections that were begun. */
-    long connections() {
-        return connections;
-    }
 }
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/UnusedBackend.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/UnusedBackend.java
@@ -7,7 +7,7 @@
 import topazvalve.core.stream.RequestBody;
 import topazvalve.policy.SettingsReader;
 
-/** The request path that a hollow sidecar does not have: no request comes, so nothing is ever sent. */
+/** The backend of a hollow sidecar, which has no request path: it receives no request and so sends none. */
 final class UnusedBackend implements Backend<Object, Object> {
     @Override
     public Attempt<Object, Object> startAttempt(
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/package-info.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/package-info.java
@@ -1,2 +1,2 @@
-/** Hollow sidecars: all that a sidecar does for control, on real sockets, without the request path. */
+/** Hollow sidecars: a sidecar's discovery on real sockets, without its request path. */
 package topazvalve.hollowfleet.hollow;
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/oracle/FleetOracle.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/oracle/FleetOracle.java
@@ -5,128 +5,162 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import java.util.function.IntUnaryOperator;
-import topazvalve.hollowfleet.truth.ChangeHistory;
-import topazvalve.hollowfleet.truth.Names;
+import java.util.function.IntPredicate;
+import topazvalve.hollowfleet.history.ChangeHistory;
+import topazvalve.hollowfleet.history.ServerNames;
 import topazvalve.policy.LoadBalancer.EndpointStatus;
 
 /**
- * Judges what instances have in force against what their sources had, and when. Told from many loops; all
- * times are the caller's, in nanoseconds on the clock that {@link ChangeHistory} is written by.
+ * Compares what sidecars have in force with what their sources published, and counts violations of the rules. May
+ * be called from any thread. All times are nanoseconds on the clock of the {@link ChangeHistory}.
  */
 public final class FleetOracle {
-    private static final int EXAMPLES = 5;
+    private static final int MAX_EXAMPLES_PER_RULE = 5;
+    private static final int NO_CHANGE = 0;
+    private static final double NANOS_PER_SECOND = 1e9;
 
-    private final ChangeHistory truth;
-    private final Allowed allowed;
+    private final ChangeHistory history;
+    private final FleetBudget budget;
     private final Map<Rule, Integer> counts = new EnumMap<>(Rule.class);
-    private final List<Finding> examples = new ArrayList<>();
+    private final List<Violation> examples = new ArrayList<>();
 
-    /** One thing found wrong: what, when (nanoseconds) and with whom. */
-    public record Finding(Rule rule, long at, String text) {}
-
-    public FleetOracle(ChangeHistory truth, Allowed allowed) {
-        this.truth = truth;
-        this.allowed = allowed;
+    /** Creates an oracle that has found no violation. */
+    public FleetOracle(ChangeHistory history, FleetBudget budget) {
+        this.history = history;
+        this.budget = budget;
     }
 
-    public Allowed allowed() {
-        return allowed;
+    /** Returns the limits that are checked. */
+    public FleetBudget budget() {
+        return budget;
     }
 
-    /** An entry took another's place at an instance: change {@code now} after {@code before}, 0 for none. */
-    public void replaced(
-            int instance, int server, int before, EndpointStatus had, int now, EndpointStatus has, long at) {
-        boolean said = before == 0 || truth.state(before) == EndpointStatus.READY;
-        if (now <= before && has == EndpointStatus.READY && had != EndpointStatus.READY && !said) {
-            found(
+    /** Checks the replacement of an entry in a sidecar's endpoint list. */
+    public void entryReplaced(int sidecar, EntryReplacement entry, long nowNanos) {
+        if (becameReadyWithoutChange(entry)) {
+            report(
                     Rule.RETURNED,
-                    at,
-                    "instance " + instance + ": " + Names.of(server) + " is ready by change " + now
-                            + ", which is no newer than change " + before + " that made it " + had);
-        } else if (now < before) {
-            found(
+                    nowNanos,
+                    describe(sidecar, entry) + " is ready by change " + entry.newChange()
+                            + ", which is no newer than change " + entry.oldChange() + " that made it "
+                            + entry.oldStatus());
+        } else if (entry.newChange() < entry.oldChange()) {
+            report(
                     Rule.WENT_BACK,
-                    at,
-                    "instance " + instance + ": " + Names.of(server) + " went from change " + before + " back to "
-                            + now);
+                    nowNanos,
+                    describe(sidecar, entry) + " went from change " + entry.oldChange() + " back to "
+                            + entry.newChange());
         }
     }
 
+    private static String describe(int sidecar, EntryReplacement entry) {
+        return "instance " + sidecar + ": " + ServerNames.nameOf(entry.server());
+    }
+
+    private boolean becameReadyWithoutChange(EntryReplacement entry) {
+        boolean oldChangeSaysReady =
+                entry.oldChange() == NO_CHANGE || history.status(entry.oldChange()) == EndpointStatus.READY;
+        return entry.newChange() <= entry.oldChange()
+                && entry.newStatus() == EndpointStatus.READY
+                && entry.oldStatus() != EndpointStatus.READY
+                && !oldChangeSaysReady;
+    }
+
     /**
-     * The changes that have to be in force now with everyone whose source could be reached all the while: for
-     * each server its newest one that is old enough; 0 where there is none, or where {@code owed} is not 1.
+     * Returns for each server the change that has to be in force at every sidecar that could reach its source
+     * since: the newest one that is old enough. It is 0 where there is none, and for servers that are not selected.
      */
-    public int[] due(long now, IntUnaryOperator owed) {
-        int[] due = new int[truth.servers()];
-        for (int server = 0; server < due.length; server++) {
-            due[server] = owed.applyAsInt(server) == 1 ? truth.asOf(server, now - allowed.late()) : 0;
+    public int[] requiredChanges(long nowNanos, IntPredicate serverFilter) {
+        int[] required = new int[history.serverCount()];
+        long latestNanos = nowNanos - budget.maxChangeDelayNanos();
+        for (int server = 0; server < required.length; server++) {
+            required[server] = serverFilter.test(server) ? history.latestChangeAt(server, latestNanos) : NO_CHANGE;
         }
-        return due;
+        return required;
     }
 
-    /** Whether one change that is due is in force, or a newer one of the same server. */
-    public boolean inForce(int due, int held, EndpointStatus state) {
-        return due < held || (due == held && (due == 0 || truth.state(due) == state));
+    /**
+     * Returns whether a required change or a newer one of the same server is in force.
+     *
+     * @param currentChange the change that the sidecar has
+     * @param currentStatus the status that the sidecar has
+     */
+    public boolean isInForce(int requiredChange, int currentChange, EndpointStatus currentStatus) {
+        if (requiredChange == currentChange) {
+            return requiredChange == NO_CHANGE || history.status(requiredChange) == currentStatus;
+        }
+        return requiredChange < currentChange;
     }
 
-    /** An instance lacks changes that are due; {@code missing} is one of {@code count}. */
-    public void late(int instance, int missing, int count, long at) {
-        found(
+    /**
+     * Reports that a sidecar lacks required changes.
+     *
+     * @param exampleChange one of the missing changes
+     * @param missingCount how many are missing
+     */
+    public void changesMissing(int sidecar, int exampleChange, int missingCount, long nowNanos) {
+        report(
                 Rule.CHANGE_LATE,
-                at,
+                nowNanos,
                 String.format(
                         Locale.ROOT,
                         "instance %d: change %d of %s is not in force %.1f s after it was made, %d such at once",
-                        instance,
-                        missing,
-                        Names.of(truth.server(missing)),
-                        (at - truth.at(missing)) / 1e9,
-                        count));
+                        sidecar,
+                        exampleChange,
+                        ServerNames.nameOf(history.server(exampleChange)),
+                        (nowNanos - history.timeNanos(exampleChange)) / NANOS_PER_SECOND,
+                        missingCount));
     }
 
-    /** So many calls have come in a second to one that can do {@code capacity}; 0 is unbounded. */
-    public void called(String who, int inSecond, double capacity, long at) {
-        if (capacity > 0 && inSecond == (int) capacity + 1) {
-            found(
+    /**
+     * Checks the rate of calls to a source; called for each call.
+     *
+     * @param source the source's name
+     * @param callsInSecond the calls in the current second so far
+     * @param callsPerSecond the source's capacity; 0 is unbounded
+     */
+    public void callReceived(String source, int callsInSecond, double callsPerSecond, long nowNanos) {
+        if (callsPerSecond > 0 && callsInSecond == (int) callsPerSecond + 1) {
+            report(
                     Rule.SERVING_RATE,
-                    at,
-                    who + ": " + inSecond + " calls in a second and more to come, where " + capacity + " can be done");
+                    nowNanos,
+                    source + ": " + callsInSecond + " calls in a second and more to come, where " + callsPerSecond
+                            + " can be done");
         }
     }
 
-    /** What an instance read and wrote in the seconds of the window; true if that is found wrong. */
-    public boolean bytes(int instance, long inWindow, long at) {
-        double average = inWindow / (double) allowed.windowSeconds();
-        if (average > allowed.bytesPerSecond()) {
-            found(
-                    Rule.CONTROL_BYTES,
-                    at,
-                    String.format(
-                            Locale.ROOT,
-                            "instance %d: %.0f bytes a second over %d s, where %.0f are allowed",
-                            instance,
-                            average,
-                            allowed.windowSeconds(),
-                            allowed.bytesPerSecond()));
-            return true;
+    /** Checks the bytes that a sidecar read and wrote in the window; returns whether they are too many. */
+    public boolean trafficMeasured(int sidecar, long bytesInWindow, long nowNanos) {
+        double bytesPerSecond = bytesInWindow / (double) budget.windowSeconds();
+        if (bytesPerSecond <= budget.bytesPerSecond()) {
+            return false;
         }
-        return false;
+        report(
+                Rule.CONTROL_BYTES,
+                nowNanos,
+                String.format(
+                        Locale.ROOT,
+                        "instance %d: %.0f bytes a second over %d s, where %.0f are allowed",
+                        sidecar,
+                        bytesPerSecond,
+                        budget.windowSeconds(),
+                        budget.bytesPerSecond()));
+        return true;
     }
 
-    private synchronized void found(Rule rule, long at, String text) {
-        if (counts.merge(rule, 1, Integer::sum) <= EXAMPLES) {
-            examples.add(new Finding(rule, at, text));
+    private synchronized void report(Rule rule, long nowNanos, String description) {
+        if (counts.merge(rule, 1, Integer::sum) <= MAX_EXAMPLES_PER_RULE) {
+            examples.add(new Violation(rule, nowNanos, description));
         }
     }
 
-    /** How often each rule was broken so far; rules that held are left out. */
+    /** Returns the number of violations so far of each rule that was violated. */
     public synchronized Map<Rule, Integer> counts() {
         return new EnumMap<>(counts);
     }
 
-    /** The first few findings of each rule. */
-    public synchronized List<Finding> examples() {
+    /** Returns the first violations of each rule. */
+    public synchronized List<Violation> examples() {
         return List.copyOf(examples);
     }
 }
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/oracle/Rule.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/oracle/Rule.java
@@ -1,15 +1,15 @@
 package topazvalve.hollowfleet.oracle;
 
-/** What must never happen, whatever the machine is made to suffer. */
+/** A rule that must hold under all faults. The constants' names are printed. */
 public enum Rule {
-    /** A change was not in force in time, although the source could be reached. */
+    /** A change was not in force in time although the source could be reached. */
     CHANGE_LATE,
-    /** An older version of an entry took the place of a newer one. */
+    /** An older version of an endpoint replaced a newer one. */
     WENT_BACK,
-    /** A server that was drained or gone is ready again, and the source never said so. */
+    /** A draining or removed server became ready again without a change that says so. */
     RETURNED,
-    /** More calls came in a second than the serving side can do. */
+    /** A source received more calls in a second than it has capacity for. */
     SERVING_RATE,
-    /** An instance read and wrote more for control than it may. */
+    /** A sidecar read and wrote more bytes for discovery than it may. */
     CONTROL_BYTES
 }
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/oracle/package-info.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/oracle/package-info.java
@@ -1,2 +1,2 @@
-/** The rules that spreading lists is held to, checked from outside. No clock, no socket. */
+/** Rules for the distribution of endpoint lists, checked from outside the sidecars. No clock and no I/O. */
 package topazvalve.hollowfleet.oracle;
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/EmbeddedRelays.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/EmbeddedRelays.java
@@ -12,8 +12,10 @@
 import topazvalve.relay.DiscoveryRelay;
 import topazvalve.relay.RelaySettings;
 
-/** Relays in this process, each on a loop of its own; for the short forms. */
+/** Relays in this process, each on an event loop of its own. */
 final class EmbeddedRelays implements RelayTier {
+    private static final long START_SEED_STEP = 7_919;
+
     private final MultiThreadIoEventLoopGroup group;
     private final List<EventLoop> loops;
     private final List<RelaySettings> settings = new ArrayList<>();
@@ -21,30 +23,30 @@
     private final long seed;
     private long starts;
 
-    /** Starts one of each settings; their ports may be 0. */
-    EmbeddedRelays(List<RelaySettings> wanted, long seed) {
+    /** Starts a relay for each of the settings; port 0 selects a free one. */
+    EmbeddedRelays(List<RelaySettings> relaySettings, long seed) {
         this.seed = seed;
-        group = new MultiThreadIoEventLoopGroup(wanted.size(), NioIoHandler.newFactory());
-        loops = IntStream.range(0, wanted.size())
-                .mapToObj(each -> (EventLoop) group.next())
+        group = new MultiThreadIoEventLoopGroup(relaySettings.size(), NioIoHandler.newFactory());
+        loops = IntStream.range(0, relaySettings.size())
+                .mapToObj(i -> (EventLoop) group.next())
                 .toList();
-        relays = new DiscoveryRelay[wanted.size()];
+        relays = new DiscoveryRelay[relaySettings.size()];
         for (int i = 0; i < relays.length; i++) {
-            settings.add(wanted.get(i));
+            settings.add(relaySettings.get(i));
             start(i);
-            settings.set(i, with(wanted.get(i), relays[i].address()));
+            settings.set(i, withAddress(relaySettings.get(i), relays[i].address()));
         }
     }
 
-    private static RelaySettings with(RelaySettings old, InetSocketAddress listen) {
+    private static RelaySettings withAddress(RelaySettings original, InetSocketAddress address) {
         return new RelaySettings(
-                old.name(),
-                listen,
-                old.sources(),
-                old.maxSubscribers(),
-                old.subscriberBufferBytes(),
-                old.loggedEntries(),
-                old.stallTimeoutMillis());
+                original.name(),
+                address,
+                original.sources(),
+                original.maxSubscribers(),
+                original.subscriberBufferBytes(),
+                original.loggedEntries(),
+                original.stallTimeoutMillis());
     }
 
     @Override
@@ -59,29 +61,30 @@
 
     @Override
     public void start(int relay) {
-        relays[relay] = new DiscoveryRelay(loops.get(relay), settings.get(relay), seed + 7_919 * ++starts);
+        starts++;
+        relays[relay] = new DiscoveryRelay(loops.get(relay), settings.get(relay), seed + START_SEED_STEP * starts);
         relays[relay].start().syncUninterruptibly();
     }
 
     @Override
-    public long cpu() {
+    public long cpuNanos() {
         return loops.stream()
-                .map(each -> each.submit(() -> Thread.currentThread().getId())
+                .map(loop -> loop.submit(() -> Thread.currentThread().getId())
                         .syncUninterruptibly()
                         .getNow())
-                .mapToLong(each -> ManagementFactory.getThreadMXBean().getThreadCpuTime(each))
+                .mapToLong(id -> ManagementFactory.getThreadMXBean().getThreadCpuTime(id))
                 .sum();
     }
 
     @Override
-    public long resident() {
-        return -1;
+    public long maxResidentBytes() {
+        return UNKNOWN_MEMORY;
     }
 
     @Override
     public void close() {
-        for (DiscoveryRelay each : relays) {
-            each.close().syncUninterruptibly();
+        for (DiscoveryRelay relay : relays) {
+            relay.close().syncUninterruptibly();
         }
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/FleetReport.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/FleetReport.java
@@ -4,151 +4,182 @@
 import java.util.Locale;
 import java.util.stream.Collectors;
 import org.HdrHistogram.Histogram;
+import topazvalve.hollowfleet.hollow.HollowMetrics;
+import topazvalve.hollowfleet.oracle.FleetBudget;
 import topazvalve.hollowfleet.oracle.FleetOracle;
+import topazvalve.hollowfleet.oracle.Violation;
+import topazvalve.hollowfleet.run.StageResult.ProcessLoad;
+import topazvalve.hollowfleet.run.StageResult.SourceLoad;
 import topazvalve.hollowfleet.timeline.Timeline;
 
-/** Says what came of each stage, beside what the plan allows. */
+/** Prints the results of a run, beside what the timeline allows. */
 public final class FleetReport {
-    private static final double MILLIS = 1e3;
-    /** What a sidecar may spend of a core for control. */
-    private static final double CORE_PERCENT = 2;
+    private static final double MICROS_PER_MILLI = 1e3;
+    private static final double NANOS_PER_SECOND = 1e9;
+    private static final double BYTES_PER_MB = 1e6;
+    private static final double BYTES_PER_KIB = 1024;
+    private static final double BYTES_PER_MIB = 1_048_576;
+    private static final int MIB_SHIFT = 20;
+    private static final double PERCENT = 100;
+    /** What a sidecar may use of a core for discovery. */
+    private static final double ALLOWED_CORE_PERCENT = 2;
 
     private final Timeline timeline;
     private final PrintWriter out;
 
+    /** Creates a report of a timeline's run that has printed nothing. */
     public FleetReport(Timeline timeline, PrintWriter out) {
         this.timeline = timeline;
         this.out = out;
     }
 
-    /** What is about to be played. */
+    private void print(String format, Object... arguments) {
+        out.printf(Locale.ROOT, format, arguments);
+    }
+
+    /** Prints what is about to be played. */
     public void begin(long seed) {
         Timeline.Size size = timeline.size();
-        out.printf(
-                Locale.ROOT,
-                "%s: %d hollow sidecars, %d servers, %d sources%s, %d zones in %d regions, " + "seed %d%n",
+        print(
+                "%s: %d hollow sidecars, %d servers, %d sources%s, %d zones in %d regions, seed %d%n",
                 timeline.name(),
-                size.hollow(),
+                size.hollowSidecars(),
                 size.servers(),
                 size.sources(),
-                timeline.source().capacity() == 0
-                        ? " of unbounded capacity"
-                        : String.format(
-                                Locale.ROOT,
-                                " of %.1f calls a second",
-                                timeline.source().capacity()),
+                describeCapacity(),
                 size.zones(),
                 size.regions(),
                 seed);
-        if (timeline.relays().count() > 0) {
-            out.printf(
-                    Locale.ROOT,
-                    "%d relays between them, %s%n",
-                    timeline.relays().count(),
-                    timeline.relays().processes() ? "each a process" : "in this process");
+        if (timeline.hasRelays()) {
+            String where = timeline.relays().separateProcesses() ? "each a process" : "in this process";
+            print("%d relays between them, %s%n", timeline.relays().count(), where);
         }
-        out.printf(
-                Locale.ROOT,
+        FleetBudget budget = timeline.budget();
+        print(
                 "allowed: a change in force within %.1f s; %.0f bytes a second for control "
                         + "over %d s; %.1f%% of a core%n",
-                timeline.allowed().late() / 1e9,
-                timeline.allowed().bytesPerSecond(),
-                timeline.allowed().windowSeconds(),
-                CORE_PERCENT);
+                budget.maxChangeDelayNanos() / NANOS_PER_SECOND,
+                budget.bytesPerSecond(),
+                budget.windowSeconds(),
+                ALLOWED_CORE_PERCENT);
         out.flush();
     }
 
-    /** What came of a stage. */
+    private String describeCapacity() {
+        double callsPerSecond = timeline.source().callsPerSecond();
+        return callsPerSecond == 0
+                ? " of unbounded capacity"
+                : String.format(Locale.ROOT, " of %.1f calls a second", callsPerSecond);
+    }
+
+    /** Prints the result of a stage. */
     public void stage(StageResult result) {
-        int count = timeline.size().hollow();
-        out.printf(
-                Locale.ROOT,
+        print(
                 "%n%s: %.1f s, %d changes, %d behind at its end%n",
-                result.name(),
-                result.seconds(),
-                result.made(),
-                result.behind());
-        times("change in force", result.figures().changes());
-        times("  made out of reach", result.figures().caughtUp());
-        times("start to answer", result.figures().answers());
-        times("start to whole list", result.figures().lists());
-        out.printf(
-                Locale.ROOT,
+                result.name(), result.seconds(), result.changes(), result.behind());
+        printTimes("change in force", result.hollow().changeMicros());
+        printTimes("  made out of reach", result.hollow().catchUpMicros());
+        printTimes("start to answer", result.hollow().firstResponseMicros());
+        printTimes("start to whole list", result.hollow().fullListMicros());
+        printSources(result.sources());
+        printHollowSidecar(result);
+        printPackagedSidecar(result.packaged());
+        printRelays(result.relays());
+        printCpuPressure(result.cpuPressure());
+        printViolations(result);
+        out.flush();
+    }
+
+    private void printTimes(String what, Histogram micros) {
+        if (micros.getTotalCount() == 0) {
+            return;
+        }
+        print(
+                "  %-20s median %9.1f ms  99%% %9.1f ms  last %9.1f ms  (%d)%n",
+                what,
+                micros.getValueAtPercentile(50) / MICROS_PER_MILLI,
+                micros.getValueAtPercentile(99) / MICROS_PER_MILLI,
+                micros.getMaxValue() / MICROS_PER_MILLI,
+                micros.getTotalCount());
+    }
+
+    private void printSources(SourceLoad sources) {
+        print(
                 "  sources: %d calls, %d of them refused, %d in the busiest second; %.2f MB "
                         + "sent; %.2f cores the busiest%n",
-                result.calls(),
-                result.refused(),
-                result.busiest(),
-                result.sent() / 1e6,
-                result.sourceCores());
-        out.printf(
-                Locale.ROOT,
+                sources.calls(),
+                sources.rejectedCalls(),
+                sources.maxCallsPerSecond(),
+                sources.sentBytes() / BYTES_PER_MB,
+                sources.maxCores());
+    }
+
+    private void printHollowSidecar(StageResult result) {
+        int count = timeline.size().hollowSidecars();
+        HollowMetrics hollow = result.hollow();
+        print(
                 "  a hollow one: %.0f bytes a second (busiest window %.0f, busiest second "
                         + "%d); %.3f%% of a core; heap of all %d MB%n",
-                result.figures().bytes() / result.seconds() / count,
-                result.figures().busiestWindow() / (double) timeline.allowed().windowSeconds(),
-                result.figures().busiestSecond(),
-                100 * result.hollowCores() / count,
-                result.heapMb());
-        if (result.packagedBytes() > 0) {
-            out.printf(
-                    Locale.ROOT,
+                hollow.bytes() / result.seconds() / count,
+                hollow.maxBytesPerWindow() / (double) timeline.budget().windowSeconds(),
+                hollow.maxBytesPerSecond(),
+                PERCENT * result.hollowCores() / count,
+                result.usedHeapMib());
+    }
+
+    private void printPackagedSidecar(ProcessLoad packaged) {
+        if (packaged.maxResidentBytes() > 0) {
+            print(
                     "  a packaged one: %.3f%% of a core; %.1f MB resident%n",
-                    100 * result.packagedCores(),
-                    result.packagedBytes() / 1048576.0);
+                    PERCENT * packaged.cores(), packaged.maxResidentBytes() / BYTES_PER_MIB);
         }
-        if (timeline.relays().count() > 0) {
-            out.printf(
-                    Locale.ROOT,
+    }
+
+    private void printRelays(ProcessLoad relays) {
+        if (timeline.hasRelays()) {
+            print(
                     "  relays: %.2f cores in all; the largest has %d MB%n",
-                    result.relayCores(),
-                    result.relayBytes() >> 20);
-        }
-        if (result.starved() >= 0) {
-            out.printf(
-                    Locale.ROOT,
-                    "  machine: something waited for a processor for %.0f%% of the time%n",
-                    100 * result.starved());
+                    relays.cores(), relays.maxResidentBytes() >> MIB_SHIFT);
         }
-        if (!result.found().isEmpty()) {
-            out.println("  found: "
-                    + result.found().entrySet().stream()
-                            .map(each -> each.getKey() + " " + each.getValue())
-                            .collect(Collectors.joining(", ")));
+    }
+
+    private void printCpuPressure(double cpuPressure) {
+        if (cpuPressure >= 0) {
+            print("  machine: something waited for a processor for %.0f%% of the time%n", PERCENT * cpuPressure);
         }
-        out.flush();
     }
 
-    private void times(String what, Histogram micros) {
-        if (micros.getTotalCount() > 0) {
-            out.printf(
-                    Locale.ROOT,
-                    "  %-20s median %9.1f ms  99%% %9.1f ms  last %9.1f ms  (%d)%n",
-                    what,
-                    micros.getValueAtPercentile(50) / MILLIS,
-                    micros.getValueAtPercentile(99) / MILLIS,
-                    micros.getMaxValue() / MILLIS,
-                    micros.getTotalCount());
+    private void printViolations(StageResult result) {
+        if (!result.violations().isEmpty()) {
+            out.println("  found: "
+                    + result.violations().entrySet().stream()
+                            .map(violation -> violation.getKey() + " " + violation.getValue())
+                            .collect(Collectors.joining(", ")));
         }
     }
 
-    /** The verdict, with the first few findings of each rule. */
+    /** Prints the first violations of each rule, the memory that the run uses, and the verdict. */
     public void end(FleetOracle oracle) {
         out.println();
-        for (FleetOracle.Finding each : oracle.examples()) {
-            out.printf(Locale.ROOT, "%8.1f s %s %s%n", each.at() / 1e9, each.rule(), each.text());
+        for (Violation violation : oracle.examples()) {
+            print(
+                    "%8.1f s %s %s%n",
+                    violation.timeNanos() / NANOS_PER_SECOND, violation.rule(), violation.description());
         }
+        printMemory();
+        out.println(oracle.counts().isEmpty() ? "oracle: no rule was broken" : "oracle: " + oracle.counts());
+        out.flush();
+    }
+
+    private void printMemory() {
         System.gc();
         Runtime runtime = Runtime.getRuntime();
-        double heap = runtime.totalMemory() - runtime.freeMemory();
-        out.printf(
-                Locale.ROOT,
+        double usedBytes = runtime.totalMemory() - runtime.freeMemory();
+        print(
                 "memory: %.0f MB of heap in use after a collection, %.1f KB for each hollow "
                         + "one; this process has %d MB resident%n",
-                heap / 1048576,
-                heap / 1024 / timeline.size().hollow(),
-                RelayProcesses.resident(ProcessHandle.current().pid()) >> 20);
-        out.println(oracle.counts().isEmpty() ? "oracle: no rule was broken" : "oracle: " + oracle.counts());
-        out.flush();
+                usedBytes / BYTES_PER_MIB,
+                usedBytes / BYTES_PER_KIB / timeline.size().hollowSidecars(),
+                ProcFiles.residentBytes(ProcessHandle.current().pid()) >> MIB_SHIFT);
     }
 }
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/PackagedSidecars.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/PackagedSidecars.java
@@ -13,22 +13,27 @@
 import topazvalve.simulation.process.RunLine;
 
 /**
- * Packaged sidecars that follow the same source beside the hollow ones, from nothing and without requests:
- * what the hollow ones' figures are held against. They need a built program.
+ * Packaged sidecars that follow the first source beside the hollow ones, without a known list and without requests,
+ * for comparison with the hollow ones. They need a built program.
  */
 final class PackagedSidecars implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
+
     private final List<Process> processes = new ArrayList<>();
 
-    /** Starts {@code count} by the deploy file's {@code run} line under {@code home}. */
-    PackagedSidecars(Path home, int count, InetSocketAddress source) {
+    /**
+     * Starts sidecars by the deploy file's {@code run} line.
+     *
+     * @param repositoryRoot where the packaged program is
+     */
+    PackagedSidecars(Path repositoryRoot, int count, InetSocketAddress source) {
         try {
-            Path folder = Files.createTempDirectory("topazvalve-fleet");
+            Path workFolder = Files.createTempDirectory("topazvalve-fleet");
             for (int i = 0; i < count; i++) {
-                Path file = folder.resolve("p" + i + ".json");
-                Files.writeString(file, config(i, source).toString());
-                processes.add(RunLine.of(home, file, List.of())
-                        .redirectOutput(folder.resolve("p" + i + ".log").toFile())
+                Path configurationFile = workFolder.resolve("p" + i + ".json");
+                Files.writeString(configurationFile, configuration(i, source).toString());
+                processes.add(RunLine.of(repositoryRoot, configurationFile, List.of())
+                        .redirectOutput(workFolder.resolve("p" + i + ".log").toFile())
                         .start());
             }
         } catch (IOException e) {
@@ -36,8 +41,8 @@
         }
     }
 
-    /** The settings that the hollow ones have. */
-    private static ObjectNode config(int number, InetSocketAddress source) throws IOException {
+    /** Returns a configuration with the policy settings of the hollow sidecars. */
+    private static ObjectNode configuration(int number, InetSocketAddress source) throws IOException {
         ObjectNode root = JSON.createObjectNode()
                 .put("name", "p" + number)
                 .put("listen", "127.0.0.1:" + RunLine.freePort())
@@ -74,18 +79,18 @@
         return processes.size();
     }
 
-    /** CPU of all since their start, nanoseconds. */
-    long cpu() {
+    /** Returns the CPU time of all sidecars since their start, in nanoseconds. */
+    long cpuNanos() {
         return processes.stream()
-                .mapToLong(each ->
-                        each.info().totalCpuDuration().orElse(Duration.ZERO).toNanos())
+                .mapToLong(process ->
+                        process.info().totalCpuDuration().orElse(Duration.ZERO).toNanos())
                 .sum();
     }
 
-    /** Resident memory of the largest, bytes; 0 if none runs. */
-    long resident() {
+    /** Returns the resident memory of the largest sidecar in bytes; 0 if none runs. */
+    long maxResidentBytes() {
         return processes.stream()
-                .mapToLong(each -> RelayProcesses.resident(each.pid()))
+                .mapToLong(process -> ProcFiles.residentBytes(process.pid()))
                 .max()
                 .orElse(0);
     }
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/Preflight.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/Preflight.java
@@ -2,87 +2,115 @@
 
 import java.io.IOException;
 import java.nio.file.Path;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
+import java.util.Optional;
+import java.util.stream.Stream;
 import topazvalve.hollowfleet.timeline.Timeline;
 import topazvalve.hollowfleet.timeline.Timeline.Size;
 
-/**
- * Whether the machine has room for a fleet: descriptors, ports, memory. What is short is told with what to
- * raise and what to shrink; nothing is changed here.
- */
+/** Checks whether the machine has enough descriptors, ports and memory for a fleet. It changes nothing. */
 public final class Preflight {
     private static final Path LIMITS = Path.of("/proc/self/limits");
-    private static final Path PORTS = Path.of("/proc/sys/net/ipv4/ip_local_port_range");
-    /** A watch has two ends in this process; while one is opened anew, the old one may still be there. */
-    private static final int ENDS = 3;
+    private static final Path PORT_RANGE = Path.of("/proc/sys/net/ipv4/ip_local_port_range");
+    private static final String OPEN_FILES_LIMIT = "Max open files";
+    private static final int SOFT_LIMIT_COLUMN = 3;
+    /** Both ends of a watch, and one more while a new watch replaces the old one. */
+    private static final int DESCRIPTORS_PER_SIDECAR = 3;
 
-    private static final int OTHERS = 300;
-    /** A call's port rests for a minute after it: a few calls an instance in that time. */
-    private static final int CALLS_A_MINUTE = 4;
+    private static final int OTHER_DESCRIPTORS = 300;
+    /** A port cannot be reused for a minute after its call; this is a sidecar's number of calls in that time. */
+    private static final int PORTS_PER_SIDECAR = 4;
 
-    private static final long ENTRY_BYTES = 160;
-    /** What one took when measured (docs/measurements.md), rounded up. */
-    private static final long HOLLOW_BYTES = 100_000;
+    private static final long PARSED_ENDPOINT_BYTES = 160;
+    /** Measured (docs/measurements.md) and rounded up. */
+    private static final long SIDECAR_BYTES = 100_000;
 
     private static final long BASE_BYTES = 200_000_000;
+    private static final int MIB_SHIFT = 20;
 
     private Preflight() {}
 
     /**
-     * What is short, in words; empty if there is room.
+     * Checks the resources of this process.
+     *
+     * @return a message for each resource that does not suffice
+     * @throws IOException if the system's limits cannot be read
+     */
+    public static List<String> check(Timeline timeline) throws IOException {
+        return check(
+                timeline,
+                ProcFiles.read(LIMITS),
+                ProcFiles.read(PORT_RANGE),
+                Runtime.getRuntime().maxMemory());
+    }
+
+    /**
+     * Checks given resources.
      *
      * @param limits the text of {@code /proc/self/limits}
-     * @param ports the text of {@code ip_local_port_range}
-     * @param heap bytes that the process may use
+     * @param portRange the text of {@code ip_local_port_range}
+     * @param maxHeapBytes the heap that the process may use
+     * @return a message for each resource that does not suffice, with what to raise and what to reduce
      */
-    static List<String> check(Timeline timeline, String limits, String ports, long heap) {
-        List<String> wanting = new ArrayList<>();
-        Size size = timeline.size();
-        long descriptors = limits.lines()
-                .filter(each -> each.startsWith("Max open files"))
+    static List<String> check(Timeline timeline, String limits, String portRange, long maxHeapBytes) {
+        return Stream.of(
+                        checkDescriptors(timeline.size(), limits),
+                        checkPorts(timeline.size(), portRange),
+                        checkMemory(timeline, maxHeapBytes))
+                .flatMap(Optional::stream)
+                .toList();
+    }
+
+    private static Optional<String> checkDescriptors(Size size, String limits) {
+        long allowed = openFilesLimit(limits);
+        long required = (long) size.hollowSidecars() * DESCRIPTORS_PER_SIDECAR + OTHER_DESCRIPTORS;
+        if (allowed >= required) {
+            return Optional.empty();
+        }
+        long possibleSidecars = Math.max(0, (allowed - OTHER_DESCRIPTORS) / DESCRIPTORS_PER_SIDECAR);
+        return Optional.of("descriptors: " + required + " wanted, " + allowed + " allowed; raise them with"
+                + " `ulimit -n " + required + "`, or set fleet.hollow = " + possibleSidecars + " or less");
+    }
+
+    private static long openFilesLimit(String limits) {
+        return limits.lines()
+                .filter(line -> line.startsWith(OPEN_FILES_LIMIT))
                 .findFirst()
-                .map(each -> each.split("\\s+")[3])
-                .filter(each -> each.matches("\\d+"))
+                .map(line -> line.split("\\s+")[SOFT_LIMIT_COLUMN])
+                .filter(limit -> limit.matches("\\d+"))
                 .map(Long::parseLong)
                 .orElse(Long.MAX_VALUE);
-        long wanted = (long) size.hollow() * ENDS + OTHERS;
-        if (descriptors < wanted) {
-            wanting.add("descriptors: " + wanted + " wanted, " + descriptors + " allowed; raise them with"
-                    + " `ulimit -n " + wanted + "`, or set fleet.hollow = "
-                    + Math.max(0, (descriptors - OTHERS) / ENDS) + " or less");
-        }
-        String[] range = ports.trim().split("\\s+");
-        long free = Long.parseLong(range[1]) - Long.parseLong(range[0]) + 1;
-        long perZone = ((long) size.hollow() / size.zones() + 1) * CALLS_A_MINUTE;
-        if (free < perZone) {
-            wanting.add("ports: " + perZone + " wanted for each listening address, " + free
-                    + " there; widen net.ipv4.ip_local_port_range, or set fleet.zones = "
-                    + ((long) size.hollow() * CALLS_A_MINUTE / free + 1)
-                    + " or more, which have an address each");
-        }
-        boolean whole = timeline.stages().stream().anyMatch(each -> each.from() == Timeline.From.NOTHING);
-        long list = size.servers() * (Integer.BYTES + (whole ? ENTRY_BYTES : 0));
-        long bytes = BASE_BYTES + size.hollow() * (HOLLOW_BYTES + list);
-        if (heap < bytes) {
-            wanting.add(String.format(
-                    Locale.ROOT,
-                    "memory: about %d MB wanted, %d MB allowed; raise it with"
-                            + " JAVA_TOOL_OPTIONS=-Xmx%dm, or shrink fleet.hollow or fleet.servers",
-                    bytes >> 20,
-                    heap >> 20,
-                    bytes >> 20));
+    }
+
+    private static Optional<String> checkPorts(Size size, String portRange) {
+        String[] bounds = portRange.trim().split("\\s+");
+        long available = Long.parseLong(bounds[1]) - Long.parseLong(bounds[0]) + 1;
+        long required = ((long) size.hollowSidecars() / size.zones() + 1) * PORTS_PER_SIDECAR;
+        if (available >= required) {
+            return Optional.empty();
         }
-        return wanting;
+        long sufficientZones = (long) size.hollowSidecars() * PORTS_PER_SIDECAR / available + 1;
+        return Optional.of("ports: " + required + " wanted for each listening address, " + available
+                + " there; widen net.ipv4.ip_local_port_range, or set fleet.zones = " + sufficientZones
+                + " or more, which have an address each");
     }
 
-    /** As {@link #check(Timeline, String, String, long)}, with what this process has. */
-    public static List<String> check(Timeline timeline) throws IOException {
-        return check(
-                timeline,
-                Machine.read(LIMITS),
-                Machine.read(PORTS),
-                Runtime.getRuntime().maxMemory());
+    private static Optional<String> checkMemory(Timeline timeline, long maxHeapBytes) {
+        Size size = timeline.size();
+        boolean receivesFullLists = timeline.stages().stream()
+                .anyMatch(stage -> stage.sidecarRestart().knowledge() == Timeline.InitialKnowledge.NOTHING);
+        long listBytes = size.servers() * (Integer.BYTES + (receivesFullLists ? PARSED_ENDPOINT_BYTES : 0));
+        long requiredBytes = BASE_BYTES + size.hollowSidecars() * (SIDECAR_BYTES + listBytes);
+        if (maxHeapBytes >= requiredBytes) {
+            return Optional.empty();
+        }
+        return Optional.of(String.format(
+                Locale.ROOT,
+                "memory: about %d MB wanted, %d MB allowed; raise it with"
+                        + " JAVA_TOOL_OPTIONS=-Xmx%dm, or shrink fleet.hollow or fleet.servers",
+                requiredBytes >> MIB_SHIFT,
+                maxHeapBytes >> MIB_SHIFT,
+                requiredBytes >> MIB_SHIFT));
     }
 }
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/RelayProcesses.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/RelayProcesses.java
@@ -4,7 +4,6 @@
 import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Duration;
@@ -16,29 +15,26 @@
 import topazvalve.relay.Main;
 import topazvalve.relay.RelaySettings;
 
-/** Relays as processes of their own, of the jars that this program runs from. */
+/** Relays in processes of their own, started from this program's class path. */
 final class RelayProcesses implements RelayTier {
-    /** What a relay of the plan's size is given: its list, its log of changes, its callers. */
+    /** Enough for a relay of the planned size. */
     private static final String HEAP = "-Xmx256m";
 
-    private static final long KB = 1_024;
+    private static final int KILL_TIMEOUT_SECONDS = 10;
 
-    private final Path folder;
+    private final Path workFolder;
     private final List<InetSocketAddress> addresses = new ArrayList<>();
     private final Process[] processes;
-    private long cpuBefore;
+    private long cpuNanosOfKilled;
 
-    /** Starts one of each settings; a port 0 becomes one that is free now. Logs go to a new folder. */
-    RelayProcesses(List<RelaySettings> wanted) {
+    /** Starts a relay for each of the settings on a free port. Its files go to a new folder. */
+    RelayProcesses(List<RelaySettings> settings) {
         try {
-            folder = Files.createTempDirectory("topazvalve-relays");
-            processes = new Process[wanted.size()];
+            workFolder = Files.createTempDirectory("topazvalve-relays");
+            processes = new Process[settings.size()];
             for (int i = 0; i < processes.length; i++) {
-                InetSocketAddress listen = wanted.get(i).listen();
-                try (ServerSocket any = new ServerSocket(0, 1, listen.getAddress())) {
-                    addresses.add(new InetSocketAddress(listen.getAddress(), any.getLocalPort()));
-                }
-                Files.writeString(file(i), toml(wanted.get(i), addresses.get(i)));
+                addresses.add(withFreePort(settings.get(i).listen()));
+                Files.writeString(settingsFile(i), toml(settings.get(i), addresses.get(i)));
                 start(i);
             }
         } catch (IOException e) {
@@ -46,30 +42,36 @@
         }
     }
 
-    private Path file(int relay) {
-        return folder.resolve("relay-" + relay + ".toml");
+    private static InetSocketAddress withFreePort(InetSocketAddress address) throws IOException {
+        try (ServerSocket socket = new ServerSocket(0, 1, address.getAddress())) {
+            return new InetSocketAddress(address.getAddress(), socket.getLocalPort());
+        }
+    }
+
+    private Path settingsFile(int relay) {
+        return workFolder.resolve("relay-" + relay + ".toml");
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String format(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
     private static String toml(RelaySettings settings, InetSocketAddress listen) {
-        StringBuilder text = new StringBuilder(String.format(
+        StringBuilder toml = new StringBuilder(String.format(
                 Locale.ROOT,
                 "name = \"%s\"%nlisten = \"%s\"%nmost_callers = %d%n",
                 settings.name(),
-                text(listen),
+                format(listen),
                 settings.maxSubscribers()));
         settings.sources()
-                .forEach(each -> text.append(String.format(
+                .forEach(source -> toml.append(String.format(
                         Locale.ROOT,
                         "[[source]]%nname = \"%s\"%naddresses = [%s]%n",
-                        each.name(),
-                        each.addresses().stream()
-                                .map(at -> '"' + text(at) + '"')
+                        source.name(),
+                        source.addresses().stream()
+                                .map(address -> '"' + format(address) + '"')
                                 .collect(Collectors.joining(", ")))));
-        return text.toString();
+        return toml.toString();
     }
 
     @Override
@@ -79,10 +81,10 @@
 
     @Override
     public void kill(int relay) {
-        cpuBefore += cpu(processes[relay]);
+        cpuNanosOfKilled += cpuNanos(processes[relay]);
         processes[relay].destroyForcibly();
         try {
-            processes[relay].waitFor(10, TimeUnit.SECONDS);
+            processes[relay].waitFor(KILL_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -100,58 +102,42 @@
                             "-cp",
                             System.getProperty("java.class.path"),
                             Main.class.getName(),
-                            file(relay).toString())
+                            settingsFile(relay).toString())
                     .redirectErrorStream(true)
                     .redirectOutput(ProcessBuilder.Redirect.appendTo(
-                            folder.resolve("relay-" + relay + ".log").toFile()))
+                            workFolder.resolve("relay-" + relay + ".log").toFile()))
                     .start();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private static long cpu(Process process) {
+    private static long cpuNanos(Process process) {
         return process.info().totalCpuDuration().orElse(Duration.ZERO).toNanos();
     }
 
     @Override
-    public long cpu() {
-        long all = cpuBefore;
-        for (Process each : processes) {
-            all += each.isAlive() ? cpu(each) : 0;
+    public long cpuNanos() {
+        long sum = cpuNanosOfKilled;
+        for (Process process : processes) {
+            sum += process.isAlive() ? cpuNanos(process) : 0;
         }
-        return all;
+        return sum;
     }
 
     @Override
-    public long resident() {
-        long most = 0;
-        for (Process each : processes) {
-            most = Math.max(most, resident(each.pid()));
-        }
-        return most;
-    }
-
-    /** Resident memory of a process, bytes; 0 for one that has ended. */
-    static long resident(long pid) {
-        try {
-            return Files.readString(Path.of("/proc/" + pid + "/status"), StandardCharsets.US_ASCII)
-                            .lines()
-                            .filter(each -> each.startsWith("VmRSS:"))
-                            .map(each -> each.replaceAll("\\D", ""))
-                            .mapToLong(Long::parseLong)
-                            .findFirst()
-                            .orElse(0)
-                    * KB;
-        } catch (IOException e) {
-            return 0;
+    public long maxResidentBytes() {
+        long max = 0;
+        for (Process process : processes) {
+            max = Math.max(max, ProcFiles.residentBytes(process.pid()));
         }
+        return max;
     }
 
     @Override
     public void close() {
-        for (Process each : processes) {
-            each.destroyForcibly();
+        for (Process process : processes) {
+            process.destroyForcibly();
         }
     }
 }
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/RelayTier.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/RelayTier.java
@@ -3,25 +3,25 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 
-/**
- * The relays of a run, between its sources and its hollow sidecars. Methods return once what they ask for
- * is under way.
- */
+/** The relays between sources and hollow sidecars. Methods return once the operation has begun. */
 interface RelayTier extends AutoCloseable {
-    /** Where each listens; stays the same over restarts. */
+    /** Returned for memory where relays share this process. */
+    long UNKNOWN_MEMORY = -1;
+
+    /** Returns where each relay listens; the addresses stay the same over restarts. */
     List<InetSocketAddress> addresses();
 
-    /** Ends a relay as a kill does. */
+    /** Ends a relay abruptly. */
     void kill(int relay);
 
-    /** Starts one that was killed. */
+    /** Starts a relay that was killed. */
     void start(int relay);
 
-    /** CPU that all have had since they began, those that were killed among them, nanoseconds. */
-    long cpu();
+    /** Returns the CPU time of all relays since the run's start, killed ones included, in nanoseconds. */
+    long cpuNanos();
 
-    /** Resident memory of the largest, bytes; -1 where they share this process. */
-    long resident();
+    /** Returns the resident memory of the largest relay in bytes, or {@link #UNKNOWN_MEMORY}. */
+    long maxResidentBytes();
 
     @Override
     void close();
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/StageResult.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/StageResult.java
@@ -5,47 +5,57 @@
 import topazvalve.hollowfleet.oracle.Rule;
 
 /**
- * What came of one stage.
+ * The result of one stage.
  *
- * @param made changes that were made
- * @param behind instances that lacked something at its end, of those that were owed it
- * @param seconds how long it took, until all had all or the wait was over
- * @param calls calls at all sources, refused ones among them
- * @param refused calls that ended in 503
- * @param busiest the most calls at one source in a second
- * @param sent bytes that all sources sent
- * @param hollowCores CPU of all hollow ones, in cores
- * @param sourceCores CPU of the busiest source's loop, in cores
- * @param relayCores CPU of all relays, in cores
- * @param relayBytes resident memory of the largest relay; -1 without processes of their own
- * @param packagedCores CPU of a packaged sidecar beside them, in cores; 0 without one
- * @param packagedBytes resident memory of the largest of those; 0 without one
- * @param heapMb the process's heap in use at the end, garbage among it
- * @param starved the part of the time in which something on this machine waited for a processor; -1 if the
- *     system does not tell
- * @param found how often each rule was broken
+ * @param name the stage's name
+ * @param changes changes that were made
+ * @param behind sidecars that lacked a change at the end although they could have it
+ * @param seconds the stage's duration, including the wait until every sidecar was up to date
+ * @param hollow measurements of the hollow sidecars
+ * @param hollowCores CPU of all hollow sidecars, in cores
+ * @param sources measurements of the sources
+ * @param relays resources of all relays; memory of the largest, -1 if they share this process
+ * @param packaged resources of a packaged sidecar; 0 if there is none
+ * @param usedHeapMib the used heap of this process at the end, garbage included
+ * @param cpuPressure the fraction of the time in which some thread of the machine waited for a processor; -1 if the
+ *     system does not measure it
+ * @param violations the number of violations of each rule that was violated
  */
 public record StageResult(
         String name,
-        int made,
-        HollowMetrics figures,
+        int changes,
         int behind,
         double seconds,
-        long calls,
-        long refused,
-        int busiest,
-        long sent,
+        HollowMetrics hollow,
         double hollowCores,
-        double sourceCores,
-        double relayCores,
-        long relayBytes,
-        double packagedCores,
-        long packagedBytes,
-        long heapMb,
-        double starved,
-        Map<Rule, Integer> found) {
-    /** Whether the oracle found nothing, and all had all. */
+        SourceLoad sources,
+        ProcessLoad relays,
+        ProcessLoad packaged,
+        long usedHeapMib,
+        double cpuPressure,
+        Map<Rule, Integer> violations) {
+
+    /**
+     * Measurements of the sources.
+     *
+     * @param calls calls at all sources, including rejected ones
+     * @param rejectedCalls calls that were rejected with status 503
+     * @param maxCallsPerSecond the highest number of calls at one source in a second
+     * @param sentBytes bytes that all sources sent
+     * @param maxCores CPU of the busiest source, in cores
+     */
+    public record SourceLoad(long calls, long rejectedCalls, int maxCallsPerSecond, long sentBytes, double maxCores) {}
+
+    /**
+     * Resources that processes used.
+     *
+     * @param cores CPU in cores
+     * @param maxResidentBytes resident memory of the largest process
+     */
+    public record ProcessLoad(double cores, long maxResidentBytes) {}
+
+    /** Returns whether no rule was violated and every sidecar was up to date. */
     public boolean clean() {
-        return found.isEmpty() && behind == 0;
+        return violations.isEmpty() && behind == 0;
     }
 }
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/package-info.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/package-info.java
@@ -1,2 +1,2 @@
-/** Plays a timeline: sources, hollow sidecars, what happens to them, and what came of it. */
+/** Runs a timeline: sets up sources, relays and hollow sidecars, applies the faults, and measures each stage. */
 package topazvalve.hollowfleet.run;
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/CallQueue.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/CallQueue.java
@@ -1,39 +1,49 @@
 package topazvalve.hollowfleet.source;
 
 /**
- * Calls in turn, as a service of bounded capacity answers them. A call takes one call's time, or as many as
- * its answer has times {@code callLines} entries. No clock: times are nanoseconds that the caller gives.
+ * A queue of calls to a service of bounded capacity, which processes them one after another. Has no clock: the
+ * caller passes the time in nanoseconds.
  */
 final class CallQueue {
-    private final double capacity;
-    private final double callLines;
-    private final long timeout;
-    private long busyUntil = Long.MIN_VALUE;
+    /** Returned for a call that is rejected. */
+    static final long REJECTED = -1;
+
+    private static final double NANOS_PER_SECOND = 1e9;
+
+    private final double callsPerSecond;
+    private final double endpointsPerCall;
+    private final long timeoutNanos;
+    private long busyUntilNanos = Long.MIN_VALUE;
 
     /**
-     * A queue with nobody in it.
+     * Creates an empty queue.
      *
-     * @param capacity calls a second; 0 is unbounded
-     * @param callLines entries that an answer may hold for the price of one call; 0 is unbounded
-     * @param timeout the longest wait, nanoseconds; who would wait longer is refused
+     * @param callsPerSecond the capacity; 0 is unbounded
+     * @param endpointsPerCall endpoints of a response that take the time of one call; 0 is unbounded
+     * @param timeoutNanos the longest wait; a call that would wait longer is rejected
      */
-    CallQueue(double capacity, double callLines, long timeout) {
-        this.capacity = capacity;
-        this.callLines = callLines;
-        this.timeout = timeout;
+    CallQueue(double callsPerSecond, double endpointsPerCall, long timeoutNanos) {
+        this.callsPerSecond = callsPerSecond;
+        this.endpointsPerCall = endpointsPerCall;
+        this.timeoutNanos = timeoutNanos;
     }
 
-    /** When a call that comes now is answered; -1 if it is refused, which takes no time of the others. */
-    long answered(long now, int entries) {
-        if (capacity == 0) {
-            return now;
+    /**
+     * Adds a call.
+     *
+     * @param endpoints the number of endpoints in its response
+     * @return when the call is answered, or {@link #REJECTED}; a rejected call takes no time
+     */
+    long add(long nowNanos, int endpoints) {
+        if (callsPerSecond == 0) {
+            return nowNanos;
         }
-        long begins = Math.max(now, busyUntil);
-        if (begins - now > timeout) {
-            return -1;
+        long startNanos = Math.max(nowNanos, busyUntilNanos);
+        if (startNanos - nowNanos > timeoutNanos) {
+            return REJECTED;
         }
-        double calls = callLines == 0 ? 1 : Math.max(1, entries / callLines);
-        busyUntil = begins + (long) (calls / capacity * 1e9);
-        return busyUntil;
+        double calls = endpointsPerCall == 0 ? 1 : Math.max(1, endpoints / endpointsPerCall);
+        busyUntilNanos = startNanos + (long) (calls / callsPerSecond * NANOS_PER_SECOND);
+        return busyUntilNanos;
     }
 }
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/SimulatedLink.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/SimulatedLink.java
@@ -1,35 +1,36 @@
 package topazvalve.hollowfleet.source;
 
 /**
- * The network between a source and those who ask from one zone.
+ * The network between a source and the clients of one zone.
  *
- * @param kind what becomes of bytes
- * @param delay for {@link Kind#SLOW}: how late each write goes out, nanoseconds
+ * @param kind the fault, if any
+ * @param delayNanos how late each write is sent, for {@link Kind#SLOW}
  */
-public record SimulatedLink(Kind kind, long delay) {
-    /** What a link does. */
+public record SimulatedLink(Kind kind, long delayNanos) {
+    /** What a link does; timeline files contain the constants' names. */
     public enum Kind {
-        /** Nothing is wrong. */
+        /** No fault. */
         OPEN,
-        /** Connections come up and stay open; nothing is read, nothing is written. */
+        /** Connections are accepted and stay open, but nothing is read or written. */
         SILENT,
-        /** As silent; all that were open or came up meanwhile are reset when it is back. */
+        /** Like {@link #SILENT}; when the fault ends, all connections are reset. */
         CUT,
-        /** All is late. */
+        /** Every write is delayed. */
         SLOW,
-        /** Each call ends in 503 at once; open watches go on. */
+        /** Each call is rejected with status 503; open watches continue. */
         REFUSING
     }
 
+    /** A link without a fault. */
     public static final SimulatedLink OPEN = new SimulatedLink(Kind.OPEN, 0);
 
-    /** Whether nothing gets through. */
-    public boolean blocked() {
+    /** Returns whether no byte gets through. */
+    public boolean isBlocked() {
         return kind == Kind.SILENT || kind == Kind.CUT;
     }
 
-    /** Whether an answer can be had over it. */
-    public boolean answers() {
+    /** Returns whether a call over this link gets a list. */
+    public boolean isServing() {
         return kind == Kind.OPEN || kind == Kind.SLOW;
     }
 }
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/package-info.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/package-info.java
@@ -1,2 +1,2 @@
-/** The stand-in for the source of lists: the published form of discovery, with a capacity, and faults. */
+/** A stand-in for the discovery source with a bounded capacity and network faults. */
 package topazvalve.hollowfleet.source;
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/timeline/TimelineFile.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/timeline/TimelineFile.java
@@ -4,56 +4,72 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
-import java.util.Collection;
 import java.util.List;
 import java.util.Set;
 import java.util.TreeSet;
-import topazvalve.hollowfleet.oracle.Allowed;
+import topazvalve.hollowfleet.oracle.FleetBudget;
 import topazvalve.hollowfleet.source.SimulatedLink;
-import topazvalve.hollowfleet.source.SourceSettings;
-import topazvalve.hollowfleet.timeline.Timeline.From;
-import topazvalve.hollowfleet.timeline.Timeline.RelayCount;
+import topazvalve.hollowfleet.source.SourceStandInSettings;
+import topazvalve.hollowfleet.timeline.Timeline.Changes;
+import topazvalve.hollowfleet.timeline.Timeline.InitialKnowledge;
+import topazvalve.hollowfleet.timeline.Timeline.LinkFault;
+import topazvalve.hollowfleet.timeline.Timeline.RelayRestart;
+import topazvalve.hollowfleet.timeline.Timeline.RelayTierSize;
+import topazvalve.hollowfleet.timeline.Timeline.RevisionsAfterRestart;
+import topazvalve.hollowfleet.timeline.Timeline.SidecarRestart;
 import topazvalve.hollowfleet.timeline.Timeline.Size;
+import topazvalve.hollowfleet.timeline.Timeline.SourceRestart;
 import topazvalve.hollowfleet.timeline.Timeline.Stage;
-import topazvalve.hollowfleet.timeline.Timeline.Versions;
+import topazvalve.toml.InvalidFileException;
 import topazvalve.toml.Table;
 import topazvalve.toml.TomlFile;
 
-/** Reads a timeline from TOML 1.0: all of it is sound and taken, or all its faults are told by line. */
+/** Reads a timeline from a TOML file. All problems of a file are reported at once, each with its line. */
 public final class TimelineFile {
-    private static final int MOST = 20_000;
+    private static final int MAX_COUNT = 20_000;
+    private static final long NANOS_PER_SECOND = 1_000_000_000;
 
     private TimelineFile() {}
 
-    /** Reads a file; {@link topazvalve.toml.InvalidFileException} if it has faults. */
+    /**
+     * Reads a file.
+     *
+     * @throws InvalidFileException if the file has problems
+     * @throws IOException if the file cannot be read
+     */
     public static Timeline read(Path file) throws IOException {
         return parse(file.toString(), Files.readString(file));
     }
 
-    /** Reads a text; {@code name} stands for it in messages. */
+    /**
+     * Reads the text of a file.
+     *
+     * @param name stands for the file in messages
+     * @throws InvalidFileException if the text has problems
+     */
     public static Timeline parse(String name, String text) {
-        return TomlFile.parse(name, text, TimelineFile::timeline);
+        return TomlFile.parse(name, text, TimelineFile::readTimeline);
     }
 
-    private static Timeline timeline(Table table) {
+    private static Timeline readTimeline(Table table) {
         String name = table.text("name", null);
         String about = table.text("about", "-");
-        Size size = size(table.table("fleet"));
-        SourceSettings source = source(table.table("source"));
-        RelayCount relays = relays(table.table("relays"));
-        Allowed allowed = allowed(table.table("allowed"));
+        Size size = readSize(table.table("fleet"));
+        SourceStandInSettings source = readSource(table.table("source"));
+        RelayTierSize relays = readRelays(table.table("relays"));
+        FleetBudget budget = readBudget(table.table("allowed"));
         List<Stage> stages = new ArrayList<>();
-        for (Table each : table.tables("stage", 1)) {
-            stages.add(stage(each, size, relays));
+        for (Table stageTable : table.tables("stage", 1)) {
+            stages.add(readStage(stageTable, size, relays));
         }
-        return new Timeline(name, about, size, source, relays, allowed, stages);
+        return new Timeline(name, about, size, source, relays, budget, stages);
     }
 
-    private static Size size(Table table) {
+    private static Size readSize(Table table) {
         int zones = table.whole("zones", 1, 1, 100);
         Size size = new Size(
-                table.whole("hollow", null, 1, MOST),
-                table.whole("servers", null, 1, MOST),
+                table.whole("hollow", null, 1, MAX_COUNT),
+                table.whole("servers", null, 1, MAX_COUNT),
                 zones,
                 table.whole("regions", 1, 1, zones),
                 table.whole("sources", 1, 1, 16),
@@ -65,72 +81,99 @@
         return size;
     }
 
-    private static SourceSettings source(Table table) {
-        return new SourceSettings(
+    private static SourceStandInSettings readSource(Table table) {
+        return new SourceStandInSettings(
                 table.number("capacity", 0.0, 0, 1e6),
                 table.number("call_lines", 0.0, 0, 1e6),
                 table.duration("timeout", "1s", "1ms", "1m"),
-                table.whole("transfers", 64, 1, MOST),
+                table.whole("transfers", 64, 1, MAX_COUNT),
                 table.flag("epoch", false),
-                table.whole("kept", MOST, 1, 1_000_000));
+                table.whole("kept", MAX_COUNT, 1, 1_000_000));
     }
 
-    private static Allowed allowed(Table table) {
-        return new Allowed(
-                table.duration("late", "9s", "1ms", "10m"), table.number("bytes_a_second", 6_000.0, 1, 1e9), (int)
-                        (table.duration("bytes_over", "60s", "1s", "10m") / 1_000_000_000L));
+    private static FleetBudget readBudget(Table table) {
+        long maxChangeDelayNanos = table.duration("late", "9s", "1ms", "10m");
+        double bytesPerSecond = table.number("bytes_a_second", 6_000.0, 1, 1e9);
+        long windowNanos = table.duration("bytes_over", "60s", "1s", "10m");
+        return new FleetBudget(maxChangeDelayNanos, bytesPerSecond, (int) (windowNanos / NANOS_PER_SECOND));
     }
 
-    private static RelayCount relays(Table table) {
-        return new RelayCount(table.whole("count", 0, 0, 200), table.flag("processes", false));
+    private static RelayTierSize readRelays(Table table) {
+        return new RelayTierSize(table.whole("count", 0, 0, 200), table.flag("processes", false));
     }
 
-    private static Stage stage(Table table, Size size, RelayCount relays) {
+    private static Stage readStage(Table table, Size size, RelayTierSize relays) {
+        // Messages list the keys in the order in which they are read.
+        LinkFault linkFault = readLinkFault(table, size);
+        return new Stage(
+                table.text("name", null),
+                table.duration("length", null, "10ms", "60m"),
+                table.duration("settle", "20s", "0", "30m"),
+                readChanges(table, size),
+                readSidecarRestart(table, size),
+                linkFault,
+                readSourceRestart(table),
+                table.whole("stalled", 0, 0, size.hollowSidecars()),
+                new RelayRestart(
+                        table.whole("relays_killed", 0, 0, relays.count()),
+                        table.duration("relays_down", "1s", "0", "10m")));
+    }
+
+    private static LinkFault readLinkFault(Table table, Size size) {
         SimulatedLink.Kind kind = table.choice(SimulatedLink.Kind.class, "link", SimulatedLink.Kind.OPEN);
-        long delay = table.duration("delay", "0", "0", "1m");
-        if (delay > 0 != (kind == SimulatedLink.Kind.SLOW)) {
+        long delayNanos = table.duration("delay", "0", "0", "1m");
+        if (delayNanos > 0 != (kind == SimulatedLink.Kind.SLOW)) {
             table.wrong("delay", "belongs to link = \"slow\", and has to be given there");
         }
-        Set<Integer> zones = new TreeSet<>();
-        zones(table, "zones", size.zones(), zones);
-        List<Integer> regions = new ArrayList<>();
-        zones(table, "regions", size.regions(), regions);
+        List<Integer> zones = readZones(table, size);
+        if (zones.isEmpty() == (kind != SimulatedLink.Kind.OPEN)) {
+            table.wrong("link", "link and one of zones and regions belong together");
+        }
+        return new LinkFault(new SimulatedLink(kind, delayNanos), zones);
+    }
+
+    private static List<Integer> readZones(Table table, Size size) {
+        Set<Integer> zones = new TreeSet<>(readNumbers(table, "zones", size.zones()));
+        List<Integer> regions = readNumbers(table, "regions", size.regions());
         for (int zone = 0; zone < size.zones(); zone++) {
             if (regions.contains(size.region(zone))) {
                 zones.add(zone);
             }
         }
-        if (zones.isEmpty() == (kind != SimulatedLink.Kind.OPEN)) {
-            table.wrong("link", "link and one of zones and regions belong together");
+        return List.copyOf(zones);
+    }
+
+    /** Reads numbers below a bound, which are written as texts: {@code ["0", "3"]}. */
+    private static List<Integer> readNumbers(Table table, String key, int bound) {
+        List<Integer> numbers = new ArrayList<>();
+        for (String text : table.texts(key, List.of())) {
+            if (text.matches("\\d{1,4}") && Integer.parseInt(text) < bound) {
+                numbers.add(Integer.parseInt(text));
+            } else {
+                table.wrong(key, "\"" + text + "\" is not a number from 0 to " + (bound - 1) + " in quotes");
+            }
         }
-        return new Stage(
-                table.text("name", null),
-                table.duration("length", null, "10ms", "60m"),
-                table.duration("settle", "20s", "0", "30m"),
+        return numbers;
+    }
+
+    private static Changes readChanges(Table table, Size size) {
+        return new Changes(
                 table.number("changes_a_day", 0.0, 0, 1e8),
                 table.whole("burst", 0, 0, size.servers()),
                 table.whole("burst_zone", 0, 0, size.zones() - 1),
-                table.duration("burst_within", "1s", "0", "10m"),
-                table.whole("restart", 0, 0, size.hollow()),
-                table.choice(From.class, "from", From.KNOWN),
-                table.duration("down", "1s", "0", "10m"),
-                new SimulatedLink(kind, delay),
-                List.copyOf(zones),
-                table.duration("source_down", "0", "0", "30m"),
-                table.choice(Versions.class, "versions", Versions.SAME),
-                table.whole("stalled", 0, 0, size.hollow()),
-                table.whole("relays_killed", 0, 0, relays.count()),
-                table.duration("relays_down", "1s", "0", "10m"));
+                table.duration("burst_within", "1s", "0", "10m"));
     }
 
-    /** Numbers as texts, the way this reader takes lists: {@code ["0", "3"]}. */
-    private static void zones(Table table, String key, int count, Collection<Integer> into) {
-        for (String each : table.texts(key, List.of())) {
-            if (each.matches("\\d{1,4}") && Integer.parseInt(each) < count) {
-                into.add(Integer.parseInt(each));
-            } else {
-                table.wrong(key, "\"" + each + "\" is not a number from 0 to " + (count - 1) + " in quotes");
-            }
-        }
+    private static SidecarRestart readSidecarRestart(Table table, Size size) {
+        return new SidecarRestart(
+                table.whole("restart", 0, 0, size.hollowSidecars()),
+                table.choice(InitialKnowledge.class, "from", InitialKnowledge.KNOWN),
+                table.duration("down", "1s", "0", "10m"));
+    }
+
+    private static SourceRestart readSourceRestart(Table table) {
+        return new SourceRestart(
+                table.duration("source_down", "0", "0", "30m"),
+                table.choice(RevisionsAfterRestart.class, "versions", RevisionsAfterRestart.SAME));
     }
 }
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/timeline/package-info.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/timeline/package-info.java
@@ -1,2 +1,2 @@
-/** What is done to a fleet and when, read from an operator's file. */
+/** The size of a fleet and the faults that it is subjected to, read from an operator's file. */
 package topazvalve.hollowfleet.timeline;
--- a/hollow-fleet/src/test/java/topazvalve/hollowfleet/ArchitectureTest.java
+++ b/hollow-fleet/src/test/java/topazvalve/hollowfleet/ArchitectureTest.java
@@ -8,17 +8,17 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** The oracle uses neither clock nor socket, and the module's packages have no cycles. */
+/** History and oracle use neither clock nor socket, and the module's packages have no cycles. */
 class ArchitectureTest {
     private static final JavaClasses FLEET = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("topazvalve.hollowfleet");
 
     @Test
-    void oracleUsesNeitherClockNorSocket() {
+    void historyAndOracleUseNeitherClockNorSocket() {
         noClasses()
                 .that()
-                .resideInAnyPackage("..hollowfleet.truth..", "..hollowfleet.oracle..")
+                .resideInAnyPackage("..hollowfleet.history..", "..hollowfleet.oracle..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("io.netty..", "java.net..")
--- a/hollow-fleet/src/test/java/topazvalve/hollowfleet/oracle/FleetOracleTest.java
+++ b/hollow-fleet/src/test/java/topazvalve/hollowfleet/oracle/FleetOracleTest.java
@@ -7,71 +7,76 @@
 
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import topazvalve.hollowfleet.truth.ChangeHistory;
+import topazvalve.hollowfleet.history.ChangeHistory;
 import topazvalve.policy.LoadBalancer.EndpointStatus;
 
-/** Each rule with a fault that breaks it and no other, and what is no fault. */
+/** Each rule with a fault that violates it and no other rule, and what violates none. */
 class FleetOracleTest {
     private static final long SECOND = 1_000_000_000L;
-    private final ChangeHistory truth = new ChangeHistory(2, 10);
-    private final FleetOracle oracle = new FleetOracle(truth, new Allowed(9 * SECOND, 6_000, 60));
-    private final int serving = truth.changed(0, EndpointStatus.READY, 0);
-    private final int draining = truth.changed(0, EndpointStatus.DRAINING, SECOND);
-    private final int gone = truth.changed(0, EndpointStatus.REMOVED, 2 * SECOND);
-    private final int back = truth.changed(0, EndpointStatus.READY, 20 * SECOND);
+    private final ChangeHistory history = new ChangeHistory(2, 10);
+    private final FleetOracle oracle = new FleetOracle(history, new FleetBudget(9 * SECOND, 6_000, 60));
+    private final int ready = history.add(0, EndpointStatus.READY, 0);
+    private final int draining = history.add(0, EndpointStatus.DRAINING, SECOND);
+    private final int removed = history.add(0, EndpointStatus.REMOVED, 2 * SECOND);
+    private final int readyAgain = history.add(0, EndpointStatus.READY, 20 * SECOND);
+
+    private void replaced(
+            int oldChange, EndpointStatus oldStatus, int newChange, EndpointStatus newStatus, long nowNanos) {
+        oracle.entryReplaced(1, new EntryReplacement(0, oldChange, oldStatus, newChange, newStatus), nowNanos);
+    }
 
     @Test
-    void anOlderEntryInTheNewerOnesPlaceWentBack() {
-        oracle.replaced(1, 0, gone, EndpointStatus.REMOVED, draining, EndpointStatus.DRAINING, 3 * SECOND);
+    void reportsAnOlderEntryInPlaceOfANewerOne() {
+        replaced(removed, EndpointStatus.REMOVED, draining, EndpointStatus.DRAINING, 3 * SECOND);
         assertEquals(Map.of(Rule.WENT_BACK, 1), oracle.counts());
     }
 
     @Test
-    void whoIsDrainedAndReadyByAnOlderEntryReturned() {
-        oracle.replaced(1, 0, draining, EndpointStatus.DRAINING, serving, EndpointStatus.READY, 3 * SECOND);
+    void reportsADrainingServerThatIsReadyByAnOlderEntry() {
+        replaced(draining, EndpointStatus.DRAINING, ready, EndpointStatus.READY, 3 * SECOND);
         assertEquals(Map.of(Rule.RETURNED, 1), oracle.counts());
     }
 
     @Test
-    void whoIsGoneAndReadyUnderTheSameChangeReturned() {
-        oracle.replaced(1, 0, gone, EndpointStatus.REMOVED, gone, EndpointStatus.READY, 3 * SECOND);
+    void reportsARemovedServerThatIsReadyByTheSameChange() {
+        replaced(removed, EndpointStatus.REMOVED, removed, EndpointStatus.READY, 3 * SECOND);
         assertEquals(Map.of(Rule.RETURNED, 1), oracle.counts());
     }
 
     @Test
-    void newerEntriesAndTheSourcesOwnReturnsAreNoFault() {
-        oracle.replaced(1, 0, 0, EndpointStatus.REMOVED, serving, EndpointStatus.READY, 0);
-        oracle.replaced(1, 0, serving, EndpointStatus.READY, gone, EndpointStatus.REMOVED, 3 * SECOND);
-        oracle.replaced(1, 0, gone, EndpointStatus.REMOVED, back, EndpointStatus.READY, 20 * SECOND);
+    void acceptsNewerEntriesAndServersThatTheSourceMadeReadyAgain() {
+        replaced(0, EndpointStatus.REMOVED, ready, EndpointStatus.READY, 0);
+        replaced(ready, EndpointStatus.READY, removed, EndpointStatus.REMOVED, 3 * SECOND);
+        replaced(removed, EndpointStatus.REMOVED, readyAgain, EndpointStatus.READY, 20 * SECOND);
         assertEquals(Map.of(), oracle.counts());
     }
 
     @Test
-    void whatIsDueIsTheNewestChangeThatIsOldEnough() {
-        assertArrayEquals(new int[] {gone, 0}, oracle.due(28 * SECOND, server -> 1));
-        assertArrayEquals(new int[] {back, 0}, oracle.due(29 * SECOND, server -> 1));
-        assertArrayEquals(new int[] {0, 0}, oracle.due(29 * SECOND, server -> 0));
-        assertFalse(oracle.inForce(gone, draining, EndpointStatus.DRAINING));
-        assertFalse(oracle.inForce(back, back, EndpointStatus.REMOVED), "left out of a whole list");
-        assertTrue(
-                oracle.inForce(gone, gone, EndpointStatus.REMOVED) && oracle.inForce(gone, back, EndpointStatus.READY));
-        oracle.late(1, gone, 1, 12 * SECOND);
+    void requiresTheNewestChangeThatIsOldEnough() {
+        assertArrayEquals(new int[] {removed, 0}, oracle.requiredChanges(28 * SECOND, server -> true));
+        assertArrayEquals(new int[] {readyAgain, 0}, oracle.requiredChanges(29 * SECOND, server -> true));
+        assertArrayEquals(new int[] {0, 0}, oracle.requiredChanges(29 * SECOND, server -> false));
+        assertFalse(oracle.isInForce(removed, draining, EndpointStatus.DRAINING));
+        assertFalse(oracle.isInForce(readyAgain, readyAgain, EndpointStatus.REMOVED), "missing in a full snapshot");
+        assertTrue(oracle.isInForce(removed, removed, EndpointStatus.REMOVED)
+                && oracle.isInForce(removed, readyAgain, EndpointStatus.READY));
+        oracle.changesMissing(1, removed, 1, 12 * SECOND);
         assertEquals(Map.of(Rule.CHANGE_LATE, 1), oracle.counts());
     }
 
     @Test
-    void aSecondWithMoreCallsThanCanBeDoneCountsOnce() {
+    void reportsASecondWithTooManyCallsOnce() {
         for (int i = 1; i <= 9; i++) {
-            oracle.called("source 0", i, 4.5, 0);
-            oracle.called("source 1", i, 0, 0);
+            oracle.callReceived("source 0", i, 4.5, 0);
+            oracle.callReceived("source 1", i, 0, 0);
         }
         assertEquals(Map.of(Rule.SERVING_RATE, 1), oracle.counts());
     }
 
     @Test
-    void bytesCountByTheirAverageOverTheWindow() {
-        assertFalse(oracle.bytes(1, 360_000, 0));
-        assertTrue(oracle.bytes(1, 360_001, 0));
+    void averagesBytesOverTheWindow() {
+        assertFalse(oracle.trafficMeasured(1, 360_000, 0));
+        assertTrue(oracle.trafficMeasured(1, 360_001, 0));
         assertEquals(Map.of(Rule.CONTROL_BYTES, 1), oracle.counts());
     }
 }
--- a/hollow-fleet/src/test/java/topazvalve/hollowfleet/run/FleetRunTest.java
+++ b/hollow-fleet/src/test/java/topazvalve/hollowfleet/run/FleetRunTest.java
@@ -11,18 +11,18 @@
 import java.util.logging.Logger;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
+import topazvalve.hollowfleet.history.ServerNames;
 import topazvalve.hollowfleet.oracle.Rule;
 import topazvalve.hollowfleet.timeline.TimelineFile;
-import topazvalve.hollowfleet.truth.Names;
 import topazvalve.policy.LoadBalancer.EndpointStatus;
 
 /**
- * Some hollow sidecars on real sockets. What a machine without time to spare does to the 9 s is no concern of
- * these tests: they allow a minute, but for the one that plants a change nobody is told.
+ * Some hollow sidecars on real sockets. The tests do not depend on the machine's speed: they allow a minute for a
+ * change, except the one that loses a change.
  */
 class FleetRunTest {
-    /** Thousands say the same of every failure; kept, or the level would be forgotten. */
-    private static final List<Logger> TALKERS =
+    /** Loggers that would repeat each failure for every sidecar; references keep their levels from being collected. */
+    private static final List<Logger> NOISY_LOGGERS =
             List.of(Logger.getLogger("discovery"), Logger.getLogger("source"), Logger.getLogger("relay"));
 
     private static final String FLEET = """
@@ -49,16 +49,16 @@
             """;
 
     @BeforeAll
-    static void quiet() {
-        TALKERS.forEach(each -> each.setLevel(Level.OFF));
+    static void silenceLoggers() {
+        NOISY_LOGGERS.forEach(logger -> logger.setLevel(Level.OFF));
     }
 
-    private static Set<Rule> found(String text, int stages, Consumer<FleetRun> fault) {
+    private static Set<Rule> violatedRules(String text, int stages, Consumer<FleetRun> fault) {
         try (FleetRun run = new FleetRun(TimelineFile.parse("t", text), 7)) {
-            boolean[] planted = {false};
-            List<StageResult> results = run.play(each -> {
-                if (!planted[0]) {
-                    planted[0] = true;
+            boolean[] injected = {false};
+            List<StageResult> results = run.play(result -> {
+                if (!injected[0]) {
+                    injected[0] = true;
                     fault.accept(run);
                 }
             });
@@ -69,7 +69,7 @@
         }
     }
 
-    private static void stage(StringBuilder text, String keys) {
+    private static void appendStage(StringBuilder text, String keys) {
         text.append("[[stage]]\nname = \"")
                 .append(keys.replaceAll("[\"\\n]", " "))
                 .append("\"\nsettle = \"60s\"\n")
@@ -78,103 +78,103 @@
     }
 
     @Test
-    void whateverHappensAllHaveAllInTheEnd() {
+    void everySidecarIsUpToDateAfterEveryFault() {
         StringBuilder text = new StringBuilder(FLEET + ALLOWED + CHANGES);
-        stage(text, "length = \"1s\"\nrestart = 30\ndown = \"200ms\"");
-        stage(text, "length = \"1s\"\nrestart = 120\nfrom = \"nothing\"\ndown = \"100ms\"");
-        stage(text, "length = \"2s\"\nlink = \"cut\"\nregions = [\"1\"]");
-        stage(text, "length = \"1s\"\nlink = \"silent\"\nzones = [\"0\"]");
-        stage(text, "length = \"1s\"\nlink = \"slow\"\ndelay = \"300ms\"\nzones = [\"2\"]");
-        stage(text, "length = \"1s\"\nlink = \"refusing\"\nzones = [\"3\"]\nrestart = 20");
-        stage(text, "length = \"1s\"\nstalled = 10");
-        stage(text, "length = \"1s\"\nsource_down = \"500ms\"");
-        stage(text, "length = \"1s\"\nsource_down = \"500ms\"\nversions = \"lower\"");
+        appendStage(text, "length = \"1s\"\nrestart = 30\ndown = \"200ms\"");
+        appendStage(text, "length = \"1s\"\nrestart = 120\nfrom = \"nothing\"\ndown = \"100ms\"");
+        appendStage(text, "length = \"2s\"\nlink = \"cut\"\nregions = [\"1\"]");
+        appendStage(text, "length = \"1s\"\nlink = \"silent\"\nzones = [\"0\"]");
+        appendStage(text, "length = \"1s\"\nlink = \"slow\"\ndelay = \"300ms\"\nzones = [\"2\"]");
+        appendStage(text, "length = \"1s\"\nlink = \"refusing\"\nzones = [\"3\"]\nrestart = 20");
+        appendStage(text, "length = \"1s\"\nstalled = 10");
+        appendStage(text, "length = \"1s\"\nsource_down = \"500ms\"");
+        appendStage(text, "length = \"1s\"\nsource_down = \"500ms\"\nversions = \"lower\"");
         try (FleetRun run = new FleetRun(TimelineFile.parse("t", text.toString()), 7)) {
-            for (StageResult each : run.play(told -> {})) {
-                assertTrue(each.clean(), each.name() + ": " + each.behind() + " behind, " + each.found());
+            for (StageResult stage : run.play(result -> {})) {
+                assertTrue(stage.clean(), stage.name() + ": " + stage.behind() + " behind, " + stage.violations());
             }
         }
     }
 
     @Test
-    void severalSourcesEachHaveTheirOwnServersAndVersions() {
+    void severalSourcesHaveTheirOwnServersAndVersions() {
         String text = FLEET.replace("regions = 3", "regions = 3\nsources = 3") + "[source]\nepoch = true\n" + ALLOWED
                 + CHANGES;
-        assertEquals(Set.of(), found(text, 1, run -> {}));
+        assertEquals(Set.of(), violatedRules(text, 1, run -> {}));
     }
 
     @Test
-    void aStageWaitsForThoseThatAreStillDownAtItsEnd() {
+    void stageWaitsForSidecarsThatAreDownAtItsEnd() {
         String text = FLEET + ALLOWED + "[[stage]]\nname = \"s\"\nlength = \"10ms\"\nsettle = \"60s\"\n"
                 + "restart = 120\ndown = \"1s\"\n";
         try (FleetRun run = new FleetRun(TimelineFile.parse("t", text), 7)) {
-            StageResult result = run.play(told -> {}).get(1);
+            StageResult result = run.play(each -> {}).get(1);
             assertTrue(result.clean(), result.toString());
-            assertEquals(120, result.figures().answers().getTotalCount());
+            assertEquals(120, result.hollow().firstResponseMicros().getTotalCount());
         }
     }
 
     @Test
-    void throughRelaysAllHaveAllInTheEnd() {
+    void everySidecarBehindRelaysIsUpToDateAfterEveryFault() {
         StringBuilder text = new StringBuilder(FLEET.replace("regions = 3", "regions = 3\nsources = 3")
                 + "[source]\nepoch = true\n[relays]\ncount = 4\n" + ALLOWED + CHANGES);
-        stage(text, "length = \"1s\"\nrelays_killed = 2\nrelays_down = \"500ms\"");
-        stage(text, "length = \"1s\"\nrelays_killed = 4\nrelays_down = \"100ms\"");
-        stage(text, "length = \"2s\"\nlink = \"cut\"\nregions = [\"0\"]");
-        stage(text, "length = \"1s\"\nrestart = 120\nfrom = \"nothing\"\ndown = \"100ms\"");
-        stage(text, "length = \"1s\"\nsource_down = \"500ms\"\nversions = \"lower\"");
-        stage(text, "length = \"1s\"\nstalled = 10");
+        appendStage(text, "length = \"1s\"\nrelays_killed = 2\nrelays_down = \"500ms\"");
+        appendStage(text, "length = \"1s\"\nrelays_killed = 4\nrelays_down = \"100ms\"");
+        appendStage(text, "length = \"2s\"\nlink = \"cut\"\nregions = [\"0\"]");
+        appendStage(text, "length = \"1s\"\nrestart = 120\nfrom = \"nothing\"\ndown = \"100ms\"");
+        appendStage(text, "length = \"1s\"\nsource_down = \"500ms\"\nversions = \"lower\"");
+        appendStage(text, "length = \"1s\"\nstalled = 10");
         try (FleetRun run = new FleetRun(TimelineFile.parse("t", text.toString()), 7)) {
-            for (StageResult each : run.play(told -> {})) {
+            for (StageResult stage : run.play(result -> {})) {
                 assertTrue(
-                        each.clean(),
-                        each.name() + ": " + each.behind() + " behind, " + each.found()
+                        stage.clean(),
+                        stage.name() + ": " + stage.behind() + " behind, " + stage.violations()
                                 + run.oracle().examples());
             }
         }
     }
 
     @Test
-    void anOldLineSentAgainIsFound() {
-        assertEquals(Set.of(Rule.WENT_BACK), found(FLEET + ALLOWED + CHANGES, 1, run -> {
+    void findsARepeatedOldLine() {
+        assertEquals(Set.of(Rule.WENT_BACK), violatedRules(FLEET + ALLOWED + CHANGES, 1, run -> {
             // Server 2 has change 3; 1 was server 0's.
-            run.sources().number(0).plant(serving(2, 1));
-            run.sources().number(0).change(2, EndpointStatus.DRAINING);
+            run.sources().source(0).injectLine(readyLine(2, 1));
+            run.sources().source(0).change(2, EndpointStatus.DRAINING);
         }));
     }
 
-    /** A line that says of a server that it serves, by this change. */
-    private static String serving(int server, int change) {
-        return "{\"rev\":60,\"all\":false,\"targets\":[{\"uid\":\"" + Names.of(server)
+    /** Returns a line in which a server is ready by a change. */
+    private static String readyLine(int server, int change) {
+        return "{\"rev\":60,\"all\":false,\"targets\":[{\"uid\":\"" + ServerNames.nameOf(server)
                 + "\",\"endpoint\":\"10.0.0.2:8080\",\"pod_group\":" + change + ",\"state\":\"SERVING\"}]}";
     }
 
     @Test
-    void aDrainedServerThatIsBackIsFound() {
-        assertEquals(Set.of(Rule.RETURNED), found(FLEET + ALLOWED + CHANGES + CHANGES, 2, run -> {
-            run.sources().number(0).change(2, EndpointStatus.DRAINING);
-            run.sources().number(0).tellNow();
-            run.sources().number(0).plant(serving(2, 3));
-            run.sources().number(0).change(2, EndpointStatus.READY);
+    void findsADrainingServerThatBecameReady() {
+        assertEquals(Set.of(Rule.RETURNED), violatedRules(FLEET + ALLOWED + CHANGES + CHANGES, 2, run -> {
+            run.sources().source(0).change(2, EndpointStatus.DRAINING);
+            run.sources().source(0).publishNow();
+            run.sources().source(0).injectLine(readyLine(2, 3));
+            run.sources().source(0).change(2, EndpointStatus.READY);
         }));
     }
 
     @Test
-    void aChangeThatNobodyIsToldIsFound() {
+    void findsALostChange() {
         String text = FLEET + "[allowed]\nlate = \"2s\"\n" + CHANGES.replace("60s", "6s");
-        assertTrue(found(text, 1, run -> run.sources().number(0).swallow(2, EndpointStatus.DRAINING))
+        assertTrue(violatedRules(text, 1, run -> run.sources().source(0).loseChange(2, EndpointStatus.DRAINING))
                 .contains(Rule.CHANGE_LATE));
     }
 
     @Test
-    void moreCallsThanTheSourceCanDoAreFound() {
+    void findsMoreCallsThanTheSourceHasCapacityFor() {
         String text = FLEET + "[source]\ncapacity = 100.0\n" + ALLOWED + CHANGES;
-        assertEquals(Set.of(Rule.SERVING_RATE), found(text, 1, run -> {}));
+        assertEquals(Set.of(Rule.SERVING_RATE), violatedRules(text, 1, run -> {}));
     }
 
     @Test
-    void moreBytesThanAllowedAreFound() {
+    void findsMoreBytesThanAllowed() {
         String text = FLEET + ALLOWED + "bytes_a_second = 1.0\nbytes_over = \"1s\"\n" + CHANGES.replace("500ms", "3s");
-        assertEquals(Set.of(Rule.CONTROL_BYTES), found(text, 1, run -> {}));
+        assertEquals(Set.of(Rule.CONTROL_BYTES), violatedRules(text, 1, run -> {}));
     }
 }
--- a/hollow-fleet/src/test/java/topazvalve/hollowfleet/timeline/TimelineFileTest.java
+++ b/hollow-fleet/src/test/java/topazvalve/hollowfleet/timeline/TimelineFileTest.java
@@ -10,8 +10,9 @@
 import org.junit.jupiter.api.Test;
 import topazvalve.toml.InvalidFileException;
 
+/** Reads timelines, and rejects them with file, line and key. */
 class TimelineFileTest {
-    private static final String SOUND = """
+    private static final String VALID = """
             name = "t"
             [fleet]
             hollow = 10
@@ -25,37 +26,37 @@
             regions = ["1"]
             """;
 
-    private static void faulty(String text, String... parts) {
+    private static void checkRejected(String text, String... messageParts) {
         String message = assertThrows(InvalidFileException.class, () -> TimelineFile.parse("t.toml", text))
                 .getMessage();
-        for (String each : parts) {
-            assertTrue(message.contains(each), message);
+        for (String part : messageParts) {
+            assertTrue(message.contains(part), message);
         }
     }
 
     @Test
-    void aRegionIsItsZones() {
+    void regionsAreResolvedToTheirZones() {
         assertEquals(
                 List.of(2, 3),
-                TimelineFile.parse("t.toml", SOUND).stages().get(0).zones());
+                TimelineFile.parse("t.toml", VALID).stages().get(0).linkFault().zones());
     }
 
     @Test
-    void whatIsWrongIsToldWithFileLineAndKey() {
-        faulty(SOUND.replace("length", "lenght"), "t.toml:9", "lenght", "was \"length\" meant?");
-        faulty(SOUND.replace("hollow = 10", "hollow = \"ten\""), "t.toml:3", "fleet.hollow");
-        faulty(SOUND.replace("[\"1\"]", "[\"2\"]"), "t.toml:11", "is not a number from 0 to 1");
-        faulty(SOUND.replace("link = \"cut\"", "link = \"slow\""), "delay");
-        faulty(SOUND.replace("regions = [\"1\"]", ""), "t.toml:10", "belong together");
-        faulty(SOUND.replace("regions = 2", "regions = 2\nsources = 3"), "t.toml:7", "fleet.sources");
+    void reportsProblemsWithFileLineAndKey() {
+        checkRejected(VALID.replace("length", "lenght"), "t.toml:9", "lenght", "was \"length\" meant?");
+        checkRejected(VALID.replace("hollow = 10", "hollow = \"ten\""), "t.toml:3", "fleet.hollow");
+        checkRejected(VALID.replace("[\"1\"]", "[\"2\"]"), "t.toml:11", "is not a number from 0 to 1");
+        checkRejected(VALID.replace("link = \"cut\"", "link = \"slow\""), "delay");
+        checkRejected(VALID.replace("regions = [\"1\"]", ""), "t.toml:10", "belong together");
+        checkRejected(VALID.replace("regions = 2", "regions = 2\nsources = 3"), "t.toml:7", "fleet.sources");
     }
 
     @Test
-    void theFilesThatComeWithItAreSound() throws Exception {
+    void readsAllSuppliedFiles() throws Exception {
         Path folder = Path.of("../simulation/fleets");
         try (var files = Files.list(folder)) {
-            for (Path each : files.toList()) {
-                assertTrue(TimelineFile.read(each).stages().size() > 0, each.toString());
+            for (Path file : files.toList()) {
+                assertTrue(TimelineFile.read(file).stages().size() > 0, file.toString());
             }
         }
     }
