--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualWorld.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualWorld.java
@@ -64,11 +64,11 @@
         this.noise = RandomStreams.stream(seed, "noise");
         this.restarts = RandomStreams.stream(seed, "restarts");
         servers().forEach(this::introduce);
-        servers().forEach(directory()::list);
+        servers().forEach(directory()::add);
         this.discovery = new VirtualDiscovery(
                 clock, scenario.news(), directory(), oracle, RandomStreams.stream(seed, "discovery"), instances);
         this.keepIdle = (long) (scenario.machines().stream()
-                        .mapToLong(each -> each.idleClose())
+                        .mapToLong(each -> each.idleTimeout())
                         .min()
                         .orElseThrow()
                 * IDLE_SHARE);
@@ -79,7 +79,7 @@
         for (int i = 0; i < scenario.fleet().instances(); i++) {
             instances.add(make.apply(i));
         }
-        this.clients = new VirtualClients(this, seed, scene.rhythm());
+        this.clients = new VirtualClients(this, seed, scene.trafficPattern());
     }
 
     /** Makes a sidecar for a test. */
@@ -94,7 +94,7 @@
         long extra = 0;
         for (Fault each : scenario.faults()) {
             extra = Math.max(extra, each.kind() == Fault.Kind.LOSS ? 2_000_000_000L : 0);
-            extra = Math.max(extra, each.kind() == Fault.Kind.DELAY ? 3 * each.by() : 0);
+            extra = Math.max(extra, each.kind() == Fault.Kind.DELAY ? 3 * each.extraDelay() : 0);
         }
         boolean drawn = scenario.chaos().count() > 0 && scenario.chaos().kinds().contains(Fault.Kind.LOSS);
         return (long) (3 * way * spread) + 1_000_000 + (drawn ? 2_000_000_000L : extra);
@@ -106,24 +106,24 @@
 
     private void introduce(OrderServer server) {
         if (coldWatch != null) {
-            server.watchCold(coldWatch);
+            server.monitorColdLoad(coldWatch);
         }
-        server.onFallen((fallen, informed) -> {
-            oracle.fell(fallen.id(), informed, elapsed());
-            note("server " + fallen.id() + " was pushed over while cold");
+        server.onColdCrash((fallen, informed) -> {
+            oracle.serverCrashedWhileCold(fallen.id(), informed, elapsed());
+            recordEvent("server " + fallen.id() + " was pushed over while cold");
         });
     }
 
     /** Cold servers are watched and don't fall; before the run is played. */
     void watchCold(ColdServerMonitor watch) {
         coldWatch = watch;
-        servers().forEach(each -> each.watchCold(watch));
+        servers().forEach(each -> each.monitorColdLoad(watch));
     }
 
     /** Plays the whole run. */
     public Run play() {
         long began = System.nanoTime();
-        List<Fault> faults = FaultPlayer.play(this, scenario, seed);
+        List<Fault> faults = FaultPlayer.scheduleAll(this, scenario, seed);
         instances.forEach(this::begin);
         clients.start();
         long rest = scenario.classes().stream()
@@ -133,16 +133,16 @@
         clock.runUntil(end()
                 + 2 * rest
                 + scenario.clients().maxRetryAfter()
-                + scenario.limits().answerSlack());
+                + scenario.limits().responseSlack());
         return new Run(
                 scenario.name(),
                 arm.name(),
                 seed,
                 tally,
                 oracle.counts(),
-                oracle.breaches(),
+                oracle.violations(),
                 faults,
-                scene.notes(),
+                scene.recordedEvents(),
                 digest.getValue(),
                 oracle.requests(),
                 clock.fired(),
@@ -156,11 +156,11 @@
         }
         instance.start(
                 arm.policy()
-                        .make(
+                        .create(
                                 arm.settings(scenario, instance.number(), zone(instance.number())),
                                 restarts.any(),
                                 instance),
-                directory().all(),
+                directory().entries(),
                 directory().revision());
     }
 
@@ -172,7 +172,7 @@
     }
 
     @Override
-    public Topology scene() {
+    public Topology topology() {
         return scene;
     }
 
@@ -181,23 +181,23 @@
         VirtualInstance instance = instances.get(number);
         instance.kill();
         discovery.forget(number);
-        servers().forEach(each -> oracle.readyTold(number, each.id()));
+        servers().forEach(each -> oracle.readyNotified(number, each.id()));
         begin(instance);
-        directory().all().stream()
+        directory().entries().stream()
                 .filter(each -> each.state() != EndpointStatus.READY)
-                .forEach(each -> oracle.drainTold(number, each.server().id(), elapsed()));
+                .forEach(each -> oracle.drainNotified(number, each.server().id(), elapsed()));
     }
 
     @Override
-    public OrderServer replace(OrderServer old, boolean sameAddress) {
+    public OrderServer replaceServer(OrderServer old, boolean sameAddress) {
         OrderServer fresh = scene.fleet().replace(old);
         introduce(fresh);
         return fresh;
     }
 
     @Override
-    public void note(String what) {
-        scene.note(elapsed(), what);
+    public void recordEvent(String what) {
+        scene.recordEvent(elapsed(), what);
     }
 
     Scenario scenario() {
@@ -237,7 +237,7 @@
     }
 
     double attemptWork(VirtualCall call) {
-        double variation = scenario.classes().get(call.requestClass).noise();
+        double variation = scenario.classes().get(call.requestClass).attemptVariation();
         return variation == 0 ? call.work : call.work * noise.lognormal(variation);
     }
 
@@ -268,7 +268,7 @@
         }
         attemptsByServer[id]++;
         tally.attempt(elapsed());
-        oracle.received(
+        oracle.attemptReceived(
                 attempt.call.trace,
                 server.id(),
                 server.pod().zone(),
--- a/simulation/src/test/java/topazvalve/simulation/virtual/FaultySidecar.java
+++ b/simulation/src/test/java/topazvalve/simulation/virtual/FaultySidecar.java
@@ -7,7 +7,7 @@
 import topazvalve.simulation.model.EndpointDirectory.Entry;
 import topazvalve.simulation.oracle.Oracle.Answer;
 import topazvalve.simulation.oracle.Rule;
-import topazvalve.simulation.scenario.WorkClass.Repeats;
+import topazvalve.simulation.scenario.WorkClass.Repeatability;
 
 /** A sidecar that breaks one rule now and then, for the oracle to find. */
 final class FaultySidecar extends VirtualInstance {
@@ -29,8 +29,8 @@
         return call.id % NOW_AND_THEN == 0;
     }
 
-    private boolean of(VirtualCall call, Repeats repeats) {
-        return world.scenario().classes().get(call.requestClass).repeats() == repeats;
+    private boolean of(VirtualCall call, Repeatability repeats) {
+        return world.scenario().classes().get(call.requestClass).repeatability() == repeats;
     }
 
     @Override
@@ -39,7 +39,7 @@
             finish(call, Answer.SERVED, 0);
         } else if (breaks == Rule.AT_ONCE && picks(call)) {
             world.clock()
-                    .at(
+                    .scheduleAt(
                             world.clock().now() + (call.deadline - world.clock().now()) * 8 / 10,
                             () -> finish(call, Answer.FAILED, 0));
         } else {
@@ -49,9 +49,9 @@
     }
 
     private void copies(VirtualCall call) {
-        boolean twice = (breaks == Rule.NEVER_TWICE && of(call, Repeats.NEVER))
-                || (breaks == Rule.KEYED_REPEAT && of(call, Repeats.KEYED));
-        int copies = twice ? 2 : breaks == Rule.ATTEMPTS && of(call, Repeats.FREE) ? 4 : 0;
+        boolean twice = (breaks == Rule.NEVER_TWICE && of(call, Repeatability.NEVER))
+                || (breaks == Rule.KEYED_REPEAT && of(call, Repeatability.KEYED));
+        int copies = twice ? 2 : breaks == Rule.ATTEMPTS && of(call, Repeatability.FREE) ? 4 : 0;
         for (int i = 0; i < copies && picks(call) && call.tries > 0; i++) {
             send(call, 1 + i % world.servers().size(), 0);
         }
@@ -67,7 +67,7 @@
     @Override
     void hangup(VirtualCall call) {
         if (breaks == Rule.CLIENT_LEFT) {
-            world.clock().at(world.clock().now() + AFTER_LEAVING, () -> send(call, 1, 0));
+            world.clock().scheduleAt(world.clock().now() + AFTER_LEAVING, () -> send(call, 1, 0));
         } else {
             super.hangup(call);
         }
@@ -84,7 +84,7 @@
             call.client.answered(call, answer, wait);
         }
         if (breaks == Rule.NOTHING_AFTER && picks(call) && call.tries < 2) {
-            world.clock().at(world.clock().now() + LATER, () -> send(call, 1, 0));
+            world.clock().scheduleAt(world.clock().now() + LATER, () -> send(call, 1, 0));
         }
     }
 
