--- a/cli/src/main/java/topazvalve/cli/ExperimentVerb.java
+++ b/cli/src/main/java/topazvalve/cli/ExperimentVerb.java
@@ -116,7 +116,7 @@
             if (!results.isEmpty()) {
                 Report.write(folder.resolve("report.html"), plan.name(), results);
             }
-            boolean whole = results.size() == plan.cells().size();
+            boolean whole = results.size() == plan.runs().size();
             print(console, plan, results);
             console.println(
                     (whole ? "" : "stopped early: ") + results.size() + " results and report.html are in " + folder);
--- a/simulation/src/main/java/topazvalve/simulation/experiment/Comparison.java
+++ b/simulation/src/main/java/topazvalve/simulation/experiment/Comparison.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.HashMap;
+import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
@@ -11,37 +12,43 @@
 import org.apache.commons.math3.stat.descriptive.SummaryStatistics;
 
 /**
- * Two arms, seed by seed: the same seed gives both the same clients and faults, so what differs is theirs.
+ * The comparison of two arms by one metric on one scenario, paired by seed. The same seed gives both arms the same
+ * clients and faults, so that the differences are due to the arms.
  *
- * @param pairs seeds that both have been played with
- * @param mean of the differences, the first arm's less the second's
- * @param half half the width of the 95% interval (Student's t); NaN for fewer than two pairs
+ * @param figure the name of the metric
+ * @param pairs the number of seeds for which both arms have a result
+ * @param first the mean of the first arm
+ * @param second the mean of the second arm
+ * @param mean the mean of the differences, the first arm's value minus the second's
+ * @param half half the width of the 95% confidence interval (Student's t); NaN for fewer than two pairs
  */
 public record Comparison(
         String scenario, String figure, int pairs, double first, double second, double mean, double half) {
-    private static final double CONFIDENCE = 0.975;
-    private static final Map<String, ToDoubleFunction<Result>> FIGURES = figures();
+    /** The quantile of a two-sided 95% interval. */
+    private static final double QUANTILE = 0.975;
 
-    private static Map<String, ToDoubleFunction<Result>> figures() {
-        Map<String, ToDoubleFunction<Result>> figures = new java.util.LinkedHashMap<>();
-        figures.put("goal", Result::goal);
-        figures.put("service", Result::service);
-        figures.put("worst 10 s", Result::worstWindow);
-        figures.put("worst class", Result::worstClass);
-        figures.put(
+    private static final Map<String, ToDoubleFunction<Result>> METRICS = metrics();
+
+    private static Map<String, ToDoubleFunction<Result>> metrics() {
+        Map<String, ToDoubleFunction<Result>> metrics = new LinkedHashMap<>();
+        metrics.put("goal", Result::goal);
+        metrics.put("service", Result::service);
+        metrics.put("worst 10 s", Result::worstWindow);
+        metrics.put("worst class", Result::worstClass);
+        metrics.put(
                 "attempts per request",
                 each -> (double) each.sums().attempts()
                         / Math.max(1, each.sums().asked()));
-        figures.put("runs with a broken rule", each -> each.broken().isEmpty() ? 0 : 1);
-        return figures;
+        metrics.put("runs with a broken rule", each -> each.broken().isEmpty() ? 0 : 1);
+        return metrics;
     }
 
-    /** Whether the interval leaves out 0. */
+    /** Returns whether the interval excludes 0. */
     public boolean differs() {
         return pairs >= 2 && Math.abs(mean) > half;
     }
 
-    /** All figures on all scenarios that both arms have been played on. */
+    /** Compares two arms by all metrics on all scenarios for which both have results. */
     public static List<Comparison> of(List<Result> first, List<Result> second) {
         Set<String> scenarios =
                 new LinkedHashSet<>(first.stream().map(Result::scenario).toList());
@@ -51,11 +58,11 @@
             second.stream()
                     .filter(each -> each.scenario().equals(scenario))
                     .forEach(each -> others.put(each.seed(), each));
-            List<Result> ours = first.stream()
+            List<Result> paired = first.stream()
                     .filter(each -> each.scenario().equals(scenario) && others.containsKey(each.seed()))
                     .toList();
-            if (!ours.isEmpty()) {
-                FIGURES.forEach((name, figure) -> all.add(of(scenario, name, figure, ours, others)));
+            if (!paired.isEmpty()) {
+                METRICS.forEach((name, metric) -> all.add(of(scenario, name, metric, paired, others)));
             }
         }
         return all;
@@ -64,25 +71,31 @@
     private static Comparison of(
             String scenario,
             String name,
-            ToDoubleFunction<Result> figure,
-            List<Result> ours,
+            ToDoubleFunction<Result> metric,
+            List<Result> paired,
             Map<Long, Result> others) {
-        SummaryStatistics one = new SummaryStatistics();
-        SummaryStatistics two = new SummaryStatistics();
+        SummaryStatistics firstArm = new SummaryStatistics();
+        SummaryStatistics secondArm = new SummaryStatistics();
         SummaryStatistics difference = new SummaryStatistics();
-        for (Result each : ours) {
-            double a = figure.applyAsDouble(each);
-            double b = figure.applyAsDouble(others.get(each.seed()));
-            one.addValue(a);
-            two.addValue(b);
-            difference.addValue(a - b);
+        for (Result each : paired) {
+            double firstValue = metric.applyAsDouble(each);
+            double secondValue = metric.applyAsDouble(others.get(each.seed()));
+            firstArm.addValue(firstValue);
+            secondArm.addValue(secondValue);
+            difference.addValue(firstValue - secondValue);
         }
         int pairs = (int) difference.getN();
-        double half = pairs < 2
-                ? Double.NaN
-                : new TDistribution(pairs - 1).inverseCumulativeProbability(CONFIDENCE)
-                        * difference.getStandardDeviation()
-                        / Math.sqrt(pairs);
-        return new Comparison(scenario, name, pairs, one.getMean(), two.getMean(), difference.getMean(), half);
+        double half = halfWidth(difference);
+        return new Comparison(
+                scenario, name, pairs, firstArm.getMean(), secondArm.getMean(), difference.getMean(), half);
+    }
+
+    private static double halfWidth(SummaryStatistics values) {
+        long count = values.getN();
+        if (count < 2) {
+            return Double.NaN;
+        }
+        double quantile = new TDistribution(count - 1).inverseCumulativeProbability(QUANTILE);
+        return quantile * values.getStandardDeviation() / Math.sqrt(count);
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/experiment/ExperimentPlan.java
+++ b/simulation/src/main/java/topazvalve/simulation/experiment/ExperimentPlan.java
@@ -6,36 +6,36 @@
 import topazvalve.simulation.scenario.Scenario;
 import topazvalve.simulation.virtual.ExperimentArm;
 
-/** What is to be run: every arm on every scenario with every seed. */
+/** The plan of an experiment: every arm on every scenario with every seed from the first to the last (inclusive). */
 public record ExperimentPlan(
         String name, List<Setting> scenarios, List<ExperimentArm> arms, long firstSeed, long lastSeed) {
 
-    /** A scenario and the file that it came from. */
+    /** A scenario and the file that it was read from. */
     public record Setting(Path file, Scenario scenario) {}
 
-    /** One run of it. */
-    public record Cell(Scenario scenario, ExperimentArm arm, long seed) {
-        /** What tells it from the others in a file of results. */
+    /** One run of the plan. */
+    public record PlannedRun(Scenario scenario, ExperimentArm arm, long seed) {
+        /** Returns scenario, arm and seed, which identify its result in the file of results. */
         public String key() {
             return scenario.name() + "/" + arm.name() + "/" + seed;
         }
     }
 
-    /** The same with other seeds, both included. */
+    /** Returns the same plan with other seeds, both inclusive. */
     public ExperimentPlan withSeeds(long first, long last) {
         return new ExperimentPlan(name, scenarios, arms, first, last);
     }
 
-    /** All runs, seed by seed, so that what is there after a stop can be compared. */
-    public List<Cell> cells() {
-        List<Cell> cells = new ArrayList<>();
+    /** Returns all runs, seed by seed, so that the arms can be compared even if the experiment is stopped early. */
+    public List<PlannedRun> runs() {
+        List<PlannedRun> runs = new ArrayList<>();
         for (long seed = firstSeed; seed <= lastSeed; seed++) {
             for (Setting each : scenarios) {
                 for (ExperimentArm arm : arms) {
-                    cells.add(new Cell(each.scenario(), arm, seed));
+                    runs.add(new PlannedRun(each.scenario(), arm, seed));
                 }
             }
         }
-        return cells;
+        return runs;
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/experiment/Report.java
+++ b/simulation/src/main/java/topazvalve/simulation/experiment/Report.java
@@ -8,6 +8,7 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.nio.file.StandardCopyOption;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
@@ -15,36 +16,38 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
+import java.util.function.ToDoubleFunction;
 import org.apache.commons.math3.stat.descriptive.SummaryStatistics;
 import topazvalve.simulation.tally.RunStatistics;
 
 /**
- * One self-contained HTML file: a table of the arms, and for each scenario plots over time (uPlot, which is
- * put into the file), with the faults drawn beneath.
+ * The report of an experiment, a self-contained HTML file: for each scenario a table of the arms and plots over time,
+ * with the faults beneath. The plotting library (uPlot) is part of the file.
  */
 public final class Report {
     private static final String UPLOT = "/META-INF/resources/webjars/uplot/1.6.30/dist/";
+    private static final int MAX_RUNS_WITH_VIOLATIONS = 10;
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private Report() {}
 
-    /** Writes the report of these results. */
+    /** Writes the report of these results; replaces the file if it exists. */
     public static void write(Path file, String title, List<Result> results) throws IOException {
         StringBuilder html = new StringBuilder(1 << 18);
         html.append("<!DOCTYPE html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>")
-                .append(text(title))
+                .append(escape(title))
                 .append("</title><style>")
                 .append(resource(UPLOT + "uPlot.min.css"))
                 .append(resource("report.css"))
                 .append("</style><script>")
                 .append(resource(UPLOT + "uPlot.iife.min.js"))
                 .append("</script></head><body><h1>")
-                .append(text(title))
+                .append(escape(title))
                 .append("</h1>");
         Set<String> scenarios =
                 new LinkedHashSet<>(results.stream().map(Result::scenario).toList());
         for (String scenario : scenarios) {
-            scenario(
+            appendScenario(
                     html,
                     scenario,
                     results.stream()
@@ -52,9 +55,9 @@
                             .toList());
         }
         html.append("<script>").append(resource("report.js")).append("</script></body></html>\n");
-        Path next = file.resolveSibling(file.getFileName() + ".next");
-        Files.writeString(next, html);
-        Files.move(next, file, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
+        Path temporary = file.resolveSibling(file.getFileName() + ".next");
+        Files.writeString(temporary, html);
+        Files.move(temporary, file, StandardCopyOption.REPLACE_EXISTING);
     }
 
     private static String resource(String name) {
@@ -68,7 +71,7 @@
         }
     }
 
-    private static String text(String raw) {
+    private static String escape(String raw) {
         return raw.replace("&", "&amp;")
                 .replace("<", "&lt;")
                 .replace(">", "&gt;")
@@ -82,72 +85,38 @@
         return arms;
     }
 
-    private static void scenario(StringBuilder html, String name, List<Result> results) {
+    private static void appendScenario(StringBuilder html, String name, List<Result> results) {
         Map<String, List<Result>> arms = byArm(results);
         html.append("<h2>")
-                .append(text(name))
+                .append(escape(name))
                 .append("</h2><table><tr><th>arm<th>runs<th>goal<th>service"
                         + "<th>worst 10 s<th>worst class<th>p50 ms<th>p99 ms<th>attempts per request<th>refused"
                         + "<th>failed<th>rules broken</tr>");
-        arms.forEach((arm, runs) -> row(html, arm, runs));
+        arms.forEach((arm, runs) -> appendRow(html, arm, runs));
         html.append("</table>");
-        runsWithBreaches(html, results);
-        plot(
+        appendViolations(html, results);
+        appendPlot(
                 html,
                 "Served within the aim, part of what was asked",
                 results,
                 (second, sums) -> second.asked() == 0 ? 1 : (double) second.good() / second.asked());
-        plot(html, "p99 of the requests sent in each second, ms", results, (second, sums) -> second.p99Ms());
-        plot(html, "p50 of the requests sent in each second, ms", results, (second, sums) -> second.p50Ms());
-        plot(html, "Attempts at servers, per second", results, (second, sums) -> second.attempts());
-        servers(html, arms);
+        appendPlot(html, "p99 of the requests sent in each second, ms", results, (second, sums) -> second.p99Ms());
+        appendPlot(html, "p50 of the requests sent in each second, ms", results, (second, sums) -> second.p50Ms());
+        appendPlot(html, "Attempts at servers, per second", results, (second, sums) -> second.attempts());
+        appendAttemptsByServer(html, arms);
     }
 
-    private static void row(StringBuilder html, String arm, List<Result> runs) {
-        html.append("<tr><td>").append(text(arm)).append("<td>").append(runs.size());
-        cell(html, mean(runs, Result::goal), "%.4f");
-        cell(html, mean(runs, Result::service), "%.4f");
-        cell(html, mean(runs, Result::worstWindow), "%.4f");
-        cell(html, mean(runs, Result::worstClass), "%.4f");
-        cell(
-                html,
-                mean(
-                        runs,
-                        each -> each.classes().stream()
-                                .mapToDouble(Result.OfClass::p50)
-                                .max()
-                                .orElse(0)),
-                "%.0f");
-        cell(
-                html,
-                mean(
-                        runs,
-                        each -> each.classes().stream()
-                                .mapToDouble(Result.OfClass::p99)
-                                .max()
-                                .orElse(0)),
-                "%.0f");
-        cell(
-                html,
-                mean(
-                        runs,
-                        each -> (double) each.sums().attempts()
-                                / Math.max(1, each.sums().asked())),
-                "%.2f");
-        cell(
-                html,
-                mean(
-                        runs,
-                        each -> (double) each.sums().refused()
-                                / Math.max(1, each.sums().asked())),
-                "%.3f");
-        cell(
-                html,
-                mean(
-                        runs,
-                        each -> (double) each.sums().failed()
-                                / Math.max(1, each.sums().asked())),
-                "%.3f");
+    private static void appendRow(StringBuilder html, String arm, List<Result> runs) {
+        html.append("<tr><td>").append(escape(arm)).append("<td>").append(runs.size());
+        appendCell(html, mean(runs, Result::goal), "%.4f");
+        appendCell(html, mean(runs, Result::service), "%.4f");
+        appendCell(html, mean(runs, Result::worstWindow), "%.4f");
+        appendCell(html, mean(runs, Result::worstClass), "%.4f");
+        appendCell(html, mean(runs, each -> maxOverClasses(each, Result.ClassResult::p50)), "%.0f");
+        appendCell(html, mean(runs, each -> maxOverClasses(each, Result.ClassResult::p99)), "%.0f");
+        appendCell(html, mean(runs, each -> perRequest(each, each.sums().attempts())), "%.2f");
+        appendCell(html, mean(runs, each -> perRequest(each, each.sums().refused())), "%.3f");
+        appendCell(html, mean(runs, each -> perRequest(each, each.sums().failed())), "%.3f");
         long broken = runs.stream().filter(each -> !each.broken().isEmpty()).count();
         html.append("<td class=\"")
                 .append(broken > 0 ? "bad" : "good")
@@ -156,37 +125,46 @@
                 .append("</tr>");
     }
 
-    private static void cell(StringBuilder html, double value, String form) {
-        html.append("<td>").append(String.format(Locale.ROOT, form, value));
+    private static double maxOverClasses(Result result, ToDoubleFunction<Result.ClassResult> metric) {
+        return result.classes().stream().mapToDouble(metric).max().orElse(0);
+    }
+
+    private static double perRequest(Result result, long count) {
+        return (double) count / Math.max(1, result.sums().asked());
+    }
+
+    private static void appendCell(StringBuilder html, double value, String format) {
+        html.append("<td>").append(String.format(Locale.ROOT, format, value));
     }
 
-    private static double mean(List<Result> runs, java.util.function.ToDoubleFunction<Result> figure) {
+    private static double mean(List<Result> runs, ToDoubleFunction<Result> metric) {
         SummaryStatistics values = new SummaryStatistics();
-        runs.forEach(each -> values.addValue(figure.applyAsDouble(each)));
+        runs.forEach(each -> values.addValue(metric.applyAsDouble(each)));
         return values.getMean();
     }
 
-    private static void runsWithBreaches(StringBuilder html, List<Result> results) {
+    private static void appendViolations(StringBuilder html, List<Result> results) {
         List<Result> broken = results.stream()
                 .filter(each -> !each.broken().isEmpty())
-                .limit(10)
+                .limit(MAX_RUNS_WITH_VIOLATIONS)
                 .toList();
         if (!broken.isEmpty()) {
             html.append("<details><summary>Broken rules</summary><ul>");
             broken.forEach(run -> run.breaches()
                     .forEach(each -> html.append("<li>")
-                            .append(text(run.key()))
+                            .append(escape(run.key()))
                             .append(": ")
-                            .append(text(each))));
+                            .append(escape(each))));
             html.append("</ul></details>");
         }
     }
 
-    private interface Figure {
+    /** A value of one second that a plot shows. */
+    private interface Metric {
         double of(RunStatistics.Second second, RunStatistics.Sums sums);
     }
 
-    private static void plot(StringBuilder html, String title, List<Result> results, Figure figure) {
+    private static void appendPlot(StringBuilder html, String title, List<Result> results, Metric metric) {
         Map<String, List<Result>> arms = byArm(results);
         int seconds =
                 results.stream().mapToInt(each -> each.seconds().size()).max().orElse(0);
@@ -204,42 +182,43 @@
                         runs.stream()
                                 .filter(each -> each.seconds().size() > second)
                                 .toList(),
-                        each -> figure.of(each.seconds().get(second), each.sums())));
+                        each -> metric.of(each.seconds().get(second), each.sums())));
             }
             series.add(values);
         });
-        data(html, title, List.copyOf(arms.keySet()), series, results.get(0).faults(), false);
+        appendPlotData(
+                html, title, List.copyOf(arms.keySet()), series, results.get(0).faults(), false);
     }
 
-    private static void servers(StringBuilder html, Map<String, List<Result>> arms) {
+    private static void appendAttemptsByServer(StringBuilder html, Map<String, List<Result>> arms) {
         List<List<Double>> series = new ArrayList<>();
-        int most = arms.values().stream()
+        int idBound = arms.values().stream()
                 .flatMap(List::stream)
                 .mapToInt(each -> each.attemptsByServer().length)
                 .max()
                 .orElse(1);
         List<Double> ids = new ArrayList<>();
-        for (int i = 1; i < most; i++) {
+        for (int i = 1; i < idBound; i++) {
             ids.add((double) i);
         }
         series.add(ids);
         arms.values().forEach(runs -> {
             List<Double> values = new ArrayList<>();
-            for (int i = 1; i < most; i++) {
+            for (int i = 1; i < idBound; i++) {
                 int id = i;
                 values.add(mean(runs, each -> id < each.attemptsByServer().length ? each.attemptsByServer()[id] : 0));
             }
             series.add(values);
         });
-        data(html, "Attempts by server", List.copyOf(arms.keySet()), series, List.of(), true);
+        appendPlotData(html, "Attempts by server", List.copyOf(arms.keySet()), series, List.of(), true);
     }
 
-    private static void data(
+    private static void appendPlotData(
             StringBuilder html,
             String title,
             List<String> names,
             List<List<Double>> series,
-            List<Result.Trouble> faults,
+            List<Result.FaultInterval> faults,
             boolean points) {
         try {
             String json = JSON.writeValueAsString(
--- a/simulation/src/main/java/topazvalve/simulation/experiment/Result.java
+++ b/simulation/src/main/java/topazvalve/simulation/experiment/Result.java
@@ -2,14 +2,24 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
+import org.HdrHistogram.Histogram;
 import topazvalve.simulation.scenario.Fault;
 import topazvalve.simulation.scenario.Scenario;
 import topazvalve.simulation.tally.Run;
 import topazvalve.simulation.tally.RunStatistics;
 
-/** One run as a line of a file of results; times in milliseconds, fault times in seconds. */
+/**
+ * The result of one run, as stored in a line of the file of results. The names of the components are its keys.
+ *
+ * @param broken how often each rule was violated, by the rule's name
+ * @param digest the run's digest in hexadecimal
+ * @param wallS how long the run took, in seconds
+ * @param attemptsByServer by the server's id, from 1 on
+ * @param breaches the first violations as text
+ */
 public record Result(
         String scenario,
         String arm,
@@ -18,47 +28,34 @@
         double service,
         double worstWindow,
         double worstClass,
-        List<OfClass> classes,
+        List<ClassResult> classes,
         RunStatistics.Sums sums,
         Map<String, Integer> broken,
         String digest,
         double wallS,
         List<RunStatistics.Second> seconds,
-        List<Trouble> faults,
+        List<FaultInterval> faults,
         long[] attemptsByServer,
         List<String> breaches) {
 
-    /** One class. */
-    public record OfClass(String name, double service, double p50, double p90, double p99, double p999) {}
+    private static final double NANOS_PER_SECOND = 1e9;
+    private static final double NANOS_PER_MILLI = 1e6;
+    private static final int MAX_BREACHES = 5;
 
-    /** A fault as a report draws it. */
-    public record Trouble(String kind, double from, double to) {}
+    /** The service (0 to 1) of one class, and percentiles of its latency in milliseconds. */
+    public record ClassResult(String name, double service, double p50, double p90, double p99, double p999) {}
 
-    /** Of a run. */
+    /** The kind of a fault, and its begin and end in seconds from the start of the run. */
+    public record FaultInterval(String kind, double from, double to) {}
+
+    /** Returns the result of a run. */
     public static Result of(Scenario scenario, Run run) {
         RunStatistics tally = run.tally();
-        List<OfClass> classes = new ArrayList<>();
-        for (int i = 0; i < scenario.classes().size(); i++) {
-            var latency = tally.latency(i);
-            classes.add(new OfClass(
-                    scenario.classes().get(i).name(),
-                    tally.service(i),
-                    latency.getValueAtPercentile(50) / 1e6,
-                    latency.getValueAtPercentile(90) / 1e6,
-                    latency.getValueAtPercentile(99) / 1e6,
-                    latency.getValueAtPercentile(99.9) / 1e6));
-        }
+        List<ClassResult> classes = classResults(scenario, run);
         List<RunStatistics.Second> seconds = new ArrayList<>();
         for (int i = 0; i < tally.seconds() - 1; i++) {
             seconds.add(tally.second(i));
         }
-        List<Trouble> faults = new ArrayList<>();
-        for (Fault each : run.faults()) {
-            faults.add(new Trouble(
-                    each.kind().name().toLowerCase(java.util.Locale.ROOT).replace('_', '-'),
-                    each.start() / 1e9,
-                    (each.start() + each.length()) / 1e9));
-        }
         Map<String, Integer> broken = new TreeMap<>();
         run.broken().forEach((rule, count) -> broken.put(rule.name(), count));
         return new Result(
@@ -73,14 +70,47 @@
                 tally.sums(),
                 broken,
                 Long.toHexString(run.digest()),
-                run.wallNanos() / 1e9,
+                run.wallNanos() / NANOS_PER_SECOND,
                 seconds,
-                faults,
+                faultIntervals(run),
                 run.attemptsByServer(),
-                run.breaches().stream().limit(5).map(Object::toString).toList());
+                run.breaches().stream()
+                        .limit(MAX_BREACHES)
+                        .map(Object::toString)
+                        .toList());
+    }
+
+    private static List<ClassResult> classResults(Scenario scenario, Run run) {
+        List<ClassResult> results = new ArrayList<>();
+        for (int i = 0; i < scenario.classes().size(); i++) {
+            Histogram latency = run.tally().latency(i);
+            results.add(new ClassResult(
+                    scenario.classes().get(i).name(),
+                    run.tally().service(i),
+                    percentileMillis(latency, 50),
+                    percentileMillis(latency, 90),
+                    percentileMillis(latency, 99),
+                    percentileMillis(latency, 99.9)));
+        }
+        return results;
+    }
+
+    private static double percentileMillis(Histogram latency, double percentile) {
+        return latency.getValueAtPercentile(percentile) / NANOS_PER_MILLI;
+    }
+
+    private static List<FaultInterval> faultIntervals(Run run) {
+        List<FaultInterval> intervals = new ArrayList<>();
+        for (Fault each : run.faults()) {
+            String kind = each.kind().name().toLowerCase(Locale.ROOT).replace('_', '-');
+            double from = each.start() / NANOS_PER_SECOND;
+            double to = (each.start() + each.length()) / NANOS_PER_SECOND;
+            intervals.add(new FaultInterval(kind, from, to));
+        }
+        return intervals;
     }
 
-    /** What tells it from the others in its file. */
+    /** Returns scenario, arm and seed, which identify a result in its file. */
     public String key() {
         return scenario + "/" + arm + "/" + seed;
     }
--- a/simulation/src/main/java/topazvalve/simulation/experiment/Runner.java
+++ b/simulation/src/main/java/topazvalve/simulation/experiment/Runner.java
@@ -4,6 +4,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
@@ -17,104 +18,118 @@
 import topazvalve.simulation.tally.Run;
 import topazvalve.simulation.virtual.VirtualWorld;
 
-/** Runs a plan, several runs at once, each in virtual time on one thread of its own. */
+/** Performs the runs of a plan in virtual time, several at once, each on one thread. */
 public final class Runner {
-    private static final long LOOK_MS = 200;
+    private static final double NANOS_PER_SECOND = 1e9;
+    private static final long STOP_POLL_MILLIS = 200;
 
     private final ExperimentPlan plan;
     private final Path folder;
     private final int jobs;
     private volatile boolean stopped;
 
-    /** Results go into {@code folder}, which is made. */
+    /**
+     * Creates a runner.
+     *
+     * @param folder takes the file of results, and is created if necessary
+     * @param jobs how many runs are performed at once
+     */
     public Runner(ExperimentPlan plan, Path folder, int jobs) {
         this.plan = plan;
         this.folder = folder;
         this.jobs = jobs;
     }
 
-    /** Takes up no further run; from any thread. */
+    /** Starts no further runs. May be called from any thread. */
     public void stop() {
         stopped = true;
     }
 
-    /** How far it is; {@code leftS} is a guess at the seconds left. */
+    /**
+     * The progress of an experiment.
+     *
+     * @param done the number of runs that are done
+     * @param all the number of runs of the plan
+     * @param broken the number of runs that violated a rule
+     * @param leftS the estimated time to the end in seconds
+     */
     public record Progress(int done, int all, int broken, double leftS) {}
 
     /**
-     * Runs what is not done yet.
+     * Performs the runs that are not done yet.
      *
-     * @param resume whether earlier results of the same plan in the folder count as done
-     * @return all results, in the plan's order; fewer than the plan has if it was stopped
+     * @param resume whether runs with a result in the folder count as done
+     * @param listener is called on the caller's thread after each run
+     * @return all results in the plan's order; fewer than the plan has runs if it was stopped
      */
     public List<Result> run(boolean resume, Consumer<Progress> listener) throws IOException, InterruptedException {
         Files.createDirectories(folder);
-        List<ExperimentPlan.Cell> cells = plan.cells();
-        Set<String> wanted =
-                new HashSet<>(cells.stream().map(ExperimentPlan.Cell::key).toList());
-        List<Result> kept = resume
-                ? Results.read(folder).stream()
-                        .filter(each -> wanted.contains(each.key()))
-                        .toList()
-                : List.of();
-        Results.rewrite(folder, kept);
-        Set<String> done = new HashSet<>(kept.stream().map(Result::key).toList());
-        List<ExperimentPlan.Cell> left =
-                cells.stream().filter(each -> !done.contains(each.key())).toList();
+        List<ExperimentPlan.PlannedRun> runs = plan.runs();
+        List<String> keys = runs.stream().map(ExperimentPlan.PlannedRun::key).toList();
+        List<Result> earlier = resume ? earlierResults(new HashSet<>(keys)) : List.of();
+        Results.replaceAll(folder, earlier);
+        Set<String> done = new HashSet<>(earlier.stream().map(Result::key).toList());
+        List<ExperimentPlan.PlannedRun> remaining =
+                runs.stream().filter(each -> !done.contains(each.key())).toList();
         ExecutorService threads = Executors.newFixedThreadPool(jobs);
         try {
-            runAll(left, threads, kept.size(), cells.size(), listener);
+            runAll(remaining, threads, earlier.size(), listener);
         } finally {
             threads.shutdownNow();
         }
-        List<String> order = cells.stream().map(ExperimentPlan.Cell::key).toList();
         List<Result> all = new ArrayList<>(Results.read(folder));
-        all.sort((a, b) -> Integer.compare(order.indexOf(a.key()), order.indexOf(b.key())));
+        all.sort(Comparator.comparingInt(each -> keys.indexOf(each.key())));
         return all;
     }
 
+    private List<Result> earlierResults(Set<String> keys) throws IOException {
+        return Results.read(folder).stream()
+                .filter(each -> keys.contains(each.key()))
+                .toList();
+    }
+
     private void runAll(
-            List<ExperimentPlan.Cell> left, ExecutorService threads, int before, int all, Consumer<Progress> listener)
+            List<ExperimentPlan.PlannedRun> remaining,
+            ExecutorService threads,
+            int earlier,
+            Consumer<Progress> listener)
             throws IOException, InterruptedException {
-        ExecutorCompletionService<Result> running = new ExecutorCompletionService<>(threads);
-        long began = System.nanoTime();
-        int next = 0;
-        int out = 0;
+        ExecutorCompletionService<Result> completion = new ExecutorCompletionService<>(threads);
+        long startedAt = System.nanoTime();
+        int started = 0;
         int finished = 0;
         int broken = 0;
-        while (out > 0 || (next < left.size() && !stopped)) {
-            while (out < jobs && next < left.size() && !stopped) {
-                ExperimentPlan.Cell cell = left.get(next++);
-                running.submit(() -> play(cell));
-                out++;
+        while (finished < started || (started < remaining.size() && !stopped)) {
+            while (started - finished < jobs && started < remaining.size() && !stopped) {
+                ExperimentPlan.PlannedRun run = remaining.get(started);
+                completion.submit(() -> play(run));
+                started++;
             }
-            Future<Result> one = running.poll(LOOK_MS, TimeUnit.MILLISECONDS);
-            if (one == null) {
-                if (stopped) {
-                    return;
-                }
-                continue;
+            Future<Result> next = completion.poll(STOP_POLL_MILLIS, TimeUnit.MILLISECONDS);
+            if (next != null) {
+                Result result = result(next);
+                Results.append(folder, result);
+                finished++;
+                broken += result.broken().isEmpty() ? 0 : 1;
+                double secondsPerRun = (System.nanoTime() - startedAt) / NANOS_PER_SECOND / finished;
+                double secondsLeft = secondsPerRun * (remaining.size() - finished);
+                listener.accept(new Progress(earlier + finished, earlier + remaining.size(), broken, secondsLeft));
+            } else if (stopped) {
+                return;
             }
-            out--;
-            Result result = result(one);
-            Results.append(folder, result);
-            finished++;
-            broken += result.broken().isEmpty() ? 0 : 1;
-            double each = (System.nanoTime() - began) / 1e9 / finished;
-            listener.accept(new Progress(before + finished, all, broken, each * (left.size() - finished)));
         }
     }
 
-    private static Result result(Future<Result> one) throws InterruptedException {
+    private static Result result(Future<Result> run) throws InterruptedException {
         try {
-            return one.get();
+            return run.get();
         } catch (ExecutionException e) {
             throw new IllegalStateException("a run failed: " + e.getCause(), e.getCause());
         }
     }
 
-    private static Result play(ExperimentPlan.Cell cell) {
-        Run run = new VirtualWorld(cell.scenario(), cell.arm(), cell.seed()).play();
-        return Result.of(cell.scenario(), run);
+    private static Result play(ExperimentPlan.PlannedRun planned) {
+        Run run = new VirtualWorld(planned.scenario(), planned.arm(), planned.seed()).play();
+        return Result.of(planned.scenario(), run);
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/experiment/package-info.java
+++ b/simulation/src/main/java/topazvalve/simulation/experiment/package-info.java
@@ -1,2 +1,2 @@
-/** Arms, scenarios and seeds; results, comparisons and reports. */
+/** Experiments: their plan and runs, stored results, comparison of arms, and the report. */
 package topazvalve.simulation.experiment;
--- a/simulation/src/main/java/topazvalve/simulation/real/RealClients.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/RealClients.java
@@ -78,7 +78,7 @@
             world.clock().scheduleAt(at, () -> {
                 if (asker.arrivesAt(world.sinceStart(at))) {
                     RequestGenerator.GeneratedRequest wish = asker.next();
-                    world.tally().asked(wish.requestClass(), world.sinceStart(at));
+                    world.tally().requestSent(wish.requestClass(), world.sinceStart(at));
                     new Try(number, wish, at, false).send();
                 }
                 next(number, at);
@@ -204,7 +204,7 @@
             if (channel != null) {
                 channel.close();
             }
-            world.tally().unanswered(wish.requestClass(), world.sinceStart(firstAt));
+            world.tally().requestUnanswered(wish.requestClass(), world.sinceStart(firstAt));
             world.oracle().deadlinePassed(trace, world.elapsed());
         }
 
@@ -248,7 +248,7 @@
             boolean harmless = answer == Answer.REFUSED || kind.retryIsHarmless();
             if (answer == Answer.SERVED) {
                 world.tally()
-                        .served(
+                        .requestServed(
                                 wish.requestClass(),
                                 world.sinceStart(firstAt),
                                 world.clock().now() - firstAt);
@@ -259,13 +259,13 @@
                                 Math.min(wait, scenario.clients().maxRetryAfter()))
                         : scenario.clients().backoff();
                 world.clock().scheduleAt(world.clock().now() + pause, () -> {
-                    world.tally().retry();
+                    world.tally().retrySent();
                     new Try(number, wish, firstAt, true).send();
                 });
             } else if (answer == Answer.REFUSED) {
-                world.tally().refused(wish.requestClass(), world.sinceStart(firstAt));
+                world.tally().requestRejected(wish.requestClass(), world.sinceStart(firstAt));
             } else {
-                world.tally().failed(wish.requestClass(), world.sinceStart(firstAt));
+                world.tally().requestFailed(wish.requestClass(), world.sinceStart(firstAt));
             }
         }
     }
--- a/simulation/src/main/java/topazvalve/simulation/real/RealWorld.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/RealWorld.java
@@ -318,7 +318,7 @@
 
     void received(Traces.Sent sent, OrderServer server, boolean mayRun) {
         attemptsByServer[(int) Math.min(attemptsByServer.length - 1, server.id())]++;
-        tally.attempt(elapsed());
+        tally.attemptReceived(elapsed());
         oracle.attemptReceived(
                 sent.trace(), server.id(), server.pod().zone(), server.pod().number(), mayRun, elapsed());
     }
--- a/simulation/src/main/java/topazvalve/simulation/real/ServerStandIn.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/ServerStandIn.java
@@ -146,7 +146,7 @@
         }
         int accepted = server.incarnation();
         connections.add(made);
-        world.tally().connection();
+        world.tally().connectionOpened();
         made.closeFuture().addListener(closed -> {
             connections.remove(made);
             server.connectionClosed(accepted);
@@ -170,7 +170,7 @@
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             String path = request.uri();
             if (path.equals("/alive") || path.equals("/metrics/load")) {
-                world.tally().probe();
+                world.tally().healthCheckSent();
                 server.offer(new ProbeJob(context.channel()), true);
                 return;
             }
--- a/simulation/src/main/java/topazvalve/simulation/tally/Run.java
+++ b/simulation/src/main/java/topazvalve/simulation/tally/Run.java
@@ -7,13 +7,19 @@
 import topazvalve.simulation.scenario.Fault;
 
 /**
- * What one run came to.
+ * The outcome of one run.
  *
- * @param digest of every answer, its request and its time: the same seed has the same
- * @param requests tries that clients sent
- * @param events of the clock
- * @param wallNanos how long it took to play
- * @param attemptsByServer by the server's id, from 1
+ * @param tally its statistics
+ * @param broken how often each rule was violated; rules that held are absent
+ * @param breaches the first violations
+ * @param faults the faults that were played, written and drawn
+ * @param notes recorded events, oldest first
+ * @param digest checksum of all responses, with their requests and times; the same seed gives the same digest in
+ *     virtual time
+ * @param requests the number of requests that clients sent, retries included
+ * @param events the number of events of the clock; 0 in real time
+ * @param wallNanos how long the run took
+ * @param attemptsByServer the number of attempts that each server received, by its id, from 1 on
  */
 public record Run(
         String scenario,
@@ -30,7 +36,7 @@
         long wallNanos,
         long[] attemptsByServer) {
 
-    /** Whether every rule held. */
+    /** Returns whether every rule held. */
     public boolean clean() {
         return broken.isEmpty();
     }
--- a/simulation/src/main/java/topazvalve/simulation/tally/RunStatistics.java
+++ b/simulation/src/main/java/topazvalve/simulation/tally/RunStatistics.java
@@ -8,13 +8,27 @@
 import topazvalve.simulation.scenario.WorkClass;
 
 /**
- * Adds a run up: by class and by second, latencies from the time a request was meant to be sent. A client's
- * retry belongs to its first try. One thread.
+ * The statistics of a run, by class and by second. Latencies count from the time at which a request was meant to be
+ * sent. A client's retry counts with its first try. Times are nanoseconds from the start of the run. Not thread-safe.
  */
 public final class RunStatistics {
-    private static final long SECOND = 1_000_000_000L;
-    private static final int WORST_WINDOW = 10;
-    private static final long LONGEST = 600_000_000_000L;
+    private static final double NANOS_PER_MILLI = 1e6;
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
+    private static final int WORST_WINDOW_SECONDS = 10;
+    /** The range of the histograms; longer latencies count as the longest. */
+    private static final long MIN_LATENCY_NANOS = 1_000;
+
+    private static final long MAX_LATENCY_NANOS = 600_000_000_000L;
+
+    /** Significant decimal digits of the histograms. */
+    private static final int DIGITS_BY_CLASS = 3;
+
+    private static final int DIGITS_BY_SECOND = 2;
+
+    private static final double SERVICE_WEIGHT = 0.75;
+    private static final double WORST_WINDOW_WEIGHT = 0.15;
+    private static final double WORST_CLASS_WEIGHT = 0.1;
+    private static final int ALL_CLASSES = -1;
 
     private final Scenario scenario;
     private final int classes;
@@ -26,18 +40,18 @@
     private final long[] unanswered;
     private final long[] late;
     private final long[] attemptsBySecond;
-    private final List<Histogram> latency = new ArrayList<>();
-    private final List<Histogram> bySecond = new ArrayList<>();
+    private final List<Histogram> latencyByClass = new ArrayList<>();
+    private final List<Histogram> latencyBySecond = new ArrayList<>();
     private long attempts;
     private long connections;
     private long probes;
     private long retries;
 
-    /** Nothing yet. */
+    /** Creates the statistics of a run that hasn't started. */
     public RunStatistics(Scenario scenario) {
         this.scenario = scenario;
         this.classes = scenario.classes().size();
-        this.seconds = (int) (scenario.length() / SECOND) + 1;
+        this.seconds = (int) (scenario.length() / NANOS_PER_SECOND) + 1;
         this.asked = new long[classes][seconds];
         this.good = new long[classes][seconds];
         this.refused = new long[classes];
@@ -46,146 +60,174 @@
         this.late = new long[classes];
         this.attemptsBySecond = new long[seconds];
         for (int i = 0; i < classes; i++) {
-            latency.add(new Histogram(1_000, LONGEST, 3));
+            latencyByClass.add(new Histogram(MIN_LATENCY_NANOS, MAX_LATENCY_NANOS, DIGITS_BY_CLASS));
         }
         for (int i = 0; i < seconds; i++) {
-            bySecond.add(null);
+            latencyBySecond.add(null);
         }
     }
 
     private int second(long at) {
-        return (int) Math.min(seconds - 1, Math.max(0, at / SECOND));
+        return (int) Math.min(seconds - 1, Math.max(0, at / NANOS_PER_SECOND));
     }
 
-    private boolean counts(long at) {
+    /** Returns whether a time is after the part of the run that the statistics leave out. */
+    private boolean afterSettling(long at) {
         return at >= scenario.settle();
     }
 
-    /** A first try; {@code at} is when it was meant to be sent, from the start of the run. */
-    public void asked(int requestClass, long at) {
+    /** A client has sent a first try; {@code at} is when it was meant to be sent. */
+    public void requestSent(int requestClass, long at) {
         asked[requestClass][second(at)]++;
     }
 
-    /** A request was served after so many nanoseconds from the first try's time, {@code firstAt}. */
-    public void served(int requestClass, long firstAt, long took) {
-        WorkClass kind = scenario.classes().get(requestClass);
+    /**
+     * A client has received a response to a request.
+     *
+     * @param firstAt when the first try was meant to be sent
+     * @param latencyNanos how long the client has waited since then
+     */
+    public void requestServed(int requestClass, long firstAt, long latencyNanos) {
+        WorkClass workClass = scenario.classes().get(requestClass);
         int second = second(firstAt);
-        if (took <= kind.latencyObjective()) {
+        long recorded = Math.min(MAX_LATENCY_NANOS, Math.max(0, latencyNanos));
+        if (latencyNanos <= workClass.latencyObjective()) {
             good[requestClass][second]++;
-        } else if (counts(firstAt)) {
+        } else if (afterSettling(firstAt)) {
             late[requestClass]++;
         }
-        if (counts(firstAt)) {
-            latency.get(requestClass).recordValue(Math.min(LONGEST, Math.max(0, took)));
+        if (afterSettling(firstAt)) {
+            latencyByClass.get(requestClass).recordValue(recorded);
         }
-        Histogram window = bySecond.get(second);
-        if (window == null) {
-            window = new Histogram(1_000, LONGEST, 2);
-            bySecond.set(second, window);
+        Histogram histogram = latencyBySecond.get(second);
+        if (histogram == null) {
+            histogram = new Histogram(MIN_LATENCY_NANOS, MAX_LATENCY_NANOS, DIGITS_BY_SECOND);
+            latencyBySecond.set(second, histogram);
         }
-        window.recordValue(Math.min(LONGEST, Math.max(0, took)));
+        histogram.recordValue(recorded);
     }
 
-    /** A first try ended, with its retries, refused. */
-    public void refused(int requestClass, long firstAt) {
-        refused[requestClass] += counts(firstAt) ? 1 : 0;
+    /** A request was rejected, and so was its retry if there was one. */
+    public void requestRejected(int requestClass, long firstAt) {
+        refused[requestClass] += afterSettling(firstAt) ? 1 : 0;
     }
 
-    /** A first try ended failed. */
-    public void failed(int requestClass, long firstAt) {
-        failed[requestClass] += counts(firstAt) ? 1 : 0;
+    /** A request failed, and so did its retry if there was one. */
+    public void requestFailed(int requestClass, long firstAt) {
+        failed[requestClass] += afterSettling(firstAt) ? 1 : 0;
     }
 
-    /** A first try ended without an answer. */
-    public void unanswered(int requestClass, long firstAt) {
-        unanswered[requestClass] += counts(firstAt) ? 1 : 0;
+    /** A request has ended without a response. */
+    public void requestUnanswered(int requestClass, long firstAt) {
+        unanswered[requestClass] += afterSettling(firstAt) ? 1 : 0;
     }
 
-    /** An attempt has reached a server. */
-    public void attempt(long at) {
+    /** A server has received an attempt. */
+    public void attemptReceived(long at) {
         attempts++;
         attemptsBySecond[second(at)]++;
     }
 
-    /** A connection was opened to a server. */
-    public void connection() {
+    /** An instance has opened a connection to a server. */
+    public void connectionOpened() {
         connections++;
     }
 
-    /** A server was probed. */
-    public void probe() {
+    /** An instance has sent a health check. */
+    public void healthCheckSent() {
         probes++;
     }
 
-    /** A client tried once more. */
-    public void retry() {
+    /** A client has sent a retry. */
+    public void retrySent() {
         retries++;
     }
 
-    /** What a second looked like. */
+    /**
+     * The statistics of one second of the run.
+     *
+     * @param number seconds from the start
+     * @param asked first tries that clients sent
+     * @param good those of them that were served within the latency objective
+     * @param attempts attempts that servers received
+     */
     public record Second(int number, long asked, long good, double p50Ms, double p99Ms, long attempts) {}
 
-    /** One second, for a progress line or a plot. */
+    /** Returns the statistics of one second. */
     public Second second(int number) {
-        long all = 0;
-        long served = 0;
+        long sent = 0;
+        long inTime = 0;
         for (int i = 0; i < classes; i++) {
-            all += asked[i][number];
-            served += good[i][number];
+            sent += asked[i][number];
+            inTime += good[i][number];
         }
-        Histogram window = bySecond.get(number);
+        Histogram histogram = latencyBySecond.get(number);
         return new Second(
                 number,
-                all,
-                served,
-                window == null ? 0 : window.getValueAtPercentile(50) / 1e6,
-                window == null ? 0 : window.getValueAtPercentile(99) / 1e6,
+                sent,
+                inTime,
+                percentileMillis(histogram, 50),
+                percentileMillis(histogram, 99),
                 attemptsBySecond[number]);
     }
 
-    /** Seconds that the run has. */
+    private static double percentileMillis(Histogram histogram, double percentile) {
+        return histogram == null ? 0 : histogram.getValueAtPercentile(percentile) / NANOS_PER_MILLI;
+    }
+
+    /** Returns the number of seconds of the run; the last one may be partial. */
     public int seconds() {
         return seconds;
     }
 
-    /** The worth answered within the aim, over the worth asked for; between two seconds. */
+    /**
+     * Returns the priority weight of the requests served within the latency objective, as a fraction (0 to 1) of the
+     * weight of all requests sent.
+     *
+     * @param from the first second
+     * @param to the second after the last one
+     * @param onlyClass the class that counts, or {@link #ALL_CLASSES}
+     */
     private double service(int from, int to, int onlyClass) {
-        double had = 0;
-        double wanted = 0;
+        double earned = 0;
+        double total = 0;
         for (int i = 0; i < classes; i++) {
-            if (onlyClass < 0 || onlyClass == i) {
-                double worth = scenario.classes().get(i).priorityWeight();
-                had += worth * Arrays.stream(good[i], from, to).sum();
-                wanted += worth * Arrays.stream(asked[i], from, to).sum();
+            if (onlyClass == ALL_CLASSES || onlyClass == i) {
+                double weight = scenario.classes().get(i).priorityWeight();
+                earned += weight * Arrays.stream(good[i], from, to).sum();
+                total += weight * Arrays.stream(asked[i], from, to).sum();
             }
         }
-        return wanted == 0 ? 1 : had / wanted;
+        return total == 0 ? 1 : earned / total;
     }
 
     private int firstSecond() {
-        return (int) ((scenario.settle() + SECOND - 1) / SECOND);
+        return (int) ((scenario.settle() + NANOS_PER_SECOND - 1) / NANOS_PER_SECOND);
     }
 
-    /** Of the whole run. */
+    /**
+     * Returns the service of the run: the priority weight of the requests served within the latency objective, as a
+     * fraction (0 to 1) of the weight of all requests sent.
+     */
     public double service() {
-        return service(firstSecond(), seconds, -1);
+        return service(firstSecond(), seconds, ALL_CLASSES);
     }
 
-    /** Of the worst ten seconds. */
+    /** Returns the service of the worst ten seconds. */
     public double worstWindow() {
         double worst = 1;
-        for (int from = firstSecond(); from + WORST_WINDOW < seconds; from++) {
-            worst = Math.min(worst, service(from, from + WORST_WINDOW, -1));
+        for (int from = firstSecond(); from + WORST_WINDOW_SECONDS < seconds; from++) {
+            worst = Math.min(worst, service(from, from + WORST_WINDOW_SECONDS, ALL_CLASSES));
         }
-        return seconds - firstSecond() <= WORST_WINDOW ? service() : worst;
+        return seconds - firstSecond() <= WORST_WINDOW_SECONDS ? service() : worst;
     }
 
-    /** Of one class. */
+    /** Returns the service of one class. */
     public double service(int requestClass) {
         return service(firstSecond(), seconds, requestClass);
     }
 
-    /** Of the class that is served worst. */
+    /** Returns the service of the class that is served worst. */
     public double worstClass() {
         double worst = 1;
         for (int i = 0; i < classes; i++) {
@@ -194,12 +236,24 @@
         return worst;
     }
 
-    /** Three quarters of the whole, 0.15 of the worst ten seconds, a tenth of the worst class. */
+    /** Returns the weighted mean (0 to 1) of the service of the run, its worst ten seconds and its worst class. */
     public double goal() {
-        return 0.75 * service() + 0.15 * worstWindow() + 0.1 * worstClass();
+        return SERVICE_WEIGHT * service() + WORST_WINDOW_WEIGHT * worstWindow() + WORST_CLASS_WEIGHT * worstClass();
     }
 
-    /** Sums over all classes and the whole run, the settling apart. */
+    /**
+     * Sums over all classes and the run. The first five and {@code unanswered} leave out the settling time. The names
+     * are keys of stored results.
+     *
+     * @param asked first tries that clients sent
+     * @param good served within the latency objective
+     * @param late served later
+     * @param refused rejected
+     * @param attempts attempts that servers received
+     * @param connections connections that instances opened
+     * @param probes health checks that instances sent
+     * @param retries retries that clients sent
+     */
     public record Sums(
             long asked,
             long good,
@@ -212,17 +266,17 @@
             long probes,
             long retries) {}
 
-    /** The sums. */
+    /** Returns the sums over all classes. */
     public Sums sums() {
-        long all = 0;
-        long served = 0;
+        long sent = 0;
+        long inTime = 0;
         for (int i = 0; i < classes; i++) {
-            all += Arrays.stream(asked[i], firstSecond(), seconds).sum();
-            served += Arrays.stream(good[i], firstSecond(), seconds).sum();
+            sent += Arrays.stream(asked[i], firstSecond(), seconds).sum();
+            inTime += Arrays.stream(good[i], firstSecond(), seconds).sum();
         }
         return new Sums(
-                all,
-                served,
+                sent,
+                inTime,
                 sum(late),
                 sum(refused),
                 sum(failed),
@@ -237,15 +291,15 @@
         return Arrays.stream(values).sum();
     }
 
-    /** Latencies of one class's served requests, in nanoseconds. */
+    /** Returns the latencies of one class's served requests, in nanoseconds. */
     public Histogram latency(int requestClass) {
-        return latency.get(requestClass);
+        return latencyByClass.get(requestClass);
     }
 
-    /** Latencies of all served requests, in nanoseconds. */
+    /** Returns the latencies of all served requests, in nanoseconds. */
     public Histogram latency() {
-        Histogram all = new Histogram(1_000, LONGEST, 3);
-        latency.forEach(all::add);
+        Histogram all = new Histogram(MIN_LATENCY_NANOS, MAX_LATENCY_NANOS, DIGITS_BY_CLASS);
+        latencyByClass.forEach(all::add);
         return all;
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/tally/package-info.java
+++ b/simulation/src/main/java/topazvalve/simulation/tally/package-info.java
@@ -1,2 +1,2 @@
-/** What a run adds up to. */
+/** The statistics of a run, and its outcome. */
 package topazvalve.simulation.tally;
--- a/simulation/src/main/java/topazvalve/simulation/virtual/AttemptSender.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/AttemptSender.java
@@ -71,7 +71,7 @@
 
     /** The server has accepted the connection; the attempt is written once the instance learns of it. */
     private void connected(VirtualAttempt attempt, long delayBack) {
-        world.statistics().connection();
+        world.statistics().connectionOpened();
         OrderServer server = attempt.serverConnections.server;
         attempt.connection = new VirtualConnection(attempt.serverConnections, server.incarnation());
         long delay = nextDelayNanos(attempt);
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualClients.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualClients.java
@@ -72,7 +72,7 @@
     }
 
     private void sendFirst(ClientRequest clientRequest) {
-        world.statistics().asked(clientRequest.requestClass(), world.elapsed());
+        world.statistics().requestSent(clientRequest.requestClass(), world.elapsed());
         send(clientRequest, false);
     }
 
@@ -149,7 +149,7 @@
     }
 
     private void endUnanswered(VirtualRequest request) {
-        world.statistics().unanswered(request.requestClass, world.sinceStart(request.firstSentAt));
+        world.statistics().requestUnanswered(request.requestClass, world.sinceStart(request.firstSentAt));
         world.instances().get(request.instance).clientDisconnected(request);
     }
 
@@ -159,7 +159,7 @@
         world.updateDigest(request.id, answer);
         if (answer == Answer.SERVED) {
             long latency = now() + 2 * scenario.network().client() - request.firstSentAt;
-            world.statistics().served(request.requestClass, world.sinceStart(request.firstSentAt), latency);
+            world.statistics().requestServed(request.requestClass, world.sinceStart(request.firstSentAt), latency);
         } else {
             endUnserved(clientRequest, request.isRetry, answer, retryAfterNanos);
         }
@@ -173,13 +173,13 @@
         if (clientRequest.generated().retries() && !isRetry && harmless) {
             long backoff = backoffNanos(clientRequest, retryAfterNanos);
             world.clock().scheduleAt(now() + backoff, () -> {
-                world.statistics().retry();
+                world.statistics().retrySent();
                 send(clientRequest, true);
             });
         } else if (answer == Answer.REFUSED) {
-            world.statistics().refused(clientRequest.requestClass(), firstSentAt);
+            world.statistics().requestRejected(clientRequest.requestClass(), firstSentAt);
         } else {
-            world.statistics().failed(clientRequest.requestClass(), firstSentAt);
+            world.statistics().requestFailed(clientRequest.requestClass(), firstSentAt);
         }
     }
 
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualHealthCheck.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualHealthCheck.java
@@ -28,7 +28,7 @@
 
     /** Sends it; the instance is notified of its outcome. */
     void send() {
-        world.statistics().probe();
+        world.statistics().healthCheckSent();
         world.clock().scheduleAt(sentAt + world.link().nextDelayNanos(target.crossZone), this::arrive);
         world.clock().scheduleAt(sentAt + TIMEOUT_NANOS, () -> end(Outcome.TIMEOUT));
     }
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualWorld.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualWorld.java
@@ -297,7 +297,7 @@
             attemptsByServer = Arrays.copyOf(attemptsByServer, id + ATTEMPT_COUNTER_GROWTH);
         }
         attemptsByServer[id]++;
-        statistics.attempt(elapsed());
+        statistics.attemptReceived(elapsed());
         oracle.attemptReceived(
                 attempt.request.trace,
                 server.id(),
--- a/simulation/src/test/java/topazvalve/simulation/experiment/ResultsTest.java
+++ b/simulation/src/test/java/topazvalve/simulation/experiment/ResultsTest.java
@@ -30,7 +30,7 @@
 
     @Test
     void resultsKeepTheirStoredForm() throws Exception {
-        Results.rewrite(folder, Results.read(STORED));
+        Results.replaceAll(folder, Results.read(STORED));
 
         assertEquals(
                 Files.readAllLines(STORED.resolve(Results.FILE)), Files.readAllLines(folder.resolve(Results.FILE)));
