--- a/capacity/src/main/java/topazvalve/capacity/measure/RunningSidecarMeasurement.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/RunningSidecarMeasurement.java
@@ -32,7 +32,7 @@
 
     /** Publishes a change; two in a row have to leave the list as it was. */
     private interface Publisher {
-        StandInSourceProcess.PublishedChange publish() throws IOException;
+        PublishedChange publish() throws IOException;
     }
 
     /**
@@ -104,7 +104,7 @@
             throws IOException, InterruptedException {
         List<Double> millis = new ArrayList<>();
         for (int i = 0; i < repetitions; i++) {
-            StandInSourceProcess.PublishedChange change = publisher.publish();
+            PublishedChange change = publisher.publish();
             int expectedServers = i % 2 == 0 ? servers + endpoints : servers;
             long inForceAtNanos = sidecar.awaitListed(expectedServers, CHANGE_TIMEOUT_MILLIS, CHANGE_POLL_MILLIS);
             millis.add((inForceAtNanos - change.publishedAtNanos()) / NANOS_PER_MILLI);
--- a/capacity/src/main/java/topazvalve/capacity/measure/StandInSource.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/StandInSource.java
@@ -1,35 +1,22 @@
 package topazvalve.capacity.measure;
 
-import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandler;
 import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelInitializer;
-import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
-import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.channel.nio.NioIoHandler;
-import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.handler.codec.http.DefaultFullHttpResponse;
 import io.netty.handler.codec.http.DefaultHttpContent;
 import io.netty.handler.codec.http.DefaultHttpResponse;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.FullHttpResponse;
-import io.netty.handler.codec.http.HttpObjectAggregator;
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpResponseStatus;
-import io.netty.handler.codec.http.HttpServerCodec;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.QueryStringDecoder;
-import java.io.BufferedReader;
-import java.io.IOException;
-import java.io.InputStreamReader;
-import java.net.InetAddress;
-import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -37,30 +24,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A discovery source that runs as a process of its own: complete lists, watches and empty lines. With a bounded
- * capacity it answers one call after another; a call that has waited longer than the timeout fails.
- *
- * <p>It reads commands from standard input, one a line, and writes replies to standard output:
- *
- * <ul>
- *   <li>{@code change N} publishes a change of N extra servers, which are added and removed in turn;
- *   <li>{@code whole} publishes a change of one extra server as a complete list;
- *   <li>{@code calls} replies with the number of calls since the last such command.
- * </ul>
- *
- * <p>All state belongs to the event loop.
+ * A discovery source with complete lists, watches and empty lines. With a bounded capacity it answers one call after
+ * another; a call that has waited longer than the timeout is rejected. All state belongs to the event loop.
  */
 @ChannelHandler.Sharable
 final class StandInSource extends SimpleChannelInboundHandler<FullHttpRequest> {
-    static final String COMMAND_DELTA = "change";
-    static final String COMMAND_SNAPSHOT = "whole";
-    static final String COMMAND_CALLS = "calls";
-    static final String REPLY_PORT = "port";
-    static final String REPLY_PUBLISHED = "told";
-    static final String REPLY_CALLS = "calls";
-
-    private static final int MAX_REQUEST_BYTES = 1 << 12;
-    private static final int BACKLOG = 8192;
     private static final double NANOS_PER_SECOND = 1e9;
     private static final long FIRST_REVISION = 1;
 
@@ -75,7 +43,14 @@
     private long busyUntilNanos;
     private int calls;
 
-    private StandInSource(
+    /**
+     * Creates a source.
+     *
+     * @param servers the length of its endpoint list
+     * @param callsPerSecond the calls that it answers; 0 is unbounded
+     * @param timeoutMillis the longest wait of a call
+     */
+    StandInSource(
             EventLoop loop, int servers, double callsPerSecond, long timeoutMillis, long emptyLineIntervalMillis) {
         this.loop = loop;
         this.servers = servers;
@@ -89,62 +64,34 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /**
-     * Runs a source until standard input ends.
-     *
-     * @param args the number of listed servers, the calls per second (0: unbounded), the timeout of a waiting call
-     *     and the time between empty lines, both in milliseconds
-     */
-    public static void main(String[] args) throws IOException, InterruptedException {
-        MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        StandInSource source = new StandInSource(
-                group.next(),
-                Integer.parseInt(args[0]),
-                Double.parseDouble(args[1]),
-                Long.parseLong(args[2]),
-                Long.parseLong(args[3]));
-        Channel listener = listen(group, source);
-        System.out.println(REPLY_PORT + " " + ((InetSocketAddress) listener.localAddress()).getPort());
-        BufferedReader commands = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
-        for (String line = commands.readLine(); line != null; line = commands.readLine()) {
-            String[] words = line.split(" ");
-            source.loop.execute(() -> source.execute(words));
-        }
-        System.exit(0);
-    }
-
-    private static Channel listen(MultiThreadIoEventLoopGroup group, StandInSource source) throws InterruptedException {
-        return new ServerBootstrap()
-                .group(group)
-                .channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG)
-                .childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        channel.pipeline()
-                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_REQUEST_BYTES), source);
-                    }
-                })
-                .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
-                .sync()
-                .channel();
-    }
-
-    private void execute(String[] command) {
-        if (command[0].equals(COMMAND_CALLS)) {
-            System.out.println(REPLY_CALLS + " " + calls);
-            calls = 0;
-            return;
-        }
+    /** Publishes a change of some extra servers, which are added and removed in turn. */
+    PublishedChange publishDelta(int extraServers) {
+        beginChange();
+        return publish(buffer(EndpointListJson.delta(revision, extraServers, extraServersListed)));
+    }
+
+    /** Publishes a change of one extra server as a complete list. */
+    PublishedChange publishSnapshot() {
+        beginChange();
+        return publish(currentSnapshot());
+    }
+
+    private void beginChange() {
         extraServersListed = !extraServersListed;
         revision++;
-        ByteBuf line = command[0].equals(COMMAND_SNAPSHOT)
-                ? currentSnapshot()
-                : buffer(EndpointListJson.delta(revision, Integer.parseInt(command[1]), extraServersListed));
+    }
+
+    private PublishedChange publish(ByteBuf line) {
         long publishedAtNanos = System.nanoTime();
         sendToWatches(line);
-        System.out.println(REPLY_PUBLISHED + " " + publishedAtNanos + " " + revision);
+        return new PublishedChange(publishedAtNanos, revision);
+    }
+
+    /** Returns the number of calls since this was last called. */
+    int takeCalls() {
+        int taken = calls;
+        calls = 0;
+        return taken;
     }
 
     private static ByteBuf buffer(String text) {
--- a/capacity/src/main/java/topazvalve/capacity/measure/StandInSourceProcess.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/StandInSourceProcess.java
@@ -16,19 +16,11 @@
     private final PrintWriter commands;
     private final int port;
 
-    /**
-     * A change that the source has published.
-     *
-     * @param publishedAtNanos when, by the machine's monotonic clock, which all processes share
-     * @param revision the version of the endpoint list with this change
-     */
-    record PublishedChange(long publishedAtNanos, long revision) {}
-
     private StandInSourceProcess(Process process) throws IOException {
         this.process = process;
         this.replies = process.inputReader(StandardCharsets.UTF_8);
         this.commands = new PrintWriter(process.outputWriter(StandardCharsets.UTF_8), true);
-        this.port = (int) readReply(StandInSource.REPLY_PORT)[0];
+        this.port = (int) readReply(StandInSourceMain.REPLY_PORT)[0];
     }
 
     /** Starts a source whose capacity is unbounded. */
@@ -49,7 +41,7 @@
         List<String> command = new ArrayList<>();
         command.add(ChildProcess.jdkTool("java"));
         command.addAll(ChildProcess.LIST_SERVER_JVM_OPTIONS);
-        command.addAll(List.of("-cp", System.getProperty("java.class.path"), StandInSource.class.getName()));
+        command.addAll(List.of("-cp", System.getProperty("java.class.path"), StandInSourceMain.class.getName()));
         command.add(Integer.toString(servers));
         command.add(Double.toString(callsPerSecond));
         command.add(Long.toString(timeoutMillis));
@@ -83,24 +75,24 @@
 
     /** Publishes a change of so many endpoints, which are added and removed in turn. */
     PublishedChange publishDelta(int endpoints) throws IOException {
-        return publish(StandInSource.COMMAND_DELTA + " " + endpoints);
+        return publish(StandInSourceMain.COMMAND_DELTA + " " + endpoints);
     }
 
     /** Publishes a change of one endpoint as a complete list. */
     PublishedChange publishSnapshot() throws IOException {
-        return publish(StandInSource.COMMAND_SNAPSHOT);
+        return publish(StandInSourceMain.COMMAND_SNAPSHOT);
     }
 
     private PublishedChange publish(String command) throws IOException {
         commands.println(command);
-        long[] numbers = readReply(StandInSource.REPLY_PUBLISHED);
+        long[] numbers = readReply(StandInSourceMain.REPLY_PUBLISHED);
         return new PublishedChange(numbers[0], numbers[1]);
     }
 
     /** Returns the number of calls since the last time this was requested. */
     long callsSinceLastRequest() throws IOException {
-        commands.println(StandInSource.COMMAND_CALLS);
-        return readReply(StandInSource.REPLY_CALLS)[0];
+        commands.println(StandInSourceMain.COMMAND_CALLS);
+        return readReply(StandInSourceMain.REPLY_CALLS)[0];
     }
 
     @Override
--- a/capacity/src/main/java/topazvalve/capacity/measure/WatchMeasurement.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/WatchMeasurement.java
@@ -114,7 +114,7 @@
     /** Publishes a change and returns the milliseconds until the last watch has it. */
     private double publishAndAwait() throws IOException, InterruptedException {
         watches.expectChange();
-        StandInSourceProcess.PublishedChange change = source.publishDelta(1);
+        PublishedChange change = source.publishDelta(1);
         long lastReceivedAtNanos = watches.awaitChange();
         revision = change.revision();
         return (lastReceivedAtNanos - change.publishedAtNanos()) / NANOS_PER_MILLI;
--- a/capacity/src/test/java/topazvalve/capacity/measure/StandInSourceTest.java
+++ b/capacity/src/test/java/topazvalve/capacity/measure/StandInSourceTest.java
@@ -32,7 +32,7 @@
             watches.open(7, 1);
             watches.expectChange();
             long bytesBefore = watches.receivedBytes();
-            StandInSourceProcess.PublishedChange change = source.publishDelta(3);
+            PublishedChange change = source.publishDelta(3);
             assertEquals(2, change.revision());
             assertTrue(watches.awaitChange() > change.publishedAtNanos());
             int lineLength = EndpointListJson.delta(2, 3, true).length();
--- a/capacity/src/test/java/topazvalve/capacity/need/DemandModelTest.java
+++ b/capacity/src/test/java/topazvalve/capacity/need/DemandModelTest.java
@@ -24,8 +24,8 @@
 
     private void line(Quantity quantity, double intercept, double slope, double... sizes) {
         List<Point> points = new ArrayList<>();
-        for (double each : sizes) {
-            points.add(new Point(each, intercept + slope * each));
+        for (double size : sizes) {
+            points.add(new Point(size, intercept + slope * size));
         }
         slopes.put(quantity, Fit.of(points));
     }
@@ -33,9 +33,9 @@
     @BeforeEach
     void createSlopes() throws IOException {
         plan = PlanFile.read(Path.of("../simulation/capacity/plan.toml"));
-        for (Quantity each : Quantity.values()) {
-            if (!each.name().startsWith("RELAY")) {
-                line(each, 0, 0, 1, 1_000, 6_000);
+        for (Quantity quantity : Quantity.values()) {
+            if (!quantity.name().startsWith("RELAY")) {
+                line(quantity, 0, 0, 1, 1_000, 6_000);
             }
         }
         line(Quantity.SIDECAR_RESIDENT, 100, 0.01, 100, 1_500, 5_700);
@@ -47,10 +47,10 @@
 
     private ResourceDemand find(Tier tier, String role, String when, String what) {
         List<ResourceDemand> found = DemandModel.of(plan, slopes).rows().stream()
-                .filter(each -> each.tier() == tier
-                        && each.role().equals(role)
-                        && each.when().startsWith(when)
-                        && each.what().equals(what))
+                .filter(row -> row.tier() == tier
+                        && row.role().equals(role)
+                        && row.when().startsWith(when)
+                        && row.what().equals(what))
                 .toList();
         assertEquals(1, found.size(), found.toString());
         return found.get(0);
@@ -121,7 +121,7 @@
         ResourceDemand demand = find(Tier.AFTER, "serves lists", "8 of 16", "memory");
         assertEquals(50 + 71.3, demand.demand().value(), 1e-9);
         assertTrue(DemandModel.of(plan, slopes).rows().stream()
-                .noneMatch(each -> each.tier() == Tier.BEFORE && each.when().startsWith("8 of 16")));
+                .noneMatch(row -> row.tier() == Tier.BEFORE && row.when().startsWith("8 of 16")));
     }
 
     @Test
@@ -133,7 +133,7 @@
         line(Quantity.CHANGE_TIME, 9_001, 0, 100, 1_500, 5_700);
         DemandTable broken = DemandModel.of(plan, slopes);
         assertFalse(broken.kept(Tier.AFTER));
-        assertTrue(broken.over().stream().anyMatch(each -> each.what().equals("a change, to the last")));
+        assertTrue(broken.over().stream().anyMatch(row -> row.what().equals("a change, to the last")));
     }
 
     @Test
@@ -146,11 +146,11 @@
         List<String> lines = DemandModel.of(plan, slopes).lines(Tier.BEFORE);
         assertTrue(
                 lines.stream()
-                        .anyMatch(each -> each.equals("| sidecar | ordinary day | memory | 157 MiB "
+                        .anyMatch(line -> line.equals("| sidecar | ordinary day | memory | 157 MiB "
                                 + "| 256 MiB | 0.613 | measured | sidecar_resident |")),
                 String.join("\n", lines));
         assertTrue(
-                lines.stream().anyMatch(each -> each.contains("1,900 s | 9.00 s | **211**")), String.join("\n", lines));
+                lines.stream().anyMatch(line -> line.contains("1,900 s | 9.00 s | **211**")), String.join("\n", lines));
     }
 
     @Test
@@ -167,7 +167,7 @@
 
     private long delays(Slopes measured) {
         return DemandModel.of(plan, measured).rows().stream()
-                .filter(each -> each.what().startsWith("delay"))
+                .filter(row -> row.what().startsWith("delay"))
                 .count();
     }
 
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/EndpointView.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/EndpointView.java
@@ -56,19 +56,32 @@
      * @param listener receives each replacement of an entry by a different one
      */
     void apply(UpdateKind kind, List<Endpoint> endpoints, Consumer<EntryReplacement> listener) {
-        BitSet updatedServers = new BitSet(entries.length);
         for (Endpoint endpoint : endpoints) {
             int server = ServerNames.numberOf(endpoint.uid());
-            if (server >= 0 && server < entries.length) {
-                updatedServers.set(server);
+            if (isKnown(server)) {
                 applyEndpoint(server, endpoint, listener);
             }
         }
         if (kind == UpdateKind.FULL) {
-            removeAllExcept(updatedServers, listener);
+            removeAllExcept(serversOf(endpoints), listener);
         }
     }
 
+    private boolean isKnown(int server) {
+        return server >= 0 && server < entries.length;
+    }
+
+    private BitSet serversOf(List<Endpoint> endpoints) {
+        BitSet servers = new BitSet(entries.length);
+        for (Endpoint endpoint : endpoints) {
+            int server = ServerNames.numberOf(endpoint.uid());
+            if (isKnown(server)) {
+                servers.set(server);
+            }
+        }
+        return servers;
+    }
+
     private void applyEndpoint(int server, Endpoint endpoint, Consumer<EntryReplacement> listener) {
         // A relay that finds a server missing in a list knows no change that removed it.
         boolean removedWithoutChange = endpoint.status() == EndpointStatus.REMOVED && endpoint.cell() == NO_CHANGE;
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/ListChecker.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/ListChecker.java
@@ -15,14 +15,17 @@
         this.listCount = listCount;
     }
 
-    /**
-     * The changes that are required now, calculated once for each list that is requested.
-     */
+    /** Returns the changes that sidecars have to have in force now. */
+    RequiredChanges requiredChanges(long nowNanos) {
+        return new RequiredChanges(nowNanos);
+    }
+
+    /** The required changes of one moment, calculated for each list when it is first needed. */
     final class RequiredChanges {
         private final long nowNanos;
         private final int[][] byList = new int[listCount][];
 
-        RequiredChanges(long nowNanos) {
+        private RequiredChanges(long nowNanos) {
             this.nowNanos = nowNanos;
         }
 
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/LoopMonitor.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/LoopMonitor.java
@@ -118,7 +118,7 @@
     private void check() {
         long nowNanos = clock.getAsLong();
         checks++;
-        ListChecker.RequiredChanges requiredChanges = listChecker.new RequiredChanges(nowNanos);
+        ListChecker.RequiredChanges requiredChanges = listChecker.requiredChanges(nowNanos);
         for (MonitoredSidecar monitored : sidecars) {
             checkTraffic(monitored, nowNanos);
             checkList(monitored, requiredChanges, nowNanos);
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/FleetEnvironment.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/FleetEnvironment.java
@@ -4,7 +4,6 @@
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
 import java.nio.file.Path;
-import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.List;
 import java.util.Map;
@@ -23,7 +22,6 @@
 import topazvalve.hollowfleet.timeline.Timeline;
 import topazvalve.hollowfleet.timeline.Timeline.Size;
 import topazvalve.policy.LoadBalancer.EndpointStatus;
-import topazvalve.relay.RelaySettings;
 
 /** Everything that a run consists of: history, oracle, sources, relays, and hollow and packaged sidecars. */
 final class FleetEnvironment implements AutoCloseable {
@@ -52,7 +50,7 @@
             sources.ofServer(server).change(server, EndpointStatus.READY);
         }
         sources.awaitPendingTasks();
-        this.relays = startRelays(seed);
+        this.relays = RelayTierFactory.start(timeline, sources, seed);
         this.packaged = new PackagedSidecars(repositoryRoot, packagedCount, sources.address(0, 0));
         this.loopGroup = new MultiThreadIoEventLoopGroup(size.loops(), NioIoHandler.newFactory());
         List<EventLoop> loops = IntStream.range(0, size.loops())
@@ -62,33 +60,6 @@
                 loops, size.hollowSidecars(), this::placement, history, oracle, this::nowNanos, listCount(), seed);
     }
 
-    private RelayTier startRelays(long seed) {
-        if (!timeline.hasRelays()) {
-            return new NoRelays();
-        }
-        List<RelaySettings> settings = new ArrayList<>();
-        for (int i = 0; i < timeline.relays().count(); i++) {
-            settings.add(relaySettings(i));
-        }
-        return timeline.relays().separateProcesses()
-                ? new RelayProcesses(settings)
-                : new EmbeddedRelays(settings, seed);
-    }
-
-    private RelaySettings relaySettings(int relay) {
-        int zone = relay * size.zones() / timeline.relays().count();
-        List<RelaySettings.SourceSettings> sourceSettings = new ArrayList<>();
-        for (int source = 0; source < size.sources(); source++) {
-            sourceSettings.add(
-                    new RelaySettings.SourceSettings(sourceName(source), List.of(sources.address(source, zone))));
-        }
-        return RelaySettings.of("relay-" + relay, LoopbackAddresses.ofRelay(relay), sourceSettings);
-    }
-
-    private static String sourceName(int source) {
-        return "source-" + source;
-    }
-
     private Placement placement(int sidecar) {
         int zone = sidecar % size.zones();
         int source = size.region(zone) % size.sources();
@@ -144,7 +115,7 @@
         VersionVector allVersions = VersionVector.NONE;
         for (int i = 0; i < versions.length; i++) {
             versions[i] = sources.source(i).version();
-            allVersions = allVersions.with(sourceName(i), versions[i]);
+            allVersions = allVersions.with(RelayTierFactory.sourceName(i), versions[i]);
         }
         if (timeline.hasRelays()) {
             return new InitialEndpointList[] {
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/SourceStandIn.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/SourceStandIn.java
@@ -1,14 +1,8 @@
 package topazvalve.hollowfleet.source;
 
-import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
-import io.netty.channel.ChannelFuture;
-import io.netty.channel.ChannelInitializer;
-import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
-import io.netty.channel.socket.nio.NioServerSocketChannel;
-import io.netty.handler.codec.http.HttpRequestDecoder;
 import java.net.InetSocketAddress;
 import java.util.Arrays;
 import java.util.HashSet;
@@ -36,10 +30,6 @@
 
     private static final long HEARTBEAT_SLOT_MILLIS = HEARTBEAT_INTERVAL_MILLIS / HEARTBEAT_SLOTS;
     private static final long PUBLISH_INTERVAL_MILLIS = 20;
-    private static final int BACKLOG = 8_192;
-    /** Enough for any change, but only a part of a complete list. */
-    private static final int SEND_BUFFER_BYTES = 64 << 10;
-
     private static final long LOWEST_REVISION = 1;
 
     private final EventLoop loop;
@@ -50,9 +40,8 @@
     private final CallQueue callQueue;
     private final TransferQueue transfers;
     private final SourceMetrics metrics = new SourceMetrics();
-    private final InetSocketAddress[] addresses;
     private final SimulatedLink[] links;
-    private final Channel[] listeners;
+    private final ZoneListeners listeners;
     private final IntConsumer callRateListener;
     private final Set<SourceConnection> connections = new HashSet<>();
     private final Set<SourceConnection> watches = new HashSet<>();
@@ -83,9 +72,8 @@
                 new EndpointCatalog(settings.maxLoggedChanges(), settings.withEpoch(), zones.toArray(new String[0]));
         this.callQueue = new CallQueue(settings.callsPerSecond(), settings.endpointsPerCall(), settings.timeoutNanos());
         this.transfers = new TransferQueue(settings.maxTransfers());
-        this.addresses = new InetSocketAddress[zones.size()];
         this.links = new SimulatedLink[zones.size()];
-        this.listeners = new Channel[zones.size()];
+        this.listeners = new ZoneListeners(loop, zones.size(), this::accept);
         Arrays.fill(links, SimulatedLink.OPEN);
         scheduleRepeatedly(this::publishAndExpireCalls, PUBLISH_INTERVAL_MILLIS);
         scheduleRepeatedly(this::sendHeartbeats, HEARTBEAT_SLOT_MILLIS);
@@ -102,27 +90,7 @@
      * @return the address with its port
      */
     public InetSocketAddress listen(int zone, InetSocketAddress address) {
-        Channel listener = bind(zone, address).syncUninterruptibly().channel();
-        addresses[zone] = (InetSocketAddress) listener.localAddress();
-        listeners[zone] = listener;
-        return addresses[zone];
-    }
-
-    private ChannelFuture bind(int zone, InetSocketAddress address) {
-        return new ServerBootstrap()
-                .group(loop)
-                .channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG)
-                .option(ChannelOption.SO_REUSEADDR, true)
-                .childOption(ChannelOption.SO_SNDBUF, SEND_BUFFER_BYTES)
-                .childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new HttpRequestDecoder(), accept(channel, zone));
-                    }
-                })
-                .bind(address);
+        return listeners.listen(zone, address);
     }
 
     private SourceConnection accept(Channel channel, int zone) {
@@ -202,11 +170,7 @@
     public void stop() {
         loop.execute(() -> {
             stopped = true;
-            for (Channel listener : listeners) {
-                if (listener != null) {
-                    listener.close();
-                }
-            }
+            listeners.close();
             List.copyOf(connections).forEach(SourceConnection::close);
             transfers.clear();
         });
@@ -222,11 +186,7 @@
             stopped = false;
             catalog.restart(lowerRevisions ? LOWEST_REVISION : catalog.revision());
             publishedRevision = catalog.revision();
-            for (int zone = 0; zone < listeners.length; zone++) {
-                if (addresses[zone] != null) {
-                    listeners[zone] = bind(zone, addresses[zone]).channel();
-                }
-            }
+            listeners.reopen();
         });
     }
 
