--- a/simulation/src/main/java/topazvalve/simulation/experiment/Runner.java
+++ b/simulation/src/main/java/topazvalve/simulation/experiment/Runner.java
@@ -113,7 +113,7 @@
                 broken += result.broken().isEmpty() ? 0 : 1;
                 double secondsPerRun = (System.nanoTime() - startedAt) / NANOS_PER_SECOND / finished;
                 double secondsLeft = secondsPerRun * (remaining.size() - finished);
-                listener.accept(new Progress(earlier + finished, earlier + remaining.size(), broken, secondsLeft));
+                listener.accept(new Progress(earlier + finished, plan.runs().size(), broken, secondsLeft));
             } else if (stopped) {
                 return;
             }
--- a/simulation/src/main/java/topazvalve/simulation/model/FaultPlayer.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/FaultPlayer.java
@@ -11,6 +11,11 @@
 
 /** Plays the faults of a scenario at their times. Each fault draws the servers it affects from a stream of its own. */
 public final class FaultPlayer {
+    /** What the recorded event of a fault's begin starts with. */
+    public static final String BEGIN_PREFIX = "begins: ";
+    /** What the recorded event of a fault's end starts with. */
+    public static final String END_PREFIX = "ends: ";
+
     private static final double NANOS_PER_SECOND = 1e9;
     /** The least time for which the process of a drained or replaced server is down. */
     private static final long MIN_DOWNTIME_NANOS = 50_000_000;
@@ -67,7 +72,7 @@
     }
 
     private void begin(Fault fault, RandomStreams random) {
-        target.recordEvent("begins: " + describe(fault));
+        target.recordEvent(BEGIN_PREFIX + describe(fault));
         switch (fault.kind()) {
             case OVERLOAD -> overload(fault);
             case SHARED_SLOW -> slowDown(fault, target.servers());
@@ -97,7 +102,7 @@
     /** Schedules the end of a fault, and what undoes it. */
     private void endLater(Fault fault, Runnable undo) {
         target.clock().scheduleAt(target.clock().now() + fault.length(), () -> {
-            target.recordEvent("ends: " + describe(fault));
+            target.recordEvent(END_PREFIX + describe(fault));
             undo.run();
         });
     }
--- /dev/null
+++ b/simulation/src/main/java/topazvalve/simulation/real/ClientHandler.java
@@ -0,0 +1,77 @@
+package topazvalve.simulation.real;
+
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.SimpleChannelInboundHandler;
+import io.netty.handler.codec.http.FullHttpResponse;
+import io.netty.handler.codec.http.HttpUtil;
+import java.util.ArrayDeque;
+
+/** One connection of a client to its sidecar. */
+final class ClientHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
+    /** How long a slow reader pauses after each read. */
+    private static final long SLOW_READ_NANOS = 20_000_000;
+
+    private final RealWorld world;
+    private final ArrayDeque<Channel> idleConnections;
+    private final boolean slowReader;
+    private ClientRequest current;
+    private boolean used;
+
+    /**
+     * Creates the handler of a new connection.
+     *
+     * @param idleConnections takes the connection while it is idle
+     */
+    ClientHandler(RealWorld world, ArrayDeque<Channel> idleConnections, boolean slowReader) {
+        this.world = world;
+        this.idleConnections = idleConnections;
+        this.slowReader = slowReader;
+    }
+
+    /** The next response on this connection is for this request. */
+    void setCurrent(ClientRequest request) {
+        current = request;
+    }
+
+    @Override
+    protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
+        ClientRequest request = current;
+        current = null;
+        used = true;
+        if (request == null) {
+            context.close();
+            return;
+        }
+        request.responseReceived(response);
+        if (HttpUtil.isKeepAlive(response)) {
+            idleConnections.addLast(context.channel());
+        } else {
+            context.close();
+        }
+    }
+
+    @Override
+    public void channelReadComplete(ChannelHandlerContext context) {
+        if (slowReader) {
+            context.channel().config().setAutoRead(false);
+            long resumesAt = world.clock().now() + SLOW_READ_NANOS;
+            world.clock().scheduleAt(resumesAt, () -> context.channel().config().setAutoRead(true));
+        }
+    }
+
+    @Override
+    public void channelInactive(ChannelHandlerContext context) {
+        idleConnections.remove(context.channel());
+        ClientRequest request = current;
+        current = null;
+        if (request != null) {
+            request.connectionClosed(used);
+        }
+    }
+
+    @Override
+    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+        context.close();
+    }
+}
--- /dev/null
+++ b/simulation/src/main/java/topazvalve/simulation/real/ClientRequest.java
@@ -0,0 +1,220 @@
+package topazvalve.simulation.real;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
+import io.netty.handler.codec.http.DefaultFullHttpRequest;
+import io.netty.handler.codec.http.FullHttpResponse;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.HttpUtil;
+import io.netty.handler.codec.http.HttpVersion;
+import java.nio.charset.StandardCharsets;
+import topazvalve.simulation.model.RequestGenerator.GeneratedRequest;
+import topazvalve.simulation.oracle.Oracle.Answer;
+import topazvalve.simulation.oracle.Trace;
+import topazvalve.simulation.real.SentRequests.SentRequest;
+import topazvalve.simulation.scenario.Scenario;
+import topazvalve.simulation.scenario.WorkClass;
+import topazvalve.simulation.scenario.WorkClass.Repeatability;
+
+/** One try of a client over HTTP, from its sending to what the client does about its end. */
+final class ClientRequest {
+    private static final byte[] BODY = "x".repeat(200).getBytes(StandardCharsets.US_ASCII);
+    private static final double NANOS_PER_SECOND = 1e9;
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    /** How long after its deadline late attempts of a request are still recognised. */
+    private static final long RETENTION_NANOS = 10_000_000_000L;
+
+    private final RealWorld world;
+    private final RealClients clients;
+    private final int instance;
+    private final GeneratedRequest generated;
+    private final long firstSentAt;
+    private final boolean isRetry;
+    private final WorkClass requestClass;
+    private final String id;
+    private final Trace trace;
+    private final long deadline;
+    private final long timeLeftNanos;
+    private Channel channel;
+    private boolean reconnected;
+    private boolean finished;
+
+    /**
+     * Creates a try that hasn't been sent yet.
+     *
+     * @param firstSentAt when the first try was meant to be sent, in nanoseconds of the clock
+     */
+    ClientRequest(
+            RealWorld world,
+            RealClients clients,
+            int instance,
+            GeneratedRequest generated,
+            long firstSentAt,
+            boolean isRetry) {
+        this.world = world;
+        this.clients = clients;
+        this.instance = instance;
+        this.generated = generated;
+        this.firstSentAt = firstSentAt;
+        this.isRetry = isRetry;
+        this.requestClass = world.scenario().classes().get(generated.requestClass());
+        long number = clients.nextId();
+        this.id = SentRequests.id(instance, number);
+        long now = world.clock().now();
+        // The time of the first try runs from when it was meant to be sent.
+        this.deadline = (isRetry ? now : firstSentAt) + generated.patienceNanos();
+        this.timeLeftNanos = deadline - now;
+        this.trace = new Trace(number, instance, requestClass, world.sinceStart(now), world.sinceStart(deadline));
+    }
+
+    /** Sends it. */
+    void send() {
+        SentRequest sent =
+                new SentRequest(trace, instance, generated.requestClass(), generated.key(), generated.work(), deadline);
+        world.sentRequests().put(id, sent);
+        world.oracle().requestSent(trace);
+        world.requestSent();
+        world.clock().scheduleAt(deadline, this::deadlinePassed);
+        world.clock()
+                .scheduleAt(
+                        deadline + RETENTION_NANOS, () -> world.sentRequests().remove(id));
+        connect(clients.drawsNewConnection());
+    }
+
+    private void connect(boolean newConnection) {
+        Channel idle = newConnection ? null : clients.takeIdleConnection(instance);
+        if (idle != null) {
+            write(idle);
+            return;
+        }
+        clients.connect(instance).addListener((ChannelFuture done) -> {
+            if (finished) {
+                done.channel().close();
+            } else if (done.isSuccess()) {
+                write(done.channel());
+            } else {
+                // The connection is refused, so nothing has run.
+                world.oracle().excuse(trace);
+                end(Answer.REFUSED, 0);
+            }
+        });
+    }
+
+    private void write(Channel connection) {
+        channel = connection;
+        connection.pipeline().get(ClientHandler.class).setCurrent(this);
+        connection.writeAndFlush(httpRequest());
+    }
+
+    private DefaultFullHttpRequest httpRequest() {
+        boolean get = requestClass.repeatability() == Repeatability.FREE;
+        ByteBuf body = get ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(BODY);
+        DefaultFullHttpRequest request = new DefaultFullHttpRequest(
+                HttpVersion.HTTP_1_1,
+                get ? HttpMethod.GET : HttpMethod.POST,
+                "/api/" + Long.toHexString(generated.key()),
+                body);
+        request.headers()
+                .set(HttpHeaderNames.HOST, "app.svc")
+                .set("Req-Id", id)
+                .set("Req-Kind", requestClass.name())
+                .set("Req-Deadline-Ms", Math.max(1, timeLeftNanos / NANOS_PER_MILLI));
+        if (requestClass.repeatability() == Repeatability.KEYED) {
+            request.headers().set("Idempotency-Key", id);
+        }
+        if (!get) {
+            HttpUtil.setContentLength(request, BODY.length);
+        }
+        return request;
+    }
+
+    private void deadlinePassed() {
+        if (finished) {
+            return;
+        }
+        finished = true;
+        if (generated.leavesEarly()) {
+            world.oracle().clientDisconnected(trace, world.elapsed());
+        }
+        if (channel != null) {
+            channel.close();
+        }
+        world.statistics().requestUnanswered(generated.requestClass(), world.sinceStart(firstSentAt));
+        world.oracle().deadlinePassed(trace, world.elapsed());
+    }
+
+    /**
+     * The connection has closed without a response. On a reused connection the close may have crossed the request,
+     * which is then sent once more; if the instance was killed, the request has failed.
+     */
+    void connectionClosed(boolean usedBefore) {
+        if (finished) {
+            return;
+        }
+        if (usedBefore && !reconnected) {
+            reconnected = true;
+            connect(true);
+        } else if (world.wasKilled(instance, trace)) {
+            world.oracle().excuse(trace);
+            end(Answer.FAILED, 0);
+        }
+    }
+
+    /** The response has arrived. */
+    void responseReceived(FullHttpResponse response) {
+        Answer answer = answer(response.status());
+        if (answer == Answer.SERVED
+                && !response.content().toString(StandardCharsets.US_ASCII).equals(RealClients.bodyOf(id))) {
+            world.oracle().responseForged(trace, world.elapsed());
+        }
+        world.oracle().responseReceived(trace, answer, world.elapsed());
+        world.updateDigest(trace, answer);
+        end(answer, retryAfterNanos(response));
+    }
+
+    private static Answer answer(HttpResponseStatus status) {
+        if (status.code() == HttpResponseStatus.OK.code()) {
+            return Answer.SERVED;
+        }
+        boolean rejected = status.code() == HttpResponseStatus.TOO_MANY_REQUESTS.code()
+                || status.code() == HttpResponseStatus.SERVICE_UNAVAILABLE.code();
+        return rejected ? Answer.REFUSED : Answer.FAILED;
+    }
+
+    private static long retryAfterNanos(FullHttpResponse response) {
+        String seconds = response.headers().get(HttpHeaderNames.RETRY_AFTER, "0");
+        try {
+            return (long) (Double.parseDouble(seconds) * NANOS_PER_SECOND);
+        } catch (NumberFormatException e) {
+            return 0;
+        }
+    }
+
+    private void end(Answer answer, long retryAfterNanos) {
+        finished = true;
+        boolean harmless = answer == Answer.REFUSED || requestClass.retryIsHarmless();
+        long sentAt = world.sinceStart(firstSentAt);
+        if (answer == Answer.SERVED) {
+            long latency = world.clock().now() - firstSentAt;
+            world.statistics().requestServed(generated.requestClass(), sentAt, latency);
+        } else if (generated.retries() && !isRetry && harmless) {
+            Scenario.Clients settings = world.scenario().clients();
+            retryAfter(settings.backoffNanos(generated.honoursRetryAfter(), retryAfterNanos));
+        } else if (answer == Answer.REFUSED) {
+            world.statistics().requestRejected(generated.requestClass(), sentAt);
+        } else {
+            world.statistics().requestFailed(generated.requestClass(), sentAt);
+        }
+    }
+
+    private void retryAfter(long backoffNanos) {
+        world.clock().scheduleAt(world.clock().now() + backoffNanos, () -> {
+            world.statistics().retrySent();
+            new ClientRequest(world, clients, instance, generated, firstSentAt, true).send();
+        });
+    }
+}
--- a/simulation/src/main/java/topazvalve/simulation/real/DiscoveryStandIn.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/DiscoveryStandIn.java
@@ -37,49 +37,55 @@
 import topazvalve.simulation.scenario.Scenario.DiscoverySettings;
 
 /**
- * Discovery on loopback: the whole list, and a watch on its changes as JSON lines in chunks, with an empty
- * line every 2 s. Each instance has a port of its own, which is how its calls are told from the others'.
+ * Discovery on loopback. It serves the full endpoint list, and watches on its changes as JSON lines in chunks with an
+ * empty line every 2 s as heartbeat. Each instance has a port of its own, by which its calls are recognised.
  */
 final class DiscoveryStandIn {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final int LARGEST = 1 << 16;
-    private static final long BEAT_S = 2;
-    private static final long LOOK_MS = 50;
+    private static final int MAX_REQUEST_BYTES = 1 << 16;
+    private static final long HEARTBEAT_SECONDS = 2;
+    private static final long DOWN_CHECK_MILLIS = 50;
 
     private final RealWorld world;
-    private final DiscoverySettings news;
+    private final DiscoverySettings settings;
     private final Set<Watch> watches = new HashSet<>();
     private long busyUntil;
 
+    /** The open response of an instance's watch. */
     private record Watch(int instance, Channel channel) {}
 
-    DiscoveryStandIn(EventLoop loop, RealWorld world, DiscoverySettings news) {
+    DiscoveryStandIn(EventLoop loop, RealWorld world, DiscoverySettings settings) {
         this.world = world;
-        this.news = news;
-        world.directory().addListener(this::changed);
-        loop.scheduleWithFixedDelay(() -> watches.forEach(each -> write(each, "\n")), BEAT_S, BEAT_S, TimeUnit.SECONDS);
-        loop.scheduleWithFixedDelay(this::lookWhetherDown, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+        this.settings = settings;
+        world.directory().addListener(this::entryChanged);
+        loop.scheduleWithFixedDelay(
+                () -> watches.forEach(each -> write(each, "\n")),
+                HEARTBEAT_SECONDS,
+                HEARTBEAT_SECONDS,
+                TimeUnit.SECONDS);
+        loop.scheduleWithFixedDelay(
+                this::closeWatchesWhileDown, DOWN_CHECK_MILLIS, DOWN_CHECK_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Opens the port of one instance. */
+    /** Opens the port of one instance; the future completes when it listens. */
     ChannelFuture open(int instance) {
         return new ServerBootstrap()
                 .group(world.group())
                 .channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
-                    protected void initChannel(Channel made) {
-                        made.pipeline()
+                    protected void initChannel(Channel channel) {
+                        channel.pipeline()
                                 .addLast(
                                         new HttpServerCodec(),
-                                        new HttpObjectAggregator(LARGEST),
+                                        new HttpObjectAggregator(MAX_REQUEST_BYTES),
                                         new Handler(instance));
                     }
                 })
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     }
 
-    private void lookWhetherDown() {
+    private void closeWatchesWhileDown() {
         if (world.directory().isUnavailable()) {
             Set.copyOf(watches).forEach(each -> each.channel.close());
             watches.clear();
@@ -90,36 +96,37 @@
         watch.channel.writeAndFlush(new DefaultHttpContent(Unpooled.copiedBuffer(line, StandardCharsets.UTF_8)));
     }
 
-    private void changed(Entry entry) {
-        long at = world.clock().now() + world.newsDelay();
-        world.clock()
-                .scheduleAt(
-                        at,
-                        () -> Set.copyOf(watches)
-                                .forEach(each -> tell(
-                                        each,
-                                        listing(List.of(entry), entry.changedAtRevision(), false),
-                                        List.of(entry))));
+    private void entryChanged(Entry entry) {
+        long at = world.clock().now() + world.nextPropagationNanos();
+        world.clock().scheduleAt(at, () -> notifyWatches(entry));
     }
 
-    private void tell(Watch watch, ObjectNode listing, List<Entry> entries) {
+    private void notifyWatches(Entry entry) {
+        List<Entry> entries = List.of(entry);
+        for (Watch each : Set.copyOf(watches)) {
+            notifyWatch(each, toJson(entries, entry.changedAtRevision(), false), entries);
+        }
+    }
+
+    private void notifyWatch(Watch watch, ObjectNode listing, List<Entry> entries) {
         write(watch, listing + "\n");
-        world.told(watch.instance, entries);
+        world.endpointsNotified(watch.instance, entries);
     }
 
-    private ObjectNode listing(List<Entry> entries, long revision, boolean all) {
+    private ObjectNode toJson(List<Entry> entries, long revision, boolean all) {
         ObjectNode root = JSON.createObjectNode().put("rev", revision).put("all", all);
         ArrayNode targets = root.putArray("targets");
-        entries.forEach(each -> targets.add(world.target(each)));
+        entries.forEach(each -> targets.add(world.toJson(each)));
         return root;
     }
 
-    /** The list as an instance had it before it started. */
-    ObjectNode known() {
+    /** Returns the full endpoint list as an instance may have cached it. */
+    ObjectNode fullList() {
         EndpointDirectory directory = world.directory();
-        return listing(directory.entries(), directory.revision(), true);
+        return toJson(directory.entries(), directory.revision(), true);
     }
 
+    /** One connection of an instance. */
     private final class Handler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final int instance;
 
@@ -130,54 +137,67 @@
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             QueryStringDecoder uri = new QueryStringDecoder(request.uri());
-            boolean watching = uri.parameters().containsKey("watch");
+            boolean watch = uri.parameters().containsKey("watch");
             String from = uri.parameters().getOrDefault("from", List.of("0")).get(0);
             long now = world.clock().now();
-            long begins = Math.max(now, busyUntil);
+            long startsAt = Math.max(now, busyUntil);
             if (!uri.path().equals("/discovery/hosts")
                     || world.directory().isUnavailable()
-                    || begins - now > news.callTimeout()) {
-                FullHttpResponse response =
-                        new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.SERVICE_UNAVAILABLE);
-                HttpUtil.setContentLength(response, 0);
-                context.writeAndFlush(response);
+                    || startsAt - now > settings.callTimeout()) {
+                respondUnavailable(context);
                 return;
             }
-            busyUntil = begins + news.callTime();
-            world.clock().scheduleAt(busyUntil, () -> answer(context.channel(), watching, Long.parseLong(from)));
+            busyUntil = startsAt + settings.callTime();
+            world.clock().scheduleAt(busyUntil, () -> respond(context.channel(), watch, Long.parseLong(from)));
         }
 
-        private void answer(Channel channel, boolean watching, long from) {
+        private void respond(Channel channel, boolean watch, long from) {
             EndpointDirectory directory = world.directory();
-            HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-            List<Entry> changes = watching && from > 0 ? directory.changesSince(from) : null;
+            List<Entry> changes = watch && from > 0 ? directory.changesSince(from) : null;
             List<Entry> entries = changes != null ? changes : directory.entries();
-            ObjectNode listing = listing(entries, directory.revision(), changes == null);
-            if (watching) {
-                HttpUtil.setTransferEncodingChunked(head, true);
-                channel.write(head);
-                Watch watch = new Watch(instance, channel);
-                watches.add(watch);
-                channel.closeFuture().addListener(closed -> watches.remove(watch));
-                tell(watch, listing, entries);
+            ObjectNode listing = toJson(entries, directory.revision(), changes == null);
+            if (watch) {
+                startWatch(channel, listing, entries);
             } else {
-                FullHttpResponse whole = new DefaultFullHttpResponse(
-                        HttpVersion.HTTP_1_1,
-                        HttpResponseStatus.OK,
-                        Unpooled.copiedBuffer(listing + "\n", StandardCharsets.UTF_8));
-                HttpUtil.setContentLength(whole, whole.content().readableBytes());
-                channel.writeAndFlush(whole);
-                world.told(instance, entries);
+                respondOnce(channel, listing, entries);
             }
         }
 
+        private void startWatch(Channel channel, ObjectNode listing, List<Entry> entries) {
+            HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+            HttpUtil.setTransferEncodingChunked(head, true);
+            channel.write(head);
+            Watch watch = new Watch(instance, channel);
+            watches.add(watch);
+            channel.closeFuture().addListener(closed -> watches.remove(watch));
+            notifyWatch(watch, listing, entries);
+        }
+
+        private void respondOnce(Channel channel, ObjectNode listing, List<Entry> entries) {
+            FullHttpResponse response = new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1,
+                    HttpResponseStatus.OK,
+                    Unpooled.copiedBuffer(listing + "\n", StandardCharsets.UTF_8));
+            HttpUtil.setContentLength(response, response.content().readableBytes());
+            channel.writeAndFlush(response);
+            world.endpointsNotified(instance, entries);
+        }
+
+        private void respondUnavailable(ChannelHandlerContext context) {
+            FullHttpResponse response =
+                    new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.SERVICE_UNAVAILABLE);
+            HttpUtil.setContentLength(response, 0);
+            context.writeAndFlush(response);
+        }
+
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             context.close();
         }
     }
 
-    static String word(EndpointStatus state) {
+    /** Returns the name of a state in the JSON of discovery. */
+    static String stateName(EndpointStatus state) {
         return switch (state) {
             case READY -> "SERVING";
             case DRAINING -> "DRAINING";
--- /dev/null
+++ b/simulation/src/main/java/topazvalve/simulation/real/HttpAttempt.java
@@ -0,0 +1,121 @@
+package topazvalve.simulation.real;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.Channel;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import java.nio.charset.StandardCharsets;
+import topazvalve.simulation.model.OrderServer;
+import topazvalve.simulation.model.OrderServer.Mode;
+import topazvalve.simulation.model.ServerAttempt;
+import topazvalve.simulation.real.SentRequests.SentRequest;
+
+/** An attempt that an order server has received over HTTP, and the connection on which its response goes back. */
+final class HttpAttempt extends ServerAttempt {
+    private static final String NOISE = "HTTP/1.1 2OO ?\r\n\u0000\u0001noise";
+    private static final String TRUNCATED_RESPONSE = "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\ndone:";
+    private static final String SECOND_RESPONSE = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmore";
+    /** Noise, a truncated response, and a second response. */
+    private static final int KINDS_OF_CORRUPTION = 3;
+
+    private final RealWorld world;
+    private final OrderServer server;
+    private final Channel channel;
+    private final String id;
+    private final SentRequest sent;
+    private boolean rejected;
+    private boolean ran;
+    private boolean ended;
+
+    HttpAttempt(RealWorld world, OrderServer server, Channel channel, String id, SentRequest sent) {
+        super(world.attemptWork(sent), sent.requestClass(), sent.key(), sent.deadline());
+        this.world = world;
+        this.server = server;
+        this.channel = channel;
+        this.id = id;
+        this.sent = sent;
+    }
+
+    /** Returns whether the server rejected it without running it. */
+    boolean wasRejected() {
+        return rejected;
+    }
+
+    /** Returns whether the server holds it no longer. */
+    boolean hasEnded() {
+        return ended;
+    }
+
+    /** Writes a response after the simulated delay of the network, unless the machine is unreachable then. */
+    private void sendBack(Runnable write) {
+        ended = true;
+        long delay = world.nextDelayNanos(sent.instance(), server);
+        world.clock().scheduleAt(world.clock().now() + delay, () -> {
+            if (server.mode() != Mode.VANISHED) {
+                write.run();
+            }
+        });
+    }
+
+    @Override
+    protected void started() {
+        ran = true;
+    }
+
+    @Override
+    protected void completed(boolean success, boolean corrupted) {
+        if (!success) {
+            sendBack(() -> ServerHandler.respond(channel, HttpResponseStatus.INTERNAL_SERVER_ERROR, "", false));
+        } else if (corrupted) {
+            sendCorrupted();
+        } else {
+            world.oracle().responseSent(sent.trace());
+            sendBack(this::writeResponse);
+        }
+    }
+
+    private void writeResponse() {
+        ServerHandler.respond(channel, HttpResponseStatus.OK, RealClients.bodyOf(id), false);
+    }
+
+    /** Responds with noise, a truncated response or two responses, by the number of the request. */
+    private void sendCorrupted() {
+        int kind = (int) (sent.trace().id() % KINDS_OF_CORRUPTION);
+        switch (kind) {
+            case 0 -> sendBack(() -> channel.writeAndFlush(bytes(NOISE)));
+            case 1 ->
+                sendBack(() -> channel.writeAndFlush(bytes(TRUNCATED_RESPONSE)).addListener(done -> channel.close()));
+            default -> {
+                world.oracle().responseSent(sent.trace());
+                sendBack(() -> {
+                    writeResponse();
+                    channel.writeAndFlush(bytes(SECOND_RESPONSE));
+                });
+            }
+        }
+    }
+
+    private static ByteBuf bytes(String text) {
+        return Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1);
+    }
+
+    @Override
+    protected void rejected() {
+        rejected = true;
+        sendBack(() -> ServerHandler.respond(channel, HttpResponseStatus.SERVICE_UNAVAILABLE, "", true));
+    }
+
+    @Override
+    protected void reset() {
+        ended = true;
+        ServerStandIn.resetConnection(channel);
+    }
+
+    @Override
+    protected void discarded() {
+        ended = true;
+        if (!ran) {
+            world.oracle().attemptNeverRan(sent.trace());
+        }
+    }
+}
--- a/simulation/src/main/java/topazvalve/simulation/real/LoopClock.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/LoopClock.java
@@ -4,13 +4,13 @@
 import java.util.concurrent.TimeUnit;
 import topazvalve.simulation.model.Clock;
 
-/** The system's monotonic time, and an event loop's timers. Nanoseconds, from far above 0. */
+/** The system's monotonic time and the timers of an event loop. */
 final class LoopClock implements Clock {
-    /** Far from 0, since a server that started at 0 counts as started long ago. */
+    /** The clock's time at the start. Far from 0, since a server that started at 0 counts as started long ago. */
     private static final long START = 1_000_000_000_000L;
 
     private final EventLoop loop;
-    private final long zero = System.nanoTime();
+    private final long origin = System.nanoTime();
 
     LoopClock(EventLoop loop) {
         this.loop = loop;
@@ -18,7 +18,7 @@
 
     @Override
     public long now() {
-        return System.nanoTime() - zero + START;
+        return System.nanoTime() - origin + START;
     }
 
     @Override
@@ -26,7 +26,7 @@
         loop.schedule(event, Math.max(0, time - now()), TimeUnit.NANOSECONDS);
     }
 
-    /** A time on this clock as milliseconds since 1970. */
+    /** Converts a time of this clock to milliseconds since 1970; 0 stays 0. */
     long unixMs(long time) {
         return time == 0 ? 0 : System.currentTimeMillis() - (now() - time) / 1_000_000;
     }
--- a/simulation/src/main/java/topazvalve/simulation/real/RealWorld.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/RealWorld.java
@@ -7,9 +7,7 @@
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
 import java.io.IOException;
-import java.net.HttpURLConnection;
 import java.net.InetSocketAddress;
-import java.net.URI;
 import java.nio.ByteBuffer;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -17,6 +15,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.concurrent.Callable;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
@@ -33,22 +32,31 @@
 import topazvalve.simulation.oracle.Oracle;
 import topazvalve.simulation.oracle.Oracle.Answer;
 import topazvalve.simulation.oracle.Trace;
+import topazvalve.simulation.real.SentRequests.SentRequest;
 import topazvalve.simulation.scenario.Fault;
 import topazvalve.simulation.scenario.Scenario;
 import topazvalve.simulation.tally.Run;
 import topazvalve.simulation.tally.RunStatistics;
 
 /**
- * A scenario on real sockets: stand-ins and clients on one event loop of this process, and the packaged
- * sidecar as processes between them. Loopback addresses only. All state belongs to the loop.
+ * A run of one scenario and seed in real time on loopback: stand-ins and clients on one event loop of this process, and
+ * the packaged sidecar as processes between them. All state belongs to the event loop.
  */
 public final class RealWorld implements FaultTarget {
     private static final ObjectMapper JSON = new ObjectMapper();
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
     /** What scheduling and the kernel may add to every limit. */
-    private static final long TOLERANCE = 50_000_000;
+    private static final long TOLERANCE_NANOS = 50_000_000;
 
-    private static final long FLIGHT = 50_000_000;
-    private static final long START_LIMIT_S = 30;
+    private static final long MAX_FLIGHT_NANOS = 50_000_000;
+    /** How often an attempt on a new connection may cross zones before the server has received it. */
+    private static final int FLIGHT_CROSSINGS = 4;
+
+    private static final long RESTART_DELAY_MILLIS = 100;
+    /** More than the number of instances; makes keys of instance and server unique. */
+    private static final long INSTANCE_LIMIT = 100_000;
+    /** Bytes of one response in the digest: request and answer. */
+    private static final int DIGEST_BYTES = 12;
 
     private final Scenario scenario;
     private final long seed;
@@ -58,28 +66,31 @@
     private final EventLoop loop = group.next();
     private final LoopClock clock = new LoopClock(loop);
     private final Oracle oracle;
-    private final RunStatistics tally;
-    private final Traces traces = new Traces();
+    private final RunStatistics statistics;
+    private final SentRequests sentRequests = new SentRequests();
     private final RandomStreams noise;
-    private final RandomStreams spread;
+    private final RandomStreams propagation;
     private final RandomStreams restarts;
-    private final Topology scene;
-    private final Map<Long, ServerStandIn> stands = new HashMap<>();
-    private final List<SidecarProcess> sidecars = new ArrayList<>();
+    private final Topology topology;
+    private final Map<Long, ServerStandIn> servers = new HashMap<>();
+    private final SidecarFleet sidecars;
     private final List<Integer> discoveryPorts = new ArrayList<>();
+    /** By instance. */
     private final Map<Integer, Long> killedAt = new HashMap<>();
-    private final Map<Long, Long> toldStarts = new HashMap<>();
-    private final List<String> now = new ArrayList<>();
+    /** The starts of servers of which instances were notified. */
+    private final Map<Long, Long> knownStarts = new HashMap<>();
+
+    private final List<String> activeFaults = new ArrayList<>();
     private final CRC32C digest = new CRC32C();
     private DiscoveryStandIn discovery;
     private long start;
     private long requests;
-    private long[] attemptsByServer;
+    private final long[] attemptsByServer;
 
     /**
-     * Sets the scene; nothing listens yet.
+     * Creates a run that hasn't started; nothing listens yet.
      *
-     * @param home the repository's root, where the built programs are
+     * @param home the root of the repository, where the built programs are
      * @param folder takes configurations and logs
      */
     public RealWorld(Scenario scenario, long seed, Path home, Path folder) {
@@ -87,19 +98,22 @@
         this.seed = seed;
         this.home = home;
         this.folder = folder;
-        this.oracle = new Oracle(
-                scenario.limits(), TOLERANCE, FLIGHT + 4 * scenario.network().crossZone());
-        this.tally = new RunStatistics(scenario);
+        long maxFlight =
+                MAX_FLIGHT_NANOS + FLIGHT_CROSSINGS * scenario.network().crossZone();
+        this.oracle = new Oracle(scenario.limits(), TOLERANCE_NANOS, maxFlight);
+        this.statistics = new RunStatistics(scenario);
         this.noise = RandomStreams.stream(seed, "noise");
-        this.spread = RandomStreams.stream(seed, "spread");
+        this.propagation = RandomStreams.stream(seed, "spread");
         this.restarts = RandomStreams.stream(seed, "restarts");
-        this.scene = onLoop(() -> new Topology(scenario, clock, seed));
+        this.topology = onLoop(() -> new Topology(scenario, clock, seed));
+        this.sidecars = new SidecarFleet(scenario, folder);
         this.attemptsByServer = new long[4 * servers().size() + 64];
     }
 
-    private <T> T onLoop(java.util.concurrent.Callable<T> what) {
+    /** Runs a task on the event loop and waits for its result. */
+    private <T> T onLoop(Callable<T> task) {
         try {
-            return loop.submit(what).get();
+            return loop.submit(task).get();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IllegalStateException("interrupted", e);
@@ -109,87 +123,43 @@
     }
 
     /**
-     * Plays it in real time, with {@code eachSecond} told what the second before looked like and what is
-     * going wrong.
+     * Plays the run in real time. To be called once.
+     *
+     * @param eachSecond is called every second with the statistics of the second before and the active faults
+     * @return the results
+     * @throws IOException if a sidecar doesn't start, or ends by itself
      */
     public Run play(BiConsumer<RunStatistics.Second, String> eachSecond) throws IOException, InterruptedException {
         Files.createDirectories(folder);
-        // Whoever ends this process must not leave sidecars behind.
-        Thread hook = new Thread(() -> sidecars.forEach(SidecarProcess::kill));
+        // Sidecars must not outlive this process, however it ends.
+        Thread hook = new Thread(sidecars::killAll);
         Runtime.getRuntime().addShutdownHook(hook);
         try {
-            open();
+            openServersAndDiscovery();
             startSidecars();
-            long began = System.nanoTime();
-            List<Fault> faults = onLoop(() -> {
-                start = clock.now();
-                List<Fault> played = FaultPlayer.scheduleAll(this, scenario, seed);
-                new RealClients(this, loop, seed, scene.trafficPattern()).start();
-                return played;
-            });
-            int seconds = (int) (scenario.length() / 1_000_000_000L);
-            for (int i = 0; i < seconds; i++) {
-                int second = i;
-                long until = began + (i + 2) * 1_000_000_000L;
-                TimeUnit.NANOSECONDS.sleep(Math.max(0, until - System.nanoTime()));
-                Map.Entry<RunStatistics.Second, String> seen =
-                        onLoop(() -> Map.entry(tally.second(second), wrongNow()));
-                eachSecond.accept(seen.getKey(), seen.getValue());
-            }
-            long rest = scenario.classes().stream()
-                    .mapToLong(each -> each.deadline())
-                    .max()
-                    .orElseThrow();
-            TimeUnit.NANOSECONDS.sleep(2 * rest + scenario.clients().maxRetryAfter());
-            for (int i = 0; i < sidecars.size(); i++) {
-                if (!sidecars.get(i).alive()) {
-                    throw new IOException(
-                            "sidecar " + i + " has ended by itself; its log is " + folder.resolve("n" + i + ".log"));
-                }
-            }
-            return onLoop(() -> new Run(
-                    scenario.name(),
-                    "sidecar",
-                    seed,
-                    tally,
-                    oracle.counts(),
-                    oracle.violations(),
-                    faults,
-                    scene.recordedEvents(),
-                    digest.getValue(),
-                    requests,
-                    0,
-                    System.nanoTime() - began,
-                    attemptsByServer));
+            long startedAt = System.nanoTime();
+            List<Fault> faults = onLoop(this::startClientsAndFaults);
+            reportSeconds(startedAt, eachSecond);
+            awaitLastResponses();
+            sidecars.checkAlive();
+            return onLoop(() -> result(faults, startedAt));
         } finally {
             close();
-            forget(hook);
-        }
-    }
-
-    private static void forget(Thread hook) {
-        try {
-            Runtime.getRuntime().removeShutdownHook(hook);
-        } catch (IllegalStateException ignored) {
-            // The process is ending: the hook is running already.
+            removeHook(hook);
         }
     }
 
-    private String wrongNow() {
-        return String.join(", ", now);
-    }
-
-    private void open() throws InterruptedException {
-        List<CompletableFuture<Void>> open = new ArrayList<>();
+    private void openServersAndDiscovery() throws InterruptedException {
+        List<CompletableFuture<Void>> openServers = new ArrayList<>();
         onLoop(() -> {
             for (OrderServer each : servers()) {
-                CompletableFuture<Void> opened = new CompletableFuture<>();
-                open.add(opened);
-                introduce(each, ServerStandIn.ANY, () -> opened.complete(null));
+                CompletableFuture<Void> open = new CompletableFuture<>();
+                openServers.add(open);
+                openServer(each, ServerStandIn.ANY_PORT, () -> open.complete(null));
             }
             return null;
         });
-        open.forEach(CompletableFuture::join);
+        openServers.forEach(CompletableFuture::join);
         onLoop(() -> {
             servers().forEach(directory()::add);
             discovery = new DiscoveryStandIn(loop, this, scenario.news());
@@ -201,65 +171,88 @@
         }
     }
 
-    private void introduce(OrderServer server, InetSocketAddress where, Runnable open) {
-        server.onColdCrash((fallen, informed) -> {
-            oracle.serverCrashedWhileCold(fallen.id(), informed, elapsed());
-            recordEvent("server " + fallen.id() + " was pushed over while cold");
+    private void openServer(OrderServer server, InetSocketAddress bindAddress, Runnable onOpen) {
+        server.onColdCrash((crashed, informedFraction) -> {
+            oracle.serverCrashedWhileCold(crashed.id(), informedFraction, elapsed());
+            recordEvent("server " + crashed.id() + " was pushed over while cold");
         });
-        stands.put(server.id(), ServerStandIn.open(loop, this, server, where, open));
+        servers.put(server.id(), ServerStandIn.open(loop, this, server, bindAddress, onOpen));
     }
 
     private void startSidecars() throws IOException, InterruptedException {
         for (int i = 0; i < scenario.fleet().instances(); i++) {
-            sidecars.add(new SidecarProcess(home, folder, i));
-            startSidecar(i);
+            // It picks free ports, so discovery's have to be bound before.
+            sidecars.add(home, discoveryPorts.get(i));
+            ObjectNode cachedList = onLoop(discovery::fullList);
+            sidecars.start(i, cachedList, onLoop(restarts::any));
         }
-        for (SidecarProcess each : sidecars) {
-            awaitUp(each);
+        sidecars.awaitReady();
+    }
+
+    private List<Fault> startClientsAndFaults() {
+        start = clock.now();
+        List<Fault> faults = FaultPlayer.scheduleAll(this, scenario, seed);
+        new RealClients(this, loop, seed, topology.trafficPattern()).start();
+        return faults;
+    }
+
+    /** Reports each second one second after it has ended, when most of its responses have arrived. */
+    private void reportSeconds(long startedAt, BiConsumer<RunStatistics.Second, String> eachSecond)
+            throws InterruptedException {
+        int seconds = (int) (scenario.length() / NANOS_PER_SECOND);
+        for (int i = 0; i < seconds; i++) {
+            int second = i;
+            long reportAt = startedAt + (i + 2) * NANOS_PER_SECOND;
+            TimeUnit.NANOSECONDS.sleep(Math.max(0, reportAt - System.nanoTime()));
+            Map.Entry<RunStatistics.Second, String> report =
+                    onLoop(() -> Map.entry(statistics.second(second), String.join(", ", activeFaults)));
+            eachSecond.accept(report.getKey(), report.getValue());
         }
     }
 
-    private void startSidecar(int number) throws IOException {
-        ObjectNode known = onLoop(discovery::known);
-        sidecars.get(number).start(scenario, discoveryPorts.get(number), known, onLoop(restarts::any));
+    private void awaitLastResponses() throws InterruptedException {
+        long maxDeadline = scenario.classes().stream()
+                .mapToLong(each -> each.deadline())
+                .max()
+                .orElseThrow();
+        TimeUnit.NANOSECONDS.sleep(2 * maxDeadline + scenario.clients().maxRetryAfter());
     }
 
-    private void awaitUp(SidecarProcess sidecar) throws IOException, InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(START_LIMIT_S);
-        while (!up(sidecar)) {
-            if (!sidecar.alive() || System.nanoTime() > end) {
-                throw new IOException("a sidecar did not start; its log is in " + folder);
-            }
-            TimeUnit.MILLISECONDS.sleep(20);
-        }
-    }
-
-    private static boolean up(SidecarProcess sidecar) {
-        try {
-            HttpURLConnection ask =
-                    (HttpURLConnection) URI.create("http://127.0.0.1:" + sidecar.adminPort() + "/_ready")
-                            .toURL()
-                            .openConnection();
-            ask.setConnectTimeout(500);
-            ask.setReadTimeout(1000);
-            return ask.getResponseCode() == 200;
-        } catch (IOException e) {
-            return false;
-        }
+    private Run result(List<Fault> faults, long startedAt) {
+        return new Run(
+                scenario.name(),
+                "sidecar",
+                seed,
+                statistics,
+                oracle.counts(),
+                oracle.violations(),
+                faults,
+                topology.recordedEvents(),
+                digest.getValue(),
+                requests,
+                0,
+                System.nanoTime() - startedAt,
+                attemptsByServer);
     }
 
     private void close() throws InterruptedException {
-        for (SidecarProcess each : sidecars) {
-            each.end(5_000);
-        }
+        sidecars.stopAll();
         onLoop(() -> {
-            stands.values().forEach(ServerStandIn::close);
+            servers.values().forEach(ServerStandIn::close);
             return null;
         });
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
 
-    // What the stand-ins and clients ask; on the loop.
+    private static void removeHook(Thread hook) {
+        try {
+            Runtime.getRuntime().removeShutdownHook(hook);
+        } catch (IllegalStateException ignored) {
+            // The process is ending, so that the hook is running already.
+        }
+    }
+
+    // For the stand-ins and clients, on the event loop.
 
     MultiThreadIoEventLoopGroup group() {
         return group;
@@ -269,100 +262,119 @@
         return scenario;
     }
 
-    Traces traces() {
-        return traces;
+    SentRequests sentRequests() {
+        return sentRequests;
     }
 
     Oracle oracle() {
         return oracle;
     }
 
-    RunStatistics tally() {
-        return tally;
+    RunStatistics statistics() {
+        return statistics;
     }
 
+    /** Returns the port of an instance's clients. */
     int port(int instance) {
-        return sidecars.get(instance).port();
+        return sidecars.port(instance);
     }
 
-    long end() {
+    /** Returns when clients stop sending, in nanoseconds of the clock. */
+    long endsAt() {
         return start + scenario.length();
     }
 
+    /** Returns the nanoseconds since the start. */
     long elapsed() {
         return clock.now() - start;
     }
 
+    /** Converts a time of the clock to nanoseconds since the start. */
     long sinceStart(long time) {
         return time - start;
     }
 
-    void request() {
+    /** A client has sent a request. */
+    void requestSent() {
         requests++;
     }
 
-    double attemptWork(Traces.Sent sent) {
-        double variation = scenario.classes().get(sent.requestClass()).attemptVariation();
-        return variation == 0 ? sent.work() : sent.work() * noise.lognormal(variation);
+    /** Draws the work of one attempt, in nanoseconds of a standard core. */
+    double attemptWork(SentRequest request) {
+        double variation = scenario.classes().get(request.requestClass()).attemptVariation();
+        return variation == 0 ? request.work() : request.work() * noise.lognormal(variation);
     }
 
-    /** One way between an instance and a server, beyond what loopback takes. */
-    long way(int instance, OrderServer server) {
-        return link().nextDelayNanos(instance % scenario.fleet().zones().size()
-                != server.pod().zone());
+    /** Draws a one-way delay between an instance and a server, which is added to that of loopback. */
+    long nextDelayNanos(int instance, OrderServer server) {
+        int zone = instance % scenario.fleet().zones().size();
+        return link().nextDelayNanos(zone != server.pod().zone());
     }
 
-    long newsDelay() {
-        return (long) (spread.part() * scenario.news().maxPropagation());
+    /** Draws the time until a change of the endpoint list reaches the instances. */
+    long nextPropagationNanos() {
+        return (long) (propagation.part() * scenario.news().maxPropagation());
     }
 
-    void received(Traces.Sent sent, OrderServer server, boolean mayRun) {
+    /** A server has received an attempt completely; {@code mayRun} is false if it rejected it. */
+    void attemptReceived(SentRequest request, OrderServer server, boolean mayRun) {
         attemptsByServer[(int) Math.min(attemptsByServer.length - 1, server.id())]++;
-        tally.attemptReceived(elapsed());
+        statistics.attemptReceived(elapsed());
         oracle.attemptReceived(
-                sent.trace(), server.id(), server.pod().zone(), server.pod().number(), mayRun, elapsed());
+                request.trace(), server.id(), server.pod().zone(), server.pod().number(), mayRun, elapsed());
     }
 
-    void told(int instance, List<Entry> entries) {
+    /** An instance has been notified of endpoints. */
+    void endpointsNotified(int instance, List<Entry> entries) {
         for (Entry each : entries) {
-            toldStarts.put(each.server().id() * 100_000 + instance, each.startedAt());
+            long server = each.server().id();
+            knownStarts.put(notificationKey(instance, server), each.startedAt());
             if (each.state() == EndpointStatus.READY) {
-                oracle.readyNotified(instance, each.server().id());
+                oracle.readyNotified(instance, server);
             } else {
-                oracle.drainNotified(instance, each.server().id(), elapsed());
+                oracle.drainNotified(instance, server, elapsed());
             }
         }
     }
 
+    /** Returns whether an instance has been notified of a server's last start. */
     boolean knowsStart(int instance, OrderServer server) {
-        return toldStarts.getOrDefault(server.id() * 100_000 + instance, -1L) >= server.startedAt();
+        return knownStarts.getOrDefault(notificationKey(instance, server.id()), -1L) >= server.startedAt();
     }
 
-    /** Whether the instance that had this request was killed meanwhile. */
+    private static long notificationKey(int instance, long server) {
+        return server * INSTANCE_LIMIT + instance;
+    }
+
+    /** Returns whether the instance that had a request was killed after the request was sent. */
     boolean wasKilled(int instance, Trace trace) {
-        return killedAt.getOrDefault(instance, -1L) >= trace.sentAt() - TOLERANCE;
+        return killedAt.getOrDefault(instance, -1L) >= trace.sentAt() - TOLERANCE_NANOS;
     }
 
-    ObjectNode target(Entry entry) {
+    /** Returns an entry of the endpoint list in the JSON of discovery. */
+    ObjectNode toJson(Entry entry) {
         OrderServer server = entry.server();
         return JSON.createObjectNode()
                 .put("uid", "s-" + server.id())
-                .put("endpoint", stands.get(server.id()).endpoint())
+                .put("endpoint", servers.get(server.id()).endpoint())
                 .put("az", scenario.fleet().zones().get(server.pod().zone()))
                 .put("model", server.kind().name())
                 .put("pod_group", server.pod().number())
-                .put("state", DiscoveryStandIn.word(entry.state()))
+                .put("state", DiscoveryStandIn.stateName(entry.state()))
                 .put("capacity_hint", 1.0)
                 .put("boot_ms", clock.unixMs(entry.startedAt()));
     }
 
-    void digest(Trace trace, Answer answer) {
-        digest.update(ByteBuffer.allocate(12)
+    /** Adds a response to the digest of the run. */
+    void updateDigest(Trace trace, Answer answer) {
+        digest.update(ByteBuffer.allocate(DIGEST_BYTES)
                 .putLong(trace.id())
                 .putInt(answer.ordinal())
                 .flip());
     }
 
+    // For faults.
+
     @Override
     public Clock clock() {
         return clock;
@@ -370,47 +382,46 @@
 
     @Override
     public Topology topology() {
-        return scene;
+        return topology;
     }
 
-    /** Killed outright and started at once; what it held has no answer. */
     @Override
     public void restartInstance(int number) {
         killedAt.put(number, elapsed());
-        sidecars.get(number).kill();
+        sidecars.kill(number);
         servers().forEach(each -> oracle.readyNotified(number, each.id()));
-        ObjectNode known = discovery.known();
-        long fresh = restarts.any();
-        loop.schedule(
-                () -> {
-                    try {
-                        sidecars.get(number).start(scenario, discoveryPorts.get(number), known, fresh);
-                        directory().entries().stream()
-                                .filter(each -> each.state() != EndpointStatus.READY)
-                                .forEach(each -> oracle.drainNotified(
-                                        number, each.server().id(), elapsed()));
-                    } catch (IOException e) {
-                        recordEvent("sidecar " + number + " could not be started again: " + e.getMessage());
-                    }
-                },
-                100,
-                TimeUnit.MILLISECONDS);
+        ObjectNode cachedList = discovery.fullList();
+        long newSeed = restarts.any();
+        loop.schedule(() -> startAgain(number, cachedList, newSeed), RESTART_DELAY_MILLIS, TimeUnit.MILLISECONDS);
+    }
+
+    private void startAgain(int number, ObjectNode cachedList, long newSeed) {
+        try {
+            sidecars.start(number, cachedList, newSeed);
+        } catch (IOException e) {
+            recordEvent("sidecar " + number + " could not be started again: " + e.getMessage());
+            return;
+        }
+        directory().entries().stream()
+                .filter(each -> each.state() != EndpointStatus.READY)
+                .forEach(each -> oracle.drainNotified(number, each.server().id(), elapsed()));
     }
 
     @Override
     public OrderServer replaceServer(OrderServer old, boolean sameAddress) {
-        OrderServer fresh = scene.fleet().replace(old);
-        introduce(fresh, sameAddress ? stands.get(old.id()).address() : ServerStandIn.ANY, () -> {});
-        return fresh;
+        OrderServer replacement = topology.fleet().replace(old);
+        InetSocketAddress address = sameAddress ? servers.get(old.id()).address() : ServerStandIn.ANY_PORT;
+        openServer(replacement, address, () -> {});
+        return replacement;
     }
 
     @Override
     public void recordEvent(String what) {
-        scene.recordEvent(elapsed(), what);
-        if (what.startsWith("begins: ")) {
-            now.add(what.substring(8));
-        } else if (what.startsWith("ends: ")) {
-            now.remove(what.substring(6));
+        topology.recordEvent(elapsed(), what);
+        if (what.startsWith(FaultPlayer.BEGIN_PREFIX)) {
+            activeFaults.add(what.substring(FaultPlayer.BEGIN_PREFIX.length()));
+        } else if (what.startsWith(FaultPlayer.END_PREFIX)) {
+            activeFaults.remove(what.substring(FaultPlayer.END_PREFIX.length()));
         }
     }
 }
--- /dev/null
+++ b/simulation/src/main/java/topazvalve/simulation/real/SentRequests.java
@@ -0,0 +1,38 @@
+package topazvalve.simulation.real;
+
+import java.util.HashMap;
+import java.util.Map;
+import topazvalve.simulation.oracle.Trace;
+
+/** The requests that clients have sent, by the ids in their headers, so that servers recognise their attempts. */
+final class SentRequests {
+    /**
+     * A request that a client has sent.
+     *
+     * @param instance the number of the sidecar instance
+     * @param requestClass the index of its class in the scenario
+     * @param work its work in nanoseconds of a standard core
+     * @param deadline when the client stops waiting, in nanoseconds of the clock
+     */
+    record SentRequest(Trace trace, int instance, int requestClass, long key, double work, long deadline) {}
+
+    private final Map<String, SentRequest> requests = new HashMap<>();
+
+    /** Returns the id of a client's request to an instance. */
+    static String id(int instance, long number) {
+        return "i" + instance + "-" + number;
+    }
+
+    void put(String id, SentRequest request) {
+        requests.put(id, request);
+    }
+
+    /** Returns a request, or null if the id is null or unknown. */
+    SentRequest get(String id) {
+        return id == null ? null : requests.get(id);
+    }
+
+    void remove(String id) {
+        requests.remove(id);
+    }
+}
--- /dev/null
+++ b/simulation/src/main/java/topazvalve/simulation/real/ServerHandler.java
@@ -0,0 +1,99 @@
+package topazvalve.simulation.real;
+
+import io.netty.buffer.Unpooled;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.SimpleChannelInboundHandler;
+import io.netty.handler.codec.http.DefaultFullHttpResponse;
+import io.netty.handler.codec.http.FullHttpRequest;
+import io.netty.handler.codec.http.FullHttpResponse;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.HttpUtil;
+import io.netty.handler.codec.http.HttpVersion;
+import io.netty.handler.timeout.IdleStateEvent;
+import java.nio.charset.StandardCharsets;
+import topazvalve.simulation.model.OrderServer;
+import topazvalve.simulation.model.OrderServer.Mode;
+import topazvalve.simulation.real.SentRequests.SentRequest;
+
+/** One connection to an order server: passes requests on to the model, after the simulated delay of the network. */
+final class ServerHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private static final String REQUEST_ID_HEADER = "Req-Id";
+    private static final String DECLINED_HEADER = "Srv-Declined";
+    private static final String LIVENESS_PATH = "/alive";
+    private static final String LOAD_PATH = "/metrics/load";
+
+    private final RealWorld world;
+    private final OrderServer server;
+    private HttpAttempt current;
+
+    ServerHandler(RealWorld world, OrderServer server) {
+        this.world = world;
+        this.server = server;
+    }
+
+    @Override
+    protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
+        String path = request.uri();
+        if (path.equals(LIVENESS_PATH) || path.equals(LOAD_PATH)) {
+            world.statistics().healthCheckSent();
+            server.offer(new HttpHealthCheck(context.channel()), true);
+            return;
+        }
+        String id = request.headers().get(REQUEST_ID_HEADER);
+        SentRequest sent = world.sentRequests().get(id);
+        if (sent == null) {
+            HttpResponseStatus status = id == null ? HttpResponseStatus.NOT_FOUND : HttpResponseStatus.BAD_REQUEST;
+            respond(context.channel(), status, "", false);
+            return;
+        }
+        HttpAttempt attempt = new HttpAttempt(world, server, context.channel(), id, sent);
+        current = attempt;
+        long delay = world.nextDelayNanos(sent.instance(), server);
+        world.clock().scheduleAt(world.clock().now() + delay, () -> deliver(attempt, sent));
+    }
+
+    private void deliver(HttpAttempt attempt, SentRequest sent) {
+        Mode mode = server.mode();
+        if (mode == Mode.VANISHED || mode == Mode.DOWN) {
+            return;
+        }
+        server.offer(attempt, world.knowsStart(sent.instance(), server));
+        world.attemptReceived(sent, server, !attempt.wasRejected());
+    }
+
+    @Override
+    public void userEventTriggered(ChannelHandlerContext context, Object event) {
+        boolean idle = event instanceof IdleStateEvent && (current == null || current.hasEnded());
+        if (idle && server.mode() != Mode.VANISHED) {
+            context.close();
+        }
+    }
+
+    @Override
+    public void channelInactive(ChannelHandlerContext context) {
+        if (current != null && !current.hasEnded()) {
+            server.cancel(current);
+        }
+    }
+
+    @Override
+    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+        context.close();
+    }
+
+    /**
+     * Writes a response.
+     *
+     * @param declined whether the response says that the server rejected the request without running it
+     */
+    static void respond(Channel channel, HttpResponseStatus status, String body, boolean declined) {
+        FullHttpResponse response = new DefaultFullHttpResponse(
+                HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(body, StandardCharsets.US_ASCII));
+        HttpUtil.setContentLength(response, response.content().readableBytes());
+        if (declined) {
+            response.headers().set(DECLINED_HEADER, "1");
+        }
+        channel.writeAndFlush(response);
+    }
+}
--- a/simulation/src/main/java/topazvalve/simulation/real/SidecarProcess.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/SidecarProcess.java
@@ -13,7 +13,7 @@
 import topazvalve.simulation.scenario.Scenario;
 import topazvalve.simulation.scenario.WorkClass;
 
-/** The packaged sidecar as a process of its own, started by the deploy file's {@code run} line. */
+/** One sidecar process, started by the {@code run} line of the deploy file. */
 final class SidecarProcess {
     private static final ObjectMapper JSON = new ObjectMapper();
     private final Path home;
@@ -31,26 +31,33 @@
         this.adminPort = RunLine.freePort();
     }
 
-    /** Where clients connect. */
+    /** Returns the port of its clients. */
     int port() {
         return port;
     }
 
+    /** Returns the port of its admin endpoint. */
     int adminPort() {
         return adminPort;
     }
 
-    /** Starts it; it is ready once its {@code /up} says so. */
-    void start(Scenario scenario, int discoveryPort, ObjectNode known, long seed) throws IOException {
+    /**
+     * Starts it, without waiting until it is ready.
+     *
+     * @param cachedList the endpoint list that it starts with
+     * @param seed the seed of its load balancer
+     */
+    void start(Scenario scenario, int discoveryPort, ObjectNode cachedList, long seed) throws IOException {
         Path file = folder.resolve(name + ".json");
-        Files.writeString(file, config(scenario, discoveryPort, known, seed).toString());
+        Files.writeString(
+                file, configuration(scenario, discoveryPort, cachedList, seed).toString());
         File log = folder.resolve(name + ".log").toFile();
         process = RunLine.of(home, file, List.of())
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(log))
                 .start();
     }
 
-    boolean alive() {
+    boolean isAlive() {
         return process != null && process.isAlive();
     }
 
@@ -60,17 +67,17 @@
         }
     }
 
-    /** Ends it in order, and by force if that takes longer than it may. */
-    void end(long longestMs) throws InterruptedException {
+    /** Stops it in order, or by force if that takes longer than the timeout. */
+    void stop(long timeoutMillis) throws InterruptedException {
         if (process != null) {
             process.destroy();
-            if (!process.waitFor(longestMs, TimeUnit.MILLISECONDS)) {
+            if (!process.waitFor(timeoutMillis, TimeUnit.MILLISECONDS)) {
                 process.destroyForcibly();
             }
         }
     }
 
-    private ObjectNode config(Scenario scenario, int discoveryPort, ObjectNode known, long seed) {
+    private ObjectNode configuration(Scenario scenario, int discoveryPort, ObjectNode cachedList, long seed) {
         ObjectNode root = JSON.createObjectNode()
                 .put("name", name)
                 .put("listen", "127.0.0.1:" + port)
@@ -78,7 +85,7 @@
                 .put("discovery", "127.0.0.1:" + discoveryPort)
                 .put("seed", Long.toHexString(seed));
         root.putObject("limits").put("cores", 1.0).put("memory_mb", 96).put("sockets", 1024);
-        root.set("known", known);
+        root.set("known", cachedList);
         ObjectNode settings = root.putObject("settings")
                 .put("discovery", "subscribe")
                 .put("quantum", 0)
@@ -89,50 +96,57 @@
         ArrayNode kinds = settings.putArray("kinds");
         scenario.machines().forEach(each -> kinds.add(each.name()));
         settings.putObject("report").put("how", "silent").putArray("fields");
-        long idle = scenario.machines().stream()
+        putCapabilities(settings.putObject("caps"), scenario);
+        settings.putObject("charges").put("probe", 0.01);
+        putLimits(settings.putObject("rules"), scenario.limits());
+        ArrayNode profiles = settings.putArray("profiles");
+        scenario.classes().forEach(each -> profiles.add(profile(each)));
+        return root;
+    }
+
+    private static void putCapabilities(ObjectNode capabilities, Scenario scenario) {
+        long idleTimeout = scenario.machines().stream()
                 .mapToLong(each -> each.idleTimeout())
                 .min()
                 .orElseThrow();
-        settings.putObject("caps")
+        capabilities
                 .put("mayCancel", true)
                 .put("mayProbe", true)
                 .put("retryAfter", true)
                 .put("tryLimit", scenario.limits().attempts())
                 .put("maxRetryAfter", scenario.clients().maxRetryAfter())
                 .put("connectTimeout", scenario.limits().connectTimeout())
-                .put("connIdle", idle);
-        settings.putObject("charges").put("probe", 0.01);
-        settings.putObject("rules")
-                .put("answerSlack", scenario.limits().responseSlack())
-                .put("stopSendingWithin", scenario.limits().drainGrace())
-                .put("askWithin", scenario.limits().resubscribeWithin())
-                .put("coldShare", scenario.limits().coldShare())
-                .put("rampTime", scenario.limits().rampTime())
-                .put("overloadFactor", scenario.limits().overloadFactor())
-                .put("tipAfter", scenario.limits().coldLoadWindow());
-        ArrayNode profiles = settings.putArray("profiles");
-        scenario.classes().forEach(each -> profiles.add(profile(each)));
-        return root;
+                .put("connIdle", idleTimeout);
+    }
+
+    private static void putLimits(ObjectNode rules, Scenario.Limits limits) {
+        rules.put("answerSlack", limits.responseSlack())
+                .put("stopSendingWithin", limits.drainGrace())
+                .put("askWithin", limits.resubscribeWithin())
+                .put("coldShare", limits.coldShare())
+                .put("rampTime", limits.rampTime())
+                .put("overloadFactor", limits.overloadFactor())
+                .put("tipAfter", limits.coldLoadWindow());
     }
 
-    private static ObjectNode profile(WorkClass kind) {
+    private static ObjectNode profile(WorkClass requestClass) {
         ObjectNode profile = JSON.createObjectNode()
-                .put("name", kind.name())
-                .put("slo", kind.latencyObjective())
-                .put("deadline", kind.deadline())
-                .put("worth", kind.priorityWeight())
+                .put("name", requestClass.name())
+                .put("slo", requestClass.latencyObjective())
+                .put("deadline", requestClass.deadline())
+                .put("worth", requestClass.priorityWeight())
                 .put(
                         "semantics",
-                        switch (kind.repeatability()) {
+                        switch (requestClass.repeatability()) {
                             case FREE -> "repeatable";
                             case KEYED -> "by_key";
                             case NEVER -> "once";
                         });
-        if (kind.repeatability() == WorkClass.Repeatability.KEYED) {
-            profile.put("keyTtl", kind.repeatWindow())
+        if (requestClass.repeatability() == WorkClass.Repeatability.KEYED) {
+            profile.put("keyTtl", requestClass.repeatWindow())
                     .put(
                             "keyScope",
-                            switch (kind.scope()) {
+                            switch (requestClass.scope()) {
                                 case ALL -> "all";
                                 case ZONE -> "zone";
                                 case POD -> "cell";
--- a/simulation/src/main/java/topazvalve/simulation/real/package-info.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/package-info.java
@@ -1,2 +1,2 @@
-/** The world on real sockets, around the packaged sidecar. */
+/** Runs in real time on loopback: stand-ins for servers, discovery and clients, and sidecar processes between them. */
 package topazvalve.simulation.real;
--- a/simulation/src/main/java/topazvalve/simulation/scenario/Scenario.java
+++ b/simulation/src/main/java/topazvalve/simulation/scenario/Scenario.java
@@ -137,7 +137,18 @@
             long maxRetryAfter,
             double impatient,
             double slowReaders,
-            double reconnect) {}
+            double reconnect) {
+
+        /**
+         * Returns how long a client waits before a retry, in nanoseconds.
+         *
+         * @param honoursRetryAfter whether the client heeds Retry-After
+         * @param retryAfterNanos the Retry-After of the response; 0 for none
+         */
+        public long backoffNanos(boolean honoursRetryAfter, long retryAfterNanos) {
+            return honoursRetryAfter ? Math.max(backoff, Math.min(retryAfterNanos, maxRetryAfter)) : backoff;
+        }
+    }
 
     /**
      * Faults that are drawn from the seed.
--- a/simulation/src/main/java/topazvalve/simulation/tally/RunStatistics.java
+++ b/simulation/src/main/java/topazvalve/simulation/tally/RunStatistics.java
@@ -242,8 +242,8 @@
     }
 
     /**
-     * Sums over all classes and the run. The first five and {@code unanswered} leave out the settling time. The names
-     * are keys of stored results.
+     * Sums over all classes and the run. Those of requests leave out the settling time.
+     * The names are keys of stored results.
      *
      * @param asked first tries that clients sent
      * @param good served within the latency objective
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualClients.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualClients.java
@@ -171,7 +171,8 @@
         boolean harmless = answer == Answer.REFUSED || requestClass.retryIsHarmless();
         long firstSentAt = world.sinceStart(clientRequest.firstSentAt());
         if (clientRequest.generated().retries() && !isRetry && harmless) {
-            long backoff = backoffNanos(clientRequest, retryAfterNanos);
+            long backoff =
+                    scenario.clients().backoffNanos(clientRequest.generated().honoursRetryAfter(), retryAfterNanos);
             world.clock().scheduleAt(now() + backoff, () -> {
                 world.statistics().retrySent();
                 send(clientRequest, true);
@@ -182,12 +183,4 @@
             world.statistics().requestFailed(clientRequest.requestClass(), firstSentAt);
         }
     }
-
-    private long backoffNanos(ClientRequest clientRequest, long retryAfterNanos) {
-        Scenario.Clients clients = scenario.clients();
-        if (!clientRequest.generated().honoursRetryAfter() || retryAfterNanos <= 0) {
-            return clients.backoff();
-        }
-        return Math.max(clients.backoff(), Math.min(retryAfterNanos, clients.maxRetryAfter()));
-    }
 }
