--- a/cli/src/main/java/topazvalve/cli/CapacityVerb.java
+++ b/cli/src/main/java/topazvalve/cli/CapacityVerb.java
@@ -6,19 +6,16 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Locale;
-import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
-import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import picocli.CommandLine.Spec;
 import topazvalve.capacity.measure.CapacityMeasurement;
 import topazvalve.capacity.need.DemandTable;
 import topazvalve.capacity.need.ResourceDemand;
 import topazvalve.capacity.need.ResourceDemand.Tier;
 import topazvalve.capacity.plan.CapacityPlan;
 
-/** What the planned size needs of each role, beside what it is allowed. */
+/** Prints what the planned size demands of each role, beside its budget. */
 @Command(
         name = "capacity",
         description = {
@@ -26,9 +23,8 @@
             "and prints what each role needs at the plan's size beside what it is allowed.",
             "Exit code 1 says that a budget is not kept."
         })
-final class CapacityVerb implements Callable<Integer> {
-    @Spec
-    private CommandSpec spec;
+final class CapacityVerb extends Verb {
+    private static final String DEFAULT_PLAN = "simulation/capacity/plan.toml";
 
     @Parameters(arity = "0..1", paramLabel = "PLAN", description = "the plan's file (simulation/capacity/plan.toml)")
     private Path file;
@@ -41,40 +37,47 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        CapacityPlan plan =
-                InputFiles.plan(file == null ? RealTimeRun.home().resolve("simulation/capacity/plan.toml") : file);
-        PrintWriter out = spec.commandLine().getOut();
-        Path folder = Files.createTempDirectory("topazvalve");
-        DemandTable table = CapacityMeasurement.run(plan, RealTimeRun.home(), folder, quick, line -> {
+        CapacityPlan plan = InputFiles.plan(file == null ? ProjectRoot.resolve(DEFAULT_PLAN) : file);
+        PrintWriter out = out();
+        Path workDirectory = Files.createTempDirectory("topazvalve");
+        DemandTable demands = CapacityMeasurement.run(plan, ProjectRoot.path(), workDirectory, quick, line -> {
             out.println(line);
             out.flush();
         });
-        return print(tier == null ? table : table.of(tier), plan, out);
+        return print(tier == null ? demands : demands.of(tier), plan, out);
     }
 
-    /** Prints the tables and says which budgets are not kept; the exit code says whether there is one. */
-    static int print(DemandTable table, CapacityPlan plan, PrintWriter out) {
-        for (Tier tier : table.tiers()) {
+    /** Prints the tables and the budgets that are exceeded; returns the exit code, which says whether any is. */
+    static int print(DemandTable demands, CapacityPlan plan, PrintWriter out) {
+        for (Tier each : demands.tiers()) {
             out.println();
-            out.println(
-                    tier == Tier.BEFORE
-                            ? "Every sidecar calls the one source:"
-                            : plan.budget().control().machines() + " relays between, " + plan.watchesPerMachine()
-                                    + " watches each:");
-            table.lines(tier).forEach(out::println);
+            out.println(heading(each, plan));
+            demands.lines(each).forEach(out::println);
         }
         out.println();
-        List<ResourceDemand> over = table.over();
-        over.forEach(each -> out.printf(
+        List<ResourceDemand> exceeded = demands.over();
+        exceeded.forEach(demand -> printExceeded(demand, out));
+        out.println(exceeded.isEmpty() ? "every budget is kept" : exceeded.size() + " budgets are not kept");
+        out.flush();
+        return ExitCode.of(exceeded.isEmpty());
+    }
+
+    private static String heading(Tier tier, CapacityPlan plan) {
+        if (tier == Tier.BEFORE) {
+            return "Every sidecar calls the one source:";
+        }
+        int relays = plan.budget().control().machines();
+        return relays + " relays between, " + plan.watchesPerMachine() + " watches each:";
+    }
+
+    private static void printExceeded(ResourceDemand demand, PrintWriter out) {
+        out.printf(
                 Locale.ROOT,
                 "over its budget, %s: %s, %s, %s: %.2f times%n",
-                each.tier().name().toLowerCase(Locale.ROOT),
-                each.role(),
-                each.when(),
-                each.what(),
-                each.ratio()));
-        out.println(over.isEmpty() ? "every budget is kept" : over.size() + " budgets are not kept");
-        out.flush();
-        return over.isEmpty() ? ExitCode.DONE : ExitCode.FAILED;
+                demand.tier().name().toLowerCase(Locale.ROOT),
+                demand.role(),
+                demand.when(),
+                demand.what(),
+                demand.ratio());
     }
 }
--- a/cli/src/main/java/topazvalve/cli/CheckVerb.java
+++ b/cli/src/main/java/topazvalve/cli/CheckVerb.java
@@ -3,12 +3,10 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.concurrent.Callable;
+import java.util.List;
 import java.util.regex.Pattern;
 import picocli.CommandLine.Command;
-import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Parameters;
-import picocli.CommandLine.Spec;
 import topazvalve.sidecar.OperatorFile;
 import topazvalve.sidecar.config.Config;
 import topazvalve.tcp.TcpSettings;
@@ -21,52 +19,50 @@
             "Checks a sidecar's configuration (.json), an operator's file or a scenario "
                     + "(.toml), and starts nothing."
         })
-final class CheckVerb implements Callable<Integer> {
-    /** What only an operator's file has. */
-    private static final Pattern OPERATOR = Pattern.compile("(?m)^\\s*(\\[\\[\\s*listener\\s*]]|\\[\\s*relays\\s*])");
-
-    @Spec
-    private CommandSpec spec;
+final class CheckVerb extends Verb {
+    /** Tables that an operator's file has and a scenario hasn't. */
+    private static final Pattern OPERATOR_TABLE =
+            Pattern.compile("(?m)^\\s*(\\[\\[\\s*listener\\s*]]|\\[\\s*relays\\s*])");
 
     @Parameters(paramLabel = "FILE", description = "the file to check")
     private Path file;
 
     @Override
     public Integer call() throws IOException {
-        InputFiles.requireFile(file);
-        if (file.toString().endsWith(".toml")
-                && OPERATOR.matcher(Files.readString(file)).find()) {
-            try {
-                OperatorFile read = OperatorFile.read(file);
-                spec.commandLine()
-                        .getOut()
-                        .println(file + ": good; listeners "
-                                + read.listeners().stream()
-                                        .map(TcpSettings::name)
-                                        .toList()
-                                + (read.relays().isEmpty()
-                                        ? ""
-                                        : ", relays " + read.relays().size()));
-                return ExitCode.DONE;
-            } catch (InvalidFileException e) {
-                throw new InvalidInputException(e.getMessage(), e);
-            }
+        Path found = InputFiles.find(file);
+        out().println(found + ": good; " + describe(found));
+        return ExitCode.DONE;
+    }
+
+    private static String describe(Path file) throws IOException {
+        if (!file.toString().endsWith(".toml")) {
+            return describeConfiguration(file);
         }
-        if (file.toString().endsWith(".toml")) {
-            spec.commandLine()
-                    .getOut()
-                    .println(file + ": good; scenario "
-                            + InputFiles.scenario(file).name());
-            return ExitCode.DONE;
+        if (OPERATOR_TABLE.matcher(Files.readString(file)).find()) {
+            return describeOperatorFile(file);
         }
+        return "scenario " + InputFiles.scenario(file).name();
+    }
+
+    private static String describeConfiguration(Path file) throws IOException {
         try {
             Config config = Config.read(file);
-            spec.commandLine()
-                    .getOut()
-                    .println(file + ": good; classes " + config.options().names("profiles"));
+            return "classes " + config.options().names("profiles");
         } catch (IllegalArgumentException e) {
             throw new InvalidInputException(file + ": " + e.getMessage(), e);
         }
-        return ExitCode.DONE;
+    }
+
+    private static String describeOperatorFile(Path file) throws IOException {
+        OperatorFile operatorFile;
+        try {
+            operatorFile = OperatorFile.read(file);
+        } catch (InvalidFileException e) {
+            throw new InvalidInputException(e.getMessage(), e);
+        }
+        List<String> listeners =
+                operatorFile.listeners().stream().map(TcpSettings::name).toList();
+        int relays = operatorFile.relays().size();
+        return "listeners " + listeners + (relays == 0 ? "" : ", relays " + relays);
     }
 }
--- /dev/null
+++ b/cli/src/main/java/topazvalve/cli/ExperimentRunVerb.java
@@ -0,0 +1,165 @@
+package topazvalve.cli;
+
+import java.io.IOException;
+import java.io.PrintWriter;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Locale;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import java.util.function.ToDoubleFunction;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Parameters;
+import topazvalve.simulation.experiment.ExperimentPlan;
+import topazvalve.simulation.experiment.Report;
+import topazvalve.simulation.experiment.Result;
+import topazvalve.simulation.experiment.Results;
+import topazvalve.simulation.experiment.Runner;
+import topazvalve.simulation.scenario.ExperimentFile;
+import topazvalve.simulation.virtual.ExperimentArm;
+
+/** Runs an experiment: its arms on its scenarios with its seeds. */
+@Command(
+        name = "run",
+        description = {
+            "Runs an experiment in virtual time; results go to DIR as JSON lines, " + "with one HTML report.",
+            "Ctrl-C leaves what is finished readable; --resume goes on from there."
+        })
+final class ExperimentRunVerb extends Verb {
+    /** How long Ctrl-C waits for the report of what is finished. */
+    private static final long MAX_REPORT_SECONDS = 20;
+
+    @Parameters(paramLabel = "FILE", description = "the experiment (.toml)")
+    private Path file;
+
+    @Option(names = "--seeds", paramLabel = "A..B", description = "in place of the file's")
+    private String seeds;
+
+    @Option(names = "--jobs", paramLabel = "N", description = "runs at once (one for each core)")
+    private Integer jobs;
+
+    @Option(names = "--out", paramLabel = "DIR", description = "where results go (found/NAME)")
+    private Path out;
+
+    @Option(names = "--resume", description = "keeps the results that DIR has already")
+    private boolean resume;
+
+    @Override
+    public Integer call() throws IOException, InterruptedException {
+        ExperimentPlan plan = plan();
+        Path directory = out != null ? out : Path.of("found", plan.name());
+        int threads = jobs == null ? Runtime.getRuntime().availableProcessors() : jobs;
+        if (threads < 1) {
+            throw new InvalidInputException("--jobs: " + threads + " is not a whole number above 0");
+        }
+        if (!resume && !Results.read(directory).isEmpty()) {
+            throw new InvalidInputException(
+                    directory + ": has results already; go on with --resume, or name another --out");
+        }
+        Runner runner = new Runner(plan, directory, threads);
+        CountDownLatch reported = new CountDownLatch(1);
+        Thread shutdownHook = new Thread(() -> stopAndAwaitReport(runner, reported));
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
+        try {
+            return run(plan, runner, directory, shutdownHook);
+        } finally {
+            reported.countDown();
+        }
+    }
+
+    /** Keeps the JVM from ending after Ctrl-C before what is finished has been reported. */
+    private static void stopAndAwaitReport(Runner runner, CountDownLatch reported) {
+        runner.stop();
+        try {
+            reported.await(MAX_REPORT_SECONDS, TimeUnit.SECONDS);
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    private int run(ExperimentPlan plan, Runner runner, Path directory, Thread shutdownHook)
+            throws IOException, InterruptedException {
+        PrintWriter console = out();
+        List<Result> results = runner.run(
+                resume,
+                progress -> console.printf(
+                        Locale.ROOT,
+                        "%d of %d runs, %d with a broken rule, about %.0f s left%n",
+                        progress.done(),
+                        progress.all(),
+                        progress.broken(),
+                        progress.leftS()));
+        if (!results.isEmpty()) {
+            Report.write(directory.resolve("report.html"), plan.name(), results);
+        }
+        boolean complete = results.size() == plan.cells().size();
+        print(console, plan, results);
+        console.println(
+                (complete ? "" : "stopped early: ") + results.size() + " results and report.html are in " + directory);
+        console.flush();
+        if (!complete) {
+            return ExitCode.INTERRUPTED;
+        }
+        Runtime.getRuntime().removeShutdownHook(shutdownHook);
+        return ExitCode.of(results.stream().allMatch(result -> result.broken().isEmpty()));
+    }
+
+    private static void print(PrintWriter console, ExperimentPlan plan, List<Result> results) {
+        for (ExperimentPlan.Setting setting : plan.scenarios()) {
+            String scenario = setting.scenario().name();
+            for (ExperimentArm arm : plan.arms()) {
+                List<Result> runs = results.stream()
+                        .filter(result -> result.arm().equals(arm.name())
+                                && result.scenario().equals(scenario))
+                        .toList();
+                if (!runs.isEmpty()) {
+                    printArm(console, scenario, arm.name(), runs);
+                }
+            }
+        }
+    }
+
+    private static void printArm(PrintWriter console, String scenario, String arm, List<Result> runs) {
+        console.printf(
+                Locale.ROOT,
+                "%-16s %-16s goal %.4f  service %.4f  worst 10 s %.4f  " + "broken in %d of %d%n",
+                scenario,
+                arm,
+                average(runs, Result::goal),
+                average(runs, Result::service),
+                average(runs, Result::worstWindow),
+                runs.stream().filter(result -> !result.broken().isEmpty()).count(),
+                runs.size());
+    }
+
+    private static double average(List<Result> runs, ToDoubleFunction<Result> value) {
+        return runs.stream().mapToDouble(value).average().orElse(0);
+    }
+
+    private ExperimentPlan plan() throws IOException {
+        ExperimentFile.Experiment experiment = InputFiles.experiment(file);
+        List<ExperimentPlan.Setting> scenarios = new ArrayList<>();
+        for (Path each : experiment.scenarios()) {
+            scenarios.add(new ExperimentPlan.Setting(each, InputFiles.scenario(each)));
+        }
+        List<ExperimentArm> arms =
+                experiment.arms().stream().map(ExperimentRunVerb::arm).toList();
+        ExperimentPlan plan =
+                new ExperimentPlan(experiment.name(), scenarios, arms, experiment.firstSeed(), experiment.lastSeed());
+        if (seeds == null) {
+            return plan;
+        }
+        long[] range = ExperimentFile.seeds(seeds);
+        if (range == null) {
+            throw new InvalidInputException("--seeds: " + seeds + " is not a range such as 1..20");
+        }
+        return plan.withSeeds(range[0], range[1]);
+    }
+
+    private static ExperimentArm arm(ExperimentFile.ArmSpec spec) {
+        return new ExperimentArm(
+                spec.name(), spec.policy(), spec.attempts(), spec.cancel(), spec.probes(), spec.retryAfter());
+    }
+}
--- a/cli/src/main/java/topazvalve/cli/InputFiles.java
+++ b/cli/src/main/java/topazvalve/cli/InputFiles.java
@@ -3,28 +3,60 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.regex.Pattern;
 import topazvalve.capacity.plan.CapacityPlan;
 import topazvalve.capacity.plan.PlanFile;
+import topazvalve.hollowfleet.timeline.Timeline;
+import topazvalve.hollowfleet.timeline.TimelineFile;
+import topazvalve.simulation.scenario.ExperimentFile;
 import topazvalve.simulation.scenario.Scenario;
 import topazvalve.simulation.scenario.ScenarioFile;
 import topazvalve.toml.InvalidFileException;
 
-/** Reads what the caller names; whatever is wrong with it is a {@link InvalidInputException}. */
+/** Finds and reads the files that the caller names. A file that has problems is an {@link InvalidInputException}. */
 final class InputFiles {
+    /** The last directory {@code world} of a path; that is what {@code simulation} was called before. */
+    private static final Pattern FORMER_DIRECTORY = Pattern.compile("^(.*/)?world/");
+
     private InputFiles() {}
 
-    static void requireFile(Path file) {
-        if (!Files.isRegularFile(file) || !Files.isReadable(file)) {
-            throw new InvalidInputException(file + ": no such file, or it can't be read", null);
+    /**
+     * Returns the file itself, or the one that has taken its place in {@code simulation/} if the path leads
+     * through the former directory {@code world/}.
+     */
+    static Path find(Path file) {
+        if (isReadable(file)) {
+            return file;
+        }
+        Path renamed = Path.of(FORMER_DIRECTORY.matcher(file.toString()).replaceFirst("$1simulation/"));
+        if (isReadable(renamed)) {
+            return renamed;
         }
+        throw new InvalidInputException(file + ": no such file, or it can't be read");
+    }
+
+    private static boolean isReadable(Path file) {
+        return Files.isRegularFile(file) && Files.isReadable(file);
     }
 
+    /** Reads a scenario. */
     static Scenario scenario(Path file) {
-        return read(file, ScenarioFile::read);
+        return readOrReject(file, ScenarioFile::read);
     }
 
+    /** Reads a capacity plan. */
     static CapacityPlan plan(Path file) {
-        return read(file, PlanFile::read);
+        return readOrReject(file, PlanFile::read);
+    }
+
+    /** Reads an experiment; its scenarios are only named. */
+    static ExperimentFile.Experiment experiment(Path file) throws IOException {
+        return read(file, ExperimentFile::read);
+    }
+
+    /** Reads the timeline of a hollow fleet. */
+    static Timeline timeline(Path file) throws IOException {
+        return read(file, TimelineFile::read);
     }
 
     /** A strict reader of one kind of file. */
@@ -32,13 +64,20 @@
         T read(Path file) throws IOException;
     }
 
-    private static <T> T read(Path file, Reader<T> reader) {
-        requireFile(file);
+    /** Reads a file, and takes one that can't be decoded for the caller's fault too. */
+    private static <T> T readOrReject(Path file, Reader<T> reader) {
+        try {
+            return read(file, reader);
+        } catch (IOException e) {
+            throw new InvalidInputException(file + ": " + e.getMessage(), e);
+        }
+    }
+
+    private static <T> T read(Path file, Reader<T> reader) throws IOException {
         try {
-            return reader.read(file);
-        } catch (InvalidFileException | IOException e) {
-            throw new InvalidInputException(
-                    e instanceof InvalidFileException ? e.getMessage() : file + ": " + e.getMessage(), e);
+            return reader.read(find(file));
+        } catch (InvalidFileException e) {
+            throw new InvalidInputException(e.getMessage(), e);
         }
     }
 }
--- a/cli/src/main/java/topazvalve/cli/InvalidInputException.java
+++ b/cli/src/main/java/topazvalve/cli/InvalidInputException.java
@@ -1,9 +1,13 @@
 package topazvalve.cli;
 
-/** Something that the caller gave can't be used; the message has a line for each fault. */
+/** An argument or a file that the caller gave can't be used; the message has one line for each problem. */
 final class InvalidInputException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
+    InvalidInputException(String message) {
+        super(message);
+    }
+
     InvalidInputException(String message, Throwable cause) {
         super(message, cause);
     }
--- a/cli/src/main/java/topazvalve/cli/Main.java
+++ b/cli/src/main/java/topazvalve/cli/Main.java
@@ -5,7 +5,10 @@
 import picocli.CommandLine.Command;
 import topazvalve.logging.Logging;
 
-/** Entry point of the command. Every error is one line on standard error; none shows a stack trace. */
+/**
+ * Entry point of the command. An error is printed on standard error, one line for each problem and without a stack
+ * trace; the process ends with an {@link ExitCode}.
+ */
 @Command(
         name = "topazvalve",
         mixinStandardHelpOptions = true,
@@ -34,7 +37,7 @@
         })
 public final class Main implements Runnable {
     private static final Logger LOG = Logging.of("topazvalve");
-    private CommandLine self;
+    private CommandLine commandLine;
 
     private Main() {}
 
@@ -43,29 +46,31 @@
         System.exit(run(args));
     }
 
+    /** Runs a verb and returns its exit code. */
     static int run(String... args) {
         Main main = new Main();
-        main.self = new CommandLine(main);
-        main.self.setCaseInsensitiveEnumValuesAllowed(true);
-        main.self.setExecutionExceptionHandler(Main::failed);
-        main.self.setParameterExceptionHandler((fault, given) -> {
-            fault.getCommandLine()
-                    .getErr()
-                    .println("topazvalve: " + oneLine(fault.getMessage()) + " (see: "
-                            + fault.getCommandLine().getCommandSpec().qualifiedName() + " --help)");
-            return ExitCode.BAD_INPUT;
-        });
-        return main.self.execute(args);
+        main.commandLine = new CommandLine(main);
+        main.commandLine.setCaseInsensitiveEnumValuesAllowed(true);
+        main.commandLine.setExecutionExceptionHandler(Main::verbFailed);
+        main.commandLine.setParameterExceptionHandler(Main::invalidArguments);
+        return main.commandLine.execute(args);
+    }
+
+    private static int invalidArguments(CommandLine.ParameterException exception, String[] args) {
+        CommandLine command = exception.getCommandLine();
+        String help = command.getCommandSpec().qualifiedName() + " --help";
+        command.getErr().println("topazvalve: " + oneLine(exception.getMessage()) + " (see: " + help + ")");
+        return ExitCode.BAD_INPUT;
     }
 
-    private static int failed(Exception fault, CommandLine command, CommandLine.ParseResult parsed) {
-        if (fault instanceof InvalidInputException) {
-            fault.getMessage().lines().forEach(line -> command.getErr().println("topazvalve: " + line));
+    private static int verbFailed(Exception exception, CommandLine command, CommandLine.ParseResult parsed) {
+        if (exception instanceof InvalidInputException) {
+            exception.getMessage().lines().forEach(line -> command.getErr().println("topazvalve: " + line));
             return ExitCode.BAD_INPUT;
         }
-        LOG.debug("failed", fault);
-        String text = fault.getMessage() == null ? fault.getClass().getSimpleName() : fault.getMessage();
-        command.getErr().println("topazvalve: " + oneLine(text));
+        LOG.debug("failed", exception);
+        String message = exception.getMessage() == null ? exception.getClass().getSimpleName() : exception.getMessage();
+        command.getErr().println("topazvalve: " + oneLine(message));
         return ExitCode.FAILED;
     }
 
@@ -75,6 +80,6 @@
 
     @Override
     public void run() {
-        self.usage(self.getOut());
+        commandLine.usage(commandLine.getOut());
     }
 }
--- /dev/null
+++ b/cli/src/main/java/topazvalve/cli/MeasureRateVerb.java
@@ -0,0 +1,75 @@
+package topazvalve.cli;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.time.Duration;
+import java.util.List;
+import java.util.Locale;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+import topazvalve.simulation.measure.RateMeasurement;
+
+/** Measures the highest rate that the packaged sidecar carries. */
+@Command(
+        name = "rate",
+        description = {
+            "The highest open-loop rate that one sidecar on one core carries with a " + "p99 within 5 ms",
+            "of the direct path's, both measured side by side in one run."
+        })
+final class MeasureRateVerb extends Verb {
+    @Option(
+            names = "--from",
+            paramLabel = "<first>",
+            defaultValue = "1000",
+            description = "first rate, a second (${DEFAULT-VALUE})")
+    private double firstRate;
+
+    @Option(names = "--factor", defaultValue = "1.25", description = "from one rate to the next (${DEFAULT-VALUE})")
+    private double factor;
+
+    @Option(names = "--seconds", defaultValue = "5", description = "at each rate (${DEFAULT-VALUE})")
+    private int seconds;
+
+    @Option(names = "--core", defaultValue = "7", description = "the sidecar's core; -1 for any (${DEFAULT-VALUE})")
+    private int core;
+
+    @Override
+    public Integer call() throws IOException, InterruptedException {
+        if (!(firstRate > 0 && factor > 1.01 && seconds > 0)) {
+            throw new InvalidInputException("--from and --seconds have to be above 0, --factor above 1.01");
+        }
+        Path workDirectory = Files.createTempDirectory("topazvalve");
+        List<RateMeasurement.Step> steps = RateMeasurement.run(
+                ProjectRoot.path(),
+                workDirectory,
+                firstRate,
+                factor,
+                Duration.ofSeconds(seconds),
+                core,
+                this::printStep);
+        double highestRate = steps.stream()
+                .filter(RateMeasurement.Step::carried)
+                .mapToDouble(RateMeasurement.Step::rate)
+                .max()
+                .orElse(0);
+        out().printf(Locale.ROOT, "carried: %.0f a second%n", highestRate);
+        return ExitCode.of(highestRate > 0);
+    }
+
+    private void printStep(RateMeasurement.Step step) {
+        out().printf(
+                        Locale.ROOT,
+                        "%8.0f/s  direct p50 %6.2f p99 %7.2f ms  through p50 %6.2f p99 %7.2f ms  "
+                                + "CPU %5.0f us a request  %.2f%% bad%s%n",
+                        step.rate(),
+                        step.directP50(),
+                        step.directP99(),
+                        step.throughP50(),
+                        step.throughP99(),
+                        step.cpuMicros(),
+                        100 * step.badShare(),
+                        step.carried() ? "" : "  not carried");
+        out().flush();
+    }
+}
--- a/cli/src/main/java/topazvalve/cli/RelayVerb.java
+++ b/cli/src/main/java/topazvalve/cli/RelayVerb.java
@@ -18,8 +18,7 @@
 
     @Override
     public Integer call() throws InterruptedException {
-        InputFiles.requireFile(file);
-        topazvalve.relay.Main.main(new String[] {file.toString()});
+        topazvalve.relay.Main.main(new String[] {InputFiles.find(file).toString()});
         return ExitCode.DONE;
     }
 }
--- /dev/null
+++ b/cli/src/main/java/topazvalve/cli/SeedOption.java
@@ -0,0 +1,14 @@
+package topazvalve.cli;
+
+import picocli.CommandLine.Option;
+
+/** The option {@code --seed} of the verbs that play something. */
+final class SeedOption {
+    @Option(names = "--seed", defaultValue = "1", description = "what all chance is drawn from (${DEFAULT-VALUE})")
+    private long seed;
+
+    /** Returns the seed of all random numbers of a run. */
+    long value() {
+        return seed;
+    }
+}
--- a/cli/src/main/java/topazvalve/cli/SimulateVerb.java
+++ b/cli/src/main/java/topazvalve/cli/SimulateVerb.java
@@ -2,37 +2,29 @@
 
 import java.io.IOException;
 import java.nio.file.Path;
-import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
-import picocli.CommandLine.Model.CommandSpec;
+import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import picocli.CommandLine.Spec;
-import topazvalve.simulation.policy.Policy;
 import topazvalve.simulation.scenario.Scenario;
 import topazvalve.simulation.tally.Run;
 import topazvalve.simulation.virtual.ExperimentArm;
 import topazvalve.simulation.virtual.VirtualWorld;
 
-/** Plays one scenario once, on either clock. */
+/** Plays one scenario once, in virtual or in real time. */
 @Command(
-        name = "world",
+        name = "simulate",
+        aliases = "world",
         description = "Plays one scenario, in virtual time or on real sockets, and says what came of it.")
-final class SimulateVerb implements Callable<Integer> {
-    @Spec
-    private CommandSpec spec;
-
+final class SimulateVerb extends Verb {
     @Parameters(paramLabel = "FILE", description = "the scenario (.toml)")
     private Path file;
 
-    @Option(names = "--seed", defaultValue = "1", description = "what all chance is drawn from (${DEFAULT-VALUE})")
-    private long seed;
+    @Mixin
+    private SeedOption seed;
 
-    @Option(
-            names = "--policy",
-            defaultValue = "module",
-            description = "who decides: ${COMPLETION-CANDIDATES} (${DEFAULT-VALUE})")
-    private Policy policy;
+    @Mixin
+    private PolicyOption policy;
 
     @Option(names = "--real", description = "on real sockets, in real time, with the packaged sidecar")
     private boolean real;
@@ -46,14 +38,13 @@
     @Override
     public Integer call() throws IOException, InterruptedException {
         Scenario scenario = InputFiles.scenario(file);
-        if (real) {
-            return RealTimeRun.play(scenario, seed, out, spec.commandLine().getOut())
-                            .clean()
-                    ? ExitCode.DONE
-                    : ExitCode.FAILED;
-        }
-        Run run = new VirtualWorld(scenario, ExperimentArm.of(policy), seed).play();
-        Summary.print(spec.commandLine().getOut(), scenario, run);
-        return run.clean() ? ExitCode.DONE : ExitCode.FAILED;
+        Run run = real ? RealTimeRun.play(scenario, seed.value(), out, out()) : playVirtually(scenario);
+        return ExitCode.of(run.clean());
+    }
+
+    private Run playVirtually(Scenario scenario) {
+        Run run = new VirtualWorld(scenario, ExperimentArm.of(policy.value()), seed.value()).play();
+        Summary.print(out(), scenario, run);
+        return run;
     }
 }
--- a/cli/src/main/java/topazvalve/cli/VersionVerb.java
+++ b/cli/src/main/java/topazvalve/cli/VersionVerb.java
@@ -3,21 +3,15 @@
 import java.io.IOException;
 import java.io.InputStream;
 import java.util.Properties;
-import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.IVersionProvider;
-import picocli.CommandLine.Model.CommandSpec;
-import picocli.CommandLine.Spec;
 
-/** Which topazvalve this is, and on what it runs. */
+/** Prints the version of the program, and of the Java that runs it. */
 @Command(name = "version", description = "Prints the version, and the Java that runs it.")
-final class VersionVerb implements Callable<Integer>, IVersionProvider {
-    @Spec
-    private CommandSpec spec;
-
+final class VersionVerb extends Verb implements IVersionProvider {
     @Override
     public Integer call() throws IOException {
-        spec.commandLine().getOut().println(String.join("\n", getVersion()));
+        out().println(String.join("\n", getVersion()));
         return ExitCode.DONE;
     }
 
--- a/cli/src/test/java/topazvalve/cli/CapacityTest.java
+++ b/cli/src/test/java/topazvalve/cli/CapacityTest.java
@@ -19,11 +19,11 @@
 import topazvalve.capacity.plan.CapacityPlan;
 import topazvalve.capacity.plan.PlanFile;
 
-/** What the verb prints and ends with, on made-up figures; nothing is measured here. */
+/** The output and the exit code of {@code measure capacity}, on made-up figures; nothing is measured here. */
 class CapacityTest {
     private static final Path PLAN = Path.of("../simulation/capacity/plan.toml");
 
-    private static ResourceDemand need(Tier tier, double value) {
+    private static ResourceDemand demand(Tier tier, double value) {
         return new ResourceDemand(
                 tier,
                 "sidecar",
@@ -34,29 +34,29 @@
                 256);
     }
 
-    private static int print(StringWriter out, ResourceDemand... needs) throws IOException {
+    private static int print(StringWriter out, ResourceDemand... demands) throws IOException {
         CapacityPlan plan = PlanFile.read(PLAN);
-        return CapacityVerb.print(new DemandTable(List.of(needs)), plan, new PrintWriter(out));
+        return CapacityVerb.print(new DemandTable(List.of(demands)), plan, new PrintWriter(out));
     }
 
     @Test
-    void whereEveryBudgetIsKeptItEndsWithNought() throws IOException {
+    void endsWithZeroWhenEveryBudgetIsKept() throws IOException {
         StringWriter out = new StringWriter();
-        assertEquals(0, print(out, need(Tier.BEFORE, 100), need(Tier.AFTER, 256)));
+        assertEquals(0, print(out, demand(Tier.BEFORE, 100), demand(Tier.AFTER, 256)));
         assertTrue(out.toString().contains("every budget is kept"), out.toString());
         assertTrue(out.toString().contains("| 1.00 | measured |"), out.toString());
     }
 
     @Test
-    void oneBudgetOverEndsWithOneAndIsNamed() throws IOException {
+    void endsWithOneAndNamesTheBudgetThatIsExceeded() throws IOException {
         StringWriter out = new StringWriter();
-        assertEquals(1, print(out, need(Tier.BEFORE, 100), need(Tier.AFTER, 257)));
+        assertEquals(1, print(out, demand(Tier.BEFORE, 100), demand(Tier.AFTER, 257)));
         assertTrue(out.toString().contains("after: sidecar, ordinary day, memory: 1.00 times"), out.toString());
         assertTrue(out.toString().contains("1 budgets are not kept"), out.toString());
     }
 
     @Test
-    void aPlanWithAWrongKeyEndsWithTwoBeforeAnythingIsMeasured(@TempDir Path folder) throws IOException {
+    void endsWithTwoBeforeMeasuringWhenThePlanIsInvalid(@TempDir Path folder) throws IOException {
         Path file = folder.resolve("plan.toml");
         Files.writeString(file, Files.readString(PLAN).replace("restarted_together", "restart_together"));
         assertEquals(2, Main.run("measure", "capacity", file.toString()));
--- a/cli/src/test/java/topazvalve/cli/CommandIT.java
+++ b/cli/src/test/java/topazvalve/cli/CommandIT.java
@@ -11,9 +11,11 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The command as a person types it: exit codes, and errors of one line without a stack trace. */
+/** The command as a person types it: names of verbs, exit codes, and errors of one line without a stack trace. */
+@Timeout(300)
 class CommandIT {
     @TempDir
     private Path folder;
@@ -29,6 +31,8 @@
                 .redirectOutput(out.toFile())
                 .redirectError(err.toFile())
                 .start();
+        // The end of its input is what ends the simulator's host.
+        process.getOutputStream().close();
         return new Result(
                 process.waitFor(),
                 Files.readString(out, StandardCharsets.UTF_8),
@@ -40,24 +44,49 @@
         Result help = run("--help");
         assertEquals(0, help.status);
         assertTrue(help.out.contains("Exit codes:") && help.out.contains("serve"), help.out);
-        List<String> verbs = help.out
+        List<List<String>> verbs = help.out
                 .lines()
                 .dropWhile(line -> !line.startsWith("Commands:"))
                 .skip(1)
                 .takeWhile(line -> line.startsWith("  "))
                 .filter(line -> line.charAt(2) != ' ')
-                .map(line -> line.strip().split(" ")[0])
+                .map(line -> List.of(line.strip().split(" {2,}")[0].split(", ")))
                 .toList();
         assertTrue(verbs.size() >= 3, help.out);
-        for (String verb : verbs) {
-            Result each = run(verb, "--help");
-            assertEquals(0, each.status, verb);
-            assertTrue(each.out.contains("Usage: topazvalve " + verb), each.out);
+        for (List<String> names : verbs) {
+            for (String name : names) {
+                Result each = run(name, "--help");
+                assertEquals(0, each.status, name);
+                assertTrue(each.out.contains("Usage: topazvalve " + names.get(0)), each.out);
+            }
         }
+        assertTrue(verbs.contains(List.of("simulate", "world")), help.out);
+        assertTrue(verbs.contains(List.of("simulator", "simhost")), help.out);
     }
 
     @Test
-    void whatIsWrongIsOneLineWithStatus2() throws Exception {
+    void formerNamesOfVerbsStillWork() throws Exception {
+        for (String verb : List.of("simulate", "world")) {
+            Result result = run(verb, "cli/src/test/resources/short.toml", "--seed", "3");
+            assertEquals(0, result.status, result.err);
+            assertTrue(result.out.contains("seed 3: service") && result.out.contains("rules: all held"), result.out);
+        }
+        for (String verb : List.of("simulator", "simhost")) {
+            Result result = run(verb, "--policy", "module");
+            assertEquals(0, result.status, result.err);
+            assertEquals("", result.out, "no frame, no reply");
+        }
+    }
+
+    @Test
+    void pathInTheFormerDirectoryFindsTheScenario() throws Exception {
+        Result result = run("check", "world/scenarios/quiet.toml");
+        assertEquals(0, result.status, result.err);
+        assertEquals("simulation/scenarios/quiet.toml: good; scenario quiet", result.out.strip());
+    }
+
+    @Test
+    void invalidInputIsReportedInOneLineWithStatus2() throws Exception {
         Path bad = Files.writeString(folder.resolve("bad.json"), "{\"settings\":");
         for (List<String> args : List.of(
                 List.of("fly"),
@@ -73,24 +102,24 @@
     }
 
     @Test
-    void aGoodConfigurationIsSaidToBeGood() throws Exception {
+    void validConfigurationIsReportedAsGood() throws Exception {
         Result result = run("check", "deploy/rehearsal.json");
         assertEquals(0, result.status, result.err);
         assertTrue(result.out.contains("good; classes [rehearsal]"), result.out);
     }
 
     @Test
-    void serveIsTheRunLine() throws Exception {
+    void serveRunsTheRunLineOfTheDeployment() throws Exception {
         Result result = run("serve");
         assertEquals(2, result.status);
         assertTrue(result.err.contains("not set: PROXY_CONFIG"), result.err);
     }
 
-    /** The packaged sidecar between stand-ins, through a drain, restarts and a kill: real bytes. */
+    /** Plays the packaged sidecar between stand-ins on real sockets, through a drain, restarts and a kill. */
     @Test
-    void aShortScenarioOnRealSocketsKeepsEveryRule() throws Exception {
+    void shortScenarioOnRealSocketsKeepsEveryRule() throws Exception {
         Result result = run(
-                "world",
+                "simulate",
                 "cli/src/test/resources/short.toml",
                 "--real",
                 "--out",
@@ -102,14 +131,14 @@
                 7, result.out.lines().filter(line -> line.contains(" req/s ")).count(), result.out);
     }
 
-    /** Every fault of a scenario is told, each on a line of its own with its place, and nothing is played. */
+    /** Every problem of a scenario is reported on a line of its own with its place, and nothing is played. */
     @Test
-    void aBadScenarioIsRefusedWithEveryFault() throws Exception {
+    void invalidScenarioIsRejectedWithEveryProblem() throws Exception {
         String good = Files.readString(Path.of("cli/src/test/resources/short.toml"));
         Path bad = Files.writeString(
                 folder.resolve("bad.toml"),
                 good.replace("servers = 4", "sevrers = 4").replace("length = \"7s\"", "length = 7"));
-        for (String verb : List.of("check", "world")) {
+        for (String verb : List.of("check", "simulate")) {
             Result result = run(verb, bad.toString());
             assertEquals(2, result.status, result.err);
             assertEquals("", result.out);
