--- a/cli/src/main/java/topazvalve/cli/ExperimentRunVerb.java
+++ b/cli/src/main/java/topazvalve/cli/ExperimentRunVerb.java
@@ -94,7 +94,7 @@
         if (!results.isEmpty()) {
             Report.write(directory.resolve("report.html"), plan.name(), results);
         }
-        boolean complete = results.size() == plan.cells().size();
+        boolean complete = results.size() == plan.runs().size();
         print(console, plan, results);
         console.println(
                 (complete ? "" : "stopped early: ") + results.size() + " results and report.html are in " + directory);
@@ -151,7 +151,7 @@
         if (seeds == null) {
             return plan;
         }
-        long[] range = ExperimentFile.seeds(seeds);
+        long[] range = ExperimentFile.parseSeeds(seeds);
         if (range == null) {
             throw new InvalidInputException("--seeds: " + seeds + " is not a range such as 1..20");
         }
--- a/cli/src/main/java/topazvalve/cli/SimulatorVerb.java
+++ b/cli/src/main/java/topazvalve/cli/SimulatorVerb.java
@@ -16,7 +16,7 @@
 
     @Override
     public Integer call() throws IOException {
-        topazvalve.simulator.Main.runOnStandardStreams(policy.value()::make);
+        topazvalve.simulator.Main.runOnStandardStreams(policy.value()::create);
         return ExitCode.DONE;
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/real/RealClients.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/RealClients.java
@@ -29,8 +29,7 @@
 import topazvalve.simulation.oracle.Trace;
 import topazvalve.simulation.scenario.Scenario;
 import topazvalve.simulation.scenario.WorkClass;
-import topazvalve.simulation.scenario.WorkClass.Repeats;
-import topazvalve.simulation.scenario.WorkClass.Scope;
+import topazvalve.simulation.scenario.WorkClass.Repeatability;
 
 /**
  * The applications beside the sidecars: an open loop over real connections. Latency counts from the time a
@@ -44,7 +43,7 @@
     private final RealWorld world;
     private final Scenario scenario;
     private final EventLoop loop;
-    private final RandomStreams chance;
+    private final RandomStreams random;
     private final List<RequestGenerator> askers = new ArrayList<>();
     private final List<ArrayDeque<Channel>> idle = new ArrayList<>();
     private long lastId;
@@ -53,7 +52,7 @@
         this.world = world;
         this.scenario = world.scenario();
         this.loop = loop;
-        this.chance = RandomStreams.stream(seed, "clients");
+        this.random = RandomStreams.stream(seed, "clients");
         for (int i = 0; i < scenario.fleet().instances(); i++) {
             askers.add(new RequestGenerator(scenario, seed, i, rhythm));
             idle.add(new ArrayDeque<>());
@@ -74,12 +73,12 @@
     /** Times come from the plan, not from when the loop got round to them. */
     private void next(int number, long planned) {
         RequestGenerator asker = askers.get(number);
-        long at = planned + Math.max(1, asker.gap());
+        long at = planned + Math.max(1, asker.nextGapNanos());
         if (at < world.end()) {
-            world.clock().at(at, () -> {
-                if (asker.comes(world.sinceStart(at))) {
-                    RequestGenerator.Wish wish = asker.wish();
-                    world.tally().asked(wish.requestClass(), world.sinceStart(at));
+            world.clock().scheduleAt(at, () -> {
+                if (asker.arrivesAt(world.sinceStart(at))) {
+                    RequestGenerator.GeneratedRequest wish = asker.next();
+                    world.tally().requestSent(wish.requestClass(), world.sinceStart(at));
                     new Try(number, wish, at, false).send();
                 }
                 next(number, at);
@@ -90,7 +89,7 @@
     /** One request on its way, and what the client does about its end. */
     private final class Try {
         private final int number;
-        private final RequestGenerator.Wish wish;
+        private final RequestGenerator.GeneratedRequest wish;
         private final long firstAt;
         private final boolean retry;
         private final WorkClass kind;
@@ -102,7 +101,7 @@
         private boolean onceMore;
         private boolean over;
 
-        Try(int number, RequestGenerator.Wish wish, long firstAt, boolean retry) {
+        Try(int number, RequestGenerator.GeneratedRequest wish, long firstAt, boolean retry) {
             this.number = number;
             this.wish = wish;
             this.firstAt = firstAt;
@@ -112,7 +111,7 @@
             this.id = Traces.id(number, mine);
             long now = world.clock().now();
             // The first one's time runs from when it was meant to be sent.
-            this.deadline = (retry ? now : firstAt) + wish.patience();
+            this.deadline = (retry ? now : firstAt) + wish.patienceNanos();
             this.left = deadline - now;
             this.trace = new Trace(mine, number, kind, world.sinceStart(now), world.sinceStart(deadline));
         }
@@ -120,12 +119,12 @@
         void send() {
             world.traces()
                     .put(id, new Traces.Sent(trace, number, wish.requestClass(), wish.key(), wish.work(), deadline));
-            world.oracle().sent(trace);
+            world.oracle().requestSent(trace);
             world.request();
-            world.clock().at(deadline, this::giveUp);
+            world.clock().scheduleAt(deadline, this::giveUp);
             long forget = deadline + 10_000_000_000L;
-            world.clock().at(forget, () -> world.traces().remove(id));
-            connect(chance.happens(scenario.clients().reconnect()));
+            world.clock().scheduleAt(forget, () -> world.traces().remove(id));
+            connect(random.happens(scenario.clients().reconnect()));
         }
 
         private void connect(boolean anew) {
@@ -156,7 +155,7 @@
                             write(done.channel());
                         } else {
                             // Nothing listens: nothing has run.
-                            world.oracle().excused(trace);
+                            world.oracle().excuse(trace);
                             ended(Answer.REFUSED, 0);
                         }
                     });
@@ -173,7 +172,7 @@
         private void write(Channel to) {
             channel = to;
             to.pipeline().get(Handler.class).current = this;
-            boolean get = kind.repeats() == Repeats.FREE;
+            boolean get = kind.repeatability() == Repeatability.FREE;
             ByteBuf body = get ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(BODY);
             DefaultFullHttpRequest request = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1,
@@ -185,7 +184,7 @@
                     .set("Req-Id", id)
                     .set("Req-Kind", kind.name())
                     .set("Req-Deadline-Ms", Math.max(1, left / 1_000_000));
-            if (kind.repeats() == Repeats.KEYED) {
+            if (kind.repeatability() == Repeatability.KEYED) {
                 request.headers().set("Idempotency-Key", id);
             }
             if (!get) {
@@ -200,13 +199,13 @@
             }
             over = true;
             if (wish.leavesEarly()) {
-                world.oracle().left(trace, world.elapsed());
+                world.oracle().clientDisconnected(trace, world.elapsed());
             }
             if (channel != null) {
                 channel.close();
             }
-            world.tally().unanswered(wish.requestClass(), world.sinceStart(firstAt));
-            world.oracle().expired(trace, world.elapsed());
+            world.tally().requestUnanswered(wish.requestClass(), world.sinceStart(firstAt));
+            world.oracle().deadlinePassed(trace, world.elapsed());
         }
 
         /** Closed without an answer: once more where the close crossed the request, else nobody answers. */
@@ -218,7 +217,7 @@
                 onceMore = true;
                 connect(true);
             } else if (world.wasKilled(number, trace)) {
-                world.oracle().excused(trace);
+                world.oracle().excuse(trace);
                 ended(Answer.FAILED, 0);
             }
         }
@@ -229,9 +228,9 @@
                     && response.content().toString(StandardCharsets.US_ASCII).equals(bodyOf(id));
             Answer answer = code == 200 ? Answer.SERVED : code == 429 || code == 503 ? Answer.REFUSED : Answer.FAILED;
             if (code == 200 && !genuine) {
-                world.oracle().forged(trace, world.elapsed());
+                world.oracle().responseForged(trace, world.elapsed());
             }
-            world.oracle().answered(trace, answer, world.elapsed());
+            world.oracle().responseReceived(trace, answer, world.elapsed());
             world.digest(trace, answer);
             ended(answer, wait(response));
         }
@@ -246,36 +245,34 @@
 
         private void ended(Answer answer, long wait) {
             over = true;
-            boolean harmless = answer == Answer.REFUSED
-                    || kind.repeats() == Repeats.FREE
-                    || (kind.repeats() == Repeats.KEYED && kind.scope() == Scope.ALL);
+            boolean harmless = answer == Answer.REFUSED || kind.retryIsHarmless();
             if (answer == Answer.SERVED) {
                 world.tally()
-                        .served(
+                        .requestServed(
                                 wish.requestClass(),
                                 world.sinceStart(firstAt),
                                 world.clock().now() - firstAt);
             } else if (wish.retries() && !retry && harmless) {
-                long pause = wish.heeds()
+                long pause = wish.honoursRetryAfter()
                         ? Math.max(
                                 scenario.clients().backoff(),
                                 Math.min(wait, scenario.clients().maxRetryAfter()))
                         : scenario.clients().backoff();
-                world.clock().at(world.clock().now() + pause, () -> {
-                    world.tally().retry();
+                world.clock().scheduleAt(world.clock().now() + pause, () -> {
+                    world.tally().retrySent();
                     new Try(number, wish, firstAt, true).send();
                 });
             } else if (answer == Answer.REFUSED) {
-                world.tally().refused(wish.requestClass(), world.sinceStart(firstAt));
+                world.tally().requestRejected(wish.requestClass(), world.sinceStart(firstAt));
             } else {
-                world.tally().failed(wish.requestClass(), world.sinceStart(firstAt));
+                world.tally().requestFailed(wish.requestClass(), world.sinceStart(firstAt));
             }
         }
     }
 
     private final class Handler extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final int number;
-        private final boolean slow = chance.happens(scenario.clients().slowReaders());
+        private final boolean slow = random.happens(scenario.clients().slowReaders());
         private Try current;
         private boolean used;
 
@@ -305,7 +302,7 @@
             if (slow) {
                 context.channel().config().setAutoRead(false);
                 world.clock()
-                        .at(
+                        .scheduleAt(
                                 world.clock().now() + SLOW_READ,
                                 () -> context.channel().config().setAutoRead(true));
             }
--- a/simulation/src/main/java/topazvalve/simulation/real/RealWorld.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/RealWorld.java
@@ -123,8 +123,8 @@
             long began = System.nanoTime();
             List<Fault> faults = onLoop(() -> {
                 start = clock.now();
-                List<Fault> played = FaultPlayer.play(this, scenario, seed);
-                new RealClients(this, loop, seed, scene.rhythm()).start();
+                List<Fault> played = FaultPlayer.scheduleAll(this, scenario, seed);
+                new RealClients(this, loop, seed, scene.trafficPattern()).start();
                 return played;
             });
             int seconds = (int) (scenario.length() / 1_000_000_000L);
@@ -153,9 +153,9 @@
                     seed,
                     tally,
                     oracle.counts(),
-                    oracle.breaches(),
+                    oracle.violations(),
                     faults,
-                    scene.notes(),
+                    scene.recordedEvents(),
                     digest.getValue(),
                     requests,
                     0,
@@ -191,7 +191,7 @@
         });
         open.forEach(CompletableFuture::join);
         onLoop(() -> {
-            servers().forEach(directory()::list);
+            servers().forEach(directory()::add);
             discovery = new DiscoveryStandIn(loop, this, scenario.news());
             return null;
         });
@@ -202,9 +202,9 @@
     }
 
     private void introduce(OrderServer server, InetSocketAddress where, Runnable open) {
-        server.onFallen((fallen, informed) -> {
-            oracle.fell(fallen.id(), informed, elapsed());
-            note("server " + fallen.id() + " was pushed over while cold");
+        server.onColdCrash((fallen, informed) -> {
+            oracle.serverCrashedWhileCold(fallen.id(), informed, elapsed());
+            recordEvent("server " + fallen.id() + " was pushed over while cold");
         });
         stands.put(server.id(), ServerStandIn.open(loop, this, server, where, open));
     }
@@ -302,24 +302,24 @@
     }
 
     double attemptWork(Traces.Sent sent) {
-        double variation = scenario.classes().get(sent.requestClass()).noise();
+        double variation = scenario.classes().get(sent.requestClass()).attemptVariation();
         return variation == 0 ? sent.work() : sent.work() * noise.lognormal(variation);
     }
 
     /** One way between an instance and a server, beyond what loopback takes. */
     long way(int instance, OrderServer server) {
-        return link().delay(instance % scenario.fleet().zones().size()
+        return link().nextDelayNanos(instance % scenario.fleet().zones().size()
                 != server.pod().zone());
     }
 
     long newsDelay() {
-        return (long) (spread.part() * scenario.news().spread());
+        return (long) (spread.part() * scenario.news().maxPropagation());
     }
 
     void received(Traces.Sent sent, OrderServer server, boolean mayRun) {
         attemptsByServer[(int) Math.min(attemptsByServer.length - 1, server.id())]++;
-        tally.attempt(elapsed());
-        oracle.received(
+        tally.attemptReceived(elapsed());
+        oracle.attemptReceived(
                 sent.trace(), server.id(), server.pod().zone(), server.pod().number(), mayRun, elapsed());
     }
 
@@ -327,9 +327,9 @@
         for (Entry each : entries) {
             toldStarts.put(each.server().id() * 100_000 + instance, each.startedAt());
             if (each.state() == EndpointStatus.READY) {
-                oracle.readyTold(instance, each.server().id());
+                oracle.readyNotified(instance, each.server().id());
             } else {
-                oracle.drainTold(instance, each.server().id(), elapsed());
+                oracle.drainNotified(instance, each.server().id(), elapsed());
             }
         }
     }
@@ -369,7 +369,7 @@
     }
 
     @Override
-    public Topology scene() {
+    public Topology topology() {
         return scene;
     }
 
@@ -378,19 +378,19 @@
     public void restartInstance(int number) {
         killedAt.put(number, elapsed());
         sidecars.get(number).kill();
-        servers().forEach(each -> oracle.readyTold(number, each.id()));
+        servers().forEach(each -> oracle.readyNotified(number, each.id()));
         ObjectNode known = discovery.known();
         long fresh = restarts.any();
         loop.schedule(
                 () -> {
                     try {
                         sidecars.get(number).start(scenario, discoveryPorts.get(number), known, fresh);
-                        directory().all().stream()
+                        directory().entries().stream()
                                 .filter(each -> each.state() != EndpointStatus.READY)
-                                .forEach(each ->
-                                        oracle.drainTold(number, each.server().id(), elapsed()));
+                                .forEach(each -> oracle.drainNotified(
+                                        number, each.server().id(), elapsed()));
                     } catch (IOException e) {
-                        note("sidecar " + number + " could not be started again: " + e.getMessage());
+                        recordEvent("sidecar " + number + " could not be started again: " + e.getMessage());
                     }
                 },
                 100,
@@ -398,15 +398,15 @@
     }
 
     @Override
-    public OrderServer replace(OrderServer old, boolean sameAddress) {
+    public OrderServer replaceServer(OrderServer old, boolean sameAddress) {
         OrderServer fresh = scene.fleet().replace(old);
         introduce(fresh, sameAddress ? stands.get(old.id()).address() : ServerStandIn.ANY, () -> {});
         return fresh;
     }
 
     @Override
-    public void note(String what) {
-        scene.note(elapsed(), what);
+    public void recordEvent(String what) {
+        scene.recordEvent(elapsed(), what);
         if (what.startsWith("begins: ")) {
             now.add(what.substring(8));
         } else if (what.startsWith("ends: ")) {
--- a/simulation/src/test/java/topazvalve/simulation/virtual/VirtualClockTest.java
+++ b/simulation/src/test/java/topazvalve/simulation/virtual/VirtualClockTest.java
@@ -22,9 +22,9 @@
         for (int i = 0; i < delays.size(); i++) {
             long delay = delays.get(i);
             String name = "e" + i;
-            clock.at(START + delay, () -> {
+            clock.scheduleAt(START + delay, () -> {
                 ran.add(name + "@" + (clock.now() - START));
-                clock.at(clock.now() + delay / 2, () -> ran.add(name + "b@" + (clock.now() - START)));
+                clock.scheduleAt(clock.now() + delay / 2, () -> ran.add(name + "b@" + (clock.now() - START)));
             });
         }
         clock.runUntil(START + 10_000_000_000L);
@@ -52,18 +52,18 @@
     void aRingTellsWhatIsLeft(@ForAll @Size(max = 80) List<@LongRange(min = 1, max = 400_000_000L) Long> gaps) {
         VirtualClock clock = new VirtualClock(START);
         List<String> due = new ArrayList<>();
-        DelayLine<String> line =
-                new DelayLine<>(clock, 300_000_000, name -> due.add(name + "@" + (clock.now() - START)));
+        FixedDelayQueue<String> line =
+                new FixedDelayQueue<>(clock, 300_000_000, name -> due.add(name + "@" + (clock.now() - START)));
         List<String> right = new ArrayList<>();
         long at = 0;
         for (int i = 0; i < gaps.size(); i++) {
             at += gaps.get(i);
             String name = "t" + i;
             boolean taken = gaps.get(i) % 3 == 0;
-            clock.at(START + at, () -> {
+            clock.scheduleAt(START + at, () -> {
                 long number = line.add(name);
                 if (taken) {
-                    clock.at(clock.now() + 200_000_000, () -> line.remove(number));
+                    clock.scheduleAt(clock.now() + 200_000_000, () -> line.remove(number));
                 }
             });
             if (!taken) {
