--- a/simulation/src/main/java/topazvalve/simulation/measure/EchoServer.java
+++ b/simulation/src/main/java/topazvalve/simulation/measure/EchoServer.java
@@ -21,23 +21,27 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 
-/** An order server that takes no time: whatever latency shows is the path's. */
+/** An HTTP server that responds at once, so that the latency is that of the path to it. */
 @ChannelHandler.Sharable
 public final class EchoServer extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private static final int MAX_REQUEST_BYTES = 1 << 16;
     private static final byte[] BODY = new byte[256];
-    private final Channel listening;
+    private final Channel listener;
 
-    /** Listens on a port that is free. */
+    /** Opens a server on a free loopback port. */
     public EchoServer(EventLoopGroup group) {
-        listening = new ServerBootstrap()
+        listener = new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
-                    protected void initChannel(Channel made) {
-                        made.pipeline()
-                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(1 << 16), EchoServer.this);
+                    protected void initChannel(Channel channel) {
+                        channel.pipeline()
+                                .addLast(
+                                        new HttpServerCodec(),
+                                        new HttpObjectAggregator(MAX_REQUEST_BYTES),
+                                        EchoServer.this);
                     }
                 })
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
@@ -45,9 +49,9 @@
                 .channel();
     }
 
-    /** Where it listens. */
+    /** Returns its port. */
     public int port() {
-        return ((InetSocketAddress) listening.localAddress()).getPort();
+        return ((InetSocketAddress) listener.localAddress()).getPort();
     }
 
     @Override
--- a/simulation/src/main/java/topazvalve/simulation/measure/SidecarLaunch.java
+++ b/simulation/src/main/java/topazvalve/simulation/measure/MeasuredSidecarProcess.java
@@ -12,19 +12,21 @@
 import java.util.concurrent.TimeUnit;
 import topazvalve.simulation.process.RunLine;
 
-/** One sidecar process of the deploy file's {@code run} line, on one core where the system can pin it. */
-final class SidecarLaunch {
+/** One sidecar process, started by the {@code run} line of the deploy file and pinned to a core if wanted. */
+final class MeasuredSidecarProcess {
+    private static final long STOP_TIMEOUT_SECONDS = 8;
+
     private final Process process;
     private final int port;
     private final long startedAt = System.nanoTime();
 
-    private SidecarLaunch(Process process, int port) {
+    private MeasuredSidecarProcess(Process process, int port) {
         this.process = process;
         this.port = port;
     }
 
-    /** A configuration with one class that may be repeated, and a list that need not be asked for. */
-    static ObjectNode config(ObjectMapper json) {
+    /** Returns a configuration with one idempotent class, whose endpoint list is never requested. */
+    static ObjectNode configuration(ObjectMapper json) {
         ObjectNode root = json.createObjectNode()
                 .put("name", "m0")
                 .put("discovery", "127.0.0.1:1")
@@ -59,17 +61,18 @@
         return root;
     }
 
-    /** Starts it; {@code core} below 0 pins it to none. */
-    static SidecarLaunch of(Path home, Path folder, ObjectNode config, int core) throws IOException {
+    /** Starts a sidecar on a core; below 0 for any. */
+    static MeasuredSidecarProcess start(Path home, Path folder, ObjectNode config, int core) throws IOException {
         Files.createDirectories(folder);
         int port = RunLine.freePort();
         Path file = folder.resolve("measured.json");
         Files.writeString(file, config.put("listen", "127.0.0.1:" + port).toString());
-        return new SidecarLaunch(RunLine.of(home, file, pinned(core)).start(), port);
+        return new MeasuredSidecarProcess(
+                RunLine.of(home, file, pinnedCommand(core)).start(), port);
     }
 
-    /** A command on one core, by util-linux' {@code taskset}. */
-    static List<String> pinned(int core, String... command) {
+    /** Returns a command that runs on one core (by {@code taskset} of util-linux); below 0 for any. */
+    static List<String> pinnedCommand(int core, String... command) {
         List<String> all = new ArrayList<>();
         if (core >= 0) {
             all.addAll(List.of("taskset", "-c", Integer.toString(core)));
@@ -78,15 +81,21 @@
         return all;
     }
 
+    /** Returns the port of its clients. */
     int port() {
         return port;
     }
 
-    Duration cpu() {
+    /** Returns the CPU time that it has used. */
+    Duration cpuTime() {
         return process.info().totalCpuDuration().orElse(Duration.ZERO);
     }
 
-    /** Waits for the line that says it is ready; returns nanoseconds from the start until then. */
+    /**
+     * Waits for the log line that says that it is ready, and returns the nanoseconds from the start until then.
+     *
+     * @throws IOException if the log ends before, or the line comes later than the limit
+     */
     long awaitReady(Duration limit) throws IOException {
         BufferedReader log = process.inputReader();
         String line = log.readLine();
@@ -100,9 +109,10 @@
         return took;
     }
 
-    void end() throws InterruptedException {
+    /** Stops it in order, or by force if that takes longer than 8 s. */
+    void stop() throws InterruptedException {
         process.destroy();
-        if (!process.waitFor(8, TimeUnit.SECONDS)) {
+        if (!process.waitFor(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
             process.destroyForcibly();
         }
     }
--- a/simulation/src/main/java/topazvalve/simulation/measure/OpenLoop.java
+++ b/simulation/src/main/java/topazvalve/simulation/measure/OpenLoop.java
@@ -15,6 +15,7 @@
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpObjectAggregator;
+import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpVersion;
 import java.util.ArrayDeque;
 import java.util.concurrent.TimeUnit;
@@ -22,107 +23,121 @@
 import topazvalve.simulation.model.RandomStreams;
 
 /**
- * Poisson arrivals at a set rate to one port, whatever becomes of them; latency from the time that each was
- * meant to be sent. One event loop, one request at a time on a connection.
+ * A load generator: Poisson arrivals at a fixed rate to one port, independent of the responses. Latency counts from the
+ * time at which a request was meant to be sent. It runs on one event loop, with one request at a time on a connection.
  */
 public final class OpenLoop {
-    private static final long LONGEST = 60_000_000_000L;
-    private static final int MOST_CONNECTIONS = 300;
+    private static final double NANOS_PER_SECOND = 1e9;
+    private static final int MAX_RESPONSE_BYTES = 1 << 16;
+    private static final long MAX_LATENCY_NANOS = 60_000_000_000L;
+    private static final int MAX_CONNECTIONS = 300;
 
     private final EventLoop loop;
     private final int port;
     private final String name;
-    private final double rate;
-    private final long end;
+    private final double ratePerSecond;
+    private final long endsAt;
     private final RandomStreams random;
-    private final Histogram latency = new Histogram(1_000, LONGEST, 3);
+    private final Histogram latency = new Histogram(1_000, MAX_LATENCY_NANOS, 3);
     private final ArrayDeque<Channel> idle = new ArrayDeque<>();
-    private final ArrayDeque<Long> waiting = new ArrayDeque<>();
+    private final ArrayDeque<Long> queue = new ArrayDeque<>();
     private int connections;
-    private long planned;
+    private long nextAt;
     private long sent;
-    private long bad;
-
-    /** Requests from now on for so long; {@code name} and {@code seed} decide when each comes. */
+    private long failures;
+
+    /**
+     * Creates a load generator whose time runs from now on.
+     *
+     * @param name its name, the first part of its requests' ids; with {@code seed} it determines the arrivals
+     * @param lengthNanos how long it sends requests
+     */
     public OpenLoop(EventLoop loop, int port, String name, double rate, long lengthNanos, long seed) {
         this.loop = loop;
         this.port = port;
         this.name = name;
-        this.rate = rate;
-        this.planned = System.nanoTime();
-        this.end = planned + lengthNanos;
+        this.ratePerSecond = rate;
+        this.nextAt = System.nanoTime();
+        this.endsAt = nextAt + lengthNanos;
         this.random = RandomStreams.stream(seed, name);
     }
 
-    /** Begins. */
+    /** Starts to send. */
     public void start() {
-        loop.execute(this::due);
+        loop.execute(this::sendDue);
     }
 
-    /** Nanoseconds of each answer that was served; to be read once all have come. */
+    /** Returns the latencies of served requests in nanoseconds. To be read once all responses have arrived. */
     public Histogram latency() {
         return latency;
     }
 
-    /** Requests that were due. */
+    /** Returns the number of requests that were due. */
     public long sent() {
         return sent;
     }
 
-    /** Those that were not served. */
+    /** Returns the number of requests that were not served. */
     public long bad() {
-        return bad;
+        return failures;
     }
 
-    private void due() {
+    private void sendDue() {
         long now = System.nanoTime();
-        while (planned <= now && planned < end) {
+        while (nextAt <= now && nextAt < endsAt) {
             sent++;
-            ask(planned);
-            planned += Math.max(1, (long) random.exponential(1e9 / rate));
+            send(nextAt);
+            nextAt += Math.max(1, (long) random.exponential(NANOS_PER_SECOND / ratePerSecond));
         }
-        if (planned < end) {
-            loop.schedule(this::due, Math.max(0, planned - System.nanoTime()), TimeUnit.NANOSECONDS);
+        if (nextAt < endsAt) {
+            loop.schedule(this::sendDue, Math.max(0, nextAt - System.nanoTime()), TimeUnit.NANOSECONDS);
         }
     }
 
-    private void ask(long meant) {
+    private void send(long plannedAt) {
         Channel channel = idle.pollLast();
         while (channel != null && !channel.isActive()) {
             channel = idle.pollLast();
         }
         if (channel != null) {
-            write(channel, meant);
+            write(channel, plannedAt);
             return;
         }
-        waiting.add(meant);
-        if (connections < MOST_CONNECTIONS) {
-            connections++;
-            new Bootstrap()
-                    .group(loop)
-                    .channel(NioSocketChannel.class)
-                    .option(ChannelOption.TCP_NODELAY, true)
-                    .handler(new ChannelInitializer<Channel>() {
-                        @Override
-                        protected void initChannel(Channel made) {
-                            made.pipeline()
-                                    .addLast(new HttpClientCodec(), new HttpObjectAggregator(1 << 16), new Handler());
-                            made.closeFuture().addListener(closed -> connections--);
-                        }
-                    })
-                    .connect("127.0.0.1", port)
-                    .addListener((ChannelFuture done) -> {
-                        if (done.isSuccess()) {
-                            free(done.channel());
-                        } else {
-                            bad++;
-                        }
-                    });
+        queue.add(plannedAt);
+        if (connections < MAX_CONNECTIONS) {
+            connect();
         }
     }
 
-    private void free(Channel channel) {
-        Long next = waiting.poll();
+    private void connect() {
+        connections++;
+        new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .handler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel channel) {
+                        channel.pipeline()
+                                .addLast(
+                                        new HttpClientCodec(),
+                                        new HttpObjectAggregator(MAX_RESPONSE_BYTES),
+                                        new Handler());
+                        channel.closeFuture().addListener(closed -> connections--);
+                    }
+                })
+                .connect("127.0.0.1", port)
+                .addListener((ChannelFuture done) -> {
+                    if (done.isSuccess()) {
+                        connectionFree(done.channel());
+                    } else {
+                        failures++;
+                    }
+                });
+    }
+
+    private void connectionFree(Channel channel) {
+        Long next = queue.poll();
         if (next != null) {
             write(channel, next);
         } else {
@@ -130,8 +145,8 @@
         }
     }
 
-    private void write(Channel channel, long meant) {
-        channel.pipeline().get(Handler.class).meant = meant;
+    private void write(Channel channel, long plannedAt) {
+        channel.pipeline().get(Handler.class).plannedAt = plannedAt;
         DefaultFullHttpRequest request = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1, HttpMethod.GET, "/api/" + Long.toHexString(random.any()));
         request.headers()
@@ -142,24 +157,25 @@
         channel.writeAndFlush(request);
     }
 
+    /** One connection; {@code plannedAt} is 0 while it is idle. */
     private final class Handler extends SimpleChannelInboundHandler<FullHttpResponse> {
-        private long meant;
+        private long plannedAt;
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
-            if (response.status().code() == 200) {
-                latency.recordValue(Math.min(LONGEST, System.nanoTime() - meant));
+            if (response.status().code() == HttpResponseStatus.OK.code()) {
+                latency.recordValue(Math.min(MAX_LATENCY_NANOS, System.nanoTime() - plannedAt));
             } else {
-                bad++;
+                failures++;
             }
-            meant = 0;
-            free(context.channel());
+            plannedAt = 0;
+            connectionFree(context.channel());
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             idle.remove(context.channel());
-            bad += meant == 0 ? 0 : 1;
+            failures += plannedAt == 0 ? 0 : 1;
         }
 
         @Override
--- a/simulation/src/main/java/topazvalve/simulation/measure/RateMeasurement.java
+++ b/simulation/src/main/java/topazvalve/simulation/measure/RateMeasurement.java
@@ -15,17 +15,31 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The highest open-loop rate at which the p99 through one sidecar on one core stays within 5 ms of the direct
- * path's. Both paths run side by side, at the same rate, to the same stand-ins.
+ * Measures the highest request rate at which the p99 latency through one sidecar on one core exceeds that of the direct
+ * path by less than 5 ms. Both paths carry the same rate to the same servers at the same time.
  */
 public final class RateMeasurement {
-    /** What the p99 may be longer by, in nanoseconds. */
-    public static final long MOST_OVER = 5_000_000;
+    /** The limit of the p99 latency that the sidecar adds, in nanoseconds. */
+    public static final long MAX_ADDED_NANOS = 5_000_000;
+
+    private static final double MAX_BAD_SHARE = 0.001;
+    private static final double NANOS_PER_MILLI = 1e6;
+    private static final double NANOS_PER_MICRO = 1e3;
+    private static final Duration START_TIMEOUT = Duration.ofSeconds(30);
+    /** How long after the last request of a step responses are awaited. */
+    private static final long RESPONSE_WAIT_MILLIS = 1000;
 
     private static final int SERVERS = 4;
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** One rate; latencies in milliseconds. */
+    /**
+     * The measurement of one rate.
+     *
+     * @param rate requests a second
+     * @param directP50 median latency of the direct path in milliseconds; the other latencies likewise
+     * @param cpuMicros the sidecar's CPU time for a request, in microseconds
+     * @param badShare the fraction (0 to 1) of requests that the sidecar didn't serve
+     */
     public record Step(
             double rate,
             double directP50,
@@ -34,15 +48,26 @@
             double throughP99,
             double cpuMicros,
             double badShare) {
-        /** Whether the sidecar carries this rate. */
+        /** Returns whether the sidecar carries this rate. */
         public boolean carried() {
-            return throughP99 - directP99 < MOST_OVER / 1e6 && badShare < 0.001;
+            return throughP99 - directP99 < MAX_ADDED_NANOS / NANOS_PER_MILLI && badShare < MAX_BAD_SHARE;
         }
     }
 
     private RateMeasurement() {}
 
-    /** Steps up until a rate is not carried; {@code each} is told of every step. */
+    /**
+     * Increases the rate until it is no longer carried.
+     *
+     * @param home the root of the repository
+     * @param folder takes the configuration
+     * @param first the first rate in requests a second
+     * @param factor by which the rate increases with each step
+     * @param length how long each step takes
+     * @param core the sidecar's core; below 0 for any
+     * @param each is called after each step
+     * @return all steps; the last one was not carried
+     */
     public static List<Step> run(
             Path home, Path folder, double first, double factor, Duration length, int core, Consumer<Step> each)
             throws IOException, InterruptedException {
@@ -52,9 +77,9 @@
         for (int i = 0; i < SERVERS; i++) {
             echoes.add(new EchoServer(servers));
         }
-        SidecarLaunch sidecar = SidecarLaunch.of(home, folder, config(echoes), core);
+        MeasuredSidecarProcess sidecar = MeasuredSidecarProcess.start(home, folder, configuration(echoes), core);
         try {
-            sidecar.awaitReady(Duration.ofSeconds(30));
+            sidecar.awaitReady(START_TIMEOUT);
             step(clients, echoes, sidecar, first, length, 0);
             List<Step> steps = new ArrayList<>();
             for (double rate = first; ; rate *= factor) {
@@ -66,7 +91,7 @@
                 }
             }
         } finally {
-            sidecar.end();
+            sidecar.stop();
             servers.shutdownGracefully(0, 1, TimeUnit.SECONDS);
             clients.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         }
@@ -75,33 +100,37 @@
     private static Step step(
             MultiThreadIoEventLoopGroup clients,
             List<EchoServer> echoes,
-            SidecarLaunch sidecar,
+            MeasuredSidecarProcess sidecar,
             double rate,
             Duration length,
             int number)
             throws InterruptedException {
         OpenLoop direct = new OpenLoop(clients.next(), echoes.get(0).port(), "d" + number, rate, length.toNanos(), 1);
         OpenLoop through = new OpenLoop(clients.next(), sidecar.port(), "t" + number, rate, length.toNanos(), 2);
-        Duration before = sidecar.cpu();
+        Duration before = sidecar.cpuTime();
         direct.start();
         through.start();
-        Thread.sleep(length.toMillis() + 1000);
-        double cpu = sidecar.cpu().minus(before).toNanos() / 1e3 / Math.max(1, through.sent());
-        Histogram d = direct.latency();
-        Histogram t = through.latency();
-        long missing = through.sent() - t.getTotalCount();
+        Thread.sleep(length.toMillis() + RESPONSE_WAIT_MILLIS);
+        double cpuMicros = sidecar.cpuTime().minus(before).toNanos() / NANOS_PER_MICRO / Math.max(1, through.sent());
+        Histogram directLatency = direct.latency();
+        Histogram throughLatency = through.latency();
+        long missing = through.sent() - throughLatency.getTotalCount();
         return new Step(
                 rate,
-                d.getValueAtPercentile(50) / 1e6,
-                d.getValueAtPercentile(99) / 1e6,
-                t.getValueAtPercentile(50) / 1e6,
-                t.getValueAtPercentile(99) / 1e6,
-                cpu,
+                percentileMillis(directLatency, 50),
+                percentileMillis(directLatency, 99),
+                percentileMillis(throughLatency, 50),
+                percentileMillis(throughLatency, 99),
+                cpuMicros,
                 (double) Math.max(missing, through.bad()) / Math.max(1, through.sent()));
     }
 
-    private static ObjectNode config(List<EchoServer> echoes) {
-        ObjectNode config = SidecarLaunch.config(JSON);
+    private static double percentileMillis(Histogram latency, double percentile) {
+        return latency.getValueAtPercentile(percentile) / NANOS_PER_MILLI;
+    }
+
+    private static ObjectNode configuration(List<EchoServer> echoes) {
+        ObjectNode config = MeasuredSidecarProcess.configuration(JSON);
         ArrayNode targets =
                 config.putObject("known").put("rev", 1).put("all", true).putArray("targets");
         for (int i = 0; i < echoes.size(); i++) {
--- a/simulation/src/main/java/topazvalve/simulation/measure/StartMeasurement.java
+++ b/simulation/src/main/java/topazvalve/simulation/measure/StartMeasurement.java
@@ -8,20 +8,28 @@
 import java.util.List;
 
 /**
- * How long a sidecar takes until it is ready, alone on a core and beside others who want it: with n - 1
- * busy processes there, the system's fair scheduler leaves it one n-th.
+ * Measures how long a sidecar takes until it is ready, alone on a core or beside busy processes: with n - 1 of them the
+ * system's fair scheduler gives it one n-th of the core.
  */
 public final class StartMeasurement {
+    private static final double NANOS_PER_SECOND = 1e9;
+    private static final Duration START_TIMEOUT = Duration.ofSeconds(60);
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** Starts at one share of a core; times in seconds, sorted. */
+    /**
+     * The starts at one share of a core.
+     *
+     * @param parts the number of processes that share the core
+     * @param seconds how long each start took, sorted
+     * @param cpuSeconds the CPU time of each start, sorted
+     */
     public record Share(int parts, List<Double> seconds, List<Double> cpuSeconds) {
-        /** The one in the middle. */
+        /** Returns the median of the durations in seconds. */
         public double median() {
             return seconds.get(seconds.size() / 2);
         }
 
-        /** CPU that the process had had when it was ready; the one in the middle. */
+        /** Returns the median of the CPU times in seconds. */
         public double medianCpu() {
             return cpuSeconds.get(cpuSeconds.size() / 2);
         }
@@ -29,7 +37,15 @@
 
     private StartMeasurement() {}
 
-    /** Starts it so many times, alone on the core or beside {@code parts} - 1 busy ones. */
+    /**
+     * Starts a sidecar several times, one start after the other.
+     *
+     * @param home the root of the repository
+     * @param folder takes the configuration
+     * @param core the core; below 0 for any
+     * @param parts the number of processes that share the core, the sidecar included
+     * @param times the number of starts
+     */
     public static Share run(Path home, Path folder, int core, int parts, int times)
             throws IOException, InterruptedException {
         List<Process> busy = new ArrayList<>();
@@ -37,16 +53,18 @@
         List<Double> cpu = new ArrayList<>();
         try {
             for (int i = 1; i < parts; i++) {
-                busy.add(
-                        new ProcessBuilder(SidecarLaunch.pinned(core, "/bin/sh", "-c", "while :; do :; done")).start());
+                busy.add(new ProcessBuilder(
+                                MeasuredSidecarProcess.pinnedCommand(core, "/bin/sh", "-c", "while :; do :; done"))
+                        .start());
             }
             for (int i = 0; i < times; i++) {
-                SidecarLaunch sidecar = SidecarLaunch.of(home, folder, SidecarLaunch.config(JSON), core);
+                MeasuredSidecarProcess sidecar =
+                        MeasuredSidecarProcess.start(home, folder, MeasuredSidecarProcess.configuration(JSON), core);
                 try {
-                    seconds.add(sidecar.awaitReady(Duration.ofSeconds(60)) / 1e9);
-                    cpu.add(sidecar.cpu().toNanos() / 1e9);
+                    seconds.add(sidecar.awaitReady(START_TIMEOUT) / NANOS_PER_SECOND);
+                    cpu.add(sidecar.cpuTime().toNanos() / NANOS_PER_SECOND);
                 } finally {
-                    sidecar.end();
+                    sidecar.stop();
                 }
             }
         } finally {
--- a/simulation/src/main/java/topazvalve/simulation/measure/package-info.java
+++ b/simulation/src/main/java/topazvalve/simulation/measure/package-info.java
@@ -1,2 +1,2 @@
-/** Measurements of the packaged sidecar beside the direct path, on loopback. */
+/** Measurements of the packaged sidecar on loopback, relative to the direct path. */
 package topazvalve.simulation.measure;
--- a/simulation/src/main/java/topazvalve/simulation/package-info.java
+++ b/simulation/src/main/java/topazvalve/simulation/package-info.java
@@ -1,2 +1,5 @@
-/** A model of what a sidecar serves, on two clocks: virtual time, and real sockets on loopback. */
+/**
+ * Simulations of sidecars with servers, clients, discovery and faults. One model runs in virtual time and,
+ * on loopback, in real time.
+ */
 package topazvalve.simulation;
--- a/simulation/src/main/java/topazvalve/simulation/process/RunLine.java
+++ b/simulation/src/main/java/topazvalve/simulation/process/RunLine.java
@@ -8,14 +8,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The deploy file's {@code run} line, which starts one sidecar. */
+/** Starts sidecars by the {@code run} line of the deploy file. */
 public final class RunLine {
     private RunLine() {}
 
     /**
-     * A sidecar with this configuration, about to be started from the repository's root.
+     * Returns the builder of a sidecar process that isn't started yet.
      *
-     * @param before words to put before the shell, such as those that pin a process to a core
+     * @param home the root of the repository, where the process starts
+     * @param config the sidecar's configuration file
+     * @param before words before the shell, such as those that pin a process to a core
+     * @throws IOException if the deploy file can't be read or has no such line
      */
     public static ProcessBuilder of(Path home, Path config, List<String> before) throws IOException {
         String run = Files.readAllLines(home.resolve("deploy/balancer.toml")).stream()
@@ -33,7 +36,7 @@
         return builder;
     }
 
-    /** A loopback port that nobody listens on now. */
+    /** Returns a loopback port on which nothing listens now. */
     public static int freePort() throws IOException {
         try (ServerSocket any = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return any.getLocalPort();
--- a/simulation/src/main/java/topazvalve/simulation/process/package-info.java
+++ b/simulation/src/main/java/topazvalve/simulation/process/package-info.java
@@ -1,2 +1,2 @@
-/** The packaged sidecar as a process: how it is started, and on what port. */
+/** The packaged sidecar as a process: its command line and its ports. */
 package topazvalve.simulation.process;
--- a/simulation/src/main/java/topazvalve/simulation/stream/Bytes.java
+++ b/simulation/src/main/java/topazvalve/simulation/stream/StreamContent.java
@@ -4,9 +4,9 @@
 import io.netty.buffer.Unpooled;
 import java.util.Random;
 
-/** What a stream carries: any position of any stream and direction can be told without keeping it. */
-final class Bytes {
-    /** A prime, so that no multiple of a buffer's size hides a shift. */
+/** The content of streams, which is a function of stream, direction and position, so that nothing has to be stored. */
+final class StreamContent {
+    /** A prime, so that a shift by a multiple of a buffer's size is detected. */
     private static final int LENGTH = 65_521;
 
     private static final byte[] PATTERN = new byte[LENGTH];
@@ -15,21 +15,21 @@
         new Random(20_261_201).nextBytes(PATTERN);
     }
 
-    private Bytes() {}
+    private StreamContent() {}
 
     private static int offset(long stream, boolean up, long position) {
         return (int) Math.floorMod(stream * 7_919 + (up ? 0 : 31_337) + position, (long) LENGTH);
     }
 
-    /** At most so many of what follows a position. */
-    static ByteBuf at(long stream, boolean up, long position, int most) {
+    /** Returns content from a position on; at least one byte and at most {@code maxBytes}. */
+    static ByteBuf slice(long stream, boolean up, long position, int maxBytes) {
         int offset = offset(stream, up, position);
-        return Unpooled.wrappedBuffer(PATTERN, offset, Math.min(most, LENGTH - offset))
+        return Unpooled.wrappedBuffer(PATTERN, offset, Math.min(maxBytes, LENGTH - offset))
                 .asReadOnly();
     }
 
-    /** Whether these bytes are what follows a position; reads them. */
-    static boolean match(long stream, boolean up, long position, ByteBuf bytes) {
+    /** Reads bytes, and returns whether they are the content from a position on. */
+    static boolean matches(long stream, boolean up, long position, ByteBuf bytes) {
         int offset = offset(stream, up, position);
         while (bytes.isReadable()) {
             if (bytes.readByte() != PATTERN[offset]) {
--- a/simulation/src/main/java/topazvalve/simulation/stream/StreamEnd.java
+++ b/simulation/src/main/java/topazvalve/simulation/stream/StreamEnd.java
@@ -11,24 +11,26 @@
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
 import topazvalve.simulation.stream.StreamLog.Half;
-import topazvalve.simulation.stream.StreamLog.Seen;
+import topazvalve.simulation.stream.StreamLog.PeerEnd;
+import topazvalve.simulation.stream.StreamPlan.EndOrder;
 import topazvalve.simulation.stream.StreamPlan.Fault;
-import topazvalve.simulation.stream.StreamPlan.Order;
 
-/** One end of one stream: sends its bytes as planned, compares what comes, ends its half. */
+/** One end of a stream. It sends its bytes as planned, checks those that it receives, and closes its half. */
 class StreamEnd extends ChannelInboundHandlerAdapter {
-    private static final int PIECE = 16 << 10;
-    private static final long STALL_MS = 1_500;
+    private static final int MAX_WRITE_BYTES = 16 << 10;
+    private static final long STALL_MILLIS = 1_500;
 
     private final boolean client;
     private final Runnable onClosed;
     private StreamLog log;
-    private Half mine;
+    private Half half;
     private Channel channel;
     private Random pauses;
     private boolean writing;
     private boolean stalled;
-    private boolean mayEnd;
+    /** Whether it may close its half before its peer does. */
+    private boolean endsFirst;
+
     private boolean ended;
     private boolean peerEnded;
 
@@ -37,13 +39,13 @@
         this.onClosed = onClosed;
     }
 
-    /** Begins to send. */
-    void begin(StreamLog of, Channel on) {
-        log = of;
-        channel = on;
-        mine = client ? of.client : of.server;
-        pauses = new Random(of.number * 2 + (client ? 1 : 0));
-        mayEnd = switch (of.plan.order()) {
+    /** Starts to send. */
+    void begin(StreamLog newLog, Channel newChannel) {
+        log = newLog;
+        channel = newChannel;
+        half = client ? log.client : log.server;
+        pauses = new Random(log.number * 2 + (client ? 1 : 0));
+        endsFirst = switch (log.plan.order()) {
             case EACH -> true;
             case CLIENT_FIRST -> client;
             case SERVER_FIRST -> !client;
@@ -51,28 +53,29 @@
         write();
     }
 
-    private long all() {
+    private long plannedBytes() {
         return client ? log.plan.up() : log.plan.down();
     }
 
-    /** Who waits for the other's end sends nothing before it, so that its half-close has to pass. */
-    private boolean waits() {
-        return !mayEnd && !peerEnded && log.plan.fault() == Fault.NONE && !client;
+    /** A server that closes second sends nothing before its peer's half-close, which must therefore pass the proxy. */
+    private boolean waitsForPeer() {
+        return !endsFirst && !peerEnded && log.plan.fault() == Fault.NONE && !client;
     }
 
     @SuppressWarnings("NonAtomicVolatileUpdate") // each count has one writer, its end's event loop
     private void write() {
         writing = false;
-        if (!channel.isActive() || ended || waits()) {
+        if (!channel.isActive() || ended || waitsForPeer()) {
             return;
         }
-        while (channel.isWritable() && mine.sent < all()) {
-            if (breaks()) {
+        while (channel.isWritable() && half.sent < plannedBytes()) {
+            if (resetIfPlanned()) {
                 return;
             }
-            int most = 1 + pauses.nextInt(PIECE);
-            ByteBuf piece = Bytes.at(log.number, client, mine.sent, (int) Math.min(most, all() - mine.sent));
-            mine.sent += piece.readableBytes();
+            int maxBytes = 1 + pauses.nextInt(MAX_WRITE_BYTES);
+            ByteBuf piece = StreamContent.slice(
+                    log.number, client, half.sent, (int) Math.min(maxBytes, plannedBytes() - half.sent));
+            half.sent += piece.readableBytes();
             channel.writeAndFlush(piece);
             if (log.plan.pauseMs() > 0 && pauses.nextInt(4) == 0) {
                 writing = true;
@@ -80,23 +83,24 @@
                 return;
             }
         }
-        if (mine.sent == all() && (mayEnd || peerEnded)) {
+        if (half.sent == plannedBytes() && (endsFirst || peerEnded)) {
             end();
         }
     }
 
-    /** Resets, if that is what this end does here. */
-    private boolean breaks() {
+    /** Resets the connection if that is planned here, and returns whether it did. */
+    private boolean resetIfPlanned() {
         Fault fault = log.plan.fault();
-        if (fault == (client ? Fault.CLIENT_RESETS : Fault.SERVER_RESETS) && mine.sent >= log.plan.faultAt()) {
+        if (fault == (client ? Fault.CLIENT_RESETS : Fault.SERVER_RESETS) && half.sent >= log.plan.faultAt()) {
             reset();
             return true;
         }
         return false;
     }
 
+    /** Resets the connection. */
     void reset() {
-        mine.reset = true;
+        half.reset = true;
         ended = true;
         channel.config().setOption(ChannelOption.SO_LINGER, 0);
         channel.close();
@@ -104,39 +108,40 @@
 
     private void end() {
         ended = true;
-        mine.ended = true;
+        half.ended = true;
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER)
-                .addListener(done -> ((DuplexChannel) channel).shutdownOutput().addListener(shut -> closeIfOver()));
+                .addListener(
+                        done -> ((DuplexChannel) channel).shutdownOutput().addListener(shut -> closeIfPeerEnded()));
     }
 
-    private void closeIfOver() {
+    private void closeIfPeerEnded() {
         if (peerEnded) {
             channel.close();
         }
     }
 
-    /** More has come; takes the buffer over. */
+    /** Checks received bytes, and releases the buffer. */
     @SuppressWarnings("NonAtomicVolatileUpdate") // each count has one writer, its end's event loop
-    void take(ByteBuf bytes) {
+    void receive(ByteBuf bytes) {
         int size = bytes.readableBytes();
-        if (!Bytes.match(log.number, !client, mine.received, bytes)) {
-            mine.spoilt = true;
+        if (!StreamContent.matches(log.number, !client, half.received, bytes)) {
+            half.corrupted = true;
         }
         bytes.release();
-        mine.received += size;
+        half.received += size;
         Fault fault = log.plan.fault();
         if (!stalled
                 && fault == (client ? Fault.CLIENT_STALLS : Fault.SERVER_STALLS)
-                && mine.received >= log.plan.faultAt()) {
+                && half.received >= log.plan.faultAt()) {
             stalled = true;
             channel.config().setAutoRead(false);
-            channel.eventLoop().schedule(() -> channel.config().setAutoRead(true), STALL_MS, TimeUnit.MILLISECONDS);
+            channel.eventLoop().schedule(() -> channel.config().setAutoRead(true), STALL_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
-        take((ByteBuf) message);
+        receive((ByteBuf) message);
     }
 
     @Override
@@ -149,10 +154,10 @@
     @Override
     public void userEventTriggered(ChannelHandlerContext context, Object event) {
         if (event instanceof ChannelInputShutdownEvent && log != null) {
-            mine.seen = Seen.END;
+            half.peerEnd = PeerEnd.END;
             peerEnded = true;
             if (ended) {
-                closeIfOver();
+                closeIfPeerEnded();
             } else if (!writing) {
                 write();
             }
@@ -161,22 +166,22 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        if (log != null && mine.seen == Seen.NOTHING && !mine.reset) {
-            mine.seen = Seen.RESET;
+        if (log != null && half.peerEnd == PeerEnd.NOTHING && !half.reset) {
+            half.peerEnd = PeerEnd.RESET;
         }
         onClosed.run();
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        if (log != null && mine.seen == Seen.NOTHING && !mine.reset) {
-            mine.seen = Seen.RESET;
+        if (log != null && half.peerEnd == PeerEnd.NOTHING && !half.reset) {
+            half.peerEnd = PeerEnd.RESET;
         }
         context.close();
     }
 
-    /** Whether the order of ends has this end wait for the other's. */
+    /** Returns whether one end closes its half while the other may still send. */
     static boolean halfCloses(StreamPlan plan) {
-        return plan.order() != Order.EACH;
+        return plan.order() != EndOrder.EACH;
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/stream/StreamPlan.java
+++ b/simulation/src/main/java/topazvalve/simulation/stream/StreamPlan.java
@@ -3,24 +3,24 @@
 import java.util.Random;
 
 /**
- * What the two ends of one stream do, drawn from a seed and the stream's number alone.
+ * The plan of a stream, drawn from a seed and the stream's number.
  *
- * @param up bytes from the client, those of the number included
- * @param down bytes from the server
- * @param order who ends its half first
- * @param pauseMs the longest pause between two writes
- * @param fault what breaks it
- * @param faultAt the bytes sent by whoever breaks it, or stalls, before that
+ * @param up the number of bytes from the client, those of the stream's number included
+ * @param down the number of bytes from the server
+ * @param order which end closes its half first
+ * @param pauseMs the longest pause between two writes in milliseconds
+ * @param fault the planned fault
+ * @param faultAt the bytes that the end with the fault sends, or receives for a stall, before it
  */
-record StreamPlan(long up, long down, Order order, int pauseMs, Fault fault, long faultAt) {
-    /** A half that ends while the other still has all of its bytes to send, or both as they come. */
-    enum Order {
+record StreamPlan(long up, long down, EndOrder order, int pauseMs, Fault fault, long faultAt) {
+    /** Which end closes its half first; with {@code EACH} both close when they have sent all. */
+    enum EndOrder {
         CLIENT_FIRST,
         SERVER_FIRST,
         EACH
     }
 
-    /** What goes wrong. */
+    /** Planned faults. */
     enum Fault {
         NONE,
         CLIENT_RESETS,
@@ -29,12 +29,12 @@
         SERVER_STALLS
     }
 
-    /** A third each way with a half-close, a third without; four in twenty-five reset or stall. */
+    /** Draws a plan. Each order of ends has a third of the streams; 4 in 25 streams have a fault. */
     static StreamPlan of(long seed, long stream, int largest) {
         Random random = new Random(seed * 1_000_003 + stream);
         long up = 8 + size(random, largest);
         long down = size(random, largest);
-        Order order = Order.values()[random.nextInt(3)];
+        EndOrder order = EndOrder.values()[random.nextInt(3)];
         int drawn = random.nextInt(25);
         Fault fault = drawn < Fault.values().length ? Fault.values()[drawn] : Fault.NONE;
         long breaker = fault == Fault.CLIENT_RESETS || fault == Fault.SERVER_STALLS ? up : down;
@@ -42,7 +42,7 @@
                 up, down, order, random.nextInt(4) == 0 ? 20 : 0, fault, 8 + (long) (random.nextDouble() * breaker));
     }
 
-    /** Many are small, some are large. */
+    /** Draws a size whose logarithm is uniform. */
     private static long size(Random random, int largest) {
         return (long) Math.exp(random.nextDouble() * Math.log(largest));
     }
--- a/simulation/src/main/java/topazvalve/simulation/stream/StreamStandIn.java
+++ b/simulation/src/main/java/topazvalve/simulation/stream/StreamStandIn.java
@@ -14,11 +14,11 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.LongFunction;
 
-/** A server of streams: the first eight bytes of each name it, and from there both sides know the plan. */
+/** A server of streams. The first eight bytes of a stream are its number, by which the server finds its plan. */
 final class StreamStandIn {
     private final int number;
     private final LongFunction<StreamLog> logs;
-    private final Set<Served> open = ConcurrentHashMap.newKeySet();
+    private final Set<ServerEnd> open = ConcurrentHashMap.newKeySet();
     private final EventLoopGroup group;
     private Channel server;
     private InetSocketAddress address = new InetSocketAddress("127.0.0.1", 0);
@@ -29,7 +29,7 @@
         this.logs = logs;
     }
 
-    /** Listens, on a port that the system picks the first time and that stays. */
+    /** Listens on a port that the system chooses the first time, and returns the address. */
     InetSocketAddress listen() throws InterruptedException {
         server = new ServerBootstrap()
                 .group(group)
@@ -40,11 +40,11 @@
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
-                    protected void initChannel(Channel made) {
-                        Served served = new Served();
+                    protected void initChannel(Channel channel) {
+                        ServerEnd served = new ServerEnd();
                         open.add(served);
-                        made.closeFuture().addListener(closed -> open.remove(served));
-                        made.pipeline().addLast(served);
+                        channel.closeFuture().addListener(closed -> open.remove(served));
+                        channel.pipeline().addLast(served);
                     }
                 })
                 .bind(address)
@@ -54,20 +54,21 @@
         return address;
     }
 
-    /** Takes nothing more and resets all that is open, as a process that dies. */
+    /** Stops listening and resets all connections, as a process does that is killed. */
     void kill() throws InterruptedException {
         server.close().sync();
-        for (Served each : open) {
+        for (ServerEnd each : open) {
             each.kill();
         }
     }
 
-    private final class Served extends StreamEnd {
-        private final ByteBuf name = Unpooled.buffer(8, 8);
+    /** The server's end of a stream. */
+    private final class ServerEnd extends StreamEnd {
+        private final ByteBuf streamNumber = Unpooled.buffer(Long.BYTES, Long.BYTES);
         private Channel channel;
         private StreamLog log;
 
-        Served() {
+        ServerEnd() {
             super(false, () -> {});
         }
 
@@ -80,18 +81,18 @@
         public void channelRead(ChannelHandlerContext context, Object message) {
             ByteBuf bytes = (ByteBuf) message;
             if (log == null) {
-                name.writeBytes(bytes, Math.min(name.writableBytes(), bytes.readableBytes()));
-                if (name.isWritable()) {
+                streamNumber.writeBytes(bytes, Math.min(streamNumber.writableBytes(), bytes.readableBytes()));
+                if (streamNumber.isWritable()) {
                     bytes.release();
                     return;
                 }
-                log = logs.apply(name.getLong(0));
-                log.at = number;
+                log = logs.apply(streamNumber.getLong(0));
+                log.servedBy = number;
                 log.openedAt = System.nanoTime();
-                log.server.received = 8;
+                log.server.received = Long.BYTES;
                 begin(log, context.channel());
             }
-            take(bytes);
+            receive(bytes);
         }
 
         void kill() {
--- a/simulation/src/main/java/topazvalve/simulation/stream/StreamTrial.java
+++ b/simulation/src/main/java/topazvalve/simulation/stream/StreamTrial.java
@@ -19,25 +19,32 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Many streams of random sizes, pauses and half-closes through a listener to stand-in servers, while servers
- * drain and die; afterwards both ends' logs are compared. All chance comes from the seed; how the streams
- * fall among the faults depends on the machine.
+ * Sends many streams of random sizes, pauses and half-closes through a proxy to stand-in servers, while servers drain
+ * and are killed, and compares the logs of both ends. All random numbers come from the seed; which streams a fault
+ * affects depends on the timing.
  */
 public final class StreamTrial implements AutoCloseable {
-    private static final int LARGEST = 1 << 20;
-    private static final long RULE_NS = 500_000_000;
-    private static final long DRAIN_MS = 1_200;
-    private static final long LIMIT_S = 60;
+    private static final int MAX_STREAM_BYTES = 1 << 20;
+    private static final long DRAIN_GRACE_NANOS = 500_000_000;
+    private static final long DRAIN_MILLIS = 1_200;
+    private static final long DOWNTIME_MILLIS = 200;
+    private static final long HANG_TIMEOUT_SECONDS = 60;
 
-    /** What the trial asks of whatever carries the streams; called between streams, never on a loop. */
+    /** The endpoint list of the proxy. It is called from a thread of the trial, never on an event loop. */
     public interface Fleet {
-        /** From now on these servers are listed as draining, all others as ready. */
+        /** Lists these servers as draining and all others as ready. */
         void draining(List<InetSocketAddress> servers);
     }
 
     /**
-     * What came of it; {@code faults} has one line for each stream that does not agree. {@code watched} were
-     * opened while some server had been drained for longer than 500 ms, {@code late} of them at that server.
+     * The result of a trial.
+     *
+     * @param broken streams that were reset or whose server was killed
+     * @param refused streams that reached no server
+     * @param watched streams that were opened while a server had been draining for more than 500 ms
+     * @param late those of them that such a server got
+     * @param bytes bytes that both ends received
+     * @param faults a line for each stream whose ends disagree
      */
     public record Result(
             int streams,
@@ -50,53 +57,62 @@
             List<String> faults) {}
 
     private final long seed;
-    private final MultiThreadIoEventLoopGroup clients = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-    private final MultiThreadIoEventLoopGroup serving = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup clientGroup =
+            new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup serverGroup =
+            new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     private final Map<Long, StreamLog> logs = new ConcurrentHashMap<>();
     private final List<StreamStandIn> servers = new ArrayList<>();
     private final List<InetSocketAddress> addresses = new ArrayList<>();
-    /** From when to when each server was draining, in {@link System#nanoTime}. */
+    /** By server, the intervals of its drains in nanoseconds of {@link System#nanoTime}. */
     private final Map<Integer, List<long[]>> drains = new ConcurrentHashMap<>();
 
-    /** With so many servers, which listen from now on. */
+    /** Creates a trial and opens its servers. */
     public StreamTrial(long seed, int serverCount) throws InterruptedException {
         this.seed = seed;
         for (int i = 0; i < serverCount; i++) {
-            StreamStandIn each = new StreamStandIn(i, serving, logs::get);
+            StreamStandIn each = new StreamStandIn(i, serverGroup, logs::get);
             servers.add(each);
             addresses.add(each.listen());
             drains.put(i, new ArrayList<>());
         }
     }
 
-    /** Where the servers listen. */
+    /** Returns the addresses of the servers. */
     public List<InetSocketAddress> addresses() {
         return addresses;
     }
 
-    /** Plays so many streams, {@code atOnce} at a time, with a drain or a kill every {@code everyMs}. */
+    /**
+     * Performs the trial.
+     *
+     * @param listener the address of the proxy
+     * @param atOnce the largest number of streams that are open at once
+     * @param everyMs the milliseconds between two faults
+     * @throws IllegalStateException if streams hang
+     */
     public Result play(InetSocketAddress listener, Fleet fleet, int streams, int atOnce, long everyMs)
             throws InterruptedException {
-        Semaphore room = new Semaphore(atOnce);
-        Thread trouble = new Thread(() -> trouble(fleet, everyMs), "trouble");
-        trouble.start();
+        Semaphore capacity = new Semaphore(atOnce);
+        Thread faults = new Thread(() -> injectFaults(fleet, everyMs), "faults");
+        faults.start();
         for (long i = 0; i < streams; i++) {
-            if (!room.tryAcquire(LIMIT_S, TimeUnit.SECONDS)) {
+            if (!capacity.tryAcquire(HANG_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 throw new IllegalStateException("streams hang: " + hanging());
             }
-            StreamLog log = new StreamLog(i, StreamPlan.of(seed, i, LARGEST));
+            StreamLog log = new StreamLog(i, StreamPlan.of(seed, i, MAX_STREAM_BYTES));
             logs.put(i, log);
-            open(listener, log, room);
+            open(listener, log, capacity);
         }
-        boolean all = room.tryAcquire(atOnce, LIMIT_S, TimeUnit.SECONDS);
-        trouble.interrupt();
-        trouble.join();
-        if (!all) {
+        boolean allFinished = capacity.tryAcquire(atOnce, HANG_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        faults.interrupt();
+        faults.join();
+        if (!allFinished) {
             throw new IllegalStateException("streams hang: " + hanging());
         }
         // The servers' ends close a moment after the clients'.
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
-        while (!compare().isEmpty() && System.nanoTime() < until) {
+        while (!mismatches().isEmpty() && System.nanoTime() < until) {
             Thread.sleep(50);
         }
         return result(streams);
@@ -104,32 +120,32 @@
 
     private List<String> hanging() {
         return logs.values().stream()
-                .filter(log -> log.over.getCount() > 0)
+                .filter(log -> log.finished.getCount() > 0)
                 .limit(5)
                 .map(log -> log.number + " " + log.plan + " up " + log.client.sent + "/" + log.server.received
                         + " down " + log.server.sent + "/" + log.client.received)
                 .toList();
     }
 
-    private void open(InetSocketAddress listener, StreamLog log, Semaphore room) {
+    private void open(InetSocketAddress listener, StreamLog log, Semaphore capacity) {
         new Bootstrap()
-                .group(clients)
+                .group(clientGroup)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.ALLOW_HALF_CLOSURE, true)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
-                    protected void initChannel(Channel made) {
-                        made.pipeline()
+                    protected void initChannel(Channel channel) {
+                        channel.pipeline()
                                 .addLast(
                                         new StreamEnd(true, () -> {
-                                            log.over.countDown();
-                                            room.release();
+                                            log.finished.countDown();
+                                            capacity.release();
                                         }) {
                                             @Override
                                             public void channelActive(ChannelHandlerContext context) {
                                                 context.write(Unpooled.copyLong(log.number));
-                                                log.client.sent = 8;
+                                                log.client.sent = Long.BYTES;
                                                 begin(log, context.channel());
                                                 context.flush();
                                             }
@@ -139,14 +155,14 @@
                 .connect(listener)
                 .addListener(done -> {
                     if (!done.isSuccess()) {
-                        log.over.countDown();
-                        room.release();
+                        log.finished.countDown();
+                        capacity.release();
                     }
                 });
     }
 
-    /** By turns one server drains for a while, and another dies and comes back. */
-    private void trouble(Fleet fleet, long everyMs) {
+    /** Alternately drains a server for a while, and kills one and opens it again. */
+    private void injectFaults(Fleet fleet, long everyMs) {
         Random random = new Random(seed);
         try {
             for (int turn = 0; ; turn++) {
@@ -156,12 +172,12 @@
                     long[] drain = {System.nanoTime(), Long.MAX_VALUE};
                     drains.get(which).add(drain);
                     fleet.draining(List.of(addresses.get(which)));
-                    Thread.sleep(DRAIN_MS);
+                    Thread.sleep(DRAIN_MILLIS);
                     drain[1] = System.nanoTime();
                     fleet.draining(List.of());
                 } else {
                     servers.get(which).kill();
-                    Thread.sleep(200);
+                    Thread.sleep(DOWNTIME_MILLIS);
                     servers.get(which).listen();
                 }
             }
@@ -170,18 +186,18 @@
         }
     }
 
-    /** Whether a server, or any where {@code which} is below 0, had been drained for longer than 500 ms. */
-    private boolean drained(int which, long at) {
+    /** Returns whether a server, or any if {@code which} is below 0, had been draining for more than 500 ms. */
+    private boolean wasDrained(int which, long at) {
         return drains.entrySet().stream()
                 .filter(each -> which < 0 || each.getKey() == which)
                 .flatMap(each -> each.getValue().stream())
-                .anyMatch(drain -> at > drain[0] + RULE_NS && at < drain[1]);
+                .anyMatch(drain -> at > drain[0] + DRAIN_GRACE_NANOS && at < drain[1]);
     }
 
-    private List<String> compare() {
+    private List<String> mismatches() {
         List<String> faults = new ArrayList<>();
         for (StreamLog log : logs.values()) {
-            String fault = log.at < 0 ? unserved(log) : log.fault();
+            String fault = log.servedBy < 0 ? unservedMismatch(log) : log.mismatch();
             if (fault != null) {
                 faults.add(fault);
             }
@@ -189,10 +205,10 @@
         return faults;
     }
 
-    /** One that no server saw has got nothing, and no orderly end. */
-    private static String unserved(StreamLog log) {
-        return log.client.received > 0 || log.client.seen == StreamLog.Seen.END
-                ? "stream " + log.number + " was answered by nobody: " + log.client.seen
+    /** Describes a stream that reached no server but got bytes or an end, or returns null if it got neither. */
+    private static String unservedMismatch(StreamLog log) {
+        return log.client.received > 0 || log.client.peerEnd == StreamLog.PeerEnd.END
+                ? "stream " + log.number + " was answered by nobody: " + log.client.peerEnd
                 : null;
     }
 
@@ -206,17 +222,17 @@
         for (StreamLog log : logs.values()) {
             halves += StreamEnd.halfCloses(log.plan) ? 1 : 0;
             broken += log.killed || log.client.reset || log.server.reset ? 1 : 0;
-            refused += log.at < 0 && !log.client.reset ? 1 : 0;
+            refused += log.servedBy < 0 && !log.client.reset ? 1 : 0;
             bytes += log.client.received + log.server.received;
-            watched += log.at >= 0 && drained(-1, log.openedAt) ? 1 : 0;
-            late += log.at >= 0 && drained(log.at, log.openedAt) ? 1 : 0;
+            watched += log.servedBy >= 0 && wasDrained(-1, log.openedAt) ? 1 : 0;
+            late += log.servedBy >= 0 && wasDrained(log.servedBy, log.openedAt) ? 1 : 0;
         }
-        return new Result(streams, halves, broken, refused, watched, late, bytes, compare());
+        return new Result(streams, halves, broken, refused, watched, late, bytes, mismatches());
     }
 
     @Override
     public void close() {
-        clients.shutdownGracefully(0, 1, TimeUnit.SECONDS);
-        serving.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+        clientGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+        serverGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/stream/package-info.java
+++ b/simulation/src/main/java/topazvalve/simulation/stream/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Opaque streams to try a listener with: both ends are played here, so that every byte and every end can be
- * compared with what was sent. Knows nothing of what carries them.
+ * Trials of a TCP proxy by opaque streams. Both ends of each stream are here, so that all bytes and ends can be
+ * compared with what was sent. The package is independent of the proxy.
  */
 package topazvalve.simulation.stream;
