--- a/simulation/src/main/java/topazvalve/simulation/experiment/Result.java
+++ b/simulation/src/main/java/topazvalve/simulation/experiment/Result.java
@@ -2,7 +2,6 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
@@ -10,6 +9,7 @@
 import topazvalve.simulation.scenario.Scenario;
 import topazvalve.simulation.tally.Run;
 import topazvalve.simulation.tally.RunStatistics;
+import topazvalve.toml.Table;
 
 /**
  * The result of one run, as stored in a line of the file of results. The names of the components are its keys.
@@ -102,7 +102,7 @@
     private static List<FaultInterval> faultIntervals(Run run) {
         List<FaultInterval> intervals = new ArrayList<>();
         for (Fault each : run.faults()) {
-            String kind = each.kind().name().toLowerCase(Locale.ROOT).replace('_', '-');
+            String kind = Table.word(each.kind());
             double from = each.start() / NANOS_PER_SECOND;
             double to = (each.start() + each.length()) / NANOS_PER_SECOND;
             intervals.add(new FaultInterval(kind, from, to));
--- a/simulation/src/main/java/topazvalve/simulation/model/FaultPlayer.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/FaultPlayer.java
@@ -2,12 +2,12 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Locale;
 import topazvalve.policy.LoadBalancer.EndpointStatus;
 import topazvalve.simulation.model.OrderServer.Mode;
 import topazvalve.simulation.scenario.Fault;
 import topazvalve.simulation.scenario.Scenario;
 import topazvalve.simulation.scenario.Scenario.Chaos;
+import topazvalve.toml.Table;
 
 /** Plays the faults of a scenario at their times. Each fault draws the servers it affects from a stream of its own. */
 public final class FaultPlayer {
@@ -95,7 +95,7 @@
     }
 
     private static String describe(Fault fault) {
-        String kind = fault.kind().name().toLowerCase(Locale.ROOT).replace('_', '-');
+        String kind = Table.word(fault.kind());
         return kind + " (" + Math.round(fault.share() * 100) + "% for " + fault.length() / NANOS_PER_SECOND + " s)";
     }
 
--- a/simulation/src/main/java/topazvalve/simulation/tally/RunStatistics.java
+++ b/simulation/src/main/java/topazvalve/simulation/tally/RunStatistics.java
@@ -33,9 +33,9 @@
     private final Scenario scenario;
     private final int classes;
     private final int seconds;
-    private final long[][] asked;
-    private final long[][] good;
-    private final long[] refused;
+    private final long[][] sentBySecond;
+    private final long[][] goodBySecond;
+    private final long[] rejected;
     private final long[] failed;
     private final long[] unanswered;
     private final long[] late;
@@ -52,9 +52,9 @@
         this.scenario = scenario;
         this.classes = scenario.classes().size();
         this.seconds = (int) (scenario.length() / NANOS_PER_SECOND) + 1;
-        this.asked = new long[classes][seconds];
-        this.good = new long[classes][seconds];
-        this.refused = new long[classes];
+        this.sentBySecond = new long[classes][seconds];
+        this.goodBySecond = new long[classes][seconds];
+        this.rejected = new long[classes];
         this.failed = new long[classes];
         this.unanswered = new long[classes];
         this.late = new long[classes];
@@ -78,7 +78,7 @@
 
     /** A client has sent a first try; {@code at} is when it was meant to be sent. */
     public void requestSent(int requestClass, long at) {
-        asked[requestClass][second(at)]++;
+        sentBySecond[requestClass][second(at)]++;
     }
 
     /**
@@ -92,7 +92,7 @@
         int second = second(firstAt);
         long recorded = Math.min(MAX_LATENCY_NANOS, Math.max(0, latencyNanos));
         if (latencyNanos <= workClass.latencyObjective()) {
-            good[requestClass][second]++;
+            goodBySecond[requestClass][second]++;
         } else if (afterSettling(firstAt)) {
             late[requestClass]++;
         }
@@ -109,7 +109,7 @@
 
     /** A request was rejected, and so was its retry if there was one. */
     public void requestRejected(int requestClass, long firstAt) {
-        refused[requestClass] += afterSettling(firstAt) ? 1 : 0;
+        rejected[requestClass] += afterSettling(firstAt) ? 1 : 0;
     }
 
     /** A request failed, and so did its retry if there was one. */
@@ -158,8 +158,8 @@
         long sent = 0;
         long inTime = 0;
         for (int i = 0; i < classes; i++) {
-            sent += asked[i][number];
-            inTime += good[i][number];
+            sent += sentBySecond[i][number];
+            inTime += goodBySecond[i][number];
         }
         Histogram histogram = latencyBySecond.get(number);
         return new Second(
@@ -194,8 +194,8 @@
         for (int i = 0; i < classes; i++) {
             if (onlyClass == ALL_CLASSES || onlyClass == i) {
                 double weight = scenario.classes().get(i).priorityWeight();
-                earned += weight * Arrays.stream(good[i], from, to).sum();
-                total += weight * Arrays.stream(asked[i], from, to).sum();
+                earned += weight * Arrays.stream(goodBySecond[i], from, to).sum();
+                total += weight * Arrays.stream(sentBySecond[i], from, to).sum();
             }
         }
         return total == 0 ? 1 : earned / total;
@@ -271,14 +271,14 @@
         long sent = 0;
         long inTime = 0;
         for (int i = 0; i < classes; i++) {
-            sent += Arrays.stream(asked[i], firstSecond(), seconds).sum();
-            inTime += Arrays.stream(good[i], firstSecond(), seconds).sum();
+            sent += Arrays.stream(sentBySecond[i], firstSecond(), seconds).sum();
+            inTime += Arrays.stream(goodBySecond[i], firstSecond(), seconds).sum();
         }
         return new Sums(
                 sent,
                 inTime,
                 sum(late),
-                sum(refused),
+                sum(rejected),
                 sum(failed),
                 sum(unanswered),
                 attempts,
--- a/simulation/src/main/java/topazvalve/simulation/virtual/ExperimentArm.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/ExperimentArm.java
@@ -1,11 +1,11 @@
 package topazvalve.simulation.virtual;
 
 import java.util.List;
-import java.util.Locale;
 import topazvalve.policy.LoadBalancer;
 import topazvalve.simulation.policy.Policy;
 import topazvalve.simulation.scenario.Scenario;
 import topazvalve.simulation.scenario.WorkClass;
+import topazvalve.toml.Table;
 
 /**
  * One arm of an experiment: a policy and its settings.
@@ -20,7 +20,7 @@
 
     /** Returns the arm of a policy with the scenario's own settings, where everything is allowed. */
     public static ExperimentArm of(Policy policy) {
-        return new ExperimentArm(policy.name().toLowerCase(Locale.ROOT).replace('_', '-'), policy, 0, true, true, true);
+        return new ExperimentArm(Table.word(policy), policy, 0, true, true, true);
     }
 
     /** Returns the largest number of attempts of a request. */
--- a/simulation/src/test/java/topazvalve/simulation/virtual/FaultySidecar.java
+++ b/simulation/src/test/java/topazvalve/simulation/virtual/FaultySidecar.java
@@ -50,14 +50,21 @@
     }
 
     private void sendCopies(VirtualRequest request) {
-        boolean twice = (violatedRule == Rule.NEVER_TWICE && isOfKind(request, Repeatability.NEVER))
-                || (violatedRule == Rule.KEYED_REPEAT && isOfKind(request, Repeatability.KEYED));
-        int copies = twice ? 2 : violatedRule == Rule.ATTEMPTS && isOfKind(request, Repeatability.FREE) ? 4 : 0;
+        int copies = copyCount(request);
         for (int i = 0; i < copies && misbehavesOn(request) && request.attemptCount > 0; i++) {
             send(request, 1 + i % world.servers().size(), 0);
         }
     }
 
+    private int copyCount(VirtualRequest request) {
+        boolean repeats = (violatedRule == Rule.NEVER_TWICE && isOfKind(request, Repeatability.NEVER))
+                || (violatedRule == Rule.KEYED_REPEAT && isOfKind(request, Repeatability.KEYED));
+        if (repeats) {
+            return 2;
+        }
+        return violatedRule == Rule.ATTEMPTS && isOfKind(request, Repeatability.FREE) ? 4 : 0;
+    }
+
     @Override
     boolean mayNotSend(VirtualRequest request, int attemptNumber, long now) {
         boolean unbounded =
@@ -80,8 +87,8 @@
         if (violatedRule == Rule.ANSWERED && misbehavesOn(request)) {
             return;
         }
-        boolean lies = violatedRule == Rule.HARMLESS_REFUSAL && answer == Answer.FAILED;
-        super.finish(request, lies ? Answer.REFUSED : answer, wait);
+        boolean misreports = violatedRule == Rule.HARMLESS_REFUSAL && answer == Answer.FAILED;
+        super.finish(request, misreports ? Answer.REFUSED : answer, wait);
         if (violatedRule == Rule.ANSWERED_ONCE && misbehavesOn(request)) {
             request.listener.responseReceived(request, answer, wait);
         }
@@ -102,15 +109,15 @@
     }
 
     @Override
-    void endpointsUpdated(UpdateKind kind, List<EndpointInfo> lines) {
-        boolean deaf = violatedRule == Rule.DRAIN && kind != UpdateKind.CACHED;
-        super.endpointsUpdated(
-                deaf ? UpdateKind.DELTA : kind,
-                deaf
-                        ? lines.stream()
-                                .filter(each -> each.status() == EndpointStatus.READY)
-                                .toList()
-                        : lines);
+    void endpointsUpdated(UpdateKind kind, List<EndpointInfo> endpoints) {
+        if (violatedRule != Rule.DRAIN || kind == UpdateKind.CACHED) {
+            super.endpointsUpdated(kind, endpoints);
+            return;
+        }
+        List<EndpointInfo> ready = endpoints.stream()
+                .filter(each -> each.status() == EndpointStatus.READY)
+                .toList();
+        super.endpointsUpdated(UpdateKind.DELTA, ready);
     }
 
     @Override
