--- a/policy/src/test/java/topazvalve/policy/AdmissionControllerTest.java
+++ b/policy/src/test/java/topazvalve/policy/AdmissionControllerTest.java
@@ -5,6 +5,7 @@
 import static topazvalve.policy.RecordingHost.IDEMPOTENT;
 import static topazvalve.policy.RecordingHost.MS;
 import static topazvalve.policy.RecordingHost.NON_IDEMPOTENT;
+import static topazvalve.policy.RecordingHost.host;
 import static topazvalve.policy.RecordingHost.settings;
 
 import java.util.List;
@@ -15,10 +16,6 @@
 /** Load shedding, the queue and tenant quotas. */
 class AdmissionControllerTest {
 
-    private static RecordingHost host(LoadBalancer.RequestClass... classes) {
-        return new RecordingHost(settings(classes), 7);
-    }
-
     @Test
     void clientRetriesAreShedMoreReadilyThanFirstRequests() {
         int[] sent = new int[2];
--- a/policy/src/test/java/topazvalve/policy/EndpointRegistryTest.java
+++ b/policy/src/test/java/topazvalve/policy/EndpointRegistryTest.java
@@ -5,44 +5,27 @@
 import static topazvalve.policy.RecordingHost.IDEMPOTENT;
 import static topazvalve.policy.RecordingHost.MS;
 import static topazvalve.policy.RecordingHost.endpoint;
+import static topazvalve.policy.RecordingHost.host;
 import static topazvalve.policy.RecordingHost.settings;
 
-import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import topazvalve.policy.LoadBalancer.DiscoveryMode;
 import topazvalve.policy.LoadBalancer.EndpointStatus;
-import topazvalve.policy.LoadBalancer.Outcome;
 import topazvalve.policy.LoadBalancer.UpdateKind;
 
 /** Endpoint updates, the watch on the list and its backoff. */
 class EndpointRegistryTest {
 
-    private static RecordingHost host(LoadBalancer.RequestClass... classes) {
-        return new RecordingHost(settings(classes), 7);
-    }
-
-    /** Sends requests that are answered at once, so that in-flight counts always tie; returns their endpoints. */
-    private static List<Long> turn(RecordingHost host, int length, long firstId) {
-        List<Long> order = new ArrayList<>();
-        for (int i = 0; i < length; i++) {
-            host.request(firstId + i, 0);
-            order.add(host.last().endpoint());
-            host.advance(MS);
-            host.outcome(host.last(), Outcome.OK);
-        }
-        return order;
-    }
-
     @Test
     void drainingAndRemovedEndpointsGetNoNewRequests() {
         RecordingHost host = host(IDEMPOTENT).withEndpoints(4);
         host.policy.endpointsUpdated(host.now, UpdateKind.DELTA, List.of(endpoint(2, EndpointStatus.DRAINING, 0)));
-        assertFalse(turn(host, 12, 0).contains(2L));
+        assertFalse(host.serveRequests(12, 0).contains(2L));
         host.policy.endpointsUpdated(host.now, UpdateKind.FULL, List.of(endpoint(0), endpoint(1)));
-        assertEquals(Set.of(0L, 1L), new HashSet<>(turn(host, 12, 20)));
+        assertEquals(Set.of(0L, 1L), new HashSet<>(host.serveRequests(12, 20)));
     }
 
     @Test
--- a/policy/src/test/java/topazvalve/policy/OutlierDetectorTest.java
+++ b/policy/src/test/java/topazvalve/policy/OutlierDetectorTest.java
@@ -5,7 +5,7 @@
 import static topazvalve.policy.RecordingHost.IDEMPOTENT;
 import static topazvalve.policy.RecordingHost.MS;
 import static topazvalve.policy.RecordingHost.NON_IDEMPOTENT;
-import static topazvalve.policy.RecordingHost.settings;
+import static topazvalve.policy.RecordingHost.host;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -15,10 +15,6 @@
 /** Ejection of slow and failing endpoints, and trial requests. */
 class OutlierDetectorTest {
 
-    private static RecordingHost host(LoadBalancer.RequestClass... classes) {
-        return new RecordingHost(settings(classes), 7);
-    }
-
     @Test
     void silentEndpointLosesItsTurns() {
         RecordingHost host = host(NON_IDEMPOTENT, IDEMPOTENT).withEndpoints(4);
--- a/policy/src/test/java/topazvalve/policy/RandomizedRoundRobinTest.java
+++ b/policy/src/test/java/topazvalve/policy/RandomizedRoundRobinTest.java
@@ -8,6 +8,7 @@
 import static topazvalve.policy.RecordingHost.MS;
 import static topazvalve.policy.RecordingHost.NON_IDEMPOTENT;
 import static topazvalve.policy.RecordingHost.endpoint;
+import static topazvalve.policy.RecordingHost.host;
 import static topazvalve.policy.RecordingHost.settings;
 
 import java.util.ArrayList;
@@ -24,29 +25,13 @@
 /** The order in which endpoints take turns, and the choice between two neighbors. */
 class RandomizedRoundRobinTest {
 
-    private static RecordingHost host(LoadBalancer.RequestClass... classes) {
-        return new RecordingHost(settings(classes), 7);
-    }
-
-    /** Sends requests that are answered at once, so that in-flight counts always tie; returns their endpoints. */
-    private static List<Long> turn(RecordingHost host, int length, long firstId) {
-        List<Long> order = new ArrayList<>();
-        for (int i = 0; i < length; i++) {
-            host.request(firstId + i, 0);
-            order.add(host.last().endpoint());
-            host.advance(MS);
-            host.outcome(host.last(), Outcome.OK);
-        }
-        return order;
-    }
-
     @Test
     void permutationIsCycledEvenlyWhileInFlightCountsTie() {
         RecordingHost host = host(IDEMPOTENT).withEndpoints(5);
-        List<Long> first = turn(host, 5, 0);
+        List<Long> first = host.serveRequests(5, 0);
         assertEquals(5, new HashSet<>(first).size());
-        assertEquals(first, turn(host, 5, 5));
-        assertEquals(first, turn(host, 5, 10));
+        assertEquals(first, host.serveRequests(5, 5));
+        assertEquals(first, host.serveRequests(5, 10));
     }
 
     @Test
@@ -54,7 +39,7 @@
         Map<List<Long>, Integer> seen = new HashMap<>();
         for (int seed = 0; seed < 6_000; seed++) {
             RecordingHost host = new RecordingHost(settings(IDEMPOTENT), seed).withEndpoints(3);
-            seen.merge(turn(host, 3, 0), 1, Integer::sum);
+            seen.merge(host.serveRequests(3, 0), 1, Integer::sum);
         }
         assertEquals(6, seen.size());
         // 1000 expected each; 150 is over five standard deviations.
@@ -64,7 +49,7 @@
     @Test
     void lessBusyOfPointedAndNextIsPicked() {
         RecordingHost host = host(IDEMPOTENT).withEndpoints(3);
-        List<Long> order = turn(host, 3, 0);
+        List<Long> order = host.serveRequests(3, 0);
         host.request(10, 0);
         assertEquals(order.get(0), host.last().endpoint());
         host.request(11, 0);
@@ -113,11 +98,11 @@
     @Test
     void permutationIsRedrawnOnlyWhenTheReadySetChanges() {
         RecordingHost host = host(IDEMPOTENT).withEndpoints(8);
-        List<Long> before = turn(host, 8, 0);
+        List<Long> before = host.serveRequests(8, 0);
         host.policy.endpointsUpdated(host.now, UpdateKind.DELTA, List.of(endpoint(3)));
-        assertEquals(before, turn(host, 8, 20));
+        assertEquals(before, host.serveRequests(8, 20));
         host.policy.endpointsUpdated(host.now, UpdateKind.DELTA, List.of(endpoint(3, EndpointStatus.REMOVED, 0)));
-        List<Long> after = turn(host, 7, 40);
+        List<Long> after = host.serveRequests(7, 40);
         assertFalse(after.contains(3L));
         before.remove(3L);
         assertNotEquals(before, after, "a new permutation; this seed draws another one");
--- a/policy/src/test/java/topazvalve/policy/RecordingHost.java
+++ b/policy/src/test/java/topazvalve/policy/RecordingHost.java
@@ -48,6 +48,23 @@
         return new RequestClass(500 * MS, 0, 1_000 * MS, 1, 0, idempotency, scope, 700 * MS, false);
     }
 
+    /** Creates a host with these classes, the default settings and a fixed seed. */
+    static RecordingHost host(RequestClass... classes) {
+        return new RecordingHost(settings(classes), 7);
+    }
+
+    /** Sends requests that are answered at once, so that in-flight counts always tie; returns their endpoints. */
+    List<Long> serveRequests(int count, long firstId) {
+        List<Long> endpoints = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            request(firstId + i, 0);
+            endpoints.add(last().endpoint());
+            advance(MS);
+            outcome(last(), Outcome.OK);
+        }
+        return endpoints;
+    }
+
     static Settings settings(RequestClass... classes) {
         return settings(DiscoveryMode.AUTOMATIC, classes);
     }
--- a/policy/src/test/java/topazvalve/policy/RequestDeadlineTest.java
+++ b/policy/src/test/java/topazvalve/policy/RequestDeadlineTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static topazvalve.policy.RecordingHost.MS;
 import static topazvalve.policy.RecordingHost.NON_IDEMPOTENT;
-import static topazvalve.policy.RecordingHost.settings;
+import static topazvalve.policy.RecordingHost.host;
 
 import java.util.HashSet;
 import java.util.List;
@@ -14,10 +14,6 @@
 /** Every request is answered once, by its deadline. */
 class RequestDeadlineTest {
 
-    private static RecordingHost host(LoadBalancer.RequestClass... classes) {
-        return new RecordingHost(settings(classes), 7);
-    }
-
     @Test
     void timerThatFiresEarlyLosesNoRequest() {
         RecordingHost host = host(NON_IDEMPOTENT).withEndpoints(1);
--- a/policy/src/test/java/topazvalve/policy/RetryTest.java
+++ b/policy/src/test/java/topazvalve/policy/RetryTest.java
@@ -6,7 +6,7 @@
 import static topazvalve.policy.RecordingHost.KEY_PER_CELL;
 import static topazvalve.policy.RecordingHost.MS;
 import static topazvalve.policy.RecordingHost.NON_IDEMPOTENT;
-import static topazvalve.policy.RecordingHost.settings;
+import static topazvalve.policy.RecordingHost.host;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -15,10 +15,6 @@
 /** What may be sent again, where to, and how often. */
 class RetryTest {
 
-    private static RecordingHost host(LoadBalancer.RequestClass... classes) {
-        return new RecordingHost(settings(classes), 7);
-    }
-
     @Test
     void nonIdempotentRequestIsRetriedOnlyIfItProvablyNeverRan() {
         for (Outcome outcome : Outcome.values()) {
--- a/policy/src/test/java/topazvalve/policy/SidecarPolicyTest.java
+++ b/policy/src/test/java/topazvalve/policy/SidecarPolicyTest.java
@@ -7,6 +7,7 @@
 import static topazvalve.policy.RecordingHost.IDEMPOTENT;
 import static topazvalve.policy.RecordingHost.MS;
 import static topazvalve.policy.RecordingHost.NON_IDEMPOTENT;
+import static topazvalve.policy.RecordingHost.host;
 import static topazvalve.policy.RecordingHost.settings;
 
 import java.io.IOException;
@@ -22,10 +23,6 @@
 /** Settings, unknown events, determinism, and the size of the policy. */
 class SidecarPolicyTest {
 
-    private static RecordingHost host(LoadBalancer.RequestClass... classes) {
-        return new RecordingHost(settings(classes), 7);
-    }
-
     @Test
     void invalidSettingIsNamed() {
         InvalidSettingException e =
--- a/policy/src/test/java/topazvalve/policy/SlowStartTest.java
+++ b/policy/src/test/java/topazvalve/policy/SlowStartTest.java
@@ -5,6 +5,7 @@
 import static topazvalve.policy.RecordingHost.IDEMPOTENT;
 import static topazvalve.policy.RecordingHost.MS;
 import static topazvalve.policy.RecordingHost.endpoint;
+import static topazvalve.policy.RecordingHost.host;
 import static topazvalve.policy.RecordingHost.settings;
 
 import java.util.List;
@@ -15,10 +16,6 @@
 /** What a warming endpoint gets from one sidecar. */
 class SlowStartTest {
 
-    private static RecordingHost host(LoadBalancer.RequestClass... classes) {
-        return new RecordingHost(settings(classes), 7);
-    }
-
     @Test
     void coldEndpointGetsNoMoreThanItsFractionOfAWarmOne() {
         RecordingHost host = host(IDEMPOTENT).withEndpoints(4);
