--- a/sidecar/src/test/java/topazvalve/sidecar/ArchitectureTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/ArchitectureTest.java
@@ -52,7 +52,12 @@
                 .resideInAPackage("topazvalve.core..")
                 .should()
                 .dependOnClassesThat()
-                .resideInAnyPackage("io.netty.handler..", "com.fasterxml..", "topazvalve.sidecar..", "topazvalve.tcp..")
+                .resideInAnyPackage(
+                        "io.netty.handler..",
+                        "com.fasterxml..",
+                        "topazvalve.sidecar..",
+                        "topazvalve.tcp..",
+                        "topazvalve.discovery..")
                 .check(CLASSES);
         slices().matching("topazvalve.core.(*)..").should().beFreeOfCycles().check(CLASSES);
     }
@@ -100,7 +105,8 @@
     void onlyAssemblyClassesDependOnThePolicyImplementation() {
         noClasses()
                 .that()
-                .resideInAnyPackage("topazvalve.sidecar..", "topazvalve.core..", "topazvalve.tcp..")
+                .resideInAnyPackage(
+                        "topazvalve.sidecar..", "topazvalve.core..", "topazvalve.tcp..", "topazvalve.discovery..")
                 .and()
                 .doNotHaveSimpleName("WarmUp")
                 .and()
