--- a/discovery-client/src/main/java/topazvalve/discovery/json/JsonNode.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/json/JsonNode.java
@@ -48,7 +48,7 @@
     }
 
     /** Returns the names of an object's members in document order; empty if this is no object. */
-    @SuppressWarnings("unchecked")
+    @SuppressWarnings("unchecked") // an object's members have names for keys
     public Set<String> keys() {
         return Collections.unmodifiableSet((Set<String>) members().keySet());
     }
@@ -90,7 +90,7 @@
 
     /** Iterates over the elements of an array or the members' values of an object. */
     @Override
-    @SuppressWarnings("unchecked")
+    @SuppressWarnings("unchecked") // members and items are nodes
     public Iterator<JsonNode> iterator() {
         return (Iterator<JsonNode>) (isObject() ? members().values() : items()).iterator();
     }
--- a/simulation/src/main/java/topazvalve/simulation/virtual/FixedDelayQueue.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/FixedDelayQueue.java
@@ -78,7 +78,7 @@
         }
     }
 
-    @SuppressWarnings("unchecked")
+    @SuppressWarnings("unchecked") // an array of a type parameter can't be created
     private void fire() {
         scheduled = false;
         while (first < next && (items[slot(first)] == null || dueTimes[slot(first)] <= clock.now())) {
--- a/tcp/src/test/java/topazvalve/tcp/ListenerTest.java
+++ b/tcp/src/test/java/topazvalve/tcp/ListenerTest.java
@@ -21,7 +21,7 @@
 
 /** A listener's limits, rejections, PROXY headers and ends of streams, each seen from both peers. */
 @Timeout(60)
-@SuppressWarnings("try")
+@SuppressWarnings("try") // some resources are opened only to be closed
 class ListenerTest {
     private static final int TIMEOUT_SECONDS = 30;
     private static final int TIMEOUT_MILLIS = 1_000 * TIMEOUT_SECONDS;
