--- a/capacity/src/main/java/topazvalve/capacity/plan/PlanFile.java
+++ b/capacity/src/main/java/topazvalve/capacity/plan/PlanFile.java
@@ -62,39 +62,39 @@
 
     private static Failure readFailure(Table table, Fleet fleet, Control control) {
         Failure failure = new Failure(
-                table.whole("restarted_together", null, 1, MAX_SERVERS),
+                table.integer("restarted_together", null, 1, MAX_SERVERS),
                 table.duration("region_cut_off", null, "1s", "60m"),
-                table.whole("control_machines_lost", null, 1, 1000));
+                table.integer("control_machines_lost", null, 1, 1000));
         requireAtMostServers(table, "restarted_together", failure.restartedTogether(), fleet.servers());
         if (failure.controlMachinesLost() >= control.machines()) {
-            table.wrong("control_machines_lost", "leaves none of budget.control.machines");
+            table.addProblem("control_machines_lost", "leaves none of budget.control.machines");
         }
         return failure;
     }
 
     private static Fleet readFleet(Table table) {
         Fleet fleet = new Fleet(
-                table.whole("servers", null, 1, MAX_SERVERS),
-                table.whole("services", null, 1, MAX_SERVERS),
-                table.whole("regions", null, 1, 100),
-                table.whole("zones", null, 1, 1000),
-                table.whole("largest_zone", null, 1, MAX_SERVERS),
-                table.whole("rack", null, 1, 1000),
-                table.whole("deepest_chain", null, 1, 100),
-                table.whole("callers_of_a_server", null, 1, MAX_SERVERS));
+                table.integer("servers", null, 1, MAX_SERVERS),
+                table.integer("services", null, 1, MAX_SERVERS),
+                table.integer("regions", null, 1, 100),
+                table.integer("zones", null, 1, 1000),
+                table.integer("largest_zone", null, 1, MAX_SERVERS),
+                table.integer("rack", null, 1, 1000),
+                table.integer("deepest_chain", null, 1, 100),
+                table.integer("callers_of_a_server", null, 1, MAX_SERVERS));
         requireAtMostServers(table, "services", fleet.services(), fleet.servers());
         requireAtMostServers(table, "largest_zone", fleet.largestZone(), fleet.servers());
         requireAtMostServers(table, "rack", fleet.rack(), fleet.servers());
         requireAtMostServers(table, "callers_of_a_server", fleet.callersOfServer(), fleet.servers());
         if (fleet.zones() < fleet.regions()) {
-            table.wrong("zones", "are fewer than the regions that they are in");
+            table.addProblem("zones", "are fewer than the regions that they are in");
         }
         return fleet;
     }
 
     private static void requireAtMostServers(Table table, String key, int value, int servers) {
         if (value > servers) {
-            table.wrong(key, "is more than there are servers");
+            table.addProblem(key, "is more than there are servers");
         }
     }
 
@@ -104,7 +104,7 @@
                 table.number("changes_per_day", null, 0, 1e9),
                 table.number("failures_per_day", null, 0, 1e6),
                 table.number("restarts_per_day", null, 0, 1e6),
-                table.whole("changes_per_restart", null, 1, 10));
+                table.integer("changes_per_restart", null, 1, 10));
     }
 
     private static Sidecar readSidecar(Table table) {
@@ -116,8 +116,8 @@
 
     private static Control readControl(Table table) {
         return new Control(
-                table.whole("machines", null, 1, 1000),
-                table.whole("cores_per_machine", null, 1, 1024),
+                table.integer("machines", null, 1, 1000),
+                table.integer("cores_per_machine", null, 1, 1024),
                 table.number("memory_mib_per_machine", null, 1, 1e8),
                 table.number("bytes_per_second_per_machine", null, 1, 1e12));
     }
@@ -125,7 +125,7 @@
     private static Source readSource(Table table) {
         if (!table.has("calls_per_second")) {
             // A range has no way to be required.
-            table.wrong("calls_per_second", "missing; a number, or two in brackets");
+            table.addProblem("calls_per_second", "missing; a number, or two in brackets");
         }
         return new Source(
                 table.range("calls_per_second", null, 0.01, 1e6),
--- a/core/src/main/java/topazvalve/core/classes/ClassTable.java
+++ b/core/src/main/java/topazvalve/core/classes/ClassTable.java
@@ -4,9 +4,9 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import topazvalve.policy.LoadBalancer.Idempotency;
-import topazvalve.policy.LoadBalancer.KeyScope;
-import topazvalve.policy.LoadBalancer.RequestClass;
+import topazvalve.policy.Idempotency;
+import topazvalve.policy.KeyScope;
+import topazvalve.policy.RequestClass;
 
 /**
  * Numbers the request classes. A class is identified by its name and its effect: with another effect, the same
--- a/core/src/main/java/topazvalve/core/endpoint/Endpoint.java
+++ b/core/src/main/java/topazvalve/core/endpoint/Endpoint.java
@@ -1,7 +1,7 @@
 package topazvalve.core.endpoint;
 
 import java.net.InetSocketAddress;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.EndpointStatus;
 
 /**
  * An endpoint as a list has it.
--- a/core/src/main/java/topazvalve/core/endpoint/EndpointDiscovery.java
+++ b/core/src/main/java/topazvalve/core/endpoint/EndpointDiscovery.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.function.Supplier;
-import topazvalve.policy.LoadBalancer.UpdateKind;
+import topazvalve.policy.UpdateKind;
 
 /**
  * A source of endpoint lists. The policy decides when to watch and when to fetch; every answer and every failure
--- a/core/src/main/java/topazvalve/core/exchange/EndpointIds.java
+++ b/core/src/main/java/topazvalve/core/exchange/EndpointIds.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import topazvalve.core.endpoint.Endpoint;
-import topazvalve.policy.LoadBalancer.EndpointInfo;
+import topazvalve.policy.EndpointInfo;
 import topazvalve.policy.SettingsReader;
 
 /**
--- a/core/src/main/java/topazvalve/core/exchange/EndpointUpdater.java
+++ b/core/src/main/java/topazvalve/core/exchange/EndpointUpdater.java
@@ -7,10 +7,10 @@
 import topazvalve.core.endpoint.Endpoint;
 import topazvalve.core.endpoint.EndpointDiscovery;
 import topazvalve.core.pool.Backend;
-import topazvalve.policy.LoadBalancer.EndpointInfo;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
-import topazvalve.policy.LoadBalancer.UpdateKind;
+import topazvalve.policy.EndpointInfo;
+import topazvalve.policy.EndpointStatus;
 import topazvalve.policy.SettingsReader;
+import topazvalve.policy.UpdateKind;
 
 /** Passes each update of the endpoint list on, first to the backend and then to the policy, in one event. */
 final class EndpointUpdater implements EndpointDiscovery.Listener {
--- a/core/src/main/java/topazvalve/core/exchange/ExchangeAttempt.java
+++ b/core/src/main/java/topazvalve/core/exchange/ExchangeAttempt.java
@@ -4,7 +4,7 @@
 import topazvalve.core.pool.Attempt;
 import topazvalve.core.pool.AttemptListener;
 import topazvalve.core.stream.FlowControl;
-import topazvalve.policy.LoadBalancer.Outcome;
+import topazvalve.policy.Outcome;
 
 /** Passes what becomes of one attempt on to the client and to the policy. */
 final class ExchangeAttempt<Q, A> implements AttemptListener<Q, A> {
--- a/core/src/main/java/topazvalve/core/exchange/ExchangeLifecycle.java
+++ b/core/src/main/java/topazvalve/core/exchange/ExchangeLifecycle.java
@@ -8,7 +8,7 @@
 import topazvalve.core.metrics.Metrics;
 import topazvalve.core.pool.Attempt;
 import topazvalve.core.time.Scheduler;
-import topazvalve.policy.LoadBalancer.Request;
+import topazvalve.policy.Request;
 
 /**
  * Owns the tracked exchanges, from the request to the final answer and the end of the last attempt. Whatever
--- a/core/src/main/java/topazvalve/core/exchange/ExchangeManager.java
+++ b/core/src/main/java/topazvalve/core/exchange/ExchangeManager.java
@@ -7,9 +7,11 @@
 import topazvalve.core.metrics.Metrics;
 import topazvalve.core.pool.Backend;
 import topazvalve.core.time.Scheduler;
+import topazvalve.policy.Actions;
 import topazvalve.policy.LoadBalancer;
-import topazvalve.policy.LoadBalancer.UpdateKind;
+import topazvalve.policy.Settings;
 import topazvalve.policy.SettingsReader;
+import topazvalve.policy.UpdateKind;
 
 /**
  * The core of one sidecar: frontends submit exchanges, the policy decides, and a backend carries the attempts.
@@ -25,7 +27,7 @@
     /** Creates the policy. */
     public interface PolicyFactory {
         /** Creates a policy with these settings that gives its orders to {@code actions}. */
-        LoadBalancer create(LoadBalancer.Settings settings, LoadBalancer.Actions actions);
+        LoadBalancer create(Settings settings, Actions actions);
     }
 
     private final Backend<Q, A> backend;
@@ -62,8 +64,8 @@
     }
 
     /** Applies settings to the core; returns them for the policy, with the class table's numbers. */
-    private LoadBalancer.Settings applySettings(SettingsReader reader) {
-        LoadBalancer.Settings settings = reader.settings();
+    private Settings applySettings(SettingsReader reader) {
+        Settings settings = reader.settings();
         List<String> classNames = reader.names("profiles");
         classes.update(classNames, settings.requestClasses());
         metrics.register(classNames);
@@ -94,7 +96,7 @@
      * @throws IllegalArgumentException if the settings lack a value or hold one that makes no sense
      */
     public void settingsChanged(SettingsReader reader) {
-        LoadBalancer.Settings settings = applySettings(reader);
+        Settings settings = applySettings(reader);
         backend.settingsChanged(reader);
         dispatcher.dispatch((policy, now) -> policy.settingsChanged(now, settings));
     }
--- a/core/src/main/java/topazvalve/core/exchange/PolicyActionExecutor.java
+++ b/core/src/main/java/topazvalve/core/exchange/PolicyActionExecutor.java
@@ -6,14 +6,14 @@
 import topazvalve.core.pool.Attempt;
 import topazvalve.core.pool.Backend;
 import topazvalve.core.time.Scheduler;
-import topazvalve.policy.LoadBalancer;
-import topazvalve.policy.LoadBalancer.Outcome;
+import topazvalve.policy.Actions;
+import topazvalve.policy.Outcome;
 
 /**
  * Carries out what the policy orders, at the time of the event that the policy is handling. Each attempt that
  * is ordered has exactly one outcome, also one that can't be started.
  */
-final class PolicyActionExecutor<Q, A> implements LoadBalancer.Actions {
+final class PolicyActionExecutor<Q, A> implements Actions {
     private static final Logger POLICY_LOG = LoggerFactory.getLogger("module");
 
     private final Scheduler scheduler;
--- a/core/src/main/java/topazvalve/core/pool/Attempt.java
+++ b/core/src/main/java/topazvalve/core/pool/Attempt.java
@@ -5,7 +5,7 @@
 import topazvalve.core.stream.FlowControl;
 import topazvalve.core.stream.RequestBody;
 import topazvalve.core.time.Scheduler;
-import topazvalve.policy.LoadBalancer.Outcome;
+import topazvalve.policy.Outcome;
 
 /**
  * One attempt to have an exchange served by an endpoint. Until its last byte is written the server has not run
--- a/core/src/main/java/topazvalve/core/pool/AttemptListener.java
+++ b/core/src/main/java/topazvalve/core/pool/AttemptListener.java
@@ -2,7 +2,7 @@
 
 import io.netty.buffer.ByteBuf;
 import topazvalve.core.stream.FlowControl;
-import topazvalve.policy.LoadBalancer.Outcome;
+import topazvalve.policy.Outcome;
 
 /**
  * Receives what becomes of an attempt.
--- a/core/src/main/java/topazvalve/core/pool/ConnectionPools.java
+++ b/core/src/main/java/topazvalve/core/pool/ConnectionPools.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import topazvalve.core.stream.RequestBody;
 import topazvalve.core.time.Scheduler;
-import topazvalve.policy.LoadBalancer.Outcome;
+import topazvalve.policy.Outcome;
 import topazvalve.policy.SettingsReader;
 
 /**
--- a/core/src/main/java/topazvalve/core/pool/EndpointPool.java
+++ b/core/src/main/java/topazvalve/core/pool/EndpointPool.java
@@ -6,7 +6,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import topazvalve.policy.LoadBalancer.Outcome;
+import topazvalve.policy.Outcome;
 
 /** The connections to one endpoint. */
 final class EndpointPool<Q, A> {
--- a/core/src/main/java/topazvalve/core/pool/PooledConnection.java
+++ b/core/src/main/java/topazvalve/core/pool/PooledConnection.java
@@ -11,7 +11,7 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
 import topazvalve.core.stream.ByteBudget;
-import topazvalve.policy.LoadBalancer.Outcome;
+import topazvalve.policy.Outcome;
 
 /**
  * One connection to an endpoint. It is CONNECTING at first, then LEASED to one attempt after the other and IDLE
--- a/core/src/test/java/topazvalve/core/classes/ClassTableTest.java
+++ b/core/src/test/java/topazvalve/core/classes/ClassTableTest.java
@@ -6,9 +6,9 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import topazvalve.policy.LoadBalancer.Idempotency;
-import topazvalve.policy.LoadBalancer.KeyScope;
-import topazvalve.policy.LoadBalancer.RequestClass;
+import topazvalve.policy.Idempotency;
+import topazvalve.policy.KeyScope;
+import topazvalve.policy.RequestClass;
 
 /** The numbers of request classes over several configurations. */
 class ClassTableTest {
--- a/core/src/test/java/topazvalve/core/exchange/CountingPolicyFactory.java
+++ b/core/src/test/java/topazvalve/core/exchange/CountingPolicyFactory.java
@@ -5,7 +5,9 @@
 import java.lang.reflect.Proxy;
 import java.util.HashMap;
 import java.util.Map;
+import topazvalve.policy.Actions;
 import topazvalve.policy.LoadBalancer;
+import topazvalve.policy.Settings;
 import topazvalve.policy.SidecarPolicy;
 
 /** Creates the real policy between two proxies, which count the attempts that it orders and their outcomes. */
@@ -13,14 +15,13 @@
     private static final int POLICY_SEED = 7;
 
     private final Map<Integer, Integer> outcomesByAttempt = new HashMap<>();
-    private LoadBalancer.Actions executor;
+    private Actions executor;
     private int forwardCount;
 
     @Override
-    public LoadBalancer create(LoadBalancer.Settings settings, LoadBalancer.Actions actions) {
+    public LoadBalancer create(Settings settings, Actions actions) {
         executor = actions;
-        LoadBalancer.Actions countingActions =
-                proxy(LoadBalancer.Actions.class, actions, (method, arguments) -> countForward(method));
+        Actions countingActions = proxy(Actions.class, actions, (method, arguments) -> countForward(method));
         LoadBalancer policy = new SidecarPolicy(settings, POLICY_SEED, countingActions);
         return proxy(LoadBalancer.class, policy, this::countOutcome);
     }
--- a/core/src/test/java/topazvalve/core/exchange/ExchangeModelTest.java
+++ b/core/src/test/java/topazvalve/core/exchange/ExchangeModelTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import topazvalve.core.exchange.ScenarioEvent.EventType;
-import topazvalve.policy.LoadBalancer.Idempotency;
+import topazvalve.policy.Idempotency;
 
 /**
  * Plays every order of events up to a depth against the real core and policy, each from the beginning: the client
--- a/core/src/test/java/topazvalve/core/exchange/ExchangeScenario.java
+++ b/core/src/test/java/topazvalve/core/exchange/ExchangeScenario.java
@@ -16,11 +16,11 @@
 import topazvalve.core.stream.ByteBudget;
 import topazvalve.core.stream.FlowControl;
 import topazvalve.core.stream.RequestBody;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
-import topazvalve.policy.LoadBalancer.Idempotency;
-import topazvalve.policy.LoadBalancer.Outcome;
-import topazvalve.policy.LoadBalancer.UpdateKind;
+import topazvalve.policy.EndpointStatus;
+import topazvalve.policy.Idempotency;
+import topazvalve.policy.Outcome;
 import topazvalve.policy.SettingsReader;
+import topazvalve.policy.UpdateKind;
 
 /**
  * One exchange and two endpoints, with the real core and the real policy in simulated time. It knows which events
--- a/core/src/test/java/topazvalve/core/exchange/FakeBackend.java
+++ b/core/src/test/java/topazvalve/core/exchange/FakeBackend.java
@@ -10,7 +10,7 @@
 import topazvalve.core.pool.Backend;
 import topazvalve.core.stream.RequestBody;
 import topazvalve.core.time.Scheduler;
-import topazvalve.policy.LoadBalancer.Outcome;
+import topazvalve.policy.Outcome;
 import topazvalve.policy.SettingsReader;
 
 /** A backend whose attempts do what the test says; it records how things stood when each was started. */
--- a/discovery-client/src/main/java/topazvalve/discovery/client/DiscoverySession.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/DiscoverySession.java
@@ -10,7 +10,7 @@
 import org.slf4j.LoggerFactory;
 import topazvalve.core.endpoint.Endpoint;
 import topazvalve.core.endpoint.EndpointDiscovery;
-import topazvalve.policy.LoadBalancer.UpdateKind;
+import topazvalve.policy.UpdateKind;
 
 /**
  * What all calls of one {@link DiscoveryClient} share: the address to call, the state of the endpoint list, the
--- a/discovery-client/src/main/java/topazvalve/discovery/client/EndpointCall.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/EndpointCall.java
@@ -6,7 +6,7 @@
 import topazvalve.discovery.client.EndpointListState.VersionCheck;
 import topazvalve.discovery.json.JsonNode;
 import topazvalve.discovery.json.JsonReader;
-import topazvalve.policy.LoadBalancer.UpdateKind;
+import topazvalve.policy.UpdateKind;
 
 /**
  * A call of a {@link DiscoveryClient}, which is a watch or a fetch: it parses and validates each update, applies it
--- a/discovery-client/src/main/java/topazvalve/discovery/client/EndpointUpdate.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/EndpointUpdate.java
@@ -9,7 +9,7 @@
 import topazvalve.core.net.Addresses;
 import topazvalve.discovery.json.JsonNode;
 import topazvalve.discovery.state.VersionVector;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.EndpointStatus;
 
 /**
  * A full snapshot of the endpoint list or a delta to it, as received from discovery or a relay.
--- a/discovery-client/src/main/java/topazvalve/discovery/client/PushedDiscovery.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/PushedDiscovery.java
@@ -1,7 +1,7 @@
 package topazvalve.discovery.client;
 
 import java.util.concurrent.TimeUnit;
-import topazvalve.policy.LoadBalancer.DiscoveryMode;
+import topazvalve.policy.DiscoveryMode;
 import topazvalve.policy.SettingsReader;
 
 /**
--- a/discovery-client/src/test/java/topazvalve/discovery/client/EndpointListStateTest.java
+++ b/discovery-client/src/test/java/topazvalve/discovery/client/EndpointListStateTest.java
@@ -10,7 +10,7 @@
 import topazvalve.core.endpoint.Endpoint;
 import topazvalve.discovery.client.EndpointListState.VersionCheck;
 import topazvalve.discovery.state.VersionVector;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.EndpointStatus;
 
 /** Which updates the state of the endpoint list accepts. */
 class EndpointListStateTest {
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/history/ChangeHistory.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/history/ChangeHistory.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.atomic.AtomicIntegerArray;
 import java.util.concurrent.atomic.AtomicLongArray;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.EndpointStatus;
 
 /**
  * All changes of all sources, numbered from 1 in one sequence that goes on over restarts of the sources. An
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/EndpointView.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/EndpointView.java
@@ -7,8 +7,8 @@
 import topazvalve.hollowfleet.history.ChangeHistory;
 import topazvalve.hollowfleet.history.ServerNames;
 import topazvalve.hollowfleet.oracle.EntryReplacement;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
-import topazvalve.policy.LoadBalancer.UpdateKind;
+import topazvalve.policy.EndpointStatus;
+import topazvalve.policy.UpdateKind;
 
 /**
  * The endpoint list that one sidecar has in force, in four bytes for each server: the number of the change that the
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/HollowIncarnation.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/HollowIncarnation.java
@@ -13,9 +13,9 @@
 import topazvalve.discovery.client.EndpointUpdate;
 import topazvalve.discovery.client.RelaySelector;
 import topazvalve.hollowfleet.history.ServerNames;
-import topazvalve.policy.LoadBalancer.UpdateKind;
 import topazvalve.policy.SettingsReader;
 import topazvalve.policy.SidecarPolicy;
+import topazvalve.policy.UpdateKind;
 
 /**
  * One incarnation of a hollow sidecar, from its start to its end: the sidecar's own discovery client and policy.
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/HollowSidecar.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/HollowSidecar.java
@@ -5,8 +5,8 @@
 import java.util.function.LongSupplier;
 import topazvalve.core.endpoint.Endpoint;
 import topazvalve.hollowfleet.history.ChangeHistory;
-import topazvalve.policy.LoadBalancer.UpdateKind;
 import topazvalve.policy.SettingsReader;
+import topazvalve.policy.UpdateKind;
 
 /**
  * A sidecar without a request path, which can be killed and started again. It keeps the endpoint list that is in
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/InitialEndpointList.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/InitialEndpointList.java
@@ -7,7 +7,7 @@
 import topazvalve.discovery.state.VersionVector;
 import topazvalve.hollowfleet.history.ChangeHistory;
 import topazvalve.hollowfleet.history.ServerNames;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.EndpointStatus;
 
 /** The endpoint list that a sidecar knows when it starts; sidecars that start with the same list share it. */
 public final class InitialEndpointList {
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/oracle/EntryReplacement.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/oracle/EntryReplacement.java
@@ -1,6 +1,6 @@
 package topazvalve.hollowfleet.oracle;
 
-import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.EndpointStatus;
 
 /**
  * The replacement of a server's entry in a sidecar's endpoint list.
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/oracle/FleetOracle.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/oracle/FleetOracle.java
@@ -8,7 +8,7 @@
 import java.util.function.IntPredicate;
 import topazvalve.hollowfleet.history.ChangeHistory;
 import topazvalve.hollowfleet.history.ServerNames;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.EndpointStatus;
 
 /**
  * Compares what sidecars have in force with what their sources published, and counts violations of the rules. May
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/FleetEnvironment.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/FleetEnvironment.java
@@ -21,7 +21,7 @@
 import topazvalve.hollowfleet.oracle.Rule;
 import topazvalve.hollowfleet.timeline.Timeline;
 import topazvalve.hollowfleet.timeline.Timeline.Size;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.EndpointStatus;
 
 /** Everything that a run consists of: history, oracle, sources, relays, and hollow and packaged sidecars. */
 final class FleetEnvironment implements AutoCloseable {
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/StagePlayer.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/StagePlayer.java
@@ -19,7 +19,7 @@
 import topazvalve.hollowfleet.timeline.Timeline.Size;
 import topazvalve.hollowfleet.timeline.Timeline.SourceRestart;
 import topazvalve.hollowfleet.timeline.Timeline.Stage;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.EndpointStatus;
 import topazvalve.simulation.model.RandomStreams;
 
 /** Plays one stage in real time: begins its faults, makes its changes, ends the faults, and waits. */
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/EndpointCatalog.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/EndpointCatalog.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import topazvalve.hollowfleet.history.ServerNames;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.EndpointStatus;
 
 /**
  * The endpoint list of one source in discovery's JSON: each server's newest entry, and the lines that are sent,
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/SourceStandIn.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/SourceStandIn.java
@@ -13,7 +13,7 @@
 import java.util.function.LongSupplier;
 import topazvalve.discovery.state.SourceVersion;
 import topazvalve.hollowfleet.history.ChangeHistory;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.EndpointStatus;
 
 /**
  * A discovery source on loopback: complete lists, and watches with one JSON object a line and an empty line every
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/timeline/TimelineFile.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/timeline/TimelineFile.java
@@ -66,17 +66,17 @@
     }
 
     private static Size readSize(Table table) {
-        int zones = table.whole("zones", 1, 1, 100);
+        int zones = table.integer("zones", 1, 1, 100);
         Size size = new Size(
-                table.whole("hollow", null, 1, MAX_COUNT),
-                table.whole("servers", null, 1, MAX_COUNT),
+                table.integer("hollow", null, 1, MAX_COUNT),
+                table.integer("servers", null, 1, MAX_COUNT),
                 zones,
-                table.whole("regions", 1, 1, zones),
-                table.whole("sources", 1, 1, 16),
-                table.whole("loops", 4, 1, 64),
+                table.integer("regions", 1, 1, zones),
+                table.integer("sources", 1, 1, 16),
+                table.integer("loops", 4, 1, 64),
                 table.duration("start_over", "0", "0", "5m"));
         if (size.sources() > size.regions()) {
-            table.wrong("sources", "there are " + size.sources() + " of them, but regions = " + size.regions());
+            table.addProblem("sources", "there are " + size.sources() + " of them, but regions = " + size.regions());
         }
         return size;
     }
@@ -86,9 +86,9 @@
                 table.number("capacity", 0.0, 0, 1e6),
                 table.number("call_lines", 0.0, 0, 1e6),
                 table.duration("timeout", "1s", "1ms", "1m"),
-                table.whole("transfers", 64, 1, MAX_COUNT),
+                table.integer("transfers", 64, 1, MAX_COUNT),
                 table.flag("epoch", false),
-                table.whole("kept", MAX_COUNT, 1, 1_000_000));
+                table.integer("kept", MAX_COUNT, 1, 1_000_000));
     }
 
     private static FleetBudget readBudget(Table table) {
@@ -99,7 +99,7 @@
     }
 
     private static RelayTierSize readRelays(Table table) {
-        return new RelayTierSize(table.whole("count", 0, 0, 200), table.flag("processes", false));
+        return new RelayTierSize(table.integer("count", 0, 0, 200), table.flag("processes", false));
     }
 
     private static Stage readStage(Table table, Size size, RelayTierSize relays) {
@@ -113,9 +113,9 @@
                 readSidecarRestart(table, size),
                 linkFault,
                 readSourceRestart(table),
-                table.whole("stalled", 0, 0, size.hollowSidecars()),
+                table.integer("stalled", 0, 0, size.hollowSidecars()),
                 new RelayRestart(
-                        table.whole("relays_killed", 0, 0, relays.count()),
+                        table.integer("relays_killed", 0, 0, relays.count()),
                         table.duration("relays_down", "1s", "0", "10m")));
     }
 
@@ -123,11 +123,11 @@
         SimulatedLink.Kind kind = table.choice(SimulatedLink.Kind.class, "link", SimulatedLink.Kind.OPEN);
         long delayNanos = table.duration("delay", "0", "0", "1m");
         if (delayNanos > 0 != (kind == SimulatedLink.Kind.SLOW)) {
-            table.wrong("delay", "belongs to link = \"slow\", and has to be given there");
+            table.addProblem("delay", "belongs to link = \"slow\", and has to be given there");
         }
         List<Integer> zones = readZones(table, size);
         if (zones.isEmpty() == (kind != SimulatedLink.Kind.OPEN)) {
-            table.wrong("link", "link and one of zones and regions belong together");
+            table.addProblem("link", "link and one of zones and regions belong together");
         }
         return new LinkFault(new SimulatedLink(kind, delayNanos), zones);
     }
@@ -146,11 +146,11 @@
     /** Reads numbers below a bound, which are written as texts: {@code ["0", "3"]}. */
     private static List<Integer> readNumbers(Table table, String key, int bound) {
         List<Integer> numbers = new ArrayList<>();
-        for (String text : table.texts(key, List.of())) {
+        for (String text : table.strings(key, List.of())) {
             if (text.matches("\\d{1,4}") && Integer.parseInt(text) < bound) {
                 numbers.add(Integer.parseInt(text));
             } else {
-                table.wrong(key, "\"" + text + "\" is not a number from 0 to " + (bound - 1) + " in quotes");
+                table.addProblem(key, "\"" + text + "\" is not a number from 0 to " + (bound - 1) + " in quotes");
             }
         }
         return numbers;
@@ -159,14 +159,14 @@
     private static Changes readChanges(Table table, Size size) {
         return new Changes(
                 table.number("changes_a_day", 0.0, 0, 1e8),
-                table.whole("burst", 0, 0, size.servers()),
-                table.whole("burst_zone", 0, 0, size.zones() - 1),
+                table.integer("burst", 0, 0, size.servers()),
+                table.integer("burst_zone", 0, 0, size.zones() - 1),
                 table.duration("burst_within", "1s", "0", "10m"));
     }
 
     private static SidecarRestart readSidecarRestart(Table table, Size size) {
         return new SidecarRestart(
-                table.whole("restart", 0, 0, size.hollowSidecars()),
+                table.integer("restart", 0, 0, size.hollowSidecars()),
                 table.choice(InitialKnowledge.class, "from", InitialKnowledge.KNOWN),
                 table.duration("down", "1s", "0", "10m"));
     }
--- a/hollow-fleet/src/test/java/topazvalve/hollowfleet/hollow/EndpointViewTest.java
+++ b/hollow-fleet/src/test/java/topazvalve/hollowfleet/hollow/EndpointViewTest.java
@@ -9,8 +9,8 @@
 import topazvalve.hollowfleet.history.ChangeHistory;
 import topazvalve.hollowfleet.history.ServerNames;
 import topazvalve.hollowfleet.oracle.EntryReplacement;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
-import topazvalve.policy.LoadBalancer.UpdateKind;
+import topazvalve.policy.EndpointStatus;
+import topazvalve.policy.UpdateKind;
 
 /** Updates of the endpoint list that is in force, and the replacements that they report. */
 class EndpointViewTest {
--- a/hollow-fleet/src/test/java/topazvalve/hollowfleet/oracle/FleetOracleTest.java
+++ b/hollow-fleet/src/test/java/topazvalve/hollowfleet/oracle/FleetOracleTest.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import topazvalve.hollowfleet.history.ChangeHistory;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.EndpointStatus;
 
 /** Each rule with a fault that violates it and no other rule, and what violates none. */
 class FleetOracleTest {
--- a/hollow-fleet/src/test/java/topazvalve/hollowfleet/run/FleetRunTest.java
+++ b/hollow-fleet/src/test/java/topazvalve/hollowfleet/run/FleetRunTest.java
@@ -14,7 +14,7 @@
 import topazvalve.hollowfleet.history.ServerNames;
 import topazvalve.hollowfleet.oracle.Rule;
 import topazvalve.hollowfleet.timeline.TimelineFile;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.EndpointStatus;
 
 /**
  * Some hollow sidecars on real sockets. The tests do not depend on the machine's speed: they allow a minute for a
--- a/policy/src/main/java/topazvalve/policy/AttemptTracker.java
+++ b/policy/src/main/java/topazvalve/policy/AttemptTracker.java
@@ -2,7 +2,6 @@
 
 import java.util.List;
 import java.util.Map;
-import topazvalve.policy.LoadBalancer.Outcome;
 
 /** Sends and ends the attempts of all open requests, and gives each request its one final answer. */
 record AttemptTracker(
@@ -102,7 +101,7 @@
             return;
         }
         if (request.isClientRetryHarmless()) {
-            LoadBalancer.Capabilities allowed = context.settings().capabilities();
+            Capabilities allowed = context.settings().capabilities();
             long retryAfter = Math.min(allowed.maxRetryAfterNanos(), request.objective / 2);
             context.actions().reject(request.request.id(), allowed.retryAfter() ? retryAfter : 0);
         } else {
--- a/policy/src/main/java/topazvalve/policy/ConcurrencyLimiter.java
+++ b/policy/src/main/java/topazvalve/policy/ConcurrencyLimiter.java
@@ -2,7 +2,6 @@
 
 import java.util.ArrayDeque;
 import java.util.List;
-import topazvalve.policy.LoadBalancer.Outcome;
 
 /** Limits attempts in flight, per endpoint and in total by Little's law; slow start of endpoints; load shedding. */
 final class ConcurrencyLimiter {
@@ -145,7 +144,7 @@
     }
 
     private double capacity(long now, EndpointState endpoint) {
-        LoadBalancer.Limits limits = context.settings().limits();
+        Limits limits = context.settings().limits();
         double progress = 1 - (endpoint.warmAt - now) / (double) limits.slowStartNanos();
         double cold = limits.coldCapacityFraction();
         return now >= endpoint.warmAt ? 1 : cold + (1 - cold) * Math.max(0, Math.min(1, progress));
--- /dev/null
+++ b/policy/src/main/java/topazvalve/policy/Costs.java
@@ -0,0 +1,16 @@
+package topazvalve.policy;
+
+/**
+ * Costs of an action, as a fraction of the total priority weight.
+ *
+ * @param healthCheck the cost of one health check per first attempt; 0 or more
+ * @param gossipMessage the cost of one message of full size; 0 or more
+ */
+public record Costs(double healthCheck, double gossipMessage) {
+    public Costs {
+        InvalidSettingException.require(healthCheck >= 0 && gossipMessage >= 0, "charges");
+    }
+
+    /** All actions are free. */
+    public static final Costs NONE = new Costs(0, 0);
+}
--- /dev/null
+++ b/policy/src/main/java/topazvalve/policy/DiscoveryMode.java
@@ -0,0 +1,7 @@
+package topazvalve.policy;
+
+/** Whether endpoint updates arrive unasked, or only after {@link Actions#watchEndpoints}. */
+public enum DiscoveryMode {
+    AUTOMATIC,
+    SUBSCRIBE
+}
--- a/policy/src/main/java/topazvalve/policy/EndpointRegistry.java
+++ b/policy/src/main/java/topazvalve/policy/EndpointRegistry.java
@@ -32,7 +32,7 @@
     }
 
     void watch(long now) {
-        if (context.settings().discoveryMode() == LoadBalancer.DiscoveryMode.SUBSCRIBE) {
+        if (context.settings().discoveryMode() == DiscoveryMode.SUBSCRIBE) {
             context.actions().watchEndpoints(true);
             resubscribeAt(now + context.settings().limits().pollIntervalNanos() / 2);
         }
@@ -55,14 +55,14 @@
         resubscribeAt(now + backoff / 2 + context.random().nextLong(backoff / 2 + 1));
     }
 
-    boolean update(long now, LoadBalancer.UpdateKind kind, List<LoadBalancer.EndpointInfo> infos) {
-        if (kind != LoadBalancer.UpdateKind.CACHED) {
+    boolean update(long now, UpdateKind kind, List<EndpointInfo> infos) {
+        if (kind != UpdateKind.CACHED) {
             watchNumber++;
             backoff = 0;
         }
-        Set<Long> missing = new TreeSet<>(kind == LoadBalancer.UpdateKind.DELTA ? Set.of() : endpoints.keySet());
+        Set<Long> missing = new TreeSet<>(kind == UpdateKind.DELTA ? Set.of() : endpoints.keySet());
         boolean changed = false; // whether the set of ready endpoints did
-        for (LoadBalancer.EndpointInfo info : infos) {
+        for (EndpointInfo info : infos) {
             missing.remove(info.id());
             changed |= update(now, info);
         }
@@ -76,7 +76,7 @@
         return changed;
     }
 
-    private boolean update(long now, LoadBalancer.EndpointInfo info) {
+    private boolean update(long now, EndpointInfo info) {
         EndpointState endpoint = endpoints.get(info.id());
         boolean wasReady = endpoint != null && endpoint.isReady();
         boolean restarted = endpoint == null || info.startedAtNanos() > endpoint.info.startedAtNanos();
--- a/policy/src/main/java/topazvalve/policy/EndpointState.java
+++ b/policy/src/main/java/topazvalve/policy/EndpointState.java
@@ -5,7 +5,7 @@
 
 /** One endpoint: its entry in the list, its in-flight counts, and what each part of the policy knows of it. */
 final class EndpointState {
-    LoadBalancer.EndpointInfo info;
+    EndpointInfo info;
     int inFlight;
     int openStreams;
     double concurrencyLimit = 2; // allows a choice of two; many sidecars start together
@@ -19,7 +19,7 @@
     long tokensAddedAt;
     private double turnCredit;
 
-    EndpointState(LoadBalancer.EndpointInfo info, double turnCredit, long now, long warmAt) {
+    EndpointState(EndpointInfo info, double turnCredit, long now, long warmAt) {
         this.info = info;
         this.turnCredit = turnCredit;
         this.tokensAddedAt = now;
@@ -27,7 +27,7 @@
     }
 
     boolean isReady() {
-        return info.status() == LoadBalancer.EndpointStatus.READY;
+        return info.status() == EndpointStatus.READY;
     }
 
     int inFlightAndStreams() {
--- a/policy/src/main/java/topazvalve/policy/InvalidSettingException.java
+++ b/policy/src/main/java/topazvalve/policy/InvalidSettingException.java
@@ -10,7 +10,14 @@
         this.path = path;
     }
 
-    /** The setting's path in the settings file, or its name where values from several paths are checked together. */
+    /** Throws unless {@code holds}; {@code setting} names the values that were checked. */
+    static void require(boolean holds, String setting) {
+        if (!holds) {
+            throw new InvalidSettingException(setting, "setting makes no sense: " + setting);
+        }
+    }
+
+    /** Returns the setting's path in the settings file, or a name for values from several paths. */
     public String path() {
         return path;
     }
--- a/policy/src/main/java/topazvalve/policy/LoadProbing.java
+++ b/policy/src/main/java/topazvalve/policy/LoadProbing.java
@@ -24,7 +24,7 @@
 
     /** Whether probes are cheap and useful: with no more sidecars than endpoints own counts show enough. */
     boolean isEnabled() {
-        LoadBalancer.Settings settings = context.settings();
+        Settings settings = context.settings();
         boolean reported = settings.loadReportFields().contains("rif");
         boolean cheap = settings.costs().healthCheck() * CANDIDATES <= MAX_COST;
         boolean useful = reported && settings.instanceCount() > registry.ready().size();
@@ -46,9 +46,9 @@
         return request.outstandingProbes > 0;
     }
 
-    void healthCheckCompleted(long now, EndpointState endpoint, LoadBalancer.Outcome outcome, float[] report) {
+    void healthCheckCompleted(long now, EndpointState endpoint, Outcome outcome, float[] report) {
         int field = context.settings().loadReportFields().indexOf("rif");
-        if (outcome == LoadBalancer.Outcome.OK && report.length > field && field >= 0) {
+        if (outcome == Outcome.OK && report.length > field && field >= 0) {
             endpoint.reportedLoad = report[field];
             meanLoad += AVERAGE_WEIGHT * (endpoint.reportedLoad - meanLoad);
         }
--- /dev/null
+++ b/policy/src/main/java/topazvalve/policy/Outcome.java
@@ -0,0 +1,37 @@
+package topazvalve.policy;
+
+/** How an attempt ended. */
+public enum Outcome {
+    /** The server answered; the first such outcome completes the request. */
+    OK(false),
+    /** The server answered with an error; it may have run the request. */
+    ERROR(false),
+    /** The server rejected the request without running it: its queue is full, or it is draining. */
+    REJECTED(true),
+    /** No answer arrived in time; the request may have run, or may still be running. */
+    TIMEOUT(false),
+    /** No connection was established in time. */
+    CONNECT_FAILED(true),
+    /** The connection broke while the attempt was outstanding. */
+    RESET(false),
+    /** The attempt was cancelled by {@link Actions#cancelAttempt}. */
+    CANCELLED(false),
+    /** The attempt was never sent: the request had ended, or had no attempt or time left. */
+    NEVER_SENT(true);
+
+    private final boolean neverRan;
+
+    Outcome(boolean neverRan) {
+        this.neverRan = neverRan;
+    }
+
+    /** Returns whether this outcome proves that the server did not run the request. */
+    public boolean provesNeverRan() {
+        return neverRan;
+    }
+
+    /** Returns whether this sidecar gave the attempt up, for example because its client disconnected. */
+    boolean withdrawn() {
+        return this == CANCELLED || this == NEVER_SENT;
+    }
+}
--- a/policy/src/main/java/topazvalve/policy/OutlierDetector.java
+++ b/policy/src/main/java/topazvalve/policy/OutlierDetector.java
@@ -104,7 +104,7 @@
         endpoint.evidence.rate += 1 / request.expectedTime;
     }
 
-    void attemptCompleted(long now, AttemptState attempt, LoadBalancer.Outcome outcome, RequestState request) {
+    void attemptCompleted(long now, AttemptState attempt, Outcome outcome, RequestState request) {
         Evidence evidence = attempt.endpoint.evidence;
         evidence.integrate(now);
         if (attempt.started) {
--- a/policy/src/main/java/topazvalve/policy/PolicyContext.java
+++ b/policy/src/main/java/topazvalve/policy/PolicyContext.java
@@ -4,12 +4,8 @@
 import java.util.function.Supplier;
 
 /** What all parts of one policy share: its current settings, the host's actions, one random source, the timers. */
-record PolicyContext(
-        Supplier<LoadBalancer.Settings> currentSettings,
-        LoadBalancer.Actions actions,
-        Random random,
-        TimerQueue timers) {
-    LoadBalancer.Settings settings() {
+record PolicyContext(Supplier<Settings> currentSettings, Actions actions, Random random, TimerQueue timers) {
+    Settings settings() {
         return currentSettings.get();
     }
 }
--- a/policy/src/main/java/topazvalve/policy/RequestState.java
+++ b/policy/src/main/java/topazvalve/policy/RequestState.java
@@ -5,8 +5,8 @@
 
 /** One client request, from its arrival until its final answer and the end of its last attempt. */
 final class RequestState {
-    final LoadBalancer.Request request;
-    final LoadBalancer.RequestClass requestClass;
+    final Request request;
+    final RequestClass requestClass;
     final int maxAttempts;
     final long objective;
     final double expectedTime;
@@ -25,7 +25,7 @@
     boolean streaming;
     boolean closed;
 
-    RequestState(LoadBalancer.Request request, LoadBalancer.Settings settings, long elapsedBefore, double usualTime) {
+    RequestState(Request request, Settings settings, long elapsedBefore, double usualTime) {
         this.request = request;
         this.requestClass = settings.requestClasses().get(request.requestClass());
         this.maxAttempts = settings.capabilities().maxAttempts();
@@ -64,11 +64,11 @@
     }
 
     private boolean isIdempotent() {
-        return requestClass.idempotency() == LoadBalancer.Idempotency.IDEMPOTENT;
+        return requestClass.idempotency() == Idempotency.IDEMPOTENT;
     }
 
     private boolean hasKey() {
-        return requestClass.idempotency() == LoadBalancer.Idempotency.IDEMPOTENCY_KEY;
+        return requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY;
     }
 
     boolean mayRetry(long now, long clockResolution) {
@@ -93,7 +93,7 @@
     }
 
     boolean isClientRetryHarmless() {
-        boolean keyHeldByAll = hasKey() && requestClass.keyScope() == LoadBalancer.KeyScope.ALL;
+        boolean keyHeldByAll = hasKey() && requestClass.keyScope() == KeyScope.ALL;
         return isIdempotent() || keyHeldByAll || firstThatMayHaveRun() == null;
     }
 }
--- a/policy/src/main/java/topazvalve/policy/ResponseTimeEstimator.java
+++ b/policy/src/main/java/topazvalve/policy/ResponseTimeEstimator.java
@@ -70,7 +70,7 @@
     }
 
     void settingsChanged() {
-        List<LoadBalancer.RequestClass> settings = context.settings().requestClasses();
+        List<RequestClass> settings = context.settings().requestClasses();
         for (int i = classes.size(); i < settings.size(); i++) {
             classes.add(new ClassEstimate(settings.get(i).latencyObjectiveNanos() / 10.0));
         }
@@ -86,14 +86,14 @@
         return classes.get(requestClass).mean;
     }
 
-    double expected(LoadBalancer.Request request) {
+    double expected(Request request) {
         return classes.get(request.requestClass()).expected(request.costHintNanos());
     }
 
-    long elapsedBefore(LoadBalancer.Request request) {
+    long elapsedBefore(Request request) {
         long tolerance = 2 * context.settings().clockResolutionNanos();
         boolean first = classes.get(request.requestClass()).isFirstRequest(request.timeLeftNanos(), tolerance);
-        LoadBalancer.RequestClass settings = context.settings().requestClasses().get(request.requestClass());
+        RequestClass settings = context.settings().requestClasses().get(request.requestClass());
         return first ? 0 : Math.max(0, settings.deadlineNanos() - request.timeLeftNanos());
     }
 
--- a/policy/src/main/java/topazvalve/policy/SettingsReader.java
+++ b/policy/src/main/java/topazvalve/policy/SettingsReader.java
@@ -5,16 +5,6 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import topazvalve.policy.LoadBalancer.Capabilities;
-import topazvalve.policy.LoadBalancer.Costs;
-import topazvalve.policy.LoadBalancer.DiscoveryMode;
-import topazvalve.policy.LoadBalancer.Idempotency;
-import topazvalve.policy.LoadBalancer.KeyScope;
-import topazvalve.policy.LoadBalancer.Limits;
-import topazvalve.policy.LoadBalancer.RequestClass;
-import topazvalve.policy.LoadBalancer.Settings;
-import topazvalve.policy.LoadBalancer.Tenant;
-import topazvalve.policy.LoadBalancer.WeightKind;
 
 /**
  * Reads an instance's settings, for every host: turns lines of the form path=value into {@link Settings} and answers
--- a/policy/src/main/java/topazvalve/policy/TenantQuota.java
+++ b/policy/src/main/java/topazvalve/policy/TenantQuota.java
@@ -7,13 +7,13 @@
 
 /** Queued requests of all tenants: that with the least of its quota used goes first. */
 final class TenantQuota {
-    private static final class Tenant {
+    private static final class TenantQueue {
         private final ArrayDeque<RequestState> queue = new ArrayDeque<>(); // newest first
         private final double quotaPerSecond;
         private final DecayingSum usedTime = new DecayingSum(0);
         private long skippedInRound;
 
-        Tenant(double quotaPerSecond, double window) {
+        TenantQueue(double quotaPerSecond, double window) {
             this.quotaPerSecond = quotaPerSecond > 0 ? quotaPerSecond : 1;
             this.usedTime.setWindow(0, window);
         }
@@ -24,20 +24,20 @@
     }
 
     private final ConcurrencyLimiter limiter;
-    private final List<Tenant> tenants = new ArrayList<>();
+    private final List<TenantQueue> tenants = new ArrayList<>();
     private int queued;
     private long round;
 
-    TenantQuota(LoadBalancer.Settings settings, ConcurrencyLimiter limiter) {
+    TenantQuota(Settings settings, ConcurrencyLimiter limiter) {
         this.limiter = limiter;
         double window = 4.0 * settings.requestClasses().get(0).latencyObjectiveNanos();
-        settings.tenants().forEach(each -> tenants.add(new Tenant(each.quotaPerSecond(), window)));
+        settings.tenants().forEach(each -> tenants.add(new TenantQueue(each.quotaPerSecond(), window)));
         if (tenants.isEmpty()) {
-            tenants.add(new Tenant(1, window));
+            tenants.add(new TenantQueue(1, window));
         }
     }
 
-    private Tenant tenant(RequestState request) {
+    private TenantQueue tenant(RequestState request) {
         return tenants.get(Math.min(request.request.tenant(), tenants.size() - 1));
     }
 
@@ -57,7 +57,7 @@
 
     void drain(long now, Predicate<RequestState> send) {
         round++;
-        for (Tenant tenant = leastUsed(now); tenant != null; tenant = leastUsed(now)) {
+        for (TenantQueue tenant = leastUsed(now); tenant != null; tenant = leastUsed(now)) {
             RequestState request = next(now, tenant);
             if (request.queued && !send.test(request)) {
                 tenant.skippedInRound = round;
@@ -68,9 +68,9 @@
         }
     }
 
-    private Tenant leastUsed(long now) {
-        Tenant least = null;
-        for (Tenant tenant : tenants) {
+    private TenantQueue leastUsed(long now) {
+        TenantQueue least = null;
+        for (TenantQueue tenant : tenants) {
             boolean waiting = !tenant.queue.isEmpty() && tenant.skippedInRound != round;
             least = waiting && (least == null || tenant.usage(now) < least.usage(now)) ? tenant : least;
         }
@@ -78,7 +78,7 @@
     }
 
     /** The newest request or, where there is no capacity for it, the newest of high priority. */
-    private RequestState next(long now, Tenant tenant) {
+    private RequestState next(long now, TenantQueue tenant) {
         RequestState newest = tenant.queue.peek();
         Predicate<RequestState> fits = limiter::isNotOutranked;
         fits = newest.queued && limiter.isFull(now, newest) ? fits : any -> true;
--- a/policy/src/main/java/topazvalve/policy/TimerQueue.java
+++ b/policy/src/main/java/topazvalve/policy/TimerQueue.java
@@ -9,12 +9,12 @@
 
     private final PriorityQueue<Timer> queue =
             new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.serial, b.serial));
-    private final LoadBalancer.Actions actions;
+    private final Actions actions;
     private long nextSerial;
     private long armedAt = Long.MAX_VALUE;
     private long armedToken;
 
-    TimerQueue(LoadBalancer.Actions actions) {
+    TimerQueue(Actions actions) {
         this.actions = actions;
     }
 
--- a/policy/src/test/java/topazvalve/policy/AdmissionControllerTest.java
+++ b/policy/src/test/java/topazvalve/policy/AdmissionControllerTest.java
@@ -10,8 +10,6 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import topazvalve.policy.LoadBalancer.DiscoveryMode;
-import topazvalve.policy.LoadBalancer.Outcome;
 
 /** Load shedding, the queue and tenant quotas. */
 class AdmissionControllerTest {
@@ -28,8 +26,7 @@
                 host.outcome(last, Outcome.OK);
             }
             int before = host.attempts.size();
-            host.policy.requestReceived(
-                    host.now, new LoadBalancer.Request(100, 0, 0, 0, 1_000 * MS, 0, seed % 2 == 1, false));
+            host.policy.requestReceived(host.now, new Request(100, 0, 0, 0, 1_000 * MS, 0, seed % 2 == 1, false));
             sent[seed % 2] += host.attempts.size() - before;
         }
         assertTrue(sent[0] > 15 && sent[1] < sent[0] / 2, "first requests " + sent[0] + ", retries " + sent[1]);
@@ -153,30 +150,30 @@
 
     @Test
     void tenantWithTheLeastQuotaUsageGoesFirst() {
-        LoadBalancer.Settings base = settings(NON_IDEMPOTENT);
+        Settings base = settings(NON_IDEMPOTENT);
         RecordingHost host = new RecordingHost(
-                        new LoadBalancer.Settings(
+                        new Settings(
                                 0,
                                 1,
                                 0,
                                 5 * MS,
                                 DiscoveryMode.AUTOMATIC,
-                                LoadBalancer.WeightKind.SILENT,
+                                WeightKind.SILENT,
                                 base.requestClasses(),
-                                List.of(new LoadBalancer.Tenant(0.5, 10), new LoadBalancer.Tenant(0.5, 10)),
+                                List.of(new Tenant(0.5, 10), new Tenant(0.5, 10)),
                                 base.capabilities(),
                                 base.limits(),
                                 List.of(),
-                                LoadBalancer.Costs.NONE,
+                                Costs.NONE,
                                 false,
                                 0.1),
                         7)
                 .withEndpoints(1);
         for (int i = 0; i < 4; i++) {
-            host.policy.requestReceived(host.now, new LoadBalancer.Request(i, 0, 0, 0, 1_000 * MS, 0, false, false));
+            host.policy.requestReceived(host.now, new Request(i, 0, 0, 0, 1_000 * MS, 0, false, false));
         }
-        host.policy.requestReceived(host.now, new LoadBalancer.Request(10, 0, 1, 0, 1_000 * MS, 0, false, false));
-        host.policy.requestReceived(host.now, new LoadBalancer.Request(11, 0, 0, 0, 1_000 * MS, 0, false, false));
+        host.policy.requestReceived(host.now, new Request(10, 0, 1, 0, 1_000 * MS, 0, false, false));
+        host.policy.requestReceived(host.now, new Request(11, 0, 0, 0, 1_000 * MS, 0, false, false));
         int out = host.attempts.size();
         host.advance(10 * MS);
         host.outcome(host.attempts.get(0), Outcome.OK);
--- a/policy/src/test/java/topazvalve/policy/EmbeddingExampleTest.java
+++ b/policy/src/test/java/topazvalve/policy/EmbeddingExampleTest.java
@@ -5,11 +5,6 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import topazvalve.policy.LoadBalancer.EndpointInfo;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
-import topazvalve.policy.LoadBalancer.Outcome;
-import topazvalve.policy.LoadBalancer.Request;
-import topazvalve.policy.LoadBalancer.UpdateKind;
 
 /** The README's embedding example, compiled and run. */
 class EmbeddingExampleTest {
--- a/policy/src/test/java/topazvalve/policy/EndpointRegistryTest.java
+++ b/policy/src/test/java/topazvalve/policy/EndpointRegistryTest.java
@@ -12,9 +12,6 @@
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import topazvalve.policy.LoadBalancer.DiscoveryMode;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
-import topazvalve.policy.LoadBalancer.UpdateKind;
 
 /** Endpoint updates, the watch on the list and its backoff. */
 class EndpointRegistryTest {
@@ -49,7 +46,7 @@
     /** New settings may name another discovery service, which has not failed. */
     @Test
     void changedSettingsResetTheBackoff() {
-        LoadBalancer.Settings settings = settings(DiscoveryMode.SUBSCRIBE, IDEMPOTENT);
+        Settings settings = settings(DiscoveryMode.SUBSCRIBE, IDEMPOTENT);
         RecordingHost host = new RecordingHost(settings, 7).withEndpoints(3);
         for (int i = 0; i < 8; i++) {
             host.policy.endpointsUpdated(host.now, UpdateKind.FAILED, List.of());
--- a/policy/src/test/java/topazvalve/policy/LoadProbingTest.java
+++ b/policy/src/test/java/topazvalve/policy/LoadProbingTest.java
@@ -8,7 +8,6 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import topazvalve.policy.LoadBalancer.Outcome;
 
 /** Load probes before a send. */
 class LoadProbingTest {
--- a/policy/src/test/java/topazvalve/policy/OutlierDetectorTest.java
+++ b/policy/src/test/java/topazvalve/policy/OutlierDetectorTest.java
@@ -10,7 +10,6 @@
 import java.util.HashMap;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import topazvalve.policy.LoadBalancer.Outcome;
 
 /** Ejection of slow and failing endpoints, and trial requests. */
 class OutlierDetectorTest {
--- a/policy/src/test/java/topazvalve/policy/RandomizedRoundRobinTest.java
+++ b/policy/src/test/java/topazvalve/policy/RandomizedRoundRobinTest.java
@@ -18,9 +18,6 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
-import topazvalve.policy.LoadBalancer.Outcome;
-import topazvalve.policy.LoadBalancer.UpdateKind;
 
 /** The order in which endpoints take turns, and the choice between two neighbors. */
 class RandomizedRoundRobinTest {
@@ -63,7 +60,7 @@
     /** An open stream is no evidence of its endpoint's speed, but counts as in flight until its outcome. */
     @Test
     void openStreamsCountAsInFlightUntilTheyEnd() {
-        LoadBalancer.RequestClass stream = new LoadBalancer.RequestClass(
+        RequestClass stream = new RequestClass(
                 NON_IDEMPOTENT.latencyObjectiveNanos(),
                 0,
                 NON_IDEMPOTENT.deadlineNanos(),
@@ -122,8 +119,8 @@
                 host.now,
                 UpdateKind.CACHED,
                 List.of(
-                        new LoadBalancer.EndpointInfo(0, 0, 0, 0, EndpointStatus.READY, 1, 0),
-                        new LoadBalancer.EndpointInfo(1, 0, 1, 0, EndpointStatus.READY, 1, 0)));
+                        new EndpointInfo(0, 0, 0, 0, EndpointStatus.READY, 1, 0),
+                        new EndpointInfo(1, 0, 1, 0, EndpointStatus.READY, 1, 0)));
         for (int i = 0; i < 200; i++) {
             host.request(i, 0);
             host.advance(host.last().endpoint() == 0 ? fast : slow);
--- a/policy/src/test/java/topazvalve/policy/RecordingHost.java
+++ b/policy/src/test/java/topazvalve/policy/RecordingHost.java
@@ -3,21 +3,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.PriorityQueue;
-import topazvalve.policy.LoadBalancer.Actions;
-import topazvalve.policy.LoadBalancer.Capabilities;
-import topazvalve.policy.LoadBalancer.DiscoveryMode;
-import topazvalve.policy.LoadBalancer.EndpointInfo;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
-import topazvalve.policy.LoadBalancer.Idempotency;
-import topazvalve.policy.LoadBalancer.KeyScope;
-import topazvalve.policy.LoadBalancer.Limits;
-import topazvalve.policy.LoadBalancer.Outcome;
-import topazvalve.policy.LoadBalancer.Request;
-import topazvalve.policy.LoadBalancer.RequestClass;
-import topazvalve.policy.LoadBalancer.Settings;
-import topazvalve.policy.LoadBalancer.Tenant;
-import topazvalve.policy.LoadBalancer.UpdateKind;
-import topazvalve.policy.LoadBalancer.WeightKind;
 
 /** A host for tests: it has the clock, fires timers and records the policy's actions. */
 final class RecordingHost implements Actions {
@@ -82,7 +67,7 @@
                 new Capabilities(true, false, false, true, true, 3, 1_000 * MS, 250 * MS),
                 new Limits(20 * MS, 10_000 * MS, 250 * MS, 0.3, 8_000 * MS, 3, 1_500 * MS),
                 List.of(),
-                LoadBalancer.Costs.NONE,
+                Costs.NONE,
                 false,
                 1);
     }
@@ -102,7 +87,7 @@
                 new Capabilities(true, true, false, false, true, 3, 1_000 * MS, 250 * MS),
                 base.limits(),
                 List.of("q", "rif"),
-                new LoadBalancer.Costs(0.002, 0),
+                new Costs(0.002, 0),
                 false,
                 1);
     }
--- a/policy/src/test/java/topazvalve/policy/RequestDeadlineTest.java
+++ b/policy/src/test/java/topazvalve/policy/RequestDeadlineTest.java
@@ -9,7 +9,6 @@
 import java.util.HashSet;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import topazvalve.policy.LoadBalancer.Outcome;
 
 /** Every request is answered once, by its deadline. */
 class RequestDeadlineTest {
--- a/policy/src/test/java/topazvalve/policy/RetryTest.java
+++ b/policy/src/test/java/topazvalve/policy/RetryTest.java
@@ -10,7 +10,6 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import topazvalve.policy.LoadBalancer.Outcome;
 
 /** What may be sent again, where to, and how often. */
 class RetryTest {
--- a/policy/src/test/java/topazvalve/policy/SidecarFleetTest.java
+++ b/policy/src/test/java/topazvalve/policy/SidecarFleetTest.java
@@ -16,10 +16,6 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import topazvalve.policy.LoadBalancer.EndpointInfo;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
-import topazvalve.policy.LoadBalancer.Outcome;
-import topazvalve.policy.LoadBalancer.UpdateKind;
 
 /** Many sidecars at once, each of which sees little of the load. */
 class SidecarFleetTest {
@@ -63,9 +59,8 @@
         /** While it is {@code down}, a call fails after the timeout; 0 for a refused connection. */
         Discovery(int sidecars, int perSecond, long down, long callTimeout, long seed) {
             for (int i = 0; i < sidecars; i++) {
-                fleet.add(
-                        new RecordingHost(settings(LoadBalancer.DiscoveryMode.SUBSCRIBE, IDEMPOTENT), seed * 1_000 + i)
-                                .withEndpoints(1));
+                fleet.add(new RecordingHost(settings(DiscoveryMode.SUBSCRIBE, IDEMPOTENT), seed * 1_000 + i)
+                        .withEndpoints(1));
                 seen.add(0);
                 notifiedAt.add(-1L);
             }
@@ -199,22 +194,22 @@
         return healthCheckingHost(seed, NON_IDEMPOTENT);
     }
 
-    private static RecordingHost healthCheckingHost(long seed, LoadBalancer.RequestClass requestClass) {
-        LoadBalancer.Settings base = settings(requestClass);
+    private static RecordingHost healthCheckingHost(long seed, RequestClass requestClass) {
+        Settings base = settings(requestClass);
         return new RecordingHost(
-                new LoadBalancer.Settings(
+                new Settings(
                         0,
                         SIDECARS,
                         0,
                         5 * MS,
-                        LoadBalancer.DiscoveryMode.AUTOMATIC,
-                        LoadBalancer.WeightKind.SILENT,
+                        DiscoveryMode.AUTOMATIC,
+                        WeightKind.SILENT,
                         base.requestClasses(),
                         List.of(),
-                        new LoadBalancer.Capabilities(true, true, false, true, true, 3, 1_000 * MS, 250 * MS),
+                        new Capabilities(true, true, false, true, true, 3, 1_000 * MS, 250 * MS),
                         base.limits(),
                         List.of(),
-                        LoadBalancer.Costs.NONE,
+                        Costs.NONE,
                         false,
                         1),
                 seed);
@@ -305,8 +300,8 @@
     /** If two thirds can be served, the class of weight five comes before that of weight two. */
     @Test
     void classOfHighPriorityComesFirstUnderOverload() {
-        LoadBalancer.RequestClass lowPriority = withPriorityWeight(2);
-        LoadBalancer.RequestClass highPriority = withPriorityWeight(5);
+        RequestClass lowPriority = withPriorityWeight(2);
+        RequestClass highPriority = withPriorityWeight(5);
         RecordingHost host = new RecordingHost(settings(lowPriority, highPriority), 5).withEndpoints(40);
         PriorityQueue<RecordingHost.SentAttempt> due =
                 new PriorityQueue<>(Comparator.comparingLong(RecordingHost.SentAttempt::at));
@@ -348,13 +343,13 @@
         return load;
     }
 
-    private static LoadBalancer.RequestClass withObjective(long ms) {
-        return new LoadBalancer.RequestClass(
+    private static RequestClass withObjective(long ms) {
+        return new RequestClass(
                 ms * MS, 0, 1_000 * MS, 1, 0, NON_IDEMPOTENT.idempotency(), NON_IDEMPOTENT.keyScope(), 0, false);
     }
 
-    private static LoadBalancer.RequestClass withPriorityWeight(double withPriorityWeight) {
-        return new LoadBalancer.RequestClass(
+    private static RequestClass withPriorityWeight(double withPriorityWeight) {
+        return new RequestClass(
                 500 * MS,
                 0,
                 1_000 * MS,
--- a/policy/src/test/java/topazvalve/policy/SidecarPolicyRandomEventsTest.java
+++ b/policy/src/test/java/topazvalve/policy/SidecarPolicyRandomEventsTest.java
@@ -13,13 +13,6 @@
 import java.util.Set;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import topazvalve.policy.LoadBalancer.EndpointInfo;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
-import topazvalve.policy.LoadBalancer.Idempotency;
-import topazvalve.policy.LoadBalancer.KeyScope;
-import topazvalve.policy.LoadBalancer.Outcome;
-import topazvalve.policy.LoadBalancer.RequestClass;
-import topazvalve.policy.LoadBalancer.UpdateKind;
 
 /** Long random sequences of valid events; an independent observer checks every action. */
 class SidecarPolicyRandomEventsTest {
@@ -149,7 +142,7 @@
         }
     }
 
-    private void play(long seed, LoadBalancer.Settings settings) {
+    private void play(long seed, Settings settings) {
         Random random = new Random(seed);
         host = new RecordingHost(settings, seed);
         int endpoints = 1 + random.nextInt(12);
--- a/policy/src/test/java/topazvalve/policy/SidecarPolicyTest.java
+++ b/policy/src/test/java/topazvalve/policy/SidecarPolicyTest.java
@@ -17,8 +17,6 @@
 import java.util.List;
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
-import topazvalve.policy.LoadBalancer.Outcome;
-import topazvalve.policy.LoadBalancer.Settings;
 
 /** Settings, unknown events, determinism, and the size of the policy. */
 class SidecarPolicyTest {
@@ -26,7 +24,7 @@
     @Test
     void invalidSettingIsNamed() {
         InvalidSettingException e =
-                assertThrows(InvalidSettingException.class, () -> new LoadBalancer.Limits(0, 0, 0, 1.5, 0, 3, 0));
+                assertThrows(InvalidSettingException.class, () -> new Limits(0, 0, 0, 1.5, 0, 3, 0));
         assertTrue(e.getMessage().contains("cold share"));
         assertEquals("cold share", e.path());
         assertThrows(InvalidSettingException.class, () -> settings());
@@ -75,8 +73,7 @@
         host.outcome(host.last(), Outcome.CONNECT_FAILED);
         host.outcome(host.last(), Outcome.OK);
         Settings base = settings(IDEMPOTENT, NON_IDEMPOTENT);
-        LoadBalancer.Capabilities few =
-                new LoadBalancer.Capabilities(true, false, false, true, true, 1, 1_000 * MS, 250 * MS);
+        Capabilities few = new Capabilities(true, false, false, true, true, 1, 1_000 * MS, 250 * MS);
         host.policy.settingsChanged(
                 host.now,
                 new Settings(
--- a/policy/src/test/java/topazvalve/policy/SlowStartTest.java
+++ b/policy/src/test/java/topazvalve/policy/SlowStartTest.java
@@ -10,8 +10,6 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
-import topazvalve.policy.LoadBalancer.UpdateKind;
 
 /** What a warming endpoint gets from one sidecar. */
 class SlowStartTest {
--- a/policy/src/test/java/topazvalve/policy/UnusualSettingsTest.java
+++ b/policy/src/test/java/topazvalve/policy/UnusualSettingsTest.java
@@ -6,17 +6,6 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import topazvalve.policy.LoadBalancer.Capabilities;
-import topazvalve.policy.LoadBalancer.DiscoveryMode;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
-import topazvalve.policy.LoadBalancer.Idempotency;
-import topazvalve.policy.LoadBalancer.KeyScope;
-import topazvalve.policy.LoadBalancer.Limits;
-import topazvalve.policy.LoadBalancer.Outcome;
-import topazvalve.policy.LoadBalancer.RequestClass;
-import topazvalve.policy.LoadBalancer.Settings;
-import topazvalve.policy.LoadBalancer.UpdateKind;
-import topazvalve.policy.LoadBalancer.WeightKind;
 
 /** Unusual settings: hosts without capabilities, a single endpoint, large and vanishing lists. */
 class UnusualSettingsTest {
@@ -38,7 +27,7 @@
                         allowed,
                         limits,
                         List.of(),
-                        LoadBalancer.Costs.NONE,
+                        Costs.NONE,
                         true,
                         0),
                 5);
--- a/relay/src/main/java/topazvalve/relay/RelayFile.java
+++ b/relay/src/main/java/topazvalve/relay/RelayFile.java
@@ -52,20 +52,20 @@
                 name,
                 listen,
                 sources,
-                root.whole("most_callers", RelaySettings.DEFAULT_MAX_SUBSCRIBERS, 1, MAX_SUBSCRIBERS_LIMIT),
-                root.whole(
+                root.integer("most_callers", RelaySettings.DEFAULT_MAX_SUBSCRIBERS, 1, MAX_SUBSCRIBERS_LIMIT),
+                root.integer(
                         "caller_bytes",
                         RelaySettings.DEFAULT_SUBSCRIBER_BUFFER_BYTES,
                         MIN_BUFFER_BYTES,
                         MAX_BUFFER_BYTES),
-                root.whole("logged_entries", RelaySettings.DEFAULT_LOGGED_ENTRIES, 1, MAX_LOGGED_ENTRIES),
+                root.integer("logged_entries", RelaySettings.DEFAULT_LOGGED_ENTRIES, 1, MAX_LOGGED_ENTRIES),
                 root.duration("stall", "10s", "100ms", "10m") / NANOS_PER_MILLI);
     }
 
     private static List<SourceSettings> readSources(Table root) {
         List<Table> tables = root.tables("source", 1);
         if (tables.size() > VersionVector.MAX_SOURCES) {
-            root.wrong("source", tables.size() + " are more than " + VersionVector.MAX_SOURCES);
+            root.addProblem("source", tables.size() + " are more than " + VersionVector.MAX_SOURCES);
         }
         Set<String> names = new HashSet<>();
         List<SourceSettings> sources = new ArrayList<>();
@@ -79,15 +79,15 @@
 
     private static void checkSourceName(Table table, String name, Set<String> namesSoFar) {
         if (!VersionVector.SOURCE_NAME.matcher(name).matches()) {
-            table.wrong("name", "\"" + name + "\" is not 1 to 32 small letters, digits, - and _");
+            table.addProblem("name", "\"" + name + "\" is not 1 to 32 small letters, digits, - and _");
         } else if (!namesSoFar.add(name)) {
-            table.wrong("name", "\"" + name + "\" is given twice");
+            table.addProblem("name", "\"" + name + "\" is given twice");
         }
     }
 
     private static List<InetSocketAddress> readAddresses(Table table) {
         List<InetSocketAddress> addresses = new ArrayList<>();
-        for (String text : table.texts("addresses", null)) {
+        for (String text : table.strings("addresses", null)) {
             addresses.add(parseAddress(table, "addresses", text));
         }
         return List.copyOf(addresses);
@@ -96,7 +96,7 @@
     private static InetSocketAddress parseAddress(Table table, String key, String text) {
         InetSocketAddress address = Addresses.parse(text);
         if (address == null) {
-            table.wrong(key, "\"" + text + "\" is not a numeric address and port");
+            table.addProblem(key, "\"" + text + "\" is not a numeric address and port");
             return new InetSocketAddress(0);
         }
         return address;
--- a/relay/src/test/java/topazvalve/relay/Follower.java
+++ b/relay/src/test/java/topazvalve/relay/Follower.java
@@ -17,8 +17,8 @@
 import topazvalve.discovery.client.EndpointUpdate;
 import topazvalve.discovery.client.RelaySelector;
 import topazvalve.discovery.state.FailoverStateMachine;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
-import topazvalve.policy.LoadBalancer.UpdateKind;
+import topazvalve.policy.EndpointStatus;
+import topazvalve.policy.UpdateKind;
 
 /**
  * The sidecar's real discovery client and the endpoints that it has in force; the test gives its order of relays.
--- a/relay/src/test/java/topazvalve/relay/RelayDeliveryTest.java
+++ b/relay/src/test/java/topazvalve/relay/RelayDeliveryTest.java
@@ -8,7 +8,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.EndpointStatus;
 
 /** What subscribers get of a source's snapshots and deltas, and in how many lines. */
 @Timeout(120)
--- a/relay/src/test/java/topazvalve/relay/RelayFailoverTest.java
+++ b/relay/src/test/java/topazvalve/relay/RelayFailoverTest.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.EndpointStatus;
 
 /** Subscribers whose relay is lost, unresponsive, behind or cut off from its sources. */
 @Timeout(120)
--- a/relay/src/test/java/topazvalve/relay/RelayFixture.java
+++ b/relay/src/test/java/topazvalve/relay/RelayFixture.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import topazvalve.core.endpoint.Endpoint;
 import topazvalve.discovery.client.EndpointUpdate;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.EndpointStatus;
 import topazvalve.relay.RelaySettings.SourceSettings;
 
 /**
--- a/relay/src/test/java/topazvalve/relay/RelaySourceTest.java
+++ b/relay/src/test/java/topazvalve/relay/RelaySourceTest.java
@@ -6,7 +6,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.EndpointStatus;
 
 /** Sources that restart, send truncated snapshots or are lost. */
 @Timeout(120)
--- a/relay/src/test/java/topazvalve/relay/SubscriberLimitsTest.java
+++ b/relay/src/test/java/topazvalve/relay/SubscriberLimitsTest.java
@@ -9,7 +9,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.EndpointStatus;
 
 /** Slow, stalled, invalid and too many subscribers. */
 @Timeout(120)
--- a/sidecar/src/main/java/topazvalve/sidecar/OperatorFile.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/OperatorFile.java
@@ -47,16 +47,16 @@
 
     private static List<InetSocketAddress> relays(Table table) {
         Set<InetSocketAddress> relays = new LinkedHashSet<>();
-        List<String> texts = table.texts("addresses", List.of());
+        List<String> texts = table.strings("addresses", List.of());
         if (texts.size() > MAX_RELAYS) {
-            table.wrong("addresses", texts.size() + " are more than " + MAX_RELAYS);
+            table.addProblem("addresses", texts.size() + " are more than " + MAX_RELAYS);
         }
         for (String text : texts) {
             InetSocketAddress address = Addresses.parse(text);
             if (address == null || address.getPort() == 0) {
-                table.wrong("addresses", "\"" + text + "\" is not a numeric address and port");
+                table.addProblem("addresses", "\"" + text + "\" is not a numeric address and port");
             } else if (!relays.add(address)) {
-                table.wrong("addresses", text + " is given twice");
+                table.addProblem("addresses", text + " is given twice");
             }
         }
         return List.copyOf(relays);
--- a/sidecar/src/main/java/topazvalve/sidecar/ShutdownSequence.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/ShutdownSequence.java
@@ -6,7 +6,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import topazvalve.core.lifecycle.Lifecycle;
-import topazvalve.policy.LoadBalancer.RequestClass;
+import topazvalve.policy.RequestClass;
 import topazvalve.sidecar.config.Config;
 import topazvalve.sidecar.listen.ClientListener;
 
--- a/sidecar/src/main/java/topazvalve/sidecar/WarmUp.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/WarmUp.java
@@ -15,16 +15,17 @@
 import topazvalve.core.stream.ByteBudget;
 import topazvalve.core.stream.RequestBody;
 import topazvalve.core.time.EventLoopScheduler;
+import topazvalve.policy.Actions;
+import topazvalve.policy.EndpointInfo;
+import topazvalve.policy.EndpointStatus;
+import topazvalve.policy.Idempotency;
 import topazvalve.policy.LoadBalancer;
-import topazvalve.policy.LoadBalancer.EndpointInfo;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
-import topazvalve.policy.LoadBalancer.Idempotency;
-import topazvalve.policy.LoadBalancer.Outcome;
-import topazvalve.policy.LoadBalancer.Request;
-import topazvalve.policy.LoadBalancer.RequestClass;
-import topazvalve.policy.LoadBalancer.Settings;
-import topazvalve.policy.LoadBalancer.UpdateKind;
+import topazvalve.policy.Outcome;
+import topazvalve.policy.Request;
+import topazvalve.policy.RequestClass;
+import topazvalve.policy.Settings;
 import topazvalve.policy.SidecarPolicy;
+import topazvalve.policy.UpdateKind;
 import topazvalve.sidecar.config.Config;
 import topazvalve.sidecar.http.UpstreamRequest;
 import topazvalve.sidecar.http.UpstreamResponse;
@@ -167,7 +168,7 @@
     }
 
     /** Carries out nothing that the policy decides. */
-    private static final class IgnoredActions implements LoadBalancer.Actions {
+    private static final class IgnoredActions implements Actions {
         @Override
         public void forward(long request, long upstream, long timeout) {}
 
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/RequestReader.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/RequestReader.java
@@ -11,7 +11,7 @@
 import topazvalve.core.classes.ClassTable;
 import topazvalve.core.exchange.ExchangeRequest;
 import topazvalve.core.stream.RequestBody;
-import topazvalve.policy.LoadBalancer.Idempotency;
+import topazvalve.policy.Idempotency;
 import topazvalve.sidecar.http.Headers;
 import topazvalve.sidecar.http.UpstreamRequest;
 
--- a/sidecar/src/main/java/topazvalve/sidecar/upstream/HttpConnectionHandler.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/upstream/HttpConnectionHandler.java
@@ -21,7 +21,7 @@
 import topazvalve.core.pool.ConnectionHandler;
 import topazvalve.core.pool.PooledConnection;
 import topazvalve.core.stream.FlowControl;
-import topazvalve.policy.LoadBalancer.Outcome;
+import topazvalve.policy.Outcome;
 import topazvalve.sidecar.http.UpstreamRequest;
 import topazvalve.sidecar.http.UpstreamResponse;
 
--- a/sidecar/src/main/java/topazvalve/sidecar/upstream/HttpHeads.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/upstream/HttpHeads.java
@@ -8,7 +8,7 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
 import topazvalve.core.pool.Attempt;
-import topazvalve.policy.LoadBalancer.Outcome;
+import topazvalve.policy.Outcome;
 import topazvalve.sidecar.http.Headers;
 import topazvalve.sidecar.http.UpstreamRequest;
 import topazvalve.sidecar.http.UpstreamResponse;
--- a/sidecar/src/test/java/topazvalve/sidecar/ConfigTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/ConfigTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import topazvalve.core.net.Addresses;
-import topazvalve.policy.LoadBalancer.Idempotency;
-import topazvalve.policy.LoadBalancer.Settings;
+import topazvalve.policy.Idempotency;
+import topazvalve.policy.Settings;
 import topazvalve.sidecar.config.Config;
 import topazvalve.sidecar.config.InvalidConfigException;
 
--- a/sidecar/src/test/java/topazvalve/sidecar/ConnectionRaceTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/ConnectionRaceTest.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.EndpointStatus;
 import topazvalve.sidecar.SidecarFixture.ClientResponse;
 
 /** Requests that race with a change of the sidecar's or a server's state; docs/design/crossings.md lists the cases. */
--- a/sidecar/src/test/java/topazvalve/sidecar/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/DiscoveryClientTest.java
@@ -20,8 +20,8 @@
 import topazvalve.discovery.client.DiscoveryClient;
 import topazvalve.discovery.client.EndpointUpdate;
 import topazvalve.discovery.client.PushedDiscovery;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
-import topazvalve.policy.LoadBalancer.UpdateKind;
+import topazvalve.policy.EndpointStatus;
+import topazvalve.policy.UpdateKind;
 
 /** {@link DiscoveryClient} against a stub of discovery that responds correctly, wrongly, late or not at all. */
 class DiscoveryClientTest {
--- a/sidecar/src/test/java/topazvalve/sidecar/DiscoveryRelaysTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/DiscoveryRelaysTest.java
@@ -23,7 +23,7 @@
 import topazvalve.discovery.client.EndpointUpdate;
 import topazvalve.discovery.client.RelaySelector;
 import topazvalve.discovery.state.VersionVector;
-import topazvalve.policy.LoadBalancer.UpdateKind;
+import topazvalve.policy.UpdateKind;
 import topazvalve.toml.InvalidFileException;
 
 /** {@link DiscoveryClient} with relays: failover, the versions that it sends and checks, and the operators' file. */
--- a/sidecar/src/test/java/topazvalve/sidecar/HttpConnectionTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/HttpConnectionTest.java
@@ -28,7 +28,7 @@
 import topazvalve.core.pool.ConnectionPools;
 import topazvalve.core.stream.RequestBody;
 import topazvalve.core.time.EventLoopScheduler;
-import topazvalve.policy.LoadBalancer.Outcome;
+import topazvalve.policy.Outcome;
 import topazvalve.policy.SettingsReader;
 import topazvalve.sidecar.http.UpstreamRequest;
 import topazvalve.sidecar.http.UpstreamResponse;
--- a/simulation/src/main/java/topazvalve/simulation/experiment/Result.java
+++ b/simulation/src/main/java/topazvalve/simulation/experiment/Result.java
@@ -102,7 +102,7 @@
     private static List<FaultInterval> faultIntervals(Run run) {
         List<FaultInterval> intervals = new ArrayList<>();
         for (Fault each : run.faults()) {
-            String kind = Table.word(each.kind());
+            String kind = Table.nameOf(each.kind());
             double from = each.start() / NANOS_PER_SECOND;
             double to = (each.start() + each.length()) / NANOS_PER_SECOND;
             intervals.add(new FaultInterval(kind, from, to));
--- a/simulation/src/main/java/topazvalve/simulation/model/EndpointDirectory.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/EndpointDirectory.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.EndpointStatus;
 import topazvalve.simulation.scenario.Scenario.DiscoverySettings;
 
 /**
--- a/simulation/src/main/java/topazvalve/simulation/model/FaultPlayer.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/FaultPlayer.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.EndpointStatus;
 import topazvalve.simulation.model.OrderServer.Mode;
 import topazvalve.simulation.scenario.Fault;
 import topazvalve.simulation.scenario.Scenario;
@@ -95,7 +95,7 @@
     }
 
     private static String describe(Fault fault) {
-        String kind = Table.word(fault.kind());
+        String kind = Table.nameOf(fault.kind());
         return kind + " (" + Math.round(fault.share() * 100) + "% for " + fault.length() / NANOS_PER_SECOND + " s)";
     }
 
--- a/simulation/src/main/java/topazvalve/simulation/policy/Policy.java
+++ b/simulation/src/main/java/topazvalve/simulation/policy/Policy.java
@@ -2,7 +2,9 @@
 
 import java.util.List;
 import java.util.SplittableRandom;
+import topazvalve.policy.Actions;
 import topazvalve.policy.LoadBalancer;
+import topazvalve.policy.Settings;
 import topazvalve.policy.SidecarPolicy;
 
 /** The load-balancing policies that a simulation can use: the sidecar's own, and textbook policies to compare with. */
@@ -10,14 +12,14 @@
     /** The sidecar's own policy. */
     MODULE {
         @Override
-        public LoadBalancer create(LoadBalancer.Settings settings, long seed, LoadBalancer.Actions actions) {
+        public LoadBalancer create(Settings settings, long seed, Actions actions) {
             return new SidecarPolicy(settings, seed, actions);
         }
     },
     /** A ready server at random, each with the same probability. */
     RANDOM {
         @Override
-        public LoadBalancer create(LoadBalancer.Settings settings, long seed, LoadBalancer.Actions actions) {
+        public LoadBalancer create(Settings settings, long seed, Actions actions) {
             SplittableRandom random = new SplittableRandom(seed);
             return new TextbookLoadBalancer(settings, actions, (ready, turn) -> random.nextInt(ready.size()));
         }
@@ -25,7 +27,7 @@
     /** The ready servers in turn, from a random one on. */
     ROUND_ROBIN {
         @Override
-        public LoadBalancer create(LoadBalancer.Settings settings, long seed, LoadBalancer.Actions actions) {
+        public LoadBalancer create(Settings settings, long seed, Actions actions) {
             long first = new SplittableRandom(seed).nextInt(FIRST_TURN_BOUND);
             return new TextbookLoadBalancer(settings, actions, (ready, turn) -> (int) ((first + turn) % ready.size()));
         }
@@ -33,7 +35,7 @@
     /** The ready server with the fewest requests of this instance in flight; ties are broken at random. */
     LEAST_IN_FLIGHT {
         @Override
-        public LoadBalancer create(LoadBalancer.Settings settings, long seed, LoadBalancer.Actions actions) {
+        public LoadBalancer create(Settings settings, long seed, Actions actions) {
             SplittableRandom random = new SplittableRandom(seed);
             return new TextbookLoadBalancer(
                     settings, actions, (ready, turn) -> leastInFlight(ready, random.nextInt(ready.size())));
@@ -42,7 +44,7 @@
     /** Of two random ready servers, the one with fewer requests of this instance in flight. */
     TWO_CHOICES {
         @Override
-        public LoadBalancer create(LoadBalancer.Settings settings, long seed, LoadBalancer.Actions actions) {
+        public LoadBalancer create(Settings settings, long seed, Actions actions) {
             SplittableRandom random = new SplittableRandom(seed);
             return new TextbookLoadBalancer(settings, actions, (ready, turn) -> {
                 int first = random.nextInt(ready.size());
@@ -72,5 +74,5 @@
      *
      * @param actions carries out what the load balancer decides
      */
-    public abstract LoadBalancer create(LoadBalancer.Settings settings, long seed, LoadBalancer.Actions actions);
+    public abstract LoadBalancer create(Settings settings, long seed, Actions actions);
 }
--- a/simulation/src/main/java/topazvalve/simulation/policy/TextbookLoadBalancer.java
+++ b/simulation/src/main/java/topazvalve/simulation/policy/TextbookLoadBalancer.java
@@ -6,7 +6,17 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Objects;
+import topazvalve.policy.Actions;
+import topazvalve.policy.DiscoveryMode;
+import topazvalve.policy.EndpointInfo;
+import topazvalve.policy.EndpointStatus;
+import topazvalve.policy.Idempotency;
 import topazvalve.policy.LoadBalancer;
+import topazvalve.policy.Outcome;
+import topazvalve.policy.Request;
+import topazvalve.policy.RequestClass;
+import topazvalve.policy.Settings;
+import topazvalve.policy.UpdateKind;
 
 /**
  * What the textbook policies share: they watch the endpoint list, forward each request at once, and retry on a newly
--- a/simulation/src/main/java/topazvalve/simulation/real/DiscoveryStandIn.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/DiscoveryStandIn.java
@@ -31,7 +31,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.EndpointStatus;
 import topazvalve.simulation.model.EndpointDirectory;
 import topazvalve.simulation.model.EndpointDirectory.Entry;
 import topazvalve.simulation.scenario.Scenario.DiscoverySettings;
--- a/simulation/src/main/java/topazvalve/simulation/real/RealWorld.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/RealWorld.java
@@ -21,7 +21,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
 import java.util.zip.CRC32C;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.EndpointStatus;
 import topazvalve.simulation.model.Clock;
 import topazvalve.simulation.model.EndpointDirectory.Entry;
 import topazvalve.simulation.model.FaultPlayer;
--- a/simulation/src/main/java/topazvalve/simulation/scenario/ExperimentFile.java
+++ b/simulation/src/main/java/topazvalve/simulation/scenario/ExperimentFile.java
@@ -42,7 +42,7 @@
         List<Path> scenarios = scenarios(file, table);
         long[] seeds = parseSeeds(table.text("seeds", "1..5"));
         if (seeds == null) {
-            table.wrong("seeds", "is not a range of seeds such as \"1..20\"");
+            table.addProblem("seeds", "is not a range of seeds such as \"1..20\"");
             seeds = new long[] {1, 1};
         }
         List<ArmSpec> arms = arms(table);
@@ -51,10 +51,10 @@
 
     private static List<Path> scenarios(Path file, Table table) {
         List<Path> scenarios = new ArrayList<>();
-        for (String each : table.texts("scenarios", null)) {
+        for (String each : table.strings("scenarios", null)) {
             Path path = file.toAbsolutePath().resolveSibling(each);
             if (!Files.isRegularFile(path)) {
-                table.wrong("scenarios", "no such file: " + each);
+                table.addProblem("scenarios", "no such file: " + each);
             }
             scenarios.add(path);
         }
@@ -66,14 +66,14 @@
         Set<String> names = new HashSet<>();
         for (Table arm : table.tables("arm", 1)) {
             Policy policy = arm.choice(Policy.class, "policy", null);
-            String name = arm.text("name", Table.word(policy));
+            String name = arm.text("name", Table.nameOf(policy));
             if (!names.add(name)) {
-                arm.wrong("name", "\"" + name + "\" is given twice");
+                arm.addProblem("name", "\"" + name + "\" is given twice");
             }
             arms.add(new ArmSpec(
                     name,
                     policy,
-                    arm.whole("attempts", 0, 0, 4),
+                    arm.integer("attempts", 0, 0, 4),
                     arm.flag("cancel", true),
                     arm.flag("probes", true),
                     arm.flag("retry_after", true)));
--- a/simulation/src/main/java/topazvalve/simulation/scenario/Fault.java
+++ b/simulation/src/main/java/topazvalve/simulation/scenario/Fault.java
@@ -73,7 +73,7 @@
         }
         long extraDelay = kind == Kind.DELAY ? table.duration("by", null, "1us", "1m") : 0;
         if (start >= runLength) {
-            table.wrong("start", "is not before the end of the run");
+            table.addProblem("start", "is not before the end of the run");
         }
         return new Fault(kind, start, length, share, size, extraDelay);
     }
--- a/simulation/src/main/java/topazvalve/simulation/scenario/MachineKind.java
+++ b/simulation/src/main/java/topazvalve/simulation/scenario/MachineKind.java
@@ -77,7 +77,7 @@
         MachineKind kind = new MachineKind(
                 table.text("name", null),
                 table.number("share", 1.0, 0.001, 1000),
-                table.whole("cores", null, 1, 1024),
+                table.integer("cores", null, 1, 1024),
                 table.range("speed", new Range(1, 1), 0.01, 1000),
                 table.number("slots_per_core", 4.0, 0.1, 10_000),
                 table.number("queue_per_core", 30.0, 0, 100_000),
@@ -94,14 +94,14 @@
                 table.number("crowded_slower", 2.0, 1, 100),
                 table.duration("crowded_after", "2s", "0", "1m"),
                 table.duration("crowded_rest", "3s", "0", "10m"),
-                table.whole("connections", 1500, 1, 1_000_000),
+                table.integer("connections", 1500, 1, 1_000_000),
                 table.duration("connection_cost", "0", "0", "1s"),
                 table.duration("idle_close", "5s", "10ms", "10m"),
-                table.whole("known_keys_per_core", 0, 0, 1_000_000),
+                table.integer("known_keys_per_core", 0, 0, 1_000_000),
                 table.number("key_gain", 0.0, 0, 0.99),
                 table.duration("key_time", "5s", "0", "10m"));
         if (table.has("pause") != table.has("pause_every")) {
-            table.wrong(table.has("pause") ? "pause" : "pause_every", "pause and pause_every go together");
+            table.addProblem(table.has("pause") ? "pause" : "pause_every", "pause and pause_every go together");
         }
         return kind;
     }
--- a/simulation/src/main/java/topazvalve/simulation/scenario/ScenarioFile.java
+++ b/simulation/src/main/java/topazvalve/simulation/scenario/ScenarioFile.java
@@ -52,7 +52,7 @@
         long length = table.duration("length", null, "1s", "24m");
         long settle = table.duration("settle", "0", "0", "10m");
         if (settle >= length) {
-            table.wrong("settle", "is not shorter than the run");
+            table.addProblem("settle", "is not shorter than the run");
         }
         Fleet fleet = fleet(table.table("fleet"));
         Load load = load(table.table("load"));
@@ -79,17 +79,17 @@
         Set<String> seen = new HashSet<>();
         for (int i = 0; i < names.size(); i++) {
             if (!seen.add(names.get(i))) {
-                table.wrong(key + "." + i + ".name", "\"" + names.get(i) + "\" is given twice");
+                table.addProblem(key + "." + i + ".name", "\"" + names.get(i) + "\" is given twice");
             }
         }
     }
 
     private static Fleet fleet(Table table) {
         return new Fleet(
-                table.whole("servers", null, 1, 5_000),
-                table.whole("instances", null, 1, 20_000),
-                table.texts("zones", List.of("a")),
-                table.whole("pod_size", 8, 1, 5_000),
+                table.integer("servers", null, 1, 5_000),
+                table.integer("instances", null, 1, 20_000),
+                table.strings("zones", List.of("a")),
+                table.integer("pod_size", 8, 1, 5_000),
                 table.number("limited_pods", 0.0, 0, 1),
                 table.range("pod_limit", new Range(1, 1), 0.05, 1));
     }
@@ -97,7 +97,7 @@
     private static Load load(Table table) {
         boolean hasRate = table.has("rate");
         if (hasRate == table.has("utilisation")) {
-            table.wrong(hasRate ? "utilisation" : "rate", "one of rate and utilisation has to be given");
+            table.addProblem(hasRate ? "utilisation" : "rate", "one of rate and utilisation has to be given");
         }
         return new Load(
                 hasRate ? table.number("rate", null, 0.001, 1e6) : 0,
@@ -106,7 +106,7 @@
                 table.number("swing", 0.0, 0, 1),
                 table.duration("period", "10s", "10ms", "10m"),
                 table.number("instance_spread", 0.0, 0, 5),
-                table.whole("keys", 1000, 1, 100_000_000),
+                table.integer("keys", 1000, 1, 100_000_000),
                 table.number("zipf", 0.8, 0, 5));
     }
 
@@ -140,7 +140,7 @@
                 table.duration("answer_slack", "20ms", "0", "10s"),
                 table.number("overload_factor", 4.0, 1, 1000),
                 table.duration("tip_after", "3s", "10ms", "1m"),
-                table.whole("attempts", 4, 1, 4),
+                table.integer("attempts", 4, 1, 4),
                 table.duration("connect_timeout", "200ms", "1ms", "1m"),
                 table.duration("ask_within", "10s", "0", "10m"),
                 coldestFraction,
@@ -160,16 +160,16 @@
 
     private static Chaos chaos(Table table) {
         List<Fault.Kind> kinds = new ArrayList<>();
-        for (String word : table.texts("kinds", List.of("slow"))) {
+        for (String word : table.strings("kinds", List.of("slow"))) {
             Fault.Kind found = faultKind(word);
             if (found == null) {
-                table.wrong("kinds", "\"" + word + "\" is no kind of fault");
+                table.addProblem("kinds", "\"" + word + "\" is no kind of fault");
             } else {
                 kinds.add(found);
             }
         }
         return new Chaos(
-                table.whole("count", 0, 0, 1000),
+                table.integer("count", 0, 0, 1000),
                 kinds,
                 table.range("length_s", new Range(2, 10), 0, 600),
                 table.range("share", new Range(0.1, 0.3), 0, 1),
@@ -179,7 +179,7 @@
     /** Returns the kind of fault that a word of the file means, or null. */
     private static Fault.Kind faultKind(String word) {
         for (Fault.Kind each : Fault.Kind.values()) {
-            if (Table.word(each).equals(word)) {
+            if (Table.nameOf(each).equals(word)) {
                 return each;
             }
         }
--- a/simulation/src/main/java/topazvalve/simulation/scenario/WorkClass.java
+++ b/simulation/src/main/java/topazvalve/simulation/scenario/WorkClass.java
@@ -64,13 +64,13 @@
                 table.choice(Scope.class, "scope", Scope.ALL),
                 table.duration("window", "0", "0", "10m"));
         if (read.deadline < read.latencyObjective) {
-            table.wrong("deadline", "is shorter than the aim");
+            table.addProblem("deadline", "is shorter than the aim");
         }
         if (read.repeatability == Repeatability.KEYED && read.repeatWindow == 0) {
-            table.wrong("window", "missing; for how long the servers drop a repeat of a keyed request");
+            table.addProblem("window", "missing; for how long the servers drop a repeat of a keyed request");
         }
         if (read.repeatability != Repeatability.KEYED && (table.has("scope") || table.has("window"))) {
-            table.wrong(table.has("scope") ? "scope" : "window", "only a keyed class has it");
+            table.addProblem(table.has("scope") ? "scope" : "window", "only a keyed class has it");
         }
         return read;
     }
--- a/simulation/src/main/java/topazvalve/simulation/virtual/ExperimentArm.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/ExperimentArm.java
@@ -1,7 +1,15 @@
 package topazvalve.simulation.virtual;
 
 import java.util.List;
-import topazvalve.policy.LoadBalancer;
+import topazvalve.policy.Capabilities;
+import topazvalve.policy.Costs;
+import topazvalve.policy.DiscoveryMode;
+import topazvalve.policy.Idempotency;
+import topazvalve.policy.KeyScope;
+import topazvalve.policy.Limits;
+import topazvalve.policy.RequestClass;
+import topazvalve.policy.Settings;
+import topazvalve.policy.WeightKind;
 import topazvalve.simulation.policy.Policy;
 import topazvalve.simulation.scenario.Scenario;
 import topazvalve.simulation.scenario.WorkClass;
@@ -20,7 +28,7 @@
 
     /** Returns the arm of a policy with the scenario's own settings, where everything is allowed. */
     public static ExperimentArm of(Policy policy) {
-        return new ExperimentArm(Table.word(policy), policy, 0, true, true, true);
+        return new ExperimentArm(Table.nameOf(policy), policy, 0, true, true, true);
     }
 
     /** Returns the largest number of attempts of a request. */
@@ -30,20 +38,18 @@
     }
 
     /** Returns the settings of an instance of this arm. */
-    LoadBalancer.Settings settings(Scenario scenario, int rank, int zone) {
+    Settings settings(Scenario scenario, int rank, int zone) {
         Scenario.Limits limits = scenario.limits();
-        return new LoadBalancer.Settings(
+        return new Settings(
                 rank,
                 scenario.fleet().instances(),
                 zone,
                 0,
-                scenario.news().subscribe()
-                        ? LoadBalancer.DiscoveryMode.SUBSCRIBE
-                        : LoadBalancer.DiscoveryMode.AUTOMATIC,
-                LoadBalancer.WeightKind.SILENT,
+                scenario.news().subscribe() ? DiscoveryMode.SUBSCRIBE : DiscoveryMode.AUTOMATIC,
+                WeightKind.SILENT,
                 scenario.classes().stream().map(ExperimentArm::requestClass).toList(),
                 List.of(),
-                new LoadBalancer.Capabilities(
+                new Capabilities(
                         cancel,
                         probes,
                         false,
@@ -52,7 +58,7 @@
                         attempts(scenario),
                         scenario.clients().maxRetryAfter(),
                         limits.connectTimeout()),
-                new LoadBalancer.Limits(
+                new Limits(
                         limits.responseSlack(),
                         limits.resubscribeWithin(),
                         limits.drainGrace(),
@@ -61,23 +67,23 @@
                         limits.overloadFactor(),
                         limits.coldLoadWindow()),
                 List.of(),
-                new LoadBalancer.Costs(0.01, 0),
+                new Costs(0.01, 0),
                 false,
                 1);
     }
 
-    private static LoadBalancer.RequestClass requestClass(WorkClass kind) {
-        LoadBalancer.Idempotency semantics = switch (kind.repeatability()) {
-            case FREE -> LoadBalancer.Idempotency.IDEMPOTENT;
-            case KEYED -> LoadBalancer.Idempotency.IDEMPOTENCY_KEY;
-            case NEVER -> LoadBalancer.Idempotency.NON_IDEMPOTENT;
+    private static RequestClass requestClass(WorkClass kind) {
+        Idempotency semantics = switch (kind.repeatability()) {
+            case FREE -> Idempotency.IDEMPOTENT;
+            case KEYED -> Idempotency.IDEMPOTENCY_KEY;
+            case NEVER -> Idempotency.NON_IDEMPOTENT;
         };
-        LoadBalancer.KeyScope scope = switch (kind.scope()) {
-            case ALL -> LoadBalancer.KeyScope.ALL;
-            case ZONE -> LoadBalancer.KeyScope.ZONE;
-            case POD -> LoadBalancer.KeyScope.CELL;
+        KeyScope scope = switch (kind.scope()) {
+            case ALL -> KeyScope.ALL;
+            case ZONE -> KeyScope.ZONE;
+            case POD -> KeyScope.CELL;
         };
-        return new LoadBalancer.RequestClass(
+        return new RequestClass(
                 kind.latencyObjective(),
                 0,
                 kind.deadline(),
--- a/simulation/src/main/java/topazvalve/simulation/virtual/ServerTable.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/ServerTable.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 import java.util.List;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.EndpointStatus;
 import topazvalve.simulation.model.EndpointDirectory.Entry;
 import topazvalve.simulation.model.OrderServer;
 
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualAttempt.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualAttempt.java
@@ -1,6 +1,6 @@
 package topazvalve.simulation.virtual;
 
-import topazvalve.policy.LoadBalancer.Outcome;
+import topazvalve.policy.Outcome;
 import topazvalve.simulation.model.ServerAttempt;
 
 /** One attempt of an instance, from its sending to its outcome. */
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualHealthCheck.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualHealthCheck.java
@@ -1,6 +1,6 @@
 package topazvalve.simulation.virtual;
 
-import topazvalve.policy.LoadBalancer.Outcome;
+import topazvalve.policy.Outcome;
 import topazvalve.simulation.model.OrderServer.Mode;
 import topazvalve.simulation.model.ServerAttempt;
 
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualInstance.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualInstance.java
@@ -4,11 +4,12 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import topazvalve.policy.Actions;
+import topazvalve.policy.EndpointInfo;
 import topazvalve.policy.LoadBalancer;
-import topazvalve.policy.LoadBalancer.EndpointInfo;
-import topazvalve.policy.LoadBalancer.Outcome;
-import topazvalve.policy.LoadBalancer.Request;
-import topazvalve.policy.LoadBalancer.UpdateKind;
+import topazvalve.policy.Outcome;
+import topazvalve.policy.Request;
+import topazvalve.policy.UpdateKind;
 import topazvalve.simulation.model.EndpointDirectory.Entry;
 import topazvalve.simulation.oracle.Oracle.Answer;
 
@@ -16,7 +17,7 @@
  * One sidecar in virtual time. It hosts a {@link LoadBalancer} as the real sidecar's core does, and carries out its
  * actions over links that take time. Each attempt has one outcome, each request one response.
  */
-class VirtualInstance implements LoadBalancer.Actions {
+class VirtualInstance implements Actions {
     static final float[] NO_LOAD_REPORT = {};
 
     final VirtualWorld world;
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualWorld.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualWorld.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.function.IntFunction;
 import java.util.zip.CRC32C;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.EndpointStatus;
 import topazvalve.simulation.model.Clock;
 import topazvalve.simulation.model.ColdServerMonitor;
 import topazvalve.simulation.model.FaultPlayer;
--- a/simulation/src/test/java/topazvalve/simulation/virtual/FaultySidecar.java
+++ b/simulation/src/test/java/topazvalve/simulation/virtual/FaultySidecar.java
@@ -1,9 +1,9 @@
 package topazvalve.simulation.virtual;
 
 import java.util.List;
-import topazvalve.policy.LoadBalancer.EndpointInfo;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
-import topazvalve.policy.LoadBalancer.UpdateKind;
+import topazvalve.policy.EndpointInfo;
+import topazvalve.policy.EndpointStatus;
+import topazvalve.policy.UpdateKind;
 import topazvalve.simulation.model.EndpointDirectory.Entry;
 import topazvalve.simulation.oracle.Oracle.Answer;
 import topazvalve.simulation.oracle.Rule;
--- a/simulator-adapter/src/main/java/topazvalve/simulator/InstanceHost.java
+++ b/simulator-adapter/src/main/java/topazvalve/simulator/InstanceHost.java
@@ -4,13 +4,14 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import topazvalve.policy.EndpointInfo;
+import topazvalve.policy.EndpointStatus;
 import topazvalve.policy.LoadBalancer;
-import topazvalve.policy.LoadBalancer.EndpointInfo;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
-import topazvalve.policy.LoadBalancer.Outcome;
-import topazvalve.policy.LoadBalancer.Request;
-import topazvalve.policy.LoadBalancer.UpdateKind;
+import topazvalve.policy.Outcome;
+import topazvalve.policy.Request;
+import topazvalve.policy.Settings;
 import topazvalve.policy.SettingsReader;
+import topazvalve.policy.UpdateKind;
 
 /**
  * Passes the events of a batch to the load balancer instances that they name. It decides nothing, and the
@@ -93,7 +94,7 @@
         int instanceId = in.readUnsignedShort();
         long seed = in.readLong();
         String settingsText = in.readText(in.readUnsignedInt());
-        LoadBalancer.Settings settings = new SettingsReader(settingsText).settings();
+        Settings settings = new SettingsReader(settingsText).settings();
         LoadBalancer instance = factory.make(settings, seed, reply.actionsOf(instanceId));
         instances.put(instanceId, instance);
         instance.start(now);
--- a/simulator-adapter/src/main/java/topazvalve/simulator/ReplyFrame.java
+++ b/simulator-adapter/src/main/java/topazvalve/simulator/ReplyFrame.java
@@ -6,7 +6,7 @@
 import java.nio.ByteOrder;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
-import topazvalve.policy.LoadBalancer.Actions;
+import topazvalve.policy.Actions;
 
 /**
  * Collects the actions of one batch as a reply frame, which is written completely or not at all. Numbers are
--- a/simulator-adapter/src/test/java/topazvalve/simulator/ProtocolTest.java
+++ b/simulator-adapter/src/test/java/topazvalve/simulator/ProtocolTest.java
@@ -13,9 +13,9 @@
 import java.util.Arrays;
 import java.util.HexFormat;
 import org.junit.jupiter.api.Test;
-import topazvalve.policy.LoadBalancer.Actions;
-import topazvalve.policy.LoadBalancer.Idempotency;
-import topazvalve.policy.LoadBalancer.Settings;
+import topazvalve.policy.Actions;
+import topazvalve.policy.Idempotency;
+import topazvalve.policy.Settings;
 import topazvalve.policy.SettingsReader;
 import topazvalve.policy.SidecarPolicy;
 
--- a/tcp/src/main/java/topazvalve/tcp/TcpConnectionHandler.java
+++ b/tcp/src/main/java/topazvalve/tcp/TcpConnectionHandler.java
@@ -15,7 +15,7 @@
 import topazvalve.core.pool.ConnectionHandler;
 import topazvalve.core.pool.PooledConnection;
 import topazvalve.core.stream.FlowControl;
-import topazvalve.policy.LoadBalancer.Outcome;
+import topazvalve.policy.Outcome;
 import topazvalve.tcp.StreamCounters.EndReason;
 
 /**
--- a/tcp/src/main/java/topazvalve/tcp/TcpFile.java
+++ b/tcp/src/main/java/topazvalve/tcp/TcpFile.java
@@ -58,10 +58,10 @@
         for (Table table : root.tables("listener", 0)) {
             TcpSettings listener = listener(table);
             if (!names.add(listener.name())) {
-                table.wrong("name", "\"" + listener.name() + "\" is given twice");
+                table.addProblem("name", "\"" + listener.name() + "\" is given twice");
             }
             if (listener.listen().getPort() != 0 && !addresses.add(listener.listen())) {
-                table.wrong("listen", "two listeners at one address");
+                table.addProblem("listen", "two listeners at one address");
             }
             listeners.add(listener);
         }
@@ -79,7 +79,7 @@
         long connectTimeoutNanos = table.duration("connect_timeout", "1s", "1ms", "1m");
         long connectDeadlineNanos = table.duration("connect_deadline", "3s", "1ms", "5m");
         if (connectDeadlineNanos < connectTimeoutNanos) {
-            table.wrong("connect_deadline", "is shorter than connect_timeout: no attempt could use its time");
+            table.addProblem("connect_deadline", "is shorter than connect_timeout: no attempt could use its time");
         }
         return new TcpSettings(
                 name,
@@ -88,42 +88,42 @@
                 draining,
                 connectTimeoutNanos,
                 connectDeadlineNanos,
-                table.whole("attempts", 3, 1, MAX_ATTEMPTS),
+                table.integer("attempts", 3, 1, MAX_ATTEMPTS),
                 table.duration("idle", "10m", "0", "1440m"),
                 table.duration("total", "0", "0", "1440m"),
                 table.duration("grace", "30s", "0", "60m"),
-                table.whole("most_streams", 10_000, 1, MAX_STREAMS),
-                table.whole("most_per_client", 1_000, 1, MAX_STREAMS),
-                table.whole("buffer", DEFAULT_BUFFER_BYTES, MIN_BUFFER_BYTES, MAX_BUFFER_BYTES),
+                table.integer("most_streams", 10_000, 1, MAX_STREAMS),
+                table.integer("most_per_client", 1_000, 1, MAX_STREAMS),
+                table.integer("buffer", DEFAULT_BUFFER_BYTES, MIN_BUFFER_BYTES, MAX_BUFFER_BYTES),
                 table.flag("keep_alive", true),
                 table.choice(TcpSettings.RejectionMode.class, "refusal", TcpSettings.RejectionMode.RESET),
                 table.flag("proxy_in", false),
-                table.whole("proxy_out", 0, 0, 2));
+                table.integer("proxy_out", 0, 0, 2));
     }
 
     private static String name(Table table) {
         String name = table.text("name", null);
         if (!NAME.matcher(name).matches()) {
-            table.wrong("name", "\"" + name + "\" is not 1 to 32 small letters, digits, - and _");
+            table.addProblem("name", "\"" + name + "\" is not 1 to 32 small letters, digits, - and _");
         }
         return name;
     }
 
     private static void checkServers(Table table, List<InetSocketAddress> servers, List<InetSocketAddress> draining) {
         if (servers.isEmpty()) {
-            table.wrong("servers", "is empty; at least one address and port");
+            table.addProblem("servers", "is empty; at least one address and port");
         }
         if (!servers.containsAll(draining)) {
-            table.wrong("draining", "names what is not among the servers");
+            table.addProblem("draining", "names what is not among the servers");
         }
     }
 
     private static List<InetSocketAddress> addresses(Table table, String key, List<String> defaults) {
         List<InetSocketAddress> addresses = new ArrayList<>();
-        for (String text : table.texts(key, defaults)) {
+        for (String text : table.strings(key, defaults)) {
             InetSocketAddress address = address(table, key, text);
             if (addresses.contains(address)) {
-                table.wrong(key, text + " is given twice");
+                table.addProblem(key, text + " is given twice");
             }
             addresses.add(address);
         }
@@ -134,7 +134,7 @@
     private static InetSocketAddress address(Table table, String key, String text) {
         InetSocketAddress address = Addresses.parse(text);
         if (address == null) {
-            table.wrong(key, "\"" + text + "\" is not a numeric address and port");
+            table.addProblem(key, "\"" + text + "\" is not a numeric address and port");
             return new InetSocketAddress(0);
         }
         return address;
--- a/tcp/src/main/java/topazvalve/tcp/TcpProxy.java
+++ b/tcp/src/main/java/topazvalve/tcp/TcpProxy.java
@@ -14,7 +14,7 @@
 import topazvalve.core.stream.ByteBudget;
 import topazvalve.core.time.EventLoopScheduler;
 import topazvalve.core.time.Scheduler;
-import topazvalve.policy.LoadBalancer.EndpointStatus;
+import topazvalve.policy.EndpointStatus;
 import topazvalve.policy.SettingsReader;
 import topazvalve.policy.SidecarPolicy;
 
--- a/toml/src/main/java/topazvalve/toml/Table.java
+++ b/toml/src/main/java/topazvalve/toml/Table.java
@@ -55,7 +55,7 @@
     }
 
     /** Notes a problem with a key of this table, or with the table itself if {@code key} is empty. */
-    public void wrong(String key, String what) {
+    public void addProblem(String key, String what) {
         String fullPath = key.isEmpty() ? path : pathOf(key);
         problems.add(new Problem(file, lines.lineOf(fullPath), fullPath, what));
     }
@@ -71,7 +71,7 @@
         requestedKeys.add(key);
         JsonNode value = node.get(key);
         if (value == null && required) {
-            wrong(key, "missing; " + expected);
+            addProblem(key, "missing; " + expected);
         }
         return value;
     }
@@ -91,7 +91,7 @@
         }
         long nanos = value.isTextual() ? parseDuration(value.asText()) : INVALID_DURATION;
         if (nanos < parseDuration(min) || nanos > parseDuration(max)) {
-            wrong(key, value + " is not " + expected);
+            addProblem(key, value + " is not " + expected);
             return parseDuration(min);
         }
         return nanos;
@@ -118,7 +118,7 @@
             return defaultValue == null ? min : defaultValue;
         }
         if (!value.isNumber() || !(value.asDouble() >= min && value.asDouble() <= max)) {
-            wrong(key, value + " is not " + expected);
+            addProblem(key, value + " is not " + expected);
             return min;
         }
         return value.asDouble();
@@ -135,7 +135,7 @@
         JsonNode high = value.isArray() ? value.path(1) : value;
         boolean wrongSize = value.isArray() && value.size() != 2;
         if (wrongSize || !isRangeWithin(low, high, min, max)) {
-            wrong(key, value + " is not " + expected);
+            addProblem(key, value + " is not " + expected);
             return new Range(min, min);
         }
         return new Range(low.asDouble(), high.asDouble());
@@ -150,14 +150,14 @@
     }
 
     /** Reads a whole number from {@code min} to {@code max}. */
-    public int whole(String key, Integer defaultValue, int min, int max) {
+    public int integer(String key, Integer defaultValue, int min, int max) {
         String expected = "a whole number from " + min + " to " + max;
         JsonNode value = value(key, defaultValue == null, expected);
         if (value == null) {
             return defaultValue == null ? min : defaultValue;
         }
         if (!value.isIntegralNumber() || value.asLong() < min || value.asLong() > max) {
-            wrong(key, value + " is not " + expected);
+            addProblem(key, value + " is not " + expected);
             return min;
         }
         return value.asInt();
@@ -174,16 +174,16 @@
             return defaultValue;
         }
         if (!value.isBoolean()) {
-            wrong(key, value + " is neither true nor false");
+            addProblem(key, value + " is neither true nor false");
             return defaultValue;
         }
         return value.asBoolean();
     }
 
-    /** Reads one of an enum's constants, written as {@link #word} writes it. */
+    /** Reads one of an enum's constants, written as {@link #nameOf} writes it. */
     public <E extends Enum<E>> E choice(Class<E> type, String key, E defaultValue) {
         E[] constants = type.getEnumConstants();
-        List<String> words = Arrays.stream(constants).map(Table::word).toList();
+        List<String> words = Arrays.stream(constants).map(Table::nameOf).toList();
         String expected = "one of " + String.join(", ", words);
         JsonNode value = value(key, defaultValue == null, expected);
         if (value == null) {
@@ -191,14 +191,14 @@
         }
         int index = value.isTextual() ? words.indexOf(value.asText()) : -1;
         if (index < 0) {
-            wrong(key, value + " is not " + expected);
+            addProblem(key, value + " is not " + expected);
             return constants[0];
         }
         return constants[index];
     }
 
     /** Returns how files write an enum's constant: in small letters, with dashes. */
-    public static String word(Enum<?> constant) {
+    public static String nameOf(Enum<?> constant) {
         return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
@@ -209,14 +209,14 @@
             return defaultValue == null ? "" : defaultValue;
         }
         if (!value.isTextual() || value.asText().isBlank()) {
-            wrong(key, value + " is not a text in quotes");
+            addProblem(key, value + " is not a text in quotes");
             return "";
         }
         return value.asText();
     }
 
     /** Reads a list of different texts, which may be empty only if {@code defaultValue} is. */
-    public List<String> texts(String key, List<String> defaultValue) {
+    public List<String> strings(String key, List<String> defaultValue) {
         JsonNode value = value(key, defaultValue == null, "a list of texts");
         if (value == null) {
             return defaultValue == null ? List.of() : defaultValue;
@@ -225,7 +225,7 @@
         value.forEach(element -> texts.add(element.isTextual() ? element.asText() : ""));
         boolean mayBeEmpty = defaultValue != null && defaultValue.isEmpty();
         if (!value.isArray() || (texts.isEmpty() && !mayBeEmpty) || !areDistinctAndNotEmpty(texts)) {
-            wrong(key, value + " is not a list of different texts in quotes");
+            addProblem(key, value + " is not a list of different texts in quotes");
             return defaultValue == null ? List.of("?") : defaultValue;
         }
         return texts;
@@ -239,7 +239,7 @@
     public Table table(String key) {
         JsonNode value = value(key, false, "");
         if (value != null && !value.isObject()) {
-            wrong(key, "is not a table [" + pathOf(key) + "]");
+            addProblem(key, "is not a table [" + pathOf(key) + "]");
             value = null;
         }
         JsonNode innerNode = value == null ? JsonNodeFactory.instance.objectNode() : value;
@@ -273,14 +273,14 @@
     }
 
     private void noteNoArrayOfTables(String key) {
-        wrong(key, "is not an array of tables [[" + pathOf(key) + "]]");
+        addProblem(key, "is not an array of tables [[" + pathOf(key) + "]]");
     }
 
     /** Notes every key that was never requested, here and in inner tables. */
     void finish() {
         node.fieldNames().forEachRemaining(key -> {
             if (!requestedKeys.contains(key)) {
-                wrong(key, "unknown key" + suggestion(key, requestedKeys));
+                addProblem(key, "unknown key" + suggestion(key, requestedKeys));
             }
         });
         innerTables.forEach(Table::finish);
