--- /dev/null
+++ b/toml/src/test/java/topazvalve/toml/TableProblems.java
@@ -0,0 +1,24 @@
+package topazvalve.toml;
+
+import static org.junit.jupiter.api.Assertions.assertThrows;
+
+import java.util.List;
+import java.util.function.Consumer;
+
+/** Reads files that have problems, for tests. */
+final class TableProblems {
+    private TableProblems() {}
+
+    /** Returns the problems of a file as {@code line key: what}; fails if it has none. */
+    static List<String> of(String text, Consumer<Table> reader) {
+        InvalidFileException invalid = assertThrows(
+                InvalidFileException.class,
+                () -> TomlFile.parse("test.toml", text, root -> {
+                    reader.accept(root);
+                    return root;
+                }));
+        return invalid.problems().stream()
+                .map(problem -> problem.line() + " " + problem.key() + ": " + problem.what())
+                .toList();
+    }
+}
--- /dev/null
+++ b/toml/src/test/java/topazvalve/toml/TomlFileTest.java
@@ -0,0 +1,59 @@
+package topazvalve.toml;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Acceptance of a file as a whole, and the form of its problems. */
+class TomlFileTest {
+    @Test
+    void aValidFileGivesWhatItsReaderReturns() {
+        assertEquals("a", TomlFile.parse("test.toml", "name = \"a\"", root -> root.text("name", null)));
+    }
+
+    @Test
+    void aSyntaxErrorIsTheOnlyProblemAndHasItsLine() {
+        InvalidFileException invalid = assertThrows(
+                InvalidFileException.class,
+                () -> TomlFile.parse("test.toml", "a = 1\nb = = 2\nc = 3\n", root -> root.text("missing", null)));
+        Problem problem = invalid.problems().get(0);
+        assertEquals(1, invalid.problems().size());
+        assertEquals(2, problem.line());
+        assertEquals("", problem.key());
+        assertTrue(problem.what().startsWith("not TOML: "), problem.what());
+        assertTrue(invalid.getMessage().startsWith("test.toml:2: not TOML: "), invalid.getMessage());
+    }
+
+    @Test
+    void aSyntaxErrorIsReportedInOneLine() {
+        InvalidFileException invalid = assertThrows(
+                InvalidFileException.class, () -> TomlFile.parse("test.toml", "a = [1,\n2", Table::toString));
+        assertEquals(1, invalid.getMessage().lines().count());
+    }
+
+    @Test
+    void aKeyThatIsGivenTwiceIsASyntaxError() {
+        InvalidFileException invalid = assertThrows(
+                InvalidFileException.class,
+                () -> TomlFile.parse("test.toml", "a = 1\n\na = 2\n", root -> root.integer("a", null, 1, 2)));
+        assertEquals(1, invalid.problems().size());
+        assertEquals("not TOML: Duplicate key", invalid.problems().get(0).what());
+    }
+
+    @Test
+    void theMessageHasOneLineForEachProblem() {
+        InvalidFileException invalid = assertThrows(
+                InvalidFileException.class,
+                () -> TomlFile.parse(
+                        "test.toml",
+                        "a = 0\nb = \"x\"\n",
+                        root -> List.of(root.integer("b", null, 1, 2), root.integer("a", null, 1, 2))));
+        assertEquals(
+                "test.toml:1: a: 0 is not a whole number from 1 to 2\n"
+                        + "test.toml:2: b: \"x\" is not a whole number from 1 to 2",
+                invalid.getMessage());
+    }
+}
