--- a/relay/src/test/java/topazvalve/relay/RelayFailoverTest.java
+++ b/relay/src/test/java/topazvalve/relay/RelayFailoverTest.java
@@ -22,8 +22,7 @@
     void aChangeLostWithItsRelayArrivesThroughTheNext() throws Exception {
         DiscoveryRelay first = startRelay();
         DiscoveryRelay second = startRelay();
-        Follower follower = startFollower(first, second);
-        follower.awaitStatus("a", EndpointStatus.READY);
+        Follower follower = startUpToDateFollower(first, second);
         // As if the first relay got the change and ended before it could send it: its connections are closed first.
         first.close().sync();
         source.change("a", "DRAINING");
@@ -68,8 +67,7 @@
         epochs.change("a", "SERVING");
         DiscoveryRelay ahead = startRelay(group.next(), settings(epochs));
         DiscoveryRelay behind = startRelay(group.next(), settings(epochs));
-        Follower follower = startFollower(ahead, behind);
-        follower.awaitStatus("a", EndpointStatus.READY);
+        Follower follower = startUpToDateFollower(ahead, behind);
         epochs.pauseWatch(1);
         epochs.change("a", "DRAINING");
         follower.awaitStatus("a", EndpointStatus.DRAINING);
@@ -88,8 +86,7 @@
     void withoutAHealthySourceRelaysRejectAndListsAreKept() throws Exception {
         DiscoveryRelay first = startRelay();
         DiscoveryRelay second = startRelay();
-        Follower follower = startFollower(first, second);
-        follower.awaitStatus("a", EndpointStatus.READY);
+        Follower follower = startUpToDateFollower(first, second);
         source.setSilent(true);
         awaitMetric(second, "refused.unheard", 1);
         // Requests for readiness and metrics are answered all the while.
@@ -107,8 +104,7 @@
     void subscribersOfARelayCutOffFromItsSourceFailOver() throws Exception {
         DiscoveryRelay cutOff = startRelay();
         DiscoveryRelay healthy = startRelay();
-        Follower follower = startFollower(cutOff, healthy);
-        follower.awaitStatus("a", EndpointStatus.READY);
+        Follower follower = startUpToDateFollower(cutOff, healthy);
         source.pauseWatch(0);
         long changedAtNanos = System.nanoTime();
         source.change("a", "DRAINING");
--- a/relay/src/test/java/topazvalve/relay/RelayFixture.java
+++ b/relay/src/test/java/topazvalve/relay/RelayFixture.java
@@ -101,6 +101,13 @@
         return closeAfterTest(new Follower(group.next(), relays));
     }
 
+    /** Starts a client that tries these relays in this order, and waits until it has the list. */
+    Follower startUpToDateFollower(DiscoveryRelay... relays) throws InterruptedException {
+        Follower follower = startFollower(relays);
+        follower.awaitStatus("a", EndpointStatus.READY);
+        return follower;
+    }
+
     /** What a sidecar was started with: one endpoint, at the source's first version. */
     static EndpointUpdate knownUpdate(String uid) {
         Endpoint endpoint =
