--- a/capacity/src/main/java/topazvalve/capacity/demand/DemandLabels.java
+++ b/capacity/src/main/java/topazvalve/capacity/demand/DemandLabels.java
@@ -1,4 +1,4 @@
-package topazvalve.capacity.need;
+package topazvalve.capacity.demand;
 
 /** Texts in the columns of the demand table. */
 final class DemandLabels {
@@ -10,16 +10,16 @@
 
     static final String ROLE_SOURCE = "source";
 
-    static final String WHEN_ORDINARY_DAY = "ordinary day";
-    static final String WHEN_TEN_TIMES_THE_CALLS = "ten times the calls";
+    static final String SITUATION_ORDINARY_DAY = "ordinary day";
+    static final String SITUATION_TEN_TIMES_THE_CALLS = "ten times the calls";
 
-    static final String WHAT_CPU = "CPU";
-    static final String WHAT_MEMORY = "memory";
-    static final String WHAT_BYTES = "bytes";
-    static final String WHAT_ADDED_DELAY = "delay added, p99";
-    static final String WHAT_CHANGE_TO_LAST = "a change, to the last";
-    static final String WHAT_UNTIL_LAST = "until the last has it";
-    static final String WHAT_CALLS = "calls";
+    static final String RESOURCE_CPU = "CPU";
+    static final String RESOURCE_MEMORY = "memory";
+    static final String RESOURCE_BYTES = "bytes";
+    static final String RESOURCE_ADDED_DELAY = "delay added, p99";
+    static final String RESOURCE_CHANGE_TO_LAST = "a change, to the last";
+    static final String RESOURCE_UNTIL_LAST = "until the last has it";
+    static final String RESOURCE_CALLS = "calls";
 
     static final String UNIT_CORE_PERCENT = "% of a core";
     static final String UNIT_MIB = "MiB";
--- a/capacity/src/main/java/topazvalve/capacity/demand/DemandModel.java
+++ b/capacity/src/main/java/topazvalve/capacity/demand/DemandModel.java
@@ -1,8 +1,8 @@
-package topazvalve.capacity.need;
+package topazvalve.capacity.demand;
 
 import java.util.ArrayList;
 import java.util.List;
-import topazvalve.capacity.need.ResourceDemand.Tier;
+import topazvalve.capacity.demand.ResourceDemand.Tier;
 import topazvalve.capacity.plan.CapacityPlan;
 
 /** Estimates what each role needs at the plan's size, on an ordinary day and in each failure. */
--- a/capacity/src/main/java/topazvalve/capacity/demand/DemandTable.java
+++ b/capacity/src/main/java/topazvalve/capacity/demand/DemandTable.java
@@ -1,4 +1,4 @@
-package topazvalve.capacity.need;
+package topazvalve.capacity.demand;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -23,7 +23,7 @@
     }
 
     /** Returns the rows that exceed their budget, the highest ratio first. */
-    public List<ResourceDemand> over() {
+    public List<ResourceDemand> exceeded() {
         return rows.stream()
                 .filter(ResourceDemand::exceedsBudget)
                 .sorted(Comparator.comparingDouble(ResourceDemand::ratio).reversed())
@@ -31,7 +31,7 @@
     }
 
     /** Returns the table of one tier alone. */
-    public DemandTable of(ResourceDemand.Tier tier) {
+    public DemandTable ofTier(ResourceDemand.Tier tier) {
         return new DemandTable(rows.stream().filter(row -> row.tier() == tier).toList());
     }
 
@@ -41,7 +41,7 @@
     }
 
     /** Returns whether no row of a tier exceeds its budget. */
-    public boolean kept(ResourceDemand.Tier tier) {
+    public boolean isWithinBudget(ResourceDemand.Tier tier) {
         return rows.stream().noneMatch(row -> row.tier() == tier && row.exceedsBudget());
     }
 
@@ -61,8 +61,8 @@
         String cells = String.join(
                 " | ",
                 row.role(),
-                row.when(),
-                row.what(),
+                row.situation(),
+                row.resource(),
                 format(row.demand().value()) + " " + row.unit(),
                 format(row.budget()) + " " + row.unit(),
                 emphasis + format(row.ratio()) + emphasis,
--- a/capacity/src/main/java/topazvalve/capacity/demand/FailureDemand.java
+++ b/capacity/src/main/java/topazvalve/capacity/demand/FailureDemand.java
@@ -1,4 +1,4 @@
-package topazvalve.capacity.need;
+package topazvalve.capacity.demand;
 
 import topazvalve.capacity.plan.CapacityPlan;
 
@@ -30,26 +30,26 @@
         addListServer();
         addRow(
                 load.calls() == 0 ? DemandLabels.ROLE_PROPAGATION : DemandLabels.ROLE_LIST_SERVER,
-                DemandLabels.WHAT_UNTIL_LAST,
+                DemandLabels.RESOURCE_UNTIL_LAST,
                 DemandLabels.UNIT_SECONDS,
                 secondsUntilLast(),
                 model.windowSeconds());
         addRow(
                 DemandLabels.ROLE_SOURCE,
-                DemandLabels.WHAT_CALLS,
+                DemandLabels.RESOURCE_CALLS,
                 DemandLabels.UNIT_PER_SECOND,
                 Estimate.ofPlan(sourceCalls() / model.windowSeconds()),
                 model.sourceCallBudget());
     }
 
-    private void addRow(String role, String what, String unit, Estimate demand, double budget) {
-        model.addRow(role, event.name(), what, unit, demand, budget);
+    private void addRow(String role, String resource, String unit, Estimate demand, double budget) {
+        model.addRow(role, event.name(), resource, unit, demand, budget);
     }
 
     private void addSidecar() {
         double window = model.windowSeconds();
         double changes = load.changes() + load.missedChanges();
-        Estimate bytes = model.emptyLineBytes().plus(model.changeBytes(changes / window));
+        Estimate bytes = model.heartbeatBytesPerSecond().plus(model.changeBytes(changes / window));
         Estimate changeCpu = model.atFullList(Quantity.CHANGE_CPU)
                 .times(changes * TierModel.PERCENT / TierModel.MILLIS_PER_SECOND / window);
         Estimate cpu = model.atFullList(Quantity.SIDECAR_REST_CPU).plus(changeCpu);
@@ -61,13 +61,13 @@
         CapacityPlan.Sidecar budget = model.plan().budget().sidecar();
         addRow(
                 DemandLabels.ROLE_SIDECAR,
-                DemandLabels.WHAT_BYTES,
+                DemandLabels.RESOURCE_BYTES,
                 DemandLabels.UNIT_BYTES_PER_SECOND,
                 bytes,
                 budget.bytesPerSecond());
         addRow(
                 DemandLabels.ROLE_SIDECAR,
-                DemandLabels.WHAT_CPU,
+                DemandLabels.RESOURCE_CPU,
                 DemandLabels.UNIT_CORE_PERCENT,
                 cpu,
                 budget.corePercent());
--- a/capacity/src/main/java/topazvalve/capacity/demand/FailureEvent.java
+++ b/capacity/src/main/java/topazvalve/capacity/demand/FailureEvent.java
@@ -1,4 +1,4 @@
-package topazvalve.capacity.need;
+package topazvalve.capacity.demand;
 
 import java.util.List;
 import topazvalve.capacity.plan.CapacityPlan;
--- a/capacity/src/main/java/topazvalve/capacity/demand/ListServerDemand.java
+++ b/capacity/src/main/java/topazvalve/capacity/demand/ListServerDemand.java
@@ -1,4 +1,4 @@
-package topazvalve.capacity.need;
+package topazvalve.capacity.demand;
 
 import topazvalve.capacity.plan.CapacityPlan;
 
@@ -21,28 +21,28 @@
     record Work(int watches, Estimate snapshotBytes, Estimate snapshotCpu, double changesPerSecond) {}
 
     /** Adds the rows of a situation. */
-    void addRows(String when, Work work, boolean withMemory) {
+    void addRows(String situation, Work work, boolean withMemory) {
         CapacityPlan.Control budget = model.plan().budget().control();
         model.addRow(
                 DemandLabels.ROLE_LIST_SERVER,
-                when,
-                DemandLabels.WHAT_CPU,
+                situation,
+                DemandLabels.RESOURCE_CPU,
                 DemandLabels.UNIT_CORE_PERCENT,
                 cpu(work),
                 budget.coresPerMachine() * TierModel.PERCENT);
         if (withMemory) {
             model.addRow(
                     DemandLabels.ROLE_LIST_SERVER,
-                    when,
-                    DemandLabels.WHAT_MEMORY,
+                    situation,
+                    DemandLabels.RESOURCE_MEMORY,
                     DemandLabels.UNIT_MIB,
                     model.ofListServer(Quantity.SOURCE_MEMORY, Quantity.RELAY_MEMORY, work.watches()),
                     budget.memoryMibPerMachine());
         }
         model.addRow(
                 DemandLabels.ROLE_LIST_SERVER,
-                when,
-                DemandLabels.WHAT_BYTES,
+                situation,
+                DemandLabels.RESOURCE_BYTES,
                 DemandLabels.UNIT_BYTES_PER_SECOND,
                 bytes(work),
                 budget.bytesPerSecondPerMachine());
@@ -58,7 +58,7 @@
     }
 
     private Estimate bytes(Work work) {
-        Estimate bytesPerWatch = model.emptyLineBytes().plus(model.changeBytes(work.changesPerSecond()));
+        Estimate bytesPerWatch = model.heartbeatBytesPerSecond().plus(model.changeBytes(work.changesPerSecond()));
         return bytesPerWatch.times(work.watches()).plus(work.snapshotBytes());
     }
 }
--- a/capacity/src/main/java/topazvalve/capacity/demand/NotMeasuredException.java
+++ b/capacity/src/main/java/topazvalve/capacity/demand/NotMeasuredException.java
@@ -1,4 +1,4 @@
-package topazvalve.capacity.need;
+package topazvalve.capacity.demand;
 
 /** Thrown where a demand depends on a quantity that was not measured. */
 public final class NotMeasuredException extends IllegalStateException {
--- a/capacity/src/main/java/topazvalve/capacity/demand/OrdinaryDayDemand.java
+++ b/capacity/src/main/java/topazvalve/capacity/demand/OrdinaryDayDemand.java
@@ -1,4 +1,4 @@
-package topazvalve.capacity.need;
+package topazvalve.capacity.demand;
 
 import topazvalve.capacity.plan.CapacityPlan;
 
@@ -20,29 +20,29 @@
     void addRows() {
         addSidecar();
         if (model.isDirect() && model.slopes().has(Quantity.CALL_ADDED_P99)) {
-            addCallDelay(DemandLabels.WHEN_ORDINARY_DAY, plan.callsPerSidecar());
-            addCallDelay(DemandLabels.WHEN_TEN_TIMES_THE_CALLS, BUSY_CALL_FACTOR * plan.callsPerSidecar());
+            addCallDelay(DemandLabels.SITUATION_ORDINARY_DAY, plan.callsPerSidecar());
+            addCallDelay(DemandLabels.SITUATION_TEN_TIMES_THE_CALLS, BUSY_CALL_FACTOR * plan.callsPerSidecar());
         }
         int watches = model.watchesPerListServer();
         ListServerDemand.Work work =
                 new ListServerDemand.Work(watches, Estimate.ZERO, Estimate.ZERO, plan.changesPerSecond());
-        new ListServerDemand(model).addRows(DemandLabels.WHEN_ORDINARY_DAY, work, true);
+        new ListServerDemand(model).addRows(DemandLabels.SITUATION_ORDINARY_DAY, work, true);
         addRow(
                 DemandLabels.ROLE_PROPAGATION,
-                DemandLabels.WHAT_CHANGE_TO_LAST,
+                DemandLabels.RESOURCE_CHANGE_TO_LAST,
                 DemandLabels.UNIT_SECONDS,
                 model.propagationSeconds(watches),
                 model.windowSeconds());
         addRow(
                 DemandLabels.ROLE_SOURCE,
-                DemandLabels.WHAT_CALLS,
+                DemandLabels.RESOURCE_CALLS,
                 DemandLabels.UNIT_PER_SECOND,
                 Estimate.ofPlan(sourceCallsPerSecond()),
                 model.sourceCallBudget());
     }
 
-    private void addRow(String role, String what, String unit, Estimate demand, double budget) {
-        model.addRow(role, DemandLabels.WHEN_ORDINARY_DAY, what, unit, demand, budget);
+    private void addRow(String role, String resource, String unit, Estimate demand, double budget) {
+        model.addRow(role, DemandLabels.SITUATION_ORDINARY_DAY, resource, unit, demand, budget);
     }
 
     private void addSidecar() {
@@ -52,29 +52,29 @@
                 .times(changesPerSecond * TierModel.PERCENT / TierModel.MILLIS_PER_SECOND);
         addRow(
                 DemandLabels.ROLE_SIDECAR,
-                DemandLabels.WHAT_CPU,
+                DemandLabels.RESOURCE_CPU,
                 DemandLabels.UNIT_CORE_PERCENT,
                 model.atFullList(Quantity.SIDECAR_REST_CPU).plus(changeCpu),
                 budget.corePercent());
         addRow(
                 DemandLabels.ROLE_SIDECAR,
-                DemandLabels.WHAT_MEMORY,
+                DemandLabels.RESOURCE_MEMORY,
                 DemandLabels.UNIT_MIB,
                 model.atFullList(Quantity.SIDECAR_RESIDENT),
                 budget.memoryMib());
         addRow(
                 DemandLabels.ROLE_SIDECAR,
-                DemandLabels.WHAT_BYTES,
+                DemandLabels.RESOURCE_BYTES,
                 DemandLabels.UNIT_BYTES_PER_SECOND,
-                model.emptyLineBytes().plus(model.changeBytes(changesPerSecond)),
+                model.heartbeatBytesPerSecond().plus(model.changeBytes(changesPerSecond)),
                 budget.bytesPerSecond());
     }
 
-    private void addCallDelay(String when, double callsPerSecond) {
+    private void addCallDelay(String situation, double callsPerSecond) {
         model.addRow(
                 DemandLabels.ROLE_SIDECAR,
-                when,
-                DemandLabels.WHAT_ADDED_DELAY,
+                situation,
+                DemandLabels.RESOURCE_ADDED_DELAY,
                 DemandLabels.UNIT_MILLIS,
                 model.slopes().at(Quantity.CALL_ADDED_P99, callsPerSecond),
                 plan.budget().addedP99Nanos() / NANOS_PER_MILLI);
--- a/capacity/src/main/java/topazvalve/capacity/demand/Origin.java
+++ b/capacity/src/main/java/topazvalve/capacity/demand/Origin.java
@@ -1,4 +1,4 @@
-package topazvalve.capacity.need;
+package topazvalve.capacity.demand;
 
 /** How well measurements support an estimate, the best supported first. */
 public enum Origin {
--- a/capacity/src/main/java/topazvalve/capacity/demand/Quantity.java
+++ b/capacity/src/main/java/topazvalve/capacity/demand/Quantity.java
@@ -1,4 +1,4 @@
-package topazvalve.capacity.need;
+package topazvalve.capacity.demand;
 
 /**
  * A quantity that is measured at several sizes. The constants' names, in small letters, are printed in the demand
@@ -44,12 +44,12 @@
     CONNECTIONS_PER_CALL("new connections for a call", "call/s and pair", "");
 
     private final String label;
-    private final String per;
+    private final String sizeUnit;
     private final String unit;
 
-    Quantity(String label, String per, String unit) {
+    Quantity(String label, String sizeUnit, String unit) {
         this.label = label;
-        this.per = per;
+        this.sizeUnit = sizeUnit;
         this.unit = unit;
     }
 
@@ -59,8 +59,8 @@
     }
 
     /** Returns what one unit of size is, such as one listed server. */
-    public String per() {
-        return per;
+    public String sizeUnit() {
+        return sizeUnit;
     }
 
     /** Returns the value's unit; empty for a number without one. */
--- a/capacity/src/main/java/topazvalve/capacity/demand/ResourceDemand.java
+++ b/capacity/src/main/java/topazvalve/capacity/demand/ResourceDemand.java
@@ -1,18 +1,18 @@
-package topazvalve.capacity.need;
+package topazvalve.capacity.demand;
 
 /**
  * One row of the demand table: a role's demand for a resource beside its budget.
  *
  * @param tier how endpoint lists reach the sidecars
  * @param role who needs the resource
- * @param when the situation: an ordinary day or a failure
- * @param what the resource
+ * @param situation an ordinary day or a failure
+ * @param resource what is needed, such as memory
  * @param unit the unit of demand and budget
  * @param demand how much is needed
  * @param budget how much is allowed
  */
 public record ResourceDemand(
-        Tier tier, String role, String when, String what, String unit, Estimate demand, double budget) {
+        Tier tier, String role, String situation, String resource, String unit, Estimate demand, double budget) {
 
     /** How endpoint lists reach the sidecars. */
     public enum Tier {
--- a/capacity/src/main/java/topazvalve/capacity/demand/Slopes.java
+++ b/capacity/src/main/java/topazvalve/capacity/demand/Slopes.java
@@ -1,4 +1,4 @@
-package topazvalve.capacity.need;
+package topazvalve.capacity.demand;
 
 import java.util.EnumMap;
 import java.util.Locale;
--- a/capacity/src/main/java/topazvalve/capacity/demand/TierModel.java
+++ b/capacity/src/main/java/topazvalve/capacity/demand/TierModel.java
@@ -1,8 +1,8 @@
-package topazvalve.capacity.need;
+package topazvalve.capacity.demand;
 
 import java.util.ArrayList;
 import java.util.List;
-import topazvalve.capacity.need.ResourceDemand.Tier;
+import topazvalve.capacity.demand.ResourceDemand.Tier;
 import topazvalve.capacity.plan.CapacityPlan;
 
 /**
@@ -37,8 +37,8 @@
         return rows;
     }
 
-    void addRow(String role, String when, String what, String unit, Estimate demand, double budget) {
-        rows.add(new ResourceDemand(tier, role, when, what, unit, demand, budget));
+    void addRow(String role, String situation, String resource, String unit, Estimate demand, double budget) {
+        rows.add(new ResourceDemand(tier, role, situation, resource, unit, demand, budget));
     }
 
     /** Returns whether sidecars call the source without relays between. */
@@ -82,8 +82,8 @@
         return slopes.at(sourceQuantity, size).asCalculated();
     }
 
-    /** Returns the bytes per second of the empty lines on one watch. */
-    Estimate emptyLineBytes() {
+    /** Returns the bytes per second of the heartbeats on one watch. */
+    Estimate heartbeatBytesPerSecond() {
         return slopes.at(Quantity.SOURCE_REST_BYTES, 1);
     }
 
--- a/capacity/src/main/java/topazvalve/capacity/measure/CallMeasurement.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/CallMeasurement.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
-import topazvalve.capacity.need.Quantity;
+import topazvalve.capacity.demand.Quantity;
 import topazvalve.simulation.measure.EchoServer;
 import topazvalve.simulation.measure.OpenLoop;
 
--- a/capacity/src/main/java/topazvalve/capacity/measure/CapacityMeasurement.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/CapacityMeasurement.java
@@ -5,11 +5,11 @@
 import java.nio.file.Path;
 import java.util.Locale;
 import java.util.function.Consumer;
+import topazvalve.capacity.demand.DemandModel;
+import topazvalve.capacity.demand.DemandTable;
+import topazvalve.capacity.demand.Quantity;
+import topazvalve.capacity.demand.Slopes;
 import topazvalve.capacity.fit.Fit;
-import topazvalve.capacity.need.DemandModel;
-import topazvalve.capacity.need.DemandTable;
-import topazvalve.capacity.need.Quantity;
-import topazvalve.capacity.need.Slopes;
 import topazvalve.capacity.plan.CapacityPlan;
 
 /** Measures all slopes on this machine and estimates the demand at the plan's size from them. */
@@ -66,7 +66,7 @@
                 Locale.ROOT,
                 "| %s | %s | %.4g %s | %.3g | %.3f | %.0f%% | %d, %.4g to %.4g | %s |",
                 quantity.label(),
-                quantity.per(),
+                quantity.sizeUnit(),
                 fit.line().intercept(),
                 quantity.unit(),
                 fit.line().slope(),
--- a/capacity/src/main/java/topazvalve/capacity/measure/ConnectionMeasurement.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/ConnectionMeasurement.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 import java.nio.file.Path;
-import topazvalve.capacity.need.Quantity;
+import topazvalve.capacity.demand.Quantity;
 import topazvalve.simulation.policy.Policy;
 import topazvalve.simulation.scenario.Scenario;
 import topazvalve.simulation.scenario.Scenario.Load;
--- a/capacity/src/main/java/topazvalve/capacity/measure/ListMeasurement.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/ListMeasurement.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import topazvalve.capacity.need.Quantity;
+import topazvalve.capacity.demand.Quantity;
 
 /** Measures what each listed server costs the packaged sidecar, with endpoint lists of several lengths. */
 final class ListMeasurement {
@@ -46,7 +46,7 @@
         List<Double> startCpuSeconds = new ArrayList<>();
         for (int startsLeft = context.quickOrFull(1, 3); startsLeft > 0; startsLeft--) {
             try (StandInSourceProcess source =
-                            StandInSourceProcess.startUnbounded(servers, context.emptyLineIntervalMillis());
+                            StandInSourceProcess.startUnbounded(servers, context.heartbeatIntervalMillis());
                     MeasuredSidecar sidecar =
                             MeasuredSidecar.start(context, SidecarConfiguration.watching(source.port()), List.of())) {
                 sidecar.awaitListed(servers, START_TIMEOUT_MILLIS, START_POLL_MILLIS);
--- a/capacity/src/main/java/topazvalve/capacity/measure/ListServerQuantities.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/ListServerQuantities.java
@@ -1,6 +1,6 @@
 package topazvalve.capacity.measure;
 
-import topazvalve.capacity.need.Quantity;
+import topazvalve.capacity.demand.Quantity;
 
 /**
  * A kind of list server and the quantities that its measurement records.
--- a/capacity/src/main/java/topazvalve/capacity/measure/MeasurementContext.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/MeasurementContext.java
@@ -20,9 +20,9 @@
         return plan.fleet().servers();
     }
 
-    /** Returns the time between empty lines on an idle watch, in milliseconds. */
-    long emptyLineIntervalMillis() {
-        return plan.source().emptyLineIntervalNanos() / 1_000_000;
+    /** Returns the time between heartbeats, which are empty lines, on an idle watch, in milliseconds. */
+    long heartbeatIntervalMillis() {
+        return plan.source().heartbeatIntervalNanos() / 1_000_000;
     }
 
     /** Returns one of two values, for a quick run or a full one. */
--- a/capacity/src/main/java/topazvalve/capacity/measure/MeasurementRecorder.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/MeasurementRecorder.java
@@ -6,10 +6,10 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.function.Consumer;
+import topazvalve.capacity.demand.Quantity;
+import topazvalve.capacity.demand.Slopes;
 import topazvalve.capacity.fit.Fit;
 import topazvalve.capacity.fit.Point;
-import topazvalve.capacity.need.Quantity;
-import topazvalve.capacity.need.Slopes;
 
 /** Collects measured values and prints each of them as it comes. */
 final class MeasurementRecorder {
@@ -42,7 +42,7 @@
                 "  %-44s %8.5g %s: %.4g %s",
                 quantity.label(),
                 size,
-                quantity.per(),
+                quantity.sizeUnit(),
                 value,
                 quantity.unit()));
     }
--- a/capacity/src/main/java/topazvalve/capacity/measure/RunningSidecarMeasurement.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/RunningSidecarMeasurement.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import topazvalve.capacity.need.Quantity;
+import topazvalve.capacity.demand.Quantity;
 import topazvalve.capacity.plan.CapacityPlan;
 
 /**
--- a/capacity/src/main/java/topazvalve/capacity/measure/ServingMeasurement.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/ServingMeasurement.java
@@ -8,7 +8,7 @@
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import topazvalve.capacity.need.Quantity;
+import topazvalve.capacity.demand.Quantity;
 import topazvalve.capacity.plan.CapacityPlan;
 
 /**
@@ -45,7 +45,7 @@
     }
 
     private StandInSourceProcess startUnboundedSource() throws IOException {
-        return StandInSourceProcess.startUnbounded(context.servers(), context.emptyLineIntervalMillis());
+        return StandInSourceProcess.startUnbounded(context.servers(), context.heartbeatIntervalMillis());
     }
 
     private void measureUnboundedSource() throws IOException, InterruptedException {
@@ -103,7 +103,7 @@
         recorder.beginSection(
                 "stand-in source that answers " + callsPerSecond + " calls a second, whole lists at once");
         try (StandInSourceProcess source = StandInSourceProcess.start(
-                context.servers(), callsPerSecond, timeoutMillis, context.emptyLineIntervalMillis())) {
+                context.servers(), callsPerSecond, timeoutMillis, context.heartbeatIntervalMillis())) {
             for (int calls : callCounts) {
                 double seconds = SnapshotClients.run(group, source.port(), calls, SEED, BOUNDED_TIMEOUT_SECONDS);
                 recorder.record(Quantity.BOUND_LISTS_TIME, calls, seconds);
--- a/capacity/src/main/java/topazvalve/capacity/measure/StandInSource.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/StandInSource.java
@@ -24,7 +24,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A discovery source with complete lists, watches and empty lines. With a bounded capacity it answers one call after
+ * A discovery source with complete lists, watches and heartbeats. With a bounded capacity it answers one call after
  * another; a call that has waited longer than the timeout is rejected. All state belongs to the event loop.
  */
 @ChannelHandler.Sharable
@@ -51,7 +51,7 @@
      * @param timeoutMillis the longest wait of a call
      */
     StandInSource(
-            EventLoop loop, int servers, double callsPerSecond, long timeoutMillis, long emptyLineIntervalMillis) {
+            EventLoop loop, int servers, double callsPerSecond, long timeoutMillis, long heartbeatIntervalMillis) {
         this.loop = loop;
         this.servers = servers;
         this.nanosPerCall = callsPerSecond > 0 ? (long) (NANOS_PER_SECOND / callsPerSecond) : 0;
@@ -59,8 +59,8 @@
         this.firstSnapshot = buffer(EndpointListJson.fullSnapshot(revision, servers, false));
         loop.scheduleAtFixedRate(
                 () -> sendToWatches(buffer("\n")),
-                emptyLineIntervalMillis,
-                emptyLineIntervalMillis,
+                heartbeatIntervalMillis,
+                heartbeatIntervalMillis,
                 TimeUnit.MILLISECONDS);
     }
 
--- a/capacity/src/main/java/topazvalve/capacity/measure/StandInSourceMain.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/StandInSourceMain.java
@@ -44,7 +44,7 @@
      * Runs a source until standard input ends.
      *
      * @param args the number of listed servers, the calls per second (0: unbounded), the timeout of a waiting call
-     *     and the time between empty lines, both in milliseconds
+     *     and the time between heartbeats, both in milliseconds
      */
     public static void main(String[] args) throws IOException, InterruptedException {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
--- a/capacity/src/main/java/topazvalve/capacity/measure/StandInSourceProcess.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/StandInSourceProcess.java
@@ -24,9 +24,9 @@
     }
 
     /** Starts a source whose capacity is unbounded. */
-    static StandInSourceProcess startUnbounded(int servers, long emptyLineIntervalMillis) throws IOException {
+    static StandInSourceProcess startUnbounded(int servers, long heartbeatIntervalMillis) throws IOException {
         long unusedTimeoutMillis = 1000;
-        return start(servers, 0, unusedTimeoutMillis, emptyLineIntervalMillis);
+        return start(servers, 0, unusedTimeoutMillis, heartbeatIntervalMillis);
     }
 
     /**
@@ -37,7 +37,7 @@
      * @param timeoutMillis the longest wait of a call before it fails
      */
     static StandInSourceProcess start(
-            int servers, double callsPerSecond, long timeoutMillis, long emptyLineIntervalMillis) throws IOException {
+            int servers, double callsPerSecond, long timeoutMillis, long heartbeatIntervalMillis) throws IOException {
         List<String> command = new ArrayList<>();
         command.add(ChildProcess.jdkTool("java"));
         command.addAll(ChildProcess.LIST_SERVER_JVM_OPTIONS);
@@ -45,7 +45,7 @@
         command.add(Integer.toString(servers));
         command.add(Double.toString(callsPerSecond));
         command.add(Long.toString(timeoutMillis));
-        command.add(Long.toString(emptyLineIntervalMillis));
+        command.add(Long.toString(heartbeatIntervalMillis));
         return new StandInSourceProcess(new ProcessBuilder(command)
                 .redirectError(ProcessBuilder.Redirect.DISCARD)
                 .start());
--- a/capacity/src/main/java/topazvalve/capacity/measure/WatchMeasurement.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/WatchMeasurement.java
@@ -87,8 +87,8 @@
         long bytesBefore = watches.receivedBytes();
         Map<String, Long> cpuBefore = ProcessMetrics.threadCpuNanos(pid);
         long startedAtNanos = System.nanoTime();
-        long emptyLineIntervalMillis = context.emptyLineIntervalMillis();
-        Thread.sleep(context.quick() ? emptyLineIntervalMillis : 3 * emptyLineIntervalMillis);
+        long heartbeatIntervalMillis = context.heartbeatIntervalMillis();
+        Thread.sleep(context.quick() ? heartbeatIntervalMillis : 3 * heartbeatIntervalMillis);
         double elapsedNanos = System.nanoTime() - startedAtNanos;
         double idleCores = ProcessMetrics.cpuNanosSince(cpuBefore, pid) / elapsedNanos;
         recorder.record(quantities.idleCpu(), count, PERCENT * idleCores);
--- a/capacity/src/main/java/topazvalve/capacity/plan/CapacityPlan.java
+++ b/capacity/src/main/java/topazvalve/capacity/plan/CapacityPlan.java
@@ -97,9 +97,9 @@
      *
      * @param callsPerSecond the calls it answers, at worst and at best
      * @param timeoutNanos the longest time that a call waits for its turn before it fails
-     * @param emptyLineIntervalNanos the time between the empty lines on an idle watch
+     * @param heartbeatIntervalNanos the time between the heartbeats, which are empty lines, on an idle watch
      */
-    public record Source(Range callsPerSecond, long timeoutNanos, long emptyLineIntervalNanos) {}
+    public record Source(Range callsPerSecond, long timeoutNanos, long heartbeatIntervalNanos) {}
 
     /** Returns the mean rate of endpoint list and configuration changes on an ordinary day, per second. */
     public double changesPerSecond() {
--- a/capacity/src/test/java/topazvalve/capacity/ArchitectureTest.java
+++ b/capacity/src/test/java/topazvalve/capacity/ArchitectureTest.java
@@ -18,7 +18,7 @@
     void calculationsDoNoMeasuring() {
         noClasses()
                 .that()
-                .resideInAnyPackage("..capacity.plan..", "..capacity.fit..", "..capacity.need..")
+                .resideInAnyPackage("..capacity.plan..", "..capacity.fit..", "..capacity.demand..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("io.netty..", "java.net..", "..capacity.measure..")
--- a/capacity/src/test/java/topazvalve/capacity/demand/DemandModelTest.java
+++ b/capacity/src/test/java/topazvalve/capacity/demand/DemandModelTest.java
@@ -1,4 +1,4 @@
-package topazvalve.capacity.need;
+package topazvalve.capacity.demand;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,9 +11,9 @@
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import topazvalve.capacity.demand.ResourceDemand.Tier;
 import topazvalve.capacity.fit.Fit;
 import topazvalve.capacity.fit.Point;
-import topazvalve.capacity.need.ResourceDemand.Tier;
 import topazvalve.capacity.plan.CapacityPlan;
 import topazvalve.capacity.plan.PlanFile;
 
@@ -45,12 +45,12 @@
         line(Quantity.SOURCE_MEMORY, 50, 0.1, 100, 356, 1_000);
     }
 
-    private ResourceDemand find(Tier tier, String role, String when, String what) {
+    private ResourceDemand find(Tier tier, String role, String situation, String resource) {
         List<ResourceDemand> found = DemandModel.of(plan, slopes).rows().stream()
                 .filter(row -> row.tier() == tier
                         && row.role().equals(role)
-                        && row.when().startsWith(when)
-                        && row.what().equals(what))
+                        && row.situation().startsWith(situation)
+                        && row.resource().equals(resource))
                 .toList();
         assertEquals(1, found.size(), found.toString());
         return found.get(0);
@@ -96,7 +96,7 @@
         assertEquals(1_900, demand.demand().value(), 1e-9);
         assertEquals(1_900 / 9.0, demand.ratio(), 1e-9);
         assertTrue(demand.exceedsBudget());
-        assertFalse(DemandModel.of(plan, slopes).kept(Tier.BEFORE));
+        assertFalse(DemandModel.of(plan, slopes).isWithinBudget(Tier.BEFORE));
         demand = find(Tier.AFTER, "serves lists", "all that serve", "until the last has it");
         assertEquals(16 / 3.0, demand.demand().value(), 1e-9);
         assertFalse(demand.exceedsBudget());
@@ -121,7 +121,7 @@
         ResourceDemand demand = find(Tier.AFTER, "serves lists", "8 of 16", "memory");
         assertEquals(50 + 71.3, demand.demand().value(), 1e-9);
         assertTrue(DemandModel.of(plan, slopes).rows().stream()
-                .noneMatch(row -> row.tier() == Tier.BEFORE && row.when().startsWith("8 of 16")));
+                .noneMatch(row -> row.tier() == Tier.BEFORE && row.situation().startsWith("8 of 16")));
     }
 
     @Test
@@ -129,16 +129,16 @@
         line(Quantity.LIST_BYTES, 0, 0, 100, 1_500, 5_700);
         line(Quantity.CHANGE_BYTES, 0, 0, 1, 10, 100);
         DemandTable kept = DemandModel.of(plan, slopes);
-        assertTrue(kept.kept(Tier.AFTER), kept.over().toString());
+        assertTrue(kept.isWithinBudget(Tier.AFTER), kept.exceeded().toString());
         line(Quantity.CHANGE_TIME, 9_001, 0, 100, 1_500, 5_700);
         DemandTable broken = DemandModel.of(plan, slopes);
-        assertFalse(broken.kept(Tier.AFTER));
-        assertTrue(broken.over().stream().anyMatch(row -> row.what().equals("a change, to the last")));
+        assertFalse(broken.isWithinBudget(Tier.AFTER));
+        assertTrue(broken.exceeded().stream().anyMatch(row -> row.resource().equals("a change, to the last")));
     }
 
     @Test
     void tableListsExceededBudgetsTheHighestRatioFirst() {
-        List<ResourceDemand> over = DemandModel.of(plan, slopes).over();
+        List<ResourceDemand> over = DemandModel.of(plan, slopes).exceeded();
         assertTrue(over.size() > 1);
         for (int i = 1; i < over.size(); i++) {
             assertTrue(over.get(i - 1).ratio() >= over.get(i).ratio());
@@ -167,7 +167,7 @@
 
     private long delays(Slopes measured) {
         return DemandModel.of(plan, measured).rows().stream()
-                .filter(row -> row.what().startsWith("delay"))
+                .filter(row -> row.resource().startsWith("delay"))
                 .count();
     }
 
--- a/capacity/src/test/java/topazvalve/capacity/measure/StandInSourceTest.java
+++ b/capacity/src/test/java/topazvalve/capacity/measure/StandInSourceTest.java
@@ -15,8 +15,8 @@
 /** The tools of the measurement: stand-in source, clients and process metrics. No measured value is checked. */
 class StandInSourceTest {
     private static final int SERVERS = 40;
-    /** Long enough that no empty line comes during a test. */
-    private static final int EMPTY_LINE_INTERVAL_MILLIS = 600_000;
+    /** Long enough that no heartbeat comes during a test. */
+    private static final int HEARTBEAT_INTERVAL_MILLIS = 600_000;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 
@@ -27,7 +27,7 @@
 
     @Test
     void everyWatchReceivesAChangeAndItsBytesAreCounted() throws IOException, InterruptedException {
-        try (StandInSourceProcess source = StandInSourceProcess.startUnbounded(SERVERS, EMPTY_LINE_INTERVAL_MILLIS);
+        try (StandInSourceProcess source = StandInSourceProcess.startUnbounded(SERVERS, HEARTBEAT_INTERVAL_MILLIS);
                 WatchClients watches = new WatchClients(group, source.port())) {
             watches.open(7, 1);
             watches.expectChange();
@@ -46,7 +46,7 @@
 
     @Test
     void unboundedSourceAnswersEveryCallAtOnce() throws IOException, InterruptedException {
-        try (StandInSourceProcess source = StandInSourceProcess.startUnbounded(SERVERS, EMPTY_LINE_INTERVAL_MILLIS)) {
+        try (StandInSourceProcess source = StandInSourceProcess.startUnbounded(SERVERS, HEARTBEAT_INTERVAL_MILLIS)) {
             SnapshotClients.run(group, source.port(), 30, 1, 20);
             assertEquals(30, source.callsSinceLastRequest());
         }
@@ -55,7 +55,7 @@
     @Test
     void boundedSourceRejectsCallsAfterTheTimeoutAndClientsRetry() throws IOException, InterruptedException {
         // With 20 calls per second and a timeout of 60 ms, some of 6 simultaneous calls are rejected.
-        try (StandInSourceProcess source = StandInSourceProcess.start(SERVERS, 20, 60, EMPTY_LINE_INTERVAL_MILLIS)) {
+        try (StandInSourceProcess source = StandInSourceProcess.start(SERVERS, 20, 60, HEARTBEAT_INTERVAL_MILLIS)) {
             double seconds = SnapshotClients.run(group, source.port(), 6, 1, 20);
             assertTrue(seconds >= 6 / 20.0, seconds + " s");
             assertTrue(source.callsSinceLastRequest() > 6);
@@ -64,7 +64,7 @@
 
     @Test
     void readsCpuAndMemoryOfAProcess() throws IOException, InterruptedException {
-        try (StandInSourceProcess source = StandInSourceProcess.startUnbounded(SERVERS, EMPTY_LINE_INTERVAL_MILLIS)) {
+        try (StandInSourceProcess source = StandInSourceProcess.startUnbounded(SERVERS, HEARTBEAT_INTERVAL_MILLIS)) {
             assertTrue(ProcessMetrics.cpuNanosSince(Map.of(), source.pid()) > 0);
             assertTrue(ProcessMetrics.residentMib(source.pid()) > ProcessMetrics.liveHeapMib(source.pid()));
         }
--- a/cli/src/main/java/topazvalve/cli/CapacityVerb.java
+++ b/cli/src/main/java/topazvalve/cli/CapacityVerb.java
@@ -9,10 +9,10 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
+import topazvalve.capacity.demand.DemandTable;
+import topazvalve.capacity.demand.ResourceDemand;
+import topazvalve.capacity.demand.ResourceDemand.Tier;
 import topazvalve.capacity.measure.CapacityMeasurement;
-import topazvalve.capacity.need.DemandTable;
-import topazvalve.capacity.need.ResourceDemand;
-import topazvalve.capacity.need.ResourceDemand.Tier;
 import topazvalve.capacity.plan.CapacityPlan;
 
 /** Prints what the planned size demands of each role, beside its budget. */
@@ -44,7 +44,7 @@
             out.println(line);
             out.flush();
         });
-        return print(tier == null ? demands : demands.of(tier), plan, out);
+        return print(tier == null ? demands : demands.ofTier(tier), plan, out);
     }
 
     /** Prints the tables and the budgets that are exceeded; returns the exit code, which says whether any is. */
@@ -55,7 +55,7 @@
             demands.lines(each).forEach(out::println);
         }
         out.println();
-        List<ResourceDemand> exceeded = demands.over();
+        List<ResourceDemand> exceeded = demands.exceeded();
         exceeded.forEach(demand -> printExceeded(demand, out));
         out.println(exceeded.isEmpty() ? "every budget is kept" : exceeded.size() + " budgets are not kept");
         out.flush();
@@ -76,8 +76,8 @@
                 "over its budget, %s: %s, %s, %s: %.2f times%n",
                 demand.tier().name().toLowerCase(Locale.ROOT),
                 demand.role(),
-                demand.when(),
-                demand.what(),
+                demand.situation(),
+                demand.resource(),
                 demand.ratio());
     }
 }
--- a/cli/src/test/java/topazvalve/cli/CapacityTest.java
+++ b/cli/src/test/java/topazvalve/cli/CapacityTest.java
@@ -11,11 +11,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import topazvalve.capacity.need.DemandTable;
-import topazvalve.capacity.need.Estimate;
-import topazvalve.capacity.need.Origin;
-import topazvalve.capacity.need.ResourceDemand;
-import topazvalve.capacity.need.ResourceDemand.Tier;
+import topazvalve.capacity.demand.DemandTable;
+import topazvalve.capacity.demand.Estimate;
+import topazvalve.capacity.demand.Origin;
+import topazvalve.capacity.demand.ResourceDemand;
+import topazvalve.capacity.demand.ResourceDemand.Tier;
 import topazvalve.capacity.plan.CapacityPlan;
 import topazvalve.capacity.plan.PlanFile;
 
