--- a/cli/src/main/java/topazvalve/cli/CapacityVerb.java
+++ b/cli/src/main/java/topazvalve/cli/CapacityVerb.java
@@ -2,7 +2,6 @@
 
 import java.io.IOException;
 import java.io.PrintWriter;
-import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Locale;
@@ -39,7 +38,7 @@
     public Integer call() throws IOException, InterruptedException {
         CapacityPlan plan = InputFiles.plan(file == null ? ProjectRoot.resolve(DEFAULT_PLAN) : file);
         PrintWriter out = out();
-        Path workDirectory = Files.createTempDirectory("topazvalve");
+        Path workDirectory = createWorkDirectory();
         DemandTable demands = CapacityMeasurement.run(plan, ProjectRoot.path(), workDirectory, quick, line -> {
             out.println(line);
             out.flush();
--- a/cli/src/main/java/topazvalve/cli/ExperimentRunVerb.java
+++ b/cli/src/main/java/topazvalve/cli/ExperimentRunVerb.java
@@ -50,15 +50,31 @@
     public Integer call() throws IOException, InterruptedException {
         ExperimentPlan plan = plan();
         Path directory = out != null ? out : Path.of("found", plan.name());
+        int threads = threadCount();
+        if (!resume) {
+            requireNoResults(directory);
+        }
+        return runUntilReported(plan, new Runner(plan, directory, threads), directory);
+    }
+
+    private int threadCount() {
         int threads = jobs == null ? Runtime.getRuntime().availableProcessors() : jobs;
         if (threads < 1) {
             throw new InvalidInputException("--jobs: " + threads + " is not a whole number above 0");
         }
-        if (!resume && !Results.read(directory).isEmpty()) {
+        return threads;
+    }
+
+    private static void requireNoResults(Path directory) throws IOException {
+        if (!Results.read(directory).isEmpty()) {
             throw new InvalidInputException(
                     directory + ": has results already; go on with --resume, or name another --out");
         }
-        Runner runner = new Runner(plan, directory, threads);
+    }
+
+    /** Runs the experiment; after Ctrl-C the process ends only once what is finished has been reported. */
+    private int runUntilReported(ExperimentPlan plan, Runner runner, Path directory)
+            throws IOException, InterruptedException {
         CountDownLatch reported = new CountDownLatch(1);
         Thread shutdownHook = new Thread(() -> stopAndAwaitReport(runner, reported));
         Runtime.getRuntime().addShutdownHook(shutdownHook);
@@ -82,15 +98,7 @@
     private int run(ExperimentPlan plan, Runner runner, Path directory, Thread shutdownHook)
             throws IOException, InterruptedException {
         PrintWriter console = out();
-        List<Result> results = runner.run(
-                resume,
-                progress -> console.printf(
-                        Locale.ROOT,
-                        "%d of %d runs, %d with a broken rule, about %.0f s left%n",
-                        progress.done(),
-                        progress.all(),
-                        progress.broken(),
-                        progress.leftS()));
+        List<Result> results = runner.run(resume, progress -> printProgress(console, progress));
         if (!results.isEmpty()) {
             Report.write(directory.resolve("report.html"), plan.name(), results);
         }
@@ -106,6 +114,16 @@
         return ExitCode.of(results.stream().allMatch(result -> result.broken().isEmpty()));
     }
 
+    private static void printProgress(PrintWriter console, Runner.Progress progress) {
+        console.printf(
+                Locale.ROOT,
+                "%d of %d runs, %d with a broken rule, about %.0f s left%n",
+                progress.done(),
+                progress.all(),
+                progress.broken(),
+                progress.leftS());
+    }
+
     private static void print(PrintWriter console, ExperimentPlan plan, List<Result> results) {
         for (ExperimentPlan.Setting setting : plan.scenarios()) {
             String scenario = setting.scenario().name();
--- a/cli/src/main/java/topazvalve/cli/MeasureRateVerb.java
+++ b/cli/src/main/java/topazvalve/cli/MeasureRateVerb.java
@@ -1,7 +1,6 @@
 package topazvalve.cli;
 
 import java.io.IOException;
-import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Duration;
 import java.util.List;
@@ -18,6 +17,11 @@
             "of the direct path's, both measured side by side in one run."
         })
 final class MeasureRateVerb extends Verb {
+    /** Smaller steps would take too many measurements to reach the limit. */
+    private static final double MIN_FACTOR = 1.01;
+
+    private static final double PERCENT = 100;
+
     @Option(
             names = "--from",
             paramLabel = "<first>",
@@ -36,10 +40,10 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        if (!(firstRate > 0 && factor > 1.01 && seconds > 0)) {
+        if (!(firstRate > 0 && factor > MIN_FACTOR && seconds > 0)) {
             throw new InvalidInputException("--from and --seconds have to be above 0, --factor above 1.01");
         }
-        Path workDirectory = Files.createTempDirectory("topazvalve");
+        Path workDirectory = createWorkDirectory();
         List<RateMeasurement.Step> steps = RateMeasurement.run(
                 ProjectRoot.path(),
                 workDirectory,
@@ -68,7 +72,7 @@
                         step.throughP50(),
                         step.throughP99(),
                         step.cpuMicros(),
-                        100 * step.badShare(),
+                        PERCENT * step.badShare(),
                         step.carried() ? "" : "  not carried");
         out().flush();
     }
--- a/cli/src/main/java/topazvalve/cli/MeasureStartVerb.java
+++ b/cli/src/main/java/topazvalve/cli/MeasureStartVerb.java
@@ -2,7 +2,6 @@
 
 import java.io.IOException;
 import java.io.PrintWriter;
-import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Locale;
 import picocli.CommandLine.Command;
@@ -32,7 +31,7 @@
             throw new InvalidInputException("--times has to be above 0, --core a core's number");
         }
         PrintWriter out = out();
-        Path workDirectory = Files.createTempDirectory("topazvalve");
+        Path workDirectory = createWorkDirectory();
         for (int parts : CORE_PARTS) {
             StartMeasurement.Share share = StartMeasurement.run(ProjectRoot.path(), workDirectory, core, parts, times);
             out.printf(
--- a/cli/src/main/java/topazvalve/cli/Verb.java
+++ b/cli/src/main/java/topazvalve/cli/Verb.java
@@ -1,6 +1,9 @@
 package topazvalve.cli;
 
+import java.io.IOException;
 import java.io.PrintWriter;
+import java.nio.file.Files;
+import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
@@ -14,4 +17,9 @@
     PrintWriter out() {
         return spec.commandLine().getOut();
     }
+
+    /** Creates a directory for the files of measured processes. It is left behind, since their logs are there. */
+    static Path createWorkDirectory() throws IOException {
+        return Files.createTempDirectory("topazvalve");
+    }
 }
