--- a/simulator-adapter/src/main/java/topazvalve/simulator/FrameInput.java
+++ b/simulator-adapter/src/main/java/topazvalve/simulator/FrameInput.java
@@ -5,6 +5,7 @@
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
 import java.util.Optional;
+import topazvalve.simulator.ProtocolException.Fault;
 
 /** Reads frames from a stream: a header with the time, the length and the number of records, then a body. */
 final class FrameInput {
@@ -41,14 +42,14 @@
             return Optional.empty();
         }
         if (headerBytes < HEADER_BYTES) {
-            throw new ProtocolException("header cut short after " + headerBytes + " bytes");
+            throw new ProtocolException(Fault.TRUNCATED, "header cut short after " + headerBytes + " bytes");
         }
         ByteBuffer fields = ByteBuffer.wrap(header).order(ByteOrder.LITTLE_ENDIAN);
         long nowNanos = fields.getLong();
         long frameBytes = Integer.toUnsignedLong(fields.getInt());
         long recordCount = Integer.toUnsignedLong(fields.getInt());
         if (nowNanos < 0 || frameBytes < HEADER_BYTES || frameBytes > MAX_FRAME_BYTES) {
-            throw new ProtocolException("clock or length out of range");
+            throw new ProtocolException(Fault.OUT_OF_RANGE, "clock or length out of range");
         }
         int bodyBytes = (int) frameBytes - HEADER_BYTES;
         readBody(bodyBytes);
@@ -62,6 +63,7 @@
         int bodyBytes = in.readNBytes(body, 0, expectedBytes);
         if (bodyBytes < expectedBytes) {
             throw new ProtocolException(
+                    Fault.TRUNCATED,
                     "states " + (expectedBytes + HEADER_BYTES) + " bytes, ends after " + (bodyBytes + HEADER_BYTES));
         }
     }
--- a/simulator-adapter/src/main/java/topazvalve/simulator/FrameReader.java
+++ b/simulator-adapter/src/main/java/topazvalve/simulator/FrameReader.java
@@ -3,6 +3,7 @@
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
 import java.nio.charset.StandardCharsets;
+import topazvalve.simulator.ProtocolException.Fault;
 
 /**
  * Reads the records of one frame's body, whose numbers are little-endian. It never reads beyond the end of the
@@ -11,7 +12,6 @@
 final class FrameReader {
     private static final float[] NO_LOAD_REPORT = {};
     private static final int RECORD_HEADER_BYTES = Byte.BYTES + Integer.BYTES;
-    private static final int PORT_BITS = 16;
 
     private final ByteBuffer buffer;
     private int recordStart;
@@ -26,13 +26,15 @@
     int nextRecord() {
         recordStart = buffer.position();
         if (buffer.remaining() < RECORD_HEADER_BYTES) {
-            throw new ProtocolException("record header cut short at byte " + recordStart);
+            throw new ProtocolException(Fault.TRUNCATED, "record header cut short at byte " + recordStart);
         }
         int code = Byte.toUnsignedInt(buffer.get());
         long length = Integer.toUnsignedLong(buffer.getInt());
         if (length > buffer.remaining()) {
-            throw new ProtocolException("record at byte " + recordStart + " states " + length + " bytes, "
-                    + buffer.remaining() + " are left");
+            throw new ProtocolException(
+                    Fault.TRUNCATED,
+                    "record at byte " + recordStart + " states " + length + " bytes, " + buffer.remaining()
+                            + " are left");
         }
         recordEnd = buffer.position() + (int) length;
         return code;
@@ -55,10 +57,11 @@
 
     private void requireRemaining(long bytes) {
         if (bytes > recordEnd - buffer.position()) {
-            throw new ProtocolException("field cut short in the record at byte " + recordStart);
+            throw new ProtocolException(Fault.TRUNCATED, "field cut short in the record at byte " + recordStart);
         }
     }
 
+    /** Reads a byte as a number from 0 to 255. */
     int readUnsignedByte() {
         requireRemaining(Byte.BYTES);
         return Byte.toUnsignedInt(buffer.get());
@@ -69,41 +72,51 @@
         return readUnsignedByte() != 0;
     }
 
+    /** Reads 2 bytes as a number from 0 to 65,535. */
     int readUnsignedShort() {
         requireRemaining(Short.BYTES);
         return Short.toUnsignedInt(buffer.getShort());
     }
 
+    /** Reads 4 bytes as a number that is not negative. */
     long readUnsignedInt() {
         requireRemaining(Integer.BYTES);
         return Integer.toUnsignedLong(buffer.getInt());
     }
 
+    /** Reads 8 bytes as a signed number. */
     long readLong() {
         requireRemaining(Long.BYTES);
         return buffer.getLong();
     }
 
+    /** Reads 4 bytes as a floating-point number (IEEE 754). */
     float readFloat() {
         requireRemaining(Float.BYTES);
         return buffer.getFloat();
     }
 
-    /** Reads a time in nanoseconds. It is unsigned in the protocol, but no real one reaches the top bit. */
+    /**
+     * Reads a time in nanoseconds. It is unsigned in the protocol, but no real one reaches the top bit.
+     *
+     * @param field the field's name in the protocol, for the error
+     */
     long readNanos(String field) {
         long nanos = readLong();
         if (nanos < 0) {
-            throw new ProtocolException(field + " out of range in the record at byte " + recordStart);
+            throw new ProtocolException(
+                    Fault.OUT_OF_RANGE, field + " out of range in the record at byte " + recordStart);
         }
         return nanos;
     }
 
-    /** Reads an endpoint's IPv4 address and port, packed into one opaque number. */
+    /** Reads an endpoint's IPv4 address and port as one id, which {@link EndpointIds} packs. */
     long readEndpointId() {
         long address = readUnsignedInt();
-        return address << PORT_BITS | readUnsignedShort();
+        return EndpointIds.pack(address, readUnsignedShort());
     }
 
+    /** Reads so many bytes. */
     byte[] readBytes(long count) {
         requireRemaining(count);
         byte[] bytes = new byte[(int) count];
@@ -129,11 +142,16 @@
         return values;
     }
 
-    /** Reads a byte that is the ordinal of one of {@code constants}; {@code field} names it in the error. */
+    /**
+     * Reads a byte that is the ordinal of one of {@code constants}.
+     *
+     * @param field the field's name in the protocol, for the error
+     */
     <E extends Enum<E>> E readEnum(E[] constants, String field) {
         int ordinal = readUnsignedByte();
         if (ordinal >= constants.length) {
-            throw new ProtocolException(field + " " + ordinal + " out of range in the record at byte " + recordStart);
+            throw new ProtocolException(
+                    Fault.OUT_OF_RANGE, field + " " + ordinal + " out of range in the record at byte " + recordStart);
         }
         return constants[ordinal];
     }
--- a/simulator-adapter/src/main/java/topazvalve/simulator/InstanceHost.java
+++ b/simulator-adapter/src/main/java/topazvalve/simulator/InstanceHost.java
@@ -12,6 +12,7 @@
 import topazvalve.policy.Settings;
 import topazvalve.policy.SettingsReader;
 import topazvalve.policy.UpdateKind;
+import topazvalve.simulator.ProtocolException.Fault;
 
 /**
  * Passes the events of a batch to the load balancer instances that they name. It decides nothing, and the
@@ -54,27 +55,28 @@
             in.endRecord();
         }
         if (!in.atEnd()) {
-            throw new ProtocolException("bytes left over after the last of " + frame.recordCount() + " records");
+            throw new ProtocolException(
+                    Fault.TRAILING_BYTES, "bytes left over after the last of " + frame.recordCount() + " records");
         }
     }
 
     private static EventType eventType(int code, FrameReader in) {
         return EventType.of(code)
-                .orElseThrow(
-                        () -> new ProtocolException("unknown event code " + code + " at byte " + in.recordStart()));
+                .orElseThrow(() -> new ProtocolException(
+                        Fault.UNKNOWN_EVENT, "unknown event code " + code + " at byte " + in.recordStart()));
     }
 
-    private void handleEvent(long now, EventType type, FrameReader in) {
+    private void handleEvent(long nowNanos, EventType type, FrameReader in) {
         switch (type) {
-            case INSTANCE_STARTED -> startInstance(now, in);
-            case ENDPOINTS_UPDATED -> endpointsUpdated(now, in);
-            case REQUEST_RECEIVED -> requestReceived(now, in);
-            case RESPONSE_STARTED -> responseStarted(now, in);
-            case ATTEMPT_COMPLETED -> attemptCompleted(now, in);
-            case CLIENT_DISCONNECTED -> instance(in).clientDisconnected(now, in.readUnsignedInt());
-            case TIMER_FIRED -> instance(in).timerFired(now, in.readLong());
-            case HEALTH_CHECK_COMPLETED -> healthCheckCompleted(now, in);
-            case GOSSIP_RECEIVED -> gossipReceived(now, in);
+            case INSTANCE_STARTED -> startInstance(nowNanos, in);
+            case ENDPOINTS_UPDATED -> endpointsUpdated(nowNanos, in);
+            case REQUEST_RECEIVED -> requestReceived(nowNanos, in);
+            case RESPONSE_STARTED -> responseStarted(nowNanos, in);
+            case ATTEMPT_COMPLETED -> attemptCompleted(nowNanos, in);
+            case CLIENT_DISCONNECTED -> instance(in).clientDisconnected(nowNanos, in.readUnsignedInt());
+            case TIMER_FIRED -> instance(in).timerFired(nowNanos, in.readLong());
+            case HEALTH_CHECK_COMPLETED -> healthCheckCompleted(nowNanos, in);
+            case GOSSIP_RECEIVED -> gossipReceived(nowNanos, in);
             case INSTANCE_STOPPED -> instances.remove(in.readUnsignedShort());
             case ENDPOINT_LIST_DEFINED -> defineEndpointList(in);
             default -> throw new IllegalStateException("event without a handler: " + type);
@@ -85,43 +87,46 @@
         int instanceId = in.readUnsignedShort();
         LoadBalancer instance = instances.get(instanceId);
         if (instance == null) {
-            throw new ProtocolException("event for unknown instance " + instanceId + " at byte " + in.recordStart());
+            throw new ProtocolException(
+                    Fault.UNKNOWN_INSTANCE,
+                    "event for unknown instance " + instanceId + " at byte " + in.recordStart());
         }
         return instance;
     }
 
-    private void startInstance(long now, FrameReader in) {
+    private void startInstance(long nowNanos, FrameReader in) {
         int instanceId = in.readUnsignedShort();
         long seed = in.readLong();
         String settingsText = in.readText(in.readUnsignedInt());
         Settings settings = new SettingsReader(settingsText).settings();
         LoadBalancer instance = factory.make(settings, seed, reply.actionsOf(instanceId));
         instances.put(instanceId, instance);
-        instance.start(now);
+        instance.start(nowNanos);
     }
 
-    private void endpointsUpdated(long now, FrameReader in) {
+    private void endpointsUpdated(long nowNanos, FrameReader in) {
         LoadBalancer instance = instance(in);
         UpdateKind kind = in.readEnum(UPDATE_KINDS, "form");
         // The list's version, which the policy doesn't need.
         in.readLong();
         long listNumber = in.readUnsignedInt();
         if (kind == UpdateKind.FAILED) {
-            instance.endpointsUpdated(now, kind, List.of());
+            instance.endpointsUpdated(nowNanos, kind, List.of());
             return;
         }
-        instance.endpointsUpdated(now, kind, endpointList(listNumber, in));
+        instance.endpointsUpdated(nowNanos, kind, endpointList(listNumber, in));
     }
 
     private List<EndpointInfo> endpointList(long number, FrameReader in) {
         List<EndpointInfo> endpoints = endpointListsByNumber.get(number);
         if (endpoints == null) {
-            throw new ProtocolException("unknown list number " + number + " at byte " + in.recordStart());
+            throw new ProtocolException(
+                    Fault.UNKNOWN_ENDPOINT_LIST, "unknown list number " + number + " at byte " + in.recordStart());
         }
         return endpoints;
     }
 
-    private void requestReceived(long now, FrameReader in) {
+    private void requestReceived(long nowNanos, FrameReader in) {
         LoadBalancer instance = instance(in);
         long requestId = in.readUnsignedInt();
         int requestClass = in.readUnsignedByte();
@@ -131,7 +136,7 @@
         long costHintNanos = in.readNanos("costGuess");
         int flags = in.readUnsignedByte();
         instance.requestReceived(
-                now,
+                nowNanos,
                 new Request(
                         requestId,
                         requestClass,
@@ -143,16 +148,16 @@
                         (flags & FLAG_WRITE) != 0));
     }
 
-    private void responseStarted(long now, FrameReader in) {
+    private void responseStarted(long nowNanos, FrameReader in) {
         LoadBalancer instance = instance(in);
         long requestId = in.readUnsignedInt();
         int attempt = in.readUnsignedByte();
         long endpointId = in.readEndpointId();
         long elapsedNanos = in.readNanos("timeTaken");
-        instance.responseStarted(now, requestId, attempt, endpointId, elapsedNanos);
+        instance.responseStarted(nowNanos, requestId, attempt, endpointId, elapsedNanos);
     }
 
-    private void attemptCompleted(long now, FrameReader in) {
+    private void attemptCompleted(long nowNanos, FrameReader in) {
         LoadBalancer instance = instance(in);
         long requestId = in.readUnsignedInt();
         int attempt = in.readUnsignedByte();
@@ -162,29 +167,30 @@
         boolean requestCompleted = in.readBoolean();
         float[] loadReport = in.readLoadReport();
         instance.attemptCompleted(
-                now, requestId, attempt, endpointId, outcome, elapsedNanos, requestCompleted, loadReport);
+                nowNanos, requestId, attempt, endpointId, outcome, elapsedNanos, requestCompleted, loadReport);
     }
 
-    private void healthCheckCompleted(long now, FrameReader in) {
+    private void healthCheckCompleted(long nowNanos, FrameReader in) {
         LoadBalancer instance = instance(in);
         long endpointId = in.readEndpointId();
         Outcome outcome = in.readEnum(OUTCOMES, "stateCode");
         long elapsedNanos = in.readNanos("timeTaken");
         float[] loadReport = in.readLoadReport();
-        instance.healthCheckCompleted(now, endpointId, outcome, elapsedNanos, loadReport);
+        instance.healthCheckCompleted(nowNanos, endpointId, outcome, elapsedNanos, loadReport);
     }
 
-    private void gossipReceived(long now, FrameReader in) {
+    private void gossipReceived(long nowNanos, FrameReader in) {
         LoadBalancer instance = instance(in);
         int peer = in.readUnsignedShort();
         byte[] message = in.readBytes(in.readUnsignedShort());
-        instance.gossipReceived(now, peer, message);
+        instance.gossipReceived(nowNanos, peer, message);
     }
 
     private void defineEndpointList(FrameReader in) {
         long number = in.readUnsignedInt();
         if (number >= MAX_ENDPOINT_LISTS) {
-            throw new ProtocolException("list number " + number + " out of range at byte " + in.recordStart());
+            throw new ProtocolException(
+                    Fault.OUT_OF_RANGE, "list number " + number + " out of range at byte " + in.recordStart());
         }
         long count = in.readUnsignedInt();
         List<EndpointInfo> endpoints = new ArrayList<>((int) Math.min(count, MAX_INITIAL_CAPACITY));
--- a/simulator-adapter/src/main/java/topazvalve/simulator/Main.java
+++ b/simulator-adapter/src/main/java/topazvalve/simulator/Main.java
@@ -61,8 +61,10 @@
                     return;
                 }
                 host.handle(frame.get());
-            } catch (ProtocolException | IllegalArgumentException e) {
-                throw new ProtocolException("frame " + frameNumber + ": " + e.getMessage(), e);
+            } catch (ProtocolException e) {
+                throw ProtocolException.inFrame(frameNumber, e);
+            } catch (IllegalArgumentException e) {
+                throw ProtocolException.invalidArgument(frameNumber, e);
             }
             reply.writeTo(out);
         }
--- a/simulator-adapter/src/main/java/topazvalve/simulator/ProtocolException.java
+++ b/simulator-adapter/src/main/java/topazvalve/simulator/ProtocolException.java
@@ -4,11 +4,52 @@
 final class ProtocolException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    ProtocolException(String message) {
+    /** The ways in which input can break the protocol. */
+    enum Fault {
+        /** A frame, a record or a field ends before its stated or required length. */
+        TRUNCATED,
+        /** A field has a value that the protocol doesn't allow. */
+        OUT_OF_RANGE,
+        /** A record has a code that no event has. */
+        UNKNOWN_EVENT,
+        /** An event names an instance that has not been started. */
+        UNKNOWN_INSTANCE,
+        /** An event refers to an endpoint list that has not been defined. */
+        UNKNOWN_ENDPOINT_LIST,
+        /** A frame has bytes after its last record. */
+        TRAILING_BYTES,
+        /** The load balancer rejects an argument of an event, such as its settings. */
+        INVALID_ARGUMENT
+    }
+
+    private final Fault fault;
+
+    ProtocolException(Fault fault, String message) {
         super(message);
+        this.fault = fault;
     }
 
-    ProtocolException(String message, Throwable cause) {
+    private ProtocolException(Fault fault, String message, Throwable cause) {
         super(message, cause);
+        this.fault = fault;
+    }
+
+    /** Returns an exception that says in which frame the input broke the protocol; frames are counted from 0. */
+    static ProtocolException inFrame(long frameNumber, ProtocolException cause) {
+        return inFrame(frameNumber, cause.fault, cause);
+    }
+
+    /** Returns an exception that says in which frame the argument came that the load balancer rejects. */
+    static ProtocolException invalidArgument(long frameNumber, IllegalArgumentException cause) {
+        return inFrame(frameNumber, Fault.INVALID_ARGUMENT, cause);
+    }
+
+    private static ProtocolException inFrame(long frameNumber, Fault fault, RuntimeException cause) {
+        return new ProtocolException(fault, "frame " + frameNumber + ": " + cause.getMessage(), cause);
+    }
+
+    /** Returns how the input breaks the protocol. */
+    Fault fault() {
+        return fault;
     }
 }
--- a/simulator-adapter/src/main/java/topazvalve/simulator/ReplyFrame.java
+++ b/simulator-adapter/src/main/java/topazvalve/simulator/ReplyFrame.java
@@ -22,8 +22,6 @@
     private static final int INSTANCE_BYTES = Short.BYTES;
     private static final int REQUEST_BYTES = Integer.BYTES;
     private static final int ATTEMPT_BYTES = Byte.BYTES;
-    private static final int PORT_BITS = 16;
-    private static final int ENDPOINT_BYTES = Integer.BYTES + Short.BYTES;
     private static final int TIME_BYTES = Long.BYTES;
     private static final int TOKEN_BYTES = Long.BYTES;
     private static final int PEER_BYTES = Short.BYTES;
@@ -83,7 +81,7 @@
         }
 
         private void putEndpoint(long endpointId) {
-            buffer.putInt((int) (endpointId >>> PORT_BITS)).putShort((short) endpointId);
+            buffer.putInt(EndpointIds.address(endpointId)).putShort(EndpointIds.port(endpointId));
         }
 
         private void putData(byte[] data) {
@@ -92,7 +90,7 @@
 
         @Override
         public void forward(long request, long endpoint, long timeoutNanos) {
-            beginRecord(ActionType.FORWARD, REQUEST_BYTES + ENDPOINT_BYTES + TIME_BYTES);
+            beginRecord(ActionType.FORWARD, REQUEST_BYTES + EndpointIds.WIRE_BYTES + TIME_BYTES);
             buffer.putInt((int) request);
             putEndpoint(endpoint);
             buffer.putLong(timeoutNanos);
@@ -124,13 +122,13 @@
 
         @Override
         public void sendHealthCheck(long endpoint) {
-            beginRecord(ActionType.SEND_HEALTH_CHECK, ENDPOINT_BYTES);
+            beginRecord(ActionType.SEND_HEALTH_CHECK, EndpointIds.WIRE_BYTES);
             putEndpoint(endpoint);
         }
 
         @Override
         public void closeIdleConnections(long endpoint) {
-            beginRecord(ActionType.CLOSE_IDLE_CONNECTIONS, ENDPOINT_BYTES);
+            beginRecord(ActionType.CLOSE_IDLE_CONNECTIONS, EndpointIds.WIRE_BYTES);
             putEndpoint(endpoint);
         }
 
--- a/simulator-adapter/src/test/java/topazvalve/simulator/FrameBuilder.java
+++ b/simulator-adapter/src/test/java/topazvalve/simulator/FrameBuilder.java
@@ -34,6 +34,11 @@
             "rules.stopSendingWithin=250000000",
             "rules.tipAfter=1500000000");
 
+    /** An endpoint update with a full snapshot. */
+    static final int FULL = 1;
+    /** An endpoint update with the last list known before the start. */
+    static final int CACHED = 2;
+
     private static final int HEADER_BYTES = 16;
 
     private final ByteBuffer body = ByteBuffer.allocate(1 << 16).order(ByteOrder.LITTLE_ENDIAN);
@@ -74,6 +79,13 @@
         return endRecord();
     }
 
+    /** Starts an instance that knows these endpoints from before; their list has the number 0. */
+    FrameBuilder instanceStartedWithEndpoints(int instanceId, int... addresses) {
+        return instanceStarted(instanceId, SETTINGS)
+                .endpointListDefined(0, addresses)
+                .endpointsUpdated(instanceId, CACHED, 0);
+    }
+
     FrameBuilder instanceStopped(int instanceId) {
         beginRecord(10).body.putShort((short) instanceId);
         return endRecord();
--- a/simulator-adapter/src/test/java/topazvalve/simulator/ProtocolTest.java
+++ b/simulator-adapter/src/test/java/topazvalve/simulator/ProtocolTest.java
@@ -13,11 +13,14 @@
 import java.util.Arrays;
 import java.util.HexFormat;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 import topazvalve.policy.Actions;
 import topazvalve.policy.Idempotency;
 import topazvalve.policy.Settings;
 import topazvalve.policy.SettingsReader;
 import topazvalve.policy.SidecarPolicy;
+import topazvalve.simulator.ProtocolException.Fault;
 
 /** The simulator's protocol: the layout of events and actions, and the errors of malformed frames. */
 class ProtocolTest {
@@ -27,8 +30,9 @@
         return out.toByteArray();
     }
 
-    private static void assertRejected(String part, byte[]... frames) {
+    private static void assertRejected(Fault fault, String part, byte[]... frames) {
         ProtocolException e = assertThrows(ProtocolException.class, () -> play(frames));
+        assertEquals(fault, e.fault());
         assertTrue(e.getMessage().contains(part), e.getMessage());
     }
 
@@ -41,9 +45,7 @@
     @Test
     void requestIsForwardedToTheListedEndpoint() throws IOException {
         byte[] reply = play(new FrameBuilder()
-                .instanceStarted(3, FrameBuilder.SETTINGS)
-                .endpointListDefined(0, 0x0100_000a)
-                .endpointsUpdated(3, 2, 0)
+                .instanceStartedWithEndpoints(3, 0x0100_000a)
                 .requestReceived(3, 0xf0000001)
                 .bytes(1_000_000_000L));
         ByteBuffer in = ByteBuffer.wrap(reply).order(ByteOrder.LITTLE_ENDIAN);
@@ -64,11 +66,9 @@
     @Test
     void endpointListNumberMeansItsLatestDefinition() throws IOException {
         byte[] reply = play(new FrameBuilder()
-                .instanceStarted(1, FrameBuilder.SETTINGS)
-                .endpointListDefined(0, 7)
-                .endpointsUpdated(1, 2, 0)
+                .instanceStartedWithEndpoints(1, 7)
                 .endpointListDefined(0, 8)
-                .endpointsUpdated(1, 1, 0)
+                .endpointsUpdated(1, FrameBuilder.FULL, 0)
                 .requestReceived(1, 9)
                 .bytes(1_000_000_000L));
         String hex = HexFormat.of().formatHex(reply);
@@ -77,71 +77,92 @@
 
     @Test
     void restartWithinOneBatchReplacesTheInstance() throws IOException {
-        FrameBuilder frame = new FrameBuilder()
-                .instanceStarted(1, FrameBuilder.SETTINGS)
-                .endpointListDefined(0, 7)
-                .endpointsUpdated(1, 2, 0)
-                .requestReceived(1, 9);
-        frame.instanceStopped(1).instanceStarted(1, FrameBuilder.SETTINGS).endpointsUpdated(1, 2, 0);
+        FrameBuilder frame =
+                new FrameBuilder().instanceStartedWithEndpoints(1, 7).requestReceived(1, 9);
+        frame.instanceStopped(1).instanceStarted(1, FrameBuilder.SETTINGS).endpointsUpdated(1, FrameBuilder.CACHED, 0);
         assertTrue(play(frame.bytes(1_000_000_000L)).length > 8);
     }
 
     @Test
-    void malformedFramesAreRejectedWithTheirFault() {
-        assertRejected("header cut short", new byte[5]);
+    void aFrameThatIsCutShortIsRejected() {
+        assertRejected(Fault.TRUNCATED, "header cut short", new byte[5]);
         byte[] complete =
                 new FrameBuilder().instanceStarted(1, FrameBuilder.SETTINGS).bytes(1);
-        assertRejected("ends after", Arrays.copyOf(complete, complete.length - 3));
-        assertRejected(
-                "unknown event code 99",
-                new FrameBuilder().beginRecord(99).endRecord().bytes(1));
+        assertRejected(Fault.TRUNCATED, "ends after", Arrays.copyOf(complete, complete.length - 3));
+    }
+
+    @Test
+    void aFieldThatIsCutShortIsRejected() {
+        FrameBuilder frame = new FrameBuilder().instanceStarted(1, FrameBuilder.SETTINGS);
         assertRejected(
-                "unknown instance 5", new FrameBuilder().requestReceived(5, 1).bytes(1));
+                Fault.TRUNCATED,
+                "field cut short",
+                frame.beginRecord(6).endRecord().bytes(1));
+    }
+
+    @Test
+    void anUnknownEventIsRejected() {
+        byte[] frame = new FrameBuilder().beginRecord(99).endRecord().bytes(1);
+        assertRejected(Fault.UNKNOWN_EVENT, "unknown event code 99", frame);
+    }
+
+    @Test
+    void anEventForAnUnknownInstanceIsRejected() {
+        byte[] frame = new FrameBuilder().requestReceived(5, 1).bytes(1);
+        assertRejected(Fault.UNKNOWN_INSTANCE, "unknown instance 5", frame);
+    }
+
+    @Test
+    void anUnknownEndpointListIsRejected() {
+        FrameBuilder frame = new FrameBuilder().instanceStarted(1, FrameBuilder.SETTINGS);
         assertRejected(
+                Fault.UNKNOWN_ENDPOINT_LIST,
                 "unknown list number 3",
-                new FrameBuilder()
-                        .instanceStarted(1, FrameBuilder.SETTINGS)
-                        .endpointsUpdated(1, 1, 3)
-                        .bytes(1));
-        assertRejected(
-                "form 9 out of range",
-                new FrameBuilder()
-                        .instanceStarted(1, FrameBuilder.SETTINGS)
-                        .endpointListDefined(0)
-                        .endpointsUpdated(1, 9, 0)
-                        .bytes(1));
-        assertRejected(
-                "field cut short",
-                new FrameBuilder()
-                        .instanceStarted(1, FrameBuilder.SETTINGS)
-                        .beginRecord(6)
-                        .endRecord()
-                        .bytes(1));
+                frame.endpointsUpdated(1, FrameBuilder.FULL, 3).bytes(1));
+    }
+
+    @Test
+    void anUnknownKindOfEndpointUpdateIsRejected() {
+        FrameBuilder frame = new FrameBuilder()
+                .instanceStarted(1, FrameBuilder.SETTINGS)
+                .endpointListDefined(0)
+                .endpointsUpdated(1, 9, 0);
+        assertRejected(Fault.OUT_OF_RANGE, "form 9 out of range", frame.bytes(1));
+    }
+
+    @Test
+    void bytesAfterTheLastRecordAreRejected() {
+        byte[] frame = new FrameBuilder().instanceStopped(1).bytes(1);
+        int recordCountOffset = 12;
+        frame[recordCountOffset] = 0;
+        assertRejected(Fault.TRAILING_BYTES, "bytes left over after the last of 0 records", frame);
     }
 
     @Test
-    void settingsAreReadAndMissingOnesAreNamed() {
+    void theFrameOfAFaultIsNamed() {
+        assertRejected(Fault.TRUNCATED, "frame 1: header cut short", new FrameBuilder().bytes(5), new byte[5]);
+    }
+
+    @Test
+    void settingsAreReadFromTheirText() {
         Settings settings = new SettingsReader(FrameBuilder.SETTINGS).settings();
         assertEquals(
                 Idempotency.NON_IDEMPOTENT, settings.requestClasses().get(0).idempotency());
         assertEquals(2.5, settings.requestClasses().get(0).priorityWeight());
         assertEquals(2, settings.loadReportFields().size());
         assertEquals(50, settings.tenants().get(0).quotaPerSecond());
-        assertRejected(
-                "setting missing: rules.rampTime",
-                new FrameBuilder()
-                        .instanceStarted(1, FrameBuilder.SETTINGS.replace("rules.rampTime", "x"))
-                        .bytes(1));
-        assertRejected(
-                "not a number",
-                new FrameBuilder()
-                        .instanceStarted(1, FrameBuilder.SETTINGS.replace("slo=5", "slo=five"))
-                        .bytes(1));
-        assertRejected(
-                "cold share",
-                new FrameBuilder()
-                        .instanceStarted(1, FrameBuilder.SETTINGS.replace("coldShare=0.3", "coldShare=7"))
-                        .bytes(1));
+    }
+
+    @ParameterizedTest
+    @CsvSource({
+        "rules.rampTime, x, setting missing: rules.rampTime",
+        "slo=5, slo=five, not a number",
+        "coldShare=0.3, coldShare=7, cold share"
+    })
+    void settingsThatAreMissingOrInvalidAreNamed(String valid, String invalid, String message) {
+        String settings = FrameBuilder.SETTINGS.replace(valid, invalid);
+        byte[] frame = new FrameBuilder().instanceStarted(1, settings).bytes(1);
+        assertRejected(Fault.INVALID_ARGUMENT, message, frame);
     }
 
     @Test
