--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/history/ServerNames.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/history/ServerNames.java
@@ -10,7 +10,7 @@
 
     /** Returns a server's name: {@code s-} and eight hexadecimal digits. */
     public static String nameOf(int server) {
-        return String.format("s-%08x", server);
+        return String.format(PREFIX + "%08x", server);
     }
 
     /** Returns the number of the server with a name, or -1 if no server has such a name. */
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/HollowFleet.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/HollowFleet.java
@@ -1,7 +1,6 @@
 package topazvalve.hollowfleet.hollow;
 
 import io.netty.channel.EventLoop;
-import java.lang.management.ManagementFactory;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Callable;
@@ -27,7 +26,7 @@
 
     private final List<LoopMonitor> monitors = new ArrayList<>();
     private final List<HollowSidecar> sidecars = new ArrayList<>();
-    private final List<Long> threadIds = new ArrayList<>();
+    private final EventLoopCpu loopCpu = new EventLoopCpu();
     private final long seed;
     private long starts;
 
@@ -55,7 +54,7 @@
         SettingsReader settings = HollowSettings.reader();
         for (EventLoop loop : loops) {
             monitors.add(new LoopMonitor(loop, history, oracle, clock, listCount, history.changeCount()));
-            threadIds.add(await(loop.submit(() -> Thread.currentThread().getId())));
+            loopCpu.add(loop);
         }
         for (int i = 0; i < count; i++) {
             LoopMonitor monitor = monitors.get(i % monitors.size());
@@ -158,9 +157,7 @@
 
     /** Returns the CPU time of the event loops since their start, in nanoseconds; garbage collection is not in it. */
     public long cpuNanos() {
-        return threadIds.stream()
-                .mapToLong(id -> ManagementFactory.getThreadMXBean().getThreadCpuTime(id))
-                .sum();
+        return loopCpu.totalNanos();
     }
 
     /** Kills all sidecars. */
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/SourceGroup.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/SourceGroup.java
@@ -3,7 +3,6 @@
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
-import java.lang.management.ManagementFactory;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
@@ -13,6 +12,7 @@
 import java.util.function.ToLongFunction;
 import java.util.stream.IntStream;
 import topazvalve.hollowfleet.history.ChangeHistory;
+import topazvalve.hollowfleet.hollow.EventLoopCpu;
 import topazvalve.hollowfleet.oracle.FleetOracle;
 import topazvalve.hollowfleet.source.SimulatedLink;
 import topazvalve.hollowfleet.source.SourceMetrics;
@@ -23,7 +23,7 @@
 public final class SourceGroup implements AutoCloseable {
     private final List<SourceStandIn> sources = new ArrayList<>();
     private final List<InetSocketAddress[]> addressesByZone = new ArrayList<>();
-    private final List<Long> threadIds = new ArrayList<>();
+    private final EventLoopCpu loopCpu = new EventLoopCpu();
     private final MultiThreadIoEventLoopGroup group;
 
     /** Starts the sources with empty lists. */
@@ -46,9 +46,7 @@
                     callsInSecond -> oracle.callReceived(name, callsInSecond, callsPerSecond, clock.getAsLong()));
             sources.add(source);
             addressesByZone.add(listen(source, i, zones.size()));
-            threadIds.add(loop.submit(() -> Thread.currentThread().getId())
-                    .syncUninterruptibly()
-                    .getNow());
+            loopCpu.add(loop);
         }
     }
 
@@ -123,9 +121,7 @@
 
     /** Returns the CPU time of each source's event loop since its start, in nanoseconds. */
     long[] cpuNanos() {
-        return threadIds.stream()
-                .mapToLong(id -> ManagementFactory.getThreadMXBean().getThreadCpuTime(id))
-                .toArray();
+        return loopCpu.nanosByLoop();
     }
 
     @Override
