--- a/relay/src/main/java/topazvalve/relay/CatchUpService.java
+++ b/relay/src/main/java/topazvalve/relay/CatchUpService.java
@@ -17,7 +17,7 @@
 final class CatchUpService {
     /**
      * How long a watch waits for its answer: less than a client waits, and more than from one heartbeat of a
-     * source to the next ({@code docs/design/relay.md}, "Never back").
+     * source to the next ({@code docs/design/relay.md}, "Versions never go back").
      */
     private static final long PARK_TIMEOUT_MILLIS = 2_250;
 
