--- a/core/src/main/java/topazvalve/core/exchange/ExchangeAttempt.java
+++ b/core/src/main/java/topazvalve/core/exchange/ExchangeAttempt.java
@@ -4,6 +4,7 @@
 import topazvalve.core.pool.Attempt;
 import topazvalve.core.pool.AttemptListener;
 import topazvalve.core.stream.FlowControl;
+import topazvalve.policy.AttemptResult;
 import topazvalve.policy.Outcome;
 
 /** Passes what becomes of one attempt on to the client and to the policy. */
@@ -60,7 +61,9 @@
             long elapsedNanos = now - startedAtNanos;
             boolean requestCompleted = !exchange.isOpen();
             policy.attemptCompleted(
-                    now, exchange.id, number, endpoint, outcome, elapsedNanos, requestCompleted, loadReport);
+                    now,
+                    new AttemptResult(exchange.id, number, endpoint, outcome, elapsedNanos, requestCompleted),
+                    loadReport);
             lifecycle.removeIfSettled(exchange);
         });
     }
--- a/core/src/test/java/topazvalve/core/exchange/CountingPolicyFactory.java
+++ b/core/src/test/java/topazvalve/core/exchange/CountingPolicyFactory.java
@@ -6,6 +6,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import topazvalve.policy.Actions;
+import topazvalve.policy.AttemptResult;
 import topazvalve.policy.LoadBalancer;
 import topazvalve.policy.Settings;
 import topazvalve.policy.SidecarPolicy;
@@ -54,7 +55,8 @@
 
     private void countOutcome(String method, Object[] arguments) {
         if (method.equals("attemptCompleted")) {
-            outcomesByAttempt.merge((Integer) arguments[2], 1, Integer::sum);
+            AttemptResult result = (AttemptResult) arguments[1];
+            outcomesByAttempt.merge(result.attempt(), 1, Integer::sum);
         }
     }
 
--- a/policy/src/main/java/topazvalve/policy/LoadBalancer.java
+++ b/policy/src/main/java/topazvalve/policy/LoadBalancer.java
@@ -54,16 +54,8 @@
     /** Reports that a streamed response has started; the request's deadline no longer applies. */
     void responseStarted(long now, long request, int attempt, long endpoint, long elapsedNanos);
 
-    /** Handles the end of an attempt; {@code requestCompleted} if the request has ended, now or before. */
-    void attemptCompleted(
-            long now,
-            long request,
-            int attempt,
-            long endpoint,
-            Outcome outcome,
-            long elapsedNanos,
-            boolean requestCompleted,
-            float[] loadReport);
+    /** Handles the end of an attempt, with the load report that came with its response. */
+    void attemptCompleted(long now, AttemptResult result, float[] loadReport);
 
     /** Handles the client's disconnection; the request gets no answer. */
     void clientDisconnected(long now, long request);
--- a/policy/src/main/java/topazvalve/policy/SidecarPolicy.java
+++ b/policy/src/main/java/topazvalve/policy/SidecarPolicy.java
@@ -107,12 +107,13 @@
     }
 
     @Override
-    public void attemptCompleted(
-            long now, long id, int attempt, long endpoint, Outcome outcome, long elapsed, boolean ended, float[] load) {
-        RequestState request = attempts.requests().get(id);
-        boolean known = request != null && request.isOutstanding(attempt);
-        if (known && attempts.attemptCompleted(now, request.attempts.get(attempt), outcome, request, ended)) {
-            admission.admit(now, request);
+    public void attemptCompleted(long now, AttemptResult result, float[] loadReport) {
+        RequestState request = attempts.requests().get(result.request());
+        if (request != null && request.isOutstanding(result.attempt())) {
+            AttemptState attempt = request.attempts.get(result.attempt());
+            if (attempts.attemptCompleted(now, attempt, result.outcome(), request, result.requestCompleted())) {
+                admission.admit(now, request);
+            }
         }
         drainQueueAndArmTimer(now);
     }
--- a/policy/src/test/java/topazvalve/policy/EmbeddingExampleTest.java
+++ b/policy/src/test/java/topazvalve/policy/EmbeddingExampleTest.java
@@ -27,7 +27,8 @@
         assertEquals(100, sent.request());
 
         now += 20_000_000;
-        balancer.attemptCompleted(now, 100, 0, sent.endpoint(), Outcome.OK, 20_000_000, true, new float[0]);
+        balancer.attemptCompleted(
+                now, new AttemptResult(100, 0, sent.endpoint(), Outcome.OK, 20_000_000, true), new float[0]);
         assertTrue(host.answers.isEmpty(), "the host passed the response on; no further answer follows");
 
         // After a restart: a new instance with a new seed and no state.
--- a/policy/src/test/java/topazvalve/policy/RecordingHost.java
+++ b/policy/src/test/java/topazvalve/policy/RecordingHost.java
@@ -121,12 +121,8 @@
     void outcome(SentAttempt sent, Outcome outcome) {
         policy.attemptCompleted(
                 now,
-                sent.request,
-                sent.attempt,
-                sent.endpoint,
-                outcome,
-                now - sent.at,
-                outcome == Outcome.OK,
+                new AttemptResult(
+                        sent.request, sent.attempt, sent.endpoint, outcome, now - sent.at, outcome == Outcome.OK),
                 new float[0]);
     }
 
--- a/policy/src/test/java/topazvalve/policy/SidecarFleetTest.java
+++ b/policy/src/test/java/topazvalve/policy/SidecarFleetTest.java
@@ -322,7 +322,9 @@
             while (!due.isEmpty() && due.peek().at() <= host.now) {
                 RecordingHost.SentAttempt done = due.poll();
                 host.policy.attemptCompleted(
-                        host.now, done.request(), 0, done.endpoint(), Outcome.OK, 0, true, new float[0]);
+                        host.now,
+                        new AttemptResult(done.request(), 0, done.endpoint(), Outcome.OK, 0, true),
+                        new float[0]);
                 served[(int) (done.request() % 2)]++;
             }
         }
--- a/policy/src/test/java/topazvalve/policy/SidecarPolicyRandomEventsTest.java
+++ b/policy/src/test/java/topazvalve/policy/SidecarPolicyRandomEventsTest.java
@@ -216,12 +216,13 @@
         }
         host.policy.attemptCompleted(
                 host.now,
-                sent.request(),
-                sent.attempt(),
-                sent.endpoint(),
-                outcome,
-                host.now - sent.at(),
-                already || outcome == Outcome.OK,
+                new AttemptResult(
+                        sent.request(),
+                        sent.attempt(),
+                        sent.endpoint(),
+                        outcome,
+                        host.now - sent.at(),
+                        already || outcome == Outcome.OK),
                 new float[0]);
         check();
     }
--- a/policy/src/test/java/topazvalve/policy/SidecarPolicyTest.java
+++ b/policy/src/test/java/topazvalve/policy/SidecarPolicyTest.java
@@ -55,7 +55,7 @@
         RecordingHost host = host(IDEMPOTENT).withEndpoints(2);
         int before = host.log.size();
         host.policy.clientDisconnected(host.now, 99);
-        host.policy.attemptCompleted(host.now, 99, 0, 1, Outcome.OK, 0, true, new float[0]);
+        host.policy.attemptCompleted(host.now, new AttemptResult(99, 0, 1, Outcome.OK, 0, true), new float[0]);
         host.policy.responseStarted(host.now, 99, 0, 1, 0);
         host.policy.timerFired(host.now, 12345);
         host.policy.gossipReceived(host.now, 1, new byte[] {1});
--- a/policy/src/test/java/topazvalve/policy/UnusualSettingsTest.java
+++ b/policy/src/test/java/topazvalve/policy/UnusualSettingsTest.java
@@ -108,9 +108,11 @@
             one.advance(MS);
             other.advance(MS);
             RecordingHost.SentAttempt sent = one.last();
-            one.policy.attemptCompleted(one.now, i, 0, sent.endpoint(), Outcome.OK, MS, true, new float[0]);
+            one.policy.attemptCompleted(
+                    one.now, new AttemptResult(i, 0, sent.endpoint(), Outcome.OK, MS, true), new float[0]);
             float[] report = {9, -1, 7e9f};
-            other.policy.attemptCompleted(other.now, i, 0, sent.endpoint(), Outcome.OK, MS, true, report);
+            other.policy.attemptCompleted(
+                    other.now, new AttemptResult(i, 0, sent.endpoint(), Outcome.OK, MS, true), report);
         }
         assertEquals(one.log, other.log);
     }
--- a/sidecar/src/main/java/topazvalve/sidecar/WarmUp.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/WarmUp.java
@@ -16,6 +16,7 @@
 import topazvalve.core.stream.RequestBody;
 import topazvalve.core.time.EventLoopScheduler;
 import topazvalve.policy.Actions;
+import topazvalve.policy.AttemptResult;
 import topazvalve.policy.EndpointInfo;
 import topazvalve.policy.EndpointStatus;
 import topazvalve.policy.Idempotency;
@@ -162,7 +163,8 @@
             int classIndex = i % settings.requestClasses().size();
             policy.requestReceived(now, new Request(i, classIndex, 0, 0, REQUEST_TIMEOUT_NANOS, 0, false, false));
             long responseNanos = POLICY_STEP_NANOS / 2;
-            policy.attemptCompleted(now + responseNanos, i, 0, 1, Outcome.OK, responseNanos, true, new float[0]);
+            policy.attemptCompleted(
+                    now + responseNanos, new AttemptResult(i, 0, 1, Outcome.OK, responseNanos, true), new float[0]);
             policy.timerFired(now + responseNanos, i);
         }
     }
--- a/simulation/src/main/java/topazvalve/simulation/policy/TextbookLoadBalancer.java
+++ b/simulation/src/main/java/topazvalve/simulation/policy/TextbookLoadBalancer.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 import java.util.Objects;
 import topazvalve.policy.Actions;
+import topazvalve.policy.AttemptResult;
 import topazvalve.policy.DiscoveryMode;
 import topazvalve.policy.EndpointInfo;
 import topazvalve.policy.EndpointStatus;
 import topazvalve.policy.Idempotency;
 import topazvalve.policy.LoadBalancer;
-import topazvalve.policy.Outcome;
 import topazvalve.policy.Request;
 import topazvalve.policy.RequestClass;
 import topazvalve.policy.Settings;
@@ -153,28 +153,20 @@
     }
 
     @Override
-    public void attemptCompleted(
-            long now,
-            long request,
-            int attempt,
-            long upstream,
-            Outcome outcome,
-            long elapsed,
-            boolean ended,
-            float[] load) {
-        Server server = servers.get(upstream);
+    public void attemptCompleted(long now, AttemptResult result, float[] loadReport) {
+        Server server = servers.get(result.endpoint());
         if (server != null && server.inFlight > 0) {
             server.inFlight--;
         }
-        PendingRequest pendingRequest = pending.get(request);
+        PendingRequest pendingRequest = pending.get(result.request());
         if (pendingRequest == null) {
             return;
         }
-        if (ended) {
-            pending.remove(request);
+        if (result.requestCompleted()) {
+            pending.remove(result.request());
             return;
         }
-        pendingRequest.mayHaveRun |= !outcome.provesNeverRan();
+        pendingRequest.mayHaveRun |= !result.outcome().provesNeverRan();
         if (mayRetry(pendingRequest)) {
             forward(now, pendingRequest);
         } else {
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualInstance.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualInstance.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import topazvalve.policy.Actions;
+import topazvalve.policy.AttemptResult;
 import topazvalve.policy.EndpointInfo;
 import topazvalve.policy.LoadBalancer;
 import topazvalve.policy.Outcome;
@@ -268,7 +269,9 @@
             finish(request, Answer.SERVED, 0);
         }
         balancer.attemptCompleted(
-                now(), request.id, attemptNumber, endpoint, outcome, elapsedNanos, request.finished, NO_LOAD_REPORT);
+                now(),
+                new AttemptResult(request.id, attemptNumber, endpoint, outcome, elapsedNanos, request.finished),
+                NO_LOAD_REPORT);
         removeIfDone(request);
     }
 
--- a/simulator-adapter/src/main/java/topazvalve/simulator/InstanceHost.java
+++ b/simulator-adapter/src/main/java/topazvalve/simulator/InstanceHost.java
@@ -4,6 +4,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import topazvalve.policy.AttemptResult;
 import topazvalve.policy.EndpointInfo;
 import topazvalve.policy.EndpointStatus;
 import topazvalve.policy.LoadBalancer;
@@ -162,7 +163,9 @@
         boolean requestCompleted = in.readBoolean();
         float[] loadReport = in.readLoadReport();
         instance.attemptCompleted(
-                now, requestId, attempt, endpointId, outcome, elapsedNanos, requestCompleted, loadReport);
+                now,
+                new AttemptResult(requestId, attempt, endpointId, outcome, elapsedNanos, requestCompleted),
+                loadReport);
     }
 
     private void healthCheckCompleted(long now, FrameReader in) {
