--- a/simulator-adapter/src/main/java/topazvalve/simulator/InstanceHost.java
+++ b/simulator-adapter/src/main/java/topazvalve/simulator/InstanceHost.java
@@ -4,6 +4,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import topazvalve.policy.AttemptResult;
 import topazvalve.policy.EndpointInfo;
 import topazvalve.policy.EndpointStatus;
 import topazvalve.policy.LoadBalancer;
@@ -167,7 +168,9 @@
         boolean requestCompleted = in.readBoolean();
         float[] loadReport = in.readLoadReport();
         instance.attemptCompleted(
-                nowNanos, requestId, attempt, endpointId, outcome, elapsedNanos, requestCompleted, loadReport);
+                nowNanos,
+                new AttemptResult(requestId, attempt, endpointId, outcome, elapsedNanos, requestCompleted),
+                loadReport);
     }
 
     private void healthCheckCompleted(long nowNanos, FrameReader in) {
