--- a/relay/src/main/java/topazvalve/relay/CatchUpService.java
+++ b/relay/src/main/java/topazvalve/relay/CatchUpService.java
@@ -144,7 +144,7 @@
 
     private void deliver(ChangeBatch batch, Subscriber subscriber) {
         if (!subscriber.isWritable()) {
-            markLagging(subscriber);
+            markOvertaken(subscriber);
         } else if (!subscriber.isUpToDate()) {
             catchUp(subscriber);
         } else if (!subscriber.versions().equals(batch.to())) {
@@ -154,9 +154,9 @@
         }
     }
 
-    private void markLagging(Subscriber subscriber) {
+    private void markOvertaken(Subscriber subscriber) {
         if (subscriber.isUpToDate()) {
-            metrics.countLagging();
+            metrics.countOvertaken();
         }
         subscriber.setUpToDate(false);
     }
--- a/relay/src/main/java/topazvalve/relay/SourceGroup.java
+++ b/relay/src/main/java/topazvalve/relay/SourceGroup.java
@@ -59,11 +59,11 @@
         return sources.stream().anyMatch(source -> source.requestBackfill(versions.versionOf(source.name())));
     }
 
-    /** Adds for each source how long it has sent no message, in milliseconds. */
-    void addIdleTimesTo(MetricsText page) {
+    /** Appends for each source how long it has sent no message, as {@code key=value} lines. */
+    void appendIdleTimes(StringBuilder page) {
         for (SourceSubscription source : sources) {
             long idleMillis = TimeUnit.NANOSECONDS.toMillis(source.idleNanos());
-            page.add("source." + source.name() + ".silent_ms", idleMillis);
+            RelayMetrics.appendLine(page, "source." + source.name() + ".silent_ms", idleMillis);
         }
     }
 }
