--- a/capacity/src/main/java/topazvalve/capacity/plan/PlanFile.java
+++ b/capacity/src/main/java/topazvalve/capacity/plan/PlanFile.java
@@ -1,6 +1,7 @@
 package topazvalve.capacity.plan;
 
 import java.io.IOException;
+import java.nio.file.Files;
 import java.nio.file.Path;
 import topazvalve.capacity.plan.CapacityPlan.Budget;
 import topazvalve.capacity.plan.CapacityPlan.Control;
@@ -29,7 +30,7 @@
      * @throws IOException if the file cannot be read
      */
     public static CapacityPlan read(Path file) throws IOException {
-        return TomlFile.read(file, PlanFile::readPlan);
+        return parse(file.toString(), Files.readString(file));
     }
 
     /**
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/timeline/TimelineFile.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/timeline/TimelineFile.java
@@ -1,6 +1,7 @@
 package topazvalve.hollowfleet.timeline;
 
 import java.io.IOException;
+import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -37,7 +38,7 @@
      * @throws IOException if the file cannot be read
      */
     public static Timeline read(Path file) throws IOException {
-        return TomlFile.read(file, TimelineFile::readTimeline);
+        return parse(file.toString(), Files.readString(file));
     }
 
     /**
