--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/ClientConnection.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/ClientConnection.java
@@ -7,7 +7,6 @@
 import io.netty.channel.ChannelFutureListener;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.channel.socket.DuplexChannel;
 import io.netty.handler.codec.DecoderException;
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpContent;
@@ -15,9 +14,7 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpUtil;
-import io.netty.util.ReferenceCountUtil;
 import java.io.IOException;
-import java.util.ArrayDeque;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import topazvalve.core.exchange.ExchangeHandler;
@@ -37,8 +34,6 @@
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject>
         implements ResponseListener<UpstreamResponse> {
     private static final Logger LOG = LoggerFactory.getLogger("frontend");
-    /** How much is read and discarded behind the last response before reading stops. */
-    private static final int MAX_LINGER_BYTES = 1 << 20;
 
     private final HttpFrontend frontend;
     private final ExchangeHandler<UpstreamRequest, UpstreamResponse> exchangeHandler;
@@ -48,21 +43,12 @@
     private final RequestDecoder decoder;
     private final RequestBodyReceiver bodyReceiver;
     private final ResponseWriter responseWriter;
-    /** Decoded messages of later requests, from the read that completed the current one. */
-    private final ArrayDeque<HttpObject> queuedMessages = new ArrayDeque<>(1);
+    private final PipelinedMessages pipelinedMessages = new PipelinedMessages(this);
+    private final LingeringClose lingeringClose;
+    private final CurrentRequest request;
 
     private ConnectionState state = ConnectionState.NEW;
     private long lastActivityNanos = System.nanoTime();
-    private int lingeredBytes;
-
-    /** A valid request that is not yet submitted; null if there is none or it is a readiness check. */
-    private ExchangeRequest<UpstreamRequest> pendingRequest;
-    /** The client's id of its request. */
-    private String requestId;
-
-    private boolean requestIdReserved;
-    /** The submitted request's number at the exchange handler; 0 if there is none. */
-    private long exchangeId;
 
     ClientConnection(
             HttpFrontend frontend,
@@ -79,6 +65,8 @@
         this.decoder = new RequestDecoder(this, budget);
         this.bodyReceiver = new RequestBodyReceiver(this, channel, budget);
         this.responseWriter = new ResponseWriter(this, channel, budget);
+        this.lingeringClose = new LingeringClose(channel);
+        this.request = new CurrentRequest(frontend, exchangeHandler);
     }
 
     /** Returns the decoder that belongs in front of this handler. */
@@ -133,9 +121,9 @@
 
     /** Handles that bytes were received; returns false if they are to be discarded, since no request may follow. */
     boolean bytesReceived(int byteCount) {
-        if (state == ConnectionState.LINGERING) {
-            lingeredBytes += byteCount;
-            if (lingeredBytes > MAX_LINGER_BYTES) {
+        if (state.discardsInput()) {
+            lingeringClose.addDiscarded(byteCount);
+            if (!lingeringClose.mayRead()) {
                 updateAutoRead();
             }
             return false;
@@ -151,43 +139,42 @@
 
     /** Reads as long as there is space, since only a connection that is read notices that its client leaves. */
     void updateAutoRead() {
-        boolean mayRead = state == ConnectionState.LINGERING
-                ? lingeredBytes <= MAX_LINGER_BYTES
-                : !decoder.isFlooded() && bodyReceiver.hasSpace();
+        boolean mayRead =
+                state.discardsInput() ? lingeringClose.mayRead() : !decoder.isFlooded() && bodyReceiver.hasSpace();
         channel.config().setAutoRead(mayRead);
     }
 
     /** Returns whether what is received now belongs to a later request and has to wait. */
     boolean queuesInput() {
         return bodyReceiver.isLastContentDeferred()
-                || !queuedMessages.isEmpty()
+                || !pipelinedMessages.isEmpty()
                 || (state.isRequestSubmitted() && !bodyReceiver.isIncomplete());
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
         if (queuesInput()) {
-            queuedMessages.add(ReferenceCountUtil.retain(message));
+            pipelinedMessages.add(message);
         } else {
             process(message);
         }
     }
 
-    private void process(HttpObject message) {
-        if (state == ConnectionState.LINGERING || !channel.isActive()) {
+    /** Processes a message of the current or of a new request. */
+    void process(HttpObject message) {
+        if (state.discardsInput() || !channel.isActive()) {
             return;
         }
         if (message.decoderResult().isFailure()) {
-            HttpResponseStatus status =
-                    LocalResponses.decoderFailureStatus(message.decoderResult().cause());
-            rejectInvalid(new InvalidRequestException(status, "malformed request"));
+            rejectInvalid(
+                    InvalidRequestException.malformed(message.decoderResult().cause()));
             return;
         }
         if (message instanceof HttpRequest head) {
             startRequest(head);
         }
         // The end of a head without a body is a content, too; the head may have been rejected.
-        if (message instanceof HttpContent content && state != ConnectionState.LINGERING) {
+        if (message instanceof HttpContent content && !state.discardsInput()) {
             bodyReceiver.receive(content);
         }
     }
@@ -196,16 +183,18 @@
     private void startRequest(HttpRequest head) {
         transitionTo(ConnectionState.READING_REQUEST);
         responseWriter.requestStarted(head);
-        pendingRequest = null;
         RequestBody body = bodyReceiver.start(HttpUtil.getContentLength(head, -1L));
+        ExchangeRequest<UpstreamRequest> exchangeRequest;
         try {
-            pendingRequest = requestReader.read(head, body);
+            exchangeRequest = requestReader.read(head, body);
         } catch (InvalidRequestException e) {
             rejectInvalid(e);
             return;
         }
-        if (pendingRequest != null) {
-            requestId = RequestReader.requestId(head);
+        if (exchangeRequest == null) {
+            request.startReadinessCheck();
+        } else {
+            request.start(exchangeRequest, RequestReader.requestId(head));
         }
         if (HttpUtil.is100ContinueExpected(head)) {
             responseWriter.writeContinue();
@@ -217,50 +206,36 @@
         if (state != ConnectionState.READING_REQUEST) {
             return;
         }
-        if (pendingRequest == null) {
-            respondToReadinessCheck();
+        if (request.isReadinessCheck()) {
+            respond(LocalResponses.readiness(lifecycle.acceptsClients()));
             return;
         }
-        requestIdReserved = frontend.reserveRequestId(requestId);
-        if (!requestIdReserved) {
+        if (!request.reserveId()) {
             rejectInvalid(new InvalidRequestException(HttpResponseStatus.CONFLICT, "Req-Id in use"));
             return;
         }
-        submit(pendingRequest.withTimeoutAtMost(lifecycle.maxRequestTimeoutNanos()));
+        submit(request.submit().withTimeoutAtMost(lifecycle.maxRequestTimeoutNanos()));
     }
 
-    private void submit(ExchangeRequest<UpstreamRequest> request) {
-        pendingRequest = null;
+    private void submit(ExchangeRequest<UpstreamRequest> exchangeRequest) {
         transitionTo(ConnectionState.AWAITING_RESPONSE);
         frontend.requestStateChanged();
-        long submittedId = exchangeHandler.submit(request, this);
+        long exchangeId = exchangeHandler.submit(exchangeRequest, this);
         // The response may have come within that call.
         if (state == ConnectionState.AWAITING_RESPONSE) {
-            exchangeId = submittedId;
+            request.exchangeOpened(exchangeId);
         }
     }
 
-    private void respondToReadinessCheck() {
-        HttpResponseStatus status =
-                lifecycle.acceptsClients() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE;
-        respond(LocalResponses.plainText(status, ""));
-    }
-
     /** Processes what was received behind the request that has just ended. */
     void processQueued() {
-        while (!queuedMessages.isEmpty() && mayProcessQueued()) {
-            HttpObject next = queuedMessages.poll();
-            try {
-                process(next);
-            } finally {
-                ReferenceCountUtil.release(next);
-            }
-        }
+        pipelinedMessages.process();
         decoder.decodeBuffered();
         updateAutoRead();
     }
 
-    private boolean mayProcessQueued() {
+    /** Returns whether the next message of {@link PipelinedMessages} may be processed now. */
+    boolean mayProcessQueued() {
         return !bodyReceiver.isLastContentDeferred() && (bodyReceiver.isIncomplete() || !state.isRequestSubmitted());
     }
 
@@ -318,7 +293,7 @@
     /** A request that has been read already is answered also while the sidecar drains. */
     private boolean acceptsFurtherRequest() {
         boolean readsFurtherRequests = !lifecycle.isDraining() && !decoder.hasDropped();
-        return readsFurtherRequests || !queuedMessages.isEmpty() || decoder.hasBuffered();
+        return readsFurtherRequests || !pipelinedMessages.isEmpty() || decoder.hasBuffered();
     }
 
     /** Continues with the next request, or closes, once the response is written. */
@@ -369,61 +344,46 @@
     }
 
     private void endExchange(FullHttpResponse lastResponse) {
-        long openExchange = exchangeId;
+        long openExchange = request.openExchange();
         respondAndLinger(lastResponse);
-        notifyDisconnected(openExchange);
-    }
-
-    private void notifyDisconnected(long openExchange) {
-        if (openExchange != 0) {
-            exchangeHandler.clientDisconnected(openExchange);
-        }
+        request.notifyDisconnected(openExchange);
     }
 
     private void respondAndLinger(FullHttpResponse lastResponse) {
         linger(responseWriter.writeLast(lastResponse));
     }
 
-    /**
-     * Ends the connection in order: sends nothing behind the last write, and reads and discards for a while what
-     * the client still sends, since a close with unread bytes would reset the connection.
-     */
+    /** Ends the connection behind the last write, as {@link LingeringClose} describes. */
     private void linger(ChannelFuture lastWrite) {
         transitionTo(ConnectionState.LINGERING);
         discardInput();
         updateAutoRead();
-        lastWrite.addListener(done -> ((DuplexChannel) channel).shutdownOutput());
+        lingeringClose.shutdownOutputAfter(lastWrite);
     }
 
     private void discardInput() {
-        pendingRequest = null;
         bodyReceiver.stop();
         releaseRequest();
-        queuedMessages.forEach(ReferenceCountUtil::release);
-        queuedMessages.clear();
+        pipelinedMessages.discard();
         decoder.discardBuffer();
     }
 
     private void releaseRequest() {
-        if (requestIdReserved) {
-            frontend.releaseRequestId(requestId);
-            requestIdReserved = false;
-        }
-        exchangeId = 0;
+        request.release();
         bodyReceiver.discard();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
         frontend.connectionClosed(this);
-        long openExchange = exchangeId;
+        long openExchange = request.openExchange();
         if (responseWriter.isStreaming()) {
             releaseRequest();
             responseWriter.endStreaming();
         }
-        transitionTo(ConnectionState.LINGERING);
+        transitionTo(ConnectionState.CLOSED);
         discardInput();
-        notifyDisconnected(openExchange);
+        request.notifyDisconnected(openExchange);
     }
 
     @Override
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/ConnectionState.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/ConnectionState.java
@@ -13,7 +13,9 @@
     /** The request is submitted; its body may still be incomplete. */
     AWAITING_RESPONSE,
     /** A response is being written. */
-    WRITING_RESPONSE;
+    WRITING_RESPONSE,
+    /** The connection is closed. */
+    CLOSED;
 
     /** Returns whether the connection holds a request or a part of one. */
     boolean holdsRequest() {
@@ -25,6 +27,11 @@
         return this == AWAITING_RESPONSE || this == WRITING_RESPONSE;
     }
 
+    /** Returns whether the connection serves no further request, so that what is received is discarded. */
+    boolean discardsInput() {
+        return this == LINGERING || this == CLOSED;
+    }
+
     /** Returns whether the connection is open for a request of which nothing was received yet. */
     boolean awaitsRequest() {
         return this == IDLE || this == NEW;
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/ConnectionTimeouts.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/ConnectionTimeouts.java
@@ -37,6 +37,7 @@
             case NEW, READING_REQUEST -> REQUEST_NANOS;
             case AWAITING_RESPONSE -> awaitsBody ? REQUEST_NANOS : Long.MAX_VALUE;
             case WRITING_RESPONSE -> responseTaken ? Long.MAX_VALUE : RESPONSE_READ_NANOS;
+            case CLOSED -> Long.MAX_VALUE;
         };
     }
 }
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/EvictionPolicy.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/EvictionPolicy.java
@@ -93,7 +93,7 @@
                 case NEW -> silent.add(connection);
                 case IDLE -> idle.add(connection);
                 case READING_REQUEST -> incomplete.add(connection);
-                default -> {} // holds a complete request
+                default -> {} // holds a complete request, or is closed
             }
         }
 
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/InvalidRequestException.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/InvalidRequestException.java
@@ -27,6 +27,11 @@
         return new InvalidRequestException(HttpResponseStatus.BAD_REQUEST, text);
     }
 
+    /** Returns the fault of a request that the HTTP decoder could not read. */
+    static InvalidRequestException malformed(Throwable decoderFailure) {
+        return new InvalidRequestException(LocalResponses.decoderFailureStatus(decoderFailure), "malformed request");
+    }
+
     /** Returns the status of the response. */
     HttpResponseStatus status() {
         return status;
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/LocalResponses.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/LocalResponses.java
@@ -57,6 +57,11 @@
         return plainText(HttpResponseStatus.BAD_GATEWAY, "failed");
     }
 
+    /** Returns the answer to a readiness check. */
+    static FullHttpResponse readiness(boolean acceptsClients) {
+        return plainText(acceptsClients ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, "");
+    }
+
     /** Returns a response of type {@code text/plain}, without its length. */
     static FullHttpResponse plainText(HttpResponseStatus status, String text) {
         FullHttpResponse response = new DefaultFullHttpResponse(
