--- a/capacity/src/main/java/topazvalve/capacity/measure/CallMeasurement.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/CallMeasurement.java
@@ -12,7 +12,7 @@
 import org.HdrHistogram.Histogram;
 import topazvalve.capacity.need.Quantity;
 import topazvalve.simulation.measure.EchoServer;
-import topazvalve.simulation.measure.OpenLoop;
+import topazvalve.simulation.measure.OpenLoopGenerator;
 
 /**
  * Measures the delay and CPU that the sidecar, pinned to one core, adds to a call. An open loop sends calls to
@@ -148,7 +148,8 @@
     private void sendCalls(Route route, double callsPerSecond, long durationMillis) throws InterruptedException {
         int run = runs++;
         long durationNanos = (long) (durationMillis * NANOS_PER_MILLI);
-        OpenLoop openLoop = new OpenLoop(clientGroup.next(), route.port, "c" + run, callsPerSecond, durationNanos, run);
+        OpenLoopGenerator openLoop =
+                new OpenLoopGenerator(clientGroup.next(), route.port, "c" + run, callsPerSecond, durationNanos, run);
         openLoop.start();
         Thread.sleep(durationMillis + DRAIN_MILLIS);
         route.latencyNanos.add(openLoop.latency());
--- a/capacity/src/main/java/topazvalve/capacity/measure/ConnectionMeasurement.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/ConnectionMeasurement.java
@@ -7,9 +7,9 @@
 import topazvalve.simulation.scenario.Scenario;
 import topazvalve.simulation.scenario.Scenario.Load;
 import topazvalve.simulation.scenario.ScenarioFile;
-import topazvalve.simulation.tally.RunStatistics;
+import topazvalve.simulation.statistics.RunStatistics;
 import topazvalve.simulation.virtual.ExperimentArm;
-import topazvalve.simulation.virtual.VirtualWorld;
+import topazvalve.simulation.virtual.VirtualSimulation;
 
 /**
  * Measures in virtual time how many new connections a call needs, by the calls per second between one sidecar and
@@ -38,9 +38,9 @@
     /** Returns the new connections for each attempt at a rate of calls between one sidecar and one server. */
     static double connectionsPerCall(Scenario scenario, double callsPerSecondAndPair) {
         double callsPerSecond = callsPerSecondAndPair * scenario.fleet().servers();
-        VirtualWorld world =
-                new VirtualWorld(withLoad(scenario, callsPerSecond), ExperimentArm.of(Policy.MODULE), SEED);
-        RunStatistics.Sums sums = world.play().tally().sums();
+        VirtualSimulation simulation =
+                new VirtualSimulation(withLoad(scenario, callsPerSecond), ExperimentArm.of(Policy.MODULE), SEED);
+        RunStatistics.Sums sums = simulation.play().statistics().sums();
         return (double) sums.connections() / Math.max(1, sums.attempts());
     }
 
@@ -62,7 +62,7 @@
                         load.keys(),
                         load.zipf()),
                 scenario.network(),
-                scenario.news(),
+                scenario.discovery(),
                 scenario.limits(),
                 scenario.machines(),
                 scenario.classes(),
--- a/cli/src/main/java/topazvalve/cli/DemoVerb.java
+++ b/cli/src/main/java/topazvalve/cli/DemoVerb.java
@@ -26,6 +26,6 @@
     @Override
     public Integer call() throws IOException, InterruptedException {
         Scenario scenario = InputFiles.scenario(ProjectRoot.resolve(SCENARIO));
-        return ExitCode.of(RealTimeRun.play(scenario, seed.value(), out, out()).clean());
+        return ExitCode.of(RealTimeRun.play(scenario, seed.value(), out, out()).allRulesHeld());
     }
 }
--- a/cli/src/main/java/topazvalve/cli/ExperimentCompareVerb.java
+++ b/cli/src/main/java/topazvalve/cli/ExperimentCompareVerb.java
@@ -44,12 +44,12 @@
                         Locale.ROOT,
                         "%-16s %-24s %9.4f against %9.4f: %+.4f, 95%% from %+.4f to %+.4f " + "(%d seeds): %s%n",
                         comparison.scenario(),
-                        comparison.figure(),
+                        comparison.metric(),
                         comparison.first(),
                         comparison.second(),
                         comparison.mean(),
-                        comparison.mean() - comparison.half(),
-                        comparison.mean() + comparison.half(),
+                        comparison.mean() - comparison.halfWidth(),
+                        comparison.mean() + comparison.halfWidth(),
                         comparison.pairs(),
                         conclusion(comparison));
     }
--- a/cli/src/main/java/topazvalve/cli/ExperimentRunVerb.java
+++ b/cli/src/main/java/topazvalve/cli/ExperimentRunVerb.java
@@ -88,9 +88,9 @@
                         Locale.ROOT,
                         "%d of %d runs, %d with a broken rule, about %.0f s left%n",
                         progress.done(),
-                        progress.all(),
-                        progress.broken(),
-                        progress.leftS()));
+                        progress.total(),
+                        progress.withViolations(),
+                        progress.secondsLeft()));
         if (!results.isEmpty()) {
             Report.write(directory.resolve("report.html"), plan.name(), results);
         }
@@ -103,7 +103,8 @@
             return ExitCode.INTERRUPTED;
         }
         Runtime.getRuntime().removeShutdownHook(shutdownHook);
-        return ExitCode.of(results.stream().allMatch(result -> result.broken().isEmpty()));
+        return ExitCode.of(
+                results.stream().allMatch(result -> result.violationCounts().isEmpty()));
     }
 
     private static void print(PrintWriter console, ExperimentPlan plan, List<Result> results) {
@@ -130,7 +131,9 @@
                 average(runs, Result::goal),
                 average(runs, Result::service),
                 average(runs, Result::worstWindow),
-                runs.stream().filter(result -> !result.broken().isEmpty()).count(),
+                runs.stream()
+                        .filter(result -> !result.violationCounts().isEmpty())
+                        .count(),
                 runs.size());
     }
 
--- a/cli/src/main/java/topazvalve/cli/RealTimeRun.java
+++ b/cli/src/main/java/topazvalve/cli/RealTimeRun.java
@@ -7,27 +7,28 @@
 import java.util.Locale;
 import topazvalve.simulation.experiment.Report;
 import topazvalve.simulation.experiment.Result;
-import topazvalve.simulation.real.RealWorld;
+import topazvalve.simulation.real.RealTimeSimulation;
 import topazvalve.simulation.scenario.Scenario;
-import topazvalve.simulation.tally.Run;
-import topazvalve.simulation.tally.RunStatistics;
+import topazvalve.simulation.statistics.RunResult;
+import topazvalve.simulation.statistics.RunStatistics;
 
 /** Plays a scenario on real sockets in real time, prints one line a second, and writes a report. */
 final class RealTimeRun {
     private RealTimeRun() {}
 
     /** Plays {@code scenario}, prints to {@code out}, and leaves report and logs in {@code directory}. */
-    static Run play(Scenario scenario, long seed, Path directory, PrintWriter out)
+    static RunResult play(Scenario scenario, long seed, Path directory, PrintWriter out)
             throws IOException, InterruptedException {
         out.printf(
                 "starting %d sidecars, %d stand-in order servers and discovery on loopback ...%n",
                 scenario.fleet().instances(), scenario.fleet().servers());
         out.flush();
         Path outputDirectory = directory.toAbsolutePath();
-        Run run = new RealWorld(scenario, seed, ProjectRoot.path(), outputDirectory).play((second, activeFaults) -> {
-            out.println(line(second, activeFaults));
-            out.flush();
-        });
+        RunResult run = new RealTimeSimulation(scenario, seed, ProjectRoot.path(), outputDirectory)
+                .play((second, activeFaults) -> {
+                    out.println(line(second, activeFaults));
+                    out.flush();
+                });
         Path report = outputDirectory.resolve("report.html");
         Report.write(report, scenario.name() + ", real sockets, seed " + seed, List.of(Result.of(scenario, run)));
         Summary.print(out, scenario, run);
@@ -37,12 +38,12 @@
     }
 
     private static String line(RunStatistics.Second second, String activeFaults) {
-        double percentInTime = second.asked() == 0 ? 100 : 100.0 * second.good() / second.asked();
+        double percentInTime = second.sent() == 0 ? 100 : 100.0 * second.inTime() / second.sent();
         return String.format(
                 Locale.ROOT,
                 "%4d s %5d req/s  %5.1f%% within aim  p50 %4.0f ms  p99 %5.0f ms  %s",
                 second.number() + 1,
-                second.asked(),
+                second.sent(),
                 percentInTime,
                 second.p50Ms(),
                 second.p99Ms(),
--- a/cli/src/main/java/topazvalve/cli/SimulateVerb.java
+++ b/cli/src/main/java/topazvalve/cli/SimulateVerb.java
@@ -7,9 +7,9 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import topazvalve.simulation.scenario.Scenario;
-import topazvalve.simulation.tally.Run;
+import topazvalve.simulation.statistics.RunResult;
 import topazvalve.simulation.virtual.ExperimentArm;
-import topazvalve.simulation.virtual.VirtualWorld;
+import topazvalve.simulation.virtual.VirtualSimulation;
 
 /** Plays one scenario once, in virtual or in real time. */
 @Command(
@@ -38,12 +38,12 @@
     @Override
     public Integer call() throws IOException, InterruptedException {
         Scenario scenario = InputFiles.scenario(file);
-        Run run = real ? RealTimeRun.play(scenario, seed.value(), out, out()) : playVirtually(scenario);
-        return ExitCode.of(run.clean());
+        RunResult run = real ? RealTimeRun.play(scenario, seed.value(), out, out()) : playVirtually(scenario);
+        return ExitCode.of(run.allRulesHeld());
     }
 
-    private Run playVirtually(Scenario scenario) {
-        Run run = new VirtualWorld(scenario, ExperimentArm.of(policy.value()), seed.value()).play();
+    private RunResult playVirtually(Scenario scenario) {
+        RunResult run = new VirtualSimulation(scenario, ExperimentArm.of(policy.value()), seed.value()).play();
         Summary.print(out(), scenario, run);
         return run;
     }
--- a/cli/src/main/java/topazvalve/cli/Summary.java
+++ b/cli/src/main/java/topazvalve/cli/Summary.java
@@ -4,8 +4,8 @@
 import java.util.Locale;
 import org.HdrHistogram.Histogram;
 import topazvalve.simulation.scenario.Scenario;
-import topazvalve.simulation.tally.Run;
-import topazvalve.simulation.tally.RunStatistics;
+import topazvalve.simulation.statistics.RunResult;
+import topazvalve.simulation.statistics.RunStatistics;
 
 /** Prints the result of one run in a few lines. */
 final class Summary {
@@ -15,21 +15,21 @@
 
     private Summary() {}
 
-    static void print(PrintWriter out, Scenario scenario, Run run) {
+    static void print(PrintWriter out, Scenario scenario, RunResult run) {
         printService(out, run);
         for (int i = 0; i < scenario.classes().size(); i++) {
-            printRequestClass(out, scenario.classes().get(i).name(), i, run.tally());
+            printRequestClass(out, scenario.classes().get(i).name(), i, run.statistics());
         }
-        printCounts(out, run.tally().sums());
-        if (run.events() > 0) {
+        printCounts(out, run.statistics().sums());
+        if (run.clockEvents() > 0) {
             printVirtualTime(out, run);
         }
-        out.println(run.clean() ? "  rules: all held" : "  RULES BROKEN: " + run.broken());
-        run.breaches().stream().limit(MAX_VIOLATIONS).forEach(violation -> out.println("    " + violation));
+        out.println(run.allRulesHeld() ? "  rules: all held" : "  RULES BROKEN: " + run.violationCounts());
+        run.violations().stream().limit(MAX_VIOLATIONS).forEach(violation -> out.println("    " + violation));
     }
 
-    private static void printService(PrintWriter out, Run run) {
-        RunStatistics statistics = run.tally();
+    private static void printService(PrintWriter out, RunResult run) {
+        RunStatistics statistics = run.statistics();
         out.printf(
                 Locale.ROOT,
                 "%s, %s, seed %d: service %.4f (worst 10 s %.4f, worst class %.4f, goal %.4f)%n",
@@ -57,20 +57,20 @@
     private static void printCounts(PrintWriter out, RunStatistics.Sums sums) {
         out.printf(
                 "  asked %d, in time %d, late %d, refused %d, failed %d, unanswered %d%n",
-                sums.asked(), sums.good(), sums.late(), sums.refused(), sums.failed(), sums.unanswered());
+                sums.sent(), sums.inTime(), sums.late(), sums.rejected(), sums.failed(), sums.unanswered());
         out.printf(
                 "  attempts %d, connections opened %d, probes %d, clients' retries %d%n",
-                sums.attempts(), sums.connections(), sums.probes(), sums.retries());
+                sums.attempts(), sums.connections(), sums.healthChecks(), sums.retries());
     }
 
-    private static void printVirtualTime(PrintWriter out, Run run) {
+    private static void printVirtualTime(PrintWriter out, RunResult run) {
         out.printf(
                 Locale.ROOT,
                 "  %d tries in %.2f s: %.0f a second, %.1f events each; digest %08x%n",
                 run.requests(),
                 run.wallNanos() / NANOS_PER_SECOND,
                 run.requests() * NANOS_PER_SECOND / run.wallNanos(),
-                (double) run.events() / Math.max(1, run.requests()),
+                (double) run.clockEvents() / Math.max(1, run.requests()),
                 run.digest());
     }
 }
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/FleetRun.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/FleetRun.java
@@ -11,7 +11,7 @@
 import topazvalve.hollowfleet.oracle.FleetOracle;
 import topazvalve.hollowfleet.timeline.Timeline;
 import topazvalve.hollowfleet.timeline.Timeline.Stage;
-import topazvalve.simulation.model.RandomStreams;
+import topazvalve.simulation.model.RandomStream;
 
 /** Plays one timeline on loopback, in real time, on the caller's thread. */
 public final class FleetRun implements AutoCloseable {
@@ -21,7 +21,7 @@
 
     private final Timeline timeline;
     private final FleetEnvironment environment;
-    private final RandomStreams random;
+    private final RandomStream random;
 
     /**
      * Sets up a run without packaged sidecars.
@@ -41,7 +41,7 @@
      */
     public FleetRun(Timeline timeline, long seed, Path repositoryRoot, int packagedCount) {
         this.timeline = timeline;
-        this.random = RandomStreams.stream(seed, RANDOM_STREAM);
+        this.random = RandomStream.named(seed, RANDOM_STREAM);
         this.environment = new FleetEnvironment(timeline, seed, repositoryRoot, packagedCount);
     }
 
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/StagePlayer.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/StagePlayer.java
@@ -20,7 +20,7 @@
 import topazvalve.hollowfleet.timeline.Timeline.SourceRestart;
 import topazvalve.hollowfleet.timeline.Timeline.Stage;
 import topazvalve.policy.EndpointStatus;
-import topazvalve.simulation.model.RandomStreams;
+import topazvalve.simulation.model.RandomStream;
 
 /** Plays one stage in real time: begins its faults, makes its changes, ends the faults, and waits. */
 final class StagePlayer {
@@ -30,7 +30,7 @@
     private final SourceGroup sources;
     private final HollowFleet fleet;
     private final Size size;
-    private final RandomStreams random;
+    private final RandomStream random;
     private final Stage stage;
     private final int plannedChanges;
     private final int[] burstServers;
@@ -40,7 +40,7 @@
     private int relaysRestarted;
     private List<Integer> stalledSidecars = List.of();
 
-    StagePlayer(FleetEnvironment environment, RandomStreams random, Stage stage) {
+    StagePlayer(FleetEnvironment environment, RandomStream random, Stage stage) {
         this.environment = environment;
         this.sources = environment.sources();
         this.fleet = environment.fleet();
@@ -90,7 +90,7 @@
     private void makeRandomChanges(long elapsedNanos) {
         while (changesMade < plannedChanges
                 && elapsedNanos >= stage.lengthNanos() * (changesMade + 0.5) / plannedChanges) {
-            changeStatus((int) (random.part() * size.servers()));
+            changeStatus((int) (random.nextDouble() * size.servers()));
             changesMade++;
         }
     }
@@ -176,7 +176,7 @@
         List<Integer> sidecars =
                 new ArrayList<>(IntStream.range(0, fleet.size()).boxed().toList());
         for (int i = 0; i < count; i++) {
-            Collections.swap(sidecars, i, i + (int) (random.part() * (sidecars.size() - i)));
+            Collections.swap(sidecars, i, i + (int) (random.nextDouble() * (sidecars.size() - i)));
         }
         return sidecars.subList(0, count);
     }
--- a/simulation/src/main/java/topazvalve/simulation/experiment/Comparison.java
+++ b/simulation/src/main/java/topazvalve/simulation/experiment/Comparison.java
@@ -15,15 +15,15 @@
  * The comparison of two arms by one metric on one scenario, paired by seed. The same seed gives both arms the same
  * clients and faults, so that the differences are due to the arms.
  *
- * @param figure the name of the metric
+ * @param metric the name of the metric
  * @param pairs the number of seeds for which both arms have a result
  * @param first the mean of the first arm
  * @param second the mean of the second arm
  * @param mean the mean of the differences, the first arm's value minus the second's
- * @param half half the width of the 95% confidence interval (Student's t); NaN for fewer than two pairs
+ * @param halfWidth half the width of the 95% confidence interval (Student's t); NaN for fewer than two pairs
  */
 public record Comparison(
-        String scenario, String figure, int pairs, double first, double second, double mean, double half) {
+        String scenario, String metric, int pairs, double first, double second, double mean, double halfWidth) {
     /** The quantile of a two-sided 95% interval. */
     private static final double QUANTILE = 0.975;
 
@@ -38,14 +38,14 @@
         metrics.put(
                 "attempts per request",
                 each -> (double) each.sums().attempts()
-                        / Math.max(1, each.sums().asked()));
-        metrics.put("runs with a broken rule", each -> each.broken().isEmpty() ? 0 : 1);
+                        / Math.max(1, each.sums().sent()));
+        metrics.put("runs with a broken rule", each -> each.violationCounts().isEmpty() ? 0 : 1);
         return metrics;
     }
 
     /** Returns whether the interval excludes 0. */
     public boolean differs() {
-        return pairs >= 2 && Math.abs(mean) > half;
+        return pairs >= 2 && Math.abs(mean) > halfWidth;
     }
 
     /** Compares two arms by all metrics on all scenarios for which both have results. */
@@ -85,9 +85,9 @@
             difference.addValue(firstValue - secondValue);
         }
         int pairs = (int) difference.getN();
-        double half = halfWidth(difference);
+        double halfWidth = halfWidth(difference);
         return new Comparison(
-                scenario, name, pairs, firstArm.getMean(), secondArm.getMean(), difference.getMean(), half);
+                scenario, name, pairs, firstArm.getMean(), secondArm.getMean(), difference.getMean(), halfWidth);
     }
 
     private static double halfWidth(SummaryStatistics values) {
--- a/simulation/src/main/java/topazvalve/simulation/experiment/Report.java
+++ b/simulation/src/main/java/topazvalve/simulation/experiment/Report.java
@@ -18,7 +18,7 @@
 import java.util.Set;
 import java.util.function.ToDoubleFunction;
 import org.apache.commons.math3.stat.descriptive.SummaryStatistics;
-import topazvalve.simulation.tally.RunStatistics;
+import topazvalve.simulation.statistics.RunStatistics;
 
 /**
  * The report of an experiment, a self-contained HTML file: for each scenario a table of the arms and plots over time,
@@ -99,7 +99,7 @@
                 html,
                 "Served within the aim, part of what was asked",
                 results,
-                (second, sums) -> second.asked() == 0 ? 1 : (double) second.good() / second.asked());
+                (second, sums) -> second.sent() == 0 ? 1 : (double) second.inTime() / second.sent());
         appendPlot(html, "p99 of the requests sent in each second, ms", results, (second, sums) -> second.p99Ms());
         appendPlot(html, "p50 of the requests sent in each second, ms", results, (second, sums) -> second.p50Ms());
         appendPlot(html, "Attempts at servers, per second", results, (second, sums) -> second.attempts());
@@ -115,9 +115,10 @@
         appendCell(html, mean(runs, each -> maxOverClasses(each, Result.ClassResult::p50)), "%.0f");
         appendCell(html, mean(runs, each -> maxOverClasses(each, Result.ClassResult::p99)), "%.0f");
         appendCell(html, mean(runs, each -> perRequest(each, each.sums().attempts())), "%.2f");
-        appendCell(html, mean(runs, each -> perRequest(each, each.sums().refused())), "%.3f");
+        appendCell(html, mean(runs, each -> perRequest(each, each.sums().rejected())), "%.3f");
         appendCell(html, mean(runs, each -> perRequest(each, each.sums().failed())), "%.3f");
-        long broken = runs.stream().filter(each -> !each.broken().isEmpty()).count();
+        long broken =
+                runs.stream().filter(each -> !each.violationCounts().isEmpty()).count();
         html.append("<td class=\"")
                 .append(broken > 0 ? "bad" : "good")
                 .append("\">")
@@ -130,7 +131,7 @@
     }
 
     private static double perRequest(Result result, long count) {
-        return (double) count / Math.max(1, result.sums().asked());
+        return (double) count / Math.max(1, result.sums().sent());
     }
 
     private static void appendCell(StringBuilder html, double value, String format) {
@@ -145,12 +146,12 @@
 
     private static void appendViolations(StringBuilder html, List<Result> results) {
         List<Result> broken = results.stream()
-                .filter(each -> !each.broken().isEmpty())
+                .filter(each -> !each.violationCounts().isEmpty())
                 .limit(MAX_RUNS_WITH_VIOLATIONS)
                 .toList();
         if (!broken.isEmpty()) {
             html.append("<details><summary>Broken rules</summary><ul>");
-            broken.forEach(run -> run.breaches()
+            broken.forEach(run -> run.violations()
                     .forEach(each -> html.append("<li>")
                             .append(escape(run.key()))
                             .append(": ")
--- a/simulation/src/main/java/topazvalve/simulation/experiment/Result.java
+++ b/simulation/src/main/java/topazvalve/simulation/experiment/Result.java
@@ -1,5 +1,6 @@
 package topazvalve.simulation.experiment;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -7,18 +8,18 @@
 import org.HdrHistogram.Histogram;
 import topazvalve.simulation.scenario.Fault;
 import topazvalve.simulation.scenario.Scenario;
-import topazvalve.simulation.tally.Run;
-import topazvalve.simulation.tally.RunStatistics;
+import topazvalve.simulation.statistics.RunResult;
+import topazvalve.simulation.statistics.RunStatistics;
 import topazvalve.toml.Table;
 
 /**
- * The result of one run, as stored in a line of the file of results. The names of the components are its keys.
+ * The result of one run, as stored in a line of the file of results. Its keys are the annotations' names, or those of the components.
  *
- * @param broken how often each rule was violated, by the rule's name
+ * @param violationCounts how often each rule was violated, by the rule's name
  * @param digest the run's digest in hexadecimal
- * @param wallS how long the run took, in seconds
+ * @param wallSeconds how long the run took, in seconds
  * @param attemptsByServer by the server's id, from 1 on
- * @param breaches the first violations as text
+ * @param violations the first violations as text
  */
 public record Result(
         String scenario,
@@ -30,17 +31,17 @@
         double worstClass,
         List<ClassResult> classes,
         RunStatistics.Sums sums,
-        Map<String, Integer> broken,
+        @JsonProperty("broken") Map<String, Integer> violationCounts,
         String digest,
-        double wallS,
+        @JsonProperty("wallS") double wallSeconds,
         List<RunStatistics.Second> seconds,
         List<FaultInterval> faults,
         long[] attemptsByServer,
-        List<String> breaches) {
+        @JsonProperty("breaches") List<String> violations) {
 
     private static final double NANOS_PER_SECOND = 1e9;
     private static final double NANOS_PER_MILLI = 1e6;
-    private static final int MAX_BREACHES = 5;
+    private static final int MAX_VIOLATIONS = 5;
 
     /** The service (0 to 1) of one class, and percentiles of its latency in milliseconds. */
     public record ClassResult(String name, double service, double p50, double p90, double p99, double p999) {}
@@ -49,44 +50,44 @@
     public record FaultInterval(String kind, double from, double to) {}
 
     /** Returns the result of a run. */
-    public static Result of(Scenario scenario, Run run) {
-        RunStatistics tally = run.tally();
+    public static Result of(Scenario scenario, RunResult run) {
+        RunStatistics statistics = run.statistics();
         List<ClassResult> classes = classResults(scenario, run);
         List<RunStatistics.Second> seconds = new ArrayList<>();
-        for (int i = 0; i < tally.seconds() - 1; i++) {
-            seconds.add(tally.second(i));
+        for (int i = 0; i < statistics.seconds() - 1; i++) {
+            seconds.add(statistics.second(i));
         }
-        Map<String, Integer> broken = new TreeMap<>();
-        run.broken().forEach((rule, count) -> broken.put(rule.name(), count));
+        Map<String, Integer> violationCounts = new TreeMap<>();
+        run.violationCounts().forEach((rule, count) -> violationCounts.put(rule.name(), count));
         return new Result(
                 run.scenario(),
                 run.arm(),
                 run.seed(),
-                tally.goal(),
-                tally.service(),
-                tally.worstWindow(),
-                tally.worstClass(),
+                statistics.goal(),
+                statistics.service(),
+                statistics.worstWindow(),
+                statistics.worstClass(),
                 classes,
-                tally.sums(),
-                broken,
+                statistics.sums(),
+                violationCounts,
                 Long.toHexString(run.digest()),
                 run.wallNanos() / NANOS_PER_SECOND,
                 seconds,
                 faultIntervals(run),
                 run.attemptsByServer(),
-                run.breaches().stream()
-                        .limit(MAX_BREACHES)
+                run.violations().stream()
+                        .limit(MAX_VIOLATIONS)
                         .map(Object::toString)
                         .toList());
     }
 
-    private static List<ClassResult> classResults(Scenario scenario, Run run) {
+    private static List<ClassResult> classResults(Scenario scenario, RunResult run) {
         List<ClassResult> results = new ArrayList<>();
         for (int i = 0; i < scenario.classes().size(); i++) {
-            Histogram latency = run.tally().latency(i);
+            Histogram latency = run.statistics().latency(i);
             results.add(new ClassResult(
                     scenario.classes().get(i).name(),
-                    run.tally().service(i),
+                    run.statistics().service(i),
                     percentileMillis(latency, 50),
                     percentileMillis(latency, 90),
                     percentileMillis(latency, 99),
@@ -99,7 +100,7 @@
         return latency.getValueAtPercentile(percentile) / NANOS_PER_MILLI;
     }
 
-    private static List<FaultInterval> faultIntervals(Run run) {
+    private static List<FaultInterval> faultIntervals(RunResult run) {
         List<FaultInterval> intervals = new ArrayList<>();
         for (Fault each : run.faults()) {
             String kind = Table.nameOf(each.kind());
--- a/simulation/src/main/java/topazvalve/simulation/experiment/Runner.java
+++ b/simulation/src/main/java/topazvalve/simulation/experiment/Runner.java
@@ -15,8 +15,8 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import topazvalve.simulation.tally.Run;
-import topazvalve.simulation.virtual.VirtualWorld;
+import topazvalve.simulation.statistics.RunResult;
+import topazvalve.simulation.virtual.VirtualSimulation;
 
 /** Performs the runs of a plan in virtual time, several at once, each on one thread. */
 public final class Runner {
@@ -49,11 +49,11 @@
      * The progress of an experiment.
      *
      * @param done the number of runs that are done
-     * @param all the number of runs of the plan
-     * @param broken the number of runs that violated a rule
-     * @param leftS the estimated time to the end in seconds
+     * @param total the number of runs of the plan
+     * @param withViolations the number of runs that violated a rule
+     * @param secondsLeft the estimated time to the end in seconds
      */
-    public record Progress(int done, int all, int broken, double leftS) {}
+    public record Progress(int done, int total, int withViolations, double secondsLeft) {}
 
     /**
      * Performs the runs that are not done yet.
@@ -98,7 +98,7 @@
         long startedAt = System.nanoTime();
         int started = 0;
         int finished = 0;
-        int broken = 0;
+        int withViolations = 0;
         while (finished < started || (started < remaining.size() && !stopped)) {
             while (started - finished < jobs && started < remaining.size() && !stopped) {
                 ExperimentPlan.PlannedRun run = remaining.get(started);
@@ -110,10 +110,10 @@
                 Result result = result(next);
                 Results.append(folder, result);
                 finished++;
-                broken += result.broken().isEmpty() ? 0 : 1;
+                withViolations += result.violationCounts().isEmpty() ? 0 : 1;
                 double secondsPerRun = (System.nanoTime() - startedAt) / NANOS_PER_SECOND / finished;
                 double secondsLeft = secondsPerRun * (remaining.size() - finished);
-                listener.accept(new Progress(earlier + finished, plan.runs().size(), broken, secondsLeft));
+                listener.accept(new Progress(earlier + finished, plan.runs().size(), withViolations, secondsLeft));
             } else if (stopped) {
                 return;
             }
@@ -129,7 +129,7 @@
     }
 
     private static Result play(ExperimentPlan.PlannedRun planned) {
-        Run run = new VirtualWorld(planned.scenario(), planned.arm(), planned.seed()).play();
+        RunResult run = new VirtualSimulation(planned.scenario(), planned.arm(), planned.seed()).play();
         return Result.of(planned.scenario(), run);
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/measure/OpenLoop.java
+++ b/simulation/src/main/java/topazvalve/simulation/measure/OpenLoopGenerator.java
@@ -20,13 +20,13 @@
 import java.util.ArrayDeque;
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
-import topazvalve.simulation.model.RandomStreams;
+import topazvalve.simulation.model.RandomStream;
 
 /**
  * A load generator: Poisson arrivals at a fixed rate to one port, independent of the responses. Latency counts from the
  * time at which a request was meant to be sent. It runs on one event loop, with one request at a time on a connection.
  */
-public final class OpenLoop {
+public final class OpenLoopGenerator {
     private static final double NANOS_PER_SECOND = 1e9;
     private static final int MAX_RESPONSE_BYTES = 1 << 16;
     private static final long MAX_LATENCY_NANOS = 60_000_000_000L;
@@ -37,7 +37,7 @@
     private final String name;
     private final double ratePerSecond;
     private final long endsAt;
-    private final RandomStreams random;
+    private final RandomStream random;
     private final Histogram latency = new Histogram(1_000, MAX_LATENCY_NANOS, 3);
     private final ArrayDeque<Channel> idle = new ArrayDeque<>();
     private final ArrayDeque<Long> queue = new ArrayDeque<>();
@@ -52,14 +52,14 @@
      * @param name its name, the first part of its requests' ids; with {@code seed} it determines the arrivals
      * @param lengthNanos how long it sends requests
      */
-    public OpenLoop(EventLoop loop, int port, String name, double rate, long lengthNanos, long seed) {
+    public OpenLoopGenerator(EventLoop loop, int port, String name, double rate, long lengthNanos, long seed) {
         this.loop = loop;
         this.port = port;
         this.name = name;
         this.ratePerSecond = rate;
         this.nextAt = System.nanoTime();
         this.endsAt = nextAt + lengthNanos;
-        this.random = RandomStreams.stream(seed, name);
+        this.random = RandomStream.named(seed, name);
     }
 
     /** Starts to send. */
@@ -78,7 +78,7 @@
     }
 
     /** Returns the number of requests that were not served. */
-    public long bad() {
+    public long failures() {
         return failures;
     }
 
@@ -87,7 +87,7 @@
         while (nextAt <= now && nextAt < endsAt) {
             sent++;
             send(nextAt);
-            nextAt += Math.max(1, (long) random.exponential(NANOS_PER_SECOND / ratePerSecond));
+            nextAt += Math.max(1, (long) random.nextExponential(NANOS_PER_SECOND / ratePerSecond));
         }
         if (nextAt < endsAt) {
             loop.schedule(this::sendDue, Math.max(0, nextAt - System.nanoTime()), TimeUnit.NANOSECONDS);
@@ -148,10 +148,10 @@
     private void write(Channel channel, long plannedAt) {
         channel.pipeline().get(Handler.class).plannedAt = plannedAt;
         DefaultFullHttpRequest request = new DefaultFullHttpRequest(
-                HttpVersion.HTTP_1_1, HttpMethod.GET, "/api/" + Long.toHexString(random.any()));
+                HttpVersion.HTTP_1_1, HttpMethod.GET, "/api/" + Long.toHexString(random.nextLong()));
         request.headers()
                 .set(HttpHeaderNames.HOST, "app.svc")
-                .set("Req-Id", name + "-" + Long.toHexString(random.any()))
+                .set("Req-Id", name + "-" + Long.toHexString(random.nextLong()))
                 .set("Req-Kind", "look-up")
                 .set("Req-Deadline-Ms", "5000");
         channel.writeAndFlush(request);
--- a/simulation/src/main/java/topazvalve/simulation/measure/RateMeasurement.java
+++ b/simulation/src/main/java/topazvalve/simulation/measure/RateMeasurement.java
@@ -105,8 +105,10 @@
             Duration length,
             int number)
             throws InterruptedException {
-        OpenLoop direct = new OpenLoop(clients.next(), echoes.get(0).port(), "d" + number, rate, length.toNanos(), 1);
-        OpenLoop through = new OpenLoop(clients.next(), sidecar.port(), "t" + number, rate, length.toNanos(), 2);
+        OpenLoopGenerator direct =
+                new OpenLoopGenerator(clients.next(), echoes.get(0).port(), "d" + number, rate, length.toNanos(), 1);
+        OpenLoopGenerator through =
+                new OpenLoopGenerator(clients.next(), sidecar.port(), "t" + number, rate, length.toNanos(), 2);
         Duration before = sidecar.cpuTime();
         direct.start();
         through.start();
@@ -122,7 +124,7 @@
                 percentileMillis(throughLatency, 50),
                 percentileMillis(throughLatency, 99),
                 cpuMicros,
-                (double) Math.max(missing, through.bad()) / Math.max(1, through.sent()));
+                (double) Math.max(missing, through.failures()) / Math.max(1, through.sent()));
     }
 
     private static double percentileMillis(Histogram latency, double percentile) {
--- a/simulation/src/main/java/topazvalve/simulation/model/EndpointDirectory.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/EndpointDirectory.java
@@ -21,7 +21,7 @@
 
     private final Clock clock;
     private final DiscoverySettings settings;
-    private final RandomStreams random;
+    private final RandomStream random;
     private final Map<Long, Entry> entries = new LinkedHashMap<>();
     private final List<Entry> log = new ArrayList<>();
     private final List<Consumer<Entry>> listeners = new ArrayList<>();
@@ -29,7 +29,7 @@
     private boolean unavailable;
 
     /** Creates an empty list. */
-    public EndpointDirectory(Clock clock, DiscoverySettings settings, RandomStreams random) {
+    public EndpointDirectory(Clock clock, DiscoverySettings settings, RandomStream random) {
         this.clock = clock;
         this.settings = settings;
         this.random = random;
@@ -46,7 +46,8 @@
      * @param silently whether the server can't say so itself, which takes longer to notice
      */
     public void stateChanged(OrderServer server, EndpointStatus state, boolean silently) {
-        double delaySeconds = (silently ? settings.silentNoticeSeconds() : settings.noticeSeconds()).at(random.part());
+        double delaySeconds =
+                (silently ? settings.silentNoticeSeconds() : settings.noticeSeconds()).at(random.nextDouble());
         long started = server.startedAt();
         clock.scheduleAt(clock.now() + (long) (delaySeconds * NANOS_PER_SECOND), () -> {
             if (server.startedAt() == started) {
--- a/simulation/src/main/java/topazvalve/simulation/model/FaultPlayer.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/FaultPlayer.java
@@ -43,7 +43,7 @@
         long start = target.clock().now();
         for (int i = 0; i < all.size(); i++) {
             Fault fault = all.get(i);
-            RandomStreams random = RandomStreams.stream(seed, "fault." + i);
+            RandomStream random = RandomStream.named(seed, "fault." + i);
             target.clock().scheduleAt(start + fault.start(), () -> player.begin(fault, random));
         }
         return all;
@@ -53,25 +53,25 @@
     static List<Fault> plan(Scenario scenario, long seed) {
         List<Fault> all = new ArrayList<>(scenario.faults());
         for (int i = 0; i < scenario.chaos().count(); i++) {
-            all.add(drawFault(scenario, RandomStreams.stream(seed, "chaos." + i)));
+            all.add(drawFault(scenario, RandomStream.named(seed, "chaos." + i)));
         }
         return all;
     }
 
-    private static Fault drawFault(Scenario scenario, RandomStreams random) {
+    private static Fault drawFault(Scenario scenario, RandomStream random) {
         Chaos chaos = scenario.chaos();
-        Fault.Kind kind = chaos.kinds().get(random.below(chaos.kinds().size()));
-        long length = (long) (chaos.lengthSeconds().at(random.part()) * NANOS_PER_SECOND);
-        long start = (long) (random.part() * Math.max(0, scenario.length() - length));
-        double size = chaos.size().at(random.part());
+        Fault.Kind kind = chaos.kinds().get(random.nextInt(chaos.kinds().size()));
+        long length = (long) (chaos.lengthSeconds().at(random.nextDouble()) * NANOS_PER_SECOND);
+        long start = (long) (random.nextDouble() * Math.max(0, scenario.length() - length));
+        double size = chaos.size().at(random.nextDouble());
         if (kind == Fault.Kind.LOSS || kind == Fault.Kind.SPOIL) {
             size = Math.min(MAX_DRAWN_RATE, size / DRAWN_RATE_DIVISOR);
         }
-        double share = chaos.share().at(random.part());
+        double share = chaos.share().at(random.nextDouble());
         return new Fault(kind, start, length, share, size, DRAWN_DELAY_NANOS);
     }
 
-    private void begin(Fault fault, RandomStreams random) {
+    private void begin(Fault fault, RandomStream random) {
         target.recordEvent(BEGIN_PREFIX + describe(fault));
         switch (fault.kind()) {
             case OVERLOAD -> overload(fault);
@@ -112,13 +112,13 @@
     }
 
     /** Draws the affected servers, without repetition, from those that are up. */
-    private List<OrderServer> drawServers(Fault fault, RandomStreams random) {
+    private List<OrderServer> drawServers(Fault fault, RandomStream random) {
         List<OrderServer> candidates = new ArrayList<>(
                 target.servers().stream().filter(each -> each.mode() == Mode.UP).toList());
         List<OrderServer> drawn = new ArrayList<>();
         int count = candidates.isEmpty() ? 0 : affectedCount(fault.share(), candidates.size());
         while (drawn.size() < count) {
-            drawn.add(candidates.remove(random.below(candidates.size())));
+            drawn.add(candidates.remove(random.nextInt(candidates.size())));
         }
         return drawn;
     }
@@ -143,12 +143,12 @@
         endLater(fault, () -> target.directory().setUnavailable(false));
     }
 
-    private void restartInstances(Fault fault, RandomStreams random) {
+    private void restartInstances(Fault fault, RandomStream random) {
         int count = affectedCount(fault.share(), target.instanceCount());
-        int first = random.below(target.instanceCount());
+        int first = random.nextInt(target.instanceCount());
         for (int i = 0; i < count; i++) {
             int number = (first + i) % target.instanceCount();
-            long at = target.clock().now() + (long) (random.part() * fault.length());
+            long at = target.clock().now() + (long) (random.nextDouble() * fault.length());
             target.clock().scheduleAt(at, () -> target.restartInstance(number));
         }
         endLater(fault, () -> {});
@@ -159,13 +159,13 @@
         endLater(fault, () -> servers.forEach(each -> each.setSlowdown(1)));
     }
 
-    private void corruptResponses(Fault fault, RandomStreams random) {
+    private void corruptResponses(Fault fault, RandomStream random) {
         List<OrderServer> servers = drawServers(fault, random);
         servers.forEach(each -> each.setCorruptionRate(fault.size()));
         endLater(fault, () -> servers.forEach(each -> each.setCorruptionRate(0)));
     }
 
-    private void setModeFor(Fault fault, RandomStreams random, Mode mode) {
+    private void setModeFor(Fault fault, RandomStream random, Mode mode) {
         List<OrderServer> servers = drawServers(fault, random);
         servers.forEach(each -> each.setMode(mode));
         endLater(
@@ -173,12 +173,12 @@
                 () -> servers.stream().filter(each -> each.mode() == mode).forEach(each -> each.setMode(Mode.UP)));
     }
 
-    private void resetConnections(Fault fault, RandomStreams random) {
+    private void resetConnections(Fault fault, RandomStream random) {
         drawServers(fault, random).forEach(OrderServer::resetAll);
         endLater(fault, () -> {});
     }
 
-    private void stopServers(Fault fault, RandomStreams random, boolean silently) {
+    private void stopServers(Fault fault, RandomStream random, boolean silently) {
         List<OrderServer> servers = drawServers(fault, random);
         for (OrderServer each : servers) {
             each.stop(silently);
@@ -194,7 +194,7 @@
         }
     }
 
-    private void replaceServers(Fault fault, RandomStreams random) {
+    private void replaceServers(Fault fault, RandomStream random) {
         drawServers(fault, random).forEach(old -> replace(fault, old));
         endLater(fault, () -> {});
     }
@@ -210,7 +210,7 @@
         });
     }
 
-    private void drainServers(Fault fault, RandomStreams random) {
+    private void drainServers(Fault fault, RandomStream random) {
         drawServers(fault, random).forEach(server -> drain(fault, server));
         endLater(fault, () -> {});
     }
--- a/simulation/src/main/java/topazvalve/simulation/model/Fleet.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/Fleet.java
@@ -24,19 +24,19 @@
         int perZone = (spec.servers() + zones - 1) / zones;
         int podsOfZone = Math.max(1, (perZone + spec.podSize() - 1) / spec.podSize());
         for (int i = 0; i < podsOfZone * zones; i++) {
-            RandomStreams random = RandomStreams.stream(seed, "pod." + i);
-            boolean limited = random.happens(spec.limitedPods());
-            pods.add(new Pod(clock, i, i % zones, limited ? spec.podLimit().at(random.part()) : 1));
+            RandomStream random = RandomStream.named(seed, "pod." + i);
+            boolean limited = random.nextBoolean(spec.limitedPods());
+            pods.add(new Pod(clock, i, i % zones, limited ? spec.podLimit().at(random.nextDouble()) : 1));
         }
         for (int i = 0; i < spec.servers(); i++) {
-            servers.add(make(pods.get(i % pods.size()), drawKind(RandomStreams.stream(seed, "kind." + i))));
+            servers.add(make(pods.get(i % pods.size()), drawKind(RandomStream.named(seed, "kind." + i))));
         }
     }
 
-    private int drawKind(RandomStreams random) {
+    private int drawKind(RandomStream random) {
         double totalShares =
                 scenario.machines().stream().mapToDouble(MachineKind::share).sum();
-        double remaining = random.part() * totalShares;
+        double remaining = random.nextDouble() * totalShares;
         for (int i = 0; i < scenario.machines().size(); i++) {
             remaining -= scenario.machines().get(i).share();
             if (remaining < 0) {
@@ -56,7 +56,7 @@
                 pod,
                 scenario.limits(),
                 scenario.meanWork(),
-                RandomStreams.stream(seed, "server." + id));
+                RandomStream.named(seed, "server." + id));
     }
 
     /** Returns the servers that exist now. */
--- a/simulation/src/main/java/topazvalve/simulation/model/Link.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/Link.java
@@ -10,12 +10,12 @@
     private static final int MAX_RETRANSMISSIONS = 6;
 
     private final Network network;
-    private final RandomStreams random;
+    private final RandomStream random;
     private double lossRate;
     private long extraDelayNanos;
 
     /** Creates a network without faults. */
-    public Link(Network network, RandomStreams random) {
+    public Link(Network network, RandomStream random) {
         this.network = network;
         this.random = random;
     }
@@ -25,10 +25,10 @@
         long base = crossZone ? network.crossZone() : network.sameZone();
         long delay = base + extraDelayNanos;
         if (network.jitter() > 0) {
-            delay += (long) random.exponential(base * network.jitter());
+            delay += (long) random.nextExponential(base * network.jitter());
         }
         long retransmission = FIRST_RETRANSMISSION_NANOS;
-        for (int i = 0; lossRate > 0 && i < MAX_RETRANSMISSIONS && random.happens(lossRate); i++) {
+        for (int i = 0; lossRate > 0 && i < MAX_RETRANSMISSIONS && random.nextBoolean(lossRate); i++) {
             delay += retransmission;
             retransmission *= 2;
         }
--- a/simulation/src/main/java/topazvalve/simulation/model/OrderServer.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/OrderServer.java
@@ -39,7 +39,7 @@
     private final Pod pod;
     private final double fullSpeed;
     private final double coreSpeed;
-    private final RandomStreams random;
+    private final RandomStream random;
     private final Limits limits;
     private final double meanWork;
     private final int slots;
@@ -80,7 +80,7 @@
             Pod pod,
             Limits limits,
             double meanWork,
-            RandomStreams random) {
+            RandomStream random) {
         this.clock = clock;
         this.id = id;
         this.kind = kind;
@@ -89,7 +89,7 @@
         this.limits = limits;
         this.meanWork = meanWork;
         this.random = random;
-        this.coreSpeed = kind.speed().at(random.part());
+        this.coreSpeed = kind.speed().at(random.nextDouble());
         this.fullSpeed = coreSpeed * kind.cores();
         this.slots = Math.max(1, (int) Math.round(kind.slotsPerCore() * kind.cores()));
         this.capacity = slots + (int) Math.round(kind.queuePerCore() * kind.cores());
@@ -296,8 +296,8 @@
 
     private void complete(ServerAttempt attempt) {
         attempt.server = null;
-        boolean success = !random.happens(kind.errorRate());
-        boolean corrupted = random.happens(corruptionRate);
+        boolean success = !random.nextBoolean(kind.errorRate());
+        boolean corrupted = random.nextBoolean(corruptionRate);
         attempt.completed(success, corrupted);
     }
 
@@ -430,9 +430,9 @@
     }
 
     private void schedulePause() {
-        long at = clock.now() + (long) random.exponential(kind.meanPauseInterval());
+        long at = clock.now() + (long) random.nextExponential(kind.meanPauseInterval());
         clock.scheduleAt(at, () -> {
-            long length = (long) (kind.meanPause() * (MIN_PAUSE_FACTOR + random.part()));
+            long length = (long) (kind.meanPause() * (MIN_PAUSE_FACTOR + random.nextDouble()));
             pause(length);
             schedulePause();
         });
--- a/simulation/src/main/java/topazvalve/simulation/model/RandomStreams.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/RandomStream.java
@@ -10,51 +10,51 @@
  * A stream of random numbers. Each purpose has a stream of its own, which depends on the run's seed and the purpose's
  * name alone; thus another fault doesn't change the arrivals or the work.
  */
-public final class RandomStreams {
+public final class RandomStream {
     private final UniformRandomProvider random;
     private final ZigguratSampler.Exponential exponential;
     private final ZigguratSampler.NormalizedGaussian gaussian;
 
-    private RandomStreams(UniformRandomProvider random) {
+    private RandomStream(UniformRandomProvider random) {
         this.random = random;
         this.exponential = ZigguratSampler.Exponential.of(random);
         this.gaussian = ZigguratSampler.NormalizedGaussian.of(random);
     }
 
     /** Creates the stream of a name: xoroshiro128++, seeded by MurmurHash3 of seed and name. */
-    public static RandomStreams stream(long seed, String name) {
+    public static RandomStream named(long seed, String name) {
         byte[] bytes = (seed + ":" + name).getBytes(StandardCharsets.UTF_8);
         long[] state = MurmurHash3.hash128x64(bytes);
-        return new RandomStreams(RandomSource.XO_RO_SHI_RO_128_PP.create(state));
+        return new RandomStream(RandomSource.XO_RO_SHI_RO_128_PP.create(state));
     }
 
     /** Draws a number from 0 (inclusive) to 1 (exclusive). */
-    public double part() {
+    public double nextDouble() {
         return random.nextDouble();
     }
 
     /** Draws true with this probability; probabilities up to 0 or from 1 on draw nothing. */
-    public boolean happens(double probability) {
+    public boolean nextBoolean(double probability) {
         return probability > 0 && (probability >= 1 || random.nextDouble() < probability);
     }
 
     /** Draws an integer from 0 to {@code bound} - 1. */
-    public int below(int bound) {
+    public int nextInt(int bound) {
         return random.nextInt(bound);
     }
 
-    /** Draws any long. */
-    public long any() {
+    /** Draws any long, uniformly. */
+    public long nextLong() {
         return random.nextLong();
     }
 
     /** Draws from the exponential distribution with this mean. */
-    public double exponential(double mean) {
+    public double nextExponential(double mean) {
         return mean * exponential.sample();
     }
 
     /** Draws from the lognormal distribution with mean 1 and this coefficient of variation; 0 draws nothing. */
-    public double lognormal(double variation) {
+    public double nextLognormal(double variation) {
         if (variation == 0) {
             return 1;
         }
@@ -63,7 +63,7 @@
     }
 
     /** Returns the underlying generator, for samplers. */
-    public UniformRandomProvider random() {
+    public UniformRandomProvider generator() {
         return random;
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/model/RequestGenerator.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/RequestGenerator.java
@@ -39,7 +39,7 @@
     private static final double PATIENCE_RANGE = 0.5;
 
     private final Scenario scenario;
-    private final RandomStreams random;
+    private final RandomStream random;
     private final TrafficPattern trafficPattern;
     private final double ratePerNano;
     private final double totalShares;
@@ -48,14 +48,14 @@
     /** Creates the generator of instance {@code number}; all generators of a run share one traffic pattern. */
     public RequestGenerator(Scenario scenario, long seed, int number, TrafficPattern trafficPattern) {
         this.scenario = scenario;
-        this.random = RandomStreams.stream(seed, "asker." + number);
+        this.random = RandomStream.named(seed, "asker." + number);
         this.trafficPattern = trafficPattern;
         this.ratePerNano =
-                scenario.instanceRate() * random.lognormal(scenario.load().instanceSpread()) / NANOS_PER_SECOND;
+                scenario.instanceRate() * random.nextLognormal(scenario.load().instanceSpread()) / NANOS_PER_SECOND;
         this.totalShares =
                 scenario.classes().stream().mapToDouble(WorkClass::share).sum();
         this.keys = RejectionInversionZipfSampler.of(
-                random.random(),
+                random.generator(),
                 scenario.load().keys(),
                 Math.max(MIN_ZIPF_EXPONENT, scenario.load().zipf()));
     }
@@ -65,13 +65,13 @@
      * (thinning of a Poisson process of the maximal rate).
      */
     public long nextGapNanos() {
-        return (long) random.exponential(1 / (ratePerNano * trafficPattern.maxFactor()));
+        return (long) random.nextExponential(1 / (ratePerNano * trafficPattern.maxFactor()));
     }
 
     /** Decides whether a request arrives at a candidate time, in nanoseconds from the start of the run. */
     public boolean arrivesAt(long time) {
         double maxFactor = trafficPattern.maxFactor();
-        return random.part() * maxFactor < trafficPattern.factorAt(time);
+        return random.nextDouble() * maxFactor < trafficPattern.factorAt(time);
     }
 
     /** Draws the request that arrives. */
@@ -79,23 +79,23 @@
         int classNumber = drawClass();
         WorkClass requestClass = scenario.classes().get(classNumber);
         Scenario.Clients clients = scenario.clients();
-        boolean leavesEarly = random.happens(clients.impatient());
+        boolean leavesEarly = random.nextBoolean(clients.impatient());
         long patience = leavesEarly
-                ? (long) (requestClass.deadline() * (MIN_PATIENCE + PATIENCE_RANGE * random.part()))
+                ? (long) (requestClass.deadline() * (MIN_PATIENCE + PATIENCE_RANGE * random.nextDouble()))
                 : requestClass.deadline();
         return new GeneratedRequest(
                 classNumber,
                 keys.sample(),
-                requestClass.work() * random.lognormal(requestClass.workVariation()),
+                requestClass.work() * random.nextLognormal(requestClass.workVariation()),
                 patience,
                 leavesEarly,
-                random.happens(clients.retries()),
-                random.happens(clients.honourRetryAfter()));
+                random.nextBoolean(clients.retries()),
+                random.nextBoolean(clients.honourRetryAfter()));
     }
 
     private int drawClass() {
         List<WorkClass> classes = scenario.classes();
-        double remaining = random.part() * totalShares;
+        double remaining = random.nextDouble() * totalShares;
         int number = 0;
         while (number < classes.size() - 1 && remaining >= classes.get(number).share()) {
             remaining -= classes.get(number).share();
--- a/simulation/src/main/java/topazvalve/simulation/model/Topology.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/Topology.java
@@ -19,9 +19,9 @@
     public Topology(Scenario scenario, Clock clock, long seed) {
         this.scenario = scenario;
         this.fleet = new Fleet(scenario, clock, seed);
-        this.directory = new EndpointDirectory(clock, scenario.news(), RandomStreams.stream(seed, "directory"));
-        this.link = new Link(scenario.network(), RandomStreams.stream(seed, "link"));
-        this.trafficPattern = new TrafficPattern(scenario.load(), RandomStreams.stream(seed, "rhythm"));
+        this.directory = new EndpointDirectory(clock, scenario.discovery(), RandomStream.named(seed, "directory"));
+        this.link = new Link(scenario.network(), RandomStream.named(seed, "link"));
+        this.trafficPattern = new TrafficPattern(scenario.load(), RandomStream.named(seed, "rhythm"));
     }
 
     /** Returns the scenario. */
--- a/simulation/src/main/java/topazvalve/simulation/model/TrafficPattern.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/TrafficPattern.java
@@ -7,13 +7,13 @@
     private static final long MIN_PHASE_NANOS = 1_000_000;
 
     private final Load load;
-    private final RandomStreams random;
+    private final RandomStream random;
     private boolean burst;
     private long phaseEndsAt;
     private double loadFactor = 1;
 
     /** Creates a pattern that draws the lengths of bursts from {@code random}. */
-    public TrafficPattern(Load load, RandomStreams random) {
+    public TrafficPattern(Load load, RandomStream random) {
         this.load = load;
         this.random = random;
     }
@@ -36,7 +36,8 @@
                     case BURSTY -> {
                         while (time >= phaseEndsAt) {
                             burst = !burst;
-                            phaseEndsAt += Math.max(MIN_PHASE_NANOS, (long) random.exponential(load.period() / 2.0));
+                            phaseEndsAt +=
+                                    Math.max(MIN_PHASE_NANOS, (long) random.nextExponential(load.period() / 2.0));
                         }
                         yield burst ? 1 + load.swing() : 1 - load.swing();
                     }
--- a/simulation/src/main/java/topazvalve/simulation/real/ClientHandler.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/ClientHandler.java
@@ -12,7 +12,7 @@
     /** How long a slow reader pauses after each read. */
     private static final long SLOW_READ_NANOS = 20_000_000;
 
-    private final RealWorld world;
+    private final RealTimeSimulation simulation;
     private final ArrayDeque<Channel> idleConnections;
     private final boolean slowReader;
     private ClientRequest current;
@@ -23,8 +23,8 @@
      *
      * @param idleConnections takes the connection while it is idle
      */
-    ClientHandler(RealWorld world, ArrayDeque<Channel> idleConnections, boolean slowReader) {
-        this.world = world;
+    ClientHandler(RealTimeSimulation simulation, ArrayDeque<Channel> idleConnections, boolean slowReader) {
+        this.simulation = simulation;
         this.idleConnections = idleConnections;
         this.slowReader = slowReader;
     }
@@ -55,8 +55,10 @@
     public void channelReadComplete(ChannelHandlerContext context) {
         if (slowReader) {
             context.channel().config().setAutoRead(false);
-            long resumesAt = world.clock().now() + SLOW_READ_NANOS;
-            world.clock().scheduleAt(resumesAt, () -> context.channel().config().setAutoRead(true));
+            long resumesAt = simulation.clock().now() + SLOW_READ_NANOS;
+            simulation
+                    .clock()
+                    .scheduleAt(resumesAt, () -> context.channel().config().setAutoRead(true));
         }
     }
 
--- a/simulation/src/main/java/topazvalve/simulation/real/ClientRequest.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/ClientRequest.java
@@ -28,7 +28,7 @@
     /** How long after its deadline late attempts of a request are still recognised. */
     private static final long RETENTION_NANOS = 10_000_000_000L;
 
-    private final RealWorld world;
+    private final RealTimeSimulation simulation;
     private final RealClients clients;
     private final int instance;
     private final GeneratedRequest generated;
@@ -49,39 +49,42 @@
      * @param firstSentAt when the first try was meant to be sent, in nanoseconds of the clock
      */
     ClientRequest(
-            RealWorld world,
+            RealTimeSimulation simulation,
             RealClients clients,
             int instance,
             GeneratedRequest generated,
             long firstSentAt,
             boolean isRetry) {
-        this.world = world;
+        this.simulation = simulation;
         this.clients = clients;
         this.instance = instance;
         this.generated = generated;
         this.firstSentAt = firstSentAt;
         this.isRetry = isRetry;
-        this.requestClass = world.scenario().classes().get(generated.requestClass());
+        this.requestClass = simulation.scenario().classes().get(generated.requestClass());
         long number = clients.nextId();
         this.id = SentRequests.id(instance, number);
-        long now = world.clock().now();
+        long now = simulation.clock().now();
         // The time of the first try runs from when it was meant to be sent.
         this.deadline = (isRetry ? now : firstSentAt) + generated.patienceNanos();
         this.timeLeftNanos = deadline - now;
-        this.trace = new Trace(number, instance, requestClass, world.sinceStart(now), world.sinceStart(deadline));
+        this.trace =
+                new Trace(number, instance, requestClass, simulation.sinceStart(now), simulation.sinceStart(deadline));
     }
 
     /** Sends it. */
     void send() {
         SentRequest sent =
                 new SentRequest(trace, instance, generated.requestClass(), generated.key(), generated.work(), deadline);
-        world.sentRequests().put(id, sent);
-        world.oracle().requestSent(trace);
-        world.requestSent();
-        world.clock().scheduleAt(deadline, this::deadlinePassed);
-        world.clock()
+        simulation.sentRequests().put(id, sent);
+        simulation.oracle().requestSent(trace);
+        simulation.requestSent();
+        simulation.clock().scheduleAt(deadline, this::deadlinePassed);
+        simulation
+                .clock()
                 .scheduleAt(
-                        deadline + RETENTION_NANOS, () -> world.sentRequests().remove(id));
+                        deadline + RETENTION_NANOS,
+                        () -> simulation.sentRequests().remove(id));
         connect(clients.drawsNewConnection());
     }
 
@@ -98,7 +101,7 @@
                 write(done.channel());
             } else {
                 // The connection is refused, so nothing has run.
-                world.oracle().excuse(trace);
+                simulation.oracle().excuse(trace);
                 end(Answer.REFUSED, 0);
             }
         });
@@ -138,13 +141,13 @@
         }
         finished = true;
         if (generated.leavesEarly()) {
-            world.oracle().clientDisconnected(trace, world.elapsed());
+            simulation.oracle().clientDisconnected(trace, simulation.elapsed());
         }
         if (channel != null) {
             channel.close();
         }
-        world.statistics().requestUnanswered(generated.requestClass(), world.sinceStart(firstSentAt));
-        world.oracle().deadlinePassed(trace, world.elapsed());
+        simulation.statistics().requestUnanswered(generated.requestClass(), simulation.sinceStart(firstSentAt));
+        simulation.oracle().deadlinePassed(trace, simulation.elapsed());
     }
 
     /**
@@ -158,8 +161,8 @@
         if (usedBefore && !reconnected) {
             reconnected = true;
             connect(true);
-        } else if (world.wasKilled(instance, trace)) {
-            world.oracle().excuse(trace);
+        } else if (simulation.wasKilled(instance, trace)) {
+            simulation.oracle().excuse(trace);
             end(Answer.FAILED, 0);
         }
     }
@@ -169,10 +172,10 @@
         Answer answer = answer(response.status());
         if (answer == Answer.SERVED
                 && !response.content().toString(StandardCharsets.US_ASCII).equals(RealClients.bodyOf(id))) {
-            world.oracle().responseForged(trace, world.elapsed());
+            simulation.oracle().responseForged(trace, simulation.elapsed());
         }
-        world.oracle().responseReceived(trace, answer, world.elapsed());
-        world.updateDigest(trace, answer);
+        simulation.oracle().responseReceived(trace, answer, simulation.elapsed());
+        simulation.updateDigest(trace, answer);
         end(answer, retryAfterNanos(response));
     }
 
@@ -197,24 +200,24 @@
     private void end(Answer answer, long retryAfterNanos) {
         finished = true;
         boolean harmless = answer == Answer.REFUSED || requestClass.retryIsHarmless();
-        long sentAt = world.sinceStart(firstSentAt);
+        long sentAt = simulation.sinceStart(firstSentAt);
         if (answer == Answer.SERVED) {
-            long latency = world.clock().now() - firstSentAt;
-            world.statistics().requestServed(generated.requestClass(), sentAt, latency);
+            long latency = simulation.clock().now() - firstSentAt;
+            simulation.statistics().requestServed(generated.requestClass(), sentAt, latency);
         } else if (generated.retries() && !isRetry && harmless) {
-            Scenario.Clients settings = world.scenario().clients();
+            Scenario.Clients settings = simulation.scenario().clients();
             retryAfter(settings.backoffNanos(generated.honoursRetryAfter(), retryAfterNanos));
         } else if (answer == Answer.REFUSED) {
-            world.statistics().requestRejected(generated.requestClass(), sentAt);
+            simulation.statistics().requestRejected(generated.requestClass(), sentAt);
         } else {
-            world.statistics().requestFailed(generated.requestClass(), sentAt);
+            simulation.statistics().requestFailed(generated.requestClass(), sentAt);
         }
     }
 
     private void retryAfter(long backoffNanos) {
-        world.clock().scheduleAt(world.clock().now() + backoffNanos, () -> {
-            world.statistics().retrySent();
-            new ClientRequest(world, clients, instance, generated, firstSentAt, true).send();
+        simulation.clock().scheduleAt(simulation.clock().now() + backoffNanos, () -> {
+            simulation.statistics().retrySent();
+            new ClientRequest(simulation, clients, instance, generated, firstSentAt, true).send();
         });
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/real/DiscoveryStandIn.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/DiscoveryStandIn.java
@@ -46,7 +46,7 @@
     private static final long HEARTBEAT_SECONDS = 2;
     private static final long DOWN_CHECK_MILLIS = 50;
 
-    private final RealWorld world;
+    private final RealTimeSimulation simulation;
     private final DiscoverySettings settings;
     private final Set<Watch> watches = new HashSet<>();
     private long busyUntil;
@@ -54,10 +54,10 @@
     /** The open response of an instance's watch. */
     private record Watch(int instance, Channel channel) {}
 
-    DiscoveryStandIn(EventLoop loop, RealWorld world, DiscoverySettings settings) {
-        this.world = world;
+    DiscoveryStandIn(EventLoop loop, RealTimeSimulation simulation, DiscoverySettings settings) {
+        this.simulation = simulation;
         this.settings = settings;
-        world.directory().addListener(this::entryChanged);
+        simulation.directory().addListener(this::entryChanged);
         loop.scheduleWithFixedDelay(
                 () -> watches.forEach(each -> write(each, "\n")),
                 HEARTBEAT_SECONDS,
@@ -70,7 +70,7 @@
     /** Opens the port of one instance; the future completes when it listens. */
     ChannelFuture open(int instance) {
         return new ServerBootstrap()
-                .group(world.group())
+                .group(simulation.group())
                 .channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
@@ -86,7 +86,7 @@
     }
 
     private void closeWatchesWhileDown() {
-        if (world.directory().isUnavailable()) {
+        if (simulation.directory().isUnavailable()) {
             Set.copyOf(watches).forEach(each -> each.channel.close());
             watches.clear();
         }
@@ -97,8 +97,8 @@
     }
 
     private void entryChanged(Entry entry) {
-        long at = world.clock().now() + world.nextPropagationNanos();
-        world.clock().scheduleAt(at, () -> notifyWatches(entry));
+        long at = simulation.clock().now() + simulation.nextPropagationNanos();
+        simulation.clock().scheduleAt(at, () -> notifyWatches(entry));
     }
 
     private void notifyWatches(Entry entry) {
@@ -110,19 +110,19 @@
 
     private void notifyWatch(Watch watch, ObjectNode listing, List<Entry> entries) {
         write(watch, listing + "\n");
-        world.endpointsNotified(watch.instance, entries);
+        simulation.endpointsNotified(watch.instance, entries);
     }
 
     private ObjectNode toJson(List<Entry> entries, long revision, boolean all) {
         ObjectNode root = JSON.createObjectNode().put("rev", revision).put("all", all);
         ArrayNode targets = root.putArray("targets");
-        entries.forEach(each -> targets.add(world.toJson(each)));
+        entries.forEach(each -> targets.add(simulation.toJson(each)));
         return root;
     }
 
     /** Returns the full endpoint list as an instance may have cached it. */
     ObjectNode fullList() {
-        EndpointDirectory directory = world.directory();
+        EndpointDirectory directory = simulation.directory();
         return toJson(directory.entries(), directory.revision(), true);
     }
 
@@ -139,20 +139,20 @@
             QueryStringDecoder uri = new QueryStringDecoder(request.uri());
             boolean watch = uri.parameters().containsKey("watch");
             String from = uri.parameters().getOrDefault("from", List.of("0")).get(0);
-            long now = world.clock().now();
+            long now = simulation.clock().now();
             long startsAt = Math.max(now, busyUntil);
             if (!uri.path().equals("/discovery/hosts")
-                    || world.directory().isUnavailable()
+                    || simulation.directory().isUnavailable()
                     || startsAt - now > settings.callTimeout()) {
                 respondUnavailable(context);
                 return;
             }
             busyUntil = startsAt + settings.callTime();
-            world.clock().scheduleAt(busyUntil, () -> respond(context.channel(), watch, Long.parseLong(from)));
+            simulation.clock().scheduleAt(busyUntil, () -> respond(context.channel(), watch, Long.parseLong(from)));
         }
 
         private void respond(Channel channel, boolean watch, long from) {
-            EndpointDirectory directory = world.directory();
+            EndpointDirectory directory = simulation.directory();
             List<Entry> changes = watch && from > 0 ? directory.changesSince(from) : null;
             List<Entry> entries = changes != null ? changes : directory.entries();
             ObjectNode listing = toJson(entries, directory.revision(), changes == null);
@@ -180,7 +180,7 @@
                     Unpooled.copiedBuffer(listing + "\n", StandardCharsets.UTF_8));
             HttpUtil.setContentLength(response, response.content().readableBytes());
             channel.writeAndFlush(response);
-            world.endpointsNotified(instance, entries);
+            simulation.endpointsNotified(instance, entries);
         }
 
         private void respondUnavailable(ChannelHandlerContext context) {
--- a/simulation/src/main/java/topazvalve/simulation/real/HttpAttempt.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/HttpAttempt.java
@@ -18,7 +18,7 @@
     /** Noise, a truncated response, and a second response. */
     private static final int KINDS_OF_CORRUPTION = 3;
 
-    private final RealWorld world;
+    private final RealTimeSimulation simulation;
     private final OrderServer server;
     private final Channel channel;
     private final String id;
@@ -27,9 +27,9 @@
     private boolean ran;
     private boolean ended;
 
-    HttpAttempt(RealWorld world, OrderServer server, Channel channel, String id, SentRequest sent) {
-        super(world.attemptWork(sent), sent.requestClass(), sent.key(), sent.deadline());
-        this.world = world;
+    HttpAttempt(RealTimeSimulation simulation, OrderServer server, Channel channel, String id, SentRequest sent) {
+        super(simulation.attemptWork(sent), sent.requestClass(), sent.key(), sent.deadline());
+        this.simulation = simulation;
         this.server = server;
         this.channel = channel;
         this.id = id;
@@ -49,8 +49,8 @@
     /** Writes a response after the simulated delay of the network, unless the machine is unreachable then. */
     private void sendBack(Runnable write) {
         ended = true;
-        long delay = world.nextDelayNanos(sent.instance(), server);
-        world.clock().scheduleAt(world.clock().now() + delay, () -> {
+        long delay = simulation.nextDelayNanos(sent.instance(), server);
+        simulation.clock().scheduleAt(simulation.clock().now() + delay, () -> {
             if (server.mode() != Mode.VANISHED) {
                 write.run();
             }
@@ -69,7 +69,7 @@
         } else if (corrupted) {
             sendCorrupted();
         } else {
-            world.oracle().responseSent(sent.trace());
+            simulation.oracle().responseSent(sent.trace());
             sendBack(this::writeResponse);
         }
     }
@@ -86,7 +86,7 @@
             case 1 ->
                 sendBack(() -> channel.writeAndFlush(bytes(TRUNCATED_RESPONSE)).addListener(done -> channel.close()));
             default -> {
-                world.oracle().responseSent(sent.trace());
+                simulation.oracle().responseSent(sent.trace());
                 sendBack(() -> {
                     writeResponse();
                     channel.writeAndFlush(bytes(SECOND_RESPONSE));
@@ -115,7 +115,7 @@
     protected void discarded() {
         ended = true;
         if (!ran) {
-            world.oracle().attemptNeverRan(sent.trace());
+            simulation.oracle().attemptNeverRan(sent.trace());
         }
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/real/RealClients.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/RealClients.java
@@ -12,7 +12,7 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import topazvalve.simulation.model.RandomStreams;
+import topazvalve.simulation.model.RandomStream;
 import topazvalve.simulation.model.RequestGenerator;
 import topazvalve.simulation.model.TrafficPattern;
 
@@ -24,21 +24,21 @@
 final class RealClients {
     private static final int MAX_RESPONSE_BYTES = 1 << 20;
 
-    private final RealWorld world;
+    private final RealTimeSimulation simulation;
     private final EventLoop loop;
-    private final RandomStreams random;
+    private final RandomStream random;
     private final List<RequestGenerator> generators = new ArrayList<>();
     /** By instance, the most recently used last. */
     private final List<ArrayDeque<Channel>> idleConnections = new ArrayList<>();
 
     private long lastId;
 
-    RealClients(RealWorld world, EventLoop loop, long seed, TrafficPattern trafficPattern) {
-        this.world = world;
+    RealClients(RealTimeSimulation simulation, EventLoop loop, long seed, TrafficPattern trafficPattern) {
+        this.simulation = simulation;
         this.loop = loop;
-        this.random = RandomStreams.stream(seed, "clients");
-        for (int i = 0; i < world.scenario().fleet().instances(); i++) {
-            generators.add(new RequestGenerator(world.scenario(), seed, i, trafficPattern));
+        this.random = RandomStream.named(seed, "clients");
+        for (int i = 0; i < simulation.scenario().fleet().instances(); i++) {
+            generators.add(new RequestGenerator(simulation.scenario(), seed, i, trafficPattern));
             idleConnections.add(new ArrayDeque<>());
         }
     }
@@ -51,7 +51,7 @@
     /** Schedules the first request to each instance. */
     void start() {
         for (int i = 0; i < generators.size(); i++) {
-            scheduleNext(i, world.clock().now());
+            scheduleNext(i, simulation.clock().now());
         }
     }
 
@@ -59,12 +59,12 @@
     private void scheduleNext(int instance, long previousAt) {
         RequestGenerator generator = generators.get(instance);
         long at = previousAt + Math.max(1, generator.nextGapNanos());
-        if (at < world.endsAt()) {
-            world.clock().scheduleAt(at, () -> {
-                if (generator.arrivesAt(world.sinceStart(at))) {
+        if (at < simulation.endsAt()) {
+            simulation.clock().scheduleAt(at, () -> {
+                if (generator.arrivesAt(simulation.sinceStart(at))) {
                     RequestGenerator.GeneratedRequest generated = generator.next();
-                    world.statistics().requestSent(generated.requestClass(), world.sinceStart(at));
-                    new ClientRequest(world, this, instance, generated, at, false).send();
+                    simulation.statistics().requestSent(generated.requestClass(), simulation.sinceStart(at));
+                    new ClientRequest(simulation, this, instance, generated, at, false).send();
                 }
                 scheduleNext(instance, at);
             });
@@ -78,7 +78,7 @@
 
     /** Draws whether a request comes on a new connection. */
     boolean drawsNewConnection() {
-        return random.happens(world.scenario().clients().reconnect());
+        return random.nextBoolean(simulation.scenario().clients().reconnect());
     }
 
     /** Opens a connection to an instance. */
@@ -90,16 +90,16 @@
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        boolean slowReader =
-                                random.happens(world.scenario().clients().slowReaders());
+                        boolean slowReader = random.nextBoolean(
+                                simulation.scenario().clients().slowReaders());
                         channel.pipeline()
                                 .addLast(
                                         new HttpClientCodec(),
                                         new HttpObjectAggregator(MAX_RESPONSE_BYTES),
-                                        new ClientHandler(world, idleConnections.get(instance), slowReader));
+                                        new ClientHandler(simulation, idleConnections.get(instance), slowReader));
                     }
                 })
-                .connect("127.0.0.1", world.port(instance));
+                .connect("127.0.0.1", simulation.port(instance));
     }
 
     /** Takes the most recently used idle connection to an instance; returns null if there is none. */
--- a/simulation/src/main/java/topazvalve/simulation/real/RealWorld.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/RealTimeSimulation.java
@@ -27,7 +27,7 @@
 import topazvalve.simulation.model.FaultPlayer;
 import topazvalve.simulation.model.FaultTarget;
 import topazvalve.simulation.model.OrderServer;
-import topazvalve.simulation.model.RandomStreams;
+import topazvalve.simulation.model.RandomStream;
 import topazvalve.simulation.model.Topology;
 import topazvalve.simulation.oracle.Oracle;
 import topazvalve.simulation.oracle.Oracle.Answer;
@@ -35,14 +35,14 @@
 import topazvalve.simulation.real.SentRequests.SentRequest;
 import topazvalve.simulation.scenario.Fault;
 import topazvalve.simulation.scenario.Scenario;
-import topazvalve.simulation.tally.Run;
-import topazvalve.simulation.tally.RunStatistics;
+import topazvalve.simulation.statistics.RunResult;
+import topazvalve.simulation.statistics.RunStatistics;
 
 /**
  * A run of one scenario and seed in real time on loopback: stand-ins and clients on one event loop of this process, and
  * the packaged sidecar as processes between them. All state belongs to the event loop.
  */
-public final class RealWorld implements FaultTarget {
+public final class RealTimeSimulation implements FaultTarget {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
     /** What scheduling and the kernel may add to every limit. */
@@ -68,9 +68,9 @@
     private final Oracle oracle;
     private final RunStatistics statistics;
     private final SentRequests sentRequests = new SentRequests();
-    private final RandomStreams noise;
-    private final RandomStreams propagation;
-    private final RandomStreams restarts;
+    private final RandomStream noise;
+    private final RandomStream propagation;
+    private final RandomStream restarts;
     private final Topology topology;
     private final Map<Long, ServerStandIn> servers = new HashMap<>();
     private final SidecarFleet sidecars;
@@ -93,7 +93,7 @@
      * @param home the root of the repository, where the built programs are
      * @param folder takes configurations and logs
      */
-    public RealWorld(Scenario scenario, long seed, Path home, Path folder) {
+    public RealTimeSimulation(Scenario scenario, long seed, Path home, Path folder) {
         this.scenario = scenario;
         this.seed = seed;
         this.home = home;
@@ -102,9 +102,9 @@
                 MAX_FLIGHT_NANOS + FLIGHT_CROSSINGS * scenario.network().crossZone();
         this.oracle = new Oracle(scenario.limits(), TOLERANCE_NANOS, maxFlight);
         this.statistics = new RunStatistics(scenario);
-        this.noise = RandomStreams.stream(seed, "noise");
-        this.propagation = RandomStreams.stream(seed, "spread");
-        this.restarts = RandomStreams.stream(seed, "restarts");
+        this.noise = RandomStream.named(seed, "noise");
+        this.propagation = RandomStream.named(seed, "spread");
+        this.restarts = RandomStream.named(seed, "restarts");
         this.topology = onLoop(() -> new Topology(scenario, clock, seed));
         this.sidecars = new SidecarFleet(scenario, folder);
         this.attemptsByServer = new long[4 * servers().size() + 64];
@@ -129,7 +129,8 @@
      * @return the results
      * @throws IOException if a sidecar doesn't start, or ends by itself
      */
-    public Run play(BiConsumer<RunStatistics.Second, String> eachSecond) throws IOException, InterruptedException {
+    public RunResult play(BiConsumer<RunStatistics.Second, String> eachSecond)
+            throws IOException, InterruptedException {
         Files.createDirectories(folder);
         // Sidecars must not outlive this process, however it ends.
         Thread hook = new Thread(sidecars::killAll);
@@ -162,7 +163,7 @@
         openServers.forEach(CompletableFuture::join);
         onLoop(() -> {
             servers().forEach(directory()::add);
-            discovery = new DiscoveryStandIn(loop, this, scenario.news());
+            discovery = new DiscoveryStandIn(loop, this, scenario.discovery());
             return null;
         });
         for (int i = 0; i < scenario.fleet().instances(); i++) {
@@ -184,7 +185,7 @@
             // It picks free ports, so discovery's have to be bound before.
             sidecars.add(home, discoveryPorts.get(i));
             ObjectNode cachedList = onLoop(discovery::fullList);
-            sidecars.start(i, cachedList, onLoop(restarts::any));
+            sidecars.start(i, cachedList, onLoop(restarts::nextLong));
         }
         sidecars.awaitReady();
     }
@@ -218,8 +219,8 @@
         TimeUnit.NANOSECONDS.sleep(2 * maxDeadline + scenario.clients().maxRetryAfter());
     }
 
-    private Run result(List<Fault> faults, long startedAt) {
-        return new Run(
+    private RunResult result(List<Fault> faults, long startedAt) {
+        return new RunResult(
                 scenario.name(),
                 "sidecar",
                 seed,
@@ -302,7 +303,7 @@
     /** Draws the work of one attempt, in nanoseconds of a standard core. */
     double attemptWork(SentRequest request) {
         double variation = scenario.classes().get(request.requestClass()).attemptVariation();
-        return variation == 0 ? request.work() : request.work() * noise.lognormal(variation);
+        return variation == 0 ? request.work() : request.work() * noise.nextLognormal(variation);
     }
 
     /** Draws a one-way delay between an instance and a server, which is added to that of loopback. */
@@ -313,7 +314,7 @@
 
     /** Draws the time until a change of the endpoint list reaches the instances. */
     long nextPropagationNanos() {
-        return (long) (propagation.part() * scenario.news().maxPropagation());
+        return (long) (propagation.nextDouble() * scenario.discovery().maxPropagation());
     }
 
     /** A server has received an attempt completely; {@code mayRun} is false if it rejected it. */
@@ -391,7 +392,7 @@
         sidecars.kill(number);
         servers().forEach(each -> oracle.readyNotified(number, each.id()));
         ObjectNode cachedList = discovery.fullList();
-        long newSeed = restarts.any();
+        long newSeed = restarts.nextLong();
         loop.schedule(() -> startAgain(number, cachedList, newSeed), RESTART_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
 
--- a/simulation/src/main/java/topazvalve/simulation/real/ServerHandler.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/ServerHandler.java
@@ -23,12 +23,12 @@
     private static final String LIVENESS_PATH = "/alive";
     private static final String LOAD_PATH = "/metrics/load";
 
-    private final RealWorld world;
+    private final RealTimeSimulation simulation;
     private final OrderServer server;
     private HttpAttempt current;
 
-    ServerHandler(RealWorld world, OrderServer server) {
-        this.world = world;
+    ServerHandler(RealTimeSimulation simulation, OrderServer server) {
+        this.simulation = simulation;
         this.server = server;
     }
 
@@ -36,21 +36,21 @@
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
         String path = request.uri();
         if (path.equals(LIVENESS_PATH) || path.equals(LOAD_PATH)) {
-            world.statistics().healthCheckSent();
+            simulation.statistics().healthCheckSent();
             server.offer(new HttpHealthCheck(context.channel()), true);
             return;
         }
         String id = request.headers().get(REQUEST_ID_HEADER);
-        SentRequest sent = world.sentRequests().get(id);
+        SentRequest sent = simulation.sentRequests().get(id);
         if (sent == null) {
             HttpResponseStatus status = id == null ? HttpResponseStatus.NOT_FOUND : HttpResponseStatus.BAD_REQUEST;
             respond(context.channel(), status, "", false);
             return;
         }
-        HttpAttempt attempt = new HttpAttempt(world, server, context.channel(), id, sent);
+        HttpAttempt attempt = new HttpAttempt(simulation, server, context.channel(), id, sent);
         current = attempt;
-        long delay = world.nextDelayNanos(sent.instance(), server);
-        world.clock().scheduleAt(world.clock().now() + delay, () -> deliver(attempt, sent));
+        long delay = simulation.nextDelayNanos(sent.instance(), server);
+        simulation.clock().scheduleAt(simulation.clock().now() + delay, () -> deliver(attempt, sent));
     }
 
     private void deliver(HttpAttempt attempt, SentRequest sent) {
@@ -58,8 +58,8 @@
         if (mode == Mode.VANISHED || mode == Mode.DOWN) {
             return;
         }
-        server.offer(attempt, world.knowsStart(sent.instance(), server));
-        world.attemptReceived(sent, server, !attempt.wasRejected());
+        server.offer(attempt, simulation.knowsStart(sent.instance(), server));
+        simulation.attemptReceived(sent, server, !attempt.wasRejected());
     }
 
     @Override
--- a/simulation/src/main/java/topazvalve/simulation/real/ServerStandIn.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/ServerStandIn.java
@@ -29,7 +29,7 @@
     private static final int MAX_REQUEST_BYTES = 1 << 20;
     private static final long SYNC_INTERVAL_MILLIS = 20;
 
-    private final RealWorld world;
+    private final RealTimeSimulation simulation;
     private final OrderServer server;
     private final Set<Channel> connections = new HashSet<>();
     private InetSocketAddress address;
@@ -37,8 +37,8 @@
     private Mode appliedMode = Mode.UP;
     private int appliedIncarnation;
 
-    private ServerStandIn(EventLoop loop, RealWorld world, OrderServer server) {
-        this.world = world;
+    private ServerStandIn(EventLoop loop, RealTimeSimulation simulation, OrderServer server) {
+        this.simulation = simulation;
         this.server = server;
         this.appliedIncarnation = server.incarnation();
         loop.scheduleWithFixedDelay(
@@ -52,8 +52,12 @@
      * @param onOpen runs once it listens, or has failed to, which is recorded
      */
     static ServerStandIn open(
-            EventLoop loop, RealWorld world, OrderServer server, InetSocketAddress bindAddress, Runnable onOpen) {
-        ServerStandIn standIn = new ServerStandIn(loop, world, server);
+            EventLoop loop,
+            RealTimeSimulation simulation,
+            OrderServer server,
+            InetSocketAddress bindAddress,
+            Runnable onOpen) {
+        ServerStandIn standIn = new ServerStandIn(loop, simulation, server);
         ChannelFuture bound = standIn.bootstrap().bind(bindAddress);
         standIn.listener = bound.channel();
         bound.addListener(done -> {
@@ -61,7 +65,8 @@
                 standIn.address = (InetSocketAddress) bound.channel().localAddress();
             } else {
                 standIn.address = bindAddress;
-                world.recordEvent("no socket for server " + server.id() + " at " + bindAddress + ": " + done.cause());
+                simulation.recordEvent(
+                        "no socket for server " + server.id() + " at " + bindAddress + ": " + done.cause());
             }
             onOpen.run();
         });
@@ -80,7 +85,7 @@
 
     private ServerBootstrap bootstrap() {
         return new ServerBootstrap()
-                .group(world.group())
+                .group(simulation.group())
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
@@ -143,7 +148,7 @@
         listener = bound.channel();
         bound.addListener(done -> {
             String outcome = done.isSuccess() ? " listens again" : " has no socket: " + done.cause();
-            world.recordEvent("server " + server.id() + outcome);
+            simulation.recordEvent("server " + server.id() + outcome);
         });
     }
 
@@ -161,7 +166,7 @@
         }
         int acceptedIn = server.incarnation();
         connections.add(channel);
-        world.statistics().connectionOpened();
+        simulation.statistics().connectionOpened();
         channel.closeFuture().addListener(closed -> {
             connections.remove(channel);
             server.connectionClosed(acceptedIn);
@@ -174,7 +179,7 @@
                         new IdleStateHandler(0, 0, server.kind().idleTimeout(), TimeUnit.NANOSECONDS),
                         new HttpServerCodec(),
                         new HttpObjectAggregator(MAX_REQUEST_BYTES),
-                        new ServerHandler(world, server));
+                        new ServerHandler(simulation, server));
     }
 
     /** Stops listening and closes all connections. */
--- a/simulation/src/main/java/topazvalve/simulation/scenario/Scenario.java
+++ b/simulation/src/main/java/topazvalve/simulation/scenario/Scenario.java
@@ -8,7 +8,7 @@
  *
  * @param length the length of the run
  * @param settle the time from the start of the run that statistics leave out
- * @param news how discovery learns of the servers' states
+ * @param discovery how discovery learns of the servers' states
  * @param limits the limits of the oracle's rules
  */
 public record Scenario(
@@ -19,7 +19,7 @@
         Fleet fleet,
         Load load,
         Network network,
-        DiscoverySettings news,
+        DiscoverySettings discovery,
         Limits limits,
         List<MachineKind> machines,
         List<WorkClass> classes,
--- a/simulation/src/main/java/topazvalve/simulation/tally/Run.java
+++ b/simulation/src/main/java/topazvalve/simulation/statistics/RunResult.java
@@ -1,4 +1,4 @@
-package topazvalve.simulation.tally;
+package topazvalve.simulation.statistics;
 
 import java.util.List;
 import java.util.Map;
@@ -9,35 +9,35 @@
 /**
  * The outcome of one run.
  *
- * @param tally its statistics
- * @param broken how often each rule was violated; rules that held are absent
- * @param breaches the first violations
+ * @param statistics its statistics
+ * @param violationCounts how often each rule was violated; rules that held are absent
+ * @param violations the first violations
  * @param faults the faults that were played, written and drawn
- * @param notes recorded events, oldest first
+ * @param recordedEvents recorded events, oldest first
  * @param digest checksum of all responses, with their requests and times; the same seed gives the same digest in
  *     virtual time
  * @param requests the number of requests that clients sent, retries included
- * @param events the number of events of the clock; 0 in real time
+ * @param clockEvents the number of events of the clock; 0 in real time
  * @param wallNanos how long the run took
  * @param attemptsByServer the number of attempts that each server received, by its id, from 1 on
  */
-public record Run(
+public record RunResult(
         String scenario,
         String arm,
         long seed,
-        RunStatistics tally,
-        Map<Rule, Integer> broken,
-        List<Violation> breaches,
+        RunStatistics statistics,
+        Map<Rule, Integer> violationCounts,
+        List<Violation> violations,
         List<Fault> faults,
-        List<String> notes,
+        List<String> recordedEvents,
         long digest,
         long requests,
-        long events,
+        long clockEvents,
         long wallNanos,
         long[] attemptsByServer) {
 
     /** Returns whether every rule held. */
-    public boolean clean() {
-        return broken.isEmpty();
+    public boolean allRulesHeld() {
+        return violationCounts.isEmpty();
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/tally/RunStatistics.java
+++ b/simulation/src/main/java/topazvalve/simulation/statistics/RunStatistics.java
@@ -1,5 +1,6 @@
-package topazvalve.simulation.tally;
+package topazvalve.simulation.statistics;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -44,7 +45,7 @@
     private final List<Histogram> latencyBySecond = new ArrayList<>();
     private long attempts;
     private long connections;
-    private long probes;
+    private long healthChecks;
     private long retries;
 
     /** Creates the statistics of a run that hasn't started. */
@@ -135,7 +136,7 @@
 
     /** An instance has sent a health check. */
     public void healthCheckSent() {
-        probes++;
+        healthChecks++;
     }
 
     /** A client has sent a retry. */
@@ -147,11 +148,17 @@
      * The statistics of one second of the run.
      *
      * @param number seconds from the start
-     * @param asked first tries that clients sent
-     * @param good those of them that were served within the latency objective
+     * @param sent first tries that clients sent
+     * @param inTime those of them that were served within the latency objective
      * @param attempts attempts that servers received
      */
-    public record Second(int number, long asked, long good, double p50Ms, double p99Ms, long attempts) {}
+    public record Second(
+            int number,
+            @JsonProperty("asked") long sent,
+            @JsonProperty("good") long inTime,
+            double p50Ms,
+            double p99Ms,
+            long attempts) {}
 
     /** Returns the statistics of one second. */
     public Second second(int number) {
@@ -243,27 +250,27 @@
 
     /**
      * Sums over all classes and the run. Those of requests leave out the settling time.
-     * The names are keys of stored results.
+     * Stored results have the annotated names as keys.
      *
-     * @param asked first tries that clients sent
-     * @param good served within the latency objective
+     * @param sent first tries that clients sent
+     * @param inTime served within the latency objective
      * @param late served later
-     * @param refused rejected
+     * @param rejected rejected
      * @param attempts attempts that servers received
      * @param connections connections that instances opened
-     * @param probes health checks that instances sent
+     * @param healthChecks health checks that instances sent
      * @param retries retries that clients sent
      */
     public record Sums(
-            long asked,
-            long good,
+            @JsonProperty("asked") long sent,
+            @JsonProperty("good") long inTime,
             long late,
-            long refused,
+            @JsonProperty("refused") long rejected,
             long failed,
             long unanswered,
             long attempts,
             long connections,
-            long probes,
+            @JsonProperty("probes") long healthChecks,
             long retries) {}
 
     /** Returns the sums over all classes. */
@@ -283,7 +290,7 @@
                 sum(unanswered),
                 attempts,
                 connections,
-                probes,
+                healthChecks,
                 retries);
     }
 
--- a/simulation/src/main/java/topazvalve/simulation/tally/package-info.java
+++ b/simulation/src/main/java/topazvalve/simulation/statistics/package-info.java
@@ -1,2 +1,2 @@
 /** The statistics of a run, and its outcome. */
-package topazvalve.simulation.tally;
+package topazvalve.simulation.statistics;
--- a/simulation/src/main/java/topazvalve/simulation/virtual/AttemptSender.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/AttemptSender.java
@@ -7,21 +7,21 @@
 
 /** Carries the attempts of one instance to the servers and their responses back, over connections that it reuses. */
 final class AttemptSender {
-    private final VirtualWorld world;
+    private final VirtualSimulation simulation;
     private final VirtualInstance instance;
 
-    AttemptSender(VirtualWorld world, VirtualInstance instance) {
-        this.world = world;
+    AttemptSender(VirtualSimulation simulation, VirtualInstance instance) {
+        this.simulation = simulation;
         this.instance = instance;
     }
 
     private long now() {
-        return world.clock().now();
+        return simulation.clock().now();
     }
 
     /** Draws the one-way delay between the instance and the server of an attempt. */
     private long nextDelayNanos(VirtualAttempt attempt) {
-        return world.link().nextDelayNanos(attempt.serverConnections.crossZone);
+        return simulation.link().nextDelayNanos(attempt.serverConnections.crossZone);
     }
 
     /**
@@ -32,23 +32,23 @@
     void send(VirtualAttempt attempt, long timeoutNanos) {
         long now = now();
         if (timeoutNanos != 0 && now + timeoutNanos < attempt.request.deadline) {
-            world.clock().scheduleAt(now + Math.max(0, timeoutNanos), () -> timeOut(attempt));
+            simulation.clock().scheduleAt(now + Math.max(0, timeoutNanos), () -> timeOut(attempt));
         }
         VirtualConnection idle = attempt.serverConnections.takeIdle();
         long delay = nextDelayNanos(attempt);
         if (idle == null) {
-            world.clock().scheduleAt(now + delay, () -> connect(attempt));
+            simulation.clock().scheduleAt(now + delay, () -> connect(attempt));
             return;
         }
-        world.connectionBusy(idle);
+        simulation.connectionBusy(idle);
         attempt.connection = idle;
         written(attempt);
-        world.clock().scheduleAt(now + delay, () -> deliver(attempt));
+        simulation.clock().scheduleAt(now + delay, () -> deliver(attempt));
     }
 
     private void written(VirtualAttempt attempt) {
         attempt.written = true;
-        world.oracle().attemptInFlight(attempt.request.trace);
+        simulation.oracle().attemptInFlight(attempt.request.trace);
     }
 
     /** The attempt to connect has reached the server. */
@@ -60,10 +60,10 @@
         }
         long delayBack = nextDelayNanos(attempt);
         if (mode == Mode.VANISHED) {
-            long timesOutAt = attempt.sentAt + world.scenario().limits().connectTimeout();
-            world.clock().scheduleAt(timesOutAt, () -> end(attempt, Outcome.CONNECT_FAILED));
+            long timesOutAt = attempt.sentAt + simulation.scenario().limits().connectTimeout();
+            simulation.clock().scheduleAt(timesOutAt, () -> end(attempt, Outcome.CONNECT_FAILED));
         } else if (mode == Mode.DOWN || mode == Mode.REFUSING || !server.acceptConnection()) {
-            world.clock().scheduleAt(now() + delayBack, () -> end(attempt, Outcome.CONNECT_FAILED));
+            simulation.clock().scheduleAt(now() + delayBack, () -> end(attempt, Outcome.CONNECT_FAILED));
         } else {
             connected(attempt, delayBack);
         }
@@ -71,16 +71,16 @@
 
     /** The server has accepted the connection; the attempt is written once the instance learns of it. */
     private void connected(VirtualAttempt attempt, long delayBack) {
-        world.statistics().connectionOpened();
+        simulation.statistics().connectionOpened();
         OrderServer server = attempt.serverConnections.server;
         attempt.connection = new VirtualConnection(attempt.serverConnections, server.incarnation());
         long delay = nextDelayNanos(attempt);
-        world.clock().scheduleAt(now() + delayBack, () -> {
+        simulation.clock().scheduleAt(now() + delayBack, () -> {
             if (!attempt.ended) {
                 written(attempt);
             }
         });
-        world.clock().scheduleAt(now() + delayBack + delay, () -> deliver(attempt));
+        simulation.clock().scheduleAt(now() + delayBack + delay, () -> deliver(attempt));
     }
 
     /** The attempt has reached the server completely. */
@@ -97,23 +97,23 @@
         server.offer(attempt, attempt.serverConnections.knownStart >= server.startedAt());
         boolean crashed = server.incarnation() != connectedTo;
         if (!crashed || attempt.ran) {
-            world.attemptReceived(attempt);
+            simulation.attemptReceived(attempt);
         }
     }
 
     /** The server has sent a response or reset the connection, which takes its time to arrive. */
     void sendBack(VirtualAttempt attempt, Outcome outcome) {
-        world.clock().scheduleAt(now() + nextDelayNanos(attempt), () -> end(attempt, outcome));
+        simulation.clock().scheduleAt(now() + nextDelayNanos(attempt), () -> end(attempt, outcome));
     }
 
     /** The server has completed an attempt successfully. */
     void responseSent(VirtualRequest request) {
-        world.oracle().responseSent(request.trace);
+        simulation.oracle().responseSent(request.trace);
     }
 
     /** The server has discarded an attempt before it ran. */
     void attemptNeverRan(VirtualRequest request) {
-        world.oracle().attemptNeverRan(request.trace);
+        simulation.oracle().attemptNeverRan(request.trace);
     }
 
     /** The timeout of an attempt is over; without effect if it has ended. */
@@ -158,7 +158,7 @@
         if (instance.running() && responded && alive) {
             connection.idle = true;
             server.idle.addLast(connection);
-            world.connectionIdle(connection);
+            simulation.connectionIdle(connection);
         } else {
             connection.close();
         }
--- a/simulation/src/main/java/topazvalve/simulation/virtual/ColdLoadExperiment.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/ColdLoadExperiment.java
@@ -150,15 +150,15 @@
     /** Runs the experiment for one fleet. */
     static Result play(Policy policy, Fleet fleet, long seed) {
         ColdLoadExperiment experiment = new ColdLoadExperiment();
-        VirtualWorld world = new VirtualWorld(
+        VirtualSimulation simulation = new VirtualSimulation(
                 ScenarioFile.parse(
                         "cold-sums.toml",
                         SCENARIO.formatted(
                                 fleet.servers, fleet.instances, fleet.utilisation, fleet.factor, fleet.replaced)),
                 ExperimentArm.of(policy),
                 seed);
-        world.monitorColdLoad(experiment);
-        world.play();
+        simulation.monitorColdLoad(experiment);
+        simulation.play();
         return new Result(
                 List.copyOf(experiment.peaks.values()),
                 experiment.informedPeaks.values().stream()
--- a/simulation/src/main/java/topazvalve/simulation/virtual/ExperimentArm.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/ExperimentArm.java
@@ -45,7 +45,7 @@
                 scenario.fleet().instances(),
                 zone,
                 0,
-                scenario.news().subscribe() ? DiscoveryMode.SUBSCRIBE : DiscoveryMode.AUTOMATIC,
+                scenario.discovery().subscribe() ? DiscoveryMode.SUBSCRIBE : DiscoveryMode.AUTOMATIC,
                 WeightKind.SILENT,
                 scenario.classes().stream().map(ExperimentArm::requestClass).toList(),
                 List.of(),
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualClients.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualClients.java
@@ -20,7 +20,7 @@
     /** Attempts that a request can hold beyond the limit, so that the oracle's tests can exceed it. */
     private static final int SPARE_ATTEMPTS = 2;
 
-    private final VirtualWorld world;
+    private final VirtualSimulation simulation;
     private final Scenario scenario;
     /** By class of request. */
     private final List<FixedDelayQueue<VirtualRequest>> expiryTimers = new ArrayList<>();
@@ -35,12 +35,12 @@
         }
     }
 
-    VirtualClients(VirtualWorld world, long seed, TrafficPattern trafficPattern) {
-        this.world = world;
-        this.scenario = world.scenario();
+    VirtualClients(VirtualSimulation simulation, long seed, TrafficPattern trafficPattern) {
+        this.simulation = simulation;
+        this.scenario = simulation.scenario();
         for (WorkClass requestClass : scenario.classes()) {
             long expiresAfter = Math.max(1, requestClass.deadline() - RESPONSE_RESERVE_NANOS);
-            expiryTimers.add(new FixedDelayQueue<>(world.clock(), expiresAfter, this::expire));
+            expiryTimers.add(new FixedDelayQueue<>(simulation.clock(), expiresAfter, this::expire));
         }
         for (int i = 0; i < scenario.fleet().instances(); i++) {
             generators.add(new RequestGenerator(scenario, seed, i, trafficPattern));
@@ -55,15 +55,15 @@
     }
 
     private long now() {
-        return world.clock().now();
+        return simulation.clock().now();
     }
 
     private void scheduleNext(int instance) {
         RequestGenerator generator = generators.get(instance);
         long at = now() + Math.max(1, generator.nextGapNanos());
-        if (at < world.endsAt()) {
-            world.clock().scheduleAt(at, () -> {
-                if (generator.arrivesAt(world.elapsed())) {
+        if (at < simulation.endsAt()) {
+            simulation.clock().scheduleAt(at, () -> {
+                if (generator.arrivesAt(simulation.elapsed())) {
                     sendFirst(new ClientRequest(instance, generator.next(), now()));
                 }
                 scheduleNext(instance);
@@ -72,21 +72,21 @@
     }
 
     private void sendFirst(ClientRequest clientRequest) {
-        world.statistics().requestSent(clientRequest.requestClass(), world.elapsed());
+        simulation.statistics().requestSent(clientRequest.requestClass(), simulation.elapsed());
         send(clientRequest, false);
     }
 
     private void send(ClientRequest clientRequest, boolean isRetry) {
-        VirtualInstance instance = world.instances().get(clientRequest.instance());
+        VirtualInstance instance = simulation.instances().get(clientRequest.instance());
         if (!instance.running()) {
             // The connection is refused, so the client knows that nothing has run.
             endUnserved(clientRequest, isRetry, Answer.REFUSED, 0);
             return;
         }
         VirtualRequest request = createRequest(clientRequest, isRetry);
-        world.oracle().requestSent(request.trace);
+        simulation.oracle().requestSent(request.trace);
         if (clientRequest.generated().leavesEarly()) {
-            world.clock().scheduleAt(request.deadline, () -> disconnect(request));
+            simulation.clock().scheduleAt(request.deadline, () -> disconnect(request));
         } else {
             request.expiryTimer = expiryTimers.get(request.requestClass).add(request);
         }
@@ -101,8 +101,8 @@
                 id,
                 clientRequest.instance(),
                 scenario.classes().get(generated.requestClass()),
-                world.sinceStart(now()),
-                world.sinceStart(deadline));
+                simulation.sinceStart(now()),
+                simulation.sinceStart(deadline));
         return new VirtualRequest(
                 id,
                 clientRequest.instance(),
@@ -113,7 +113,7 @@
                 deadline,
                 isRetry,
                 clientRequest.firstSentAt(),
-                world.attemptLimit() + SPARE_ATTEMPTS,
+                simulation.attemptLimit() + SPARE_ATTEMPTS,
                 (request, answer, retryAfterNanos) ->
                         responseReceived(request, answer, retryAfterNanos, clientRequest));
     }
@@ -127,39 +127,41 @@
 
     private void expire(VirtualRequest request) {
         request.expiryTimer = VirtualRequest.NO_TIMER;
-        world.instances().get(request.instance).requestExpired(request);
+        simulation.instances().get(request.instance).requestExpired(request);
         if (!request.finished) {
             long at = request.deadline + scenario.limits().responseSlack() + 1;
-            world.clock().scheduleAt(at, () -> deadlinePassed(request));
+            simulation.clock().scheduleAt(at, () -> deadlinePassed(request));
         }
     }
 
     private void deadlinePassed(VirtualRequest request) {
         if (!request.finished) {
-            world.oracle().deadlinePassed(request.trace, world.elapsed());
+            simulation.oracle().deadlinePassed(request.trace, simulation.elapsed());
             endUnanswered(request);
         }
     }
 
     private void disconnect(VirtualRequest request) {
         if (!request.finished) {
-            world.oracle().clientDisconnected(request.trace, world.elapsed());
+            simulation.oracle().clientDisconnected(request.trace, simulation.elapsed());
             endUnanswered(request);
         }
     }
 
     private void endUnanswered(VirtualRequest request) {
-        world.statistics().requestUnanswered(request.requestClass, world.sinceStart(request.firstSentAt));
-        world.instances().get(request.instance).clientDisconnected(request);
+        simulation.statistics().requestUnanswered(request.requestClass, simulation.sinceStart(request.firstSentAt));
+        simulation.instances().get(request.instance).clientDisconnected(request);
     }
 
     private void responseReceived(
             VirtualRequest request, Answer answer, long retryAfterNanos, ClientRequest clientRequest) {
-        world.oracle().responseReceived(request.trace, answer, world.elapsed());
-        world.updateDigest(request.id, answer);
+        simulation.oracle().responseReceived(request.trace, answer, simulation.elapsed());
+        simulation.updateDigest(request.id, answer);
         if (answer == Answer.SERVED) {
             long latency = now() + 2 * scenario.network().client() - request.firstSentAt;
-            world.statistics().requestServed(request.requestClass, world.sinceStart(request.firstSentAt), latency);
+            simulation
+                    .statistics()
+                    .requestServed(request.requestClass, simulation.sinceStart(request.firstSentAt), latency);
         } else {
             endUnserved(clientRequest, request.isRetry, answer, retryAfterNanos);
         }
@@ -169,18 +171,18 @@
     private void endUnserved(ClientRequest clientRequest, boolean isRetry, Answer answer, long retryAfterNanos) {
         WorkClass requestClass = scenario.classes().get(clientRequest.requestClass());
         boolean harmless = answer == Answer.REFUSED || requestClass.retryIsHarmless();
-        long firstSentAt = world.sinceStart(clientRequest.firstSentAt());
+        long firstSentAt = simulation.sinceStart(clientRequest.firstSentAt());
         if (clientRequest.generated().retries() && !isRetry && harmless) {
             long backoff =
                     scenario.clients().backoffNanos(clientRequest.generated().honoursRetryAfter(), retryAfterNanos);
-            world.clock().scheduleAt(now() + backoff, () -> {
-                world.statistics().retrySent();
+            simulation.clock().scheduleAt(now() + backoff, () -> {
+                simulation.statistics().retrySent();
                 send(clientRequest, true);
             });
         } else if (answer == Answer.REFUSED) {
-            world.statistics().requestRejected(clientRequest.requestClass(), firstSentAt);
+            simulation.statistics().requestRejected(clientRequest.requestClass(), firstSentAt);
         } else {
-            world.statistics().requestFailed(clientRequest.requestClass(), firstSentAt);
+            simulation.statistics().requestFailed(clientRequest.requestClass(), firstSentAt);
         }
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualDiscovery.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualDiscovery.java
@@ -10,7 +10,7 @@
 import topazvalve.simulation.model.Clock;
 import topazvalve.simulation.model.EndpointDirectory;
 import topazvalve.simulation.model.EndpointDirectory.Entry;
-import topazvalve.simulation.model.RandomStreams;
+import topazvalve.simulation.model.RandomStream;
 import topazvalve.simulation.oracle.Oracle;
 import topazvalve.simulation.scenario.Scenario.DiscoverySettings;
 
@@ -29,7 +29,7 @@
     private final DiscoverySettings settings;
     private final EndpointDirectory directory;
     private final Oracle oracle;
-    private final RandomStreams random;
+    private final RandomStream random;
     private final Map<Integer, Watch> watches = new HashMap<>();
     private final List<VirtualInstance> instances;
     private long busyUntil;
@@ -39,7 +39,7 @@
             DiscoverySettings settings,
             EndpointDirectory directory,
             Oracle oracle,
-            RandomStreams random,
+            RandomStream random,
             List<VirtualInstance> instances) {
         this.clock = clock;
         this.settings = settings;
@@ -132,7 +132,8 @@
     private void propagate(int number, Watch watch, Entry entry) {
         VirtualInstance instance = instances.get(number);
         int incarnation = instance.incarnation();
-        long at = Math.max(watch.lastNotificationAt, clock.now() + (long) (random.part() * settings.maxPropagation()));
+        long at = Math.max(
+                watch.lastNotificationAt, clock.now() + (long) (random.nextDouble() * settings.maxPropagation()));
         watch.lastNotificationAt = at;
         clock.scheduleAt(at, () -> {
             if (watches.get(number) == watch
@@ -151,7 +152,7 @@
             if (each.state() == EndpointStatus.READY) {
                 oracle.readyNotified(instance.number(), each.server().id());
             } else {
-                oracle.drainNotified(instance.number(), each.server().id(), instance.world.elapsed());
+                oracle.drainNotified(instance.number(), each.server().id(), instance.simulation.elapsed());
             }
         }
         instance.applyEntries(entries, directory.revision());
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualHealthCheck.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualHealthCheck.java
@@ -10,27 +10,27 @@
     /** Its work in nanoseconds of a standard core. */
     private static final double WORK = 130_000;
 
-    private final VirtualWorld world;
+    private final VirtualSimulation simulation;
     private final VirtualInstance instance;
     private final ServerConnections target;
     private final long sentAt;
     private final int sentIn;
     private boolean ended;
 
-    VirtualHealthCheck(VirtualWorld world, VirtualInstance instance, ServerConnections target) {
-        super(WORK, 0, 0, world.clock().now() + TIMEOUT_NANOS);
-        this.world = world;
+    VirtualHealthCheck(VirtualSimulation simulation, VirtualInstance instance, ServerConnections target) {
+        super(WORK, 0, 0, simulation.clock().now() + TIMEOUT_NANOS);
+        this.simulation = simulation;
         this.instance = instance;
         this.target = target;
-        this.sentAt = world.clock().now();
+        this.sentAt = simulation.clock().now();
         this.sentIn = instance.incarnation();
     }
 
     /** Sends it; the instance is notified of its outcome. */
     void send() {
-        world.statistics().healthCheckSent();
-        world.clock().scheduleAt(sentAt + world.link().nextDelayNanos(target.crossZone), this::arrive);
-        world.clock().scheduleAt(sentAt + TIMEOUT_NANOS, () -> end(Outcome.TIMEOUT));
+        simulation.statistics().healthCheckSent();
+        simulation.clock().scheduleAt(sentAt + simulation.link().nextDelayNanos(target.crossZone), this::arrive);
+        simulation.clock().scheduleAt(sentAt + TIMEOUT_NANOS, () -> end(Outcome.TIMEOUT));
     }
 
     private void arrive() {
@@ -43,8 +43,8 @@
     }
 
     private void sendBack(Outcome outcome) {
-        long delay = world.link().nextDelayNanos(target.crossZone);
-        world.clock().scheduleAt(world.clock().now() + delay, () -> end(outcome));
+        long delay = simulation.link().nextDelayNanos(target.crossZone);
+        simulation.clock().scheduleAt(simulation.clock().now() + delay, () -> end(outcome));
     }
 
     private void end(Outcome outcome) {
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualInstance.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualInstance.java
@@ -20,7 +20,7 @@
 class VirtualInstance implements Actions {
     static final float[] NO_LOAD_REPORT = {};
 
-    final VirtualWorld world;
+    final VirtualSimulation simulation;
     private final int number;
     private final ServerTable servers;
     private final AttemptSender sender;
@@ -33,11 +33,11 @@
     private int incarnation;
     private long revision;
 
-    VirtualInstance(VirtualWorld world, int number, int zone) {
-        this.world = world;
+    VirtualInstance(VirtualSimulation simulation, int number, int zone) {
+        this.simulation = simulation;
         this.number = number;
         this.servers = new ServerTable(zone);
-        this.sender = new AttemptSender(world, this);
+        this.sender = new AttemptSender(simulation, this);
     }
 
     int number() {
@@ -75,7 +75,7 @@
         running = false;
         incarnation++;
         for (VirtualRequest request : List.copyOf(requests.values())) {
-            world.oracle().excuse(request.trace);
+            simulation.oracle().excuse(request.trace);
             request.finished = true;
             for (VirtualAttempt attempt : request.attempts) {
                 if (attempt != null) {
@@ -89,7 +89,7 @@
     }
 
     private long now() {
-        return world.clock().now();
+        return simulation.clock().now();
     }
 
     /** Runs an event, or queues it while another one runs: the load balancer isn't called recursively. */
@@ -124,12 +124,12 @@
 
     @Override
     public void watchEndpoints(boolean on) {
-        world.discovery().subscribe(this, on);
+        simulation.discovery().subscribe(this, on);
     }
 
     @Override
     public void fetchEndpoints() {
-        world.discovery().fetch(this);
+        simulation.discovery().fetch(this);
     }
 
     // Requests.
@@ -189,7 +189,7 @@
     private void removeIfDone(VirtualRequest request) {
         if (request.finished && request.attemptsInFlight == 0) {
             requests.remove(request.id);
-            world.clients().cancelExpiry(request);
+            simulation.clients().cancelExpiry(request);
         }
     }
 
@@ -230,14 +230,14 @@
             return;
         }
         VirtualAttempt attempt =
-                new VirtualAttempt(sender, request, attemptNumber, server, world.attemptWork(request), now());
+                new VirtualAttempt(sender, request, attemptNumber, server, simulation.attemptWork(request), now());
         request.attempts[attemptNumber] = attempt;
         sender.send(attempt, timeoutNanos);
     }
 
     /** Returns whether the host holds an attempt back, whatever the load balancer decides. */
     boolean mayNotSend(VirtualRequest request, int attemptNumber, long now) {
-        return request.finished || attemptNumber >= world.attemptLimit() || now >= request.deadline;
+        return request.finished || attemptNumber >= simulation.attemptLimit() || now >= request.deadline;
     }
 
     @Override
@@ -277,7 +277,7 @@
     @Override
     public void setTimer(long token, long at) {
         int setIn = incarnation;
-        world.clock().scheduleAt(at, () -> {
+        simulation.clock().scheduleAt(at, () -> {
             if (incarnation == setIn) {
                 dispatch(() -> balancer.timerFired(now(), token));
             }
@@ -288,7 +288,7 @@
     public void sendHealthCheck(long endpoint) {
         ServerConnections server = servers.get(endpoint);
         if (server != null) {
-            new VirtualHealthCheck(world, this, server).send();
+            new VirtualHealthCheck(simulation, this, server).send();
         }
     }
 
@@ -314,6 +314,6 @@
 
     @Override
     public void log(String line) {
-        world.recordEvent("instance " + number + ": " + line);
+        simulation.recordEvent("instance " + number + ": " + line);
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualWorld.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualSimulation.java
@@ -12,17 +12,17 @@
 import topazvalve.simulation.model.FaultPlayer;
 import topazvalve.simulation.model.FaultTarget;
 import topazvalve.simulation.model.OrderServer;
-import topazvalve.simulation.model.RandomStreams;
+import topazvalve.simulation.model.RandomStream;
 import topazvalve.simulation.model.Topology;
 import topazvalve.simulation.oracle.Oracle;
 import topazvalve.simulation.oracle.Oracle.Answer;
 import topazvalve.simulation.scenario.Fault;
 import topazvalve.simulation.scenario.Scenario;
-import topazvalve.simulation.tally.Run;
-import topazvalve.simulation.tally.RunStatistics;
+import topazvalve.simulation.statistics.RunResult;
+import topazvalve.simulation.statistics.RunStatistics;
 
 /** A run of one scenario, arm and seed in virtual time. The same three give the same run to the last event. */
-public final class VirtualWorld implements FaultTarget {
+public final class VirtualSimulation implements FaultTarget {
     /** The clock's time at the start. Far from 0, since a server that started at 0 counts as started long ago. */
     private static final long START = 1_000_000_000_000L;
 
@@ -51,8 +51,8 @@
     private final RunStatistics statistics;
     private final Topology topology;
     private final VirtualDiscovery discovery;
-    private final RandomStreams noise;
-    private final RandomStreams restarts;
+    private final RandomStream noise;
+    private final RandomStream restarts;
     private final List<VirtualInstance> instances = new ArrayList<>();
     private final VirtualClients clients;
     private final FixedDelayQueue<ServerConnections.VirtualConnection> idleConnections;
@@ -62,12 +62,12 @@
     private long[] attemptsByServer;
 
     /** Creates the servers, instances and clients of a run that hasn't started yet. */
-    public VirtualWorld(Scenario scenario, ExperimentArm arm, long seed) {
+    public VirtualSimulation(Scenario scenario, ExperimentArm arm, long seed) {
         this(scenario, arm, seed, null);
     }
 
     /** Creates a run with instances from {@code factory}, for the oracle's tests; null for the usual ones. */
-    VirtualWorld(Scenario scenario, ExperimentArm arm, long seed, InstanceFactory factory) {
+    VirtualSimulation(Scenario scenario, ExperimentArm arm, long seed, InstanceFactory factory) {
         this.scenario = scenario;
         this.arm = arm;
         this.seed = seed;
@@ -75,12 +75,12 @@
         this.statistics = new RunStatistics(scenario);
         this.topology = new Topology(scenario, clock, seed);
         this.attemptsByServer = new long[servers().size() + 1];
-        this.noise = RandomStreams.stream(seed, "noise");
-        this.restarts = RandomStreams.stream(seed, "restarts");
+        this.noise = RandomStream.named(seed, "noise");
+        this.restarts = RandomStream.named(seed, "restarts");
         servers().forEach(this::observe);
         servers().forEach(directory()::add);
         this.discovery = new VirtualDiscovery(
-                clock, scenario.news(), directory(), oracle, RandomStreams.stream(seed, "discovery"), instances);
+                clock, scenario.discovery(), directory(), oracle, RandomStream.named(seed, "discovery"), instances);
         this.idleTimeoutNanos = (long) (scenario.machines().stream()
                         .mapToLong(each -> each.idleTimeout())
                         .min()
@@ -98,7 +98,7 @@
 
     /** Creates an instance for a test. */
     interface InstanceFactory {
-        VirtualInstance create(VirtualWorld world, int number);
+        VirtualInstance create(VirtualSimulation simulation, int number);
     }
 
     /** Returns how long an attempt may be in flight: a handshake, the way there, random delays and those by faults. */
@@ -143,7 +143,7 @@
     }
 
     /** Plays the run to its end and returns its results. To be called once. */
-    public Run play() {
+    public RunResult play() {
         long startedAt = System.nanoTime();
         List<Fault> faults = FaultPlayer.scheduleAll(this, scenario, seed);
         instances.forEach(this::start);
@@ -156,7 +156,7 @@
                 + 2 * maxDeadline
                 + scenario.clients().maxRetryAfter()
                 + scenario.limits().responseSlack());
-        return new Run(
+        return new RunResult(
                 scenario.name(),
                 arm.name(),
                 seed,
@@ -173,14 +173,14 @@
     }
 
     private void start(VirtualInstance instance) {
-        if (!scenario.news().subscribe()) {
+        if (!scenario.discovery().subscribe()) {
             discovery.startWatch(instance);
         }
         instance.start(
                 arm.policy()
                         .create(
                                 arm.settings(scenario, instance.number(), zone(instance.number())),
-                                restarts.any(),
+                                restarts.nextLong(),
                                 instance),
                 directory().entries(),
                 directory().revision());
@@ -265,7 +265,7 @@
     /** Draws the work of one attempt, in nanoseconds of a standard core. */
     double attemptWork(VirtualRequest request) {
         double variation = scenario.classes().get(request.requestClass).attemptVariation();
-        return variation == 0 ? request.work : request.work * noise.lognormal(variation);
+        return variation == 0 ? request.work : request.work * noise.nextLognormal(variation);
     }
 
     /** Starts the idle timer of a connection. */
--- a/simulation/src/test/java/topazvalve/simulation/ArchitectureTest.java
+++ b/simulation/src/test/java/topazvalve/simulation/ArchitectureTest.java
@@ -23,7 +23,7 @@
                         "..simulation.oracle..",
                         "..simulation.policy..",
                         "..simulation.scenario..",
-                        "..simulation.tally..")
+                        "..simulation.statistics..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("io.netty..", "java.net..", "..simulation.real..", "..simulation.virtual..")
--- a/simulation/src/test/java/topazvalve/simulation/experiment/ResultsTest.java
+++ b/simulation/src/test/java/topazvalve/simulation/experiment/ResultsTest.java
@@ -23,7 +23,7 @@
         Result first = results.get(0);
         assertEquals("tiny/random/1", first.key());
         assertEquals("34f6a001", first.digest());
-        assertEquals(715, first.sums().asked());
+        assertEquals(715, first.sums().sent());
         assertEquals(5, first.seconds().size());
         assertEquals(4, first.attemptsByServer().length);
     }
--- a/simulation/src/test/java/topazvalve/simulation/virtual/FaultySidecar.java
+++ b/simulation/src/test/java/topazvalve/simulation/virtual/FaultySidecar.java
@@ -20,8 +20,8 @@
     private long newest = 1;
     private long newestStart;
 
-    FaultySidecar(VirtualWorld world, int number, Rule breaks) {
-        super(world, number, world.zone(number));
+    FaultySidecar(VirtualSimulation simulation, int number, Rule breaks) {
+        super(simulation, number, simulation.zone(number));
         this.violatedRule = breaks;
     }
 
@@ -30,7 +30,7 @@
     }
 
     private boolean isOfKind(VirtualRequest request, Repeatability repeats) {
-        return world.scenario().classes().get(request.requestClass).repeatability() == repeats;
+        return simulation.scenario().classes().get(request.requestClass).repeatability() == repeats;
     }
 
     @Override
@@ -38,10 +38,11 @@
         if (violatedRule == Rule.TRUE_ANSWER && misbehavesOn(request)) {
             finish(request, Answer.SERVED, 0);
         } else if (violatedRule == Rule.AT_ONCE && misbehavesOn(request)) {
-            world.clock()
+            simulation
+                    .clock()
                     .scheduleAt(
-                            world.clock().now()
-                                    + (request.deadline - world.clock().now()) * 8 / 10,
+                            simulation.clock().now()
+                                    + (request.deadline - simulation.clock().now()) * 8 / 10,
                             () -> finish(request, Answer.FAILED, 0));
         } else {
             super.requestReceived(request);
@@ -52,7 +53,7 @@
     private void sendCopies(VirtualRequest request) {
         int copies = copyCount(request);
         for (int i = 0; i < copies && misbehavesOn(request) && request.attemptCount > 0; i++) {
-            send(request, 1 + i % world.servers().size(), 0);
+            send(request, 1 + i % simulation.servers().size(), 0);
         }
     }
 
@@ -76,7 +77,7 @@
     @Override
     void clientDisconnected(VirtualRequest request) {
         if (violatedRule == Rule.CLIENT_LEFT) {
-            world.clock().scheduleAt(world.clock().now() + DISCONNECT_DELAY_NANOS, () -> send(request, 1, 0));
+            simulation.clock().scheduleAt(simulation.clock().now() + DISCONNECT_DELAY_NANOS, () -> send(request, 1, 0));
         } else {
             super.clientDisconnected(request);
         }
@@ -93,7 +94,7 @@
             request.listener.responseReceived(request, answer, wait);
         }
         if (violatedRule == Rule.NOTHING_AFTER && misbehavesOn(request) && request.attemptCount < 2) {
-            world.clock().scheduleAt(world.clock().now() + RESEND_DELAY_NANOS, () -> send(request, 1, 0));
+            simulation.clock().scheduleAt(simulation.clock().now() + RESEND_DELAY_NANOS, () -> send(request, 1, 0));
         }
     }
 
--- a/simulation/src/test/java/topazvalve/simulation/virtual/OracleTest.java
+++ b/simulation/src/test/java/topazvalve/simulation/virtual/OracleTest.java
@@ -10,7 +10,7 @@
 import topazvalve.simulation.oracle.Rule;
 import topazvalve.simulation.policy.Policy;
 import topazvalve.simulation.scenario.Scenario;
-import topazvalve.simulation.tally.Run;
+import topazvalve.simulation.statistics.RunResult;
 
 /** The oracle finds the violation of each rule by a sidecar that violates it, and none by one that doesn't. */
 class OracleTest {
@@ -24,15 +24,15 @@
     @ParameterizedTest
     @EnumSource(Rule.class)
     void violationOfEachRuleIsFound(Rule rule) {
-        Run run = new VirtualWorld(
+        RunResult run = new VirtualSimulation(
                         scenarioFor(rule),
                         ExperimentArm.of(Policy.RANDOM),
                         SEED,
-                        (world, number) -> new FaultySidecar(world, number, rule))
+                        (simulation, number) -> new FaultySidecar(simulation, number, rule))
                 .play();
-        assertTrue(run.broken().containsKey(rule), rule + " not found, but " + run.broken());
+        assertTrue(run.violationCounts().containsKey(rule), rule + " not found, but " + run.violationCounts());
         assertTrue(
-                run.breaches().stream()
+                run.violations().stream()
                         .anyMatch(each -> each.rule() == rule
                                 && each.what().contains(rule == Rule.COLD ? "server " : "request ")),
                 "names what broke it");
@@ -41,9 +41,10 @@
     @Test
     void noViolationIsFoundWhereThereIsNone() {
         for (long seed = 1; seed <= 5; seed++) {
-            Run run = new VirtualWorld(SmallScenario.with(SmallScenario.FAULTS), ExperimentArm.of(Policy.MODULE), seed)
+            RunResult run = new VirtualSimulation(
+                            SmallScenario.with(SmallScenario.FAULTS), ExperimentArm.of(Policy.MODULE), seed)
                     .play();
-            assertEquals(Map.of(), run.broken(), run.breaches().toString());
+            assertEquals(Map.of(), run.violationCounts(), run.violations().toString());
         }
     }
 }
--- a/simulation/src/test/java/topazvalve/simulation/virtual/VirtualWorldTest.java
+++ b/simulation/src/test/java/topazvalve/simulation/virtual/VirtualSimulationTest.java
@@ -17,20 +17,20 @@
 import topazvalve.simulation.scenario.Fault;
 import topazvalve.simulation.scenario.Scenario;
 import topazvalve.simulation.scenario.ScenarioFile;
-import topazvalve.simulation.tally.Run;
+import topazvalve.simulation.statistics.RunResult;
 
-class VirtualWorldTest {
-    private static Run play(Scenario scenario, long seed) {
-        return new VirtualWorld(scenario, ExperimentArm.of(Policy.MODULE), seed).play();
+class VirtualSimulationTest {
+    private static RunResult play(Scenario scenario, long seed) {
+        return new VirtualSimulation(scenario, ExperimentArm.of(Policy.MODULE), seed).play();
     }
 
     @Test
     void sameSeedGivesSameRun() {
         Scenario scenario = SmallScenario.with(SmallScenario.FAULTS);
-        Run first = play(scenario, 3);
-        Run again = play(scenario, 3);
+        RunResult first = play(scenario, 3);
+        RunResult again = play(scenario, 3);
         assertEquals(first.digest(), again.digest());
-        assertEquals(first.events(), again.events());
+        assertEquals(first.clockEvents(), again.clockEvents());
         assertTrue(Arrays.equals(first.attemptsByServer(), again.attemptsByServer()));
         assertNotEquals(first.digest(), play(scenario, 4).digest());
     }
@@ -38,14 +38,17 @@
     /** Random streams are independent: faults change neither arrivals nor requests. */
     @Test
     void faultsDoNotChangeArrivals() {
-        Run calm = play(SmallScenario.with(""), 3);
-        Run troubled = play(SmallScenario.with(SmallScenario.FAULTS), 3);
-        assertEquals(calm.tally().sums().asked(), troubled.tally().sums().asked());
-        for (int i = 0; i < calm.tally().seconds(); i++) {
+        RunResult calm = play(SmallScenario.with(""), 3);
+        RunResult troubled = play(SmallScenario.with(SmallScenario.FAULTS), 3);
+        assertEquals(
+                calm.statistics().sums().sent(), troubled.statistics().sums().sent());
+        for (int i = 0; i < calm.statistics().seconds(); i++) {
             assertEquals(
-                    calm.tally().second(i).asked(), troubled.tally().second(i).asked(), "second " + i);
+                    calm.statistics().second(i).sent(),
+                    troubled.statistics().second(i).sent(),
+                    "second " + i);
         }
-        assertTrue(troubled.tally().service() < calm.tally().service());
+        assertTrue(troubled.statistics().service() < calm.statistics().service());
     }
 
     /**
@@ -57,11 +60,11 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void everyRuleHoldsWhenClientsDisconnectDuringFaults(long seed) throws Exception {
         Scenario crossings = ScenarioFile.read(Path.of("scenarios", "crossings.toml"));
-        Run run = play(crossings, seed);
-        Map<Rule, Integer> broken = new HashMap<>(run.broken());
+        RunResult run = play(crossings, seed);
+        Map<Rule, Integer> broken = new HashMap<>(run.violationCounts());
         broken.remove(Rule.AT_ONCE);
-        assertEquals(Map.of(), broken, run.breaches().toString());
-        assertTrue(run.tally().sums().unanswered() > 0, "some have left");
+        assertEquals(Map.of(), broken, run.violations().toString());
+        assertTrue(run.statistics().sums().unanswered() > 0, "some have left");
     }
 
     /** Every request has one outcome: none is counted twice or lost. */
@@ -79,18 +82,18 @@
                     case SPOIL -> "share = 0.3\nsize = 0.5\n";
                     default -> "share = 0.3\n";
                 };
-        Run run = play(SmallScenario.with(fault), 11);
-        var sums = run.tally().sums();
+        RunResult run = play(SmallScenario.with(fault), 11);
+        var sums = run.statistics().sums();
         assertEquals(
-                sums.asked(),
-                sums.good() + sums.late() + sums.refused() + sums.failed() + sums.unanswered() + killed(kind, sums),
+                sums.sent(),
+                sums.inTime() + sums.late() + sums.rejected() + sums.failed() + sums.unanswered() + killed(kind, sums),
                 sums.toString());
-        assertTrue(run.clean(), run.breaches().toString());
+        assertTrue(run.allRulesHeld(), run.violations().toString());
     }
 
     /** Requests that a killed sidecar held have no outcome. */
-    private static long killed(Fault.Kind kind, topazvalve.simulation.tally.RunStatistics.Sums sums) {
-        long without = sums.asked() - sums.good() - sums.late() - sums.refused() - sums.failed() - sums.unanswered();
+    private static long killed(Fault.Kind kind, topazvalve.simulation.statistics.RunStatistics.Sums sums) {
+        long without = sums.sent() - sums.inTime() - sums.late() - sums.rejected() - sums.failed() - sums.unanswered();
         return kind == Fault.Kind.INSTANCE_RESTART && without >= 0 && without < 20 ? without : 0;
     }
 
@@ -126,8 +129,8 @@
                 deadline = "1m"
                 repeats = "free"
                 """);
-        Run run = new VirtualWorld(scenario, ExperimentArm.of(Policy.RANDOM), 5).play();
-        double mean = run.tally().latency(0).getMean() / 1e6;
+        RunResult run = new VirtualSimulation(scenario, ExperimentArm.of(Policy.RANDOM), 5).play();
+        double mean = run.statistics().latency(0).getMean() / 1e6;
         assertEquals(10 / (1 - 0.6), mean, 1.5, "mean response in ms");
     }
 }
