--- a/simulation/src/main/java/topazvalve/simulation/experiment/Runner.java
+++ b/simulation/src/main/java/topazvalve/simulation/experiment/Runner.java
@@ -15,6 +15,7 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import topazvalve.simulation.SimulationFailedException;
 import topazvalve.simulation.statistics.RunResult;
 import topazvalve.simulation.virtual.VirtualSimulation;
 
@@ -61,6 +62,7 @@
      * @param resume whether runs with a result in the folder count as done
      * @param listener is called on the caller's thread after each run
      * @return all results in the plan's order; fewer than the plan has runs if it was stopped
+     * @throws SimulationFailedException if a run fails
      */
     public List<Result> run(boolean resume, Consumer<Progress> listener) throws IOException, InterruptedException {
         Files.createDirectories(folder);
@@ -124,7 +126,7 @@
         try {
             return run.get();
         } catch (ExecutionException e) {
-            throw new IllegalStateException("a run failed: " + e.getCause(), e.getCause());
+            throw new SimulationFailedException("a run failed: " + e.getCause(), e.getCause());
         }
     }
 
--- a/simulation/src/main/java/topazvalve/simulation/measure/MeasuredSidecarProcess.java
+++ b/simulation/src/main/java/topazvalve/simulation/measure/MeasuredSidecarProcess.java
@@ -10,6 +10,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
+import topazvalve.simulation.SidecarStartException;
 import topazvalve.simulation.process.RunLine;
 
 /** One sidecar process, started by the {@code run} line of the deploy file and pinned to a core if wanted. */
@@ -94,7 +95,7 @@
     /**
      * Waits for the log line that says that it is ready, and returns the nanoseconds from the start until then.
      *
-     * @throws IOException if the log ends before, or the line comes later than the limit
+     * @throws SidecarStartException if the log ends before, or the line comes later than the limit
      */
     long awaitReady(Duration limit) throws IOException {
         BufferedReader log = process.inputReader();
@@ -104,7 +105,7 @@
         }
         long took = System.nanoTime() - startedAt;
         if (line == null || took > limit.toNanos()) {
-            throw new IOException("the sidecar did not start");
+            throw new SidecarStartException();
         }
         return took;
     }
--- a/simulation/src/main/java/topazvalve/simulation/model/FaultPlayer.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/FaultPlayer.java
@@ -3,7 +3,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import topazvalve.policy.EndpointStatus;
-import topazvalve.simulation.model.OrderServer.Mode;
 import topazvalve.simulation.scenario.Fault;
 import topazvalve.simulation.scenario.Scenario;
 import topazvalve.simulation.scenario.Scenario.Chaos;
@@ -82,9 +81,9 @@
             case DISCOVERY_DOWN -> takeDiscoveryDown(fault);
             case INSTANCE_RESTART -> restartInstances(fault, random);
             case SPOIL -> corruptResponses(fault, random);
-            case SILENT -> setModeFor(fault, random, Mode.SILENT);
-            case FROZEN -> setModeFor(fault, random, Mode.FROZEN);
-            case REFUSE -> setModeFor(fault, random, Mode.REFUSING);
+            case SILENT -> setModeFor(fault, random, ServerMode.SILENT);
+            case FROZEN -> setModeFor(fault, random, ServerMode.FROZEN);
+            case REFUSE -> setModeFor(fault, random, ServerMode.REFUSING);
             case RESET -> resetConnections(fault, random);
             case VANISH -> stopServers(fault, random, true);
             case RESTART -> stopServers(fault, random, false);
@@ -113,8 +112,9 @@
 
     /** Draws the affected servers, without repetition, from those that are up. */
     private List<OrderServer> drawServers(Fault fault, RandomStream random) {
-        List<OrderServer> candidates = new ArrayList<>(
-                target.servers().stream().filter(each -> each.mode() == Mode.UP).toList());
+        List<OrderServer> candidates = new ArrayList<>(target.servers().stream()
+                .filter(each -> each.mode() == ServerMode.UP)
+                .toList());
         List<OrderServer> drawn = new ArrayList<>();
         int count = candidates.isEmpty() ? 0 : affectedCount(fault.share(), candidates.size());
         while (drawn.size() < count) {
@@ -165,12 +165,14 @@
         endLater(fault, () -> servers.forEach(each -> each.setCorruptionRate(0)));
     }
 
-    private void setModeFor(Fault fault, RandomStream random, Mode mode) {
+    private void setModeFor(Fault fault, RandomStream random, ServerMode mode) {
         List<OrderServer> servers = drawServers(fault, random);
         servers.forEach(each -> each.setMode(mode));
         endLater(
                 fault,
-                () -> servers.stream().filter(each -> each.mode() == mode).forEach(each -> each.setMode(Mode.UP)));
+                () -> servers.stream()
+                        .filter(each -> each.mode() == mode)
+                        .forEach(each -> each.setMode(ServerMode.UP)));
     }
 
     private void resetConnections(Fault fault, RandomStream random) {
--- a/simulation/src/main/java/topazvalve/simulation/model/OrderServer.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/OrderServer.java
@@ -1,69 +1,31 @@
 package topazvalve.simulation.model;
 
-import java.util.ArrayDeque;
-import java.util.List;
 import java.util.function.BiConsumer;
 import topazvalve.simulation.scenario.MachineKind;
-import topazvalve.simulation.scenario.MachineKind.Cancel;
 import topazvalve.simulation.scenario.Scenario.Limits;
 
 /**
- * One order server, on either clock: its queue and processor, its connections, and the effect of faults on them. Bytes
- * and sockets are the caller's concern.
+ * One order server, on either clock. It puts together its connections, the attempts that it holds, its speed and the
+ * load under which it crashes while cold, and applies faults to them. Bytes and sockets are the caller's concern.
  */
 public final class OrderServer {
-    /** How the server treats connections and attempts. */
-    public enum Mode {
-        /** It serves. */
-        UP,
-        /** It takes attempts and never responds. */
-        SILENT,
-        /** It accepts connections, and nothing else happens. */
-        FROZEN,
-        /** It refuses new connections. */
-        REFUSING,
-        /** The process has ended: connections are refused. */
-        DOWN,
-        /** The machine is unreachable: connections are never established. */
-        VANISHED
-    }
-
     private static final long WARM_UP_STEP_NANOS = 200_000_000;
-    /** A pause takes the mean length times a factor that is uniform from this one to this one plus 1. */
-    private static final double MIN_PAUSE_FACTOR = 0.5;
 
     private final Clock clock;
     private final MachineKind kind;
     private final int kindNumber;
     private final long id;
     private final Pod pod;
-    private final double fullSpeed;
-    private final double coreSpeed;
-    private final RandomStream random;
-    private final Limits limits;
-    private final double meanWork;
-    private final int slots;
-    private final int capacity;
-    private final IdempotencyCache idempotencyCache;
+    private final ServerSpeed speed;
+    private final ConnectionCounter connections;
     private final SharedProcessor processor;
-    private final ArrayDeque<ServerAttempt> queue = new ArrayDeque<>();
-    private final WarmUp warmUp;
-    private final CongestionDetector congestion;
+    private final AttemptScheduler attempts;
+    private final ColdCrashDetector coldCrash;
     private BiConsumer<OrderServer, Double> coldCrashListener = (server, informedFraction) -> {};
 
-    private ColdServerMonitor coldServerMonitor;
-    private ColdLoadWindow coldLoad;
-    private boolean crashedWhileCold;
-
-    private Mode mode = Mode.UP;
+    private ServerMode mode = ServerMode.UP;
     private boolean draining;
-    private double slowdown = 1;
-    private double corruptionRate;
-    private long pausedUntil;
-    private int connections;
-    private int incarnation;
-    /** Work of accepting connections that the next attempt to start has to do first. */
-    private double connectionWork;
+    private boolean crashedWhileCold;
 
     /**
      * Creates a warm server that has run for long.
@@ -86,23 +48,13 @@
         this.kind = kind;
         this.kindNumber = kindNumber;
         this.pod = pod;
-        this.limits = limits;
-        this.meanWork = meanWork;
-        this.random = random;
-        this.coreSpeed = kind.speed().at(random.nextDouble());
-        this.fullSpeed = coreSpeed * kind.cores();
-        this.slots = Math.max(1, (int) Math.round(kind.slotsPerCore() * kind.cores()));
-        this.capacity = slots + (int) Math.round(kind.queuePerCore() * kind.cores());
-        this.idempotencyCache = kind.cachedKeysPerCore() > 0
-                ? new IdempotencyCache(kind.cachedKeysPerCore() * kind.cores(), kind.keyRetention())
-                : null;
+        this.speed = new ServerSpeed(kind, pod, kind.speed().at(random.nextDouble()));
+        this.connections = new ConnectionCounter(kind);
         this.processor = new SharedProcessor(clock, kind.cores(), this::completionDue);
-        this.warmUp = new WarmUp(kind, fullSpeed);
-        this.congestion = new CongestionDetector(kind);
+        this.attempts = new AttemptScheduler(clock, this, connections, random, processor);
+        this.coldCrash = new ColdCrashDetector(this, limits, meanWork);
         pod.add(this);
-        if (kind.meanPauseInterval() > 0) {
-            schedulePause();
-        }
+        new PauseGenerator(clock, random, this, speed).start();
     }
 
     /** Returns its id, which stays the same over restarts. */
@@ -127,11 +79,11 @@
 
     /** Returns when its process last started, in nanoseconds of the clock; 0 for long ago. */
     public long startedAt() {
-        return warmUp.startedAt();
+        return speed.startedAt();
     }
 
     /** Returns how it treats connections and attempts now. */
-    public Mode mode() {
+    public ServerMode mode() {
         return mode;
     }
 
@@ -142,12 +94,12 @@
 
     /** Returns the number of open connections. */
     public int connections() {
-        return connections;
+        return connections.open();
     }
 
     /** Returns the number of attempts that are running or queued. */
     public int attemptsHeld() {
-        return processor.runningCount() + queue.size();
+        return attempts.held();
     }
 
     /**
@@ -160,29 +112,24 @@
 
     /** Measures the load of this server while it is cold; it no longer crashes. */
     public void monitorColdLoad(ColdServerMonitor monitor) {
-        coldServerMonitor = monitor;
+        coldCrash.setMonitor(monitor);
     }
 
     /** Returns the work a nanosecond that all cores do when warm. */
     double fullSpeed() {
-        return fullSpeed;
+        return speed.full();
     }
 
     /** Returns the work a nanosecond of the cores that have something to do, when warm. */
     double speedInUse() {
-        return mode == Mode.UP ? coreSpeed * Math.min(kind.cores(), processor.runningCount()) : 0;
+        return mode == ServerMode.UP ? speed.ofCoresInUse(processor.runningCount()) : 0;
     }
 
     // Connections.
 
     /** Accepts a connection, or returns false if it has as many as it can hold. */
     public boolean acceptConnection() {
-        if (connections >= kind.maxConnections()) {
-            return false;
-        }
-        connections++;
-        connectionWork += kind.connectionCost();
-        return true;
+        return connections.accept();
     }
 
     /**
@@ -191,14 +138,12 @@
      * @param acceptedIn the {@link #incarnation} in which it was accepted
      */
     public void connectionClosed(int acceptedIn) {
-        if (acceptedIn == incarnation) {
-            connections--;
-        }
+        connections.closed(acceptedIn);
     }
 
     /** Returns the number of its present process. A process that ends takes its connections with it. */
     public int incarnation() {
-        return incarnation;
+        return connections.incarnation();
     }
 
     // Attempts.
@@ -209,154 +154,79 @@
      * @param senderInformed whether its sender knew when this server last started
      */
     public void offer(ServerAttempt attempt, boolean senderInformed) {
-        if (mode == Mode.DOWN || mode == Mode.VANISHED || mode == Mode.SILENT) {
+        if (!mode.takesAttempts()) {
             return;
         }
         long now = clock.now();
-        if (warmUp.isCold() && crashesUnder(attempt, senderInformed, now)) {
+        if (speed.isCold() && coldCrash.crashesUnder(attempt, speed.present(now), senderInformed, now)) {
             crash();
             attempt.reset();
             return;
         }
-        if (draining || (attemptsHeld() >= capacity && kind.rejectsWhenFull())) {
+        if (draining || attempts.rejectsFurther()) {
             attempt.rejected();
             return;
         }
-        attempt.server = this;
         advance();
-        if (processor.runningCount() < slots) {
-            start(attempt);
-        } else {
-            queue.add(attempt);
-        }
-        updateCongestion(now);
+        attempts.add(attempt);
+        speed.updateCongestion(now, attemptsHeld());
         reschedule();
     }
 
-    private boolean crashesUnder(ServerAttempt attempt, boolean senderInformed, long now) {
-        coldLoad.record(now, attempt.work, presentSpeed(now), senderInformed);
-        if (coldServerMonitor != null) {
-            coldServerMonitor.coldLoadMeasured(
-                    this, coldLoad.offeredRequests(), coldLoad.allowedRequests(), coldLoad.informedFraction());
-            return false;
-        }
-        return coldLoad.isOverloaded();
-    }
-
     /** The sender has cancelled an attempt. The kind of machine decides whether that stops it. */
     public void cancel(ServerAttempt attempt) {
-        if (attempt.server != this || !stopsOnCancel(attempt)) {
-            return;
-        }
-        advance();
-        if (attempt.running) {
-            processor.remove(attempt);
-        } else {
-            queue.remove(attempt);
-        }
-        attempt.server = null;
-        attempt.discarded();
-        startQueued();
-        reschedule();
-    }
-
-    private boolean stopsOnCancel(ServerAttempt attempt) {
-        return kind.cancel() == Cancel.ALL || (kind.cancel() == Cancel.WAITING && !attempt.running);
-    }
-
-    private void start(ServerAttempt attempt) {
-        double work = attempt.work + connectionWork;
-        connectionWork = 0;
-        if (idempotencyCache != null && attempt.key != 0 && idempotencyCache.recordAndCheck(attempt.key, clock.now())) {
-            work -= attempt.work * kind.cachedKeySaving();
-        }
-        processor.start(attempt, work);
-        attempt.started();
-    }
-
-    private void startQueued() {
-        while (processor.runningCount() < slots && !queue.isEmpty()) {
-            ServerAttempt next = queue.poll();
-            if (kind.honoursDeadline() && clock.now() > next.deadline) {
-                next.server = null;
-                next.discarded();
-            } else {
-                start(next);
-            }
+        if (attempts.stopsOnCancel(attempt)) {
+            advance();
+            attempts.remove(attempt);
+            reschedule();
         }
     }
 
     private void completionDue() {
         advance();
-        processor.removeFinished(this::complete);
-        startQueued();
-        updateCongestion(clock.now());
+        attempts.completeFinished();
+        attempts.startQueued();
+        speed.updateCongestion(clock.now(), attemptsHeld());
         reschedule();
     }
 
-    private void complete(ServerAttempt attempt) {
-        attempt.server = null;
-        boolean success = !random.nextBoolean(kind.errorRate());
-        boolean corrupted = random.nextBoolean(corruptionRate);
-        attempt.completed(success, corrupted);
-    }
-
-    /** Removes all attempts, the running ones first, without a response. */
-    private List<ServerAttempt> removeAllAttempts() {
-        List<ServerAttempt> removed = processor.removeAll();
-        removed.addAll(queue);
-        queue.clear();
-        removed.forEach(each -> each.server = null);
-        return removed;
-    }
-
     // Speed.
 
     /** Accounts for the work done until now, at the speed that held until now. */
     void advance() {
-        warmUp.addWork(processor.advance());
+        speed.addWork(processor.advance());
     }
 
     /** Applies the speed that holds from now on, and schedules the next completion. */
     void reschedule() {
         long now = clock.now();
-        boolean serving = mode == Mode.UP || mode == Mode.REFUSING;
-        if (serving && now >= pausedUntil && processor.runningCount() > 0) {
-            processor.run(presentSpeed(now));
+        if (mode.works() && !speed.isPaused(now) && processor.runningCount() > 0) {
+            processor.run(speed.present(now));
         } else {
             processor.halt();
         }
     }
 
-    /** Returns the work a nanosecond that all cores do now, pauses aside. */
-    private double presentSpeed(long now) {
-        return fullSpeed * warmUp.speedFraction(now) / slowdown / congestion.slowdown() * pod.speedFactor();
-    }
-
-    private void updateCongestion(long now) {
-        congestion.update(now, (double) attemptsHeld() / kind.cores());
-    }
-
     // Faults.
 
     /** Makes the server this many times slower from now on; 1 restores its own speed. */
     public void setSlowdown(double times) {
         advance();
-        slowdown = times;
+        speed.setSlowdown(times);
         reschedule();
     }
 
     /** Sets the fraction (0 to 1) of responses that are damaged from now on. */
     public void setCorruptionRate(double rate) {
-        corruptionRate = rate;
+        attempts.setCorruptionRate(rate);
     }
 
     /** Sets how it treats connections and attempts. A server that turns silent never responds to those it holds. */
-    public void setMode(Mode next) {
+    public void setMode(ServerMode next) {
         advance();
         mode = next;
-        if (next == Mode.SILENT) {
-            removeAllAttempts();
+        if (next == ServerMode.SILENT) {
+            attempts.removeAll();
         }
         reschedule();
     }
@@ -369,10 +239,12 @@
     /** Resets every attempt that it holds. */
     public void resetAll() {
         advance();
-        removeAllAttempts().forEach(ServerAttempt::reset);
+        attempts.removeAll().forEach(ServerAttempt::reset);
         reschedule();
     }
 
+    // The process.
+
     /**
      * Ends the process.
      *
@@ -381,13 +253,12 @@
     public void stop(boolean silently) {
         advance();
         if (silently) {
-            removeAllAttempts();
+            attempts.removeAll();
         } else {
             resetAll();
         }
-        mode = silently ? Mode.VANISHED : Mode.DOWN;
-        connections = 0;
-        incarnation++;
+        mode = silently ? ServerMode.VANISHED : ServerMode.DOWN;
+        connections.processEnded();
         reschedule();
     }
 
@@ -396,20 +267,17 @@
         if (crashedWhileCold) {
             return;
         }
-        mode = Mode.UP;
+        mode = ServerMode.UP;
         draining = false;
         processor.skipToPresent();
-        warmUp.start(clock.now());
-        congestion.reset();
-        coldLoad = new ColdLoadWindow(limits.coldLoadWindow(), limits.overloadFactor(), meanWork);
-        if (idempotencyCache != null) {
-            idempotencyCache.clear();
-        }
+        speed.processStarted(clock.now());
+        coldCrash.processStarted();
+        attempts.processStarted();
         updateWarmUp();
     }
 
     private void updateWarmUp() {
-        if (warmUp.isCold() && mode != Mode.DOWN) {
+        if (speed.isCold() && mode != ServerMode.DOWN) {
             advance();
             reschedule();
             clock.scheduleAt(clock.now() + WARM_UP_STEP_NANOS, this::updateWarmUp);
@@ -418,7 +286,7 @@
 
     private void crash() {
         crashedWhileCold = true;
-        double informedFraction = coldLoad.informedFraction();
+        double informedFraction = coldCrash.informedFraction();
         stop(false);
         coldCrashListener.accept(this, informedFraction);
     }
@@ -428,23 +296,4 @@
         stop(false);
         pod.remove(this);
     }
-
-    private void schedulePause() {
-        long at = clock.now() + (long) random.nextExponential(kind.meanPauseInterval());
-        clock.scheduleAt(at, () -> {
-            long length = (long) (kind.meanPause() * (MIN_PAUSE_FACTOR + random.nextDouble()));
-            pause(length);
-            schedulePause();
-        });
-    }
-
-    private void pause(long nanos) {
-        advance();
-        pausedUntil = Math.max(pausedUntil, clock.now() + nanos);
-        reschedule();
-        clock.scheduleAt(pausedUntil, () -> {
-            advance();
-            reschedule();
-        });
-    }
 }
--- a/simulation/src/main/java/topazvalve/simulation/process/RunLine.java
+++ b/simulation/src/main/java/topazvalve/simulation/process/RunLine.java
@@ -7,9 +7,12 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import topazvalve.simulation.DeployFileException;
 
 /** Starts sidecars by the {@code run} line of the deploy file. */
 public final class RunLine {
+    private static final String DEPLOY_FILE = "deploy/balancer.toml";
+
     private RunLine() {}
 
     /**
@@ -18,14 +21,15 @@
      * @param home the root of the repository, where the process starts
      * @param config the sidecar's configuration file
      * @param before words before the shell, such as those that pin a process to a core
-     * @throws IOException if the deploy file can't be read or has no such line
+     * @throws IOException if the deploy file can't be read
+     * @throws DeployFileException if it has no such line
      */
     public static ProcessBuilder of(Path home, Path config, List<String> before) throws IOException {
-        String run = Files.readAllLines(home.resolve("deploy/balancer.toml")).stream()
+        String run = Files.readAllLines(home.resolve(DEPLOY_FILE)).stream()
                 .filter(each -> each.startsWith("run = \""))
                 .findFirst()
                 .map(each -> each.substring(each.indexOf('"') + 1, each.lastIndexOf('"')))
-                .orElseThrow(() -> new IOException("deploy/balancer.toml has no run line"));
+                .orElseThrow(() -> new DeployFileException(DEPLOY_FILE));
         List<String> command = new ArrayList<>(before);
         command.addAll(List.of("/bin/sh", "-c", run));
         ProcessBuilder builder =
--- a/simulation/src/main/java/topazvalve/simulation/real/ClientHandler.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/ClientHandler.java
@@ -12,7 +12,7 @@
     /** How long a slow reader pauses after each read. */
     private static final long SLOW_READ_NANOS = 20_000_000;
 
-    private final RealTimeSimulation simulation;
+    private final RunState run;
     private final ArrayDeque<Channel> idleConnections;
     private final boolean slowReader;
     private ClientRequest current;
@@ -23,8 +23,8 @@
      *
      * @param idleConnections takes the connection while it is idle
      */
-    ClientHandler(RealTimeSimulation simulation, ArrayDeque<Channel> idleConnections, boolean slowReader) {
-        this.simulation = simulation;
+    ClientHandler(RunState run, ArrayDeque<Channel> idleConnections, boolean slowReader) {
+        this.run = run;
         this.idleConnections = idleConnections;
         this.slowReader = slowReader;
     }
@@ -55,10 +55,8 @@
     public void channelReadComplete(ChannelHandlerContext context) {
         if (slowReader) {
             context.channel().config().setAutoRead(false);
-            long resumesAt = simulation.clock().now() + SLOW_READ_NANOS;
-            simulation
-                    .clock()
-                    .scheduleAt(resumesAt, () -> context.channel().config().setAutoRead(true));
+            long resumesAt = run.clock().now() + SLOW_READ_NANOS;
+            run.clock().scheduleAt(resumesAt, () -> context.channel().config().setAutoRead(true));
         }
     }
 
--- a/simulation/src/main/java/topazvalve/simulation/real/ClientRequest.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/ClientRequest.java
@@ -28,7 +28,7 @@
     /** How long after its deadline late attempts of a request are still recognised. */
     private static final long RETENTION_NANOS = 10_000_000_000L;
 
-    private final RealTimeSimulation simulation;
+    private final RunState run;
     private final RealClients clients;
     private final int instance;
     private final GeneratedRequest generated;
@@ -49,42 +49,37 @@
      * @param firstSentAt when the first try was meant to be sent, in nanoseconds of the clock
      */
     ClientRequest(
-            RealTimeSimulation simulation,
+            RunState run,
             RealClients clients,
             int instance,
             GeneratedRequest generated,
             long firstSentAt,
             boolean isRetry) {
-        this.simulation = simulation;
+        this.run = run;
         this.clients = clients;
         this.instance = instance;
         this.generated = generated;
         this.firstSentAt = firstSentAt;
         this.isRetry = isRetry;
-        this.requestClass = simulation.scenario().classes().get(generated.requestClass());
+        this.requestClass = run.scenario().classes().get(generated.requestClass());
         long number = clients.nextId();
         this.id = SentRequests.id(instance, number);
-        long now = simulation.clock().now();
+        long now = run.clock().now();
         // The time of the first try runs from when it was meant to be sent.
         this.deadline = (isRetry ? now : firstSentAt) + generated.patienceNanos();
         this.timeLeftNanos = deadline - now;
-        this.trace =
-                new Trace(number, instance, requestClass, simulation.sinceStart(now), simulation.sinceStart(deadline));
+        this.trace = new Trace(number, instance, requestClass, run.sinceStart(now), run.sinceStart(deadline));
     }
 
     /** Sends it. */
     void send() {
         SentRequest sent =
                 new SentRequest(trace, instance, generated.requestClass(), generated.key(), generated.work(), deadline);
-        simulation.sentRequests().put(id, sent);
-        simulation.oracle().requestSent(trace);
-        simulation.requestSent();
-        simulation.clock().scheduleAt(deadline, this::deadlinePassed);
-        simulation
-                .clock()
-                .scheduleAt(
-                        deadline + RETENTION_NANOS,
-                        () -> simulation.sentRequests().remove(id));
+        run.sentRequests().put(id, sent);
+        run.oracle().requestSent(trace);
+        run.clock().scheduleAt(deadline, this::deadlinePassed);
+        run.clock()
+                .scheduleAt(deadline + RETENTION_NANOS, () -> run.sentRequests().remove(id));
         connect(clients.drawsNewConnection());
     }
 
@@ -101,7 +96,7 @@
                 write(done.channel());
             } else {
                 // The connection is refused, so nothing has run.
-                simulation.oracle().excuse(trace);
+                run.oracle().excuse(trace);
                 end(Answer.REFUSED, 0);
             }
         });
@@ -141,13 +136,13 @@
         }
         finished = true;
         if (generated.leavesEarly()) {
-            simulation.oracle().clientDisconnected(trace, simulation.elapsed());
+            run.oracle().clientDisconnected(trace, run.elapsed());
         }
         if (channel != null) {
             channel.close();
         }
-        simulation.statistics().requestUnanswered(generated.requestClass(), simulation.sinceStart(firstSentAt));
-        simulation.oracle().deadlinePassed(trace, simulation.elapsed());
+        run.statistics().requestUnanswered(generated.requestClass(), run.sinceStart(firstSentAt));
+        run.oracle().deadlinePassed(trace, run.elapsed());
     }
 
     /**
@@ -161,8 +156,8 @@
         if (usedBefore && !reconnected) {
             reconnected = true;
             connect(true);
-        } else if (simulation.wasKilled(instance, trace)) {
-            simulation.oracle().excuse(trace);
+        } else if (run.wasKilled(instance, trace)) {
+            run.oracle().excuse(trace);
             end(Answer.FAILED, 0);
         }
     }
@@ -172,10 +167,10 @@
         Answer answer = answer(response.status());
         if (answer == Answer.SERVED
                 && !response.content().toString(StandardCharsets.US_ASCII).equals(RealClients.bodyOf(id))) {
-            simulation.oracle().responseForged(trace, simulation.elapsed());
+            run.oracle().responseForged(trace, run.elapsed());
         }
-        simulation.oracle().responseReceived(trace, answer, simulation.elapsed());
-        simulation.updateDigest(trace, answer);
+        run.oracle().responseReceived(trace, answer, run.elapsed());
+        run.recorder().digest().add(trace.id(), answer);
         end(answer, retryAfterNanos(response));
     }
 
@@ -200,24 +195,24 @@
     private void end(Answer answer, long retryAfterNanos) {
         finished = true;
         boolean harmless = answer == Answer.REFUSED || requestClass.retryIsHarmless();
-        long sentAt = simulation.sinceStart(firstSentAt);
+        long sentAt = run.sinceStart(firstSentAt);
         if (answer == Answer.SERVED) {
-            long latency = simulation.clock().now() - firstSentAt;
-            simulation.statistics().requestServed(generated.requestClass(), sentAt, latency);
+            long latency = run.clock().now() - firstSentAt;
+            run.statistics().requestServed(generated.requestClass(), sentAt, latency);
         } else if (generated.retries() && !isRetry && harmless) {
-            Scenario.Clients settings = simulation.scenario().clients();
+            Scenario.Clients settings = run.scenario().clients();
             retryAfter(settings.backoffNanos(generated.honoursRetryAfter(), retryAfterNanos));
         } else if (answer == Answer.REFUSED) {
-            simulation.statistics().requestRejected(generated.requestClass(), sentAt);
+            run.statistics().requestRejected(generated.requestClass(), sentAt);
         } else {
-            simulation.statistics().requestFailed(generated.requestClass(), sentAt);
+            run.statistics().requestFailed(generated.requestClass(), sentAt);
         }
     }
 
     private void retryAfter(long backoffNanos) {
-        simulation.clock().scheduleAt(simulation.clock().now() + backoffNanos, () -> {
-            simulation.statistics().retrySent();
-            new ClientRequest(simulation, clients, instance, generated, firstSentAt, true).send();
+        run.clock().scheduleAt(run.clock().now() + backoffNanos, () -> {
+            run.statistics().retrySent();
+            new ClientRequest(run, clients, instance, generated, firstSentAt, true).send();
         });
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/real/DiscoveryStandIn.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/DiscoveryStandIn.java
@@ -1,7 +1,5 @@
 package topazvalve.simulation.real;
 
-import com.fasterxml.jackson.databind.ObjectMapper;
-import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
@@ -9,7 +7,6 @@
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInitializer;
-import io.netty.channel.EventLoop;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.handler.codec.http.DefaultFullHttpResponse;
@@ -31,7 +28,6 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import topazvalve.policy.EndpointStatus;
 import topazvalve.simulation.model.EndpointDirectory;
 import topazvalve.simulation.model.EndpointDirectory.Entry;
 import topazvalve.simulation.scenario.Scenario.DiscoverySettings;
@@ -41,12 +37,11 @@
  * empty line every 2 s as heartbeat. Each instance has a port of its own, by which its calls are recognised.
  */
 final class DiscoveryStandIn {
-    private static final ObjectMapper JSON = new ObjectMapper();
     private static final int MAX_REQUEST_BYTES = 1 << 16;
     private static final long HEARTBEAT_SECONDS = 2;
     private static final long DOWN_CHECK_MILLIS = 50;
 
-    private final RealTimeSimulation simulation;
+    private final RunState run;
     private final DiscoverySettings settings;
     private final Set<Watch> watches = new HashSet<>();
     private long busyUntil;
@@ -54,23 +49,25 @@
     /** The open response of an instance's watch. */
     private record Watch(int instance, Channel channel) {}
 
-    DiscoveryStandIn(EventLoop loop, RealTimeSimulation simulation, DiscoverySettings settings) {
-        this.simulation = simulation;
-        this.settings = settings;
-        simulation.directory().addListener(this::entryChanged);
-        loop.scheduleWithFixedDelay(
-                () -> watches.forEach(each -> write(each, "\n")),
-                HEARTBEAT_SECONDS,
-                HEARTBEAT_SECONDS,
-                TimeUnit.SECONDS);
-        loop.scheduleWithFixedDelay(
-                this::closeWatchesWhileDown, DOWN_CHECK_MILLIS, DOWN_CHECK_MILLIS, TimeUnit.MILLISECONDS);
+    DiscoveryStandIn(RunState run) {
+        this.run = run;
+        this.settings = run.scenario().discovery();
+        run.directory().addListener(this::entryChanged);
+        run.loop()
+                .scheduleWithFixedDelay(
+                        () -> watches.forEach(each -> write(each, "\n")),
+                        HEARTBEAT_SECONDS,
+                        HEARTBEAT_SECONDS,
+                        TimeUnit.SECONDS);
+        run.loop()
+                .scheduleWithFixedDelay(
+                        this::closeWatchesWhileDown, DOWN_CHECK_MILLIS, DOWN_CHECK_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /** Opens the port of one instance; the future completes when it listens. */
     ChannelFuture open(int instance) {
         return new ServerBootstrap()
-                .group(simulation.group())
+                .group(run.loop())
                 .channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
@@ -86,7 +83,7 @@
     }
 
     private void closeWatchesWhileDown() {
-        if (simulation.directory().isUnavailable()) {
+        if (run.directory().isUnavailable()) {
             Set.copyOf(watches).forEach(each -> each.channel.close());
             watches.clear();
         }
@@ -97,33 +94,20 @@
     }
 
     private void entryChanged(Entry entry) {
-        long at = simulation.clock().now() + simulation.nextPropagationNanos();
-        simulation.clock().scheduleAt(at, () -> notifyWatches(entry));
+        long at = run.clock().now() + run.nextPropagationNanos();
+        run.clock().scheduleAt(at, () -> notifyWatches(entry));
     }
 
     private void notifyWatches(Entry entry) {
         List<Entry> entries = List.of(entry);
         for (Watch each : Set.copyOf(watches)) {
-            notifyWatch(each, toJson(entries, entry.changedAtRevision(), false), entries);
+            notifyWatch(each, run.toJson(entries, entry.changedAtRevision(), false), entries);
         }
     }
 
     private void notifyWatch(Watch watch, ObjectNode listing, List<Entry> entries) {
         write(watch, listing + "\n");
-        simulation.endpointsNotified(watch.instance, entries);
-    }
-
-    private ObjectNode toJson(List<Entry> entries, long revision, boolean all) {
-        ObjectNode root = JSON.createObjectNode().put("rev", revision).put("all", all);
-        ArrayNode targets = root.putArray("targets");
-        entries.forEach(each -> targets.add(simulation.toJson(each)));
-        return root;
-    }
-
-    /** Returns the full endpoint list as an instance may have cached it. */
-    ObjectNode fullList() {
-        EndpointDirectory directory = simulation.directory();
-        return toJson(directory.entries(), directory.revision(), true);
+        run.endpointsNotified(watch.instance, entries);
     }
 
     /** One connection of an instance. */
@@ -139,23 +123,23 @@
             QueryStringDecoder uri = new QueryStringDecoder(request.uri());
             boolean watch = uri.parameters().containsKey("watch");
             String from = uri.parameters().getOrDefault("from", List.of("0")).get(0);
-            long now = simulation.clock().now();
+            long now = run.clock().now();
             long startsAt = Math.max(now, busyUntil);
             if (!uri.path().equals("/discovery/hosts")
-                    || simulation.directory().isUnavailable()
+                    || run.directory().isUnavailable()
                     || startsAt - now > settings.callTimeout()) {
                 respondUnavailable(context);
                 return;
             }
             busyUntil = startsAt + settings.callTime();
-            simulation.clock().scheduleAt(busyUntil, () -> respond(context.channel(), watch, Long.parseLong(from)));
+            run.clock().scheduleAt(busyUntil, () -> respond(context.channel(), watch, Long.parseLong(from)));
         }
 
         private void respond(Channel channel, boolean watch, long from) {
-            EndpointDirectory directory = simulation.directory();
+            EndpointDirectory directory = run.directory();
             List<Entry> changes = watch && from > 0 ? directory.changesSince(from) : null;
             List<Entry> entries = changes != null ? changes : directory.entries();
-            ObjectNode listing = toJson(entries, directory.revision(), changes == null);
+            ObjectNode listing = run.toJson(entries, directory.revision(), changes == null);
             if (watch) {
                 startWatch(channel, listing, entries);
             } else {
@@ -180,7 +164,7 @@
                     Unpooled.copiedBuffer(listing + "\n", StandardCharsets.UTF_8));
             HttpUtil.setContentLength(response, response.content().readableBytes());
             channel.writeAndFlush(response);
-            simulation.endpointsNotified(instance, entries);
+            run.endpointsNotified(instance, entries);
         }
 
         private void respondUnavailable(ChannelHandlerContext context) {
@@ -195,13 +179,4 @@
             context.close();
         }
     }
-
-    /** Returns the name of a state in the JSON of discovery. */
-    static String stateName(EndpointStatus state) {
-        return switch (state) {
-            case READY -> "SERVING";
-            case DRAINING -> "DRAINING";
-            case REMOVED -> "DELETED";
-        };
-    }
 }
--- a/simulation/src/main/java/topazvalve/simulation/real/HttpAttempt.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/HttpAttempt.java
@@ -6,8 +6,8 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import java.nio.charset.StandardCharsets;
 import topazvalve.simulation.model.OrderServer;
-import topazvalve.simulation.model.OrderServer.Mode;
 import topazvalve.simulation.model.ServerAttempt;
+import topazvalve.simulation.model.ServerMode;
 import topazvalve.simulation.real.SentRequests.SentRequest;
 
 /** An attempt that an order server has received over HTTP, and the connection on which its response goes back. */
@@ -18,7 +18,7 @@
     /** Noise, a truncated response, and a second response. */
     private static final int KINDS_OF_CORRUPTION = 3;
 
-    private final RealTimeSimulation simulation;
+    private final RunState run;
     private final OrderServer server;
     private final Channel channel;
     private final String id;
@@ -27,9 +27,9 @@
     private boolean ran;
     private boolean ended;
 
-    HttpAttempt(RealTimeSimulation simulation, OrderServer server, Channel channel, String id, SentRequest sent) {
-        super(simulation.attemptWork(sent), sent.requestClass(), sent.key(), sent.deadline());
-        this.simulation = simulation;
+    HttpAttempt(RunState run, OrderServer server, Channel channel, String id, SentRequest sent) {
+        super(run.attemptWork(sent), sent.requestClass(), sent.key(), sent.deadline());
+        this.run = run;
         this.server = server;
         this.channel = channel;
         this.id = id;
@@ -49,9 +49,9 @@
     /** Writes a response after the simulated delay of the network, unless the machine is unreachable then. */
     private void sendBack(Runnable write) {
         ended = true;
-        long delay = simulation.nextDelayNanos(sent.instance(), server);
-        simulation.clock().scheduleAt(simulation.clock().now() + delay, () -> {
-            if (server.mode() != Mode.VANISHED) {
+        long delay = run.nextDelayNanos(sent.instance(), server);
+        run.clock().scheduleAt(run.clock().now() + delay, () -> {
+            if (server.mode() != ServerMode.VANISHED) {
                 write.run();
             }
         });
@@ -69,7 +69,7 @@
         } else if (corrupted) {
             sendCorrupted();
         } else {
-            simulation.oracle().responseSent(sent.trace());
+            run.oracle().responseSent(sent.trace());
             sendBack(this::writeResponse);
         }
     }
@@ -86,7 +86,7 @@
             case 1 ->
                 sendBack(() -> channel.writeAndFlush(bytes(TRUNCATED_RESPONSE)).addListener(done -> channel.close()));
             default -> {
-                simulation.oracle().responseSent(sent.trace());
+                run.oracle().responseSent(sent.trace());
                 sendBack(() -> {
                     writeResponse();
                     channel.writeAndFlush(bytes(SECOND_RESPONSE));
@@ -115,7 +115,7 @@
     protected void discarded() {
         ended = true;
         if (!ran) {
-            simulation.oracle().attemptNeverRan(sent.trace());
+            run.oracle().attemptNeverRan(sent.trace());
         }
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/real/RealClients.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/RealClients.java
@@ -5,7 +5,6 @@
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
-import io.netty.channel.EventLoop;
 import io.netty.channel.socket.nio.NioSocketChannel;
 import io.netty.handler.codec.http.HttpClientCodec;
 import io.netty.handler.codec.http.HttpObjectAggregator;
@@ -14,7 +13,6 @@
 import java.util.List;
 import topazvalve.simulation.model.RandomStream;
 import topazvalve.simulation.model.RequestGenerator;
-import topazvalve.simulation.model.TrafficPattern;
 
 /**
  * The applications that use the sidecars: an open loop over real connections. Latency counts from the time at which a
@@ -24,8 +22,7 @@
 final class RealClients {
     private static final int MAX_RESPONSE_BYTES = 1 << 20;
 
-    private final RealTimeSimulation simulation;
-    private final EventLoop loop;
+    private final RunState run;
     private final RandomStream random;
     private final List<RequestGenerator> generators = new ArrayList<>();
     /** By instance, the most recently used last. */
@@ -33,12 +30,12 @@
 
     private long lastId;
 
-    RealClients(RealTimeSimulation simulation, EventLoop loop, long seed, TrafficPattern trafficPattern) {
-        this.simulation = simulation;
-        this.loop = loop;
+    RealClients(RunState run, long seed) {
+        this.run = run;
         this.random = RandomStream.named(seed, "clients");
-        for (int i = 0; i < simulation.scenario().fleet().instances(); i++) {
-            generators.add(new RequestGenerator(simulation.scenario(), seed, i, trafficPattern));
+        for (int i = 0; i < run.scenario().fleet().instances(); i++) {
+            generators.add(
+                    new RequestGenerator(run.scenario(), seed, i, run.topology().trafficPattern()));
             idleConnections.add(new ArrayDeque<>());
         }
     }
@@ -51,7 +48,7 @@
     /** Schedules the first request to each instance. */
     void start() {
         for (int i = 0; i < generators.size(); i++) {
-            scheduleNext(i, simulation.clock().now());
+            scheduleNext(i, run.clock().now());
         }
     }
 
@@ -59,12 +56,12 @@
     private void scheduleNext(int instance, long previousAt) {
         RequestGenerator generator = generators.get(instance);
         long at = previousAt + Math.max(1, generator.nextGapNanos());
-        if (at < simulation.endsAt()) {
-            simulation.clock().scheduleAt(at, () -> {
-                if (generator.arrivesAt(simulation.sinceStart(at))) {
+        if (at < run.endsAt()) {
+            run.clock().scheduleAt(at, () -> {
+                if (generator.arrivesAt(run.sinceStart(at))) {
                     RequestGenerator.GeneratedRequest generated = generator.next();
-                    simulation.statistics().requestSent(generated.requestClass(), simulation.sinceStart(at));
-                    new ClientRequest(simulation, this, instance, generated, at, false).send();
+                    run.statistics().requestSent(generated.requestClass(), run.sinceStart(at));
+                    new ClientRequest(run, this, instance, generated, at, false).send();
                 }
                 scheduleNext(instance, at);
             });
@@ -78,28 +75,28 @@
 
     /** Draws whether a request comes on a new connection. */
     boolean drawsNewConnection() {
-        return random.nextBoolean(simulation.scenario().clients().reconnect());
+        return random.nextBoolean(run.scenario().clients().reconnect());
     }
 
     /** Opens a connection to an instance. */
     ChannelFuture connect(int instance) {
         return new Bootstrap()
-                .group(loop)
+                .group(run.loop())
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        boolean slowReader = random.nextBoolean(
-                                simulation.scenario().clients().slowReaders());
+                        boolean slowReader =
+                                random.nextBoolean(run.scenario().clients().slowReaders());
                         channel.pipeline()
                                 .addLast(
                                         new HttpClientCodec(),
                                         new HttpObjectAggregator(MAX_RESPONSE_BYTES),
-                                        new ClientHandler(simulation, idleConnections.get(instance), slowReader));
+                                        new ClientHandler(run, idleConnections.get(instance), slowReader));
                     }
                 })
-                .connect("127.0.0.1", simulation.port(instance));
+                .connect("127.0.0.1", run.port(instance));
     }
 
     /** Takes the most recently used idle connection to an instance; returns null if there is none. */
--- /dev/null
+++ b/simulation/src/main/java/topazvalve/simulation/real/RunState.java
@@ -0,0 +1,237 @@
+package topazvalve.simulation.real;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.netty.channel.EventLoop;
+import java.io.IOException;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import topazvalve.simulation.SimulationException;
+import topazvalve.simulation.model.AttemptWork;
+import topazvalve.simulation.model.Clock;
+import topazvalve.simulation.model.EndpointDirectory.Entry;
+import topazvalve.simulation.model.FaultTarget;
+import topazvalve.simulation.model.OrderServer;
+import topazvalve.simulation.model.RandomStream;
+import topazvalve.simulation.model.Topology;
+import topazvalve.simulation.oracle.Oracle;
+import topazvalve.simulation.oracle.Trace;
+import topazvalve.simulation.real.SentRequests.SentRequest;
+import topazvalve.simulation.scenario.Scenario;
+import topazvalve.simulation.statistics.RunRecorder;
+import topazvalve.simulation.statistics.RunStatistics;
+
+/**
+ * The state of a run in real time, as stand-ins, clients and faults use it: times, delays, the record of the run, and
+ * which instance knows what. All of it belongs to the event loop.
+ */
+final class RunState implements FaultTarget {
+    /** What scheduling and the kernel may add to every limit. */
+    private static final long TOLERANCE_NANOS = 50_000_000;
+
+    private static final long MAX_FLIGHT_NANOS = 50_000_000;
+    /** How often an attempt on a new connection may cross zones before the server has received it. */
+    private static final int FLIGHT_CROSSINGS = 4;
+
+    private static final long RESTART_DELAY_MILLIS = 100;
+    /** There is a counter of attempts for this many times as many servers as the scenario has, and some more. */
+    private static final int COUNTERS_PER_SERVER = 4;
+
+    private static final int SPARE_COUNTERS = 64;
+
+    private final Scenario scenario;
+    private final EventLoop loop;
+    private final LoopClock clock;
+    private final SentRequests sentRequests = new SentRequests();
+    private final AttemptWork attemptWork;
+    private final RandomStream propagation;
+    private final RandomStream restarts;
+    private final Topology topology;
+    private final RunRecorder recorder;
+    private final ServerSockets servers = new ServerSockets(this);
+    private final EndpointListJson listJson;
+    private final SidecarFleet sidecars;
+    private final NotifiedStarts notifiedStarts = new NotifiedStarts();
+    private final ActiveFaults activeFaults = new ActiveFaults();
+    private long start;
+
+    /** Creates the state of a run that hasn't started; nothing listens yet. */
+    RunState(Scenario scenario, long seed, EventLoop loop, SidecarFleet sidecars) {
+        this.scenario = scenario;
+        this.loop = loop;
+        this.sidecars = sidecars;
+        this.clock = new LoopClock(loop);
+        this.attemptWork = new AttemptWork(scenario, seed);
+        this.propagation = RandomStream.named(seed, "spread");
+        this.restarts = RandomStream.named(seed, "restarts");
+        this.topology = new Topology(scenario, clock, seed);
+        this.recorder = new RunRecorder(
+                topology, oracleOf(scenario), COUNTERS_PER_SERVER * servers().size() + SPARE_COUNTERS);
+        this.listJson = new EndpointListJson(scenario, clock, servers);
+        servers().forEach(this::observe);
+    }
+
+    private static Oracle oracleOf(Scenario scenario) {
+        long crossings = FLIGHT_CROSSINGS * scenario.network().crossZone();
+        return new Oracle(scenario.limits(), TOLERANCE_NANOS, MAX_FLIGHT_NANOS + crossings);
+    }
+
+    private void observe(OrderServer server) {
+        server.onColdCrash(
+                (crashed, informedFraction) -> recorder.serverCrashedWhileCold(crashed, informedFraction, elapsed()));
+    }
+
+    /** The run starts now. */
+    void start() {
+        start = clock.now();
+    }
+
+    EventLoop loop() {
+        return loop;
+    }
+
+    Scenario scenario() {
+        return scenario;
+    }
+
+    SentRequests sentRequests() {
+        return sentRequests;
+    }
+
+    RunRecorder recorder() {
+        return recorder;
+    }
+
+    Oracle oracle() {
+        return recorder.oracle();
+    }
+
+    RunStatistics statistics() {
+        return recorder.statistics();
+    }
+
+    /** Returns the sockets of the order servers. */
+    ServerSockets serverSockets() {
+        return servers;
+    }
+
+    NotifiedStarts notifiedStarts() {
+        return notifiedStarts;
+    }
+
+    ActiveFaults activeFaults() {
+        return activeFaults;
+    }
+
+    /** Returns the port of an instance's clients. */
+    int port(int instance) {
+        return sidecars.port(instance);
+    }
+
+    /** Returns when clients stop sending, in nanoseconds of the clock. */
+    long endsAt() {
+        return start + scenario.length();
+    }
+
+    /** Returns the nanoseconds since the start. */
+    long elapsed() {
+        return clock.now() - start;
+    }
+
+    /** Converts a time of the clock to nanoseconds since the start. */
+    long sinceStart(long time) {
+        return time - start;
+    }
+
+    /** Draws the work of one attempt, in nanoseconds of a standard core. */
+    double attemptWork(SentRequest request) {
+        return attemptWork.draw(request.requestClass(), request.work());
+    }
+
+    /** Draws a one-way delay between an instance and a server, which is added to that of loopback. */
+    long nextDelayNanos(int instance, OrderServer server) {
+        int zone = instance % scenario.fleet().zones().size();
+        return link().nextDelayNanos(zone != server.pod().zone());
+    }
+
+    /** Draws the time until a change of the endpoint list reaches the instances. */
+    long nextPropagationNanos() {
+        return (long) (propagation.nextDouble() * scenario.discovery().maxPropagation());
+    }
+
+    /** Draws the seed of an instance's load balancer. */
+    long nextInstanceSeed() {
+        return restarts.nextLong();
+    }
+
+    /** Returns the full endpoint list as an instance may have cached it. */
+    ObjectNode fullList() {
+        return toJson(directory().entries(), directory().revision(), true);
+    }
+
+    /** Returns an endpoint list, or changes of it, in the JSON of discovery. */
+    ObjectNode toJson(List<Entry> entries, long revision, boolean full) {
+        return listJson.list(entries, revision, full);
+    }
+
+    /** An instance has been notified of endpoints. */
+    void endpointsNotified(int instance, List<Entry> entries) {
+        for (Entry each : entries) {
+            notifiedStarts.notified(instance, each);
+            recorder.endpointNotified(instance, each, elapsed());
+        }
+    }
+
+    /** Returns whether the instance that had a request was killed after the request was sent. */
+    boolean wasKilled(int instance, Trace trace) {
+        return sidecars.wasKilledSince(instance, trace.sentAt() - TOLERANCE_NANOS);
+    }
+
+    // For faults.
+
+    @Override
+    public Clock clock() {
+        return clock;
+    }
+
+    @Override
+    public Topology topology() {
+        return topology;
+    }
+
+    @Override
+    public void restartInstance(int number) {
+        sidecars.kill(number, elapsed());
+        recorder.instanceKilled(number);
+        ObjectNode cachedList = fullList();
+        long newSeed = nextInstanceSeed();
+        loop.schedule(() -> startAgain(number, cachedList, newSeed), RESTART_DELAY_MILLIS, TimeUnit.MILLISECONDS);
+    }
+
+    private void startAgain(int number, ObjectNode cachedList, long newSeed) {
+        try {
+            sidecars.start(number, cachedList, newSeed);
+        } catch (IOException | SimulationException e) {
+            recordEvent("sidecar " + number + " could not be started again: " + e.getMessage());
+            return;
+        }
+        recorder.instanceRestarted(number, elapsed());
+    }
+
+    @Override
+    public OrderServer replaceServer(OrderServer old, boolean sameAddress) {
+        OrderServer replacement = topology.fleet().replace(old);
+        observe(replacement);
+        if (sameAddress) {
+            servers.openAtAddressOf(old, replacement);
+        } else {
+            servers.open(replacement);
+        }
+        return replacement;
+    }
+
+    @Override
+    public void recordEvent(String what) {
+        topology.recordEvent(elapsed(), what);
+        activeFaults.eventRecorded(what);
+    }
+}
--- a/simulation/src/main/java/topazvalve/simulation/real/ServerHandler.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/ServerHandler.java
@@ -13,7 +13,7 @@
 import io.netty.handler.timeout.IdleStateEvent;
 import java.nio.charset.StandardCharsets;
 import topazvalve.simulation.model.OrderServer;
-import topazvalve.simulation.model.OrderServer.Mode;
+import topazvalve.simulation.model.ServerMode;
 import topazvalve.simulation.real.SentRequests.SentRequest;
 
 /** One connection to an order server: passes requests on to the model, after the simulated delay of the network. */
@@ -23,12 +23,12 @@
     private static final String LIVENESS_PATH = "/alive";
     private static final String LOAD_PATH = "/metrics/load";
 
-    private final RealTimeSimulation simulation;
+    private final RunState run;
     private final OrderServer server;
     private HttpAttempt current;
 
-    ServerHandler(RealTimeSimulation simulation, OrderServer server) {
-        this.simulation = simulation;
+    ServerHandler(RunState run, OrderServer server) {
+        this.run = run;
         this.server = server;
     }
 
@@ -36,36 +36,36 @@
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
         String path = request.uri();
         if (path.equals(LIVENESS_PATH) || path.equals(LOAD_PATH)) {
-            simulation.statistics().healthCheckSent();
+            run.statistics().healthCheckSent();
             server.offer(new HttpHealthCheck(context.channel()), true);
             return;
         }
         String id = request.headers().get(REQUEST_ID_HEADER);
-        SentRequest sent = simulation.sentRequests().get(id);
+        SentRequest sent = run.sentRequests().get(id);
         if (sent == null) {
             HttpResponseStatus status = id == null ? HttpResponseStatus.NOT_FOUND : HttpResponseStatus.BAD_REQUEST;
             respond(context.channel(), status, "", false);
             return;
         }
-        HttpAttempt attempt = new HttpAttempt(simulation, server, context.channel(), id, sent);
+        HttpAttempt attempt = new HttpAttempt(run, server, context.channel(), id, sent);
         current = attempt;
-        long delay = simulation.nextDelayNanos(sent.instance(), server);
-        simulation.clock().scheduleAt(simulation.clock().now() + delay, () -> deliver(attempt, sent));
+        long delay = run.nextDelayNanos(sent.instance(), server);
+        run.clock().scheduleAt(run.clock().now() + delay, () -> deliver(attempt, sent));
     }
 
     private void deliver(HttpAttempt attempt, SentRequest sent) {
-        Mode mode = server.mode();
-        if (mode == Mode.VANISHED || mode == Mode.DOWN) {
+        ServerMode mode = server.mode();
+        if (mode == ServerMode.VANISHED || mode == ServerMode.DOWN) {
             return;
         }
-        server.offer(attempt, simulation.knowsStart(sent.instance(), server));
-        simulation.attemptReceived(sent, server, !attempt.wasRejected());
+        server.offer(attempt, run.notifiedStarts().knowsStart(sent.instance(), server));
+        run.recorder().attemptReceived(sent.trace(), server, !attempt.wasRejected(), run.elapsed());
     }
 
     @Override
     public void userEventTriggered(ChannelHandlerContext context, Object event) {
         boolean idle = event instanceof IdleStateEvent && (current == null || current.hasEnded());
-        if (idle && server.mode() != Mode.VANISHED) {
+        if (idle && server.mode() != ServerMode.VANISHED) {
             context.close();
         }
     }
--- a/simulation/src/main/java/topazvalve/simulation/real/ServerStandIn.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/ServerStandIn.java
@@ -5,7 +5,6 @@
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
-import io.netty.channel.EventLoop;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.handler.codec.http.HttpObjectAggregator;
 import io.netty.handler.codec.http.HttpServerCodec;
@@ -16,7 +15,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import topazvalve.simulation.model.OrderServer;
-import topazvalve.simulation.model.OrderServer.Mode;
+import topazvalve.simulation.model.ServerMode;
 
 /**
  * An order server on a loopback port: HTTP/1.1 around the model. While its machine is unreachable it neither reads nor
@@ -29,20 +28,21 @@
     private static final int MAX_REQUEST_BYTES = 1 << 20;
     private static final long SYNC_INTERVAL_MILLIS = 20;
 
-    private final RealTimeSimulation simulation;
+    private final RunState run;
     private final OrderServer server;
     private final Set<Channel> connections = new HashSet<>();
     private InetSocketAddress address;
     private Channel listener;
-    private Mode appliedMode = Mode.UP;
+    private ServerMode appliedMode = ServerMode.UP;
     private int appliedIncarnation;
 
-    private ServerStandIn(EventLoop loop, RealTimeSimulation simulation, OrderServer server) {
-        this.simulation = simulation;
+    private ServerStandIn(RunState run, OrderServer server) {
+        this.run = run;
         this.server = server;
         this.appliedIncarnation = server.incarnation();
-        loop.scheduleWithFixedDelay(
-                this::applyModel, SYNC_INTERVAL_MILLIS, SYNC_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+        run.loop()
+                .scheduleWithFixedDelay(
+                        this::applyModel, SYNC_INTERVAL_MILLIS, SYNC_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /**
@@ -51,13 +51,8 @@
      * @param bindAddress where it listens, or {@link #ANY_PORT}
      * @param onOpen runs once it listens, or has failed to, which is recorded
      */
-    static ServerStandIn open(
-            EventLoop loop,
-            RealTimeSimulation simulation,
-            OrderServer server,
-            InetSocketAddress bindAddress,
-            Runnable onOpen) {
-        ServerStandIn standIn = new ServerStandIn(loop, simulation, server);
+    static ServerStandIn open(RunState run, OrderServer server, InetSocketAddress bindAddress, Runnable onOpen) {
+        ServerStandIn standIn = new ServerStandIn(run, server);
         ChannelFuture bound = standIn.bootstrap().bind(bindAddress);
         standIn.listener = bound.channel();
         bound.addListener(done -> {
@@ -65,8 +60,7 @@
                 standIn.address = (InetSocketAddress) bound.channel().localAddress();
             } else {
                 standIn.address = bindAddress;
-                simulation.recordEvent(
-                        "no socket for server " + server.id() + " at " + bindAddress + ": " + done.cause());
+                run.recordEvent("no socket for server " + server.id() + " at " + bindAddress + ": " + done.cause());
             }
             onOpen.run();
         });
@@ -85,7 +79,7 @@
 
     private ServerBootstrap bootstrap() {
         return new ServerBootstrap()
-                .group(simulation.group())
+                .group(run.loop())
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
@@ -99,10 +93,10 @@
 
     /** Applies the model's present state to the sockets. */
     private void applyModel() {
-        Mode mode = server.mode();
+        ServerMode mode = server.mode();
         if (server.incarnation() != appliedIncarnation) {
             appliedIncarnation = server.incarnation();
-            if (mode != Mode.VANISHED) {
+            if (mode != ServerMode.VANISHED) {
                 resetAllConnections();
             }
         }
@@ -113,8 +107,8 @@
         }
     }
 
-    private void applyToListener(Mode mode) {
-        boolean listens = mode != Mode.DOWN && mode != Mode.REFUSING;
+    private void applyToListener(ServerMode mode) {
+        boolean listens = mode != ServerMode.DOWN && mode != ServerMode.REFUSING;
         if (!listens && listener != null) {
             listener.close();
             listener = null;
@@ -123,10 +117,10 @@
         }
     }
 
-    private void applyToConnections(Mode mode) {
+    private void applyToConnections(ServerMode mode) {
         if (readsNothing(mode)) {
             connections.forEach(each -> each.config().setAutoRead(false));
-        } else if (appliedMode == Mode.VANISHED) {
+        } else if (appliedMode == ServerMode.VANISHED) {
             // A machine that is reachable again doesn't know its earlier connections.
             resetAllConnections();
         } else {
@@ -134,8 +128,8 @@
         }
     }
 
-    private static boolean readsNothing(Mode mode) {
-        return mode == Mode.VANISHED || mode == Mode.FROZEN;
+    private static boolean readsNothing(ServerMode mode) {
+        return mode == ServerMode.VANISHED || mode == ServerMode.FROZEN;
     }
 
     private void resetAllConnections() {
@@ -148,7 +142,7 @@
         listener = bound.channel();
         bound.addListener(done -> {
             String outcome = done.isSuccess() ? " listens again" : " has no socket: " + done.cause();
-            simulation.recordEvent("server " + server.id() + outcome);
+            run.recordEvent("server " + server.id() + outcome);
         });
     }
 
@@ -159,14 +153,14 @@
     }
 
     private void connectionOpened(Channel channel) {
-        Mode mode = server.mode();
-        if (mode == Mode.DOWN || (mode != Mode.VANISHED && !server.acceptConnection())) {
+        ServerMode mode = server.mode();
+        if (mode == ServerMode.DOWN || (mode != ServerMode.VANISHED && !server.acceptConnection())) {
             resetConnection(channel);
             return;
         }
         int acceptedIn = server.incarnation();
         connections.add(channel);
-        simulation.statistics().connectionOpened();
+        run.statistics().connectionOpened();
         channel.closeFuture().addListener(closed -> {
             connections.remove(channel);
             server.connectionClosed(acceptedIn);
@@ -179,7 +173,7 @@
                         new IdleStateHandler(0, 0, server.kind().idleTimeout(), TimeUnit.NANOSECONDS),
                         new HttpServerCodec(),
                         new HttpObjectAggregator(MAX_REQUEST_BYTES),
-                        new ServerHandler(simulation, server));
+                        new ServerHandler(run, server));
     }
 
     /** Stops listening and closes all connections. */
--- a/simulation/src/main/java/topazvalve/simulation/real/SidecarFleet.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/SidecarFleet.java
@@ -6,8 +6,12 @@
 import java.net.URI;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.HashMap;
 import java.util.List;
+import java.util.Map;
 import java.util.concurrent.TimeUnit;
+import topazvalve.simulation.SidecarEndedException;
+import topazvalve.simulation.SidecarStartException;
 import topazvalve.simulation.scenario.Scenario;
 
 /** The sidecar processes of a run in real time. */
@@ -18,24 +22,32 @@
     private static final int READ_TIMEOUT_MILLIS = 1000;
     private static final long STOP_TIMEOUT_MILLIS = 5_000;
 
+    private static final long NEVER = -1;
+
     private final Scenario scenario;
     private final Path folder;
     private final List<SidecarProcess> sidecars = new ArrayList<>();
     private final List<Integer> discoveryPorts = new ArrayList<>();
+    /** By sidecar, when it was last killed, in nanoseconds from the start of the run. */
+    private final Map<Integer, Long> killedAt = new HashMap<>();
 
     SidecarFleet(Scenario scenario, Path folder) {
         this.scenario = scenario;
         this.folder = folder;
     }
 
+    /** Adds the port of discovery that the next sidecar will use. */
+    void addDiscoveryPort(int port) {
+        discoveryPorts.add(port);
+    }
+
     /**
      * Adds a sidecar that isn't started yet.
      *
      * @param home the root of the repository
      */
-    void add(Path home, int discoveryPort) throws IOException {
+    void add(Path home) throws IOException {
         sidecars.add(new SidecarProcess(home, folder, sidecars.size()));
-        discoveryPorts.add(discoveryPort);
     }
 
     /**
@@ -53,10 +65,17 @@
         return sidecars.get(number).port();
     }
 
-    void kill(int number) {
+    /** Kills a sidecar; {@code at} is the time from the start of the run in nanoseconds. */
+    void kill(int number, long at) {
+        killedAt.put(number, at);
         sidecars.get(number).kill();
     }
 
+    /** Returns whether a sidecar was killed at a time or later. */
+    boolean wasKilledSince(int number, long time) {
+        return killedAt.getOrDefault(number, NEVER) >= time;
+    }
+
     /** Kills all sidecars at once, when this process ends. */
     void killAll() {
         sidecars.forEach(SidecarProcess::kill);
@@ -72,19 +91,19 @@
     /**
      * Waits until all sidecars are ready.
      *
-     * @throws IOException if one ends or isn't ready within 30 s
+     * @throws SidecarStartException if one ends or isn't ready within 30 s
      */
-    void awaitReady() throws IOException, InterruptedException {
+    void awaitReady() throws InterruptedException {
         for (SidecarProcess each : sidecars) {
             awaitReady(each);
         }
     }
 
-    private void awaitReady(SidecarProcess sidecar) throws IOException, InterruptedException {
+    private void awaitReady(SidecarProcess sidecar) throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(START_TIMEOUT_SECONDS);
         while (!isReady(sidecar)) {
             if (!sidecar.isAlive() || System.nanoTime() > end) {
-                throw new IOException("a sidecar did not start; its log is in " + folder);
+                throw new SidecarStartException(folder);
             }
             TimeUnit.MILLISECONDS.sleep(READY_POLL_MILLIS);
         }
@@ -105,13 +124,12 @@
     /**
      * Checks that all sidecars are still running.
      *
-     * @throws IOException if one has ended by itself
+     * @throws SidecarEndedException if one has ended by itself
      */
-    void checkAlive() throws IOException {
+    void checkAlive() {
         for (int i = 0; i < sidecars.size(); i++) {
             if (!sidecars.get(i).isAlive()) {
-                throw new IOException(
-                        "sidecar " + i + " has ended by itself; its log is " + folder.resolve("n" + i + ".log"));
+                throw new SidecarEndedException(i, folder.resolve("n" + i + ".log"));
             }
         }
     }
--- a/simulation/src/main/java/topazvalve/simulation/real/SidecarProcess.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/SidecarProcess.java
@@ -105,10 +105,6 @@
     }
 
     private static void putCapabilities(ObjectNode capabilities, Scenario scenario) {
-        long idleTimeout = scenario.machines().stream()
-                .mapToLong(each -> each.idleTimeout())
-                .min()
-                .orElseThrow();
         capabilities
                 .put("mayCancel", true)
                 .put("mayProbe", true)
@@ -116,7 +112,7 @@
                 .put("tryLimit", scenario.limits().attempts())
                 .put("maxRetryAfter", scenario.clients().maxRetryAfter())
                 .put("connectTimeout", scenario.limits().connectTimeout())
-                .put("connIdle", idleTimeout);
+                .put("connIdle", scenario.minIdleTimeout());
     }
 
     private static void putLimits(ObjectNode rules, Scenario.Limits limits) {
--- a/simulation/src/main/java/topazvalve/simulation/scenario/Scenario.java
+++ b/simulation/src/main/java/topazvalve/simulation/scenario/Scenario.java
@@ -181,6 +181,16 @@
         return capacity / shares;
     }
 
+    /** Returns the shortest time after which servers close idle connections. */
+    public long minIdleTimeout() {
+        return machines.stream().mapToLong(MachineKind::idleTimeout).min().orElseThrow();
+    }
+
+    /** Returns the longest deadline of all classes. */
+    public long maxDeadline() {
+        return classes.stream().mapToLong(WorkClass::deadline).max().orElseThrow();
+    }
+
     /** Returns the requests a second, without clients' retries, of a mean instance. */
     public double instanceRate() {
         if (load.rate() > 0) {
--- a/simulation/src/main/java/topazvalve/simulation/stream/StreamTrial.java
+++ b/simulation/src/main/java/topazvalve/simulation/stream/StreamTrial.java
@@ -17,6 +17,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
+import topazvalve.simulation.StreamsHangException;
 
 /**
  * Sends many streams of random sizes, pauses and half-closes through a proxy to stand-in servers, while servers drain
@@ -89,7 +90,7 @@
      * @param listener the address of the proxy
      * @param atOnce the largest number of streams that are open at once
      * @param everyMs the milliseconds between two faults
-     * @throws IllegalStateException if streams hang
+     * @throws StreamsHangException if streams hang
      */
     public Result play(InetSocketAddress listener, Fleet fleet, int streams, int atOnce, long everyMs)
             throws InterruptedException {
@@ -98,7 +99,7 @@
         faults.start();
         for (long i = 0; i < streams; i++) {
             if (!capacity.tryAcquire(HANG_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
-                throw new IllegalStateException("streams hang: " + hanging());
+                throw new StreamsHangException(hanging());
             }
             StreamLog log = new StreamLog(i, StreamPlan.of(seed, i, MAX_STREAM_BYTES));
             logs.put(i, log);
@@ -108,7 +109,7 @@
         faults.interrupt();
         faults.join();
         if (!allFinished) {
-            throw new IllegalStateException("streams hang: " + hanging());
+            throw new StreamsHangException(hanging());
         }
         // The servers' ends close a moment after the clients'.
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
--- a/simulation/src/main/java/topazvalve/simulation/virtual/AttemptSender.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/AttemptSender.java
@@ -2,7 +2,7 @@
 
 import topazvalve.policy.Outcome;
 import topazvalve.simulation.model.OrderServer;
-import topazvalve.simulation.model.OrderServer.Mode;
+import topazvalve.simulation.model.ServerMode;
 import topazvalve.simulation.virtual.ServerConnections.VirtualConnection;
 
 /** Carries the attempts of one instance to the servers and their responses back, over connections that it reuses. */
@@ -40,7 +40,7 @@
             simulation.clock().scheduleAt(now + delay, () -> connect(attempt));
             return;
         }
-        simulation.connectionBusy(idle);
+        simulation.idleConnections().connectionBusy(idle);
         attempt.connection = idle;
         written(attempt);
         simulation.clock().scheduleAt(now + delay, () -> deliver(attempt));
@@ -54,15 +54,15 @@
     /** The attempt to connect has reached the server. */
     private void connect(VirtualAttempt attempt) {
         OrderServer server = attempt.serverConnections.server;
-        Mode mode = server.mode();
+        ServerMode mode = server.mode();
         if (attempt.ended) {
             return;
         }
         long delayBack = nextDelayNanos(attempt);
-        if (mode == Mode.VANISHED) {
+        if (mode == ServerMode.VANISHED) {
             long timesOutAt = attempt.sentAt + simulation.scenario().limits().connectTimeout();
             simulation.clock().scheduleAt(timesOutAt, () -> end(attempt, Outcome.CONNECT_FAILED));
-        } else if (mode == Mode.DOWN || mode == Mode.REFUSING || !server.acceptConnection()) {
+        } else if (mode == ServerMode.DOWN || mode == ServerMode.REFUSING || !server.acceptConnection()) {
             simulation.clock().scheduleAt(now() + delayBack, () -> end(attempt, Outcome.CONNECT_FAILED));
         } else {
             connected(attempt, delayBack);
@@ -86,7 +86,7 @@
     /** The attempt has reached the server completely. */
     private void deliver(VirtualAttempt attempt) {
         OrderServer server = attempt.serverConnections.server;
-        if (attempt.ended || server.mode() == Mode.VANISHED) {
+        if (attempt.ended || server.mode() == ServerMode.VANISHED) {
             return;
         }
         int connectedTo = attempt.connection.serverIncarnation;
@@ -158,7 +158,7 @@
         if (instance.running() && responded && alive) {
             connection.idle = true;
             server.idle.addLast(connection);
-            simulation.connectionIdle(connection);
+            simulation.idleConnections().connectionIdle(connection);
         } else {
             connection.close();
         }
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualClients.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualClients.java
@@ -156,7 +156,7 @@
     private void responseReceived(
             VirtualRequest request, Answer answer, long retryAfterNanos, ClientRequest clientRequest) {
         simulation.oracle().responseReceived(request.trace, answer, simulation.elapsed());
-        simulation.updateDigest(request.id, answer);
+        simulation.recorder().digest().add(request.id, answer, now());
         if (answer == Answer.SERVED) {
             long latency = now() + 2 * scenario.network().client() - request.firstSentAt;
             simulation
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualDiscovery.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualDiscovery.java
@@ -5,14 +5,13 @@
 import java.util.List;
 import java.util.Map;
 import topazvalve.policy.EndpointInfo;
-import topazvalve.policy.EndpointStatus;
 import topazvalve.policy.UpdateKind;
 import topazvalve.simulation.model.Clock;
 import topazvalve.simulation.model.EndpointDirectory;
 import topazvalve.simulation.model.EndpointDirectory.Entry;
 import topazvalve.simulation.model.RandomStream;
-import topazvalve.simulation.oracle.Oracle;
 import topazvalve.simulation.scenario.Scenario.DiscoverySettings;
+import topazvalve.simulation.statistics.RunRecorder;
 
 /** The discovery service as instances use it: it serves one call at a time, and notifies instances that watch. */
 final class VirtualDiscovery {
@@ -28,7 +27,7 @@
     private final Clock clock;
     private final DiscoverySettings settings;
     private final EndpointDirectory directory;
-    private final Oracle oracle;
+    private final RunRecorder recorder;
     private final RandomStream random;
     private final Map<Integer, Watch> watches = new HashMap<>();
     private final List<VirtualInstance> instances;
@@ -38,13 +37,13 @@
             Clock clock,
             DiscoverySettings settings,
             EndpointDirectory directory,
-            Oracle oracle,
+            RunRecorder recorder,
             RandomStream random,
             List<VirtualInstance> instances) {
         this.clock = clock;
         this.settings = settings;
         this.directory = directory;
-        this.oracle = oracle;
+        this.recorder = recorder;
         this.random = random;
         this.instances = instances;
         directory.addListener(entry -> watches.forEach((number, watch) -> propagate(number, watch, entry)));
@@ -149,11 +148,7 @@
         List<EndpointInfo> endpoints = new ArrayList<>(entries.size());
         for (Entry each : entries) {
             endpoints.add(toEndpointInfo(each));
-            if (each.state() == EndpointStatus.READY) {
-                oracle.readyNotified(instance.number(), each.server().id());
-            } else {
-                oracle.drainNotified(instance.number(), each.server().id(), instance.simulation.elapsed());
-            }
+            recorder.endpointNotified(instance.number(), each, instance.simulation.elapsed());
         }
         instance.applyEntries(entries, directory.revision());
         instance.endpointsUpdated(kind, endpoints);
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualHealthCheck.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualHealthCheck.java
@@ -1,8 +1,8 @@
 package topazvalve.simulation.virtual;
 
 import topazvalve.policy.Outcome;
-import topazvalve.simulation.model.OrderServer.Mode;
 import topazvalve.simulation.model.ServerAttempt;
+import topazvalve.simulation.model.ServerMode;
 
 /** A health check of an instance. The server queues and serves it like a request. */
 final class VirtualHealthCheck extends ServerAttempt {
@@ -34,8 +34,8 @@
     }
 
     private void arrive() {
-        Mode mode = target.server.mode();
-        if (mode == Mode.DOWN || mode == Mode.REFUSING) {
+        ServerMode mode = target.server.mode();
+        if (mode == ServerMode.DOWN || mode == ServerMode.REFUSING) {
             sendBack(Outcome.CONNECT_FAILED);
         } else {
             target.server.offer(this, true);
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualInstance.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualInstance.java
@@ -1,6 +1,5 @@
 package topazvalve.simulation.virtual;
 
-import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -27,8 +26,7 @@
     private LoadBalancer balancer;
 
     private final Map<Long, VirtualRequest> requests = new HashMap<>();
-    private final ArrayDeque<Runnable> events = new ArrayDeque<>();
-    private boolean dispatching;
+    private final SerialDispatcher dispatcher = new SerialDispatcher();
     private boolean running;
     private int incarnation;
     private long revision;
@@ -84,7 +82,7 @@
             }
         }
         requests.clear();
-        events.clear();
+        dispatcher.clear();
         servers.clear();
     }
 
@@ -94,19 +92,7 @@
 
     /** Runs an event, or queues it while another one runs: the load balancer isn't called recursively. */
     void dispatch(Runnable event) {
-        if (dispatching) {
-            events.add(event);
-            return;
-        }
-        dispatching = true;
-        try {
-            event.run();
-            while (!events.isEmpty()) {
-                events.poll().run();
-            }
-        } finally {
-            dispatching = false;
-        }
+        dispatcher.dispatch(event);
     }
 
     // Endpoint list.
