--- a/simulation/src/main/java/topazvalve/simulation/measure/EchoServer.java
+++ b/simulation/src/main/java/topazvalve/simulation/measure/EchoServer.java
@@ -1,25 +1,19 @@
 package topazvalve.simulation.measure;
 
-import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandler;
 import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelInitializer;
-import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.handler.codec.http.DefaultFullHttpResponse;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.FullHttpResponse;
-import io.netty.handler.codec.http.HttpObjectAggregator;
 import io.netty.handler.codec.http.HttpResponseStatus;
-import io.netty.handler.codec.http.HttpServerCodec;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
-import java.net.InetAddress;
 import java.net.InetSocketAddress;
+import topazvalve.simulation.http.LoopbackHttp;
 
 /** An HTTP server that responds at once, so that the latency is that of the path to it. */
 @ChannelHandler.Sharable
@@ -30,21 +24,7 @@
 
     /** Opens a server on a free loopback port. */
     public EchoServer(EventLoopGroup group) {
-        listener = new ServerBootstrap()
-                .group(group)
-                .channel(NioServerSocketChannel.class)
-                .childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        channel.pipeline()
-                                .addLast(
-                                        new HttpServerCodec(),
-                                        new HttpObjectAggregator(MAX_REQUEST_BYTES),
-                                        EchoServer.this);
-                    }
-                })
-                .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+        listener = LoopbackHttp.listen(group, MAX_REQUEST_BYTES, () -> this)
                 .syncUninterruptibly()
                 .channel();
     }
--- a/simulation/src/main/java/topazvalve/simulation/measure/OpenLoopGenerator.java
+++ b/simulation/src/main/java/topazvalve/simulation/measure/OpenLoopGenerator.java
@@ -1,25 +1,20 @@
 package topazvalve.simulation.measure;
 
-import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelInitializer;
-import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
 import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.channel.socket.nio.NioSocketChannel;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.FullHttpResponse;
-import io.netty.handler.codec.http.HttpClientCodec;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpMethod;
-import io.netty.handler.codec.http.HttpObjectAggregator;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpVersion;
 import java.util.ArrayDeque;
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
+import topazvalve.simulation.http.LoopbackHttp;
 import topazvalve.simulation.model.RandomStream;
 
 /**
@@ -111,29 +106,15 @@
 
     private void connect() {
         connections++;
-        new Bootstrap()
-                .group(loop)
-                .channel(NioSocketChannel.class)
-                .option(ChannelOption.TCP_NODELAY, true)
-                .handler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        channel.pipeline()
-                                .addLast(
-                                        new HttpClientCodec(),
-                                        new HttpObjectAggregator(MAX_RESPONSE_BYTES),
-                                        new Handler());
-                        channel.closeFuture().addListener(closed -> connections--);
-                    }
-                })
-                .connect("127.0.0.1", port)
-                .addListener((ChannelFuture done) -> {
-                    if (done.isSuccess()) {
-                        connectionFree(done.channel());
-                    } else {
-                        failures++;
-                    }
-                });
+        ChannelFuture connecting = LoopbackHttp.connect(loop, port, MAX_RESPONSE_BYTES, Handler::new);
+        connecting.channel().closeFuture().addListener(closed -> connections--);
+        connecting.addListener(done -> {
+            if (done.isSuccess()) {
+                connectionFree(connecting.channel());
+            } else {
+                failures++;
+            }
+        });
     }
 
     private void connectionFree(Channel channel) {
--- a/simulation/src/main/java/topazvalve/simulation/model/Fleet.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/Fleet.java
@@ -28,24 +28,12 @@
             boolean limited = random.nextBoolean(spec.limitedPods());
             pods.add(new Pod(clock, i, i % zones, limited ? spec.podLimit().at(random.nextDouble()) : 1));
         }
+        WeightedChoice kinds = new WeightedChoice(scenario.machines().stream().mapToDouble(MachineKind::share));
         for (int i = 0; i < spec.servers(); i++) {
-            servers.add(make(pods.get(i % pods.size()), drawKind(RandomStream.named(seed, "kind." + i))));
+            servers.add(make(pods.get(i % pods.size()), kinds.draw(RandomStream.named(seed, "kind." + i))));
         }
     }
 
-    private int drawKind(RandomStream random) {
-        double totalShares =
-                scenario.machines().stream().mapToDouble(MachineKind::share).sum();
-        double remaining = random.nextDouble() * totalShares;
-        for (int i = 0; i < scenario.machines().size(); i++) {
-            remaining -= scenario.machines().get(i).share();
-            if (remaining < 0) {
-                return i;
-            }
-        }
-        return scenario.machines().size() - 1;
-    }
-
     private OrderServer make(Pod pod, int kind) {
         long id = ++lastId;
         return new OrderServer(
--- a/simulation/src/main/java/topazvalve/simulation/model/RandomStream.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/RandomStream.java
@@ -21,7 +21,10 @@
         this.gaussian = ZigguratSampler.NormalizedGaussian.of(random);
     }
 
-    /** Creates the stream of a name: xoroshiro128++, seeded by MurmurHash3 of seed and name. */
+    /**
+     * Creates the stream of a name: xoroshiro128++, seeded by MurmurHash3 of seed and name. Names stay as they are even
+     * where their users are renamed, since another name gives another run.
+     */
     public static RandomStream named(long seed, String name) {
         byte[] bytes = (seed + ":" + name).getBytes(StandardCharsets.UTF_8);
         long[] state = MurmurHash3.hash128x64(bytes);
--- a/simulation/src/main/java/topazvalve/simulation/model/RequestGenerator.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/RequestGenerator.java
@@ -1,6 +1,5 @@
 package topazvalve.simulation.model;
 
-import java.util.List;
 import org.apache.commons.rng.sampling.distribution.DiscreteSampler;
 import org.apache.commons.rng.sampling.distribution.RejectionInversionZipfSampler;
 import topazvalve.simulation.scenario.Scenario;
@@ -42,7 +41,7 @@
     private final RandomStream random;
     private final TrafficPattern trafficPattern;
     private final double ratePerNano;
-    private final double totalShares;
+    private final WeightedChoice classes;
     private final DiscreteSampler keys;
 
     /** Creates the generator of instance {@code number}; all generators of a run share one traffic pattern. */
@@ -52,8 +51,7 @@
         this.trafficPattern = trafficPattern;
         this.ratePerNano =
                 scenario.instanceRate() * random.nextLognormal(scenario.load().instanceSpread()) / NANOS_PER_SECOND;
-        this.totalShares =
-                scenario.classes().stream().mapToDouble(WorkClass::share).sum();
+        this.classes = new WeightedChoice(scenario.classes().stream().mapToDouble(WorkClass::share));
         this.keys = RejectionInversionZipfSampler.of(
                 random.generator(),
                 scenario.load().keys(),
@@ -76,7 +74,7 @@
 
     /** Draws the request that arrives. */
     public GeneratedRequest next() {
-        int classNumber = drawClass();
+        int classNumber = classes.draw(random);
         WorkClass requestClass = scenario.classes().get(classNumber);
         Scenario.Clients clients = scenario.clients();
         boolean leavesEarly = random.nextBoolean(clients.impatient());
@@ -92,15 +90,4 @@
                 random.nextBoolean(clients.retries()),
                 random.nextBoolean(clients.honourRetryAfter()));
     }
-
-    private int drawClass() {
-        List<WorkClass> classes = scenario.classes();
-        double remaining = random.nextDouble() * totalShares;
-        int number = 0;
-        while (number < classes.size() - 1 && remaining >= classes.get(number).share()) {
-            remaining -= classes.get(number).share();
-            number++;
-        }
-        return number;
-    }
 }
--- a/simulation/src/main/java/topazvalve/simulation/model/ServerAttempt.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/ServerAttempt.java
@@ -6,6 +6,9 @@
  * server never responds.
  */
 public abstract class ServerAttempt {
+    /** The work of a health check in nanoseconds of a standard core. */
+    protected static final double HEALTH_CHECK_WORK = 130_000;
+
     final double work;
     final int requestClass;
     final long key;
--- a/simulation/src/main/java/topazvalve/simulation/oracle/Oracle.java
+++ b/simulation/src/main/java/topazvalve/simulation/oracle/Oracle.java
@@ -18,7 +18,7 @@
     /** What a response means to the client. */
     public enum Answer {
         SERVED,
-        REFUSED,
+        REJECTED,
         FAILED
     }
 
@@ -174,7 +174,7 @@
         if (answer == Answer.SERVED && !trace.servedByServer) {
             reportViolation(Rule.TRUE_ANSWER, at, "served by no server: " + trace.describe());
         }
-        if (answer == Answer.REFUSED && trace.mayHaveRun && !trace.requestClass.retryIsHarmless()) {
+        if (answer == Answer.REJECTED && trace.mayHaveRun && !trace.requestClass.retryIsHarmless()) {
             reportViolation(Rule.HARMLESS_REFUSAL, at, trace.describe());
         }
         if (answer != Answer.SERVED && wasHeldBack(trace, at)) {
--- a/simulation/src/main/java/topazvalve/simulation/real/ClientRequest.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/ClientRequest.java
@@ -97,7 +97,7 @@
             } else {
                 // The connection is refused, so nothing has run.
                 run.oracle().excuse(trace);
-                end(Answer.REFUSED, 0);
+                end(Answer.REJECTED, 0);
             }
         });
     }
@@ -180,7 +180,7 @@
         }
         boolean rejected = status.code() == HttpResponseStatus.TOO_MANY_REQUESTS.code()
                 || status.code() == HttpResponseStatus.SERVICE_UNAVAILABLE.code();
-        return rejected ? Answer.REFUSED : Answer.FAILED;
+        return rejected ? Answer.REJECTED : Answer.FAILED;
     }
 
     private static long retryAfterNanos(FullHttpResponse response) {
@@ -194,7 +194,7 @@
 
     private void end(Answer answer, long retryAfterNanos) {
         finished = true;
-        boolean harmless = answer == Answer.REFUSED || requestClass.retryIsHarmless();
+        boolean harmless = answer == Answer.REJECTED || requestClass.retryIsHarmless();
         long sentAt = run.sinceStart(firstSentAt);
         if (answer == Answer.SERVED) {
             long latency = run.clock().now() - firstSentAt;
@@ -202,7 +202,7 @@
         } else if (generated.retries() && !isRetry && harmless) {
             Scenario.Clients settings = run.scenario().clients();
             retryAfter(settings.backoffNanos(generated.honoursRetryAfter(), retryAfterNanos));
-        } else if (answer == Answer.REFUSED) {
+        } else if (answer == Answer.REJECTED) {
             run.statistics().requestRejected(generated.requestClass(), sentAt);
         } else {
             run.statistics().requestFailed(generated.requestClass(), sentAt);
--- a/simulation/src/main/java/topazvalve/simulation/real/DiscoveryStandIn.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/DiscoveryStandIn.java
@@ -1,33 +1,27 @@
 package topazvalve.simulation.real;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelInitializer;
 import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.handler.codec.http.DefaultFullHttpResponse;
 import io.netty.handler.codec.http.DefaultHttpContent;
 import io.netty.handler.codec.http.DefaultHttpResponse;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.FullHttpResponse;
-import io.netty.handler.codec.http.HttpObjectAggregator;
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpResponseStatus;
-import io.netty.handler.codec.http.HttpServerCodec;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.QueryStringDecoder;
-import java.net.InetAddress;
-import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
+import topazvalve.simulation.http.LoopbackHttp;
 import topazvalve.simulation.model.EndpointDirectory;
 import topazvalve.simulation.model.EndpointDirectory.Entry;
 import topazvalve.simulation.scenario.Scenario.DiscoverySettings;
@@ -66,20 +60,7 @@
 
     /** Opens the port of one instance; the future completes when it listens. */
     ChannelFuture open(int instance) {
-        return new ServerBootstrap()
-                .group(run.loop())
-                .channel(NioServerSocketChannel.class)
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        channel.pipeline()
-                                .addLast(
-                                        new HttpServerCodec(),
-                                        new HttpObjectAggregator(MAX_REQUEST_BYTES),
-                                        new Handler(instance));
-                    }
-                })
-                .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+        return LoopbackHttp.listen(run.loop(), MAX_REQUEST_BYTES, () -> new Handler(instance));
     }
 
     private void closeWatchesWhileDown() {
--- a/simulation/src/main/java/topazvalve/simulation/real/HttpHealthCheck.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/HttpHealthCheck.java
@@ -6,13 +6,10 @@
 
 /** A health check that an order server has received over HTTP. */
 final class HttpHealthCheck extends ServerAttempt {
-    /** Its work in nanoseconds of a standard core. */
-    private static final double WORK = 130_000;
-
     private final Channel channel;
 
     HttpHealthCheck(Channel channel) {
-        super(WORK, 0, 0, Long.MAX_VALUE);
+        super(HEALTH_CHECK_WORK, 0, 0, Long.MAX_VALUE);
         this.channel = channel;
     }
 
--- a/simulation/src/main/java/topazvalve/simulation/real/RealClients.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/RealClients.java
@@ -1,16 +1,11 @@
 package topazvalve.simulation.real;
 
-import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
-import io.netty.channel.ChannelInitializer;
-import io.netty.channel.ChannelOption;
-import io.netty.channel.socket.nio.NioSocketChannel;
-import io.netty.handler.codec.http.HttpClientCodec;
-import io.netty.handler.codec.http.HttpObjectAggregator;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
+import topazvalve.simulation.http.LoopbackHttp;
 import topazvalve.simulation.model.RandomStream;
 import topazvalve.simulation.model.RequestGenerator;
 
@@ -80,23 +75,12 @@
 
     /** Opens a connection to an instance. */
     ChannelFuture connect(int instance) {
-        return new Bootstrap()
-                .group(run.loop())
-                .channel(NioSocketChannel.class)
-                .option(ChannelOption.TCP_NODELAY, true)
-                .handler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        boolean slowReader =
-                                random.nextBoolean(run.scenario().clients().slowReaders());
-                        channel.pipeline()
-                                .addLast(
-                                        new HttpClientCodec(),
-                                        new HttpObjectAggregator(MAX_RESPONSE_BYTES),
-                                        new ClientHandler(run, idleConnections.get(instance), slowReader));
-                    }
-                })
-                .connect("127.0.0.1", run.port(instance));
+        return LoopbackHttp.connect(run.loop(), run.port(instance), MAX_RESPONSE_BYTES, () -> newHandler(instance));
+    }
+
+    private ClientHandler newHandler(int instance) {
+        boolean slowReader = random.nextBoolean(run.scenario().clients().slowReaders());
+        return new ClientHandler(run, idleConnections.get(instance), slowReader);
     }
 
     /** Takes the most recently used idle connection to an instance; returns null if there is none. */
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualClients.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualClients.java
@@ -80,7 +80,7 @@
         VirtualInstance instance = simulation.instances().get(clientRequest.instance());
         if (!instance.running()) {
             // The connection is refused, so the client knows that nothing has run.
-            endUnserved(clientRequest, isRetry, Answer.REFUSED, 0);
+            endUnserved(clientRequest, isRetry, Answer.REJECTED, 0);
             return;
         }
         VirtualRequest request = createRequest(clientRequest, isRetry);
@@ -170,7 +170,7 @@
     /** Retries a request that was rejected or failed if client and class allow it, and counts it otherwise. */
     private void endUnserved(ClientRequest clientRequest, boolean isRetry, Answer answer, long retryAfterNanos) {
         WorkClass requestClass = scenario.classes().get(clientRequest.requestClass());
-        boolean harmless = answer == Answer.REFUSED || requestClass.retryIsHarmless();
+        boolean harmless = answer == Answer.REJECTED || requestClass.retryIsHarmless();
         long firstSentAt = simulation.sinceStart(clientRequest.firstSentAt());
         if (clientRequest.generated().retries() && !isRetry && harmless) {
             long backoff =
@@ -179,7 +179,7 @@
                 simulation.statistics().retrySent();
                 send(clientRequest, true);
             });
-        } else if (answer == Answer.REFUSED) {
+        } else if (answer == Answer.REJECTED) {
             simulation.statistics().requestRejected(clientRequest.requestClass(), firstSentAt);
         } else {
             simulation.statistics().requestFailed(clientRequest.requestClass(), firstSentAt);
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualHealthCheck.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualHealthCheck.java
@@ -7,9 +7,6 @@
 /** A health check of an instance. The server queues and serves it like a request. */
 final class VirtualHealthCheck extends ServerAttempt {
     private static final long TIMEOUT_NANOS = 250_000_000;
-    /** Its work in nanoseconds of a standard core. */
-    private static final double WORK = 130_000;
-
     private final VirtualSimulation simulation;
     private final VirtualInstance instance;
     private final ServerConnections target;
@@ -18,7 +15,7 @@
     private boolean ended;
 
     VirtualHealthCheck(VirtualSimulation simulation, VirtualInstance instance, ServerConnections target) {
-        super(WORK, 0, 0, simulation.clock().now() + TIMEOUT_NANOS);
+        super(HEALTH_CHECK_WORK, 0, 0, simulation.clock().now() + TIMEOUT_NANOS);
         this.simulation = simulation;
         this.instance = instance;
         this.target = target;
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualInstance.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualInstance.java
@@ -183,7 +183,7 @@
     public void reject(long requestId, long retryAfterNanos) {
         VirtualRequest request = requests.get(requestId);
         if (request != null) {
-            finish(request, Answer.REFUSED, retryAfterNanos);
+            finish(request, Answer.REJECTED, retryAfterNanos);
         }
     }
 
--- a/simulation/src/test/java/topazvalve/simulation/virtual/FaultySidecar.java
+++ b/simulation/src/test/java/topazvalve/simulation/virtual/FaultySidecar.java
@@ -89,7 +89,7 @@
             return;
         }
         boolean misreports = violatedRule == Rule.HARMLESS_REFUSAL && answer == Answer.FAILED;
-        super.finish(request, misreports ? Answer.REFUSED : answer, wait);
+        super.finish(request, misreports ? Answer.REJECTED : answer, wait);
         if (violatedRule == Rule.ANSWERED_ONCE && misbehavesOn(request)) {
             request.listener.responseReceived(request, answer, wait);
         }
