--- a/simulation/src/main/java/topazvalve/simulation/measure/MeasuredSidecarProcess.java
+++ b/simulation/src/main/java/topazvalve/simulation/measure/MeasuredSidecarProcess.java
@@ -1,6 +1,5 @@
 package topazvalve.simulation.measure;
 
-import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -9,13 +8,16 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.concurrent.TimeUnit;
 import topazvalve.simulation.SidecarStartException;
+import topazvalve.simulation.process.ChildProcesses;
 import topazvalve.simulation.process.RunLine;
+import topazvalve.simulation.process.SidecarConfiguration;
+import topazvalve.simulation.process.SidecarConfiguration.Discovery;
 
 /** One sidecar process, started by the {@code run} line of the deploy file and pinned to a core if wanted. */
 final class MeasuredSidecarProcess {
-    private static final long STOP_TIMEOUT_SECONDS = 8;
+    private static final Duration STOP_GRACE = Duration.ofSeconds(8);
+    private static final int UNUSED_PORT = 1;
 
     private final Process process;
     private final int port;
@@ -27,17 +29,11 @@
     }
 
     /** Returns a configuration with one idempotent class, whose endpoint list is never requested. */
-    static ObjectNode configuration(ObjectMapper json) {
-        ObjectNode root = json.createObjectNode()
-                .put("name", "m0")
-                .put("discovery", "127.0.0.1:1")
-                .put("seed", "7");
-        root.putObject("limits").put("cores", 1.0).put("memory_mb", 96).put("sockets", 1024);
-        ObjectNode settings =
-                root.putObject("settings").put("discovery", "automatic").put("quantum", 0);
-        settings.putArray("zones").add("a");
-        settings.putArray("kinds").add("m");
-        settings.putObject("report").put("how", "silent").putArray("fields");
+    static SidecarConfiguration configuration() {
+        SidecarConfiguration configuration = new SidecarConfiguration(
+                        "m0", "7", SidecarConfiguration.loopback(UNUSED_PORT), Discovery.AUTOMATIC, 0)
+                .zonesAndKinds(List.of("a"), List.of("m"));
+        ObjectNode settings = configuration.settings();
         settings.putObject("caps")
                 .put("mayCancel", true)
                 .put("tryLimit", 3)
@@ -59,15 +55,16 @@
                 .put("slo", 1_000_000_000)
                 .put("deadline", 5_000_000_000L)
                 .put("semantics", "repeatable");
-        return root;
+        return configuration;
     }
 
     /** Starts a sidecar on a core; below 0 for any. */
-    static MeasuredSidecarProcess start(Path home, Path folder, ObjectNode config, int core) throws IOException {
+    static MeasuredSidecarProcess start(Path home, Path folder, SidecarConfiguration configuration, int core)
+            throws IOException {
         Files.createDirectories(folder);
         int port = RunLine.freePort();
         Path file = folder.resolve("measured.json");
-        Files.writeString(file, config.put("listen", "127.0.0.1:" + port).toString());
+        configuration.listenOn(port).write(file);
         return new MeasuredSidecarProcess(
                 RunLine.of(home, file, pinnedCommand(core)).start(), port);
     }
@@ -112,9 +109,6 @@
 
     /** Stops it in order, or by force if that takes longer than 8 s. */
     void stop() throws InterruptedException {
-        process.destroy();
-        if (!process.waitFor(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
-            process.destroyForcibly();
-        }
+        ChildProcesses.stop(process, STOP_GRACE);
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/measure/RateMeasurement.java
+++ b/simulation/src/main/java/topazvalve/simulation/measure/RateMeasurement.java
@@ -1,8 +1,5 @@
 package topazvalve.simulation.measure;
 
-import com.fasterxml.jackson.databind.ObjectMapper;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
 import java.io.IOException;
@@ -13,6 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
+import topazvalve.simulation.process.SidecarConfiguration;
 
 /**
  * Measures the highest request rate at which the p99 latency through one sidecar on one core exceeds that of the direct
@@ -30,7 +28,6 @@
     private static final long RESPONSE_WAIT_MILLIS = 1000;
 
     private static final int SERVERS = 4;
-    private static final ObjectMapper JSON = new ObjectMapper();
 
     /**
      * The measurement of one rate.
@@ -131,21 +128,8 @@
         return latency.getValueAtPercentile(percentile) / NANOS_PER_MILLI;
     }
 
-    private static ObjectNode configuration(List<EchoServer> echoes) {
-        ObjectNode config = MeasuredSidecarProcess.configuration(JSON);
-        ArrayNode targets =
-                config.putObject("known").put("rev", 1).put("all", true).putArray("targets");
-        for (int i = 0; i < echoes.size(); i++) {
-            targets.addObject()
-                    .put("uid", "s-" + i)
-                    .put("endpoint", "127.0.0.1:" + echoes.get(i).port())
-                    .put("az", "a")
-                    .put("model", "m")
-                    .put("pod_group", 0)
-                    .put("state", "SERVING")
-                    .put("capacity_hint", 1.0)
-                    .put("boot_ms", 0);
-        }
-        return config;
+    private static SidecarConfiguration configuration(List<EchoServer> echoes) {
+        return MeasuredSidecarProcess.configuration()
+                .knownServers(echoes.stream().map(EchoServer::port).toList());
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/measure/StartMeasurement.java
+++ b/simulation/src/main/java/topazvalve/simulation/measure/StartMeasurement.java
@@ -1,6 +1,5 @@
 package topazvalve.simulation.measure;
 
-import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.time.Duration;
@@ -14,7 +13,6 @@
 public final class StartMeasurement {
     private static final double NANOS_PER_SECOND = 1e9;
     private static final Duration START_TIMEOUT = Duration.ofSeconds(60);
-    private static final ObjectMapper JSON = new ObjectMapper();
 
     /**
      * The starts at one share of a core.
@@ -59,7 +57,7 @@
             }
             for (int i = 0; i < times; i++) {
                 MeasuredSidecarProcess sidecar =
-                        MeasuredSidecarProcess.start(home, folder, MeasuredSidecarProcess.configuration(JSON), core);
+                        MeasuredSidecarProcess.start(home, folder, MeasuredSidecarProcess.configuration(), core);
                 try {
                     seconds.add(sidecar.awaitReady(START_TIMEOUT) / NANOS_PER_SECOND);
                     cpu.add(sidecar.cpuTime().toNanos() / NANOS_PER_SECOND);
--- /dev/null
+++ b/simulation/src/main/java/topazvalve/simulation/process/SidecarConfiguration.java
@@ -0,0 +1,115 @@
+package topazvalve.simulation.process;
+
+import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+
+/**
+ * The configuration of a sidecar on loopback, in the JSON that the platform writes: what all sidecars of simulations and
+ * measurements share. Capabilities, limits and classes are added to {@link #settings}.
+ */
+public final class SidecarConfiguration {
+    private static final ObjectMapper JSON = new ObjectMapper();
+    private static final String LOOPBACK = "127.0.0.1:";
+    private static final double CORES = 1;
+    private static final int MEMORY_MB = 96;
+    private static final int SOCKETS = 1024;
+
+    /** How the sidecar gets its endpoint list. */
+    public enum Discovery {
+        /** It watches a source. */
+        SUBSCRIBE,
+        /** Lists are pushed, or it keeps the one that it starts with. */
+        AUTOMATIC;
+
+        private String key() {
+            return this == SUBSCRIBE ? "subscribe" : "automatic";
+        }
+    }
+
+    private final ObjectNode root = JSON.createObjectNode();
+    private final ObjectNode settings;
+
+    /**
+     * Creates the configuration of a sidecar that reports no load and has one core, 96 MB and 1,024 sockets.
+     *
+     * @param source host and port of the endpoint lists' source
+     * @param seed the seed of its load balancer, in hexadecimal
+     * @param quantumNanos the granularity of its timers; 0 for none
+     */
+    public SidecarConfiguration(String name, String seed, String source, Discovery discovery, long quantumNanos) {
+        root.put("name", name).put("discovery", source).put("seed", seed);
+        root.putObject("limits").put("cores", CORES).put("memory_mb", MEMORY_MB).put("sockets", SOCKETS);
+        settings = root.putObject("settings").put("discovery", discovery.key()).put("quantum", quantumNanos);
+        settings.putObject("report").put("how", "silent").putArray("fields");
+    }
+
+    /** Returns host and port of a loopback socket as the configuration has it. */
+    public static String loopback(int port) {
+        return LOOPBACK + port;
+    }
+
+    /** Sets the port of its clients. */
+    public SidecarConfiguration listenOn(int port) {
+        root.put("listen", loopback(port));
+        return this;
+    }
+
+    /** Sets the port of its admin endpoint. */
+    public SidecarConfiguration adminOn(int port) {
+        root.put("admin", loopback(port));
+        return this;
+    }
+
+    /** Sets the names of the zones and of the servers' kinds of machines, in the order of their numbers. */
+    public SidecarConfiguration zonesAndKinds(List<String> zones, List<String> kinds) {
+        ArrayNode zoneNames = settings.putArray("zones");
+        zones.forEach(zoneNames::add);
+        ArrayNode kindNames = settings.putArray("kinds");
+        kinds.forEach(kindNames::add);
+        return this;
+    }
+
+    /** Sets the endpoint list that it starts with, in the JSON of discovery. */
+    public SidecarConfiguration known(ObjectNode list) {
+        root.set("known", list);
+        return this;
+    }
+
+    /** Sets the endpoint list that it starts with to ready servers at loopback ports, in zone a and of kind m. */
+    public SidecarConfiguration knownServers(List<Integer> ports) {
+        ObjectNode list = JSON.createObjectNode().put("rev", 1).put("all", true);
+        ArrayNode targets = list.putArray("targets");
+        for (int i = 0; i < ports.size(); i++) {
+            targets.addObject()
+                    .put("uid", "s-" + i)
+                    .put("endpoint", loopback(ports.get(i)))
+                    .put("az", "a")
+                    .put("model", "m")
+                    .put("pod_group", 0)
+                    .put("state", "SERVING")
+                    .put("capacity_hint", 1.0)
+                    .put("boot_ms", 0);
+        }
+        return known(list);
+    }
+
+    /** Returns the settings of its load balancer, to be extended. */
+    public ObjectNode settings() {
+        return settings;
+    }
+
+    /** Returns the whole configuration. */
+    public ObjectNode toJson() {
+        return root;
+    }
+
+    /** Writes the file that the sidecar reads. */
+    public void write(Path file) throws IOException {
+        Files.writeString(file, root.toString());
+    }
+}
--- a/simulation/src/main/java/topazvalve/simulation/process/package-info.java
+++ b/simulation/src/main/java/topazvalve/simulation/process/package-info.java
@@ -1,2 +1,2 @@
-/** The packaged sidecar as a process: its command line and its ports. */
+/** The packaged sidecar as a process: its command line, configuration, ports and end. */
 package topazvalve.simulation.process;
--- a/simulation/src/main/java/topazvalve/simulation/real/SidecarFleet.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/SidecarFleet.java
@@ -5,6 +5,7 @@
 import java.net.HttpURLConnection;
 import java.net.URI;
 import java.nio.file.Path;
+import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -20,7 +21,7 @@
     private static final long READY_POLL_MILLIS = 20;
     private static final int CONNECT_TIMEOUT_MILLIS = 500;
     private static final int READ_TIMEOUT_MILLIS = 1000;
-    private static final long STOP_TIMEOUT_MILLIS = 5_000;
+    private static final Duration STOP_GRACE = Duration.ofSeconds(5);
 
     private static final long NEVER = -1;
 
@@ -84,7 +85,7 @@
     /** Stops all sidecars in order. */
     void stopAll() throws InterruptedException {
         for (SidecarProcess each : sidecars) {
-            each.stop(STOP_TIMEOUT_MILLIS);
+            each.stop(STOP_GRACE);
         }
     }
 
--- a/simulation/src/main/java/topazvalve/simulation/real/SidecarProcess.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/SidecarProcess.java
@@ -5,17 +5,21 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.File;
 import java.io.IOException;
-import java.nio.file.Files;
 import java.nio.file.Path;
+import java.time.Duration;
 import java.util.List;
-import java.util.concurrent.TimeUnit;
+import topazvalve.simulation.process.ChildProcesses;
 import topazvalve.simulation.process.RunLine;
+import topazvalve.simulation.process.SidecarConfiguration;
+import topazvalve.simulation.process.SidecarConfiguration.Discovery;
+import topazvalve.simulation.scenario.MachineKind;
 import topazvalve.simulation.scenario.Scenario;
 import topazvalve.simulation.scenario.WorkClass;
 
 /** One sidecar process, started by the {@code run} line of the deploy file. */
 final class SidecarProcess {
     private static final ObjectMapper JSON = new ObjectMapper();
+
     private final Path home;
     private final Path folder;
     private final String name;
@@ -49,8 +53,7 @@
      */
     void start(Scenario scenario, int discoveryPort, ObjectNode cachedList, long seed) throws IOException {
         Path file = folder.resolve(name + ".json");
-        Files.writeString(
-                file, configuration(scenario, discoveryPort, cachedList, seed).toString());
+        configuration(scenario, discoveryPort, cachedList, seed).write(file);
         File log = folder.resolve(name + ".log").toFile();
         process = RunLine.of(home, file, List.of())
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(log))
@@ -67,41 +70,30 @@
         }
     }
 
-    /** Stops it in order, or by force if that takes longer than the timeout. */
-    void stop(long timeoutMillis) throws InterruptedException {
+    /** Stops it in order, or by force if that takes longer than the grace period. */
+    void stop(Duration grace) throws InterruptedException {
         if (process != null) {
-            process.destroy();
-            if (!process.waitFor(timeoutMillis, TimeUnit.MILLISECONDS)) {
-                process.destroyForcibly();
-            }
+            ChildProcesses.stop(process, grace);
         }
     }
 
-    private ObjectNode configuration(Scenario scenario, int discoveryPort, ObjectNode cachedList, long seed) {
-        ObjectNode root = JSON.createObjectNode()
-                .put("name", name)
-                .put("listen", "127.0.0.1:" + port)
-                .put("admin", "127.0.0.1:" + adminPort)
-                .put("discovery", "127.0.0.1:" + discoveryPort)
-                .put("seed", Long.toHexString(seed));
-        root.putObject("limits").put("cores", 1.0).put("memory_mb", 96).put("sockets", 1024);
-        root.set("known", cachedList);
-        ObjectNode settings = root.putObject("settings")
-                .put("discovery", "subscribe")
-                .put("quantum", 0)
-                .put("rank", 0)
-                .put("replicasOfMe", scenario.fleet().instances());
-        ArrayNode zones = settings.putArray("zones");
-        scenario.fleet().zones().forEach(zones::add);
-        ArrayNode kinds = settings.putArray("kinds");
-        scenario.machines().forEach(each -> kinds.add(each.name()));
-        settings.putObject("report").put("how", "silent").putArray("fields");
+    private SidecarConfiguration configuration(Scenario scenario, int discoveryPort, ObjectNode cachedList, long seed) {
+        String source = SidecarConfiguration.loopback(discoveryPort);
+        List<String> kinds = scenario.machines().stream().map(MachineKind::name).toList();
+        SidecarConfiguration configuration = new SidecarConfiguration(
+                        name, Long.toHexString(seed), source, Discovery.SUBSCRIBE, 0)
+                .listenOn(port)
+                .adminOn(adminPort)
+                .zonesAndKinds(scenario.fleet().zones(), kinds)
+                .known(cachedList);
+        ObjectNode settings = configuration.settings();
+        settings.put("rank", 0).put("replicasOfMe", scenario.fleet().instances());
         putCapabilities(settings.putObject("caps"), scenario);
         settings.putObject("charges").put("probe", 0.01);
         putLimits(settings.putObject("rules"), scenario.limits());
         ArrayNode profiles = settings.putArray("profiles");
         scenario.classes().forEach(each -> profiles.add(profile(each)));
-        return root;
+        return configuration;
     }
 
     private static void putCapabilities(ObjectNode capabilities, Scenario scenario) {
