--- a/simulation/src/main/java/topazvalve/simulation/statistics/RunResult.java
+++ b/simulation/src/main/java/topazvalve/simulation/statistics/RunResult.java
@@ -9,6 +9,9 @@
 /**
  * The outcome of one run.
  *
+ * @param scenario the name of the scenario
+ * @param arm the name of the experiment's arm
+ * @param seed the seed of all random numbers
  * @param statistics its statistics
  * @param violationCounts how often each rule was violated; rules that held are absent
  * @param violations the first violations
@@ -18,7 +21,7 @@
  *     virtual time
  * @param requests the number of requests that clients sent, retries included
  * @param clockEvents the number of events of the clock; 0 in real time
- * @param wallNanos how long the run took
+ * @param wallNanos how long the run took, in nanoseconds of the machine's time
  * @param attemptsByServer the number of attempts that each server received, by its id, from 1 on
  */
 public record RunResult(
--- a/simulation/src/main/java/topazvalve/simulation/statistics/RunStatistics.java
+++ b/simulation/src/main/java/topazvalve/simulation/statistics/RunStatistics.java
@@ -1,9 +1,7 @@
 package topazvalve.simulation.statistics;
 
 import com.fasterxml.jackson.annotation.JsonProperty;
-import java.util.ArrayList;
 import java.util.Arrays;
-import java.util.List;
 import org.HdrHistogram.Histogram;
 import topazvalve.simulation.scenario.Scenario;
 import topazvalve.simulation.scenario.WorkClass;
@@ -13,36 +11,17 @@
  * sent. A client's retry counts with its first try. Times are nanoseconds from the start of the run. Not thread-safe.
  */
 public final class RunStatistics {
-    private static final double NANOS_PER_MILLI = 1e6;
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
-    private static final int WORST_WINDOW_SECONDS = 10;
-    /** The range of the histograms; longer latencies count as the longest. */
-    private static final long MIN_LATENCY_NANOS = 1_000;
-
-    private static final long MAX_LATENCY_NANOS = 600_000_000_000L;
-
-    /** Significant decimal digits of the histograms. */
-    private static final int DIGITS_BY_CLASS = 3;
-
-    private static final int DIGITS_BY_SECOND = 2;
-
-    private static final double SERVICE_WEIGHT = 0.75;
-    private static final double WORST_WINDOW_WEIGHT = 0.15;
-    private static final double WORST_CLASS_WEIGHT = 0.1;
-    private static final int ALL_CLASSES = -1;
 
     private final Scenario scenario;
-    private final int classes;
     private final int seconds;
-    private final long[][] sentBySecond;
-    private final long[][] goodBySecond;
+    private final ServiceStatistics service;
+    private final LatencyStatistics latency;
     private final long[] rejected;
     private final long[] failed;
     private final long[] unanswered;
     private final long[] late;
     private final long[] attemptsBySecond;
-    private final List<Histogram> latencyByClass = new ArrayList<>();
-    private final List<Histogram> latencyBySecond = new ArrayList<>();
     private long attempts;
     private long connections;
     private long healthChecks;
@@ -51,21 +30,16 @@
     /** Creates the statistics of a run that hasn't started. */
     public RunStatistics(Scenario scenario) {
         this.scenario = scenario;
-        this.classes = scenario.classes().size();
+        int classes = scenario.classes().size();
         this.seconds = (int) (scenario.length() / NANOS_PER_SECOND) + 1;
-        this.sentBySecond = new long[classes][seconds];
-        this.goodBySecond = new long[classes][seconds];
+        int firstSecond = (int) ((scenario.settle() + NANOS_PER_SECOND - 1) / NANOS_PER_SECOND);
+        this.service = new ServiceStatistics(scenario, firstSecond, seconds);
+        this.latency = new LatencyStatistics(classes, seconds);
         this.rejected = new long[classes];
         this.failed = new long[classes];
         this.unanswered = new long[classes];
         this.late = new long[classes];
         this.attemptsBySecond = new long[seconds];
-        for (int i = 0; i < classes; i++) {
-            latencyByClass.add(new Histogram(MIN_LATENCY_NANOS, MAX_LATENCY_NANOS, DIGITS_BY_CLASS));
-        }
-        for (int i = 0; i < seconds; i++) {
-            latencyBySecond.add(null);
-        }
     }
 
     private int second(long at) {
@@ -79,7 +53,7 @@
 
     /** A client has sent a first try; {@code at} is when it was meant to be sent. */
     public void requestSent(int requestClass, long at) {
-        sentBySecond[requestClass][second(at)]++;
+        service.requestSent(requestClass, second(at));
     }
 
     /**
@@ -91,21 +65,12 @@
     public void requestServed(int requestClass, long firstAt, long latencyNanos) {
         WorkClass workClass = scenario.classes().get(requestClass);
         int second = second(firstAt);
-        long recorded = Math.min(MAX_LATENCY_NANOS, Math.max(0, latencyNanos));
         if (latencyNanos <= workClass.latencyObjective()) {
-            goodBySecond[requestClass][second]++;
+            service.servedInTime(requestClass, second);
         } else if (afterSettling(firstAt)) {
             late[requestClass]++;
         }
-        if (afterSettling(firstAt)) {
-            latencyByClass.get(requestClass).recordValue(recorded);
-        }
-        Histogram histogram = latencyBySecond.get(second);
-        if (histogram == null) {
-            histogram = new Histogram(MIN_LATENCY_NANOS, MAX_LATENCY_NANOS, DIGITS_BY_SECOND);
-            latencyBySecond.set(second, histogram);
-        }
-        histogram.recordValue(recorded);
+        latency.record(requestClass, second, latencyNanos, afterSettling(firstAt));
     }
 
     /** A request was rejected, and so was its retry if there was one. */
@@ -150,6 +115,8 @@
      * @param number seconds from the start
      * @param sent first tries that clients sent
      * @param inTime those of them that were served within the latency objective
+     * @param p50Ms the median latency in milliseconds; 0 if no request was served
+     * @param p99Ms the 99th percentile of the latency in milliseconds; 0 if no request was served
      * @param attempts attempts that servers received
      */
     public record Second(
@@ -162,90 +129,46 @@
 
     /** Returns the statistics of one second. */
     public Second second(int number) {
-        long sent = 0;
-        long inTime = 0;
-        for (int i = 0; i < classes; i++) {
-            sent += sentBySecond[i][number];
-            inTime += goodBySecond[i][number];
-        }
-        Histogram histogram = latencyBySecond.get(number);
         return new Second(
                 number,
-                sent,
-                inTime,
-                percentileMillis(histogram, 50),
-                percentileMillis(histogram, 99),
+                service.sentIn(number),
+                service.inTimeOf(number),
+                latency.percentileMillis(number, 50),
+                latency.percentileMillis(number, 99),
                 attemptsBySecond[number]);
     }
 
-    private static double percentileMillis(Histogram histogram, double percentile) {
-        return histogram == null ? 0 : histogram.getValueAtPercentile(percentile) / NANOS_PER_MILLI;
-    }
-
     /** Returns the number of seconds of the run; the last one may be partial. */
     public int seconds() {
         return seconds;
     }
 
-    /**
-     * Returns the priority weight of the requests served within the latency objective, as a fraction (0 to 1) of the
-     * weight of all requests sent.
-     *
-     * @param from the first second
-     * @param to the second after the last one
-     * @param onlyClass the class that counts, or {@link #ALL_CLASSES}
-     */
-    private double service(int from, int to, int onlyClass) {
-        double earned = 0;
-        double total = 0;
-        for (int i = 0; i < classes; i++) {
-            if (onlyClass == ALL_CLASSES || onlyClass == i) {
-                double weight = scenario.classes().get(i).priorityWeight();
-                earned += weight * Arrays.stream(goodBySecond[i], from, to).sum();
-                total += weight * Arrays.stream(sentBySecond[i], from, to).sum();
-            }
-        }
-        return total == 0 ? 1 : earned / total;
-    }
-
-    private int firstSecond() {
-        return (int) ((scenario.settle() + NANOS_PER_SECOND - 1) / NANOS_PER_SECOND);
-    }
-
     /**
      * Returns the service of the run: the priority weight of the requests served within the latency objective, as a
      * fraction (0 to 1) of the weight of all requests sent.
      */
     public double service() {
-        return service(firstSecond(), seconds, ALL_CLASSES);
+        return service.service();
     }
 
     /** Returns the service of the worst ten seconds. */
     public double worstWindow() {
-        double worst = 1;
-        for (int from = firstSecond(); from + WORST_WINDOW_SECONDS < seconds; from++) {
-            worst = Math.min(worst, service(from, from + WORST_WINDOW_SECONDS, ALL_CLASSES));
-        }
-        return seconds - firstSecond() <= WORST_WINDOW_SECONDS ? service() : worst;
+        return service.worstWindow();
     }
 
     /** Returns the service of one class. */
     public double service(int requestClass) {
-        return service(firstSecond(), seconds, requestClass);
+        return service.service(requestClass);
     }
 
     /** Returns the service of the class that is served worst. */
     public double worstClass() {
-        double worst = 1;
-        for (int i = 0; i < classes; i++) {
-            worst = Math.min(worst, service(i));
-        }
-        return worst;
+        return service.worstClass();
     }
 
     /** Returns the weighted mean (0 to 1) of the service of the run, its worst ten seconds and its worst class. */
     public double goal() {
-        return SERVICE_WEIGHT * service() + WORST_WINDOW_WEIGHT * worstWindow() + WORST_CLASS_WEIGHT * worstClass();
+        return service.goal();
     }
 
     /**
@@ -255,7 +178,9 @@
      * @param sent first tries that clients sent
      * @param inTime served within the latency objective
      * @param late served later
-     * @param rejected rejected
+     * @param rejected rejected, retries included
+     * @param failed failed, retries included
+     * @param unanswered ended without a response
      * @param attempts attempts that servers received
      * @param connections connections that instances opened
      * @param healthChecks health checks that instances sent
@@ -275,15 +200,9 @@
 
     /** Returns the sums over all classes. */
     public Sums sums() {
-        long sent = 0;
-        long inTime = 0;
-        for (int i = 0; i < classes; i++) {
-            sent += Arrays.stream(sentBySecond[i], firstSecond(), seconds).sum();
-            inTime += Arrays.stream(goodBySecond[i], firstSecond(), seconds).sum();
-        }
         return new Sums(
-                sent,
-                inTime,
+                service.sent(),
+                service.inTime(),
                 sum(late),
                 sum(rejected),
                 sum(failed),
@@ -300,13 +219,11 @@
 
     /** Returns the latencies of one class's served requests, in nanoseconds. */
     public Histogram latency(int requestClass) {
-        return latencyByClass.get(requestClass);
+        return latency.ofClass(requestClass);
     }
 
     /** Returns the latencies of all served requests, in nanoseconds. */
     public Histogram latency() {
-        Histogram all = new Histogram(MIN_LATENCY_NANOS, MAX_LATENCY_NANOS, DIGITS_BY_CLASS);
-        latencyByClass.forEach(all::add);
-        return all;
+        return latency.ofAll();
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/virtual/ColdLoadExperiment.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/ColdLoadExperiment.java
@@ -1,5 +1,9 @@
 package topazvalve.simulation.virtual;
 
+import java.io.IOException;
+import java.io.InputStream;
+import java.io.UncheckedIOException;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -8,6 +12,7 @@
 import topazvalve.simulation.model.ColdServerMonitor;
 import topazvalve.simulation.model.OrderServer;
 import topazvalve.simulation.policy.Policy;
+import topazvalve.simulation.scenario.Scenario;
 import topazvalve.simulation.scenario.ScenarioFile;
 
 /**
@@ -18,103 +23,8 @@
     /** A crash is the senders' fault if they knew of the start for at least this fraction of the load. */
     private static final double MIN_INFORMED_FRACTION = 2.0 / 3;
 
-    private static final String SCENARIO = """
-            name = "cold-sums"
-            length = "36s"
-            settle = "1s"
-            [fleet]
-            servers = %d
-            instances = %d
-            zones = ["a", "b"]
-            pod_size = 8
-            [load]
-            utilisation = %s
-            shape = "bursty"
-            swing = 0.4
-            period = "4s"
-            instance_spread = 1.0
-            keys = 260
-            zipf = 0.75
-            [network]
-            same_zone = "200us"
-            cross_zone = "15ms"
-            jitter = 0.2
-            [discovery]
-            subscribe = true
-            notice_s = [0.1, 0.4]
-            silent_notice_s = [4, 8]
-            spread = "500ms"
-            call_time = "100us"
-            [rules]
-            drain_grace = "500ms"
-            overload_factor = %s
-            tip_after = "3s"
-            attempts = 4
-            connect_timeout = "200ms"
-            [clients]
-            retries = 0.5
-            backoff = "90ms"
-            honour = 0.9
-            impatient = 0.02
-            [[machine]]
-            name = "fast"
-            share = 0.64
-            cores = 2
-            speed = [1.5, 2.1]
-            cold_share = 0.13
-            cold_time = "18s"
-            warm_by = "work"
-            connection_cost = "2500us"
-            [[machine]]
-            name = "slow"
-            share = 0.36
-            cores = 2
-            speed = [0.77, 1.0]
-            cold_share = 0.13
-            cold_time = "14s"
-            warm_by = "work"
-            connection_cost = "2500us"
-            [[class]]
-            name = "charge"
-            share = 0.5
-            work = "115ms"
-            spread = 0.5
-            noise = 0.3
-            aim = "600ms"
-            deadline = "900ms"
-            worth = 2
-            repeats = "never"
-            [[class]]
-            name = "book"
-            share = 0.5
-            work = "86ms"
-            spread = 0.55
-            noise = 0.3
-            aim = "400ms"
-            deadline = "500ms"
-            worth = 5
-            repeats = "free"
-            [[fault]]
-            kind = "replace"
-            start = "7s"
-            length = "2s"
-            share = %s
-            [[fault]]
-            kind = "instance-restart"
-            start = "17s"
-            length = "1s"
-            share = 0.5
-            [[fault]]
-            kind = "overload"
-            start = "18s"
-            length = "6s"
-            size = 1.5
-            [[fault]]
-            kind = "restart"
-            start = "18s"
-            length = "1s"
-            share = 0.3
-            """;
+    /** The resource with the scenario, in which the names of the values that vary stand for them. */
+    private static final String SCENARIO = "cold-load.toml";
 
     private final Map<Long, Double> peaks = new HashMap<>();
     private final Map<Long, Double> informedPeaks = new HashMap<>();
@@ -150,13 +60,7 @@
     /** Runs the experiment for one fleet. */
     static Result play(Policy policy, Fleet fleet, long seed) {
         ColdLoadExperiment experiment = new ColdLoadExperiment();
-        VirtualSimulation simulation = new VirtualSimulation(
-                ScenarioFile.parse(
-                        "cold-sums.toml",
-                        SCENARIO.formatted(
-                                fleet.servers, fleet.instances, fleet.utilisation, fleet.factor, fleet.replaced)),
-                ExperimentArm.of(policy),
-                seed);
+        VirtualSimulation simulation = new VirtualSimulation(scenario(fleet), ExperimentArm.of(policy), seed);
         simulation.monitorColdLoad(experiment);
         simulation.play();
         return new Result(
@@ -166,6 +70,24 @@
                         .count());
     }
 
+    private static Scenario scenario(Fleet fleet) {
+        String text = template()
+                .replace("${servers}", Integer.toString(fleet.servers))
+                .replace("${instances}", Integer.toString(fleet.instances))
+                .replace("${utilisation}", Double.toString(fleet.utilisation))
+                .replace("${overload_factor}", Double.toString(fleet.factor))
+                .replace("${replaced}", Double.toString(fleet.replaced));
+        return ScenarioFile.parse(SCENARIO, text);
+    }
+
+    private static String template() {
+        try (InputStream in = ColdLoadExperiment.class.getResourceAsStream(SCENARIO)) {
+            return new String(in.readAllBytes(), StandardCharsets.UTF_8);
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+    }
+
     /**
      * Prints a line for each size of a fleet.
      *
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualInstance.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualInstance.java
@@ -123,15 +123,7 @@
     /** Accepts a client's request. */
     void requestReceived(VirtualRequest received) {
         requests.put(received.id, received);
-        Request request = new Request(
-                received.id,
-                received.requestClass,
-                0,
-                received.key,
-                received.deadline - now(),
-                0,
-                received.isRetry,
-                true);
+        Request request = received.toPolicyRequest(now());
         dispatch(() -> balancer.requestReceived(now(), request));
     }
 
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualRequest.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualRequest.java
@@ -1,5 +1,6 @@
 package topazvalve.simulation.virtual;
 
+import topazvalve.policy.Request;
 import topazvalve.simulation.oracle.Oracle.Answer;
 import topazvalve.simulation.oracle.Trace;
 
@@ -15,6 +16,9 @@
         void responseReceived(VirtualRequest request, Answer answer, long retryAfterNanos);
     }
 
+    private static final int NO_TENANT = 0;
+    private static final long UNKNOWN_COST = 0;
+
     /** The value of {@link #expiryTimer} when there is no timer. */
     static final long NO_TIMER = -1;
 
@@ -73,4 +77,9 @@
         this.attempts = new VirtualAttempt[maxAttempts];
         this.listener = listener;
     }
+
+    /** Returns the request as the load balancer gets it: of no tenant, of unknown cost, and as a write. */
+    Request toPolicyRequest(long now) {
+        return new Request(id, requestClass, NO_TENANT, key, deadline - now, UNKNOWN_COST, isRetry, true);
+    }
 }
