--- a/simulation/src/main/java/topazvalve/simulation/oracle/Oracle.java
+++ b/simulation/src/main/java/topazvalve/simulation/oracle/Oracle.java
@@ -196,18 +196,18 @@
     /** The client has disconnected: it expects no response, and no further attempts may begin. */
     public void clientDisconnected(Trace trace, long at) {
         trace.disconnectedAt = at;
-        excuse(trace);
+        waiveResponse(trace);
     }
 
     /** A request needs no response, because the sidecar was killed or the client has disconnected. */
-    public void excuse(Trace trace) {
-        trace.excused = true;
+    public void waiveResponse(Trace trace) {
+        trace.responseWaived = true;
     }
 
     /** The deadline and the slack of a request are past. */
     public void deadlinePassed(Trace trace, long at) {
-        if (!trace.answered() && !trace.excused) {
-            trace.excused = true;
+        if (!trace.answered() && !trace.responseWaived) {
+            trace.responseWaived = true;
             reportViolation(Rule.ANSWERED, at, "never answered: " + trace.describe());
         }
     }
--- a/simulation/src/main/java/topazvalve/simulation/oracle/Trace.java
+++ b/simulation/src/main/java/topazvalve/simulation/oracle/Trace.java
@@ -24,7 +24,7 @@
     boolean servedByServer;
     int responses;
     long responseAt = Long.MAX_VALUE;
-    boolean excused;
+    boolean responseWaived;
     /** When its client disconnected; {@link Long#MAX_VALUE} while it waits. */
     long disconnectedAt = Long.MAX_VALUE;
 
--- a/simulation/src/main/java/topazvalve/simulation/real/ClientRequest.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/ClientRequest.java
@@ -96,7 +96,7 @@
                 write(done.channel());
             } else {
                 // The connection is refused, so nothing has run.
-                run.oracle().excuse(trace);
+                run.oracle().waiveResponse(trace);
                 end(Answer.REJECTED, 0);
             }
         });
@@ -157,7 +157,7 @@
             reconnected = true;
             connect(true);
         } else if (run.wasKilled(instance, trace)) {
-            run.oracle().excuse(trace);
+            run.oracle().waiveResponse(trace);
             end(Answer.FAILED, 0);
         }
     }
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualInstance.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualInstance.java
@@ -74,7 +74,7 @@
         running = false;
         incarnation++;
         for (VirtualRequest request : List.copyOf(requests.values())) {
-            simulation.oracle().excuse(request.trace);
+            simulation.oracle().waiveResponse(request.trace);
             request.finished = true;
             for (VirtualAttempt attempt : request.attempts) {
                 if (attempt != null) {
