--- a/cli/src/main/java/topazvalve/cli/ExperimentRunVerb.java
+++ b/cli/src/main/java/topazvalve/cli/ExperimentRunVerb.java
@@ -18,6 +18,7 @@
 import topazvalve.simulation.experiment.Results;
 import topazvalve.simulation.experiment.Runner;
 import topazvalve.simulation.scenario.ExperimentFile;
+import topazvalve.simulation.scenario.SeedRange;
 import topazvalve.simulation.virtual.ExperimentArm;
 
 /** Runs an experiment: its arms on its scenarios with its seeds. */
@@ -149,16 +150,13 @@
         }
         List<ExperimentArm> arms =
                 experiment.arms().stream().map(ExperimentRunVerb::arm).toList();
-        ExperimentPlan plan =
-                new ExperimentPlan(experiment.name(), scenarios, arms, experiment.firstSeed(), experiment.lastSeed());
+        ExperimentPlan plan = new ExperimentPlan(experiment.name(), scenarios, arms, experiment.seeds());
         if (seeds == null) {
             return plan;
         }
-        long[] range = ExperimentFile.parseSeeds(seeds);
-        if (range == null) {
-            throw new InvalidInputException("--seeds: " + seeds + " is not a range such as 1..20");
-        }
-        return plan.withSeeds(range[0], range[1]);
+        SeedRange range = SeedRange.parse(seeds)
+                .orElseThrow(() -> new InvalidInputException("--seeds: " + seeds + " is not a range such as 1..20"));
+        return plan.withSeeds(range);
     }
 
     private static ExperimentArm arm(ExperimentFile.ArmSpec spec) {
--- a/simulation/src/main/java/topazvalve/simulation/experiment/ExperimentPlan.java
+++ b/simulation/src/main/java/topazvalve/simulation/experiment/ExperimentPlan.java
@@ -4,11 +4,11 @@
 import java.util.ArrayList;
 import java.util.List;
 import topazvalve.simulation.scenario.Scenario;
+import topazvalve.simulation.scenario.SeedRange;
 import topazvalve.simulation.virtual.ExperimentArm;
 
-/** The plan of an experiment: every arm on every scenario with every seed from the first to the last (inclusive). */
-public record ExperimentPlan(
-        String name, List<Setting> scenarios, List<ExperimentArm> arms, long firstSeed, long lastSeed) {
+/** The plan of an experiment: every arm on every scenario with every seed. */
+public record ExperimentPlan(String name, List<Setting> scenarios, List<ExperimentArm> arms, SeedRange seeds) {
 
     /** A scenario and the file that it was read from. */
     public record Setting(Path file, Scenario scenario) {}
@@ -21,15 +21,15 @@
         }
     }
 
-    /** Returns the same plan with other seeds, both inclusive. */
-    public ExperimentPlan withSeeds(long first, long last) {
-        return new ExperimentPlan(name, scenarios, arms, first, last);
+    /** Returns the same plan with other seeds. */
+    public ExperimentPlan withSeeds(SeedRange other) {
+        return new ExperimentPlan(name, scenarios, arms, other);
     }
 
     /** Returns all runs, seed by seed, so that the arms can be compared even if the experiment is stopped early. */
     public List<PlannedRun> runs() {
         List<PlannedRun> runs = new ArrayList<>();
-        for (long seed = firstSeed; seed <= lastSeed; seed++) {
+        for (long seed = seeds.first(); seed <= seeds.last(); seed++) {
             for (Setting each : scenarios) {
                 for (ExperimentArm arm : arms) {
                     runs.add(new PlannedRun(each.scenario(), arm, seed));
--- a/simulation/src/main/java/topazvalve/simulation/scenario/ExperimentFile.java
+++ b/simulation/src/main/java/topazvalve/simulation/scenario/ExperimentFile.java
@@ -6,9 +6,8 @@
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
-import java.util.regex.Matcher;
-import java.util.regex.Pattern;
 import topazvalve.simulation.policy.Policy;
 import topazvalve.toml.InvalidFileException;
 import topazvalve.toml.Table;
@@ -16,15 +15,14 @@
 
 /** Reads experiment files (TOML): scenarios, arms and seeds. It is as strict as {@link ScenarioFile}. */
 public final class ExperimentFile {
-    private static final Pattern SEEDS = Pattern.compile("([0-9]{1,9})(?:\\.\\.([0-9]{1,9}))?");
-    private static final int MAX_SEEDS = 10_000;
+    private static final SeedRange ONE_SEED = new SeedRange(1, 1);
 
     /** An arm of the file; {@code attempts} is 0 for the scenario's own limit. */
     public record ArmSpec(
             String name, Policy policy, int attempts, boolean cancel, boolean probes, boolean retryAfter) {}
 
     /** The contents of a file; relative paths of scenarios start from the folder of the experiment file. */
-    public record Experiment(String name, List<Path> scenarios, long firstSeed, long lastSeed, List<ArmSpec> arms) {}
+    public record Experiment(String name, List<Path> scenarios, SeedRange seeds, List<ArmSpec> arms) {}
 
     private ExperimentFile() {}
 
@@ -40,13 +38,12 @@
     private static Experiment experiment(Path file, Table table) {
         String name = table.text("name", null);
         List<Path> scenarios = scenarios(file, table);
-        long[] seeds = parseSeeds(table.text("seeds", "1..5"));
-        if (seeds == null) {
+        Optional<SeedRange> seeds = SeedRange.parse(table.text("seeds", "1..5"));
+        if (seeds.isEmpty()) {
             table.addProblem("seeds", "is not a range of seeds such as \"1..20\"");
-            seeds = new long[] {1, 1};
         }
         List<ArmSpec> arms = arms(table);
-        return new Experiment(name, scenarios, seeds[0], seeds[1], arms);
+        return new Experiment(name, scenarios, seeds.orElse(ONE_SEED), arms);
     }
 
     private static List<Path> scenarios(Path file, Table table) {
@@ -80,18 +77,4 @@
         }
         return arms;
     }
-
-    /** Returns the first and last seed of a range such as {@code 1..20}, or null if the text isn't a range. */
-    public static long[] parseSeeds(String text) {
-        Matcher matcher = SEEDS.matcher(text);
-        if (!matcher.matches()) {
-            return null;
-        }
-        long first = Long.parseLong(matcher.group(1));
-        long last = matcher.group(2) == null ? first : Long.parseLong(matcher.group(2));
-        if (last < first || last - first >= MAX_SEEDS) {
-            return null;
-        }
-        return new long[] {first, last};
-    }
 }
--- a/simulation/src/test/java/topazvalve/simulation/experiment/RunnerTest.java
+++ b/simulation/src/test/java/topazvalve/simulation/experiment/RunnerTest.java
@@ -14,6 +14,7 @@
 import topazvalve.simulation.policy.Policy;
 import topazvalve.simulation.scenario.Scenario;
 import topazvalve.simulation.scenario.ScenarioFile;
+import topazvalve.simulation.scenario.SeedRange;
 import topazvalve.simulation.virtual.ExperimentArm;
 
 class RunnerTest {
@@ -43,8 +44,7 @@
                 "tiny",
                 List.of(new ExperimentPlan.Setting(Path.of("tiny.toml"), scenario)),
                 List.of(ExperimentArm.of(Policy.LEAST_IN_FLIGHT), ExperimentArm.of(Policy.RANDOM)),
-                1,
-                seeds);
+                new SeedRange(1, seeds));
     }
 
     /** A stop while a line is written loses that run only; resuming gives the same results as no stop. */
