--- a/simulation/src/main/java/topazvalve/simulation/experiment/Result.java
+++ b/simulation/src/main/java/topazvalve/simulation/experiment/Result.java
@@ -13,7 +13,8 @@
 import topazvalve.toml.Table;
 
 /**
- * The result of one run, as stored in a line of the file of results. Its keys are the annotations' names, or those of the components.
+ * The result of one run, as stored in a line of the file of results. The keys are the names that annotations give, or
+ * those of the components.
  *
  * @param violationCounts how often each rule was violated, by the rule's name
  * @param digest the run's digest in hexadecimal
--- a/simulation/src/main/java/topazvalve/simulation/http/package-info.java
+++ b/simulation/src/main/java/topazvalve/simulation/http/package-info.java
@@ -1,2 +1,2 @@
-/** HTTP over loopback for stand-ins, clients and measurements: sockets with a codec, below what they do with messages. */
+/** HTTP over loopback for stand-ins, clients and measurements: sockets with a codec. */
 package topazvalve.simulation.http;
--- a/simulation/src/main/java/topazvalve/simulation/process/SidecarConfiguration.java
+++ b/simulation/src/main/java/topazvalve/simulation/process/SidecarConfiguration.java
@@ -9,8 +9,8 @@
 import java.util.List;
 
 /**
- * The configuration of a sidecar on loopback, in the JSON that the platform writes: what all sidecars of simulations and
- * measurements share. Capabilities, limits and classes are added to {@link #settings}.
+ * The configuration of a sidecar on loopback, in the JSON that the platform writes: what all sidecars of simulations
+ * and measurements share. Capabilities, limits and classes are added to {@link #settings}.
  */
 public final class SidecarConfiguration {
     private static final ObjectMapper JSON = new ObjectMapper();
