--- a/simulation/src/main/java/topazvalve/simulation/stream/StreamTrial.java
+++ b/simulation/src/main/java/topazvalve/simulation/stream/StreamTrial.java
@@ -30,6 +30,12 @@
     private static final long DRAIN_MILLIS = 1_200;
     private static final long DOWNTIME_MILLIS = 200;
     private static final long HANG_TIMEOUT_SECONDS = 60;
+    /** How long after the clients' ends have closed the servers' ends may still be open. */
+    private static final long MAX_SETTLE_SECONDS = 10;
+
+    private static final long SETTLE_POLL_MILLIS = 50;
+    private static final int MAX_DESCRIBED_STREAMS = 5;
+    private static final int ANY_SERVER = -1;
 
     /** The endpoint list of the proxy. It is called from a thread of the trial, never on an event loop. */
     public interface Fleet {
@@ -57,6 +63,17 @@
             long bytes,
             List<String> faults) {}
 
+    /** The drain of a server. Times are nanoseconds of {@link System#nanoTime}. */
+    private static final class Drain {
+        private final long startedAt = System.nanoTime();
+        private volatile long endedAt = Long.MAX_VALUE;
+
+        /** Returns whether the drain was under way at a time and the proxy had had time to notice. */
+        boolean forbidsOpeningAt(long time) {
+            return time > startedAt + DRAIN_GRACE_NANOS && time < endedAt;
+        }
+    }
+
     private final long seed;
     private final MultiThreadIoEventLoopGroup clientGroup =
             new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
@@ -65,8 +82,8 @@
     private final Map<Long, StreamLog> logs = new ConcurrentHashMap<>();
     private final List<StreamStandIn> servers = new ArrayList<>();
     private final List<InetSocketAddress> addresses = new ArrayList<>();
-    /** By server, the intervals of its drains in nanoseconds of {@link System#nanoTime}. */
-    private final Map<Integer, List<long[]>> drains = new ConcurrentHashMap<>();
+    /** By server. */
+    private final Map<Integer, List<Drain>> drains = new ConcurrentHashMap<>();
 
     /** Creates a trial and opens its servers. */
     public StreamTrial(long seed, int serverCount) throws InterruptedException {
@@ -112,9 +129,9 @@
             throw new StreamsHangException(hanging());
         }
         // The servers' ends close a moment after the clients'.
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_SETTLE_SECONDS);
         while (!mismatches().isEmpty() && System.nanoTime() < until) {
-            Thread.sleep(50);
+            Thread.sleep(SETTLE_POLL_MILLIS);
         }
         return result(streams);
     }
@@ -122,7 +139,7 @@
     private List<String> hanging() {
         return logs.values().stream()
                 .filter(log -> log.finished.getCount() > 0)
-                .limit(5)
+                .limit(MAX_DESCRIBED_STREAMS)
                 .map(log -> log.number + " " + log.plan + " up " + log.client.sent + "/" + log.server.received
                         + " down " + log.server.sent + "/" + log.client.received)
                 .toList();
@@ -170,11 +187,11 @@
                 Thread.sleep(everyMs);
                 int which = random.nextInt(servers.size());
                 if (turn % 2 == 0) {
-                    long[] drain = {System.nanoTime(), Long.MAX_VALUE};
+                    Drain drain = new Drain();
                     drains.get(which).add(drain);
                     fleet.draining(List.of(addresses.get(which)));
                     Thread.sleep(DRAIN_MILLIS);
-                    drain[1] = System.nanoTime();
+                    drain.endedAt = System.nanoTime();
                     fleet.draining(List.of());
                 } else {
                     servers.get(which).kill();
@@ -187,12 +204,12 @@
         }
     }
 
-    /** Returns whether a server, or any if {@code which} is below 0, had been draining for more than 500 ms. */
+    /** Returns whether a server, or any for {@link #ANY_SERVER}, had been draining for more than 500 ms. */
     private boolean wasDrained(int which, long at) {
         return drains.entrySet().stream()
-                .filter(each -> which < 0 || each.getKey() == which)
+                .filter(each -> which == ANY_SERVER || each.getKey() == which)
                 .flatMap(each -> each.getValue().stream())
-                .anyMatch(drain -> at > drain[0] + DRAIN_GRACE_NANOS && at < drain[1]);
+                .anyMatch(drain -> drain.forbidsOpeningAt(at));
     }
 
     private List<String> mismatches() {
@@ -225,7 +242,7 @@
             broken += log.killed || log.client.reset || log.server.reset ? 1 : 0;
             refused += log.servedBy < 0 && !log.client.reset ? 1 : 0;
             bytes += log.client.received + log.server.received;
-            watched += log.servedBy >= 0 && wasDrained(-1, log.openedAt) ? 1 : 0;
+            watched += log.servedBy >= 0 && wasDrained(ANY_SERVER, log.openedAt) ? 1 : 0;
             late += log.servedBy >= 0 && wasDrained(log.servedBy, log.openedAt) ? 1 : 0;
         }
         return new Result(streams, halves, broken, refused, watched, late, bytes, mismatches());
