--- a/cli/src/main/java/topazvalve/cli/ExperimentRunVerb.java
+++ b/cli/src/main/java/topazvalve/cli/ExperimentRunVerb.java
@@ -18,6 +18,7 @@
 import topazvalve.simulation.experiment.Results;
 import topazvalve.simulation.experiment.Runner;
 import topazvalve.simulation.scenario.ExperimentFile;
+import topazvalve.simulation.scenario.SeedRange;
 import topazvalve.simulation.virtual.ExperimentArm;
 
 /** Runs an experiment: its arms on its scenarios with its seeds. */
@@ -111,7 +112,8 @@
             return ExitCode.INTERRUPTED;
         }
         Runtime.getRuntime().removeShutdownHook(shutdownHook);
-        return ExitCode.of(results.stream().allMatch(result -> result.broken().isEmpty()));
+        return ExitCode.of(
+                results.stream().allMatch(result -> result.violationCounts().isEmpty()));
     }
 
     private static void printProgress(PrintWriter console, Runner.Progress progress) {
@@ -119,9 +121,9 @@
                 Locale.ROOT,
                 "%d of %d runs, %d with a broken rule, about %.0f s left%n",
                 progress.done(),
-                progress.all(),
-                progress.broken(),
-                progress.leftS());
+                progress.total(),
+                progress.withViolations(),
+                progress.secondsLeft());
     }
 
     private static void print(PrintWriter console, ExperimentPlan plan, List<Result> results) {
@@ -148,7 +150,9 @@
                 average(runs, Result::goal),
                 average(runs, Result::service),
                 average(runs, Result::worstWindow),
-                runs.stream().filter(result -> !result.broken().isEmpty()).count(),
+                runs.stream()
+                        .filter(result -> !result.violationCounts().isEmpty())
+                        .count(),
                 runs.size());
     }
 
@@ -164,16 +168,13 @@
         }
         List<ExperimentArm> arms =
                 experiment.arms().stream().map(ExperimentRunVerb::arm).toList();
-        ExperimentPlan plan =
-                new ExperimentPlan(experiment.name(), scenarios, arms, experiment.firstSeed(), experiment.lastSeed());
+        ExperimentPlan plan = new ExperimentPlan(experiment.name(), scenarios, arms, experiment.seeds());
         if (seeds == null) {
             return plan;
         }
-        long[] range = ExperimentFile.parseSeeds(seeds);
-        if (range == null) {
-            throw new InvalidInputException("--seeds: " + seeds + " is not a range such as 1..20");
-        }
-        return plan.withSeeds(range[0], range[1]);
+        SeedRange range = SeedRange.parse(seeds)
+                .orElseThrow(() -> new InvalidInputException("--seeds: " + seeds + " is not a range such as 1..20"));
+        return plan.withSeeds(range);
     }
 
     private static ExperimentArm arm(ExperimentFile.ArmSpec spec) {
--- a/simulation/src/main/java/topazvalve/simulation/experiment/Runner.java
+++ b/simulation/src/main/java/topazvalve/simulation/experiment/Runner.java
@@ -15,8 +15,9 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import topazvalve.simulation.tally.Run;
-import topazvalve.simulation.virtual.VirtualWorld;
+import topazvalve.simulation.SimulationFailedException;
+import topazvalve.simulation.statistics.RunResult;
+import topazvalve.simulation.virtual.VirtualSimulation;
 
 /** Performs the runs of a plan in virtual time, several at once, each on one thread. */
 public final class Runner {
@@ -49,11 +50,11 @@
      * The progress of an experiment.
      *
      * @param done the number of runs that are done
-     * @param all the number of runs of the plan
-     * @param broken the number of runs that violated a rule
-     * @param leftS the estimated time to the end in seconds
+     * @param total the number of runs of the plan
+     * @param withViolations the number of runs that violated a rule
+     * @param secondsLeft the estimated time to the end in seconds
      */
-    public record Progress(int done, int all, int broken, double leftS) {}
+    public record Progress(int done, int total, int withViolations, double secondsLeft) {}
 
     /**
      * Performs the runs that are not done yet.
@@ -61,6 +62,7 @@
      * @param resume whether runs with a result in the folder count as done
      * @param listener is called on the caller's thread after each run
      * @return all results in the plan's order; fewer than the plan has runs if it was stopped
+     * @throws SimulationFailedException if a run fails
      */
     public List<Result> run(boolean resume, Consumer<Progress> listener) throws IOException, InterruptedException {
         Files.createDirectories(folder);
@@ -98,7 +100,7 @@
         long startedAt = System.nanoTime();
         int started = 0;
         int finished = 0;
-        int broken = 0;
+        int withViolations = 0;
         while (finished < started || (started < remaining.size() && !stopped)) {
             while (started - finished < jobs && started < remaining.size() && !stopped) {
                 ExperimentPlan.PlannedRun run = remaining.get(started);
@@ -110,10 +112,10 @@
                 Result result = result(next);
                 Results.append(folder, result);
                 finished++;
-                broken += result.broken().isEmpty() ? 0 : 1;
+                withViolations += result.violationCounts().isEmpty() ? 0 : 1;
                 double secondsPerRun = (System.nanoTime() - startedAt) / NANOS_PER_SECOND / finished;
                 double secondsLeft = secondsPerRun * (remaining.size() - finished);
-                listener.accept(new Progress(earlier + finished, plan.runs().size(), broken, secondsLeft));
+                listener.accept(new Progress(earlier + finished, plan.runs().size(), withViolations, secondsLeft));
             } else if (stopped) {
                 return;
             }
@@ -124,12 +126,12 @@
         try {
             return run.get();
         } catch (ExecutionException e) {
-            throw new IllegalStateException("a run failed: " + e.getCause(), e.getCause());
+            throw new SimulationFailedException("a run failed: " + e.getCause(), e.getCause());
         }
     }
 
     private static Result play(ExperimentPlan.PlannedRun planned) {
-        Run run = new VirtualWorld(planned.scenario(), planned.arm(), planned.seed()).play();
+        RunResult run = new VirtualSimulation(planned.scenario(), planned.arm(), planned.seed()).play();
         return Result.of(planned.scenario(), run);
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/model/RequestGenerator.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/RequestGenerator.java
@@ -1,6 +1,5 @@
 package topazvalve.simulation.model;
 
-import java.util.List;
 import org.apache.commons.rng.sampling.distribution.DiscreteSampler;
 import org.apache.commons.rng.sampling.distribution.RejectionInversionZipfSampler;
 import topazvalve.simulation.scenario.Scenario;
@@ -39,23 +38,22 @@
     private static final double PATIENCE_RANGE = 0.5;
 
     private final Scenario scenario;
-    private final RandomStreams random;
+    private final RandomStream random;
     private final TrafficPattern trafficPattern;
     private final double ratePerNano;
-    private final double totalShares;
+    private final WeightedChoice classes;
     private final DiscreteSampler keys;
 
     /** Creates the generator of instance {@code number}; all generators of a run share one traffic pattern. */
     public RequestGenerator(Scenario scenario, long seed, int number, TrafficPattern trafficPattern) {
         this.scenario = scenario;
-        this.random = RandomStreams.stream(seed, "asker." + number);
+        this.random = RandomStream.named(seed, "asker." + number);
         this.trafficPattern = trafficPattern;
         this.ratePerNano =
-                scenario.instanceRate() * random.lognormal(scenario.load().instanceSpread()) / NANOS_PER_SECOND;
-        this.totalShares =
-                scenario.classes().stream().mapToDouble(WorkClass::share).sum();
+                scenario.instanceRate() * random.nextLognormal(scenario.load().instanceSpread()) / NANOS_PER_SECOND;
+        this.classes = new WeightedChoice(scenario.classes().stream().mapToDouble(WorkClass::share));
         this.keys = RejectionInversionZipfSampler.of(
-                random.random(),
+                random.generator(),
                 scenario.load().keys(),
                 Math.max(MIN_ZIPF_EXPONENT, scenario.load().zipf()));
     }
@@ -65,42 +63,31 @@
      * (thinning of a Poisson process of the maximal rate).
      */
     public long nextGapNanos() {
-        return (long) random.exponential(1 / (ratePerNano * trafficPattern.maxFactor()));
+        return (long) random.nextExponential(1 / (ratePerNano * trafficPattern.maxFactor()));
     }
 
     /** Decides whether a request arrives at a candidate time, in nanoseconds from the start of the run. */
     public boolean arrivesAt(long time) {
         double maxFactor = trafficPattern.maxFactor();
-        return random.part() * maxFactor < trafficPattern.factorAt(time);
+        return random.nextDouble() * maxFactor < trafficPattern.factorAt(time);
     }
 
     /** Draws the request that arrives. */
     public GeneratedRequest next() {
-        int classNumber = drawClass();
+        int classNumber = classes.draw(random);
         WorkClass requestClass = scenario.classes().get(classNumber);
         Scenario.Clients clients = scenario.clients();
-        boolean leavesEarly = random.happens(clients.impatient());
+        boolean leavesEarly = random.nextBoolean(clients.impatient());
         long patience = leavesEarly
-                ? (long) (requestClass.deadline() * (MIN_PATIENCE + PATIENCE_RANGE * random.part()))
+                ? (long) (requestClass.deadline() * (MIN_PATIENCE + PATIENCE_RANGE * random.nextDouble()))
                 : requestClass.deadline();
         return new GeneratedRequest(
                 classNumber,
                 keys.sample(),
-                requestClass.work() * random.lognormal(requestClass.workVariation()),
+                requestClass.work() * random.nextLognormal(requestClass.workVariation()),
                 patience,
                 leavesEarly,
-                random.happens(clients.retries()),
-                random.happens(clients.honourRetryAfter()));
-    }
-
-    private int drawClass() {
-        List<WorkClass> classes = scenario.classes();
-        double remaining = random.part() * totalShares;
-        int number = 0;
-        while (number < classes.size() - 1 && remaining >= classes.get(number).share()) {
-            remaining -= classes.get(number).share();
-            number++;
-        }
-        return number;
+                random.nextBoolean(clients.retries()),
+                random.nextBoolean(clients.honourRetryAfter()));
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/real/ClientRequest.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/ClientRequest.java
@@ -28,7 +28,7 @@
     /** How long after its deadline late attempts of a request are still recognised. */
     private static final long RETENTION_NANOS = 10_000_000_000L;
 
-    private final RealWorld world;
+    private final RunState run;
     private final RealClients clients;
     private final int instance;
     private final GeneratedRequest generated;
@@ -49,39 +49,37 @@
      * @param firstSentAt when the first try was meant to be sent, in nanoseconds of the clock
      */
     ClientRequest(
-            RealWorld world,
+            RunState run,
             RealClients clients,
             int instance,
             GeneratedRequest generated,
             long firstSentAt,
             boolean isRetry) {
-        this.world = world;
+        this.run = run;
         this.clients = clients;
         this.instance = instance;
         this.generated = generated;
         this.firstSentAt = firstSentAt;
         this.isRetry = isRetry;
-        this.requestClass = world.scenario().classes().get(generated.requestClass());
+        this.requestClass = run.scenario().classes().get(generated.requestClass());
         long number = clients.nextId();
         this.id = SentRequests.id(instance, number);
-        long now = world.clock().now();
+        long now = run.clock().now();
         // The time of the first try runs from when it was meant to be sent.
         this.deadline = (isRetry ? now : firstSentAt) + generated.patienceNanos();
         this.timeLeftNanos = deadline - now;
-        this.trace = new Trace(number, instance, requestClass, world.sinceStart(now), world.sinceStart(deadline));
+        this.trace = new Trace(number, instance, requestClass, run.sinceStart(now), run.sinceStart(deadline));
     }
 
     /** Sends it. */
     void send() {
         SentRequest sent =
                 new SentRequest(trace, instance, generated.requestClass(), generated.key(), generated.work(), deadline);
-        world.sentRequests().put(id, sent);
-        world.oracle().requestSent(trace);
-        world.requestSent();
-        world.clock().scheduleAt(deadline, this::deadlinePassed);
-        world.clock()
-                .scheduleAt(
-                        deadline + RETENTION_NANOS, () -> world.sentRequests().remove(id));
+        run.sentRequests().put(id, sent);
+        run.oracle().requestSent(trace);
+        run.clock().scheduleAt(deadline, this::deadlinePassed);
+        run.clock()
+                .scheduleAt(deadline + RETENTION_NANOS, () -> run.sentRequests().remove(id));
         connect(clients.drawsNewConnection());
     }
 
@@ -98,8 +96,8 @@
                 write(done.channel());
             } else {
                 // The connection is refused, so nothing has run.
-                world.oracle().excuse(trace);
-                end(Answer.REFUSED, 0);
+                run.oracle().waiveResponse(trace);
+                end(Answer.REJECTED, 0);
             }
         });
     }
@@ -138,13 +136,13 @@
         }
         finished = true;
         if (generated.leavesEarly()) {
-            world.oracle().clientDisconnected(trace, world.elapsed());
+            run.oracle().clientDisconnected(trace, run.elapsed());
         }
         if (channel != null) {
             channel.close();
         }
-        world.statistics().requestUnanswered(generated.requestClass(), world.sinceStart(firstSentAt));
-        world.oracle().deadlinePassed(trace, world.elapsed());
+        run.statistics().requestUnanswered(generated.requestClass(), run.sinceStart(firstSentAt));
+        run.oracle().deadlinePassed(trace, run.elapsed());
     }
 
     /**
@@ -158,8 +156,8 @@
         if (usedBefore && !reconnected) {
             reconnected = true;
             connect(true);
-        } else if (world.wasKilled(instance, trace)) {
-            world.oracle().excuse(trace);
+        } else if (run.wasKilled(instance, trace)) {
+            run.oracle().waiveResponse(trace);
             end(Answer.FAILED, 0);
         }
     }
@@ -169,10 +167,10 @@
         Answer answer = answer(response.status());
         if (answer == Answer.SERVED
                 && !response.content().toString(StandardCharsets.US_ASCII).equals(RealClients.bodyOf(id))) {
-            world.oracle().responseForged(trace, world.elapsed());
+            run.oracle().responseForged(trace, run.elapsed());
         }
-        world.oracle().responseReceived(trace, answer, world.elapsed());
-        world.updateDigest(trace, answer);
+        run.oracle().responseReceived(trace, answer, run.elapsed());
+        run.recorder().digest().add(trace.id(), answer);
         end(answer, retryAfterNanos(response));
     }
 
@@ -182,7 +180,7 @@
         }
         boolean rejected = status.code() == HttpResponseStatus.TOO_MANY_REQUESTS.code()
                 || status.code() == HttpResponseStatus.SERVICE_UNAVAILABLE.code();
-        return rejected ? Answer.REFUSED : Answer.FAILED;
+        return rejected ? Answer.REJECTED : Answer.FAILED;
     }
 
     private static long retryAfterNanos(FullHttpResponse response) {
@@ -196,25 +194,25 @@
 
     private void end(Answer answer, long retryAfterNanos) {
         finished = true;
-        boolean harmless = answer == Answer.REFUSED || requestClass.retryIsHarmless();
-        long sentAt = world.sinceStart(firstSentAt);
+        boolean harmless = answer == Answer.REJECTED || requestClass.retryIsHarmless();
+        long sentAt = run.sinceStart(firstSentAt);
         if (answer == Answer.SERVED) {
-            long latency = world.clock().now() - firstSentAt;
-            world.statistics().requestServed(generated.requestClass(), sentAt, latency);
+            long latency = run.clock().now() - firstSentAt;
+            run.statistics().requestServed(generated.requestClass(), sentAt, latency);
         } else if (generated.retries() && !isRetry && harmless) {
-            Scenario.Clients settings = world.scenario().clients();
+            Scenario.Clients settings = run.scenario().clients();
             retryAfter(settings.backoffNanos(generated.honoursRetryAfter(), retryAfterNanos));
-        } else if (answer == Answer.REFUSED) {
-            world.statistics().requestRejected(generated.requestClass(), sentAt);
+        } else if (answer == Answer.REJECTED) {
+            run.statistics().requestRejected(generated.requestClass(), sentAt);
         } else {
-            world.statistics().requestFailed(generated.requestClass(), sentAt);
+            run.statistics().requestFailed(generated.requestClass(), sentAt);
         }
     }
 
     private void retryAfter(long backoffNanos) {
-        world.clock().scheduleAt(world.clock().now() + backoffNanos, () -> {
-            world.statistics().retrySent();
-            new ClientRequest(world, clients, instance, generated, firstSentAt, true).send();
+        run.clock().scheduleAt(run.clock().now() + backoffNanos, () -> {
+            run.statistics().retrySent();
+            new ClientRequest(run, clients, instance, generated, firstSentAt, true).send();
         });
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/real/RealClients.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/RealClients.java
@@ -1,20 +1,13 @@
 package topazvalve.simulation.real;
 
-import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
-import io.netty.channel.ChannelInitializer;
-import io.netty.channel.ChannelOption;
-import io.netty.channel.EventLoop;
-import io.netty.channel.socket.nio.NioSocketChannel;
-import io.netty.handler.codec.http.HttpClientCodec;
-import io.netty.handler.codec.http.HttpObjectAggregator;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import topazvalve.simulation.model.RandomStreams;
+import topazvalve.simulation.http.LoopbackHttp;
+import topazvalve.simulation.model.RandomStream;
 import topazvalve.simulation.model.RequestGenerator;
-import topazvalve.simulation.model.TrafficPattern;
 
 /**
  * The applications that use the sidecars: an open loop over real connections. Latency counts from the time at which a
@@ -24,21 +17,20 @@
 final class RealClients {
     private static final int MAX_RESPONSE_BYTES = 1 << 20;
 
-    private final RealWorld world;
-    private final EventLoop loop;
-    private final RandomStreams random;
+    private final RunState run;
+    private final RandomStream random;
     private final List<RequestGenerator> generators = new ArrayList<>();
     /** By instance, the most recently used last. */
     private final List<ArrayDeque<Channel>> idleConnections = new ArrayList<>();
 
     private long lastId;
 
-    RealClients(RealWorld world, EventLoop loop, long seed, TrafficPattern trafficPattern) {
-        this.world = world;
-        this.loop = loop;
-        this.random = RandomStreams.stream(seed, "clients");
-        for (int i = 0; i < world.scenario().fleet().instances(); i++) {
-            generators.add(new RequestGenerator(world.scenario(), seed, i, trafficPattern));
+    RealClients(RunState run, long seed) {
+        this.run = run;
+        this.random = RandomStream.named(seed, "clients");
+        for (int i = 0; i < run.scenario().fleet().instances(); i++) {
+            generators.add(
+                    new RequestGenerator(run.scenario(), seed, i, run.topology().trafficPattern()));
             idleConnections.add(new ArrayDeque<>());
         }
     }
@@ -51,7 +43,7 @@
     /** Schedules the first request to each instance. */
     void start() {
         for (int i = 0; i < generators.size(); i++) {
-            scheduleNext(i, world.clock().now());
+            scheduleNext(i, run.clock().now());
         }
     }
 
@@ -59,12 +51,12 @@
     private void scheduleNext(int instance, long previousAt) {
         RequestGenerator generator = generators.get(instance);
         long at = previousAt + Math.max(1, generator.nextGapNanos());
-        if (at < world.endsAt()) {
-            world.clock().scheduleAt(at, () -> {
-                if (generator.arrivesAt(world.sinceStart(at))) {
+        if (at < run.endsAt()) {
+            run.clock().scheduleAt(at, () -> {
+                if (generator.arrivesAt(run.sinceStart(at))) {
                     RequestGenerator.GeneratedRequest generated = generator.next();
-                    world.statistics().requestSent(generated.requestClass(), world.sinceStart(at));
-                    new ClientRequest(world, this, instance, generated, at, false).send();
+                    run.statistics().requestSent(generated.requestClass(), run.sinceStart(at));
+                    new ClientRequest(run, this, instance, generated, at, false).send();
                 }
                 scheduleNext(instance, at);
             });
@@ -78,28 +70,17 @@
 
     /** Draws whether a request comes on a new connection. */
     boolean drawsNewConnection() {
-        return random.happens(world.scenario().clients().reconnect());
+        return random.nextBoolean(run.scenario().clients().reconnect());
     }
 
     /** Opens a connection to an instance. */
     ChannelFuture connect(int instance) {
-        return new Bootstrap()
-                .group(loop)
-                .channel(NioSocketChannel.class)
-                .option(ChannelOption.TCP_NODELAY, true)
-                .handler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        boolean slowReader =
-                                random.happens(world.scenario().clients().slowReaders());
-                        channel.pipeline()
-                                .addLast(
-                                        new HttpClientCodec(),
-                                        new HttpObjectAggregator(MAX_RESPONSE_BYTES),
-                                        new ClientHandler(world, idleConnections.get(instance), slowReader));
-                    }
-                })
-                .connect("127.0.0.1", world.port(instance));
+        return LoopbackHttp.connect(run.loop(), run.port(instance), MAX_RESPONSE_BYTES, () -> newHandler(instance));
+    }
+
+    private ClientHandler newHandler(int instance) {
+        boolean slowReader = random.nextBoolean(run.scenario().clients().slowReaders());
+        return new ClientHandler(run, idleConnections.get(instance), slowReader);
     }
 
     /** Takes the most recently used idle connection to an instance; returns null if there is none. */
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualInstance.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualInstance.java
@@ -1,6 +1,5 @@
 package topazvalve.simulation.virtual;
 
-import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -21,24 +20,23 @@
 class VirtualInstance implements Actions {
     static final float[] NO_LOAD_REPORT = {};
 
-    final VirtualWorld world;
+    final VirtualSimulation simulation;
     private final int number;
     private final ServerTable servers;
     private final AttemptSender sender;
     private LoadBalancer balancer;
 
     private final Map<Long, VirtualRequest> requests = new HashMap<>();
-    private final ArrayDeque<Runnable> events = new ArrayDeque<>();
-    private boolean dispatching;
+    private final SerialDispatcher dispatcher = new SerialDispatcher();
     private boolean running;
     private int incarnation;
     private long revision;
 
-    VirtualInstance(VirtualWorld world, int number, int zone) {
-        this.world = world;
+    VirtualInstance(VirtualSimulation simulation, int number, int zone) {
+        this.simulation = simulation;
         this.number = number;
         this.servers = new ServerTable(zone);
-        this.sender = new AttemptSender(world, this);
+        this.sender = new AttemptSender(simulation, this);
     }
 
     int number() {
@@ -76,7 +74,7 @@
         running = false;
         incarnation++;
         for (VirtualRequest request : List.copyOf(requests.values())) {
-            world.oracle().excuse(request.trace);
+            simulation.oracle().waiveResponse(request.trace);
             request.finished = true;
             for (VirtualAttempt attempt : request.attempts) {
                 if (attempt != null) {
@@ -85,29 +83,17 @@
             }
         }
         requests.clear();
-        events.clear();
+        dispatcher.clear();
         servers.clear();
     }
 
     private long now() {
-        return world.clock().now();
+        return simulation.clock().now();
     }
 
     /** Runs an event, or queues it while another one runs: the load balancer isn't called recursively. */
     void dispatch(Runnable event) {
-        if (dispatching) {
-            events.add(event);
-            return;
-        }
-        dispatching = true;
-        try {
-            event.run();
-            while (!events.isEmpty()) {
-                events.poll().run();
-            }
-        } finally {
-            dispatching = false;
-        }
+        dispatcher.dispatch(event);
     }
 
     // Endpoint list.
@@ -125,12 +111,12 @@
 
     @Override
     public void watchEndpoints(boolean on) {
-        world.discovery().subscribe(this, on);
+        simulation.discovery().subscribe(this, on);
     }
 
     @Override
     public void fetchEndpoints() {
-        world.discovery().fetch(this);
+        simulation.discovery().fetch(this);
     }
 
     // Requests.
@@ -138,15 +124,7 @@
     /** Accepts a client's request. */
     void requestReceived(VirtualRequest received) {
         requests.put(received.id, received);
-        Request request = new Request(
-                received.id,
-                received.requestClass,
-                0,
-                received.key,
-                received.deadline - now(),
-                0,
-                received.isRetry,
-                true);
+        Request request = received.toPolicyRequest(now());
         dispatch(() -> balancer.requestReceived(now(), request));
     }
 
@@ -190,7 +168,7 @@
     private void removeIfDone(VirtualRequest request) {
         if (request.finished && request.attemptsInFlight == 0) {
             requests.remove(request.id);
-            world.clients().cancelExpiry(request);
+            simulation.clients().cancelExpiry(request);
         }
     }
 
@@ -198,7 +176,7 @@
     public void reject(long requestId, long retryAfterNanos) {
         VirtualRequest request = requests.get(requestId);
         if (request != null) {
-            finish(request, Answer.REFUSED, retryAfterNanos);
+            finish(request, Answer.REJECTED, retryAfterNanos);
         }
     }
 
@@ -231,14 +209,14 @@
             return;
         }
         VirtualAttempt attempt =
-                new VirtualAttempt(sender, request, attemptNumber, server, world.attemptWork(request), now());
+                new VirtualAttempt(sender, request, attemptNumber, server, simulation.attemptWork(request), now());
         request.attempts[attemptNumber] = attempt;
         sender.send(attempt, timeoutNanos);
     }
 
     /** Returns whether the host holds an attempt back, whatever the load balancer decides. */
     boolean mayNotSend(VirtualRequest request, int attemptNumber, long now) {
-        return request.finished || attemptNumber >= world.attemptLimit() || now >= request.deadline;
+        return request.finished || attemptNumber >= simulation.attemptLimit() || now >= request.deadline;
     }
 
     @Override
@@ -280,7 +258,7 @@
     @Override
     public void setTimer(long token, long at) {
         int setIn = incarnation;
-        world.clock().scheduleAt(at, () -> {
+        simulation.clock().scheduleAt(at, () -> {
             if (incarnation == setIn) {
                 dispatch(() -> balancer.timerFired(now(), token));
             }
@@ -291,7 +269,7 @@
     public void sendHealthCheck(long endpoint) {
         ServerConnections server = servers.get(endpoint);
         if (server != null) {
-            new VirtualHealthCheck(world, this, server).send();
+            new VirtualHealthCheck(simulation, this, server).send();
         }
     }
 
@@ -317,6 +295,6 @@
 
     @Override
     public void log(String line) {
-        world.recordEvent("instance " + number + ": " + line);
+        simulation.recordEvent("instance " + number + ": " + line);
     }
 }
--- /dev/null
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualSimulation.java
@@ -0,0 +1,219 @@
+package topazvalve.simulation.virtual;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.IntFunction;
+import topazvalve.simulation.model.AttemptWork;
+import topazvalve.simulation.model.Clock;
+import topazvalve.simulation.model.ColdServerMonitor;
+import topazvalve.simulation.model.FaultPlayer;
+import topazvalve.simulation.model.FaultTarget;
+import topazvalve.simulation.model.OrderServer;
+import topazvalve.simulation.model.RandomStream;
+import topazvalve.simulation.model.Topology;
+import topazvalve.simulation.oracle.Oracle;
+import topazvalve.simulation.scenario.Fault;
+import topazvalve.simulation.scenario.Scenario;
+import topazvalve.simulation.statistics.RunRecorder;
+import topazvalve.simulation.statistics.RunResult;
+import topazvalve.simulation.statistics.RunStatistics;
+
+/** A run of one scenario, arm and seed in virtual time. The same three give the same run to the last event. */
+public final class VirtualSimulation implements FaultTarget {
+    /** The clock's time at the start. Far from 0, since a server that started at 0 counts as started long ago. */
+    private static final long START = 1_000_000_000_000L;
+
+    /** Instances close idle connections after this fraction of the servers' shortest idle timeout. */
+    private static final double IDLE_FRACTION = 0.9;
+
+    private final Scenario scenario;
+    private final ExperimentArm arm;
+    private final long seed;
+    private final VirtualClock clock = new VirtualClock(START);
+    private final Topology topology;
+    private final RunRecorder recorder;
+    private ColdServerMonitor coldServerMonitor;
+    private final VirtualDiscovery discovery;
+    private final AttemptWork attemptWork;
+    private final RandomStream restarts;
+    private final List<VirtualInstance> instances = new ArrayList<>();
+    private final VirtualClients clients;
+    private final IdleConnectionTimers idleConnections;
+
+    /** Creates the servers, instances and clients of a run that hasn't started yet. */
+    public VirtualSimulation(Scenario scenario, ExperimentArm arm, long seed) {
+        this(scenario, arm, seed, null);
+    }
+
+    /** Creates a run with instances from {@code factory}, for the oracle's tests; null for the usual ones. */
+    VirtualSimulation(Scenario scenario, ExperimentArm arm, long seed, InstanceFactory factory) {
+        this.scenario = scenario;
+        this.arm = arm;
+        this.seed = seed;
+        this.topology = new Topology(scenario, clock, seed);
+        Oracle oracle = new Oracle(scenario.limits(), 0, FlightTime.maxNanos(scenario));
+        this.recorder = new RunRecorder(topology, oracle, servers().size() + 1);
+        this.attemptWork = new AttemptWork(scenario, seed);
+        this.restarts = RandomStream.named(seed, "restarts");
+        servers().forEach(this::observe);
+        servers().forEach(directory()::add);
+        this.discovery = new VirtualDiscovery(
+                clock, scenario.discovery(), directory(), recorder, RandomStream.named(seed, "discovery"), instances);
+        this.idleConnections = new IdleConnectionTimers(clock, (long) (scenario.minIdleTimeout() * IDLE_FRACTION));
+        IntFunction<VirtualInstance> create = factory == null
+                ? number -> new VirtualInstance(this, number, zone(number))
+                : number -> factory.create(this, number);
+        for (int i = 0; i < scenario.fleet().instances(); i++) {
+            instances.add(create.apply(i));
+        }
+        this.clients = new VirtualClients(this, seed, topology.trafficPattern());
+    }
+
+    /** Creates an instance for a test. */
+    interface InstanceFactory {
+        VirtualInstance create(VirtualSimulation simulation, int number);
+    }
+
+    /** Returns the zone of an instance. */
+    int zone(int number) {
+        return number % scenario.fleet().zones().size();
+    }
+
+    private void observe(OrderServer server) {
+        if (coldServerMonitor != null) {
+            server.monitorColdLoad(coldServerMonitor);
+        }
+        server.onColdCrash(
+                (crashed, informedFraction) -> recorder.serverCrashedWhileCold(crashed, informedFraction, elapsed()));
+    }
+
+    /** Measures the load of cold servers, which no longer crash. To be called before {@link #play}. */
+    void monitorColdLoad(ColdServerMonitor monitor) {
+        coldServerMonitor = monitor;
+        servers().forEach(each -> each.monitorColdLoad(monitor));
+    }
+
+    /** Plays the run to its end and returns its results. To be called once. */
+    public RunResult play() {
+        long startedAt = System.nanoTime();
+        List<Fault> faults = FaultPlayer.scheduleAll(this, scenario, seed);
+        instances.forEach(this::start);
+        clients.start();
+        clock.runUntil(endsAt()
+                + 2 * scenario.maxDeadline()
+                + scenario.clients().maxRetryAfter()
+                + scenario.limits().responseSlack());
+        return recorder.result(arm.name(), seed, faults, clock.eventsRun(), System.nanoTime() - startedAt);
+    }
+
+    private void start(VirtualInstance instance) {
+        if (!scenario.discovery().subscribe()) {
+            discovery.startWatch(instance);
+        }
+        instance.start(
+                arm.policy()
+                        .create(
+                                arm.settings(scenario, instance.number(), zone(instance.number())),
+                                restarts.nextLong(),
+                                instance),
+                directory().entries(),
+                directory().revision());
+    }
+
+    // For faults and for the parts of the run.
+
+    @Override
+    public Clock clock() {
+        return clock;
+    }
+
+    @Override
+    public Topology topology() {
+        return topology;
+    }
+
+    @Override
+    public void restartInstance(int number) {
+        VirtualInstance instance = instances.get(number);
+        instance.kill();
+        discovery.instanceStopped(number);
+        recorder.instanceKilled(number);
+        start(instance);
+        recorder.instanceRestarted(number, elapsed());
+    }
+
+    @Override
+    public OrderServer replaceServer(OrderServer old, boolean sameAddress) {
+        OrderServer fresh = topology.fleet().replace(old);
+        observe(fresh);
+        return fresh;
+    }
+
+    @Override
+    public void recordEvent(String what) {
+        topology.recordEvent(elapsed(), what);
+    }
+
+    Scenario scenario() {
+        return scenario;
+    }
+
+    RunRecorder recorder() {
+        return recorder;
+    }
+
+    Oracle oracle() {
+        return recorder.oracle();
+    }
+
+    RunStatistics statistics() {
+        return recorder.statistics();
+    }
+
+    VirtualDiscovery discovery() {
+        return discovery;
+    }
+
+    List<VirtualInstance> instances() {
+        return instances;
+    }
+
+    /** Returns the largest number of attempts of a request under this arm. */
+    int attemptLimit() {
+        return arm.attempts(scenario);
+    }
+
+    /** Returns when clients stop sending, in nanoseconds of the clock. */
+    long endsAt() {
+        return START + scenario.length();
+    }
+
+    /** Returns the nanoseconds since the start. */
+    long elapsed() {
+        return clock.now() - START;
+    }
+
+    /** Converts a time of the clock to nanoseconds since the start. */
+    long sinceStart(long time) {
+        return time - START;
+    }
+
+    /** Draws the work of one attempt, in nanoseconds of a standard core. */
+    double attemptWork(VirtualRequest request) {
+        return attemptWork.draw(request.requestClass, request.work);
+    }
+
+    /** Returns the timers that close idle connections. */
+    IdleConnectionTimers idleConnections() {
+        return idleConnections;
+    }
+
+    VirtualClients clients() {
+        return clients;
+    }
+
+    /** A server has received an attempt completely. */
+    void attemptReceived(VirtualAttempt attempt) {
+        recorder.attemptReceived(attempt.request.trace, attempt.serverConnections.server, !attempt.rejected, elapsed());
+    }
+}
