--- a/sidecar/src/test/java/topazvalve/sidecar/DeployedIT.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/DeployedIT.java
@@ -234,12 +234,25 @@
         }
     }
 
+    /** Discovery that lists this server; its watch never becomes idle, so that the sidecar opens no further one. */
+    private static StubServer.Responder watchListing(StubServer server) {
+        String list = "{\"rev\":42,\"all\":true,\"targets\":["
+                + SidecarFixture.endpointJson("s-0", server.endpoint(), "SERVING") + "]}\n";
+        return (socket, head) -> {
+            StubServer.write(
+                    socket,
+                    "HTTP/1.1 200 OK\r\n" + ChunkedEncoding.CHUNKED_HEADER + "\r\n" + ChunkedEncoding.chunk(list));
+            StubServer.sendHeartbeatsUntil(new CountDownLatch(1), socket);
+            return false;
+        };
+    }
+
     /** Each SIGHUP applies the file's new discovery address to the running process, which the JVM would else end. */
     @Test
     void sighupChangesDiscoveryAndABadFileChangesNothing() throws Exception {
         try (StubServer server = StubServer.respondingWith("x");
                 StubServer first = new StubServer((socket, head) -> true);
-                StubServer second = new StubServer((socket, head) -> true);
+                StubServer second = new StubServer(watchListing(server));
                 StubServer third = new StubServer((socket, head) -> true)) {
             InetSocketAddress address = freeAddress();
             ObjectNode json = SidecarFixture.configJson(server)
--- a/sidecar/src/test/java/topazvalve/sidecar/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/DiscoveryClientTest.java
@@ -98,19 +98,21 @@
     /** The client resubscribes by itself and without backoff. */
     @Test
     void idleWatchIsResubscribedWithoutNotifyingAFailure() throws Exception {
+        BlockingQueue<Long> heartbeatNanos = new LinkedBlockingQueue<>();
         try (StubServer stub = new StubServer((socket, head) -> {
+            heartbeatNanos.add(System.nanoTime());
             StubServer.write(socket, CHUNKED + chunk("\n"));
             return true;
         })) {
             DiscoveryClient discovery = client(stub);
             loop.execute(() -> discovery.watch(true));
             StubServer.awaitNext(stub.receivedHeads);
-            long startNanos = System.nanoTime();
             assertEquals(new Notification(UpdateKind.DELTA, List.of()), StubServer.awaitNext(notifications));
             StubServer.awaitNext(stub.receivedHeads);
             assertEquals("end", StubServer.awaitNext(stub.closedConnections), "the idle watch is closed");
             assertTrue(
-                    System.nanoTime() - startNanos >= TimeUnit.SECONDS.toNanos(2), "not before a heartbeat was missed");
+                    System.nanoTime() - heartbeatNanos.remove() >= TimeUnit.SECONDS.toNanos(2),
+                    "not before a heartbeat was missed");
             assertEquals(
                     new Notification(UpdateKind.DELTA, List.of()),
                     StubServer.awaitNext(notifications),
--- a/sidecar/src/test/java/topazvalve/sidecar/DiscoveryRelaysTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/DiscoveryRelaysTest.java
@@ -113,14 +113,19 @@
 
     @Test
     void anIdleRelayIsLeftForTheNext() throws Exception {
-        try (StubServer silent = relaySending(chunk("\n"));
+        BlockingQueue<Long> heartbeatNanos = new LinkedBlockingQueue<>();
+        try (StubServer silent = new StubServer((socket, head) -> {
+                    heartbeatNanos.add(System.nanoTime());
+                    StubServer.write(socket, CHUNKED + chunk("\n"));
+                    return true;
+                });
                 StubServer next = relaySending(chunk("\n"))) {
             subscribedClient(EndpointUpdate.NONE, silent, next);
             assertEquals(UpdateKind.DELTA, StubServer.awaitNext(notifications).kind);
-            long startNanos = System.nanoTime();
             StubServer.awaitNext(next.receivedHeads);
             assertTrue(
-                    System.nanoTime() - startNanos >= TimeUnit.SECONDS.toNanos(2), "not before a heartbeat was missed");
+                    System.nanoTime() - heartbeatNanos.remove() >= TimeUnit.SECONDS.toNanos(2),
+                    "not before a heartbeat was missed");
             assertEquals("end", StubServer.awaitNext(silent.closedConnections));
         }
     }
--- a/sidecar/src/test/java/topazvalve/sidecar/DrainTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/DrainTest.java
@@ -51,15 +51,13 @@
 
     /** Discovery whose watch sends one line once released, and ends after that. */
     private static StubServer.Responder watchSending(String line, CountDownLatch release) {
-        StubServer.Responder sendLine = StubServer.afterRelease(release, (socket, head) -> {
+        return (socket, head) -> {
+            StubServer.write(socket, "HTTP/1.1 200 OK\r\n" + ChunkedEncoding.CHUNKED_HEADER + "\r\n");
+            StubServer.sendHeartbeatsUntil(release, socket);
             if (head.contains("from=41 ")) {
-                StubServer.write(socket, Integer.toHexString(line.length()) + "\r\n" + line + "\r\n");
+                StubServer.write(socket, ChunkedEncoding.chunk(line));
             }
             return false;
-        });
-        return (socket, head) -> {
-            StubServer.write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            return sendLine.respond(socket, head);
         };
     }
 
--- a/sidecar/src/test/java/topazvalve/sidecar/HttpConnectionTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/HttpConnectionTest.java
@@ -112,7 +112,10 @@
         }
     }
 
-    /** An attempt waits for a connection's reuse delay and opens no new one; a drain meanwhile ends the wait. */
+    /**
+     * An attempt waits for a connection's reuse delay and opens no new one; a drain meanwhile ends the wait, with a
+     * delay that can't have passed by then.
+     */
     @Test
     void connectionIsReusedAfterItsReuseDelay() throws Exception {
         BlockingQueue<Socket> sockets = new LinkedBlockingQueue<>();
@@ -127,9 +130,13 @@
             send(pools);
             assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
             assertEquals(StubServer.awaitNext(sockets), StubServer.awaitNext(sockets));
+            ConnectionPools<UpstreamRequest, UpstreamResponse> slowPools =
+                    newPools(server.address(), TIMEOUT_NANOS, 10, TIMEOUT_NANOS);
+            send(slowPools);
+            assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
             loop.submit(() -> {
-                        send(pools, 1, get("/api/x"), this::attemptCompleted);
-                        pools.endpointUpdated(1, server.address(), 0, false);
+                        send(slowPools, 1, get("/api/x"), this::attemptCompleted);
+                        slowPools.endpointUpdated(1, server.address(), 0, false);
                     })
                     .sync();
             assertEquals(Outcome.CONNECT_FAILED, StubServer.awaitNext(outcomes));
--- a/sidecar/src/test/java/topazvalve/sidecar/LargeBodyTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/LargeBodyTest.java
@@ -13,6 +13,7 @@
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.Socket;
+import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 import topazvalve.sidecar.SidecarFixture.ClientResponse;
 import topazvalve.sidecar.SidecarFixture.TestClient;
@@ -180,16 +181,20 @@
                 }
             });
             assertEquals(503, client.readResponse().status());
-            assertEquals(1, one.server.closedConnections.size() + two.server.closedConnections.size(), "one attempt");
+            assertEquals(1, one.attempts.get() + two.attempts.get(), "one attempt");
         }
     }
 
     /** A server that reads a part of a request's body and resets the connection. */
     private static final class ResettingServer implements AutoCloseable {
+        /** Counted before the reset, so that it is settled once the sidecar can have noticed that. */
+        private final AtomicInteger attempts = new AtomicInteger();
+
         private final StubServer server = new StubServer((socket, head) -> true) {
             @Override
             void readBody(Socket socket, InputStream in, String head) throws IOException {
                 in.readNBytes(1_000_000);
+                attempts.incrementAndGet();
                 StubServer.reset(socket);
                 throw new IOException("broken on purpose");
             }
--- a/sidecar/src/test/java/topazvalve/sidecar/StubServer.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/StubServer.java
@@ -23,6 +23,8 @@
     /** Long enough for a busy machine; a passing test never waits this long. */
     static final long TIMEOUT_SECONDS = 30;
 
+    private static final long HEARTBEAT_INTERVAL_MILLIS = 100;
+
     /** Handles one request; returns false to close the connection. */
     interface Responder {
         boolean respond(Socket socket, String head) throws IOException;
@@ -89,6 +91,17 @@
         return false;
     }
 
+    /** Sends heartbeats on a watch until {@code end} is counted down, so that the watch does not become idle. */
+    static void sendHeartbeatsUntil(CountDownLatch end, Socket socket) throws IOException {
+        try {
+            while (!end.await(HEARTBEAT_INTERVAL_MILLIS, TimeUnit.MILLISECONDS)) {
+                write(socket, ChunkedEncoding.chunk("\n"));
+            }
+        } catch (InterruptedException e) {
+            throw new IOException(e);
+        }
+    }
+
     static void startDaemonThread(Runnable work) {
         Thread thread = new Thread(work);
         thread.setDaemon(true);
--- a/tcp/src/test/java/topazvalve/tcp/ListenerTest.java
+++ b/tcp/src/test/java/topazvalve/tcp/ListenerTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.netty.util.concurrent.Future;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetAddress;
@@ -13,6 +14,7 @@
 import java.net.SocketException;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
+import java.util.concurrent.CountDownLatch;
 import java.util.function.UnaryOperator;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -162,14 +164,19 @@
         for (EndReason reason : new EndReason[] {EndReason.IDLE, EndReason.TOTAL}) {
             String key = reason == EndReason.IDLE ? "idle" : "total";
             try (ServerSocket server = server();
-                    TestListener listener = listen(server, key + " = \"300ms\"");
-                    Socket client = client(listener);
-                    Socket accepted = accept(server)) {
-                write(client, "x");
-                assertEquals("x", read(accepted.getInputStream(), 1));
-                assertEquals(-1, client.getInputStream().read());
-                assertEquals(-1, accepted.getInputStream().read());
-                awaitEnded(listener, reason, 1);
+                    TestListener listener = listen(server, key + " = \"300ms\"")) {
+                // The time runs from the opening of the stream: the client has written by then.
+                CountDownLatch unblock = listener.blockEventLoop();
+                try (Socket client = client(listener)) {
+                    write(client, "x");
+                    unblock.countDown();
+                    try (Socket accepted = accept(server)) {
+                        assertEquals("x", read(accepted.getInputStream(), 1));
+                        assertEquals(-1, client.getInputStream().read());
+                        assertEquals(-1, accepted.getInputStream().read());
+                        awaitEnded(listener, reason, 1);
+                    }
+                }
             }
         }
     }
@@ -189,9 +196,13 @@
                 write(two, "x");
                 assertEquals("x", read(acceptedHere.getInputStream(), 1));
                 assertEquals("x", read(acceptedThere.getInputStream(), 1));
-                listener.setDraining(List.of(address(server)));
+                // The event loop reads these bytes right after the drain has begun, so within the grace.
+                CountDownLatch unblock = listener.blockEventLoop();
+                Future<?> drainBegun = listener.startDraining(List.of(address(server)));
                 write(acceptedHere, "y");
                 write(acceptedThere, "y");
+                unblock.countDown();
+                drainBegun.sync();
                 assertEquals("y", read(one.getInputStream(), 1), "goes on");
                 assertEquals("y", read(two.getInputStream(), 1));
                 for (int i = 0; i < 5; i++) {
--- a/tcp/src/test/java/topazvalve/tcp/TestListener.java
+++ b/tcp/src/test/java/topazvalve/tcp/TestListener.java
@@ -6,8 +6,10 @@
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
+import io.netty.util.concurrent.Future;
 import java.net.InetSocketAddress;
 import java.util.List;
+import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongPredicate;
 import java.util.function.ToLongFunction;
@@ -29,6 +31,7 @@
             """;
 
     private static final long POLL_MILLIS = 5;
+    private static final long MAX_BLOCKED_SECONDS = 30;
     private static final long SEED = 7;
     private static final long BUDGET_BYTES = 64 << 20;
 
@@ -72,8 +75,33 @@
 
     /** Makes these servers drain, as a reload of the file does. */
     void setDraining(List<InetSocketAddress> draining) {
+        startDraining(draining).syncUninterruptibly();
+    }
+
+    /** Makes these servers drain at the event loop's next turn, before it reads from its sockets. */
+    Future<?> startDraining(List<InetSocketAddress> draining) {
         TcpSettings newSettings = settings(draining);
-        loop.submit(() -> proxy.settingsChanged(newSettings)).syncUninterruptibly();
+        return loop.submit(() -> proxy.settingsChanged(newSettings));
+    }
+
+    /**
+     * Keeps the event loop from its sockets, so that all that comes meanwhile meets it in one turn.
+     *
+     * @return count it down to release the loop
+     */
+    CountDownLatch blockEventLoop() throws InterruptedException {
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
+        loop.execute(() -> {
+            blocked.countDown();
+            try {
+                release.await(MAX_BLOCKED_SECONDS, TimeUnit.SECONDS);
+            } catch (InterruptedException e) {
+                throw new AssertionError(e);
+            }
+        });
+        blocked.await();
+        return release;
     }
 
     /** Reads a counter on the event loop. */
