--- a/core/src/test/java/topazvalve/core/exchange/ExchangeScenario.java
+++ b/core/src/test/java/topazvalve/core/exchange/ExchangeScenario.java
@@ -27,27 +27,6 @@
  * can happen next, plays them, and checks after each what always holds.
  */
 final class ExchangeScenario {
-    private static final String SETTINGS = """
-            quantum=0
-            caps.mayCancel=%s
-            caps.tryLimit=%d
-            caps.retryAfter=true
-            caps.maxRetryAfter=1000000000
-            rules.answerSlack=100000000
-            rules.askWithin=1000000000
-            rules.stopSendingWithin=500000000
-            rules.coldShare=0.5
-            rules.rampTime=1000000000
-            rules.overloadFactor=2
-            rules.tipAfter=1000000000
-            profiles.count=1
-            profiles.0.name=one
-            profiles.0.slo=100000000
-            profiles.0.deadline=400000000
-            profiles.0.keyTtl=1000000000
-            profiles.0.keyScope=all
-            profiles.0.semantics=%s
-            """;
     private static final int MAX_ATTEMPTS = 4;
     private static final int MAX_ROGUE_FORWARDS = 2;
     private static final int MAX_EXCHANGES = 2;
@@ -66,12 +45,10 @@
     private final ByteBudget budget = new ByteBudget(ByteBudget.MIN_QUOTA_BYTES);
     private final RequestBody body;
     private final ExchangeManager<String, String> manager;
-    private final List<String> finalAnswers = new ArrayList<>();
+    private final CheckingListener listener = new CheckingListener(backend);
     private final List<ByteBuf> responseBuffers = new ArrayList<>();
     private final CountingPolicyFactory policyFactory = new CountingPolicyFactory();
     private final long id;
-    private boolean responseStarted;
-    private boolean disconnected;
     private int attemptsUntilDisconnect;
     private boolean bodyDropped;
     private boolean endpointDraining;
@@ -105,21 +82,21 @@
             scheduler.stall();
         }
         id = manager.submit(
-                new ExchangeRequest<>(classes.find("one"), 0, 0, TIMEOUT_MILLIS, 0, false, true, "request", body),
-                new CheckingListener());
+                new ExchangeRequest<>(
+                        classes.find(ScenarioSettings.CLASS_NAME),
+                        0,
+                        0,
+                        TIMEOUT_MILLIS,
+                        0,
+                        false,
+                        true,
+                        "request",
+                        body),
+                listener);
     }
 
     private SettingsReader settings(int maxAttempts) {
-        return new SettingsReader(SETTINGS.formatted(!rogue, maxAttempts, settingOf(idempotency)));
-    }
-
-    /** Returns the settings' word for a constant. */
-    private static String settingOf(Idempotency idempotency) {
-        return switch (idempotency) {
-            case IDEMPOTENT -> "repeatable";
-            case IDEMPOTENCY_KEY -> "by_key";
-            case NON_IDEMPOTENT -> "once";
-        };
+        return ScenarioSettings.of(idempotency, maxAttempts, !rogue);
     }
 
     private static Endpoint endpoint(int number, EndpointStatus status) {
@@ -127,60 +104,6 @@
         return new Endpoint("s" + number, address, "z", "k", number, status, 1, 0);
     }
 
-    /** Checks that the client gets one answer whose parts come in order. */
-    private final class CheckingListener implements ResponseListener<String> {
-        @Override
-        public void responseReceived(String answer) {
-            recordFinalAnswer("served");
-        }
-
-        @Override
-        public void responseStarted(String first, long length, FlowControl rest) {
-            assertTrue(!responseStarted && finalAnswers.isEmpty(), "the response starts once, before any end");
-            responseStarted = true;
-        }
-
-        @Override
-        public void responseData(ByteBuf bytes) {
-            assertTrue(responseStarted, "data of a response that has not started");
-            bytes.release();
-        }
-
-        @Override
-        public void responseCompleted() {
-            assertTrue(responseStarted, "completed a response that has not started");
-            assertTrue(
-                    backend.startedAttempts.stream()
-                            .allMatch(started -> !started.responseStarted || started.attempt.isCompleted()),
-                    "completed by another attempt's end");
-            recordFinalAnswer("completed");
-        }
-
-        @Override
-        public void responseAborted() {
-            assertTrue(responseStarted, "aborted a response that has not started");
-            recordFinalAnswer("aborted");
-        }
-
-        @Override
-        public void rejected(long retryAfterNanos) {
-            assertTrue(!responseStarted, "rejected during a response");
-            recordFinalAnswer("rejected");
-        }
-
-        @Override
-        public void failed() {
-            assertTrue(!responseStarted, "failed during a response");
-            recordFinalAnswer("failed");
-        }
-
-        private void recordFinalAnswer(String answer) {
-            assertTrue(!disconnected, "answered after the client disconnected: " + answer);
-            finalAnswers.add(answer);
-            assertTrue(finalAnswers.size() == 1, "answered twice: " + finalAnswers);
-        }
-    }
-
     /** Returns all events that can happen next. */
     List<ScenarioEvent> possibleEvents() {
         List<ScenarioEvent> events = new ArrayList<>();
@@ -211,7 +134,7 @@
     }
 
     private void addClientEvents(List<ScenarioEvent> events) {
-        if (disconnected || !finalAnswers.isEmpty()) {
+        if (listener.isClientDisconnected() || listener.isAnswered()) {
             return;
         }
         events.add(ScenarioEvent.of(EventType.CLIENT_DISCONNECTED));
@@ -323,7 +246,7 @@
     }
 
     private void disconnect() {
-        disconnected = finalAnswers.isEmpty();
+        listener.clientDisconnects();
         manager.clientDisconnected(id);
         attemptsUntilDisconnect = backend.startedAttempts.size();
     }
@@ -360,7 +283,7 @@
                 .forEach((number, count) -> assertEquals(1, count, "outcomes of attempt " + number));
         assertTrue(backend.startedAttempts.size() <= MAX_ATTEMPTS, "more attempts than allowed");
         assertTrue(
-                !disconnected || backend.startedAttempts.size() == attemptsUntilDisconnect,
+                !listener.isClientDisconnected() || backend.startedAttempts.size() == attemptsUntilDisconnect,
                 "an attempt was started after the client disconnected");
         backend.startedAttempts.forEach(this::checkInvariants);
         assertTrue(
@@ -374,17 +297,17 @@
                 rogue || idempotency != Idempotency.NON_IDEMPOTENT || !started.followsWrittenAttempt,
                 "a non-idempotent request was repeated");
         assertTrue(
-                !disconnected || !started.responseStarted || started.attempt.isCompleted(),
+                !listener.isClientDisconnected() || !started.responseStarted || started.attempt.isCompleted(),
                 "responds to a client that has disconnected");
         assertTrue(
-                !disconnected || started.attempt.isWritten() || started.attempt.isCompleted(),
+                !listener.isClientDisconnected() || started.attempt.isWritten() || started.attempt.isCompleted(),
                 "an attempt waits to be written though its client has disconnected");
     }
 
     /** Lets everything come to its end, and checks that nothing is left. */
     void settle() {
         scheduler.catchUp();
-        if (!body.isComplete() && !disconnected && finalAnswers.isEmpty()) {
+        if (!body.isComplete() && !listener.isClientDisconnected() && !listener.isAnswered()) {
             body.complete();
         }
         for (int i = 0; i < backend.startedAttempts.size(); i++) {
@@ -396,7 +319,8 @@
             backend.startedAttempts.get(i).attempt.connectionLost();
         }
         checkInvariants();
-        assertEquals(disconnected ? 0 : 1, finalAnswers.size(), "final answers");
+        assertEquals(
+                listener.isClientDisconnected() ? 0 : 1, listener.finalAnswers().size(), "final answers");
         assertEquals(
                 policyFactory.forwardCount(),
                 policyFactory.outcomesByAttempt().size(),
@@ -409,9 +333,9 @@
     String describeState() {
         StringBuilder text = new StringBuilder()
                 .append(manager.states())
-                .append(finalAnswers)
-                .append(responseStarted)
-                .append(disconnected)
+                .append(listener.finalAnswers())
+                .append(listener.isResponseStarted())
+                .append(listener.isClientDisconnected())
                 .append(bodyDropped)
                 .append(settingsChanged)
                 .append(stopped)
