--- a/policy/src/test/java/topazvalve/policy/RecordingHost.java
+++ b/policy/src/test/java/topazvalve/policy/RecordingHost.java
@@ -33,6 +33,12 @@
         return new RequestClass(500 * MS, 0, 1_000 * MS, 1, 0, idempotency, scope, 700 * MS, false);
     }
 
+    /** Returns a non-idempotent class whose latency objective has this many milliseconds. */
+    static RequestClass withObjective(long ms) {
+        return new RequestClass(
+                ms * MS, 0, 1_000 * MS, 1, 0, NON_IDEMPOTENT.idempotency(), NON_IDEMPOTENT.keyScope(), 0, false);
+    }
+
     /** Creates a host with these classes, the default settings and a fixed seed. */
     static RecordingHost host(RequestClass... classes) {
         return new RecordingHost(settings(classes), 7);
