--- a/sidecar/src/test/java/topazvalve/sidecar/DiscoveryRelaysTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/DiscoveryRelaysTest.java
@@ -4,10 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static topazvalve.sidecar.DiscoveryFixture.CHUNKED;
+import static topazvalve.sidecar.DiscoveryFixture.chunk;
 
-import io.netty.channel.EventLoop;
-import io.netty.channel.MultiThreadIoEventLoopGroup;
-import io.netty.channel.nio.NioIoHandler;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
@@ -18,32 +17,21 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import topazvalve.core.endpoint.Endpoint;
 import topazvalve.discovery.client.DiscoveryClient;
 import topazvalve.discovery.client.EndpointUpdate;
 import topazvalve.discovery.client.RelaySelector;
 import topazvalve.discovery.state.VersionVector;
 import topazvalve.policy.UpdateKind;
+import topazvalve.sidecar.DiscoveryFixture.Notification;
 import topazvalve.toml.InvalidFileException;
 
 /** {@link DiscoveryClient} with relays: failover, the versions that it sends and checks, and the operators' file. */
 class DiscoveryRelaysTest {
-    private static final String CHUNKED = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    private static final InetSocketAddress UNUSED_ADDRESS = new InetSocketAddress("127.0.0.1", 1);
-
-    private record Notification(UpdateKind kind, List<Endpoint> endpoints) {}
-
-    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final EventLoop loop = group.next();
-    private final BlockingQueue<Notification> notifications = new LinkedBlockingQueue<>();
+    private final DiscoveryFixture fixture = new DiscoveryFixture();
 
     @AfterEach
-    void end() {
-        group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
-    }
-
-    private static String chunk(String text) {
-        return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
+    void shutDownEventLoop() {
+        fixture.close();
     }
 
     private static String update(long rev, boolean all, String versions, String state) {
@@ -66,14 +54,8 @@
         }
         RelaySelector of =
                 new RelaySelector(order, RelaySelector.of("n", order, 1).failover());
-        DiscoveryClient discovery = new DiscoveryClient(
-                loop,
-                UNUSED_ADDRESS,
-                known,
-                null,
-                of,
-                (kind, targets) -> notifications.add(new Notification(kind, targets)));
-        loop.execute(() -> discovery.watch(true));
+        DiscoveryClient discovery = fixture.client(known, of);
+        fixture.loop.execute(() -> discovery.watch(true));
         return discovery;
     }
 
@@ -82,11 +64,11 @@
         try (StubServer first = relaySending(update(41, true, "eu:1.41", "SERVING"));
                 StubServer second = relaySending(update(42, false, "eu:1.42", "DRAINING"))) {
             subscribedClient(EndpointUpdate.NONE, first, second);
-            assertEquals(UpdateKind.FULL, StubServer.awaitNext(notifications).kind);
+            assertEquals(UpdateKind.FULL, fixture.awaitNotification().kind());
             assertTrue(
                     StubServer.awaitNext(first.receivedHeads).contains("?watch=1&from=0 "), "no version is known yet");
             first.stop();
-            assertEquals(UpdateKind.DELTA, StubServer.awaitNext(notifications).kind, "no failure is notified");
+            assertEquals(UpdateKind.DELTA, fixture.awaitNotification().kind(), "no failure is notified");
             String head = StubServer.awaitNext(second.receivedHeads);
             assertTrue(head.contains("?watch=1&from=41&versions=eu:1.41 "), head);
         }
@@ -98,16 +80,16 @@
                 StubServer older = relaySending(update(899, true, "eu:2.899", "SERVING"));
                 StubServer third = relaySending(update(5, false, "eu:3.5", "SERVING"))) {
             DiscoveryClient discovery = subscribedClient(EndpointUpdate.NONE, first, older, third);
-            assertEquals(UpdateKind.FULL, StubServer.awaitNext(notifications).kind);
+            assertEquals(UpdateKind.FULL, fixture.awaitNotification().kind());
             first.stop();
             assertEquals(
                     UpdateKind.DELTA,
-                    StubServer.awaitNext(notifications).kind,
+                    fixture.awaitNotification().kind(),
                     "the update of the third relay, not the second");
             StubServer.awaitNext(older.receivedHeads);
             assertEquals(
                     VersionVector.parse("eu:3.5"),
-                    loop.submit(discovery::versions).get());
+                    fixture.loop.submit(discovery::versions).get());
         }
     }
 
@@ -121,7 +103,7 @@
                 });
                 StubServer next = relaySending(chunk("\n"))) {
             subscribedClient(EndpointUpdate.NONE, silent, next);
-            assertEquals(UpdateKind.DELTA, StubServer.awaitNext(notifications).kind);
+            assertEquals(UpdateKind.DELTA, fixture.awaitNotification().kind());
             StubServer.awaitNext(next.receivedHeads);
             assertTrue(
                     System.nanoTime() - heartbeatNanos.remove() >= TimeUnit.SECONDS.toNanos(2),
@@ -136,7 +118,7 @@
                         StubServer.reply(socket, "503 Service Unavailable", "Retry-After: 2\r\n", ""));
                 StubServer next = relaySending(update(41, true, "eu:1.41", "SERVING"))) {
             subscribedClient(EndpointUpdate.NONE, full, next);
-            assertEquals(UpdateKind.FULL, StubServer.awaitNext(notifications).kind);
+            assertEquals(UpdateKind.FULL, fixture.awaitNotification().kind());
             StubServer.awaitNext(full.receivedHeads);
             StubServer.awaitNext(next.receivedHeads);
         }
@@ -155,9 +137,9 @@
             return true;
         })) {
             DiscoveryClient discovery = subscribedClient(new EndpointUpdate(41, true, List.of()), relay);
-            assertEquals(new Notification(UpdateKind.DELTA, List.of()), StubServer.awaitNext(notifications));
+            assertEquals(new Notification(UpdateKind.DELTA, List.of()), fixture.awaitNotification());
             assertEquals(4, asked.size());
-            assertEquals(41, loop.submit(discovery::revision).get());
+            assertEquals(41, fixture.loop.submit(discovery::revision).get());
         }
     }
 
@@ -168,11 +150,7 @@
             subscribedClient(EndpointUpdate.NONE, odd, next);
             assertEquals(
                     "DRAINING",
-                    StubServer.awaitNext(notifications)
-                            .endpoints
-                            .get(0)
-                            .status()
-                            .name());
+                    fixture.awaitNotification().endpoints().get(0).status().name());
         }
     }
 
