--- a/sidecar/src/test/java/topazvalve/sidecar/AdminTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/AdminTest.java
@@ -4,6 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static topazvalve.sidecar.FrontendTestHelper.respondAfter;
+import static topazvalve.sidecar.FrontendTestHelper.sendAndAwaitForwarded;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -85,8 +87,7 @@
     @Test
     void everyMetricStartsAtZeroAndCountsEvents() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        StubServer.Responder afterRelease =
-                StubServer.afterRelease(release, (socket, head) -> StubServer.reply(socket, "200 OK", "", "x"));
+        StubServer.Responder afterRelease = respondAfter(release, "x");
         try (StubServer server = new StubServer((socket, head) -> switch (StubServer.header(head, "Req-Id")) {
                     case "held" -> afterRelease.respond(socket, head);
                     case "9b1f" -> StubServer.reply(socket, "500 No", "", "");
@@ -139,8 +140,7 @@
     void ejectedEndpointIsCounted() throws Exception {
         try (StubServer dead = StubServer.respondingWith("x");
                 StubServer alive = StubServer.respondingWith("y");
-                SidecarFixture sidecar = SidecarFixture.startWith(dead, alive)) {
-            dead.stop();
+                SidecarFixture sidecar = SidecarFixture.startWithStopped(dead, alive)) {
             for (int i = 0; i < 4; i++) {
                 assertEquals(
                         "y", sidecar.send(SidecarFixture.lookRequest("a" + i)).body());
@@ -155,15 +155,13 @@
     @Test
     void lameDuckStillServesAndCanBeTurnedOff() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        try (StubServer server = new StubServer(StubServer.afterRelease(
-                        release, (socket, head) -> StubServer.reply(socket, "200 OK", "", "x")));
+        try (StubServer server = new StubServer(respondAfter(release, "x"));
                 SidecarFixture sidecar = SidecarFixture.startWith(server);
                 SidecarFixture.TestClient idle = new SidecarFixture.TestClient(sidecar.address);
                 SidecarFixture.TestClient busy = new SidecarFixture.TestClient(sidecar.address)) {
             sidecar.loop.submit(sidecar.lifecycle::markStarted).sync();
             assertEquals(200, idle.send(SidecarFixture.UP_REQUEST).status());
-            StubServer.write(busy.socket, SidecarFixture.lookRequest("a"));
-            StubServer.awaitNext(server.receivedHeads);
+            sendAndAwaitForwarded(busy, SidecarFixture.lookRequest("a"), server);
             setLameDuck(sidecar, true);
             assertEquals(503, sidecar.send(SidecarFixture.UP_REQUEST).status());
             assertEquals(-1, idle.socket.getInputStream().read(), "an idle connection is closed");
@@ -187,9 +185,7 @@
     @Test
     void pipelinedRequestsAreAnsweredBeforeALameDuckCloses() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        try (StubServer server = new StubServer(StubServer.afterRelease(
-                        release,
-                        (socket, head) -> StubServer.reply(socket, "200 OK", "", StubServer.header(head, "Req-Id"))));
+        try (StubServer server = new StubServer(StubServer.afterRelease(release, FrontendTestHelper::echoId));
                 SidecarFixture sidecar = SidecarFixture.startWith(server);
                 SidecarFixture.TestClient client = new SidecarFixture.TestClient(sidecar.address)) {
             StubServer.write(client.socket, SidecarFixture.lookRequest("a") + SidecarFixture.lookRequest("b"));
--- a/sidecar/src/test/java/topazvalve/sidecar/DiscoveryFixture.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/DiscoveryFixture.java
@@ -43,6 +43,15 @@
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
+    /** Sends one heartbeat on each watch and then nothing more; adds the times before them, in nanoseconds. */
+    static StubServer.Responder oneHeartbeat(BlockingQueue<Long> sentNanos) {
+        return (socket, head) -> {
+            sentNanos.add(System.nanoTime());
+            StubServer.write(socket, CHUNKED + chunk("\n"));
+            return true;
+        };
+    }
+
     /** Waits for the next notification. */
     Notification awaitNotification() throws InterruptedException {
         return StubServer.awaitNext(notifications);
--- a/sidecar/src/test/java/topazvalve/sidecar/DiscoveryRelaysTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/DiscoveryRelaysTest.java
@@ -6,6 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static topazvalve.sidecar.DiscoveryFixture.CHUNKED;
 import static topazvalve.sidecar.DiscoveryFixture.chunk;
+import static topazvalve.sidecar.DiscoveryFixture.oneHeartbeat;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -96,11 +97,7 @@
     @Test
     void anIdleRelayIsLeftForTheNext() throws Exception {
         BlockingQueue<Long> heartbeatNanos = new LinkedBlockingQueue<>();
-        try (StubServer silent = new StubServer((socket, head) -> {
-                    heartbeatNanos.add(System.nanoTime());
-                    StubServer.write(socket, CHUNKED + chunk("\n"));
-                    return true;
-                });
+        try (StubServer silent = new StubServer(oneHeartbeat(heartbeatNanos));
                 StubServer next = relaySending(chunk("\n"))) {
             subscribedClient(EndpointUpdate.NONE, silent, next);
             assertEquals(UpdateKind.DELTA, fixture.awaitNotification().kind());
--- a/sidecar/src/test/java/topazvalve/sidecar/DiscoveryTimeoutTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/DiscoveryTimeoutTest.java
@@ -5,6 +5,7 @@
 import static topazvalve.sidecar.DiscoveryFixture.CHUNKED;
 import static topazvalve.sidecar.DiscoveryFixture.chunk;
 import static topazvalve.sidecar.DiscoveryFixture.entry;
+import static topazvalve.sidecar.DiscoveryFixture.oneHeartbeat;
 
 import java.io.IOException;
 import java.net.Socket;
@@ -31,11 +32,7 @@
     @Test
     void idleWatchIsResubscribedWithoutNotifyingAFailure() throws Exception {
         BlockingQueue<Long> heartbeatNanos = new LinkedBlockingQueue<>();
-        try (StubServer stub = new StubServer((socket, head) -> {
-            heartbeatNanos.add(System.nanoTime());
-            StubServer.write(socket, CHUNKED + chunk("\n"));
-            return true;
-        })) {
+        try (StubServer stub = new StubServer(oneHeartbeat(heartbeatNanos))) {
             DiscoveryClient discovery = fixture.client(stub);
             fixture.loop.execute(() -> discovery.watch(true));
             StubServer.awaitNext(stub.receivedHeads);
--- a/sidecar/src/test/java/topazvalve/sidecar/DrainTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/DrainTest.java
@@ -4,6 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static topazvalve.sidecar.FrontendTestHelper.respondAfter;
+import static topazvalve.sidecar.FrontendTestHelper.sendAndAwaitForwarded;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
@@ -64,15 +66,12 @@
     @Test
     void shutdownAnswersInFlightRequestsAndClosesConnections() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        StubServer.Responder held =
-                StubServer.afterRelease(release, (socket, head) -> StubServer.reply(socket, "200 OK", "", "late"));
-        try (StubServer server = new StubServer(held);
+        try (StubServer server = new StubServer(respondAfter(release, "late"));
                 SidecarFixture sidecar = SidecarFixture.startWith(server);
                 SidecarFixture.TestClient busy = new SidecarFixture.TestClient(sidecar.address);
                 SidecarFixture.TestClient idle = new SidecarFixture.TestClient(sidecar.address)) {
             assertEquals(503, idle.send(SidecarFixture.UP_REQUEST).status());
-            StubServer.write(busy.socket, SidecarFixture.lookRequest("a"));
-            StubServer.awaitNext(server.receivedHeads);
+            sendAndAwaitForwarded(busy, SidecarFixture.lookRequest("a"), server);
             sidecar.loop
                     .submit(() -> sidecar.lifecycle.shutDown(Long.MAX_VALUE / 2))
                     .sync();
--- a/sidecar/src/test/java/topazvalve/sidecar/FrontendTestHelper.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/FrontendTestHelper.java
@@ -5,6 +5,7 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
+import java.net.Socket;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
@@ -20,14 +21,29 @@
 
     /** Answers each request with 200 and this body, but not before {@code release} is counted down. */
     static StubServer.Responder respondAfter(CountDownLatch release, String body) {
-        return (socket, head) -> {
+        return StubServer.afterRelease(release, (socket, head) -> StubServer.reply(socket, "200 OK", "", body));
+    }
+
+    /** Answers a request with 200 and its id as the body. */
+    static boolean echoId(Socket socket, String head) throws IOException {
+        return StubServer.reply(socket, "200 OK", "", StubServer.header(head, "Req-Id"));
+    }
+
+    /** Sends a request, and waits until the server has received one; returns the head that the server received. */
+    static String sendAndAwaitForwarded(TestClient client, String request, StubServer upstream) throws Exception {
+        StubServer.write(client.socket, request);
+        return StubServer.awaitNext(upstream.receivedHeads);
+    }
+
+    /** Writes on a thread of its own, since the connection may not take everything at once. */
+    static void writeInBackground(TestClient client, String text) {
+        StubServer.startDaemonThread(() -> {
             try {
-                return release.await(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS)
-                        && StubServer.reply(socket, "200 OK", "", body);
-            } catch (InterruptedException e) {
-                throw new IOException(e);
+                StubServer.write(client.socket, text);
+            } catch (IOException e) {
+                throw new AssertionError(e);
             }
-        };
+        });
     }
 
     /** Waits until the sidecar has this many open requests. */
--- a/sidecar/src/test/java/topazvalve/sidecar/HttpConnectionTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/HttpConnectionTest.java
@@ -87,14 +87,19 @@
         outcomes.add(outcome);
     }
 
+    /** A server that answers each request with 200, and adds the socket that the request came on. */
+    private static StubServer respondingAndRecording(BlockingQueue<Socket> sockets) {
+        return new StubServer((socket, head) -> {
+            sockets.add(socket);
+            return StubServer.reply(socket, "200 OK", "", "x");
+        });
+    }
+
     /** A late second response closes its idle connection, and a waiting attempt gets another one. */
     @Test
     void lateSecondResponseIsNotTakenForTheNextRequests() throws Exception {
         BlockingQueue<Socket> sockets = new LinkedBlockingQueue<>();
-        try (StubServer server = new StubServer((socket, head) -> {
-            sockets.add(socket);
-            return StubServer.reply(socket, "200 OK", "", "x");
-        })) {
+        try (StubServer server = respondingAndRecording(sockets)) {
             ConnectionPools<UpstreamRequest, UpstreamResponse> pools =
                     newPools(server.address(), TIMEOUT_NANOS, 10, TIMEOUT_NANOS);
             send(pools);
@@ -119,10 +124,7 @@
     @Test
     void connectionIsReusedAfterItsReuseDelay() throws Exception {
         BlockingQueue<Socket> sockets = new LinkedBlockingQueue<>();
-        try (StubServer server = new StubServer((socket, head) -> {
-            sockets.add(socket);
-            return StubServer.reply(socket, "200 OK", "", "x");
-        })) {
+        try (StubServer server = respondingAndRecording(sockets)) {
             ConnectionPools<UpstreamRequest, UpstreamResponse> pools =
                     newPools(server.address(), TIMEOUT_NANOS, 10, 50_000_000);
             send(pools);
--- a/sidecar/src/test/java/topazvalve/sidecar/HttpFrontendTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/HttpFrontendTest.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static topazvalve.sidecar.FrontendTestHelper.respondAfter;
+import static topazvalve.sidecar.FrontendTestHelper.sendAndAwaitForwarded;
 import static topazvalve.sidecar.SidecarFixture.lookRequest;
 import static topazvalve.sidecar.SidecarFixture.postRequest;
 
@@ -51,9 +52,7 @@
 
     @Test
     void pipelinedRequestsAreAnsweredInOrder() throws Exception {
-        StubServer.Responder echoId =
-                (socket, head) -> StubServer.reply(socket, "200 OK", "", StubServer.header(head, "Req-Id"));
-        try (StubServer upstream = new StubServer(echoId);
+        try (StubServer upstream = new StubServer(FrontendTestHelper::echoId);
                 SidecarFixture sidecar = SidecarFixture.startWith(upstream);
                 TestClient client = new TestClient(sidecar.address)) {
             StubServer.write(client.socket, lookRequest("a") + lookRequest("b") + lookRequest("c"));
@@ -146,8 +145,7 @@
         try (StubServer upstream = new StubServer(respondAfter(release, "own"));
                 SidecarFixture sidecar = SidecarFixture.startWith(upstream);
                 TestClient first = new TestClient(sidecar.address)) {
-            StubServer.write(first.socket, lookRequest("a"));
-            StubServer.awaitNext(upstream.receivedHeads);
+            sendAndAwaitForwarded(first, lookRequest("a"), upstream);
             assertEquals(409, sidecar.send(lookRequest("a")).status());
             release.countDown();
             assertEquals("own", first.readResponse().body());
--- a/sidecar/src/test/java/topazvalve/sidecar/LargeBodyTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/LargeBodyTest.java
@@ -7,6 +7,7 @@
 import static topazvalve.sidecar.ChunkedEncoding.chunk;
 import static topazvalve.sidecar.ChunkedEncoding.readChunked;
 import static topazvalve.sidecar.FrontendTestHelper.startWithMinimalBudget;
+import static topazvalve.sidecar.FrontendTestHelper.writeInBackground;
 import static topazvalve.sidecar.SidecarFixture.lookRequest;
 import static topazvalve.sidecar.SidecarFixture.postRequest;
 
@@ -59,17 +60,11 @@
                         };
                 SidecarFixture sidecar = startWithMinimalBudget(upstream);
                 TestClient client = new TestClient(sidecar.address)) {
-            StubServer.startDaemonThread(() -> {
-                try {
-                    StubServer.write(
-                            client.socket,
-                            postWith(CHUNKED_HEADER) + chunk(LARGE_BODY.substring(0, 70_000))
-                                    + chunk(LARGE_BODY.substring(70_000)) + "0\r\nX-Sum: 1\r\n\r\n"
-                                    + lookRequest("next"));
-                } catch (IOException e) {
-                    throw new AssertionError(e);
-                }
-            });
+            writeInBackground(
+                    client,
+                    postWith(CHUNKED_HEADER) + chunk(LARGE_BODY.substring(0, 70_000))
+                            + chunk(LARGE_BODY.substring(70_000)) + "0\r\nX-Sum: 1\r\n\r\n"
+                            + lookRequest("next"));
             for (int i = 0; i < 2; i++) {
                 String head = client.readHead();
                 assertEquals("chunked", StubServer.header(head, "Transfer-Encoding"));
--- a/sidecar/src/test/java/topazvalve/sidecar/PipeliningTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/PipeliningTest.java
@@ -5,7 +5,9 @@
 import static topazvalve.sidecar.FrontendTestHelper.awaitOpenRequests;
 import static topazvalve.sidecar.FrontendTestHelper.pipelinedRequests;
 import static topazvalve.sidecar.FrontendTestHelper.respondAfter;
+import static topazvalve.sidecar.FrontendTestHelper.sendAndAwaitForwarded;
 import static topazvalve.sidecar.FrontendTestHelper.startWithMinimalBudget;
+import static topazvalve.sidecar.FrontendTestHelper.writeInBackground;
 import static topazvalve.sidecar.SidecarFixture.lookRequest;
 
 import java.io.IOException;
@@ -26,22 +28,14 @@
 
     @Test
     void manyPipelinedRequestsAreAnsweredInOrder() throws Exception {
-        StubServer.Responder echoId =
-                (socket, head) -> StubServer.reply(socket, "200 OK", "", StubServer.header(head, "Req-Id"));
-        try (StubServer upstream = new StubServer(echoId);
+        try (StubServer upstream = new StubServer(FrontendTestHelper::echoId);
                 SidecarFixture sidecar = SidecarFixture.startWith(upstream);
                 TestClient client = new TestClient(sidecar.address)) {
             StringBuilder requests = new StringBuilder();
             for (int i = 0; i < PIPELINED_REQUESTS; i++) {
                 requests.append(lookRequest("pipelined" + i));
             }
-            StubServer.startDaemonThread(() -> {
-                try {
-                    StubServer.write(client.socket, requests.toString());
-                } catch (IOException e) {
-                    throw new AssertionError(e);
-                }
-            });
+            writeInBackground(client, requests.toString());
             for (int i = 0; i < PIPELINED_REQUESTS; i++) {
                 assertEquals("pipelined" + i, client.readResponse().body());
             }
@@ -55,8 +49,8 @@
         try (StubServer upstream = new StubServer(respondAfter(release, "x"));
                 SidecarFixture sidecar = startWithMinimalBudget(upstream);
                 TestClient client = new TestClient(sidecar.address)) {
-            StubServer.write(client.socket, lookRequest("first"));
-            assertEquals("first", StubServer.header(StubServer.awaitNext(upstream.receivedHeads), "Req-Id"));
+            String first = sendAndAwaitForwarded(client, lookRequest("first"), upstream);
+            assertEquals("first", StubServer.header(first, "Req-Id"));
             String pipelined = pipelinedRequests(MORE_THAN_QUOTA_BYTES);
             StubServer.write(client.socket, pipelined);
             for (int i = 0; i < EVENT_LOOP_TURNS; i++) {
@@ -86,8 +80,7 @@
         try (StubServer upstream = new StubServer(respondAfter(never, "x"));
                 SidecarFixture sidecar = startWithMinimalBudget(upstream);
                 TestClient client = new TestClient(sidecar.address)) {
-            StubServer.write(client.socket, lookRequest("first"));
-            StubServer.awaitNext(upstream.receivedHeads);
+            sendAndAwaitForwarded(client, lookRequest("first"), upstream);
             StubServer.startDaemonThread(() -> {
                 try {
                     while (true) {
@@ -111,8 +104,7 @@
                 SidecarFixture sidecar = startWithMinimalBudget(upstream);
                 TestClient client = new TestClient(sidecar.address)) {
             String request = lookRequest("last").replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n");
-            StubServer.write(client.socket, request + "x".repeat(MORE_THAN_ONE_READ_BYTES));
-            StubServer.awaitNext(upstream.receivedHeads);
+            sendAndAwaitForwarded(client, request + "x".repeat(MORE_THAN_ONE_READ_BYTES), upstream);
             release.countDown();
             assertEquals(200, client.readResponse().status());
             assertEquals(-1, client.in.read(), "ended in order, not reset");
--- a/sidecar/src/test/java/topazvalve/sidecar/RequestForwardingTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/RequestForwardingTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static topazvalve.sidecar.FrontendTestHelper.sendAndAwaitForwarded;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.netty.buffer.ByteBuf;
@@ -75,8 +76,7 @@
         try (StubServer silent = new StubServer((socket, head) -> true);
                 SidecarFixture sidecar = SidecarFixture.startWith(silent)) {
             try (SidecarFixture.TestClient client = new SidecarFixture.TestClient(sidecar.address)) {
-                StubServer.write(client.socket, SidecarFixture.lookRequest("a"));
-                StubServer.awaitNext(silent.receivedHeads);
+                sendAndAwaitForwarded(client, SidecarFixture.lookRequest("a"), silent);
             }
             StubServer.awaitNext(silent.closedConnections);
         }
@@ -133,15 +133,14 @@
     @Test
     void clientErrorsDoNotEjectAServer() throws Exception {
         StubServer.Responder wrong = (socket, head) -> StubServer.reply(socket, "422 Unprocessable Content", "", "qty");
-        try (StubServer one = new StubServer(wrong);
-                StubServer two = new StubServer(wrong);
-                SidecarFixture sidecar = SidecarFixture.startWith(one, two)) {
+        try (TwoServerFixture servers = new TwoServerFixture(wrong)) {
+            SidecarFixture sidecar = servers.sidecar;
             for (int i = 0; i < 50; i++) {
                 SidecarFixture.ClientResponse response = sidecar.send(SidecarFixture.lookRequest("w" + i));
                 assertEquals(422, response.status());
                 assertEquals("qty", response.body());
             }
-            assertEquals(50, one.receivedHeads.size() + two.receivedHeads.size());
+            assertEquals(50, servers.receivedRequests());
             assertTrue(sidecar.loop
                     .submit(() -> sidecar.metrics.text(sidecar.exchanges))
                     .get()
--- a/sidecar/src/test/java/topazvalve/sidecar/RetryTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/RetryTest.java
@@ -13,8 +13,7 @@
     void nonIdempotentRequestIsRetriedAfterARefusedConnection() throws Exception {
         try (StubServer gone = StubServer.respondingWith("x");
                 StubServer server = StubServer.respondingWith("y");
-                SidecarFixture sidecar = SidecarFixture.startWith(gone, server)) {
-            gone.stop();
+                SidecarFixture sidecar = SidecarFixture.startWithStopped(gone, server)) {
             for (int i = 0; i < 4; i++) {
                 String request = SidecarFixture.postRequest("book", "", "b" + i).replace("9b1f", "9b1f" + i);
                 assertEquals("y", sidecar.send(request).body());
@@ -39,15 +38,14 @@
                 }
                 return how.equals("reset") && StubServer.reset(socket);
             };
-            try (StubServer one = new StubServer(script);
-                    StubServer two = new StubServer(script);
-                    SidecarFixture sidecar = SidecarFixture.startWith(one, two)) {
+            try (TwoServerFixture servers = new TwoServerFixture(script)) {
                 assertEquals(
                         502,
-                        sidecar.send(SidecarFixture.postRequest("book", "", "b"))
+                        servers.sidecar
+                                .send(SidecarFixture.postRequest("book", "", "b"))
                                 .status(),
                         how);
-                assertEquals(1, one.receivedHeads.size() + two.receivedHeads.size(), how);
+                assertEquals(1, servers.receivedRequests(), how);
             }
         }
     }
@@ -58,12 +56,11 @@
         StubServer.Responder script = (socket, head) -> StubServer.reset(socket);
         for (String request : List.of(
                 SidecarFixture.lookRequest("a"), SidecarFixture.postRequest("hold", "Idempotency-Key: 1\r\n", "b"))) {
-            try (StubServer one = new StubServer(script);
-                    StubServer two = new StubServer(script);
-                    SidecarFixture sidecar = SidecarFixture.startWith(one, two)) {
-                assertEquals(503, sidecar.send(request).status(), "every server was tried; the client may retry");
-                assertEquals(1, one.receivedHeads.size());
-                assertEquals(1, two.receivedHeads.size());
+            try (TwoServerFixture servers = new TwoServerFixture(script)) {
+                assertEquals(
+                        503, servers.sidecar.send(request).status(), "every server was tried; the client may retry");
+                assertEquals(1, servers.one.receivedHeads.size());
+                assertEquals(1, servers.two.receivedHeads.size());
             }
         }
     }
@@ -72,14 +69,12 @@
     @Test
     void declinedNonIdempotentRequestIsRetried() throws Exception {
         StubServer.Responder declines = (socket, head) -> StubServer.reply(socket, "503 No", "Srv-Declined: 1\r\n", "");
-        try (StubServer one = new StubServer(declines);
-                StubServer two = new StubServer(declines);
-                SidecarFixture sidecar = SidecarFixture.startWith(one, two)) {
-            SidecarFixture.ClientResponse response = sidecar.send(SidecarFixture.postRequest("book", "", "b"));
+        try (TwoServerFixture servers = new TwoServerFixture(declines)) {
+            SidecarFixture.ClientResponse response = servers.sidecar.send(SidecarFixture.postRequest("book", "", "b"));
             assertEquals(503, response.status());
             assertEquals("0.750", StubServer.header(response.head(), "Retry-After"), "the policy's backoff");
-            assertEquals(1, one.receivedHeads.size());
-            assertEquals(1, two.receivedHeads.size());
+            assertEquals(1, servers.one.receivedHeads.size());
+            assertEquals(1, servers.two.receivedHeads.size());
         }
     }
 }
--- a/sidecar/src/test/java/topazvalve/sidecar/SidecarFixture.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/SidecarFixture.java
@@ -93,6 +93,13 @@
         return new SidecarFixture(configJson(servers));
     }
 
+    /** Starts a sidecar whose first server refuses connections. */
+    static SidecarFixture startWithStopped(StubServer stopped, StubServer running) throws Exception {
+        SidecarFixture sidecar = startWith(stopped, running);
+        stopped.stop();
+        return sidecar;
+    }
+
     /** Reads and validates a configuration. */
     static Config config(ObjectNode json) throws IOException {
         return Config.of(JsonReader.read(json.toString()));
