--- a/sidecar/src/test/java/topazvalve/sidecar/DrainTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/DrainTest.java
@@ -4,6 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static topazvalve.sidecar.FrontendTestHelper.respondAfter;
+import static topazvalve.sidecar.FrontendTestHelper.sendAndAwaitForwarded;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
@@ -51,30 +53,25 @@
 
     /** Discovery whose watch sends one line once released, and ends after that. */
     private static StubServer.Responder watchSending(String line, CountDownLatch release) {
-        StubServer.Responder sendLine = StubServer.afterRelease(release, (socket, head) -> {
+        return (socket, head) -> {
+            StubServer.write(socket, "HTTP/1.1 200 OK\r\n" + ChunkedEncoding.CHUNKED_HEADER + "\r\n");
+            StubServer.sendHeartbeatsUntil(release, socket);
             if (head.contains("from=41 ")) {
-                StubServer.write(socket, Integer.toHexString(line.length()) + "\r\n" + line + "\r\n");
+                StubServer.write(socket, ChunkedEncoding.chunk(line));
             }
             return false;
-        });
-        return (socket, head) -> {
-            StubServer.write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            return sendLine.respond(socket, head);
         };
     }
 
     @Test
     void shutdownAnswersInFlightRequestsAndClosesConnections() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        StubServer.Responder held =
-                StubServer.afterRelease(release, (socket, head) -> StubServer.reply(socket, "200 OK", "", "late"));
-        try (StubServer server = new StubServer(held);
+        try (StubServer server = new StubServer(respondAfter(release, "late"));
                 SidecarFixture sidecar = SidecarFixture.startWith(server);
                 SidecarFixture.TestClient busy = new SidecarFixture.TestClient(sidecar.address);
                 SidecarFixture.TestClient idle = new SidecarFixture.TestClient(sidecar.address)) {
             assertEquals(503, idle.send(SidecarFixture.UP_REQUEST).status());
-            StubServer.write(busy.socket, SidecarFixture.lookRequest("a"));
-            StubServer.awaitNext(server.receivedHeads);
+            sendAndAwaitForwarded(busy, SidecarFixture.lookRequest("a"), server);
             sidecar.loop
                     .submit(() -> sidecar.lifecycle.shutDown(Long.MAX_VALUE / 2))
                     .sync();
--- a/sidecar/src/test/java/topazvalve/sidecar/HttpConnectionTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/HttpConnectionTest.java
@@ -87,14 +87,19 @@
         outcomes.add(outcome);
     }
 
+    /** A server that answers each request with 200, and adds the socket that the request came on. */
+    private static StubServer respondingAndRecording(BlockingQueue<Socket> sockets) {
+        return new StubServer((socket, head) -> {
+            sockets.add(socket);
+            return StubServer.reply(socket, "200 OK", "", "x");
+        });
+    }
+
     /** A late second response closes its idle connection, and a waiting attempt gets another one. */
     @Test
     void lateSecondResponseIsNotTakenForTheNextRequests() throws Exception {
         BlockingQueue<Socket> sockets = new LinkedBlockingQueue<>();
-        try (StubServer server = new StubServer((socket, head) -> {
-            sockets.add(socket);
-            return StubServer.reply(socket, "200 OK", "", "x");
-        })) {
+        try (StubServer server = respondingAndRecording(sockets)) {
             ConnectionPools<UpstreamRequest, UpstreamResponse> pools =
                     newPools(server.address(), TIMEOUT_NANOS, 10, TIMEOUT_NANOS);
             send(pools);
@@ -112,14 +117,14 @@
         }
     }
 
-    /** An attempt waits for a connection's reuse delay and opens no new one; a drain meanwhile ends the wait. */
+    /**
+     * An attempt waits for a connection's reuse delay and opens no new one; a drain meanwhile ends the wait, with a
+     * delay that can't have passed by then.
+     */
     @Test
     void connectionIsReusedAfterItsReuseDelay() throws Exception {
         BlockingQueue<Socket> sockets = new LinkedBlockingQueue<>();
-        try (StubServer server = new StubServer((socket, head) -> {
-            sockets.add(socket);
-            return StubServer.reply(socket, "200 OK", "", "x");
-        })) {
+        try (StubServer server = respondingAndRecording(sockets)) {
             ConnectionPools<UpstreamRequest, UpstreamResponse> pools =
                     newPools(server.address(), TIMEOUT_NANOS, 10, 50_000_000);
             send(pools);
@@ -127,9 +132,13 @@
             send(pools);
             assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
             assertEquals(StubServer.awaitNext(sockets), StubServer.awaitNext(sockets));
+            ConnectionPools<UpstreamRequest, UpstreamResponse> slowPools =
+                    newPools(server.address(), TIMEOUT_NANOS, 10, TIMEOUT_NANOS);
+            send(slowPools);
+            assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
             loop.submit(() -> {
-                        send(pools, 1, get("/api/x"), this::attemptCompleted);
-                        pools.endpointUpdated(1, server.address(), 0, false);
+                        send(slowPools, 1, get("/api/x"), this::attemptCompleted);
+                        slowPools.endpointUpdated(1, server.address(), 0, false);
                     })
                     .sync();
             assertEquals(Outcome.CONNECT_FAILED, StubServer.awaitNext(outcomes));
--- a/sidecar/src/test/java/topazvalve/sidecar/LargeBodyTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/LargeBodyTest.java
@@ -7,12 +7,14 @@
 import static topazvalve.sidecar.ChunkedEncoding.chunk;
 import static topazvalve.sidecar.ChunkedEncoding.readChunked;
 import static topazvalve.sidecar.FrontendTestHelper.startWithMinimalBudget;
+import static topazvalve.sidecar.FrontendTestHelper.writeInBackground;
 import static topazvalve.sidecar.SidecarFixture.lookRequest;
 import static topazvalve.sidecar.SidecarFixture.postRequest;
 
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.Socket;
+import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 import topazvalve.sidecar.SidecarFixture.ClientResponse;
 import topazvalve.sidecar.SidecarFixture.TestClient;
@@ -58,17 +60,11 @@
                         };
                 SidecarFixture sidecar = startWithMinimalBudget(upstream);
                 TestClient client = new TestClient(sidecar.address)) {
-            StubServer.startDaemonThread(() -> {
-                try {
-                    StubServer.write(
-                            client.socket,
-                            postWith(CHUNKED_HEADER) + chunk(LARGE_BODY.substring(0, 70_000))
-                                    + chunk(LARGE_BODY.substring(70_000)) + "0\r\nX-Sum: 1\r\n\r\n"
-                                    + lookRequest("next"));
-                } catch (IOException e) {
-                    throw new AssertionError(e);
-                }
-            });
+            writeInBackground(
+                    client,
+                    postWith(CHUNKED_HEADER) + chunk(LARGE_BODY.substring(0, 70_000))
+                            + chunk(LARGE_BODY.substring(70_000)) + "0\r\nX-Sum: 1\r\n\r\n"
+                            + lookRequest("next"));
             for (int i = 0; i < 2; i++) {
                 String head = client.readHead();
                 assertEquals("chunked", StubServer.header(head, "Transfer-Encoding"));
@@ -180,16 +176,20 @@
                 }
             });
             assertEquals(503, client.readResponse().status());
-            assertEquals(1, one.server.closedConnections.size() + two.server.closedConnections.size(), "one attempt");
+            assertEquals(1, one.attempts.get() + two.attempts.get(), "one attempt");
         }
     }
 
     /** A server that reads a part of a request's body and resets the connection. */
     private static final class ResettingServer implements AutoCloseable {
+        /** Counted before the reset, so that it is settled once the sidecar can have noticed that. */
+        private final AtomicInteger attempts = new AtomicInteger();
+
         private final StubServer server = new StubServer((socket, head) -> true) {
             @Override
             void readBody(Socket socket, InputStream in, String head) throws IOException {
                 in.readNBytes(1_000_000);
+                attempts.incrementAndGet();
                 StubServer.reset(socket);
                 throw new IOException("broken on purpose");
             }
