--- a/policy/src/main/java/topazvalve/policy/AdmissionController.java
+++ b/policy/src/main/java/topazvalve/policy/AdmissionController.java
@@ -16,12 +16,12 @@
         boolean first = request.attempts.isEmpty();
         if (now >= request.deadline || registry.ready().isEmpty() || request.allOverloaded) {
             attempts.answer(request);
-        } else if (first && !request.probed && limiter.sheds(now, request)) {
+        } else if (first && !request.probed && limiter.drawShedding(now, request)) {
             attempts.answer(request);
         } else if (request.probed || !probing.isEnabled() || !startProbing(now, request)) {
             if (first && now + Math.min(request.expectedTime, request.objective) / 2 >= request.objectiveAt) {
                 attempts.answer(request);
-            } else if (!queue.isEmpty() || !send(now, request)) {
+            } else if (!queue.isEmpty() || !trySend(now, request)) {
                 queue.enqueue(request);
                 scheduleQueueExpiry(now, request);
                 drainQueue(now);
@@ -31,7 +31,7 @@
 
     private boolean startProbing(long now, RequestState request) {
         List<EndpointState> candidates = rotation.inTurn()
-                .filter(endpoint -> mayTake(now, endpoint, request, false))
+                .filter(endpoint -> tryAdmit(now, endpoint, request, false))
                 .limit(LoadProbing.CANDIDATES)
                 .toList();
         return probing.start(now, request, candidates, (probed, at) -> admit(at, probed));
@@ -46,11 +46,11 @@
     }
 
     void drainQueue(long now) {
-        queue.drain(now, request -> send(now, request));
+        queue.drain(now, request -> trySend(now, request));
     }
 
-    private boolean send(long now, RequestState request) {
-        EndpointState endpoint = limiter.isFull(now, request) ? null : pick(now, request);
+    private boolean trySend(long now, RequestState request) {
+        EndpointState endpoint = limiter.releaseOverdueAndCheckFull(now, request) ? null : pick(now, request);
         if (endpoint != null) {
             attempts.send(now, request, endpoint);
             queue.requestSent(now, request);
@@ -62,23 +62,24 @@
         boolean allowed = request.attempts.isEmpty()
                 || request.mayRetry(now, context.settings().clockResolutionNanos());
         EndpointState endpoint = allowed ? pick(now, request, false) : null;
-        boolean allEjected =
-                endpoint == null && registry.ready().stream().noneMatch(each -> detector.mayTake(now, each, request));
+        boolean allEjected = endpoint == null
+                && registry.ready().stream().noneMatch(each -> detector.admitOrScheduleTrial(now, each, request));
         return allEjected && allowed ? pick(now, request, true) : endpoint; // a fault common to all ejects none
     }
 
     private EndpointState pick(long now, RequestState request, boolean ignoreOutliers) {
         return rotation.pick(
                 request.attempts.isEmpty(),
-                endpoint -> mayTake(now, endpoint, request, ignoreOutliers),
+                endpoint -> tryAdmit(now, endpoint, request, ignoreOutliers),
                 endpoint -> endpoint.takeTurn(detector.fractionOfTurns(now, endpoint, request)));
     }
 
-    private boolean mayTake(long now, EndpointState endpoint, RequestState request, boolean ignoreOutliers) {
+    /** Asks each condition in turn; detector and slow start also act, so the order of the conditions matters. */
+    private boolean tryAdmit(long now, EndpointState endpoint, RequestState request, boolean ignoreOutliers) {
         return (request.attempts.isEmpty() || request.mayUse(endpoint))
                 && endpoint.inFlight < Math.max(1, (int) endpoint.concurrencyLimit)
-                && (ignoreOutliers || detector.mayTake(now, endpoint, request))
+                && (ignoreOutliers || detector.admitOrScheduleTrial(now, endpoint, request))
                 && (ignoreOutliers || !probing.isOverloaded(endpoint, request))
-                && limiter.admitsWhileWarming(now, endpoint, request);
+                && limiter.refillTokensAndAdmit(now, endpoint, request);
     }
 }
--- a/policy/src/main/java/topazvalve/policy/ConcurrencyLimiter.java
+++ b/policy/src/main/java/topazvalve/policy/ConcurrencyLimiter.java
@@ -47,7 +47,8 @@
         endpoint.warmingTokens -= work(request);
     }
 
-    boolean sheds(long now, RequestState request) {
+    /** Draws at random whether to shed this request. */
+    boolean drawShedding(long now, RequestState request) {
         int factor = request.request.clientRetry() ? CLIENT_RETRY_FACTOR : 1;
         return context.random().nextDouble() < factor * shedFraction(now);
     }
@@ -57,13 +58,14 @@
         return 1 - served * served * served;
     }
 
-    boolean isFull(long now, RequestState request) {
-        double slowdown = (relativeTimes.value(now) + 1) / (responses.value(now) + 1);
-        double goodInFlight = requestedTime.rate(now) / Math.max(1, slowdown);
+    /** Takes attempts that are out for the shortest objective off the total, then compares it with the limit. */
+    boolean releaseOverdueAndCheckFull(long now, RequestState request) {
         long oldestCounted = now - estimator.shortestObjective();
         while (!started.isEmpty() && (started.peek().settled || started.peek().startedAt < oldestCounted)) {
             release(started.poll());
         }
+        double slowdown = (relativeTimes.value(now) + 1) / (responses.value(now) + 1);
+        double goodInFlight = requestedTime.rate(now) / Math.max(1, slowdown);
         double limit = 1 + goodInFlight + Math.sqrt(goodInFlight);
         return totalInFlight >= limit * (isNotOutranked(request) ? 1 : UNRESERVED_FRACTION);
     }
@@ -126,8 +128,8 @@
         return request.request.costHintNanos() > 0 ? request.request.costHintNanos() : request.expectedTime;
     }
 
-    /** A token bucket: a warming endpoint gets this sidecar's fraction of what it can do now. */
-    boolean admitsWhileWarming(long now, EndpointState endpoint, RequestState request) {
+    /** Refills the token bucket of a warming endpoint with this sidecar's fraction of what it can do, then asks it. */
+    boolean refillTokensAndAdmit(long now, EndpointState endpoint, RequestState request) {
         if (now >= endpoint.warmAt) {
             return true;
         }
--- a/policy/src/main/java/topazvalve/policy/EndpointRegistry.java
+++ b/policy/src/main/java/topazvalve/policy/EndpointRegistry.java
@@ -82,8 +82,8 @@
         boolean restarted = endpoint == null || info.startedAtNanos() > endpoint.info.startedAtNanos();
         if (restarted) {
             long startedAt = info.startedAtNanos() == 0 && listReceived ? now : info.startedAtNanos();
-            long slowStart = context.settings().limits().slowStartNanos();
-            long warmAt = startedAt > 0 ? startedAt + slowStart : now;
+            long warmAt =
+                    startedAt > 0 ? startedAt + context.settings().limits().slowStartNanos() : now;
             endpoint = new EndpointState(info, context.random().nextDouble(), now, warmAt);
             endpoints.put(info.id(), endpoint);
         }
--- a/policy/src/main/java/topazvalve/policy/OutlierDetector.java
+++ b/policy/src/main/java/topazvalve/policy/OutlierDetector.java
@@ -53,7 +53,8 @@
         return fast || endpoint.evidence.nextTrialAt > 0 ? 1 : Math.max(MIN_TURNS, Math.min(1, fraction));
     }
 
-    boolean mayTake(long now, EndpointState endpoint, RequestState request) {
+    /** Ejects or reinstates the endpoint by its evidence until now; an ejected one is admitted for a due trial only. */
+    boolean admitOrScheduleTrial(long now, EndpointState endpoint, RequestState request) {
         Evidence evidence = endpoint.evidence;
         evidence.integrate(now);
         if (!evidence.isOutlier(now, request.expectedTime, request.objective)) {
@@ -65,17 +66,17 @@
             evidence.backoff = estimator.shortestObjective();
             evidence.nextTrialAt = now + evidence.backoff;
         }
-        return now >= evidence.nextTrialAt && passedHealthCheck(endpoint);
+        return now >= evidence.nextTrialAt && admitTrialOrSendHealthCheck(endpoint);
     }
 
-    private boolean passedHealthCheck(EndpointState endpoint) {
+    private boolean admitTrialOrSendHealthCheck(EndpointState endpoint) {
         boolean required = context.settings().capabilities().healthChecks();
-        boolean passed = endpoint.evidence.trialAllowed || !required;
-        if (!passed && !endpoint.evidence.healthCheckOutstanding) {
+        boolean admitted = endpoint.evidence.trialAllowed || !required;
+        if (!admitted && !endpoint.evidence.healthCheckOutstanding) {
             endpoint.evidence.healthCheckOutstanding = true;
             context.actions().sendHealthCheck(endpoint.info.id());
         }
-        return passed;
+        return admitted;
     }
 
     boolean isEjected(long now, EndpointState endpoint) {
--- a/policy/src/main/java/topazvalve/policy/RandomizedRoundRobin.java
+++ b/policy/src/main/java/topazvalve/policy/RandomizedRoundRobin.java
@@ -25,21 +25,21 @@
                 permutation.stream().limit(pointer));
     }
 
-    /** The less busy of the pointed endpoint and the next, of those that may take the request; null if none may. */
-    EndpointState pick(boolean advance, Predicate<EndpointState> mayTake, Predicate<EndpointState> takesTurn) {
+    /** Picks the less busy of the pointed endpoint and the next, of those that pass {@code admit}; null if none. */
+    EndpointState pick(boolean advance, Predicate<EndpointState> admit, Predicate<EndpointState> takeTurn) {
         EndpointState pointed = null;
         EndpointState skipped = null;
         int start = pointer;
         for (int i = 0; i < permutation.size(); i++) {
             int index = (start + i) % permutation.size();
             EndpointState endpoint = permutation.get(index);
-            if (!mayTake.test(endpoint)) {
+            if (!admit.test(endpoint)) {
                 continue;
             }
             if (pointed != null) {
                 return endpoint.inFlightAndStreams() < pointed.inFlightAndStreams() ? endpoint : pointed;
             }
-            if (takesTurn.test(endpoint)) {
+            if (takeTurn.test(endpoint)) {
                 pointed = endpoint;
                 pointer = advance ? (index + 1) % permutation.size() : pointer;
             } else if (skipped == null) {
--- a/policy/src/main/java/topazvalve/policy/RequestState.java
+++ b/policy/src/main/java/topazvalve/policy/RequestState.java
@@ -46,8 +46,7 @@
     }
 
     long queueExpiresAt() {
-        return objectiveAt
-                - (long) (1.5 * Math.min(expectedTime, objective / 2.0)); // half of those queued longer would be late
+        return objectiveAt - (long) (1.5 * Math.min(expectedTime, objective / 2.0)); // half sent later are late
     }
 
     boolean isOutstanding(int attempt) {
--- a/policy/src/main/java/topazvalve/policy/ResponseTimeEstimator.java
+++ b/policy/src/main/java/topazvalve/policy/ResponseTimeEstimator.java
@@ -38,7 +38,8 @@
             return cost <= 0 || variance <= 0 ? mean : Math.max(mean / 4, mean + slope * (cost - meanCost));
         }
 
-        boolean isFirstRequest(long timeLeft, long tolerance) {
+        /** Counts this request's vote; true if its time left now marks a client's first request. */
+        boolean countVote(long timeLeft, long tolerance) {
             boolean common = Math.abs(timeLeft - commonTimeLeft) <= tolerance;
             votes = common ? Math.min(votes + 1, MAX_VOTES) : votes - 1;
             boolean replaced = votes < 0;
@@ -90,9 +91,10 @@
         return classes.get(request.requestClass()).expected(request.costHintNanos());
     }
 
-    long elapsedBefore(Request request) {
+    /** Learns from the time left what first requests have, and returns how long the client has waited before. */
+    long learnElapsedBefore(Request request) {
         long tolerance = 2 * context.settings().clockResolutionNanos();
-        boolean first = classes.get(request.requestClass()).isFirstRequest(request.timeLeftNanos(), tolerance);
+        boolean first = classes.get(request.requestClass()).countVote(request.timeLeftNanos(), tolerance);
         RequestClass settings = context.settings().requestClasses().get(request.requestClass());
         return first ? 0 : Math.max(0, settings.deadlineNanos() - request.timeLeftNanos());
     }
--- a/policy/src/main/java/topazvalve/policy/SidecarPolicy.java
+++ b/policy/src/main/java/topazvalve/policy/SidecarPolicy.java
@@ -13,7 +13,7 @@
     private final OutlierDetector detector;
     private final ConcurrencyLimiter limiter;
     private final LoadProbing probing;
-    private final RandomizedRoundRobin rotation;
+    private final RandomizedRoundRobin rotation = new RandomizedRoundRobin();
     private final AttemptTracker attempts;
     private final AdmissionController admission;
 
@@ -26,7 +26,6 @@
         detector = new OutlierDetector(context, estimator);
         limiter = new ConcurrencyLimiter(context, registry, estimator);
         probing = new LoadProbing(context, registry);
-        rotation = new RandomizedRoundRobin();
         attempts = new AttemptTracker(context, registry, detector, limiter, probing, new HashMap<>());
         TenantQuota queue = new TenantQuota(settings, limiter);
         admission = new AdmissionController(context, registry, rotation, detector, limiter, queue, probing, attempts);
@@ -67,7 +66,7 @@
         if (request.requestClass() >= settings.requestClasses().size()) {
             throw new UnknownRequestClassException(request.requestClass());
         }
-        long elapsed = estimator.elapsedBefore(request);
+        long elapsed = estimator.learnElapsedBefore(request);
         RequestState state = new RequestState(request, settings, elapsed, estimator.expected(request));
         state.bodyArriving = bodyArriving;
         attempts.requests().put(request.id(), state);
--- a/policy/src/main/java/topazvalve/policy/TenantQuota.java
+++ b/policy/src/main/java/topazvalve/policy/TenantQuota.java
@@ -80,8 +80,9 @@
     /** The newest request or, where there is no capacity for it, the newest of high priority. */
     private RequestState next(long now, TenantQueue tenant) {
         RequestState newest = tenant.queue.peek();
-        Predicate<RequestState> fits = limiter::isNotOutranked;
-        fits = newest.queued && limiter.isFull(now, newest) ? fits : any -> true;
-        return tenant.queue.stream().filter(fits).findFirst().orElse(newest);
+        if (!newest.queued || !limiter.releaseOverdueAndCheckFull(now, newest)) {
+            return newest;
+        }
+        return tenant.queue.stream().filter(limiter::isNotOutranked).findFirst().orElse(newest);
     }
 }
