--- a/cli/src/main/java/topazvalve/cli/CheckVerb.java
+++ b/cli/src/main/java/topazvalve/cli/CheckVerb.java
@@ -47,7 +47,7 @@
     private static String describeConfiguration(Path file) throws IOException {
         try {
             Config config = Config.read(file);
-            return "classes " + config.options().names("profiles");
+            return "classes " + config.settingsReader().names("profiles");
         } catch (IllegalArgumentException e) {
             throw new InvalidInputException(file + ": " + e.getMessage(), e);
         }
--- a/core/src/main/java/topazvalve/core/lifecycle/Lifecycle.java
+++ b/core/src/main/java/topazvalve/core/lifecycle/ProcessLifecycle.java
@@ -4,7 +4,7 @@
  * Whether the sidecar accepts clients. It does once it has started, unless it is a lame duck, which can be
  * revoked, or is shutting down, which can't. Used on the event loop alone.
  */
-public final class Lifecycle {
+public final class ProcessLifecycle {
     private static final long NANOS_PER_MILLI = 1_000_000;
     /** How long a lame duck keeps idle connections: by then every client has had its notice. */
     private static final long LAME_DUCK_GRACE_NANOS = 1_000 * NANOS_PER_MILLI;
--- a/core/src/main/java/topazvalve/core/pool/Attempt.java
+++ b/core/src/main/java/topazvalve/core/pool/Attempt.java
@@ -141,16 +141,16 @@
 
     /** Cancels the attempt and closes its connection; does nothing after its end. */
     public void cancel() {
-        complete(Outcome.CANCELLED);
+        abort(Outcome.CANCELLED);
     }
 
     private void timedOut() {
-        complete(written ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED);
+        abort(written ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED);
     }
 
     /** Ends the attempt because its connection was lost or could not be established. */
     public void connectionLost() {
-        complete(written ? Outcome.RESET : Outcome.CONNECT_FAILED);
+        abort(written ? Outcome.RESET : Outcome.CONNECT_FAILED);
     }
 
     /**
@@ -169,7 +169,7 @@
     }
 
     /** Ends the attempt without a response and closes its connection; does nothing after its end. */
-    public void complete(Outcome outcome) {
+    public void abort(Outcome outcome) {
         if (!isCompleted()) {
             closeConnection.run();
             complete(outcome, null, NO_LOAD);
--- a/core/src/main/java/topazvalve/core/pool/ConnectionPools.java
+++ b/core/src/main/java/topazvalve/core/pool/ConnectionPools.java
@@ -87,7 +87,7 @@
         if (pool.isReady()) {
             assignConnection(pool, attempt);
         } else {
-            attempt.complete(Outcome.CONNECT_FAILED);
+            attempt.abort(Outcome.CONNECT_FAILED);
         }
         return attempt;
     }
@@ -115,7 +115,7 @@
             return;
         }
         if (connectionCount >= maxConnections && !closeLeastRecentlyUsed()) {
-            attempt.complete(Outcome.NEVER_SENT);
+            attempt.abort(Outcome.NEVER_SENT);
         } else {
             new PooledConnection<>(this, loop, pool, codec).open(attempt, connectTimeoutMillis);
         }
@@ -126,7 +126,7 @@
         if (pool.isReady()) {
             open(pool, attempt);
         } else {
-            attempt.complete(Outcome.CONNECT_FAILED);
+            attempt.abort(Outcome.CONNECT_FAILED);
         }
     }
 
--- a/core/src/main/java/topazvalve/core/pool/EndpointPool.java
+++ b/core/src/main/java/topazvalve/core/pool/EndpointPool.java
@@ -131,7 +131,7 @@
         ready = false;
         closeIdleConnections();
         for (Attempt<Q, A> attempt : List.copyOf(unwritten)) {
-            attempt.complete(Outcome.CONNECT_FAILED);
+            attempt.abort(Outcome.CONNECT_FAILED);
         }
         List.copyOf(connections).forEach(PooledConnection::draining);
     }
--- a/core/src/main/java/topazvalve/core/pool/PooledConnection.java
+++ b/core/src/main/java/topazvalve/core/pool/PooledConnection.java
@@ -82,7 +82,7 @@
         if (channel == null) {
             // No socket could be opened, which is no fault of the endpoint. Not within the call that opens it.
             pool.remove(this);
-            loop.execute(() -> first.complete(Outcome.NEVER_SENT));
+            loop.execute(() -> first.abort(Outcome.NEVER_SENT));
         } else if (!success) {
             close();
             first.connectionLost();
--- a/core/src/test/java/topazvalve/core/exchange/ExchangeScenario.java
+++ b/core/src/test/java/topazvalve/core/exchange/ExchangeScenario.java
@@ -267,9 +267,9 @@
                 started.attempt.requestWritten();
             }
             case CONNECTION_LOST, CONNECTION_RESET -> started.attempt.connectionLost();
-            case ATTEMPT_REJECTED -> started.attempt.complete(Outcome.REJECTED);
+            case ATTEMPT_REJECTED -> started.attempt.abort(Outcome.REJECTED);
             case RESPONSE_RECEIVED -> started.attempt.complete(Outcome.OK, "answer", new float[0]);
-            case ERROR_RECEIVED -> started.attempt.complete(Outcome.ERROR);
+            case ERROR_RECEIVED -> started.attempt.abort(Outcome.ERROR);
             case RESPONSE_STARTED -> {
                 started.responseStarted = true;
                 started.attempt.responseStarted("first", -1, new NoFlowControl());
--- a/core/src/test/java/topazvalve/core/lifecycle/LifecycleTest.java
+++ b/core/src/test/java/topazvalve/core/lifecycle/ProcessLifecycleTest.java
@@ -6,8 +6,8 @@
 import org.junit.jupiter.api.Test;
 
 /** Whether clients are accepted and connections drained, from start to shutdown. */
-class LifecycleTest {
-    private final Lifecycle lifecycle = new Lifecycle();
+class ProcessLifecycleTest {
+    private final ProcessLifecycle lifecycle = new ProcessLifecycle();
 
     @Test
     void acceptsClientsOnceStartedUnlessLameDuck() {
--- a/sidecar/src/main/java/topazvalve/sidecar/ConfigReloader.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/ConfigReloader.java
@@ -74,8 +74,8 @@
         metrics.configApplied();
         LOG.info(
                 "configuration reloaded: classes {}, attempts {}",
-                nextConfig.options().names("profiles"),
-                nextConfig.options().settings().capabilities().maxAttempts());
+                nextConfig.settingsReader().names("profiles"),
+                nextConfig.settingsReader().settings().capabilities().maxAttempts());
     }
 
     private void reject(Exception fault) {
--- a/sidecar/src/main/java/topazvalve/sidecar/HttpProxy.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/HttpProxy.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import topazvalve.core.classes.ClassTable;
 import topazvalve.core.exchange.ExchangeManager;
-import topazvalve.core.lifecycle.Lifecycle;
+import topazvalve.core.lifecycle.ProcessLifecycle;
 import topazvalve.core.metrics.Metrics;
 import topazvalve.core.pool.ConnectionPools;
 import topazvalve.core.stream.ByteBudget;
@@ -40,19 +40,19 @@
             int maxActiveRequests,
             int maxClients,
             Metrics metrics,
-            Lifecycle lifecycle,
+            ProcessLifecycle lifecycle,
             ByteBudget budget,
             List<InetSocketAddress> relays) {
         ClassTable classes = new ClassTable();
         Scheduler scheduler = EventLoopScheduler.detectingStalls(loop);
         exchanges = new ExchangeManager<>(
                 scheduler,
-                config.options(),
+                config.settingsReader(),
                 (settings, actions) -> new SidecarPolicy(settings, config.seed(), actions),
                 new ConnectionPools<>(
                         loop,
                         scheduler,
-                        config.options(),
+                        config.settingsReader(),
                         new HttpCodec(HttpCodec.REUSE_DELAY_NANOS),
                         config.limits().maxUpstreamConnections()),
                 maxActiveRequests,
@@ -62,11 +62,11 @@
                 loop,
                 config.discovery(),
                 config.initialEndpoints(),
-                PushedDiscovery.of(config.options()),
+                PushedDiscovery.of(config.settingsReader()),
                 RelaySelector.of(config.name(), relays, config.seed()),
                 exchanges);
         frontend = new HttpFrontend(
-                loop, exchanges, classes, config.options().names("parties"), maxClients, lifecycle, budget);
+                loop, exchanges, classes, config.settingsReader().names("parties"), maxClients, lifecycle, budget);
     }
 
     /** Starts with the endpoints that the configuration knows, and follows discovery. */
@@ -77,7 +77,7 @@
 
     /** Applies a new configuration: the policy's settings and the address of discovery. */
     void reconfigure(Config config) {
-        exchanges.settingsChanged(config.options());
+        exchanges.settingsChanged(config.settingsReader());
         discovery.changeAddress(config.discovery());
     }
 
--- a/sidecar/src/main/java/topazvalve/sidecar/ShutdownSequence.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/ShutdownSequence.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import topazvalve.core.lifecycle.Lifecycle;
+import topazvalve.core.lifecycle.ProcessLifecycle;
 import topazvalve.policy.RequestClass;
 import topazvalve.sidecar.config.Config;
 import topazvalve.sidecar.listen.ClientListener;
@@ -28,7 +28,7 @@
     private static final long EXIT_MARGIN_MILLIS = 2_000;
 
     private final EventLoop loop;
-    private final Lifecycle lifecycle;
+    private final ProcessLifecycle lifecycle;
     private final ClientListener clients;
     private final HttpProxy http;
     private final TcpProxies tcp;
@@ -36,7 +36,7 @@
 
     ShutdownSequence(
             EventLoop loop,
-            Lifecycle lifecycle,
+            ProcessLifecycle lifecycle,
             ClientListener clients,
             HttpProxy http,
             TcpProxies tcp,
@@ -60,7 +60,7 @@
                 Math.min(longestDeadlineMillis(config), MAX_COUNTED_DEADLINE_MILLIS) + KILL_MARGIN_MILLIS;
         lifecycle.shutDown(TimeUnit.MILLISECONDS.toNanos(killedAfterMillis));
         tcp.shutDown();
-        loop.schedule(clients::stop, clients.shared() ? 0 : ACCEPT_MILLIS, TimeUnit.MILLISECONDS);
+        loop.schedule(clients::stop, clients.isInherited() ? 0 : ACCEPT_MILLIS, TimeUnit.MILLISECONDS);
         loop.scheduleWithFixedDelay(
                 () -> {
                     if (isIdle()) {
@@ -84,7 +84,7 @@
     }
 
     private static long longestDeadlineMillis(Config config) {
-        long longestNanos = config.options().settings().requestClasses().stream()
+        long longestNanos = config.settingsReader().settings().requestClasses().stream()
                 .mapToLong(RequestClass::deadlineNanos)
                 .max()
                 .orElse(0);
--- a/sidecar/src/main/java/topazvalve/sidecar/Sidecar.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/Sidecar.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import topazvalve.core.lifecycle.Lifecycle;
+import topazvalve.core.lifecycle.ProcessLifecycle;
 import topazvalve.core.metrics.Metrics;
 import topazvalve.core.stream.ByteBudget;
 import topazvalve.sidecar.admin.AdminServer;
@@ -27,7 +27,7 @@
     private final EventLoop loop;
     private final ClientListener clients;
     private final Runnable whenReady;
-    private final Lifecycle lifecycle = new Lifecycle();
+    private final ProcessLifecycle lifecycle = new ProcessLifecycle();
     private final Metrics metrics = new Metrics();
     /** Shared by the bodies and streams of all frontends. */
     private final ByteBudget budget;
@@ -54,7 +54,7 @@
         ResourceLimits limits = config.limits();
         this.budget = new ByteBudget(limits.bodyBytes());
         // Two processes on one socket count as one sidecar: together they keep no more idle clients than one.
-        this.processes = clients.shared() ? 2 : 1;
+        this.processes = clients.isInherited() ? 2 : 1;
         this.http = new HttpProxy(
                 loop,
                 config,
@@ -89,7 +89,7 @@
      */
     private void startServing(InetSocketAddress adminAddress) {
         WarmUp warmUp = WarmUp.begin(loop, configuration.config());
-        if (clients.shared()) {
+        if (clients.isInherited()) {
             warmUp.finish(adminAddress, this::listenUnlessDraining);
         } else {
             onceListening(openClients(), "listen", address -> warmUp.finish(address, this::ready));
--- a/sidecar/src/main/java/topazvalve/sidecar/TcpProxies.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/TcpProxies.java
@@ -9,7 +9,7 @@
 import java.util.stream.Collectors;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import topazvalve.core.lifecycle.Lifecycle;
+import topazvalve.core.lifecycle.ProcessLifecycle;
 import topazvalve.core.stream.ByteBudget;
 import topazvalve.sidecar.listen.ClientListener;
 import topazvalve.tcp.TcpProxy;
@@ -38,7 +38,7 @@
             List<TcpSettings> listeners,
             long seed,
             ByteBudget budget,
-            Lifecycle lifecycle) {
+            ProcessLifecycle lifecycle) {
         for (TcpSettings settings : listeners) {
             TcpProxy proxy = new TcpProxy(loop, settings, seed, budget);
             proxy.start();
@@ -66,7 +66,7 @@
         return listener;
     }
 
-    private void drainIfNeeded(Lifecycle lifecycle) {
+    private void drainIfNeeded(ProcessLifecycle lifecycle) {
         if (lifecycle.isDraining()) {
             open.forEach(each -> each.proxy.drain());
         }
--- a/sidecar/src/main/java/topazvalve/sidecar/WarmUp.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/WarmUp.java
@@ -9,7 +9,7 @@
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import topazvalve.core.lifecycle.Lifecycle;
+import topazvalve.core.lifecycle.ProcessLifecycle;
 import topazvalve.core.metrics.Metrics;
 import topazvalve.core.pool.ConnectionPools;
 import topazvalve.core.stream.ByteBudget;
@@ -56,7 +56,7 @@
     private WarmUp(long startedNanos, EventLoop loop, Config config) {
         this.startedNanos = startedNanos;
         this.connectionsToSelf =
-                new ConnectionPools<>(loop, new EventLoopScheduler(loop), config.options(), new HttpCodec(0), 1);
+                new ConnectionPools<>(loop, new EventLoopScheduler(loop), config.settingsReader(), new HttpCodec(0), 1);
     }
 
     /**
@@ -65,7 +65,7 @@
      */
     static WarmUp begin(EventLoop loop, Config config) {
         long startedNanos = System.nanoTime();
-        exercisePolicy(startedNanos, config.options().settings());
+        exercisePolicy(startedNanos, config.settingsReader().settings());
         exerciseFrontend(startedNanos, loop, config);
         return new WarmUp(startedNanos, loop, config);
     }
@@ -117,13 +117,13 @@
                 ROUNDS,
                 1,
                 new Metrics(),
-                new Lifecycle(),
+                new ProcessLifecycle(),
                 new ByteBudget(config.limits().bodyBytes()),
                 List.of());
         EmbeddedChannel client = new EmbeddedChannel(proxy.frontend().connectionInitializer());
-        List<RequestClass> classes = config.options().settings().requestClasses();
-        List<String> classNames = config.options().names("profiles");
-        List<String> tenants = config.options().names("parties");
+        List<RequestClass> classes = config.settingsReader().settings().requestClasses();
+        List<String> classNames = config.settingsReader().names("profiles");
+        List<String> tenants = config.settingsReader().names("parties");
         for (int i = 0; i < ROUNDS && !isOverTime(startedNanos); i++) {
             int classIndex = i % classes.size();
             String request = request(
--- a/sidecar/src/main/java/topazvalve/sidecar/admin/AdminRoutes.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/admin/AdminRoutes.java
@@ -6,7 +6,7 @@
 import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import topazvalve.core.lifecycle.Lifecycle;
+import topazvalve.core.lifecycle.ProcessLifecycle;
 
 /** The paths of the admin endpoint and what each does. */
 final class AdminRoutes {
@@ -32,7 +32,7 @@
 
     private final Map<String, Route> routes;
 
-    AdminRoutes(Lifecycle lifecycle, Supplier<String> metricsText) {
+    AdminRoutes(ProcessLifecycle lifecycle, Supplier<String> metricsText) {
         routes = Map.of(
                 "/_ready", new Route(HttpMethod.GET, () -> ready(lifecycle)),
                 "/_vars", new Route(HttpMethod.GET, () -> new Response(HttpResponseStatus.OK, metricsText.get())),
@@ -52,13 +52,13 @@
         return route.action.get();
     }
 
-    private static Response ready(Lifecycle lifecycle) {
+    private static Response ready(ProcessLifecycle lifecycle) {
         return lifecycle.acceptsClients()
                 ? new Response(HttpResponseStatus.OK, "yes\n")
                 : new Response(HttpResponseStatus.SERVICE_UNAVAILABLE, "no\n");
     }
 
-    private static Response setLameDuck(Lifecycle lifecycle, boolean on) {
+    private static Response setLameDuck(ProcessLifecycle lifecycle, boolean on) {
         if (!lifecycle.setLameDuck(on)) {
             return new Response(HttpResponseStatus.CONFLICT, "ending\n");
         }
--- a/sidecar/src/main/java/topazvalve/sidecar/admin/AdminServer.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/admin/AdminServer.java
@@ -33,7 +33,7 @@
 import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import topazvalve.core.lifecycle.Lifecycle;
+import topazvalve.core.lifecycle.ProcessLifecycle;
 import topazvalve.sidecar.listen.AcceptLimit;
 
 /**
@@ -57,7 +57,7 @@
     private final Set<Channel> connections = new LinkedHashSet<>();
 
     /** Creates a server; calls are handled, and {@code metricsText} called, on the event loop of the connections. */
-    public AdminServer(Lifecycle lifecycle, Supplier<String> metricsText) {
+    public AdminServer(ProcessLifecycle lifecycle, Supplier<String> metricsText) {
         this.routes = new AdminRoutes(lifecycle, metricsText);
     }
 
--- a/sidecar/src/main/java/topazvalve/sidecar/config/Config.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/config/Config.java
@@ -20,7 +20,7 @@
  * @param seed of the policy's random choices
  * @param limits what the process may use
  * @param initialEndpoints the endpoint list to start with
- * @param options the policy's settings
+ * @param settingsReader the policy's settings
  * @param root the whole file, to compare with the next one at a reload
  */
 public record Config(
@@ -31,7 +31,7 @@
         long seed,
         ResourceLimits limits,
         EndpointUpdate initialEndpoints,
-        SettingsReader options,
+        SettingsReader settingsReader,
         JsonNode root) {
 
     /**
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/ClientConnection.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/ClientConnection.java
@@ -20,7 +20,7 @@
 import topazvalve.core.exchange.ExchangeHandler;
 import topazvalve.core.exchange.ExchangeRequest;
 import topazvalve.core.exchange.ResponseListener;
-import topazvalve.core.lifecycle.Lifecycle;
+import topazvalve.core.lifecycle.ProcessLifecycle;
 import topazvalve.core.stream.ByteBudget;
 import topazvalve.core.stream.FlowControl;
 import topazvalve.core.stream.RequestBody;
@@ -38,7 +38,7 @@
     private final HttpFrontend frontend;
     private final ExchangeHandler<UpstreamRequest, UpstreamResponse> exchangeHandler;
     private final RequestReader requestReader;
-    private final Lifecycle lifecycle;
+    private final ProcessLifecycle lifecycle;
     private final Channel channel;
     private final RequestDecoder decoder;
     private final RequestBodyReceiver bodyReceiver;
@@ -54,7 +54,7 @@
             HttpFrontend frontend,
             ExchangeHandler<UpstreamRequest, UpstreamResponse> exchangeHandler,
             RequestReader requestReader,
-            Lifecycle lifecycle,
+            ProcessLifecycle lifecycle,
             ByteBudget budget,
             Channel channel) {
         this.frontend = frontend;
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/HttpFrontend.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/HttpFrontend.java
@@ -15,7 +15,7 @@
 import topazvalve.core.Frontend;
 import topazvalve.core.classes.ClassTable;
 import topazvalve.core.exchange.ExchangeHandler;
-import topazvalve.core.lifecycle.Lifecycle;
+import topazvalve.core.lifecycle.ProcessLifecycle;
 import topazvalve.core.stream.ByteBudget;
 import topazvalve.core.time.EventLoopScheduler;
 import topazvalve.sidecar.http.UpstreamRequest;
@@ -36,7 +36,7 @@
     private final ExchangeHandler<UpstreamRequest, UpstreamResponse> exchangeHandler;
     private final RequestReader requestReader;
     private final EventLoop loop;
-    private final Lifecycle lifecycle;
+    private final ProcessLifecycle lifecycle;
     private final ByteBudget budget;
     private final Future<?> sweepTask;
 
@@ -65,7 +65,7 @@
             ClassTable classes,
             List<String> tenantNames,
             int maxConnections,
-            Lifecycle lifecycle,
+            ProcessLifecycle lifecycle,
             ByteBudget budget) {
         this.exchangeHandler = exchangeHandler;
         this.budget = budget;
--- a/sidecar/src/main/java/topazvalve/sidecar/listen/ClientListener.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/listen/ClientListener.java
@@ -83,8 +83,8 @@
         return new ClientListener(address, socket, false);
     }
 
-    /** Returns whether another process may accept connections from the same socket. */
-    public boolean shared() {
+    /** Returns whether the socket was inherited, so that another process may accept connections from it, too. */
+    public boolean isInherited() {
         return inherited != null;
     }
 
@@ -111,7 +111,7 @@
         if (sharesPort) {
             bootstrap.option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true);
         }
-        ChannelFuture opened = shared() ? registerInherited(bootstrap) : bind(bootstrap);
+        ChannelFuture opened = isInherited() ? registerInherited(bootstrap) : bind(bootstrap);
         server = opened.channel();
         return opened;
     }
@@ -144,7 +144,7 @@
         if (server == null) {
             return;
         }
-        if (shared()) {
+        if (isInherited()) {
             server.deregister();
         } else {
             server.close();
--- a/sidecar/src/main/java/topazvalve/sidecar/upstream/HttpConnectionHandler.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/upstream/HttpConnectionHandler.java
@@ -243,7 +243,7 @@
             return;
         }
         if (current != null) {
-            current.complete(Outcome.ERROR);
+            current.abort(Outcome.ERROR);
         }
         connection.close();
     }
--- a/sidecar/src/test/java/topazvalve/sidecar/ConfigTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/ConfigTest.java
@@ -23,13 +23,13 @@
     @Test
     void settingsAreReadAsInTheSimulatorsProtocol() throws Exception {
         Config config = SidecarFixture.config(SidecarFixture.configJson());
-        Settings settings = config.options().settings();
+        Settings settings = config.settingsReader().settings();
         assertEquals(List.of("rate", "q"), settings.loadReportFields());
         assertEquals(
                 Idempotency.NON_IDEMPOTENT, settings.requestClasses().get(2).idempotency());
         assertEquals(750_000_000, settings.capabilities().maxRetryAfterNanos());
-        assertEquals(List.of("look", "hold", "book"), config.options().names("profiles"));
-        assertEquals(List.of("acme"), config.options().names("parties"));
+        assertEquals(List.of("look", "hold", "book"), config.settingsReader().names("profiles"));
+        assertEquals(List.of("acme"), config.settingsReader().names("parties"));
         assertEquals(0x8c1f30d27a5be964L, config.seed());
         assertEquals(41, config.initialEndpoints().revision());
     }
--- a/sidecar/src/test/java/topazvalve/sidecar/SidecarFixture.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/SidecarFixture.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import topazvalve.core.exchange.ExchangeManager;
-import topazvalve.core.lifecycle.Lifecycle;
+import topazvalve.core.lifecycle.ProcessLifecycle;
 import topazvalve.core.metrics.Metrics;
 import topazvalve.core.stream.ByteBudget;
 import topazvalve.discovery.json.JsonReader;
@@ -39,7 +39,7 @@
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     final EventLoop loop = group.next();
-    final Lifecycle lifecycle = new Lifecycle();
+    final ProcessLifecycle lifecycle = new ProcessLifecycle();
     final Metrics metrics = new Metrics();
     final HttpFrontend frontend;
     final ClientListener clientListener;
