--- a/policy/src/main/java/topazvalve/policy/AdmissionController.java
+++ b/policy/src/main/java/topazvalve/policy/AdmissionController.java
@@ -21,7 +21,7 @@
         } else if (request.probed || !probing.isEnabled() || !startProbing(now, request)) {
             if (first && now + Math.min(request.expectedTime, request.objective) / 2 >= request.objectiveAt) {
                 attempts.answer(request);
-            } else if (!queue.isEmpty() || !trySend(now, request)) {
+            } else if (!queue.isEmpty() || !trySend(now, request)) { // quotas decide who is next
                 queue.enqueue(request);
                 scheduleQueueExpiry(now, request);
                 drainQueue(now);
--- a/policy/src/main/java/topazvalve/policy/ConcurrencyLimiter.java
+++ b/policy/src/main/java/topazvalve/policy/ConcurrencyLimiter.java
@@ -3,7 +3,7 @@
 import java.util.ArrayDeque;
 import java.util.List;
 
-/** Limits attempts in flight, per endpoint and in total by Little's law; slow start of endpoints; load shedding. */
+/** Limits attempts in flight, per endpoint (AIMD) and in total by Little's law; slow start; load shedding. */
 final class ConcurrencyLimiter {
     private static final double LATE_FRACTION = 0.4; // of the objective: leaves no time for a retry and its delays
     private static final double GOOD_FRACTION = 0.3; // of the objective: a response well before it is late
@@ -35,7 +35,7 @@
         requestedWork.setWindow(now, context.settings().limits().overloadWindowNanos());
         double objective = estimator.shortestObjective();
         List.of(requestedTime, relativeTimes, responses).forEach(sum -> sum.setWindow(now, 2 * objective));
-        List.of(attempts, attemptsInTime).forEach(sum -> sum.setWindow(now, 8 * objective));
+        List.of(attempts, attemptsInTime).forEach(sum -> sum.setWindow(now, 8 * objective)); // steadier
     }
 
     void requestArrived(long now, RequestState request) {
@@ -55,7 +55,7 @@
 
     double shedFraction(long now) {
         double served = Math.min(1, SHED_TOLERANCE * (attemptsInTime.value(now) + 1) / (attempts.value(now) + 1));
-        return 1 - served * served * served;
+        return 1 - served * served * served; // cubed, so that a backlog drains
     }
 
     /** Takes attempts that are out for the shortest objective off the total, then compares it with the limit. */
@@ -115,7 +115,7 @@
         }
         double normalized = responseTime * estimator.mean(request.request.requestClass()) / request.expectedTime;
         if (outcome == Outcome.REJECTED || normalized > LATE_FRACTION * request.objective) {
-            if (attempt.sentAt >= endpoint.limitReducedAt) {
+            if (attempt.sentAt >= endpoint.limitReducedAt) { // multiplicative decrease
                 endpoint.concurrencyLimit = Math.max(0.1, endpoint.concurrencyLimit * 0.8);
                 endpoint.limitReducedAt = now;
             }
@@ -124,7 +124,7 @@
         }
     }
 
-    private static double work(RequestState request) {
+    private static double work(RequestState request) { // in nanoseconds
         return request.request.costHintNanos() > 0 ? request.request.costHintNanos() : request.expectedTime;
     }
 
@@ -139,7 +139,7 @@
             boolean allWarming = registry.ready().stream().allMatch(other -> now < other.warmAt);
             endpoint.warmingTokens = allWarming ? 0 : -context.random().nextDouble() * work(request);
         }
-        double maxTokens = rate * context.settings().limits().overloadWindowNanos() / 2;
+        double maxTokens = rate * context.settings().limits().overloadWindowNanos() / 2; // half a window of work
         endpoint.warmingTokens = Math.min(maxTokens, endpoint.warmingTokens + rate * (now - endpoint.tokensAddedAt));
         endpoint.tokensAddedAt = now;
         return endpoint.warmingTokens >= 0 && endpoint.inFlightAndStreams() <= 1 + endpoint.concurrencyLimit / 2;
--- a/policy/src/main/java/topazvalve/policy/EndpointRegistry.java
+++ b/policy/src/main/java/topazvalve/policy/EndpointRegistry.java
@@ -11,9 +11,9 @@
     private final PolicyContext context;
     private final TreeMap<Long, EndpointState> endpoints = new TreeMap<>();
     private List<EndpointState> ready = List.of();
-    private boolean listReceived;
+    private boolean listReceived; // endpoints without a start time that are new from now on are warming up
     private long backoff; // with jitter: the calls of many sidecars fail together
-    private long watchNumber;
+    private long watchNumber; // a timer of an earlier watch does nothing
 
     EndpointRegistry(PolicyContext context) {
         this.context = context;
@@ -34,7 +34,7 @@
     void watch(long now) {
         if (context.settings().discoveryMode() == DiscoveryMode.SUBSCRIBE) {
             context.actions().watchEndpoints(true);
-            resubscribeAt(now + context.settings().limits().pollIntervalNanos() / 2);
+            resubscribeAt(now + context.settings().limits().pollIntervalNanos() / 2); // renewed well in time
         }
     }
 
@@ -49,8 +49,8 @@
 
     void backOff(long now) {
         long pollInterval = context.settings().limits().pollIntervalNanos();
-        long next = Math.max(backoff * 2, pollInterval / 40);
-        long longest = Math.min(MAX_NOTIFICATION_DELAY / 4, pollInterval / 2);
+        long next = Math.max(backoff * 2, pollInterval / 40); // doubles from a 40th of the poll interval
+        long longest = Math.min(MAX_NOTIFICATION_DELAY / 4, pollInterval / 2); // 1.5 s at most
         backoff = Math.max(context.settings().clockResolutionNanos(), Math.min(next, longest));
         resubscribeAt(now + backoff / 2 + context.random().nextLong(backoff / 2 + 1));
     }
--- a/policy/src/main/java/topazvalve/policy/Limits.java
+++ b/policy/src/main/java/topazvalve/policy/Limits.java
@@ -1,7 +1,8 @@
 package topazvalve.policy;
 
 /**
- * Limits that the policy keeps to. Times are in nanoseconds, 0 or more.
+ * Limits on the load balancing of one sidecar. Times are in nanoseconds, 0 or more. {@link SidecarPolicy} does not use
+ * the answer slack and the overload factor; hosts fill them in for other implementations.
  *
  * @param answerSlackNanos how long after its deadline a request may be answered
  * @param pollIntervalNanos within this time the watch on the endpoint list is renewed
--- a/policy/src/main/java/topazvalve/policy/LoadProbing.java
+++ b/policy/src/main/java/topazvalve/policy/LoadProbing.java
@@ -13,8 +13,8 @@
 
     private final PolicyContext context;
     private final EndpointRegistry registry;
-    private double meanLoad;
-    private ObjLongConsumer<RequestState> listener;
+    private double meanLoad; // of all reports, with exponential decay
+    private ObjLongConsumer<RequestState> listener; // continues the admission of a probed request
     private double timePerRequest; // of a response, for each request that the endpoint had in flight
 
     LoadProbing(PolicyContext context, EndpointRegistry registry) {
--- a/policy/src/main/java/topazvalve/policy/OutlierDetector.java
+++ b/policy/src/main/java/topazvalve/policy/OutlierDetector.java
@@ -14,10 +14,10 @@
         private double rate; // of exposure: sum of 1 / expected time over the attempts in flight
         private long integratedAt;
         private double exposure;
-        private double responses;
+        private double responses; // counted with the same decay as the exposure
         private int connectFailures;
         private long nextTrialAt; // 0 if not ejected
-        private long backoff;
+        private long backoff; // until the next trial
         private boolean healthCheckOutstanding;
         private boolean trialAllowed; // a health check or trial succeeded, and no request followed it
         private int unansweredHealthChecks;
@@ -90,7 +90,7 @@
 
     private void extendBackoff(long now, Evidence evidence) {
         evidence.trialAllowed = false;
-        evidence.backoff = Math.min(evidence.backoff * 2, estimator.shortestObjective() * 8);
+        evidence.backoff = Math.min(evidence.backoff * 2, estimator.shortestObjective() * 8); // doubles up to 8
         evidence.nextTrialAt = now + evidence.backoff;
     }
 
--- a/policy/src/main/java/topazvalve/policy/RandomizedRoundRobin.java
+++ b/policy/src/main/java/topazvalve/policy/RandomizedRoundRobin.java
@@ -7,7 +7,7 @@
 import java.util.function.Predicate;
 import java.util.stream.Stream;
 
-/** A random permutation of the ready endpoints, a pointer into it, and the less busy of two neighbors. */
+/** Picks endpoints in turn from a random permutation of the ready ones: the less busy of two neighbors. */
 final class RandomizedRoundRobin {
     private final List<EndpointState> permutation = new ArrayList<>();
     private int pointer;
@@ -27,8 +27,8 @@
 
     /** Picks the less busy of the pointed endpoint and the next, of those that pass {@code admit}; null if none. */
     EndpointState pick(boolean advance, Predicate<EndpointState> admit, Predicate<EndpointState> takeTurn) {
-        EndpointState pointed = null;
-        EndpointState skipped = null;
+        EndpointState pointed = null; // the first that takes its turn
+        EndpointState skipped = null; // the first that let its turn pass; picked if no other takes one
         int start = pointer;
         for (int i = 0; i < permutation.size(); i++) {
             int index = (start + i) % permutation.size();
--- a/policy/src/main/java/topazvalve/policy/RequestState.java
+++ b/policy/src/main/java/topazvalve/policy/RequestState.java
@@ -8,22 +8,22 @@
     final Request request;
     final RequestClass requestClass;
     final int maxAttempts;
-    final long objective;
-    final double expectedTime;
+    final long objective; // latency objective in nanoseconds, with the stretch for its cost
+    final double expectedTime; // of a response, in nanoseconds
     private final long elapsedBefore; // in nanoseconds, on earlier attempts of the client's own
-    long deadline;
+    long deadline; // in nanoseconds on the clock of the events, like objectiveAt
     long objectiveAt; // end of the latency objective
     final List<AttemptState> attempts = new ArrayList<>(2);
-    boolean probed;
+    boolean probed; // load probes were sent, and no attempt since; written by LoadProbing
     int outstandingProbes;
     List<EndpointState> candidates = List.of(); // the probed endpoints
-    double maxLoad; // of a candidate
-    boolean allOverloaded;
+    double maxLoad; // of a candidate, as LoadProbing.evaluate sets it
+    boolean allOverloaded; // so that it is rejected
     boolean bodyArriving;
     boolean bodyNotReplayable;
-    boolean queued;
-    boolean streaming;
-    boolean closed;
+    boolean queued; // in TenantQuota; a request that left the queue otherwise is skipped there
+    boolean streaming; // its response has started: no retry, no deadline
+    boolean closed; // answered, or its client has disconnected
 
     RequestState(Request request, Settings settings, long elapsedBefore, double usualTime) {
         this.request = request;
@@ -32,7 +32,7 @@
         this.elapsedBefore = elapsedBefore;
         double stretch = requestClass.objectiveStretch() * request.costHintNanos();
         this.objective = (long) Math.min(requestClass.latencyObjectiveNanos() + stretch, requestClass.deadlineNanos());
-        this.expectedTime = Math.max(objective / 1000.0, usualTime);
+        this.expectedTime = Math.max(objective / 1000.0, usualTime); // bounded below for the timers
     }
 
     void startClock(long now) {
--- a/policy/src/main/java/topazvalve/policy/ResponseTimeEstimator.java
+++ b/policy/src/main/java/topazvalve/policy/ResponseTimeEstimator.java
@@ -51,11 +51,11 @@
 
     private static final class KindEstimate {
         private double slowdown = 1;
-        private double responses = 2;
+        private double responses = 2; // two at the usual pace are assumed
 
         void add(double ratio) {
             responses++;
-            slowdown += Math.max(0.03, 1 / responses) * (Math.min(ratio, 4) - slowdown);
+            slowdown += Math.max(0.03, 1 / responses) * (Math.min(ratio, 4) - slowdown); // one outlier counts 4 at most
         }
     }
 
@@ -73,7 +73,7 @@
     void settingsChanged() {
         List<RequestClass> settings = context.settings().requestClasses();
         for (int i = classes.size(); i < settings.size(); i++) {
-            classes.add(new ClassEstimate(settings.get(i).latencyObjectiveNanos() / 10.0));
+            classes.add(new ClassEstimate(settings.get(i).latencyObjectiveNanos() / 10.0)); // a first guess
         }
         shortestObjective = Long.MAX_VALUE;
         settings.forEach(each -> shortestObjective = Math.min(shortestObjective, each.latencyObjectiveNanos()));
--- a/policy/src/main/java/topazvalve/policy/TenantQuota.java
+++ b/policy/src/main/java/topazvalve/policy/TenantQuota.java
@@ -11,7 +11,7 @@
         private final ArrayDeque<RequestState> queue = new ArrayDeque<>(); // newest first
         private final double quotaPerSecond;
         private final DecayingSum usedTime = new DecayingSum(0);
-        private long skippedInRound;
+        private long skippedInRound; // its request could not be sent
 
         TenantQueue(double quotaPerSecond, double window) {
             this.quotaPerSecond = quotaPerSecond > 0 ? quotaPerSecond : 1;
@@ -26,11 +26,11 @@
     private final ConcurrencyLimiter limiter;
     private final List<TenantQueue> tenants = new ArrayList<>();
     private int queued;
-    private long round;
+    private long round; // number of the call to drain
 
     TenantQuota(Settings settings, ConcurrencyLimiter limiter) {
         this.limiter = limiter;
-        double window = 4.0 * settings.requestClasses().get(0).latencyObjectiveNanos();
+        double window = 4.0 * settings.requestClasses().get(0).latencyObjectiveNanos(); // of recent use
         settings.tenants().forEach(each -> tenants.add(new TenantQueue(each.quotaPerSecond(), window)));
         if (tenants.isEmpty()) {
             tenants.add(new TenantQueue(1, window));
