--- a/simulation/src/main/java/topazvalve/simulation/real/RunState.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/RunState.java
@@ -9,7 +9,6 @@
 import topazvalve.simulation.model.AttemptWork;
 import topazvalve.simulation.model.Clock;
 import topazvalve.simulation.model.EndpointDirectory.Entry;
-import topazvalve.simulation.model.FaultTarget;
 import topazvalve.simulation.model.OrderServer;
 import topazvalve.simulation.model.RandomStream;
 import topazvalve.simulation.model.Topology;
@@ -17,14 +16,14 @@
 import topazvalve.simulation.oracle.Trace;
 import topazvalve.simulation.real.SentRequests.SentRequest;
 import topazvalve.simulation.scenario.Scenario;
+import topazvalve.simulation.statistics.RecordedRun;
 import topazvalve.simulation.statistics.RunRecorder;
-import topazvalve.simulation.statistics.RunStatistics;
 
 /**
  * The state of a run in real time, as stand-ins, clients and faults use it: times, delays, the record of the run, and
  * which instance knows what. All of it belongs to the event loop.
  */
-final class RunState implements FaultTarget {
+final class RunState implements RecordedRun {
     /** What scheduling and the kernel may add to every limit. */
     private static final long TOLERANCE_NANOS = 50_000_000;
 
@@ -52,7 +51,7 @@
     private final SidecarFleet sidecars;
     private final NotifiedStarts notifiedStarts = new NotifiedStarts();
     private final ActiveFaults activeFaults = new ActiveFaults();
-    private long start;
+    private long startedAt;
 
     /** Creates the state of a run that hasn't started; nothing listens yet. */
     RunState(Scenario scenario, long seed, EventLoop loop, SidecarFleet sidecars) {
@@ -82,14 +81,15 @@
 
     /** The run starts now. */
     void start() {
-        start = clock.now();
+        startedAt = clock.now();
     }
 
     EventLoop loop() {
         return loop;
     }
 
-    Scenario scenario() {
+    @Override
+    public Scenario scenario() {
         return scenario;
     }
 
@@ -97,16 +97,14 @@
         return sentRequests;
     }
 
-    RunRecorder recorder() {
+    @Override
+    public RunRecorder recorder() {
         return recorder;
     }
 
-    Oracle oracle() {
-        return recorder.oracle();
-    }
-
-    RunStatistics statistics() {
-        return recorder.statistics();
+    @Override
+    public long startedAt() {
+        return startedAt;
     }
 
     /** Returns the sockets of the order servers. */
@@ -127,21 +125,6 @@
         return sidecars.port(instance);
     }
 
-    /** Returns when clients stop sending, in nanoseconds of the clock. */
-    long endsAt() {
-        return start + scenario.length();
-    }
-
-    /** Returns the nanoseconds since the start. */
-    long elapsed() {
-        return clock.now() - start;
-    }
-
-    /** Converts a time of the clock to nanoseconds since the start. */
-    long sinceStart(long time) {
-        return time - start;
-    }
-
     /** Draws the work of one attempt, in nanoseconds of a standard core. */
     double attemptWork(SentRequest request) {
         return attemptWork.draw(request.requestClass(), request.work());
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualSimulation.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualSimulation.java
@@ -7,19 +7,18 @@
 import topazvalve.simulation.model.Clock;
 import topazvalve.simulation.model.ColdServerMonitor;
 import topazvalve.simulation.model.FaultPlayer;
-import topazvalve.simulation.model.FaultTarget;
 import topazvalve.simulation.model.OrderServer;
 import topazvalve.simulation.model.RandomStream;
 import topazvalve.simulation.model.Topology;
 import topazvalve.simulation.oracle.Oracle;
 import topazvalve.simulation.scenario.Fault;
 import topazvalve.simulation.scenario.Scenario;
+import topazvalve.simulation.statistics.RecordedRun;
 import topazvalve.simulation.statistics.RunRecorder;
 import topazvalve.simulation.statistics.RunResult;
-import topazvalve.simulation.statistics.RunStatistics;
 
 /** A run of one scenario, arm and seed in virtual time. The same three give the same run to the last event. */
-public final class VirtualSimulation implements FaultTarget {
+public final class VirtualSimulation implements RecordedRun {
     /** The clock's time at the start. Far from 0, since a server that started at 0 counts as started long ago. */
     private static final long START = 1_000_000_000_000L;
 
@@ -154,20 +153,19 @@
         topology.recordEvent(elapsed(), what);
     }
 
-    Scenario scenario() {
+    @Override
+    public Scenario scenario() {
         return scenario;
     }
 
-    RunRecorder recorder() {
+    @Override
+    public RunRecorder recorder() {
         return recorder;
     }
 
-    Oracle oracle() {
-        return recorder.oracle();
-    }
-
-    RunStatistics statistics() {
-        return recorder.statistics();
+    @Override
+    public long startedAt() {
+        return START;
     }
 
     VirtualDiscovery discovery() {
@@ -183,21 +181,6 @@
         return arm.attempts(scenario);
     }
 
-    /** Returns when clients stop sending, in nanoseconds of the clock. */
-    long endsAt() {
-        return START + scenario.length();
-    }
-
-    /** Returns the nanoseconds since the start. */
-    long elapsed() {
-        return clock.now() - START;
-    }
-
-    /** Converts a time of the clock to nanoseconds since the start. */
-    long sinceStart(long time) {
-        return time - START;
-    }
-
     /** Draws the work of one attempt, in nanoseconds of a standard core. */
     double attemptWork(VirtualRequest request) {
         return attemptWork.draw(request.requestClass, request.work);
