--- a/capacity/src/main/java/topazvalve/capacity/measure/CallMeasurement.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/CallMeasurement.java
@@ -67,7 +67,7 @@
             serverPorts.add(new EchoServer(serverGroup).port());
         }
         try (MeasuredSidecar sidecar = MeasuredSidecar.start(
-                context, SidecarConfiguration.withKnownServers(serverPorts), List.of("taskset", "-c", CORE))) {
+                context, MeasuredConfigurations.withKnownServers(serverPorts), List.of("taskset", "-c", CORE))) {
             sidecar.awaitReady(READY_TIMEOUT_MILLIS);
             measureRates(sidecar, serverPorts.get(0));
         } finally {
--- a/capacity/src/main/java/topazvalve/capacity/measure/ListMeasurement.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/ListMeasurement.java
@@ -48,7 +48,7 @@
             try (StandInSourceProcess source =
                             StandInSourceProcess.startUnbounded(servers, context.heartbeatIntervalMillis());
                     MeasuredSidecar sidecar =
-                            MeasuredSidecar.start(context, SidecarConfiguration.watching(source.port()), List.of())) {
+                            MeasuredSidecar.start(context, MeasuredConfigurations.watching(source.port()), List.of())) {
                 sidecar.awaitListed(servers, START_TIMEOUT_MILLIS, START_POLL_MILLIS);
                 startSeconds.add(sidecar.ageNanos() / NANOS_PER_SECOND);
                 startCpuSeconds.add(ProcessMetrics.totalCpuNanos(sidecar.handle()) / NANOS_PER_SECOND);
--- a/capacity/src/main/java/topazvalve/capacity/measure/MeasuredSidecar.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/MeasuredSidecar.java
@@ -1,6 +1,5 @@
 package topazvalve.capacity.measure;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -8,6 +7,7 @@
 import java.util.OptionalInt;
 import java.util.concurrent.TimeUnit;
 import topazvalve.simulation.process.RunLine;
+import topazvalve.simulation.process.SidecarConfiguration;
 
 /** The packaged sidecar in a process of its own, started by the deploy file's {@code run} line. */
 final class MeasuredSidecar implements AutoCloseable {
@@ -34,14 +34,14 @@
      * @param configuration its configuration without the ports that it listens on
      * @param commandPrefix words before the command, such as those that pin it to a core
      */
-    static MeasuredSidecar start(MeasurementContext context, ObjectNode configuration, List<String> commandPrefix)
+    static MeasuredSidecar start(
+            MeasurementContext context, SidecarConfiguration configuration, List<String> commandPrefix)
             throws IOException {
         int port = RunLine.freePort();
         int adminPort = RunLine.freePort();
         Path configurationFile = context.workFolder().resolve("capacity-" + port + ".json");
         Path logFile = context.workFolder().resolve("capacity-" + port + ".log");
-        configuration.put("listen", "127.0.0.1:" + port).put("admin", "127.0.0.1:" + adminPort);
-        Files.writeString(configurationFile, configuration.toString());
+        configuration.listenOn(port).adminOn(adminPort).write(configurationFile);
         Process process = RunLine.of(context.repositoryRoot(), configurationFile, commandPrefix)
                 .redirectOutput(logFile.toFile())
                 .start();
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/PackagedSidecars.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/PackagedSidecars.java
@@ -1,6 +1,5 @@
 package topazvalve.hollowfleet.run;
 
-import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -11,13 +10,15 @@
 import java.util.ArrayList;
 import java.util.List;
 import topazvalve.simulation.process.RunLine;
+import topazvalve.simulation.process.SidecarConfiguration;
+import topazvalve.simulation.process.SidecarConfiguration.Discovery;
 
 /**
  * Packaged sidecars that follow the first source beside the hollow ones, without a known list and without requests,
  * for comparison with the hollow ones. They need a built program.
  */
 final class PackagedSidecars implements AutoCloseable {
-    private static final ObjectMapper JSON = new ObjectMapper();
+    private static final long QUANTUM_NANOS = 5_000_000;
 
     private final List<Process> processes = new ArrayList<>();
 
@@ -31,7 +32,7 @@
             Path workFolder = Files.createTempDirectory("topazvalve-fleet");
             for (int i = 0; i < count; i++) {
                 Path configurationFile = workFolder.resolve("p" + i + ".json");
-                Files.writeString(configurationFile, configuration(i, source).toString());
+                configuration(i, source).listenOn(RunLine.freePort()).write(configurationFile);
                 processes.add(RunLine.of(repositoryRoot, configurationFile, List.of())
                         .redirectOutput(workFolder.resolve("p" + i + ".log").toFile())
                         .start());
@@ -42,18 +43,15 @@
     }
 
     /** Returns a configuration with the policy settings of the hollow sidecars. */
-    private static ObjectNode configuration(int number, InetSocketAddress source) throws IOException {
-        ObjectNode root = JSON.createObjectNode()
-                .put("name", "p" + number)
-                .put("listen", "127.0.0.1:" + RunLine.freePort())
-                .put("discovery", source.getAddress().getHostAddress() + ":" + source.getPort())
-                .put("seed", Integer.toHexString(number + 1));
-        root.putObject("limits").put("cores", 1.0).put("memory_mb", 96).put("sockets", 1024);
-        ObjectNode settings =
-                root.putObject("settings").put("discovery", "subscribe").put("quantum", 5_000_000);
-        settings.putArray("zones").add("z0");
-        settings.putArray("kinds").add("m2");
-        settings.putObject("report").put("how", "silent").putArray("fields");
+    private static SidecarConfiguration configuration(int number, InetSocketAddress source) {
+        SidecarConfiguration configuration = new SidecarConfiguration(
+                        "p" + number,
+                        Integer.toHexString(number + 1),
+                        source.getAddress().getHostAddress() + ":" + source.getPort(),
+                        Discovery.SUBSCRIBE,
+                        QUANTUM_NANOS)
+                .zonesAndKinds(List.of("z0"), List.of("m2"));
+        ObjectNode settings = configuration.settings();
         settings.putObject("caps")
                 .put("tryLimit", 4)
                 .put("connectTimeout", 200_000_000L)
@@ -72,7 +70,7 @@
                 .put("slo", 400_000_000)
                 .put("deadline", 1_000_000_000L)
                 .put("semantics", "repeatable");
-        return root;
+        return configuration;
     }
 
     int count() {
