--- a/capacity/src/main/java/topazvalve/capacity/measure/ChildProcess.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/ChildProcess.java
@@ -2,9 +2,8 @@
 
 import java.nio.file.Path;
 import java.util.List;
-import java.util.concurrent.TimeUnit;
 
-/** Helpers for starting and stopping the measured processes. */
+/** Helpers for starting the measured processes. */
 final class ChildProcess {
     /** Options of the processes that serve endpoint lists, the same for all so that they compare. */
     static final List<String> LIST_SERVER_JVM_OPTIONS = List.of("-XX:+UseSerialGC", "-Xmx1g", "-XX:-UsePerfData");
@@ -15,17 +14,4 @@
     static String jdkTool(String name) {
         return Path.of(System.getProperty("java.home"), "bin", name).toString();
     }
-
-    /** Stops a process and waits until it has ended; kills it if it has not ended in time. */
-    static void stop(Process process, int graceSeconds) {
-        process.destroy();
-        try {
-            if (!process.waitFor(graceSeconds, TimeUnit.SECONDS)) {
-                process.destroyForcibly();
-            }
-        } catch (InterruptedException e) {
-            process.destroyForcibly();
-            Thread.currentThread().interrupt();
-        }
-    }
 }
--- a/capacity/src/main/java/topazvalve/capacity/measure/MeasuredSidecar.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/MeasuredSidecar.java
@@ -3,15 +3,17 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.time.Duration;
 import java.util.List;
 import java.util.OptionalInt;
 import java.util.concurrent.TimeUnit;
+import topazvalve.simulation.process.ChildProcesses;
 import topazvalve.simulation.process.RunLine;
 import topazvalve.simulation.process.SidecarConfiguration;
 
 /** The packaged sidecar in a process of its own, started by the deploy file's {@code run} line. */
 final class MeasuredSidecar implements AutoCloseable {
-    private static final int STOP_GRACE_SECONDS = 8;
+    private static final Duration STOP_GRACE = Duration.ofSeconds(8);
     private static final int READY_POLL_MILLIS = 5;
     private static final int NO_LIST = -1;
 
@@ -114,6 +116,6 @@
 
     @Override
     public void close() {
-        ChildProcess.stop(process, STOP_GRACE_SECONDS);
+        ChildProcesses.stopEvenIfInterrupted(process, STOP_GRACE);
     }
 }
--- a/capacity/src/main/java/topazvalve/capacity/measure/RelayProcess.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/RelayProcess.java
@@ -3,13 +3,15 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
+import topazvalve.simulation.process.ChildProcesses;
 import topazvalve.simulation.process.RunLine;
 
 /** The packaged relay in a process of its own, subscribed to one source. */
 final class RelayProcess implements AutoCloseable {
-    private static final int STOP_GRACE_SECONDS = 5;
+    private static final Duration STOP_GRACE = Duration.ofSeconds(5);
 
     private final Process process;
     private final int port;
@@ -49,6 +51,6 @@
 
     @Override
     public void close() {
-        ChildProcess.stop(process, STOP_GRACE_SECONDS);
+        ChildProcesses.stopEvenIfInterrupted(process, STOP_GRACE);
     }
 }
--- a/capacity/src/main/java/topazvalve/capacity/measure/StandInSourceProcess.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/StandInSourceProcess.java
@@ -4,12 +4,14 @@
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.charset.StandardCharsets;
+import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
+import topazvalve.simulation.process.ChildProcesses;
 
 /** A {@link StandInSource} in a process of its own, controlled through its standard input and output. */
 final class StandInSourceProcess implements AutoCloseable {
-    private static final int STOP_GRACE_SECONDS = 5;
+    private static final Duration STOP_GRACE = Duration.ofSeconds(5);
 
     private final Process process;
     private final BufferedReader replies;
@@ -97,6 +99,6 @@
 
     @Override
     public void close() {
-        ChildProcess.stop(process, STOP_GRACE_SECONDS);
+        ChildProcesses.stopEvenIfInterrupted(process, STOP_GRACE);
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/measure/MeasuredSidecarProcess.java
+++ b/simulation/src/main/java/topazvalve/simulation/measure/MeasuredSidecarProcess.java
@@ -1,6 +1,5 @@
 package topazvalve.simulation.measure;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -30,32 +29,8 @@
 
     /** Returns a configuration with one idempotent class, whose endpoint list is never requested. */
     static SidecarConfiguration configuration() {
-        SidecarConfiguration configuration = new SidecarConfiguration(
-                        "m0", "7", SidecarConfiguration.loopback(UNUSED_PORT), Discovery.AUTOMATIC, 0)
-                .zonesAndKinds(List.of("a"), List.of("m"));
-        ObjectNode settings = configuration.settings();
-        settings.putObject("caps")
-                .put("mayCancel", true)
-                .put("tryLimit", 3)
-                .put("connectTimeout", 500_000_000L)
-                .put("connIdle", 10_000_000_000L)
-                .put("retryAfter", true)
-                .put("maxRetryAfter", 1_000_000_000L);
-        settings.putObject("rules")
-                .put("answerSlack", 20_000_000)
-                .put("stopSendingWithin", 500_000_000)
-                .put("coldShare", 0.4)
-                .put("rampTime", 7_000_000_000L)
-                .put("overloadFactor", 4.0)
-                .put("tipAfter", 1_500_000_000)
-                .put("askWithin", 10_000_000_000L);
-        settings.putArray("profiles")
-                .addObject()
-                .put("name", "look-up")
-                .put("slo", 1_000_000_000)
-                .put("deadline", 5_000_000_000L)
-                .put("semantics", "repeatable");
-        return configuration;
+        return new SidecarConfiguration("m0", "7", SidecarConfiguration.loopback(UNUSED_PORT), Discovery.AUTOMATIC, 0)
+                .withMeasurementSettings();
     }
 
     /** Starts a sidecar on a core; below 0 for any. */
--- a/simulation/src/main/java/topazvalve/simulation/process/ChildProcesses.java
+++ b/simulation/src/main/java/topazvalve/simulation/process/ChildProcesses.java
@@ -14,4 +14,14 @@
             process.destroyForcibly();
         }
     }
+
+    /** Does the same as {@link #stop}; if interrupted, ends the process by force and keeps the interrupt. */
+    public static void stopEvenIfInterrupted(Process process, Duration grace) {
+        try {
+            stop(process, grace);
+        } catch (InterruptedException e) {
+            process.destroyForcibly();
+            Thread.currentThread().interrupt();
+        }
+    }
 }
--- a/simulation/src/main/java/topazvalve/simulation/process/SidecarConfiguration.java
+++ b/simulation/src/main/java/topazvalve/simulation/process/SidecarConfiguration.java
@@ -18,6 +18,8 @@
     private static final double CORES = 1;
     private static final int MEMORY_MB = 96;
     private static final int SOCKETS = 1024;
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    private static final long NANOS_PER_SECOND = 1_000_000_000;
 
     /** How the sidecar gets its endpoint list. */
     public enum Discovery {
@@ -74,6 +76,33 @@
         return this;
     }
 
+    /** Adds zone a, machine kind m, capabilities, limits and one idempotent class, the same in all measurements. */
+    public SidecarConfiguration withMeasurementSettings() {
+        zonesAndKinds(List.of("a"), List.of("m"));
+        settings.putObject("caps")
+                .put("mayCancel", true)
+                .put("tryLimit", 3)
+                .put("connectTimeout", 500 * NANOS_PER_MILLI)
+                .put("connIdle", 10 * NANOS_PER_SECOND)
+                .put("retryAfter", true)
+                .put("maxRetryAfter", 1 * NANOS_PER_SECOND);
+        settings.putObject("rules")
+                .put("answerSlack", 20 * NANOS_PER_MILLI)
+                .put("stopSendingWithin", 500 * NANOS_PER_MILLI)
+                .put("coldShare", 0.4)
+                .put("rampTime", 7 * NANOS_PER_SECOND)
+                .put("overloadFactor", 4.0)
+                .put("tipAfter", 1_500 * NANOS_PER_MILLI)
+                .put("askWithin", 10 * NANOS_PER_SECOND);
+        settings.putArray("profiles")
+                .addObject()
+                .put("name", "look-up")
+                .put("slo", 1 * NANOS_PER_SECOND)
+                .put("deadline", 5 * NANOS_PER_SECOND)
+                .put("semantics", "repeatable");
+        return this;
+    }
+
     /** Sets the endpoint list that it starts with, in the JSON of discovery. */
     public SidecarConfiguration known(ObjectNode list) {
         root.set("known", list);
