--- a/simulation/src/main/java/topazvalve/simulation/real/ClientRequest.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/ClientRequest.java
@@ -16,9 +16,9 @@
 import topazvalve.simulation.oracle.Oracle.Answer;
 import topazvalve.simulation.oracle.Trace;
 import topazvalve.simulation.real.SentRequests.SentRequest;
-import topazvalve.simulation.scenario.Scenario;
 import topazvalve.simulation.scenario.WorkClass;
 import topazvalve.simulation.scenario.WorkClass.Repeatability;
+import topazvalve.simulation.statistics.ClientTry;
 
 /** One try of a client over HTTP, from its sending to what the client does about its end. */
 final class ClientRequest {
@@ -194,25 +194,15 @@
 
     private void end(Answer answer, long retryAfterNanos) {
         finished = true;
-        boolean harmless = answer == Answer.REJECTED || requestClass.retryIsHarmless();
-        long sentAt = run.sinceStart(firstSentAt);
         if (answer == Answer.SERVED) {
             long latency = run.clock().now() - firstSentAt;
-            run.statistics().requestServed(generated.requestClass(), sentAt, latency);
-        } else if (generated.retries() && !isRetry && harmless) {
-            Scenario.Clients settings = run.scenario().clients();
-            retryAfter(settings.backoffNanos(generated.honoursRetryAfter(), retryAfterNanos));
-        } else if (answer == Answer.REJECTED) {
-            run.statistics().requestRejected(generated.requestClass(), sentAt);
+            run.statistics().requestServed(generated.requestClass(), run.sinceStart(firstSentAt), latency);
         } else {
-            run.statistics().requestFailed(generated.requestClass(), sentAt);
+            new ClientTry(generated, firstSentAt, isRetry).endUnserved(run, answer, retryAfterNanos, this::retry);
         }
     }
 
-    private void retryAfter(long backoffNanos) {
-        run.clock().scheduleAt(run.clock().now() + backoffNanos, () -> {
-            run.statistics().retrySent();
-            new ClientRequest(run, clients, instance, generated, firstSentAt, true).send();
-        });
+    private void retry() {
+        new ClientRequest(run, clients, instance, generated, firstSentAt, true).send();
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualClients.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualClients.java
@@ -9,6 +9,7 @@
 import topazvalve.simulation.oracle.Trace;
 import topazvalve.simulation.scenario.Scenario;
 import topazvalve.simulation.scenario.WorkClass;
+import topazvalve.simulation.statistics.ClientTry;
 
 /**
  * All clients of a run in virtual time. They send requests independently of earlier responses, wait, disconnect, and
@@ -167,22 +168,8 @@
         }
     }
 
-    /** Retries a request that was rejected or failed if client and class allow it, and counts it otherwise. */
     private void endUnserved(ClientRequest clientRequest, boolean isRetry, Answer answer, long retryAfterNanos) {
-        WorkClass requestClass = scenario.classes().get(clientRequest.requestClass());
-        boolean harmless = answer == Answer.REJECTED || requestClass.retryIsHarmless();
-        long firstSentAt = simulation.sinceStart(clientRequest.firstSentAt());
-        if (clientRequest.generated().retries() && !isRetry && harmless) {
-            long backoff =
-                    scenario.clients().backoffNanos(clientRequest.generated().honoursRetryAfter(), retryAfterNanos);
-            simulation.clock().scheduleAt(now() + backoff, () -> {
-                simulation.statistics().retrySent();
-                send(clientRequest, true);
-            });
-        } else if (answer == Answer.REJECTED) {
-            simulation.statistics().requestRejected(clientRequest.requestClass(), firstSentAt);
-        } else {
-            simulation.statistics().requestFailed(clientRequest.requestClass(), firstSentAt);
-        }
+        new ClientTry(clientRequest.generated(), clientRequest.firstSentAt(), isRetry)
+                .endUnserved(simulation, answer, retryAfterNanos, () -> send(clientRequest, true));
     }
 }
