--- /dev/null
+++ b/simulation/src/test/java/topazvalve/simulation/process/ChildProcessesTest.java
@@ -0,0 +1,23 @@
+package topazvalve.simulation.process;
+
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.time.Duration;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+
+/** Child processes end, also when the caller is interrupted. */
+class ChildProcessesTest {
+    private static final Duration GRACE = Duration.ofSeconds(30);
+
+    @Test
+    void processEndsAndTheInterruptIsKept() throws Exception {
+        Process process = new ProcessBuilder("sleep", "600").start();
+        Thread.currentThread().interrupt();
+
+        ChildProcesses.stopEvenIfInterrupted(process, GRACE);
+
+        assertTrue(Thread.interrupted());
+        assertTrue(process.waitFor(GRACE.toSeconds(), TimeUnit.SECONDS));
+    }
+}
