--- a/capacity/src/main/java/topazvalve/capacity/plan/PlanFile.java
+++ b/capacity/src/main/java/topazvalve/capacity/plan/PlanFile.java
@@ -1,7 +1,6 @@
 package topazvalve.capacity.plan;
 
 import java.io.IOException;
-import java.nio.file.Files;
 import java.nio.file.Path;
 import topazvalve.capacity.plan.CapacityPlan.Budget;
 import topazvalve.capacity.plan.CapacityPlan.Control;
@@ -30,7 +29,7 @@
      * @throws IOException if the file cannot be read
      */
     public static CapacityPlan read(Path file) throws IOException {
-        return parse(file.toString(), Files.readString(file));
+        return TomlFile.read(file, PlanFile::readPlan);
     }
 
     /**
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/timeline/TimelineFile.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/timeline/TimelineFile.java
@@ -1,7 +1,6 @@
 package topazvalve.hollowfleet.timeline;
 
 import java.io.IOException;
-import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -38,7 +37,7 @@
      * @throws IOException if the file cannot be read
      */
     public static Timeline read(Path file) throws IOException {
-        return parse(file.toString(), Files.readString(file));
+        return TomlFile.read(file, TimelineFile::readTimeline);
     }
 
     /**
--- a/relay/src/main/java/topazvalve/relay/RelayFile.java
+++ b/relay/src/main/java/topazvalve/relay/RelayFile.java
@@ -2,7 +2,6 @@
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -31,7 +30,7 @@
      * @throws IOException if the file can't be read
      */
     public static RelaySettings read(Path file) throws IOException {
-        return parse(file.toString(), Files.readString(file));
+        return TomlFile.read(file, RelayFile::readSettings);
     }
 
     /**
--- a/toml/src/main/java/topazvalve/toml/TomlFile.java
+++ b/toml/src/main/java/topazvalve/toml/TomlFile.java
@@ -4,6 +4,9 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -15,6 +18,18 @@
 
     private TomlFile() {}
 
+    /**
+     * Reads a file, whose path stands for it in messages.
+     *
+     * @param reader reads the values from the root table; it notes problems there and goes on
+     * @return what {@code reader} has read
+     * @throws InvalidFileException if the file is not TOML or a problem was noted
+     * @throws IOException if the file can't be read, or is not UTF-8
+     */
+    public static <T> T read(Path file, Function<Table, T> reader) throws IOException {
+        return parse(file.toString(), Files.readString(file), reader);
+    }
+
     /**
      * Reads the text of a file.
      *
--- a/toml/src/test/java/topazvalve/toml/TomlFileTest.java
+++ b/toml/src/test/java/topazvalve/toml/TomlFileTest.java
@@ -4,8 +4,13 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.NoSuchFileException;
+import java.nio.file.Path;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
 
 /** Acceptance of a file as a whole, and the form of its problems. */
 class TomlFileTest {
@@ -56,4 +61,17 @@
                         + "test.toml:2: b: \"x\" is not a whole number from 1 to 2",
                 invalid.getMessage());
     }
+
+    @Test
+    void aFileIsNamedByItsPathInMessages(@TempDir Path directory) throws IOException {
+        Path file = Files.writeString(directory.resolve("relay.toml"), "a = 0\n");
+        InvalidFileException invalid = assertThrows(
+                InvalidFileException.class, () -> TomlFile.read(file, root -> root.integer("a", null, 1, 2)));
+        assertEquals(file + ":1: a: 0 is not a whole number from 1 to 2", invalid.getMessage());
+    }
+
+    @Test
+    void aFileThatDoesNotExistIsNoInvalidFile(@TempDir Path directory) {
+        assertThrows(NoSuchFileException.class, () -> TomlFile.read(directory.resolve("none.toml"), Table::toString));
+    }
 }
