--- a/discovery-state/src/main/java/topazvalve/discovery/state/FailoverStateMachine.java
+++ b/discovery-state/src/main/java/topazvalve/discovery/state/FailoverStateMachine.java
@@ -108,11 +108,11 @@
     /**
      * Reports a failure as {@link #failed} does.
      *
-     * @param wait the peer's Retry-After in nanoseconds, 0 if it gave none; it takes effect once all peers have
-     *     failed
+     * @param peerRetryAfterNanos the peer's Retry-After in nanoseconds, 0 if it gave none; it takes effect once all
+     *     peers have failed
      */
-    public Connect rejected(long wait) {
-        retryAfterNanos = Math.max(retryAfterNanos, Math.min(wait, MAX_RETRY_AFTER_NANOS));
+    public Connect rejected(long peerRetryAfterNanos) {
+        retryAfterNanos = Math.max(retryAfterNanos, Math.min(peerRetryAfterNanos, MAX_RETRY_AFTER_NANOS));
         currentPeer = (currentPeer + 1) % peerCount;
         failuresInRound++;
         if (failuresInRound < peerCount) {
--- a/relay/src/main/java/topazvalve/relay/CatchUpService.java
+++ b/relay/src/main/java/topazvalve/relay/CatchUpService.java
@@ -144,7 +144,7 @@
 
     private void deliver(ChangeBatch batch, Subscriber subscriber) {
         if (!subscriber.isWritable()) {
-            markOvertaken(subscriber);
+            markLagging(subscriber);
         } else if (!subscriber.isUpToDate()) {
             catchUp(subscriber);
         } else if (!subscriber.versions().equals(batch.to())) {
@@ -154,9 +154,9 @@
         }
     }
 
-    private void markOvertaken(Subscriber subscriber) {
+    private void markLagging(Subscriber subscriber) {
         if (subscriber.isUpToDate()) {
-            metrics.countOvertaken();
+            metrics.countLagging();
         }
         subscriber.setUpToDate(false);
     }
--- a/relay/src/main/java/topazvalve/relay/MetricsPage.java
+++ b/relay/src/main/java/topazvalve/relay/MetricsPage.java
@@ -18,14 +18,14 @@
 
     /** Returns the page as it is now. */
     String render() {
-        StringBuilder page = new StringBuilder();
-        RelayMetrics.appendLine(page, "callers", subscribers.count());
-        RelayMetrics.appendLine(page, "following", subscribers.followingCount());
-        RelayMetrics.appendLine(page, "servers", store.liveCount());
-        RelayMetrics.appendLine(page, "vouches", sources.isAnyHealthy() ? 1 : 0);
-        page.append("versions=").append(store.versions()).append('\n');
-        sources.appendIdleTimes(page);
-        metrics.appendTo(page);
+        MetricsText page = new MetricsText();
+        page.add("callers", subscribers.count());
+        page.add("following", subscribers.followingCount());
+        page.add("servers", store.liveCount());
+        page.add("vouches", sources.isAnyHealthy() ? 1 : 0);
+        page.add("versions", store.versions().toString());
+        sources.addIdleTimesTo(page);
+        metrics.addTo(page);
         return page.toString();
     }
 }
--- a/relay/src/main/java/topazvalve/relay/RelayMetrics.java
+++ b/relay/src/main/java/topazvalve/relay/RelayMetrics.java
@@ -3,14 +3,17 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** Counters of one relay since it started. On the event loop alone. */
+/**
+ * Counters of one relay since it started. The names in the code are the current terms; the keys of the page, which
+ * {@link #addTo} maps them to, are older and stay. On the event loop alone.
+ */
 final class RelayMetrics {
     private final Map<RejectionReason, Long> rejected = new EnumMap<>(RejectionReason.class);
     private long listRequests;
     private long invalidRequests;
     private long snapshotsSent;
     private long deltasSent;
-    private long overtakenSubscribers;
+    private long laggingSubscribers;
     private long stalledSubscribers;
     private long bytesSent;
 
@@ -34,14 +37,14 @@
         snapshotsSent++;
     }
 
-    /** Counts a line of changes that was sent to one subscriber. */
+    /** Counts a delta that was sent to one subscriber. */
     void countDelta() {
         deltasSent++;
     }
 
-    /** Counts a subscriber that was too slow for a change and will get the newest state. */
-    void countOvertaken() {
-        overtakenSubscribers++;
+    /** Counts a subscriber that could not be sent a change and gets the newest state once it is writable. */
+    void countLagging() {
+        laggingSubscribers++;
     }
 
     /** Counts a subscriber that was closed because it took no byte for too long. */
@@ -54,32 +57,25 @@
         bytesSent += bytes;
     }
 
-    /** Appends the counters as {@code key=value} lines. */
-    void appendTo(StringBuilder page) {
-        appendLine(page, "calls", listRequests);
-        appendLine(
-                page,
+    /** Adds all counters under the keys that {@code docs/relay.md} lists. */
+    void addTo(MetricsText page) {
+        page.add("calls", listRequests);
+        page.add(
                 "refused.full",
                 rejected(RejectionReason.TOO_MANY_SUBSCRIBERS) + rejected(RejectionReason.TOO_MANY_SNAPSHOTS));
-        appendLine(page, "refused.unheard", rejected(RejectionReason.NO_HEALTHY_SOURCE));
-        appendLine(
-                page,
+        page.add("refused.unheard", rejected(RejectionReason.NO_HEALTHY_SOURCE));
+        page.add(
                 "refused.behind",
                 rejected(RejectionReason.INCOMPLETE_LIST) + rejected(RejectionReason.SUBSCRIBER_AHEAD));
-        appendLine(page, "refused.bad", invalidRequests);
-        appendLine(page, "whole_lists", snapshotsSent);
-        appendLine(page, "changes", deltasSent);
-        appendLine(page, "overtaken", overtakenSubscribers);
-        appendLine(page, "stalled", stalledSubscribers);
-        appendLine(page, "bytes", bytesSent);
+        page.add("refused.bad", invalidRequests);
+        page.add("whole_lists", snapshotsSent);
+        page.add("changes", deltasSent);
+        page.add("overtaken", laggingSubscribers);
+        page.add("stalled", stalledSubscribers);
+        page.add("bytes", bytesSent);
     }
 
     private long rejected(RejectionReason reason) {
         return rejected.getOrDefault(reason, 0L);
     }
-
-    /** Appends one metric as a {@code key=value} line. */
-    static void appendLine(StringBuilder page, String key, long value) {
-        page.append(key).append('=').append(value).append('\n');
-    }
 }
--- a/relay/src/main/java/topazvalve/relay/RelaySettings.java
+++ b/relay/src/main/java/topazvalve/relay/RelaySettings.java
@@ -31,9 +31,13 @@
      */
     public record SourceSettings(String name, List<InetSocketAddress> addresses) {}
 
+    /** How many connections may be open where the file does not say it. */
     public static final int DEFAULT_MAX_SUBSCRIBERS = 4_000;
+    /** How many bytes may wait for a slow subscriber where the file does not say it. */
     public static final int DEFAULT_SUBSCRIBER_BUFFER_BYTES = 256 << 10;
+    /** How many changed entries of a source are kept where the file does not say it. */
     public static final int DEFAULT_LOGGED_ENTRIES = 16_384;
+    /** After how many milliseconds without progress a subscriber is closed where the file does not say it. */
     public static final long DEFAULT_STALL_TIMEOUT_MILLIS = 10_000;
 
     /** Returns settings with every limit at its default. */
--- a/relay/src/main/java/topazvalve/relay/SourceGroup.java
+++ b/relay/src/main/java/topazvalve/relay/SourceGroup.java
@@ -59,11 +59,11 @@
         return sources.stream().anyMatch(source -> source.requestBackfill(versions.versionOf(source.name())));
     }
 
-    /** Appends for each source how long it has sent no message, as {@code key=value} lines. */
-    void appendIdleTimes(StringBuilder page) {
+    /** Adds for each source how long it has sent no message, in milliseconds. */
+    void addIdleTimesTo(MetricsText page) {
         for (SourceSubscription source : sources) {
             long idleMillis = TimeUnit.NANOSECONDS.toMillis(source.idleNanos());
-            RelayMetrics.appendLine(page, "source." + source.name() + ".silent_ms", idleMillis);
+            page.add("source." + source.name() + ".silent_ms", idleMillis);
         }
     }
 }
