--- a/capacity/src/main/java/topazvalve/capacity/measure/ListMeasurement.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/ListMeasurement.java
@@ -42,19 +42,16 @@
         recorder.beginSection("packaged sidecar, " + servers + " servers listed");
         int snapshotBytes = EndpointListJson.fullSnapshot(1, servers, false).length();
         recorder.record(Quantity.LIST_BYTES, servers, snapshotBytes);
-        List<Double> startSeconds = new ArrayList<>();
-        List<Double> startCpuSeconds = new ArrayList<>();
+        StartTimes startTimes = new StartTimes();
         for (int startsLeft = context.quickOrFull(1, 3); startsLeft > 0; startsLeft--) {
             try (StandInSourceProcess source =
                             StandInSourceProcess.startUnbounded(servers, context.heartbeatIntervalMillis());
                     MeasuredSidecar sidecar =
                             MeasuredSidecar.start(context, SidecarConfiguration.watching(source.port()), List.of())) {
                 sidecar.awaitListed(servers, START_TIMEOUT_MILLIS, START_POLL_MILLIS);
-                startSeconds.add(sidecar.ageNanos() / NANOS_PER_SECOND);
-                startCpuSeconds.add(ProcessMetrics.totalCpuNanos(sidecar.handle()) / NANOS_PER_SECOND);
+                startTimes.add(sidecar);
                 if (startsLeft == 1) {
-                    recorder.record(Quantity.SIDECAR_START, servers, MeasurementRecorder.median(startSeconds));
-                    recorder.record(Quantity.SIDECAR_START_CPU, servers, MeasurementRecorder.median(startCpuSeconds));
+                    startTimes.recordMedians(servers);
                     sidecar.awaitReady(START_TIMEOUT_MILLIS);
                     new RunningSidecarMeasurement(context, servers, source, sidecar).run();
                 }
@@ -62,6 +59,23 @@
         }
     }
 
+    /** How long the starts with one length of the list took, and their CPU time. */
+    private final class StartTimes {
+        private final List<Double> seconds = new ArrayList<>();
+        private final List<Double> cpuSeconds = new ArrayList<>();
+
+        /** Adds the start of a sidecar that has its list in force now. */
+        void add(MeasuredSidecar sidecar) {
+            seconds.add(sidecar.ageNanos() / NANOS_PER_SECOND);
+            cpuSeconds.add(ProcessMetrics.totalCpuNanos(sidecar.handle()) / NANOS_PER_SECOND);
+        }
+
+        void recordMedians(int servers) {
+            recorder.record(Quantity.SIDECAR_START, servers, MeasurementRecorder.median(seconds));
+            recorder.record(Quantity.SIDECAR_START_CPU, servers, MeasurementRecorder.median(cpuSeconds));
+        }
+    }
+
     private void recordLineBytes() {
         for (int endpoints : RunningSidecarMeasurement.endpointsPerLine(context)) {
             recorder.record(Quantity.LINE_BYTES, endpoints, EndpointListJson.deltaChunkLength(endpoints));
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/PackagedSidecars.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/PackagedSidecars.java
@@ -18,6 +18,8 @@
  */
 final class PackagedSidecars implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
+    private static final long MILLIS = 1_000_000;
+    private static final long SECONDS = 1_000_000_000;
 
     private final List<Process> processes = new ArrayList<>();
 
@@ -50,27 +52,27 @@
                 .put("seed", Integer.toHexString(number + 1));
         root.putObject("limits").put("cores", 1.0).put("memory_mb", 96).put("sockets", 1024);
         ObjectNode settings =
-                root.putObject("settings").put("discovery", "subscribe").put("quantum", 5_000_000);
+                root.putObject("settings").put("discovery", "subscribe").put("quantum", 5 * MILLIS);
         settings.putArray("zones").add("z0");
         settings.putArray("kinds").add("m2");
         settings.putObject("report").put("how", "silent").putArray("fields");
         settings.putObject("caps")
                 .put("tryLimit", 4)
-                .put("connectTimeout", 200_000_000L)
-                .put("connIdle", 5_000_000_000L);
+                .put("connectTimeout", 200 * MILLIS)
+                .put("connIdle", 5 * SECONDS);
         settings.putObject("rules")
-                .put("answerSlack", 20_000_000)
-                .put("stopSendingWithin", 500_000_000)
+                .put("answerSlack", 20 * MILLIS)
+                .put("stopSendingWithin", 500 * MILLIS)
                 .put("coldShare", 0.39)
-                .put("rampTime", 7_400_000_000L)
+                .put("rampTime", 7_400 * MILLIS)
                 .put("overloadFactor", 4.0)
-                .put("tipAfter", 3_000_000_000L)
-                .put("askWithin", 10_000_000_000L);
+                .put("tipAfter", 3 * SECONDS)
+                .put("askWithin", 10 * SECONDS);
         settings.putArray("profiles")
                 .addObject()
                 .put("name", "hollow")
-                .put("slo", 400_000_000)
-                .put("deadline", 1_000_000_000L)
+                .put("slo", 400 * MILLIS)
+                .put("deadline", 1 * SECONDS)
                 .put("semantics", "repeatable");
         return root;
     }
