--- a/toml/src/test/java/topazvalve/toml/KeyLinesTest.java
+++ b/toml/src/test/java/topazvalve/toml/KeyLinesTest.java
@@ -3,6 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
 
 /** The line of each key, table and element of an array of tables. */
 class KeyLinesTest {
@@ -25,46 +28,40 @@
 
     private final KeyLines lines = new KeyLines(TEXT);
 
-    @Test
-    void aKeyOfTheRootHasItsLine() {
-        assertEquals(1, lines.lineOf("name"));
-        assertEquals(3, lines.lineOf("quoted"));
-        assertEquals(4, lines.lineOf("dotted.key"));
+    @ParameterizedTest
+    @CsvSource({"name, 1", "quoted, 3", "dotted.key, 4", "fleet.servers, 6", "fleet.zone.size, 8"})
+    void aKeyHasItsLine(String path, int line) {
+        assertEquals(line, lines.lineOf(path));
     }
 
-    @Test
-    void aTableHasTheLineOfItsHeader() {
-        assertEquals(5, lines.lineOf("fleet"));
-        assertEquals(6, lines.lineOf("fleet.servers"));
-        assertEquals(7, lines.lineOf("fleet.zone"));
-        assertEquals(8, lines.lineOf("fleet.zone.size"));
+    @ParameterizedTest
+    @CsvSource({"fleet, 5", "fleet.zone, 7"})
+    void aTableHasTheLineOfItsHeader(String path, int line) {
+        assertEquals(line, lines.lineOf(path));
     }
 
-    @Test
-    void anArrayOfTablesHasTheLineOfItsFirstElement() {
-        assertEquals(9, lines.lineOf("source"));
+    @ParameterizedTest
+    @CsvSource({"source.0, 9", "source.0.name, 10", "source.1, 11", "source.1.name, 12"})
+    void eachElementOfAnArrayOfTablesHasItsOwnLines(String path, int line) {
+        assertEquals(line, lines.lineOf(path));
     }
 
     @Test
-    void eachElementOfAnArrayOfTablesHasItsOwnLines() {
-        assertEquals(9, lines.lineOf("source.0"));
-        assertEquals(10, lines.lineOf("source.0.name"));
-        assertEquals(11, lines.lineOf("source.1"));
-        assertEquals(12, lines.lineOf("source.1.name"));
+    void anArrayOfTablesHasTheLineOfItsFirstElement() {
+        assertEquals(9, lines.lineOf("source"));
     }
 
-    @Test
-    void aKeyThatTheFileLacksHasTheLineOfTheInnermostTableAroundIt() {
-        assertEquals(5, lines.lineOf("fleet.racks"));
-        assertEquals(7, lines.lineOf("fleet.zone.inner.key"));
-        assertEquals(11, lines.lineOf("source.1.addresses"));
+    @ParameterizedTest
+    @CsvSource({"fleet.racks, 5", "fleet.zone.inner.key, 7", "source.1.addresses, 11"})
+    void aKeyThatTheFileLacksHasTheLineOfTheInnermostTableAroundIt(String path, int line) {
+        assertEquals(line, lines.lineOf(path));
     }
 
-    @Test
-    void aKeyThatTheRootLacksHasTheFirstLine() {
-        assertEquals(1, lines.lineOf("missing"));
-        assertEquals(1, lines.lineOf("missing.key"));
-        assertEquals(1, new KeyLines("").lineOf("missing"));
+    @ParameterizedTest
+    @ValueSource(strings = {"missing", "missing.key"})
+    void aKeyThatTheRootLacksHasTheFirstLine(String path) {
+        assertEquals(1, lines.lineOf(path));
+        assertEquals(1, new KeyLines("").lineOf(path));
     }
 
     @Test
