--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/PackagedSidecars.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/PackagedSidecars.java
@@ -18,7 +18,8 @@
  * for comparison with the hollow ones. They need a built program.
  */
 final class PackagedSidecars implements AutoCloseable {
-    private static final long QUANTUM_NANOS = 5_000_000;
+    private static final long MILLIS = 1_000_000;
+    private static final long SECONDS = 1_000_000_000;
 
     private final List<Process> processes = new ArrayList<>();
 
@@ -49,26 +50,26 @@
                         Integer.toHexString(number + 1),
                         source.getAddress().getHostAddress() + ":" + source.getPort(),
                         Discovery.SUBSCRIBE,
-                        QUANTUM_NANOS)
+                        5 * MILLIS)
                 .zonesAndKinds(List.of("z0"), List.of("m2"));
         ObjectNode settings = configuration.settings();
         settings.putObject("caps")
                 .put("tryLimit", 4)
-                .put("connectTimeout", 200_000_000L)
-                .put("connIdle", 5_000_000_000L);
+                .put("connectTimeout", 200 * MILLIS)
+                .put("connIdle", 5 * SECONDS);
         settings.putObject("rules")
-                .put("answerSlack", 20_000_000)
-                .put("stopSendingWithin", 500_000_000)
+                .put("answerSlack", 20 * MILLIS)
+                .put("stopSendingWithin", 500 * MILLIS)
                 .put("coldShare", 0.39)
-                .put("rampTime", 7_400_000_000L)
+                .put("rampTime", 7_400 * MILLIS)
                 .put("overloadFactor", 4.0)
-                .put("tipAfter", 3_000_000_000L)
-                .put("askWithin", 10_000_000_000L);
+                .put("tipAfter", 3 * SECONDS)
+                .put("askWithin", 10 * SECONDS);
         settings.putArray("profiles")
                 .addObject()
                 .put("name", "hollow")
-                .put("slo", 400_000_000)
-                .put("deadline", 1_000_000_000L)
+                .put("slo", 400 * MILLIS)
+                .put("deadline", 1 * SECONDS)
                 .put("semantics", "repeatable");
         return configuration;
     }
