--- a/discovery-client/src/main/java/topazvalve/discovery/client/DiscoveryCall.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/DiscoveryCall.java
@@ -28,7 +28,7 @@
  * sends the request, splits the response into JSON objects and supervises the peer by timeouts. Used on the event
  * loop only.
  *
- * <p>The listener decides what a valid update is and reports the first one by {@link #answered}. A watch has an idle
+ * <p>The listener decides what a valid update is and reports the first one by {@link #markAnswered}. A watch has an idle
  * timeout from then on; before, and for a fetch, the response timeout applies.
  */
 public final class DiscoveryCall extends SimpleChannelInboundHandler<HttpObject> {
@@ -69,7 +69,7 @@
         void watchIdle();
 
         /** Called if no object or heartbeat came in time. The call stays open for a while and fails after that. */
-        void answerOverdue();
+        void responseOverdue();
 
         /**
          * Called once if the call has ended with a failure.
@@ -145,15 +145,15 @@
         }
         timeout = watching && answered
                 ? loop.schedule(this::idle, IDLE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
-                : loop.schedule(this::responseOverdue, RESPONSE_OVERDUE_MILLIS, TimeUnit.MILLISECONDS);
+                : loop.schedule(this::reportResponseOverdue, RESPONSE_OVERDUE_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void responseOverdue() {
+    private void reportResponseOverdue() {
         timeout = loop.schedule(
                 () -> fail(new DiscoveryFailure.Overdue()),
                 RESPONSE_TIMEOUT_MILLIS - RESPONSE_OVERDUE_MILLIS,
                 TimeUnit.MILLISECONDS);
-        listener.answerOverdue();
+        listener.responseOverdue();
     }
 
     private void idle() {
@@ -163,11 +163,11 @@
     }
 
     /** Records that the listener has received a valid update or heartbeat; a watch has an idle timeout from now on. */
-    public void answered() {
+    public void markAnswered() {
         answered = true;
     }
 
-    /** Returns whether {@link #answered} was called. */
+    /** Returns whether {@link #markAnswered} was called. */
     public boolean isAnswered() {
         return answered;
     }
--- a/discovery-client/src/main/java/topazvalve/discovery/client/DiscoveryClient.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/DiscoveryClient.java
@@ -93,7 +93,7 @@
         session.setDiscoveryAddress(to);
         session.list().addressChanged();
         int fetches = closeAllCalls();
-        watch(watches.isWanted());
+        watches.reopen();
         for (int i = 0; i < fetches; i++) {
             fetch();
         }
@@ -162,7 +162,7 @@
         }
 
         @Override
-        boolean responseReceived() {
+        boolean acceptResponse() {
             markAnswered();
             return true;
         }
@@ -191,7 +191,7 @@
         }
 
         @Override
-        public void answerOverdue() {
+        public void responseOverdue() {
             // A relay has no queue and may hold a call on purpose.
             if (!session.usesRelays()) {
                 setOverdue(true);
--- a/discovery-client/src/main/java/topazvalve/discovery/client/DiscoveryFailure.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/DiscoveryFailure.java
@@ -96,7 +96,7 @@
         }
     }
 
-    /** A full snapshot lists no endpoint although some were known; it is taken for an error of its sender. */
+    /** A full snapshot lists no endpoint although some were known; it is treated as an error of its sender. */
     record EmptySnapshot() implements DiscoveryFailure {
         @Override
         public String message() {
--- a/discovery-client/src/main/java/topazvalve/discovery/client/EndpointCall.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/EndpointCall.java
@@ -58,7 +58,7 @@
     final void markAnswered() {
         overdue = false;
         session.responseReceived();
-        call.answered();
+        call.markAnswered();
     }
 
     @Override
@@ -72,7 +72,7 @@
         Optional<DiscoveryFailure> rejection = session.list().validate(update, versionCheck());
         if (rejection.isPresent()) {
             call.fail(rejection.get());
-        } else if (responseReceived() && !isOutdated(update)) {
+        } else if (acceptResponse() && !isOutdated(update)) {
             apply(update);
         }
     }
@@ -93,12 +93,12 @@
     abstract VersionCheck versionCheck();
 
     /** Handles a valid message; returns false if the call was closed because another one took its place. */
-    abstract boolean responseReceived();
+    abstract boolean acceptResponse();
 
     /** Returns whether the current list already contains the changes of this update. */
     abstract boolean isOutdated(EndpointUpdate update);
 
-    /** Called after the version of an update was taken over and before the listener is notified. */
+    /** Called after the version of an update was adopted and before the listener is notified. */
     abstract void updateApplied(EndpointUpdate update);
 
     /** Starts a fetch of the full list. */
--- a/discovery-client/src/main/java/topazvalve/discovery/client/JsonObjectFramer.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/JsonObjectFramer.java
@@ -23,7 +23,7 @@
         boolean heartbeatReceived();
     }
 
-    /** A byte buffer that tells its capacity. */
+    /** A byte buffer that reports its capacity. */
     private static final class ObjectBuffer extends ByteArrayOutputStream {
         int capacity() {
             return buf.length;
--- a/discovery-client/src/main/java/topazvalve/discovery/client/RelayFailover.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/RelayFailover.java
@@ -57,7 +57,7 @@
      */
     void scheduleReconnect(long retryAfterMillis, Runnable connect) {
         boolean wasFollowing = relays.failover().isFollowing();
-        FailoverStateMachine.Connect next = relays.failover().rejected(TimeUnit.MILLISECONDS.toNanos(retryAfterMillis));
+        FailoverStateMachine.Connect next = relays.failover().failed(TimeUnit.MILLISECONDS.toNanos(retryAfterMillis));
         reconnects++;
         if (next.delayNanos() > 0 && !wasFollowing) {
             LOG.warn(
--- a/discovery-client/src/main/java/topazvalve/discovery/client/WatchManager.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/WatchManager.java
@@ -32,16 +32,17 @@
         this.fetchSnapshot = fetchSnapshot;
     }
 
-    boolean isWanted() {
-        return wanted;
+    /** Sets whether a watch is wanted, and closes or opens watches as {@link #reopen} does. */
+    void setWanted(boolean wanted) {
+        this.wanted = wanted;
+        reopen();
     }
 
     /**
      * Closes the current watch and a failback in progress, and opens a new watch if one is wanted. Overdue watches
      * stay open until they are answered or fail.
      */
-    void setWanted(boolean wanted) {
-        this.wanted = wanted;
+    void reopen() {
         closeWatches();
         if (wanted) {
             if (session.usesRelays()) {
@@ -151,7 +152,7 @@
         }
 
         @Override
-        boolean responseReceived() {
+        boolean acceptResponse() {
             if (isOverdue() && !takeOver()) {
                 close();
                 return false;
@@ -188,7 +189,7 @@
         @Override
         public void heartbeatReceived() {
             boolean first = !isAnswered();
-            if (responseReceived() && first) {
+            if (acceptResponse() && first) {
                 session.notifyUnchanged();
             }
         }
@@ -205,7 +206,7 @@
                 fail(new DiscoveryFailure.IdleWatch(DiscoveryCall.IDLE_TIMEOUT_MILLIS));
             } else if (current == this) {
                 LOG.warn("endpoint watch idle for {} ms, resubscribing", DiscoveryCall.IDLE_TIMEOUT_MILLIS);
-                setWanted(true);
+                reopen();
             }
         }
 
@@ -216,7 +217,7 @@
          * first is followed. Relays have no queue and may hold a call on purpose, so that nothing is done there.
          */
         @Override
-        public void answerOverdue() {
+        public void responseOverdue() {
             if (!session.usesRelays()) {
                 setOverdue(true);
                 resubscribe(new DiscoveryFailure.Overdue(), 0);
--- a/discovery-state/src/main/java/topazvalve/discovery/state/FailoverStateMachine.java
+++ b/discovery-state/src/main/java/topazvalve/discovery/state/FailoverStateMachine.java
@@ -102,16 +102,16 @@
 
     /** Reports that the current peer could not be reached, failed or became idle. */
     public Connect failed() {
-        return rejected(0);
+        return failed(0);
     }
 
     /**
-     * Reports a failure as {@link #failed} does.
+     * Reports a failure as {@link #failed()} does.
      *
      * @param wait the peer's Retry-After in nanoseconds, 0 if it gave none; it takes effect once all peers have
      *     failed
      */
-    public Connect rejected(long wait) {
+    public Connect failed(long wait) {
         retryAfterNanos = Math.max(retryAfterNanos, Math.min(wait, MAX_RETRY_AFTER_NANOS));
         currentPeer = (currentPeer + 1) % peerCount;
         failuresInRound++;
--- a/discovery-state/src/test/java/topazvalve/discovery/state/FailoverStateMachineTest.java
+++ b/discovery-state/src/test/java/topazvalve/discovery/state/FailoverStateMachineTest.java
@@ -53,13 +53,13 @@
     @Test
     void respectsRetryAfterUpToItsMaximum() {
         failover.start();
-        failover.rejected(SECOND);
-        failover.rejected(0);
-        Connect backoff = failover.rejected(0);
+        failover.failed(SECOND);
+        failover.failed(0);
+        Connect backoff = failover.failed(0);
         assertTrue(backoff.delayNanos() >= SECOND
                 && backoff.delayNanos() <= SECOND + FailoverStateMachine.INITIAL_BACKOFF_NANOS);
         failover.connecting();
-        failover.rejected(3600 * SECOND);
+        failover.failed(3600 * SECOND);
         failover.failed();
         assertTrue(failover.failed().delayNanos()
                 <= FailoverStateMachine.MAX_RETRY_AFTER_NANOS + FailoverStateMachine.MAX_BACKOFF_NANOS);
--- a/relay/src/main/java/topazvalve/relay/Backfill.java
+++ b/relay/src/main/java/topazvalve/relay/Backfill.java
@@ -103,7 +103,7 @@
         }
 
         @Override
-        public void answerOverdue() {
+        public void responseOverdue() {
             call.fail(new DiscoveryFailure.Overdue());
         }
 
--- a/relay/src/main/java/topazvalve/relay/SourceSubscription.java
+++ b/relay/src/main/java/topazvalve/relay/SourceSubscription.java
@@ -131,7 +131,7 @@
         if (state == State.CONNECTING) {
             state = State.FOLLOWING;
             failover.answered();
-            call.answered();
+            call.markAnswered();
             if (lastFailure != null) {
                 LOG.info("{}: watch recovered", name());
             }
@@ -202,7 +202,7 @@
         }
 
         @Override
-        public void answerOverdue() {
+        public void responseOverdue() {
             // With one address the call is let be: its place in the source's queue is better than a new one.
             if (settings.addresses().size() > 1) {
                 call.fail(new DiscoveryFailure.Overdue());
@@ -220,7 +220,7 @@
                 LOG.warn("{}: watch failed: {}", name(), failure.message());
             }
             lastFailure = failure;
-            connect(failover.rejected(TimeUnit.MILLISECONDS.toNanos(retryAfterMillis)));
+            connect(failover.failed(TimeUnit.MILLISECONDS.toNanos(retryAfterMillis)));
         }
     }
 }
