--- a/core/src/main/java/topazvalve/core/classes/ClassTable.java
+++ b/core/src/main/java/topazvalve/core/classes/ClassTable.java
@@ -29,7 +29,10 @@
             return new Identity(name, rules.idempotency(), rules.keyScope(), rules.keyTtlNanos(), rules.streaming());
         }
 
-        /** Written out, like equals: a record's own are linked at run time, 50 ms of CPU at each start. */
+        /**
+         * Implemented by hand, like equals: generated methods of a record are linked at run time, which costs 50 ms of
+         * CPU at each start.
+         */
         @Override
         public int hashCode() {
             return name.hashCode();
--- a/core/src/main/java/topazvalve/core/endpoint/Endpoint.java
+++ b/core/src/main/java/topazvalve/core/endpoint/Endpoint.java
@@ -11,7 +11,7 @@
  * @param zone name of the zone
  * @param machineKind name of the kind of machine
  * @param cell number of the cell
- * @param status whether the endpoint takes new requests
+ * @param status whether the endpoint accepts new requests
  * @param weight weight that the list gives
  * @param startedAtMillis when the process last started, in milliseconds since 1970; 0 for long ago
  */
--- a/core/src/main/java/topazvalve/core/exchange/ExchangeLifecycle.java
+++ b/core/src/main/java/topazvalve/core/exchange/ExchangeLifecycle.java
@@ -111,6 +111,7 @@
         long timeoutNanos = timeoutNanos(exchange);
         exchange.startTimeout(scheduler.now() + timeoutNanos, scheduler.schedule(timeoutNanos + OVERDUE_NANOS, () -> {
             fail(exchange.id);
+            // Reported as a disconnect: for the policy both mean that nobody waits for a response any longer.
             abandon(exchange);
         }));
     }
--- a/core/src/main/java/topazvalve/core/exchange/PolicyDispatcher.java
+++ b/core/src/main/java/topazvalve/core/exchange/PolicyDispatcher.java
@@ -23,7 +23,9 @@
     private final Scheduler scheduler;
     private final ArrayDeque<Event> events = new ArrayDeque<>();
     private LoadBalancer policy;
-    private boolean dispatching;
+    /** Whether queued events are being delivered, or will be once the loop has caught up after a stall. */
+    private boolean deliveryPending;
+
     private long faultCount;
 
     PolicyDispatcher(Scheduler scheduler) {
@@ -38,8 +40,8 @@
     /** Delivers an event: within this call, unless another is being delivered or the loop has stalled. */
     void dispatch(Event event) {
         events.add(event);
-        if (!dispatching) {
-            dispatching = true;
+        if (!deliveryPending) {
+            deliveryPending = true;
             scheduler.runOnceCaughtUp(this::deliverQueuedEvents);
         }
     }
@@ -50,7 +52,7 @@
                 deliver(event);
             }
         } finally {
-            dispatching = false;
+            deliveryPending = false;
         }
     }
 
--- a/core/src/main/java/topazvalve/core/exchange/ResponseListener.java
+++ b/core/src/main/java/topazvalve/core/exchange/ResponseListener.java
@@ -29,7 +29,7 @@
     /** Ends a streamed response, all of which has come. */
     void responseCompleted();
 
-    /** Breaks off a streamed response whose rest will not come; the client must be able to tell. */
+    /** Breaks off a streamed response whose rest will not come; the client must be able to notice. */
     void responseAborted();
 
     /**
--- a/core/src/main/java/topazvalve/core/lifecycle/ProcessLifecycle.java
+++ b/core/src/main/java/topazvalve/core/lifecycle/ProcessLifecycle.java
@@ -10,8 +10,12 @@
     private static final long LAME_DUCK_GRACE_NANOS = 1_000 * NANOS_PER_MILLI;
     /** How long idle connections are kept after SIGTERM: new ones come for that long, and none is needed after. */
     private static final long SHUTDOWN_GRACE_NANOS = 400 * NANOS_PER_MILLI;
-    /** Requests that come within this time of SIGTERM need no answer before the kill. */
-    private static final long EXCUSED_NANOS = 600 * NANOS_PER_MILLI;
+    /**
+     * Requests that arrive within this time after SIGTERM keep their own deadline, even if it is after the earliest
+     * SIGKILL: the platform allows what arrives within 0.7 s to be unanswered at SIGKILL, and 0.1 s of that is kept as a
+     * margin. Later requests must be answered before SIGKILL.
+     */
+    private static final long UNANSWERED_ALLOWED_NANOS = 600 * NANOS_PER_MILLI;
     /** Time before the kill that is reserved for an answer's way out and for an event loop that is held up. */
     private static final long KILL_RESERVE_NANOS = 100 * NANOS_PER_MILLI;
 
@@ -60,7 +64,7 @@
      */
     public long maxRequestTimeoutNanos() {
         long now = System.nanoTime();
-        boolean lateInShutdown = shuttingDown && now - shutdownAtNanos > EXCUSED_NANOS;
+        boolean lateInShutdown = shuttingDown && now - shutdownAtNanos > UNANSWERED_ALLOWED_NANOS;
         return lateInShutdown ? killAtNanos - KILL_RESERVE_NANOS - now : Long.MAX_VALUE;
     }
 
@@ -75,7 +79,7 @@
     }
 
     /** Returns whether a connection without a request should be closed now. */
-    public boolean closesIdleConnections() {
+    public boolean shouldCloseIdleConnections() {
         long now = System.nanoTime();
         boolean shutdownGraceOver = shuttingDown && now - shutdownAtNanos >= SHUTDOWN_GRACE_NANOS;
         return shutdownGraceOver || (isDraining() && now - drainingSinceNanos >= LAME_DUCK_GRACE_NANOS);
--- a/core/src/main/java/topazvalve/core/pool/Attempt.java
+++ b/core/src/main/java/topazvalve/core/pool/Attempt.java
@@ -87,7 +87,7 @@
         return written;
     }
 
-    /** Returns whether the connection has taken the last byte, which is perhaps not written yet. */
+    /** Returns whether the last byte was passed to the connection, which has perhaps not written it yet. */
     public boolean isHandedOver() {
         return state == State.HANDED_OVER || state == State.WRITTEN;
     }
@@ -121,7 +121,7 @@
         }
     }
 
-    /** Records that the connection has taken the last byte. */
+    /** Records that the last byte was passed to the connection. */
     public void handedOver() {
         if (!isCompleted()) {
             state = State.HANDED_OVER;
--- a/core/src/main/java/topazvalve/core/pool/AttemptListener.java
+++ b/core/src/main/java/topazvalve/core/pool/AttemptListener.java
@@ -29,7 +29,9 @@
     }
 
     /**
-     * Reports the end of the attempt; called exactly once.
+     * Reports the end of the attempt; called exactly once. {@link Outcome#CONNECT_FAILED} is reported not only where
+     * no connection could be made, but also where the connection was lost or the timeout passed before the last byte
+     * was written, or where the endpoint was draining: the server has not run the attempt.
      *
      * @param response the complete response for {@link Outcome#OK}; null for a streamed one and other outcomes
      * @param loadReport the server's load report; {@link Attempt#NO_LOAD} if there is none
--- a/core/src/main/java/topazvalve/core/pool/EndpointPool.java
+++ b/core/src/main/java/topazvalve/core/pool/EndpointPool.java
@@ -28,7 +28,7 @@
         return address;
     }
 
-    /** Returns whether the endpoint takes new attempts. */
+    /** Returns whether the endpoint accepts new attempts. */
     boolean isReady() {
         return ready;
     }
--- a/core/src/main/java/topazvalve/core/pool/PooledConnection.java
+++ b/core/src/main/java/topazvalve/core/pool/PooledConnection.java
@@ -146,7 +146,7 @@
         return pool.address();
     }
 
-    /** Ends the lease: the connection becomes idle, or is closed if the endpoint takes no new attempts. */
+    /** Ends the lease: the connection becomes idle, or is closed if the endpoint accepts no new attempts. */
     public void release() {
         if (state == State.LEASED && pool.isReady() && channel.isActive()) {
             state = State.IDLE;
--- a/core/src/main/java/topazvalve/core/time/EventLoopScheduler.java
+++ b/core/src/main/java/topazvalve/core/time/EventLoopScheduler.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The scheduler of an event loop. With stall detection it notices when the loop was held up, as by a garbage
- * collection or where others have the processor: what peers did meanwhile lies unread in the sockets then.
+ * The scheduler of an event loop. With stall detection it notices when the loop was held up, for example by a garbage
+ * collection or because its thread was not scheduled. Meanwhile, input from peers stays unread in the sockets.
  */
 public final class EventLoopScheduler implements Scheduler {
     private static final long NANOS_PER_MILLI = 1_000_000;
--- a/core/src/test/java/topazvalve/core/lifecycle/ProcessLifecycleTest.java
+++ b/core/src/test/java/topazvalve/core/lifecycle/ProcessLifecycleTest.java
@@ -20,7 +20,7 @@
         assertTrue(lifecycle.isDraining());
         assertTrue(lifecycle.setLameDuck(false));
         assertTrue(lifecycle.acceptsClients());
-        assertFalse(lifecycle.closesIdleConnections());
+        assertFalse(lifecycle.shouldCloseIdleConnections());
     }
 
     /** A sidecar that became a lame duck before its start stays one. */
--- a/sidecar/src/main/java/topazvalve/sidecar/ConfigReloader.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/ConfigReloader.java
@@ -12,8 +12,10 @@
 import topazvalve.tcp.TcpSettings;
 
 /**
- * Owns the configuration in force and replaces it at a reload, as a whole or not at all. Changes happen on the event
- * loop; {@link #config} and {@link #tcpListeners} may be read from any thread.
+ * Owns the configuration in force and replaces it at a reload. An invalid configuration changes nothing, except that
+ * {@code caps.connIdle} is first read while the new configuration is being applied: if it is no number, the reload
+ * stops there and may be applied in part. Changes happen on the event loop; {@link #config} and
+ * {@link #tcpListeners} may be read from any thread.
  */
 final class ConfigReloader {
     private static final Logger LOG = LoggerFactory.getLogger("topazvalve");
--- a/sidecar/src/main/java/topazvalve/sidecar/ShutdownSequence.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/ShutdownSequence.java
@@ -17,13 +17,15 @@
     private static final long ACCEPT_MILLIS = 500;
 
     private static final long POLL_INTERVAL_MILLIS = 20;
-    /** SIGKILL comes no sooner than this long after the longest deadline, which counts 3 s at the most. */
+    /** The platform sends SIGKILL no earlier than this long after the longest deadline, as far as it counts that. */
     private static final long KILL_MARGIN_MILLIS = 700;
 
+    /** The platform counts at most this much of the longest deadline before it may send SIGKILL. */
     private static final long MAX_COUNTED_DEADLINE_MILLIS = 3_000;
     /**
-     * How long the process stays beyond the longest deadline, so that a request admitted early in the shutdown has
-     * all of its time and its response still gets out.
+     * How long the process waits beyond the longest deadline before it exits, so that a request that was admitted
+     * early in the shutdown has its full deadline and its response is still sent. This may be later than the earliest
+     * SIGKILL, because the platform may send that later.
      */
     private static final long EXIT_MARGIN_MILLIS = 2_000;
 
--- a/sidecar/src/main/java/topazvalve/sidecar/TcpProxies.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/TcpProxies.java
@@ -19,7 +19,7 @@
 final class TcpProxies {
     private static final Logger LOG = LoggerFactory.getLogger("tcp");
     private static final long DRAIN_CHECK_INTERVAL_MILLIS = 100;
-    /** What a graceful shutdown takes beyond a listener's grace period. */
+    /** How long a graceful shutdown may last beyond a listener's grace period. */
     private static final long SHUTDOWN_MARGIN_NANOS = 1_500_000_000L;
 
     private record OpenListener(TcpProxy proxy, ClientListener listener) {
--- a/sidecar/src/main/java/topazvalve/sidecar/WarmUp.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/WarmUp.java
@@ -28,6 +28,7 @@
 import topazvalve.policy.SidecarPolicy;
 import topazvalve.policy.UpdateKind;
 import topazvalve.sidecar.config.Config;
+import topazvalve.sidecar.http.Headers;
 import topazvalve.sidecar.http.UpstreamRequest;
 import topazvalve.sidecar.http.UpstreamResponse;
 import topazvalve.sidecar.upstream.HttpCodec;
@@ -96,7 +97,7 @@
             return;
         }
         UpstreamRequest request = new UpstreamRequest(
-                HttpMethod.GET, "/up", new DefaultHttpHeaders().set(HttpHeaderNames.HOST, "app.svc"));
+                HttpMethod.GET, "/up", new DefaultHttpHeaders().set(HttpHeaderNames.HOST, HttpCodec.HOST));
         connectionsToSelf.startAttempt(
                 OWN_ENDPOINT_ID,
                 request,
@@ -140,28 +141,31 @@
         boolean idempotent = idempotency == Idempotency.IDEMPOTENT;
         boolean keyed = idempotency == Idempotency.IDEMPOTENCY_KEY;
         return (idempotent ? "GET" : "POST") + " /api/x HTTP/1.1\r\n"
-                + "Host: app.svc\r\nReq-Id: " + id + "\r\n"
+                + "Host: " + HttpCodec.HOST + "\r\nReq-Id: " + id + "\r\n"
                 + "Req-Kind: " + className + "\r\n"
                 + (keyed ? "Idempotency-Key: " + id + "\r\n" : "")
                 + (tenants.isEmpty() ? "" : "Req-Owner: " + tenants.get(0) + "\r\n")
-                + "Req-Deadline-Ms: 1000\r\n"
+                + Headers.DEADLINE_MILLIS + ": 1000\r\n"
                 + (idempotent ? "\r\n" : "Content-Length: 2\r\n\r\nxx");
     }
 
+    private static EndpointInfo readyEndpoint(int id) {
+        return new EndpointInfo(id, 0, 0, 0, EndpointStatus.READY, 1, 0);
+    }
+
+    private static Request policyRequest(long id, int requestClass) {
+        return new Request(id, requestClass, 0, 0, REQUEST_TIMEOUT_NANOS, 0, false, false);
+    }
+
     private static void exercisePolicy(long startedNanos, Settings settings) {
         LoadBalancer policy = new SidecarPolicy(settings, 0, new IgnoredActions());
         long now = System.nanoTime() & Long.MAX_VALUE;
         policy.start(now);
-        policy.endpointsUpdated(
-                now,
-                UpdateKind.CACHED,
-                List.of(
-                        new EndpointInfo(1, 0, 0, 0, EndpointStatus.READY, 1, 0),
-                        new EndpointInfo(2, 0, 0, 0, EndpointStatus.READY, 1, 0)));
+        policy.endpointsUpdated(now, UpdateKind.CACHED, List.of(readyEndpoint(1), readyEndpoint(2)));
         for (int i = 0; i < ROUNDS && !isOverTime(startedNanos); i++) {
             now += POLICY_STEP_NANOS;
             int classIndex = i % settings.requestClasses().size();
-            policy.requestReceived(now, new Request(i, classIndex, 0, 0, REQUEST_TIMEOUT_NANOS, 0, false, false));
+            policy.requestReceived(now, policyRequest(i, classIndex));
             long responseNanos = POLICY_STEP_NANOS / 2;
             policy.attemptCompleted(
                     now + responseNanos, new AttemptResult(i, 0, 1, Outcome.OK, responseNanos, true), new float[0]);
--- a/sidecar/src/main/java/topazvalve/sidecar/admin/AdminRoutes.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/admin/AdminRoutes.java
@@ -15,7 +15,7 @@
     /**
      * The response to a call.
      *
-     * @param allow the method that the path takes, where another was used; else null
+     * @param allow the method that the path accepts, if another was used; else null
      */
     record Response(HttpResponseStatus status, String text, HttpMethod allow) {
         private Response(HttpResponseStatus status, String text) {
@@ -40,7 +40,7 @@
                 "/_lameduck/off", new Route(HttpMethod.POST, () -> setLameDuck(lifecycle, false)));
     }
 
-    /** Runs the call that a method and path stand for: 404 for an unknown path, 405 for a wrong method. */
+    /** Runs the call for a method and path: 404 for an unknown path, 405 for a wrong method. */
     Response handle(HttpMethod method, String path) {
         Route route = routes.get(path);
         if (route == null) {
--- a/sidecar/src/main/java/topazvalve/sidecar/config/Config.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/config/Config.java
@@ -38,7 +38,8 @@
      * Reads and validates a file. One that is truncated, has further text behind its end or repeats a key is
      * rejected.
      *
-     * @throws InvalidConfigException if the file has a mistake; the message names the key
+     * @throws InvalidConfigException if the file has a mistake; the message names the key, or for a value out of
+     *     bounds a short name of the setting instead of its path
      * @throws IOException if the file can't be read
      */
     public static Config read(Path file) throws IOException {
@@ -52,7 +53,8 @@
     /**
      * Validates a configuration that is already parsed.
      *
-     * @throws InvalidConfigException if it has a mistake; the message names the key
+     * @throws InvalidConfigException if it has a mistake; the message names the key, or for a value out of bounds a
+     *     short name of the setting instead of its path
      */
     public static Config of(JsonNode root) {
         return ConfigReader.read(root);
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/ClientConnection.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/ClientConnection.java
@@ -101,7 +101,7 @@
     /** Closes the connection, or rejects its request, if its state has lasted for too long. */
     void checkTimeouts(long nowNanos) {
         long stateNanos = nowNanos - lastActivityNanos;
-        if (lifecycle.closesIdleConnections() && ConnectionTimeouts.isCloseableWhileDraining(state, stateNanos)) {
+        if (lifecycle.shouldCloseIdleConnections() && ConnectionTimeouts.isCloseableWhileDraining(state, stateNanos)) {
             channel.close();
             return;
         }
@@ -214,7 +214,7 @@
             rejectInvalid(new InvalidRequestException(HttpResponseStatus.CONFLICT, "Req-Id in use"));
             return;
         }
-        submit(request.submit().withTimeoutAtMost(lifecycle.maxRequestTimeoutNanos()));
+        submit(request.takeForSubmission().withTimeoutAtMost(lifecycle.maxRequestTimeoutNanos()));
     }
 
     private void submit(ExchangeRequest<UpstreamRequest> exchangeRequest) {
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/ConnectionTimeouts.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/ConnectionTimeouts.java
@@ -28,7 +28,7 @@
      * Returns how long a connection may stay in a state without progress; {@link Long#MAX_VALUE} for no limit.
      *
      * @param awaitsBody the client still has to send a part of the body, and the sidecar reads
-     * @param responseTaken the client's socket has taken all of a streamed response that has come so far
+     * @param responseTaken whether the part of a streamed response received so far is written to the client's socket
      */
     static long limitNanos(ConnectionState state, boolean awaitsBody, boolean responseTaken) {
         return switch (state) {
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/CurrentRequest.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/CurrentRequest.java
@@ -22,7 +22,7 @@
         UNSUBMITTED,
         /** The exchange handler was given the request, and has not yet returned its exchange. */
         SUBMITTED,
-        /** The exchange handler is told if the client disconnects. */
+        /** The exchange handler is notified if the client disconnects. */
         EXCHANGE_OPEN
     }
 
@@ -65,8 +65,8 @@
         return idReserved;
     }
 
-    /** Returns the request for its submission, which can be done once. */
-    ExchangeRequest<UpstreamRequest> submit() {
+    /** Marks the request as submitted and returns it for the caller to submit; called once per request. */
+    ExchangeRequest<UpstreamRequest> takeForSubmission() {
         ExchangeRequest<UpstreamRequest> submitted = unsubmitted;
         unsubmitted = null;
         phase = Phase.SUBMITTED;
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/HttpFrontend.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/HttpFrontend.java
@@ -56,7 +56,7 @@
      * @param classes the request classes in force
      * @param tenantNames the known tenants in the order of their numbers; if empty, requests name none
      * @param maxConnections how many connections may be open; more only if they all hold requests
-     * @param lifecycle tells whether the sidecar accepts clients or drains
+     * @param lifecycle says whether the sidecar accepts clients or drains
      * @param budget limits the bytes of bodies and pipelined requests in memory
      */
     public HttpFrontend(
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/RequestReader.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/RequestReader.java
@@ -34,7 +34,6 @@
     private static final String REQUEST_ID = "Req-Id";
     private static final String REQUEST_CLASS = "Req-Kind";
     private static final String TENANT = "Req-Owner";
-    private static final String TIMEOUT_MILLIS = "Req-Deadline-Ms";
     private static final String COST_HINT_MICROS = "Req-Cost";
     private static final String CLIENT_RETRY = "Req-Retry";
     private static final String IDEMPOTENCY_KEY = "Idempotency-Key";
@@ -59,7 +58,8 @@
     }
 
     /**
-     * Validates a head and reads the request from it. A target in absolute form is rewritten to origin form.
+     * Validates a head and reads the request from it. A target in absolute form is rewritten to origin form. A readiness
+     * check passes the same checks as a request, except those of the request headers, and then yields null.
      *
      * @param body receives the request's body
      * @return the request to forward; null for a readiness check, which the sidecar answers itself
@@ -182,7 +182,8 @@
 
     /** The client's own limit, but no more than its class allows. */
     private static long timeoutMillis(HttpRequest head, ClassTable.Entry requestClass) {
-        return Math.min(wholeNumber(head, TIMEOUT_MILLIS), requestClass.rules().deadlineNanos() / NANOS_PER_MILLI);
+        return Math.min(
+                wholeNumber(head, Headers.DEADLINE_MILLIS), requestClass.rules().deadlineNanos() / NANOS_PER_MILLI);
     }
 
     private static long costHintNanos(HttpRequest head) {
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/ResponseWriter.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/ResponseWriter.java
@@ -153,7 +153,7 @@
         return streamed != null;
     }
 
-    /** Returns whether the client's socket has taken all of the streamed response that has come so far. */
+    /** Returns whether the part of the streamed response received so far is written to the client's socket. */
     boolean isStreamFullySent() {
         return streamed != null && streamed.isFullySent();
     }
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/StreamedResponse.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/StreamedResponse.java
@@ -8,7 +8,7 @@
 
 /**
  * The body of a response that is forwarded while it arrives. It pauses its source while more than its quota
- * of the byte budget is not yet taken by the client's socket.
+ * of the byte budget is not yet written to the client's socket.
  */
 final class StreamedResponse {
     private final Channel channel;
@@ -22,7 +22,7 @@
      * Registers a body with the budget until {@link #end}.
      *
      * @param source where the body comes from
-     * @param onProgress runs whenever the client's socket has taken a part of the body
+     * @param onProgress runs whenever a part of the body was written to the client's socket
      */
     StreamedResponse(Channel channel, ByteBudget budget, FlowControl source, Runnable onProgress) {
         this.channel = channel;
@@ -52,7 +52,7 @@
         }
     }
 
-    /** Returns whether the client's socket has taken everything that was written. */
+    /** Returns whether everything was written to the client's socket. */
     boolean isFullySent() {
         return unsentBytes == 0;
     }
--- a/sidecar/src/main/java/topazvalve/sidecar/http/Headers.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/http/Headers.java
@@ -10,6 +10,9 @@
 
 /** Rules for the headers that the sidecar forwards. */
 public final class Headers {
+    /** The time that a request may take, in milliseconds. */
+    public static final String DEADLINE_MILLIS = "Req-Deadline-Ms";
+
     /** Headers of a single connection, and those that are meant for the sidecar alone. */
     private static final List<CharSequence> HOP_BY_HOP = List.of(
             HttpHeaderNames.CONNECTION,
--- a/sidecar/src/main/java/topazvalve/sidecar/listen/AcceptLimit.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/listen/AcceptLimit.java
@@ -74,7 +74,8 @@
 
     /** Accepts again if the limit allows it. */
     void resume(Channel server) {
-        // Netty closes a channel that is told to read while unregistered, even a socket shared with another process.
+        // Netty closes a channel on which a read is requested while it is unregistered, even a socket shared with
+        // another process.
         if (server.isRegistered()) {
             updateAccepting(server);
         }
--- a/sidecar/src/main/java/topazvalve/sidecar/upstream/HttpCodec.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/upstream/HttpCodec.java
@@ -14,11 +14,13 @@
 public final class HttpCodec implements Codec<UpstreamRequest, UpstreamResponse> {
     /**
      * How long a connection stays idle before it is reused. A stray second response that comes some milliseconds
-     * after the first then closes the connection, and is not taken for the next request's response.
+     * after the first then closes the connection, and is not mistaken for the next request's response.
      */
     public static final long REUSE_DELAY_NANOS = 10_000_000;
 
-    private static final String HOST = "app.svc";
+    /** The Host header of requests that the sidecar makes itself. */
+    public static final String HOST = "app.svc";
+
     private static final long HEALTH_CHECK_TIMEOUT_NANOS = 250_000_000;
 
     private final LoadReports loadReports = new LoadReports();
--- a/sidecar/src/main/java/topazvalve/sidecar/upstream/HttpHeads.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/upstream/HttpHeads.java
@@ -15,7 +15,6 @@
 
 /** Maps between attempts and HTTP heads: the request head to send, and the outcome that a response head means. */
 final class HttpHeads {
-    private static final String DEADLINE_HEADER = "Req-Deadline-Ms";
     /** Set to 1 by a server that rejects a request without having run it. */
     private static final String DECLINED_HEADER = "Srv-Declined";
 
@@ -34,7 +33,7 @@
                 attempt.message().uri());
         Headers.copyEndToEnd(attempt.message().headers(), request.headers());
         request.headers()
-                .set(DEADLINE_HEADER, Math.max(1, attempt.timeoutNanos() / NANOS_PER_MILLI))
+                .set(Headers.DEADLINE_MILLIS, Math.max(1, attempt.timeoutNanos() / NANOS_PER_MILLI))
                 .remove(HttpHeaderNames.CONTENT_LENGTH);
         long length = attempt.body().length();
         if (length < 0) {
@@ -54,7 +53,7 @@
         return switch (code) {
             case 200 -> Outcome.OK;
             case 503, 504 -> "1".equals(response.headers().get(DECLINED_HEADER)) ? Outcome.REJECTED : Outcome.ERROR;
-            // Client errors that tell of the server's state: timeout, misdirected, too early, too many requests.
+            // Client errors that depend on the server's state: timeout, misdirected, too early, too many requests.
             case 408, 421, 425, 429 -> Outcome.ERROR;
             default -> code / 100 == 4 ? Outcome.OK : Outcome.ERROR;
         };
--- a/sidecar/src/main/java/topazvalve/sidecar/upstream/LoadReports.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/upstream/LoadReports.java
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import io.netty.handler.codec.http.HttpResponse;
 import java.util.List;
+import topazvalve.core.pool.Attempt;
 import topazvalve.discovery.json.JsonNode;
 import topazvalve.discovery.json.JsonReader;
 
@@ -14,8 +15,6 @@
     /** Where a server answers with its load report. */
     static final String PATH = "/metrics/load";
 
-    private static final float[] NO_REPORT = {};
-
     private static final String HEALTH_PATH = "/alive";
     private static final String LOAD_HEADER = "Srv-Load";
 
@@ -42,12 +41,12 @@
         String header = response.headers().get(LOAD_HEADER);
         String report = header == null ? healthCheckBody : header;
         if (report == null || fields.isEmpty()) {
-            return NO_REPORT;
+            return Attempt.NO_LOAD;
         }
         try {
             return values(JsonReader.read(report));
         } catch (JsonProcessingException e) {
-            return NO_REPORT;
+            return Attempt.NO_LOAD;
         }
     }
 
@@ -56,11 +55,11 @@
         for (int i = 0; i < values.length; i++) {
             JsonNode value = report.path(fields.get(i));
             if (!value.isNumber()) {
-                return NO_REPORT;
+                return Attempt.NO_LOAD;
             }
             values[i] = (float) value.asDouble(-1);
             if (!(values[i] >= 0 && values[i] < Float.POSITIVE_INFINITY)) {
-                return NO_REPORT;
+                return Attempt.NO_LOAD;
             }
         }
         return values;
