--- a/core/src/main/java/topazvalve/core/lifecycle/ProcessLifecycle.java
+++ b/core/src/main/java/topazvalve/core/lifecycle/ProcessLifecycle.java
@@ -12,8 +12,8 @@
     private static final long SHUTDOWN_GRACE_NANOS = 400 * NANOS_PER_MILLI;
     /**
      * Requests that arrive within this time after SIGTERM keep their own deadline, even if it is after the earliest
-     * SIGKILL: the platform allows what arrives within 0.7 s to be unanswered at SIGKILL, and 0.1 s of that is kept as a
-     * margin. Later requests must be answered before SIGKILL.
+     * SIGKILL: the platform allows what arrives within 0.7 s to be unanswered at SIGKILL, and 0.1 s of that is kept
+     * as a margin. Later requests must be answered before SIGKILL.
      */
     private static final long UNANSWERED_ALLOWED_NANOS = 600 * NANOS_PER_MILLI;
     /** Time before the kill that is reserved for an answer's way out and for an event loop that is held up. */
