--- a/discovery-client/src/main/java/topazvalve/discovery/client/DiscoveryCall.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/DiscoveryCall.java
@@ -28,8 +28,8 @@
  * sends the request, splits the response into JSON objects and supervises the peer by timeouts. Used on the event
  * loop only.
  *
- * <p>The listener decides what a valid update is and reports the first one by {@link #markAnswered}. A watch has an idle
- * timeout from then on; before, and for a fetch, the response timeout applies.
+ * <p>The listener decides what a valid update is and reports the first one by {@link #markAnswered}. A watch has an
+ * idle timeout from then on; before, and for a fetch, the response timeout applies.
  */
 public final class DiscoveryCall extends SimpleChannelInboundHandler<HttpObject> {
     /** After this time without a response the listener is notified. A call may wait in discovery's queue for 2 s. */
--- a/sidecar/src/main/java/topazvalve/sidecar/Sidecar.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/Sidecar.java
@@ -114,7 +114,7 @@
                 () -> Math.min(descriptors, frontend.connectionLimit() + spareDescriptors));
     }
 
-    /** Continues once a socket listens. A sidecar that can't listen exits, so that the process that started it notices. */
+    /** Continues once a socket listens. A sidecar that can't listen exits, so that its parent process notices. */
     private static void onceListening(ChannelFuture opened, String key, Consumer<InetSocketAddress> next) {
         opened.addListener(done -> {
             if (done.isSuccess()) {
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/RequestReader.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/RequestReader.java
@@ -58,8 +58,8 @@
     }
 
     /**
-     * Validates a head and reads the request from it. A target in absolute form is rewritten to origin form. A readiness
-     * check passes the same checks as a request, except those of the request headers, and then yields null.
+     * Validates a head and reads the request from it. A target in absolute form is rewritten to origin form. A
+     * readiness check passes the same checks as a request, except those of the request headers, and then yields null.
      *
      * @param body receives the request's body
      * @return the request to forward; null for a readiness check, which the sidecar answers itself
