--- a/policy/src/main/java/topazvalve/policy/Actions.java
+++ b/policy/src/main/java/topazvalve/policy/Actions.java
@@ -1,20 +1,20 @@
 package topazvalve.policy;
 
-/** Actions of an instance. The host carries out each at the time of the event that is being handled. */
+/** Actions that an instance requests. The host carries out each at the time of the event that is being handled. */
 public interface Actions {
-    /** Sends the request's next attempt; with a timeout of 0 nanoseconds it lasts until the client gives up. */
+    /** Sends the request's next attempt. A timeout of 0 nanoseconds means that it lasts until the client gives up. */
     void forward(long request, long endpoint, long timeoutNanos);
 
-    /** Gives the final answer that the request may be retried, after the given nanoseconds; 0 gives no guidance. */
+    /** Gives the final answer that the client may retry the request after this time; 0 sends no Retry-After. */
     void reject(long request, long retryAfterNanos);
 
-    /** Gives the final answer that the request failed and may have run. */
+    /** Gives the final answer that the request failed and may have been executed. */
     void fail(long request);
 
-    /** Stops waiting for an attempt. */
+    /** Cancels an attempt; the host still reports its end. */
     void cancelAttempt(long request, int attempt);
 
-    /** Requests {@link LoadBalancer#timerFired} with this token at or after the given time. */
+    /** Sets a timer: the host calls {@link LoadBalancer#timerFired} with this token at or after the given time. */
     void setTimer(long token, long atNanos);
 
     /** Sends a health check; {@link LoadBalancer#healthCheckCompleted} reports the result. */
@@ -29,12 +29,12 @@
     /** Writes a line for operators. */
     void log(String line);
 
-    /** Starts or ends the watch on the endpoint list; one endpoint update follows. */
+    /** Starts or ends the watch on the endpoint list; the host reports one endpoint update. */
     void watchEndpoints(boolean enabled);
 
-    /** Requests a full snapshot of the endpoint list; one endpoint update follows. */
+    /** Requests a full snapshot of the endpoint list; the host reports one endpoint update. */
     void fetchEndpoints();
 
-    /** All other sidecars. */
+    /** Addresses a message to all other sidecars. */
     int ALL_PEERS = 0xffff;
 }
--- a/policy/src/main/java/topazvalve/policy/AttemptResult.java
+++ b/policy/src/main/java/topazvalve/policy/AttemptResult.java
@@ -1,7 +1,7 @@
 package topazvalve.policy;
 
 /**
- * The end of an attempt.
+ * The result of an attempt that has ended.
  *
  * @param request the request's id
  * @param attempt the attempt's number within its request, from 0
--- a/policy/src/main/java/topazvalve/policy/Capabilities.java
+++ b/policy/src/main/java/topazvalve/policy/Capabilities.java
@@ -1,11 +1,11 @@
 package topazvalve.policy;
 
 /**
- * Actions that the host allows; the instance never requests another. {@link SidecarPolicy} does not use gossip and
+ * Actions that the host allows; the instance never requests any other. {@link SidecarPolicy} uses neither gossip nor
  * hedging.
  *
- * @param maxAttempts the most attempts of one request; at least 1
- * @param maxRetryAfterNanos the longest Retry-After that {@link Actions#reject} may give; 0 or more
+ * @param maxAttempts the maximum number of attempts of one request; at least 1
+ * @param maxRetryAfterNanos the longest Retry-After that {@link Actions#reject} may send; 0 or more
  * @param connectTimeoutNanos how long the host waits for a connection; 0 or more
  */
 public record Capabilities(
--- a/policy/src/main/java/topazvalve/policy/Costs.java
+++ b/policy/src/main/java/topazvalve/policy/Costs.java
@@ -1,10 +1,10 @@
 package topazvalve.policy;
 
 /**
- * Costs of an action, as a fraction of the total priority weight.
+ * Costs of optional actions, as fractions of the total priority weight.
  *
  * @param healthCheck the cost of one health check per first attempt; 0 or more
- * @param gossipMessage the cost of one message of full size; 0 or more
+ * @param gossipMessage the cost of one message of the maximum size; 0 or more
  */
 public record Costs(double healthCheck, double gossipMessage) {
     public Costs {
--- a/policy/src/main/java/topazvalve/policy/DiscoveryMode.java
+++ b/policy/src/main/java/topazvalve/policy/DiscoveryMode.java
@@ -1,6 +1,6 @@
 package topazvalve.policy;
 
-/** Whether endpoint updates arrive unasked, or only after {@link Actions#watchEndpoints}. */
+/** Whether the host sends endpoint updates of its own accord, or only after {@link Actions#watchEndpoints}. */
 public enum DiscoveryMode {
     AUTOMATIC,
     SUBSCRIBE
--- a/policy/src/main/java/topazvalve/policy/EndpointStatus.java
+++ b/policy/src/main/java/topazvalve/policy/EndpointStatus.java
@@ -1,6 +1,6 @@
 package topazvalve.policy;
 
-/** State of an endpoint in an endpoint list. */
+/** The status of an endpoint in an endpoint list. */
 public enum EndpointStatus {
     REMOVED,
     READY,
--- a/policy/src/main/java/topazvalve/policy/InvalidSettingException.java
+++ b/policy/src/main/java/topazvalve/policy/InvalidSettingException.java
@@ -1,6 +1,6 @@
 package topazvalve.policy;
 
-/** Thrown when a setting is missing, can't be read or is out of bounds. */
+/** Thrown when a setting is missing, is malformed or is out of bounds. */
 public final class InvalidSettingException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
     private final String path;
@@ -10,10 +10,10 @@
         this.path = path;
     }
 
-    /** Throws unless {@code holds}; {@code setting} names the values that were checked. */
-    static void require(boolean holds, String setting) {
-        if (!holds) {
-            throw new InvalidSettingException(setting, "setting makes no sense: " + setting);
+    /** Throws this exception unless {@code valid}; {@code setting} names the values that were checked. */
+    static void require(boolean valid, String setting) {
+        if (!valid) {
+            throw new InvalidSettingException(setting, "invalid setting: " + setting);
         }
     }
 
--- a/policy/src/main/java/topazvalve/policy/KeyScope.java
+++ b/policy/src/main/java/topazvalve/policy/KeyScope.java
@@ -1,6 +1,6 @@
 package topazvalve.policy;
 
-/** Which endpoints recognize a repeated idempotency key: all, those of the same zone, or those of the same cell. */
+/** Which endpoints recognize a repeated idempotency key: all, those in the same zone, or those in the same cell. */
 public enum KeyScope {
     ALL,
     ZONE,
--- a/policy/src/main/java/topazvalve/policy/LoadBalancer.java
+++ b/policy/src/main/java/topazvalve/policy/LoadBalancer.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * The load-balancing decisions of one sidecar: the host reports events by calling the methods, the instance answers
+ * The load-balancing decisions of one sidecar. The host reports events by calling the methods, the instance responds
  * with {@link Actions}, and {@link Settings} configure it. {@link SidecarPolicy} implements the interface.
  *
  * <p><b>Duties of the host.</b> One instance belongs to one sidecar and is called by one thread. Every event carries
@@ -14,7 +14,7 @@
  * inside the call that set it. After a restart of the sidecar, the host creates a new instance with a new seed.
  *
  * <p><b>Duties of the instance.</b> Actions are requested during an event's call and take effect at that event's
- * time, in order. Each request gets one final answer: its first {@link Outcome#OK}, which the host passes on,
+ * time, in order. Each request gets one final answer: its first {@link Outcome#OK}, which the host forwards,
  * {@link Actions#reject} or {@link Actions#fail}, no later than its deadline plus {@link Limits#answerSlackNanos()}.
  * The same settings, seed and events produce the same actions. Events about requests, attempts or endpoints that the
  * instance does not know are ignored.
@@ -38,8 +38,8 @@
     void requestReceived(long now, Request request);
 
     /**
-     * Handles a request whose body is still arriving and is passed on as it arrives. The client's time starts with
-     * {@link #requestBodyCompleted}.
+     * Handles a request whose body is still arriving and is forwarded as it arrives. The deadline and the latency
+     * objective are counted from {@link #requestBodyCompleted}.
      *
      * @throws UnknownRequestClassException if the settings have no such class
      */
@@ -60,7 +60,7 @@
     /** Handles the client's disconnection; the request gets no answer. */
     void clientDisconnected(long now, long request);
 
-    /** Handles a timer that is due. */
+    /** Handles a timer that has fired. */
     void timerFired(long now, long token);
 
     /** Handles the result of a health check. */
--- a/policy/src/main/java/topazvalve/policy/Request.java
+++ b/policy/src/main/java/topazvalve/policy/Request.java
@@ -3,7 +3,7 @@
 /**
  * A client's request.
  *
- * @param id unique for the lifetime of the instance
+ * @param id a number that is unique for the lifetime of the instance
  * @param requestClass the index of its class in {@link Settings#requestClasses()}
  * @param timeLeftNanos the time until the client gives up
  * @param costHintNanos the expected work in nanoseconds; 0 if unknown
--- a/policy/src/main/java/topazvalve/policy/RequestClass.java
+++ b/policy/src/main/java/topazvalve/policy/RequestClass.java
@@ -3,11 +3,11 @@
 /**
  * A class of requests. Times are in nanoseconds.
  *
- * @param latencyObjectiveNanos an answer within this time earns the full priority weight; above 0
- * @param objectiveStretch the objective grows by this many times the request's cost hint, up to the deadline
- * @param deadlineNanos the longest that a client waits over all its own attempts; at least the objective
- * @param priorityWeight what an answer within the objective is worth; finite, 0 or more
- * @param lateFraction the fraction of the weight that an answer between objective and deadline earns
+ * @param latencyObjectiveNanos the time within which a response earns the full priority weight; above 0
+ * @param objectiveStretch how many times its cost hint a request's objective is longer, up to the deadline
+ * @param deadlineNanos the time that a client waits at most, over all its own attempts; at least the objective
+ * @param priorityWeight the value of a response within the objective; finite, 0 or more
+ * @param lateFraction the fraction of the weight that a response between objective and deadline earns
  * @param keyScope for idempotency keys: which endpoints recognize a repeated key
  * @param keyTtlNanos for idempotency keys: how long a key is recognized, from the first attempt that may have run;
  *     0 or more
--- a/policy/src/main/java/topazvalve/policy/Settings.java
+++ b/policy/src/main/java/topazvalve/policy/Settings.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * Settings of an instance. {@link SidecarPolicy} does not use the instance index, the zone, the kind of weights and
- * the fraction over quota; hosts fill them in for other implementations.
+ * Settings of an instance. {@link SidecarPolicy} does not use the instance index, the zone, the weight kind and the
+ * fraction over quota; hosts set them for other implementations.
  *
- * @param instanceIndex this sidecar's number among the instances; 0 or more
+ * @param instanceIndex the index of this sidecar among the instances; 0 or more
  * @param instanceCount the number of sidecars that share the endpoints; at least 1
  * @param clockResolutionNanos the shortest time between two events; 0 or more
- * @param requestClasses at least one class; a request names its class by the index
- * @param loadReportFields names of the values in a load report, in order
+ * @param requestClasses the request classes, at least one; a request refers to its class by the index
+ * @param loadReportFields the names of the values in a load report, in order
  * @param weightByWork whether priority weights count per unit of work, not per request
- * @param overQuotaFraction the fraction of its weight that a request beyond its tenant's quota has; from 0 to 1
+ * @param overQuotaFraction the fraction of its weight that a request over its tenant's quota has; from 0 to 1
  */
 public record Settings(
         int instanceIndex,
--- a/policy/src/main/java/topazvalve/policy/SettingsReader.java
+++ b/policy/src/main/java/topazvalve/policy/SettingsReader.java
@@ -7,14 +7,14 @@
 import java.util.Map;
 
 /**
- * Reads an instance's settings, for every host: turns lines of the form path=value into {@link Settings} and answers
- * for what only hosts need (names, connection limits). It skips unknown keys. Where a key of the settings has another
- * name than the record's component ({@code slo}, {@code worth}, {@code semantics}), this class maps it.
+ * Reads an instance's settings, for every host: parses lines of the form path=value into {@link Settings}, and gives
+ * access to values that only hosts need, such as names and connection limits. Unknown keys are ignored. Keys that have
+ * other names than the record components ({@code slo}, {@code worth}, {@code semantics}) are mapped here.
  */
 public final class SettingsReader {
     private final Map<String, String> values = new HashMap<>();
 
-    /** Reads one path=value per line; lines without {@code =} are skipped, the last value of a path counts. */
+    /** Parses one path=value per line. Lines without {@code =} are ignored; the last value of a path counts. */
     public SettingsReader(String text) {
         for (String line : text.split("\n")) {
             int equals = line.indexOf('=');
@@ -29,7 +29,7 @@
     /**
      * Returns the settings of an instance.
      *
-     * @throws InvalidSettingException if a setting is missing, can't be read or is out of bounds
+     * @throws InvalidSettingException if a setting is missing, is malformed or is out of bounds
      */
     public Settings settings() {
         List<RequestClass> classes = new ArrayList<>();
@@ -52,7 +52,7 @@
                 choice(WeightKind.class, "weights", WeightKind.SILENT),
                 classes,
                 tenants,
-                allowed(),
+                capabilities(),
                 limits(),
                 list("report.fields"),
                 new Costs(number("charges.probe", 0), number("charges.peer", 0)),
@@ -74,7 +74,7 @@
                 flag(path + "stream"));
     }
 
-    private Capabilities allowed() {
+    private Capabilities capabilities() {
         return new Capabilities(
                 flag("caps.mayCancel"),
                 flag("caps.mayProbe"),
@@ -97,7 +97,7 @@
                 (long) required("rules.tipAfter"));
     }
 
-    /** Returns the names of a list of objects, in order; an object without a name is named by its index. */
+    /** Returns the names of a list of objects, in order; the name of an object without one is its index. */
     public List<String> names(String path) {
         List<String> names = new ArrayList<>();
         int count = (int) number(path + ".count", 0);
@@ -125,14 +125,14 @@
     }
 
     /**
-     * Returns a number, or {@code absent} if the key is missing or empty.
+     * Returns a number, or {@code defaultValue} if the key is missing or empty.
      *
      * @throws InvalidSettingException if the value is not a number
      */
-    public double number(String key, double absent) {
+    public double number(String key, double defaultValue) {
         String text = values.get(key);
         if (text == null || text.isEmpty()) {
-            return absent;
+            return defaultValue;
         }
         try {
             return Double.parseDouble(text);
@@ -154,10 +154,10 @@
         };
     }
 
-    private <E extends Enum<E>> E choice(Class<E> type, String key, E absent) {
+    private <E extends Enum<E>> E choice(Class<E> type, String key, E defaultValue) {
         String text = values.get(key);
         if (text == null) {
-            return absent;
+            return defaultValue;
         }
         try {
             return Enum.valueOf(type, text.toUpperCase(Locale.ROOT));
--- a/policy/src/main/java/topazvalve/policy/UnknownRequestClassException.java
+++ b/policy/src/main/java/topazvalve/policy/UnknownRequestClassException.java
@@ -1,6 +1,6 @@
 package topazvalve.policy;
 
-/** Thrown when a request names a class that the settings do not have. */
+/** Thrown when a request refers to a class that the settings do not have. */
 public final class UnknownRequestClassException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
     private final int requestClass;
@@ -10,7 +10,7 @@
         this.requestClass = requestClass;
     }
 
-    /** The number of the unknown class. */
+    /** Returns the index of the unknown class. */
     public int requestClass() {
         return requestClass;
     }
--- a/policy/src/main/java/topazvalve/policy/UpdateKind.java
+++ b/policy/src/main/java/topazvalve/policy/UpdateKind.java
@@ -1,8 +1,8 @@
 package topazvalve.policy;
 
 /**
- * Kind of an endpoint update: changes only, a full snapshot, the last list known before a start, or a failed call
- * to discovery.
+ * The kind of an endpoint update: a delta, a full snapshot, the last list that was known before a start, or a failed
+ * call to discovery.
  */
 public enum UpdateKind {
     DELTA,
--- a/policy/src/main/java/topazvalve/policy/WeightKind.java
+++ b/policy/src/main/java/topazvalve/policy/WeightKind.java
@@ -1,6 +1,6 @@
 package topazvalve.policy;
 
-/** What {@link EndpointInfo#weight()} contains: LIVE follows the load, SILENT is always 1. */
+/** What {@link EndpointInfo#weight()} contains. {@link #LIVE} follows the load; {@link #SILENT} is always 1. */
 public enum WeightKind {
     SILENT,
     NOMINAL,
--- a/policy/src/main/java/topazvalve/policy/package-info.java
+++ b/policy/src/main/java/topazvalve/policy/package-info.java
@@ -1,2 +1,2 @@
-/** The load-balancing policy of one sidecar; {@link topazvalve.policy.LoadBalancer} is the interface for its hosts. */
+/** The load-balancing policy of a sidecar; {@link topazvalve.policy.LoadBalancer} is its interface to the host. */
 package topazvalve.policy;
