--- a/policy/src/main/java/topazvalve/policy/Outcome.java
+++ b/policy/src/main/java/topazvalve/policy/Outcome.java
@@ -2,13 +2,13 @@
 
 /** How an attempt ended. */
 public enum Outcome {
-    /** The server answered; the first such outcome completes the request. */
+    /** The server responded; the first such outcome completes the request. */
     OK(false),
-    /** The server answered with an error; it may have run the request. */
+    /** The server responded with an error; it may have run the request. */
     ERROR(false),
     /** The server rejected the request without running it: its queue is full, or it is draining. */
     REJECTED(true),
-    /** No answer arrived in time; the request may have run, or may still be running. */
+    /** No response arrived in time; the request may have run, or may still be running. */
     TIMEOUT(false),
     /** No connection was established in time. */
     CONNECT_FAILED(true),
@@ -16,7 +16,7 @@
     RESET(false),
     /** The attempt was cancelled by {@link Actions#cancelAttempt}. */
     CANCELLED(false),
-    /** The attempt was never sent: the request had ended, or had no attempt or time left. */
+    /** The attempt was never sent: the request had ended, or had no attempts or no time left. */
     NEVER_SENT(true);
 
     private final boolean neverRan;
@@ -30,8 +30,8 @@
         return neverRan;
     }
 
-    /** Returns whether this sidecar gave the attempt up, for example because its client disconnected. */
-    boolean withdrawn() {
+    /** Returns whether this sidecar gave up the attempt, for example because its client disconnected. */
+    boolean isAbandoned() {
         return this == CANCELLED || this == NEVER_SENT;
     }
 }
