--- a/policy/src/main/java/topazvalve/policy/AdmissionController.java
+++ b/policy/src/main/java/topazvalve/policy/AdmissionController.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Sends a request now, queues it while it can still be in time, or rejects it. */
+/** Sends a request now, queues it while it can still meet its latency objective, or rejects it. */
 record AdmissionController(
         PolicyContext context,
         EndpointRegistry registry,
@@ -12,16 +12,19 @@
         TenantQuota queue,
         LoadProbing probing,
         AttemptTracker attempts) {
+    private static final int MIN_RESPONSE_TIME_DIVISOR = 2; // of the expected time, for the least that it may take
+
     void admit(long now, RequestState request) {
         boolean first = request.attempts.isEmpty();
-        if (now >= request.deadline || registry.ready().isEmpty() || request.allOverloaded) {
+        if (now >= request.deadline || registry.ready().isEmpty() || request.allCandidatesOverloaded) {
             attempts.answer(request);
         } else if (first && !request.probed && limiter.drawShedding(now, request)) {
             attempts.answer(request);
         } else if (request.probed || !probing.isEnabled() || !startProbing(now, request)) {
-            if (first && now + Math.min(request.expectedTime, request.objective) / 2 >= request.objectiveAt) {
+            double expectedTime = Math.min(request.expectedTime, request.objective);
+            if (first && now + expectedTime / MIN_RESPONSE_TIME_DIVISOR >= request.objectiveAt) {
                 attempts.answer(request);
-            } else if (!queue.isEmpty() || !trySend(now, request)) { // quotas decide who is next
+            } else if (!queue.isEmpty() || !trySend(now, request)) { // tenant quotas order the queue
                 queue.enqueue(request);
                 scheduleQueueExpiry(now, request);
                 drainQueue(now);
@@ -64,7 +67,8 @@
         EndpointState endpoint = allowed ? pick(now, request, false) : null;
         boolean allEjected = endpoint == null
                 && registry.ready().stream().noneMatch(each -> detector.admitOrScheduleTrial(now, each, request));
-        return allEjected && allowed ? pick(now, request, true) : endpoint; // a fault common to all ejects none
+        // If every ready endpoint is an outlier, the fault is common to all of them and the ejections are ignored.
+        return allEjected && allowed ? pick(now, request, true) : endpoint;
     }
 
     private EndpointState pick(long now, RequestState request, boolean ignoreOutliers) {
@@ -74,12 +78,15 @@
                 endpoint -> endpoint.takeTurn(detector.fractionOfTurns(now, endpoint, request)));
     }
 
-    /** Asks each condition in turn; detector and slow start also act, so the order of the conditions matters. */
+    /**
+     * Returns whether the endpoint may take the request. The order of the conditions matters: the detector and the slow
+     * start also change state, and only if all conditions before them hold.
+     */
     private boolean tryAdmit(long now, EndpointState endpoint, RequestState request, boolean ignoreOutliers) {
         return (request.attempts.isEmpty() || request.mayUse(endpoint))
                 && endpoint.inFlight < Math.max(1, (int) endpoint.concurrencyLimit)
                 && (ignoreOutliers || detector.admitOrScheduleTrial(now, endpoint, request))
-                && (ignoreOutliers || !probing.isOverloaded(endpoint, request))
+                && (ignoreOutliers || !probing.isExcluded(endpoint, request))
                 && limiter.refillTokensAndAdmit(now, endpoint, request);
     }
 }
--- a/policy/src/main/java/topazvalve/policy/AttemptState.java
+++ b/policy/src/main/java/topazvalve/policy/AttemptState.java
@@ -1,23 +1,23 @@
 package topazvalve.policy;
 
-/** One forwarding of a request to an endpoint. */
+/** One attempt: a request that was forwarded to an endpoint. */
 final class AttemptState {
     final EndpointState endpoint;
     final long sentAt;
-    final double loadWhenSent; // the endpoint's last reported load, this attempt not included
+    final double loadWhenSent; // the endpoint's load without this attempt: as last reported, plus attempts since
     long startedAt; // when the endpoint had the complete request; from then on the attempt is in flight
-    int inFlightBefore; // other attempts at the endpoint at the start
-    boolean started; // the endpoint has the complete request: AttemptTracker.startAttempt
-    boolean settled; // its result was counted: AttemptTracker.settle
-    boolean countedInTotal; // by ConcurrencyLimiter
-    boolean openStream; // counts in the endpoint's open streams
-    boolean outstanding = true; // until its end is reported
-    boolean mayHaveRun = true; // until its outcome proves the contrary
+    int inFlightBefore; // other attempts in flight at the endpoint when this one started
+    boolean started; // the endpoint has the complete request; set by AttemptTracker.startAttempt
+    boolean settled; // the result was recorded; set by AttemptTracker.settle
+    boolean countedInTotal; // counts in the total in-flight count; set by ConcurrencyLimiter
+    boolean openStream; // counts as one of the endpoint's open streams
+    boolean outstanding = true; // until the host reports its end
+    boolean mayHaveRun = true; // until its outcome proves that the server did not run the request
 
     AttemptState(EndpointState endpoint, long sentAt) {
         this.endpoint = endpoint;
         this.sentAt = sentAt;
         this.startedAt = sentAt;
-        this.loadWhenSent = endpoint.reportedLoad++; // the next attempt finds this one in it
+        this.loadWhenSent = endpoint.reportedLoad++; // counts this attempt for the next one
     }
 }
--- a/policy/src/main/java/topazvalve/policy/AttemptTracker.java
+++ b/policy/src/main/java/topazvalve/policy/AttemptTracker.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Sends and ends the attempts of all open requests, and gives each request its one final answer. */
+/** Starts and ends the attempts of all open requests, and gives each request its one final answer. */
 record AttemptTracker(
         PolicyContext context,
         EndpointRegistry registry,
@@ -11,7 +11,10 @@
         ConcurrencyLimiter limiter,
         LoadProbing probing,
         Map<Long, RequestState> requests) {
-    private static final double MAX_SHED_FRACTION_FOR_RETRIES = 0.8; // a retry takes the place of a first attempt
+    /** No request is retried at a higher shed fraction: a retry would take the place of a first attempt. */
+    private static final double MAX_SHED_FRACTION_FOR_RETRIES = 0.8;
+
+    private static final int RETRY_AFTER_DIVISOR = 2; // of the latency objective
 
     void startClock(long now, RequestState request) {
         request.startClock(now);
@@ -43,8 +46,8 @@
         } else {
             startAttempt(now, attempt, request);
         }
-        boolean stopWhenLate = probing.isEnabled() && request.requestClass.lateFraction() == 0;
-        long timeout = stopWhenLate && request.objectiveAt > now ? request.objectiveAt - now : 0;
+        boolean timeOutWhenLate = probing.isEnabled() && request.requestClass.lateFraction() == 0;
+        long timeout = timeOutWhenLate && request.objectiveAt > now ? request.objectiveAt - now : 0;
         context.actions().forward(request.request.id(), endpoint.info.id(), timeout);
     }
 
@@ -56,28 +59,33 @@
         detector.attemptStarted(now, attempt.endpoint, request);
     }
 
-    /** Answers the request where its last attempt leaves it without one; true if it needs a retry. */
-    boolean attemptCompleted(long now, AttemptState attempt, Outcome outcome, RequestState request, boolean ended) {
+    /**
+     * Records the end of an attempt, and answers the request if it is still open and is not to be retried.
+     *
+     * @return whether the request is to be retried
+     */
+    boolean attemptCompleted(long now, AttemptState attempt, Outcome outcome, RequestState request, boolean completed) {
         attempt.outstanding = false;
         attempt.endpoint.openStreams -= attempt.openStream ? 1 : 0;
         attempt.mayHaveRun = !outcome.provesNeverRan();
         settle(now, attempt, outcome, request);
-        if (ended || request.closed) {
+        if (completed || request.closed) {
             close(request);
             return false;
         }
         if (request.bodyArriving) {
             startClock(now, request);
         }
-        boolean useful = now < request.objectiveAt && limiter.shedFraction(now) < MAX_SHED_FRACTION_FOR_RETRIES;
+        boolean worthwhile = now < request.objectiveAt && limiter.shedFraction(now) < MAX_SHED_FRACTION_FOR_RETRIES;
         boolean allowed = request.mayRetry(now, context.settings().clockResolutionNanos());
-        boolean retry = allowed && useful && registry.ready().stream().anyMatch(request::mayUse);
+        boolean retry = allowed && worthwhile && registry.ready().stream().anyMatch(request::mayUse);
         if (!retry) {
             answer(request);
         }
         return retry;
     }
 
+    /** Records the result of an attempt once: at its outcome, or when its streamed response starts. */
     void settle(long now, AttemptState attempt, Outcome outcome, RequestState request) {
         if (attempt.settled) {
             return;
@@ -95,21 +103,22 @@
         limiter.attemptCompleted(now, attempt, outcome, request);
     }
 
-    /** Gives the final answer: rejected where a client's retry is known to be harmless, else failed. */
+    /** Gives the final answer to an open request: a rejection if a retry by its client is harmless, else a failure. */
     void answer(RequestState request) {
         if (request.closed) {
             return;
         }
         if (request.isClientRetryHarmless()) {
-            Capabilities allowed = context.settings().capabilities();
-            long retryAfter = Math.min(allowed.maxRetryAfterNanos(), request.objective / 2);
-            context.actions().reject(request.request.id(), allowed.retryAfter() ? retryAfter : 0);
+            Capabilities capabilities = context.settings().capabilities();
+            long retryAfter = Math.min(capabilities.maxRetryAfterNanos(), request.objective / RETRY_AFTER_DIVISOR);
+            context.actions().reject(request.request.id(), capabilities.retryAfter() ? retryAfter : 0);
         } else {
             context.actions().fail(request.request.id());
         }
         close(request);
     }
 
+    /** Closes a request; it is forgotten only after its last attempt has ended. */
     void close(RequestState request) {
         boolean outstanding = request.hasOutstandingAttempt();
         boolean cancel = outstanding && !request.closed && !request.streaming;
--- a/policy/src/main/java/topazvalve/policy/RequestState.java
+++ b/policy/src/main/java/topazvalve/policy/RequestState.java
@@ -5,48 +5,59 @@
 
 /** One client request, from its arrival until its final answer and the end of its last attempt. */
 final class RequestState {
+    private static final double MIN_EXPECTED_TIME_DIVISOR = 1000.0; // of the objective
+
+    /** A queued request expires this many times its expected time before the end of its objective. */
+    private static final double QUEUE_EXPIRY_FACTOR = 1.5;
+
+    private static final double MAX_EXPECTED_TIME_DIVISOR = 2.0; // of the objective, for the expiry
+
     final Request request;
     final RequestClass requestClass;
     final int maxAttempts;
-    final long objective; // latency objective in nanoseconds, with the stretch for its cost
-    final double expectedTime; // of a response, in nanoseconds
-    private final long elapsedBefore; // in nanoseconds, on earlier attempts of the client's own
+    final long objective; // latency objective in nanoseconds, stretched by the cost hint
+    final double expectedTime; // expected response time in nanoseconds
+    private final long elapsedBefore; // nanoseconds that the client spent on earlier attempts of its own
     long deadline; // in nanoseconds on the clock of the events, like objectiveAt
-    long objectiveAt; // end of the latency objective
+    long objectiveAt; // the end of the latency objective
     final List<AttemptState> attempts = new ArrayList<>(2);
-    boolean probed; // load probes were sent, and no attempt since; written by LoadProbing
+    boolean probed; // load probes were sent, and no attempt since
     int outstandingProbes;
     List<EndpointState> candidates = List.of(); // the probed endpoints
-    double maxLoad; // of a candidate, as LoadProbing.evaluate sets it
-    boolean allOverloaded; // so that it is rejected
+    double maxLoad; // the load up to which a candidate may be picked; set by LoadProbing
+    boolean allCandidatesOverloaded; // the request is then rejected; set by LoadProbing
     boolean bodyArriving;
     boolean bodyNotReplayable;
-    boolean queued; // in TenantQuota; a request that left the queue otherwise is skipped there
+    boolean queued; // TenantQuota drops entries whose requests are no longer queued, such as expired ones
     boolean streaming; // its response has started: no retry, no deadline
     boolean closed; // answered, or its client has disconnected
 
-    RequestState(Request request, Settings settings, long elapsedBefore, double usualTime) {
+    RequestState(Request request, Settings settings, long elapsedBefore, double estimatedTime) {
         this.request = request;
         this.requestClass = settings.requestClasses().get(request.requestClass());
         this.maxAttempts = settings.capabilities().maxAttempts();
         this.elapsedBefore = elapsedBefore;
         double stretch = requestClass.objectiveStretch() * request.costHintNanos();
         this.objective = (long) Math.min(requestClass.latencyObjectiveNanos() + stretch, requestClass.deadlineNanos());
-        this.expectedTime = Math.max(objective / 1000.0, usualTime); // bounded below for the timers
+        this.expectedTime = Math.max(objective / MIN_EXPECTED_TIME_DIVISOR, estimatedTime); // bounded for the timers
     }
 
+    /** Counts the deadline and the latency objective from now on. */
     void startClock(long now) {
         deadline = now + request.timeLeftNanos();
         objectiveAt = now - elapsedBefore + Math.min(request.timeLeftNanos() + elapsedBefore, objective);
     }
 
+    /** Suspends the deadline and the objective while the body of a forwarded request is still arriving. */
     void stopClock() {
         deadline = Long.MAX_VALUE;
         objectiveAt = Long.MAX_VALUE;
     }
 
+    /** Returns when the request is no longer worth queuing: half of the requests that are sent later are late. */
     long queueExpiresAt() {
-        return objectiveAt - (long) (1.5 * Math.min(expectedTime, objective / 2.0)); // half sent later are late
+        double responseTime = Math.min(expectedTime, objective / MAX_EXPECTED_TIME_DIVISOR);
+        return objectiveAt - (long) (QUEUE_EXPIRY_FACTOR * responseTime);
     }
 
     boolean isOutstanding(int attempt) {
@@ -54,10 +65,10 @@
     }
 
     boolean hasOutstandingAttempt() {
-        return isOutstanding(attempts.size() - 1); // there is never more than one
+        return isOutstanding(attempts.size() - 1); // only the last attempt can be outstanding
     }
 
-    /** The first attempt that may have run, or null while every one is proven not to have. */
+    /** Returns the first attempt that may have run, or null if it is proven for each that it did not. */
     AttemptState firstThatMayHaveRun() {
         return attempts.stream().filter(each -> each.mayHaveRun).findFirst().orElse(null);
     }
@@ -70,15 +81,17 @@
         return requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY;
     }
 
+    /** Returns whether another attempt may be sent now: it is in time and can do no harm. */
     boolean mayRetry(long now, long clockResolution) {
         boolean open = !closed && !streaming && now < deadline && attempts.size() < maxAttempts;
         AttemptState first = firstThatMayHaveRun();
-        long sentBy = now + clockResolution; // at the end of this batch of events
-        boolean keyHeld = first != null && hasKey() && sentBy < first.sentAt + requestClass.keyTtlNanos();
-        boolean harmless = first == null || isIdempotent() || keyHeld;
+        long sentBy = now + clockResolution; // the attempt is sent by the end of this batch of events
+        boolean keyValid = first != null && hasKey() && sentBy < first.sentAt + requestClass.keyTtlNanos();
+        boolean harmless = first == null || isIdempotent() || keyValid;
         return open && harmless && !bodyNotReplayable && !hasOutstandingAttempt();
     }
 
+    /** Returns whether a retry may use the endpoint: it has had no attempt and is in the scope of the key. */
     boolean mayUse(EndpointState endpoint) {
         AttemptState first = firstThatMayHaveRun();
         boolean inScope = first == null
@@ -91,8 +104,9 @@
         return inScope && attempts.stream().noneMatch(each -> each.endpoint == endpoint);
     }
 
+    /** Returns whether a retry by the client is harmless, whichever endpoint it reaches. */
     boolean isClientRetryHarmless() {
-        boolean keyHeldByAll = hasKey() && requestClass.keyScope() == KeyScope.ALL;
-        return isIdempotent() || keyHeldByAll || firstThatMayHaveRun() == null;
+        boolean keyKnownToAll = hasKey() && requestClass.keyScope() == KeyScope.ALL;
+        return isIdempotent() || keyKnownToAll || firstThatMayHaveRun() == null;
     }
 }
