--- a/policy/src/main/java/topazvalve/policy/SidecarPolicy.java
+++ b/policy/src/main/java/topazvalve/policy/SidecarPolicy.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Random;
 
-/** Facade of the policy: passes each event to the part that handles it; {@code docs/design/policy.md} has reasons. */
+/** Facade of the policy: passes each event to the part that handles it; {@code docs/design/policy.md} gives reasons. */
 public final class SidecarPolicy implements LoadBalancer {
     private Settings settings;
     private final PolicyContext context;
@@ -66,8 +66,8 @@
         if (request.requestClass() >= settings.requestClasses().size()) {
             throw new UnknownRequestClassException(request.requestClass());
         }
-        long elapsed = estimator.learnElapsedBefore(request);
-        RequestState state = new RequestState(request, settings, elapsed, estimator.expected(request));
+        long elapsedBefore = estimator.updateAndGetElapsedBefore(request);
+        RequestState state = new RequestState(request, settings, elapsedBefore, estimator.expected(request));
         state.bodyArriving = bodyArriving;
         attempts.requests().put(request.id(), state);
         attempts.startClock(now, state);
