--- a/policy/src/main/java/topazvalve/policy/RandomizedRoundRobin.java
+++ b/policy/src/main/java/topazvalve/policy/RandomizedRoundRobin.java
@@ -7,7 +7,7 @@
 import java.util.function.Predicate;
 import java.util.stream.Stream;
 
-/** Picks endpoints in turn from a random permutation of the ready ones: the less busy of two neighbors. */
+/** Cycles through a random permutation of the ready endpoints, and picks the less busy of two neighbors each time. */
 final class RandomizedRoundRobin {
     private final List<EndpointState> permutation = new ArrayList<>();
     private int pointer;
@@ -19,16 +19,22 @@
         pointer = 0;
     }
 
+    /** Returns all endpoints in the order of their turns, from the pointer on. */
     Stream<EndpointState> inTurn() {
         return Stream.concat(
                 permutation.subList(pointer, permutation.size()).stream(),
                 permutation.stream().limit(pointer));
     }
 
-    /** Picks the less busy of the pointed endpoint and the next, of those that pass {@code admit}; null if none. */
+    /**
+     * Picks the less busy of two neighbors: the first endpoint from the pointer on that takes its turn, and the next.
+     * Endpoints that {@code admit} does not accept are passed over. Returns null if it accepts none.
+     *
+     * @param advance whether the pointer moves past the endpoint that took its turn
+     */
     EndpointState pick(boolean advance, Predicate<EndpointState> admit, Predicate<EndpointState> takeTurn) {
         EndpointState pointed = null; // the first that takes its turn
-        EndpointState skipped = null; // the first that let its turn pass; picked if no other takes one
+        EndpointState skipped = null; // the first that let its turn pass; picked if no endpoint takes its turn
         int start = pointer;
         for (int i = 0; i < permutation.size(); i++) {
             int index = (start + i) % permutation.size();
--- a/policy/src/main/java/topazvalve/policy/TenantQuota.java
+++ b/policy/src/main/java/topazvalve/policy/TenantQuota.java
@@ -5,19 +5,25 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** Queued requests of all tenants: that with the least of its quota used goes first. */
+/** The queued requests of all tenants; the tenant that has used the least of its quota goes first. */
 final class TenantQuota {
+    /** The window of the usage, in multiples of the first class's objective. */
+    private static final double USAGE_WINDOW_OBJECTIVES = 4.0;
+
+    private static final double DEFAULT_QUOTA_PER_SECOND = 1;
+
     private static final class TenantQueue {
         private final ArrayDeque<RequestState> queue = new ArrayDeque<>(); // newest first
         private final double quotaPerSecond;
         private final DecayingSum usedTime = new DecayingSum(0);
-        private long skippedInRound; // its request could not be sent
+        private long skippedInRound; // the last round in which its request could not be sent
 
         TenantQueue(double quotaPerSecond, double window) {
-            this.quotaPerSecond = quotaPerSecond > 0 ? quotaPerSecond : 1;
+            this.quotaPerSecond = quotaPerSecond > 0 ? quotaPerSecond : DEFAULT_QUOTA_PER_SECOND;
             this.usedTime.setWindow(0, window);
         }
 
+        /** Returns the response time used in the window, relative to the quota. */
         double usage(long now) {
             return usedTime.value(now) / quotaPerSecond;
         }
@@ -26,14 +32,15 @@
     private final ConcurrencyLimiter limiter;
     private final List<TenantQueue> tenants = new ArrayList<>();
     private int queued;
-    private long round; // number of the call to drain
+    private long round; // counts the calls to drain
 
     TenantQuota(Settings settings, ConcurrencyLimiter limiter) {
         this.limiter = limiter;
-        double window = 4.0 * settings.requestClasses().get(0).latencyObjectiveNanos(); // of recent use
+        double window =
+                USAGE_WINDOW_OBJECTIVES * settings.requestClasses().get(0).latencyObjectiveNanos();
         settings.tenants().forEach(each -> tenants.add(new TenantQueue(each.quotaPerSecond(), window)));
         if (tenants.isEmpty()) {
-            tenants.add(new TenantQueue(1, window));
+            tenants.add(new TenantQueue(DEFAULT_QUOTA_PER_SECOND, window));
         }
     }
 
@@ -55,6 +62,7 @@
         queued++;
     }
 
+    /** Sends queued requests until there is no tenant left whose request can be sent. */
     void drain(long now, Predicate<RequestState> send) {
         round++;
         for (TenantQueue tenant = leastUsed(now); tenant != null; tenant = leastUsed(now)) {
@@ -77,7 +85,7 @@
         return least;
     }
 
-    /** The newest request or, where there is no capacity for it, the newest of high priority. */
+    /** Returns the newest request or, if the total limit leaves no room for it, the newest of high priority. */
     private RequestState next(long now, TenantQueue tenant) {
         RequestState newest = tenant.queue.peek();
         if (!newest.queued || !limiter.releaseOverdueAndCheckFull(now, newest)) {
--- a/policy/src/main/java/topazvalve/policy/TimerQueue.java
+++ b/policy/src/main/java/topazvalve/policy/TimerQueue.java
@@ -3,7 +3,7 @@
 import java.util.PriorityQueue;
 import java.util.function.LongConsumer;
 
-/** The policy's timers behind the host's one timer; those of equal time fire in the order they were set. */
+/** Multiplexes the policy's timers onto one timer of the host; timers due at the same time fire in the order set. */
 final class TimerQueue {
     private record Timer(long at, long serial, LongConsumer task) {}
 
@@ -22,6 +22,7 @@
         queue.add(new Timer(at, nextSerial++, task));
     }
 
+    /** Sets the host's timer if the first timer is due before the one that is set. */
     void armTimer() {
         if (!queue.isEmpty() && queue.peek().at < armedAt) {
             armedAt = queue.peek().at;
@@ -30,7 +31,7 @@
     }
 
     void fire(long now, long token) {
-        if (token == armedToken) { // not by time: a coarse host clock may fire early
+        if (token == armedToken) { // compared by token: with a coarse clock, the host may fire before the time
             armedAt = Long.MAX_VALUE;
         }
         while (!queue.isEmpty() && queue.peek().at <= now) {
