--- a/policy/src/test/java/topazvalve/policy/AdmissionControllerTest.java
+++ b/policy/src/test/java/topazvalve/policy/AdmissionControllerTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Load shedding, the queue and tenant quotas. */
+/** Tests of load shedding, the queue and tenant quotas. */
 class AdmissionControllerTest {
 
     @Test
@@ -43,7 +43,9 @@
         host.attempts.forEach(sent -> host.outcome(sent, Outcome.TIMEOUT));
         int before = host.attempts.size();
         host.burst(100, 140, 0);
-        assertTrue(host.attempts.size() - before < 8, "no response was in time: " + (host.attempts.size() - before));
+        assertTrue(
+                host.attempts.size() - before < 8,
+                "sent while no response was in time: " + (host.attempts.size() - before));
         host.advance(30_000 * MS);
         host.serve(200, 300, 0, 20 * MS);
         assertEquals(
@@ -51,23 +53,23 @@
                 host.attempts.stream().filter(sent -> sent.request() >= 200).count());
     }
 
-    /** Half of the clients disconnect soon: that says nothing about the endpoints, and the others are served. */
+    /** A client that disconnects within the objective says nothing about the endpoints; the others are served. */
     @Test
     void clientsThatDisconnectEarlyCauseNoShedding() {
         RecordingHost host = host(IDEMPOTENT).withEndpoints(40);
         for (int id = 0; id < 200; id += 2) {
             host.serve(id, id + 1, 0, 20 * MS);
             host.request(id + 1, 0);
-            RecordingHost.SentAttempt left = host.last();
+            RecordingHost.SentAttempt abandoned = host.last();
             host.advance(100 * MS);
             host.policy.clientDisconnected(host.now, id + 1);
-            host.outcome(left, Outcome.CANCELLED);
+            host.outcome(abandoned, Outcome.CANCELLED);
         }
         assertEquals(200, host.attempts.size());
         assertEquals(List.of(), host.answers);
     }
 
-    /** A client that disconnects after the objective had to wait: it counts like a late response. */
+    /** A client that disconnects after the objective has waited too long: it counts like a late response. */
     @Test
     void clientsThatDisconnectLateCauseShedding() {
         RecordingHost host = host(IDEMPOTENT).withEndpoints(40);
@@ -88,37 +90,37 @@
     void queuedRequestsAreSentNewestFirst() {
         RecordingHost host = host(NON_IDEMPOTENT).withEndpoints(1);
         host.burst(0, 6, 0);
-        int out = host.attempts.size();
-        assertTrue(out < 6, "some are queued");
+        int sentBefore = host.attempts.size();
+        assertTrue(sentBefore < 6, "some requests are queued");
         host.advance(10 * MS);
         host.outcome(host.attempts.get(0), Outcome.OK);
-        assertEquals(5, host.attempts.get(out).request());
+        assertEquals(5, host.attempts.get(sentBefore).request());
     }
 
     /**
-     * First requests taken for client retries are rejected at once, and two of three clients retry. The first requests
-     * must be recognized again all the same: there are always more of them than retries.
+     * First requests that are mistaken for client retries are rejected at once, and two of three clients then retry.
+     * First requests must still be recognized after a while, since there are always more of them than retries.
      */
     @Test
     void firstRequestsAreRecognizedAgainAmongClientRetries() {
         RecordingHost host = host(IDEMPOTENT).withEndpoints(5);
         long id = 0;
         for (int i = 0; i < 10; i++) {
-            isSent(host, id++, 950 * MS);
+            receiveAndAnswer(host, id++, 950 * MS);
         }
         boolean served = false;
         for (int i = 0; i < 300; i++) {
-            served = isSent(host, id++, 450 * MS);
+            served = receiveAndAnswer(host, id++, 450 * MS);
             if (!served && i % 3 > 0) {
-                isSent(host, id++, 950 * MS);
+                receiveAndAnswer(host, id++, 950 * MS);
             }
         }
         assertTrue(served);
     }
 
-    /** Receives a request and answers it after a moment if it was sent; returns whether it was. */
-    private static boolean isSent(RecordingHost host, long id, long left) {
-        host.request(id, 0, left);
+    /** Receives a request and, if it is sent, answers it after 1 ms; returns whether it was sent. */
+    private static boolean receiveAndAnswer(RecordingHost host, long id, long timeLeft) {
+        host.request(id, 0, timeLeft);
         boolean sent = !host.attemptsOf(id).isEmpty();
         host.advance(MS);
         if (sent) {
@@ -133,19 +135,19 @@
         host.burst(0, 6, 0);
         int sent = host.attempts.size();
         host.request(50, 0, 400 * MS);
-        assertEquals(List.of("reject 50"), host.answers, "600 ms of an objective of 500 have elapsed");
+        assertEquals(List.of("reject 50"), host.answers, "600 ms have elapsed of an objective of 500 ms");
         assertEquals(sent, host.attempts.size());
     }
 
     @Test
-    void firstRequestsWithLessTimeThanRetriesAreStillFirst() {
+    void commonTimeLeftMarksFirstRequestsEvenIfRetriesHaveMore() {
         RecordingHost host = host(NON_IDEMPOTENT).withEndpoints(1);
         for (int i = 0; i < 30; i++) {
             host.request(i, 0, i % 3 == 2 ? 900 * MS : 600 * MS);
         }
         int answered = host.answers.size();
         host.request(50, 0, 600 * MS);
-        assertEquals(answered, host.answers.size(), "600 ms is what first requests have: queued, not answered");
+        assertEquals(answered, host.answers.size(), "first requests have 600 ms: it is queued, not answered");
     }
 
     @Test
@@ -174,9 +176,12 @@
         }
         host.policy.requestReceived(host.now, new Request(10, 0, 1, 0, 1_000 * MS, 0, false, false));
         host.policy.requestReceived(host.now, new Request(11, 0, 0, 0, 1_000 * MS, 0, false, false));
-        int out = host.attempts.size();
+        int sentBefore = host.attempts.size();
         host.advance(10 * MS);
         host.outcome(host.attempts.get(0), Outcome.OK);
-        assertEquals(10, host.attempts.get(out).request(), "not the newest, but that of the tenant without usage");
+        assertEquals(
+                10,
+                host.attempts.get(sentBefore).request(),
+                "not the newest request, but that of the tenant without usage");
     }
 }
--- a/policy/src/test/java/topazvalve/policy/ColdEndpointsTest.java
+++ b/policy/src/test/java/topazvalve/policy/ColdEndpointsTest.java
@@ -11,13 +11,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What cold endpoints get from many sidecars at once, each of which sees little of the load. */
+/** Tests what cold endpoints get from many sidecars at once, each of which sees little of the load. */
 class ColdEndpointsTest {
     private static final int SIDECARS = 14;
     private static final int SERVERS = 10;
     private static final int REPLACED = 6;
 
-    /** Sidecars that have served for 0.5 s when most of their endpoints are replaced by cold ones. */
+    /** Returns sidecars that have served for 0.5 s when most of their endpoints are replaced by cold ones. */
     private static List<RecordingHost> fleetShortlyAfterStart() {
         List<RecordingHost> fleet = new ArrayList<>();
         for (int seed = 0; seed < SIDECARS; seed++) {
@@ -49,7 +49,7 @@
             host.serve(1_000, 1_150, 0, 10 * MS);
             cold += attemptsToColdEndpoints(host, before);
         }
-        // Six at 0.3 to 0.43 of a warm one's capacity, beside four warm ones: 31 to 39 in 100.
+        // Six endpoints at 0.3 to 0.43 of a warm one's capacity, beside four warm ones, should get 31 to 39 %.
         double fraction = cold / (SIDECARS * 150.0);
         assertTrue(fraction > 0.2 && fraction < 0.45, "cold endpoints got " + fraction);
     }
@@ -69,24 +69,24 @@
         assertEquals(5, host.attempts.size());
     }
 
-    /** No cold endpoint gets more in all than its least capacity; the load is what warm ones get. */
+    /** A cold endpoint gets little more than its capacity from all sidecars together. */
     @Test
     void allSidecarsTogetherKeepToAColdEndpointsCapacity() {
         long[] cold = new long[REPLACED];
-        long all = 0;
+        long total = 0;
         for (RecordingHost host : fleetShortlyAfterStart()) {
             int before = host.attempts.size();
             host.serve(1_000, 1_150, 0, 10 * MS);
-            all += 150;
+            total += 150;
             for (int i = 0; i < REPLACED; i++) {
                 cold[i] += host.attemptsTo(100 + i, before);
             }
         }
-        // If the fleet were full with this load, a cold endpoint could serve 0.3 of a warm one's fraction.
-        double capacity = 0.3 * all / (SERVERS - REPLACED + 0.3 * REPLACED);
-        for (long got : cold) {
-            // It warms to 0.43 meanwhile; an even tenth would be 1.9 times its capacity.
-            assertTrue(got < 1.6 * capacity, got + " for an endpoint with a capacity of " + capacity);
+        // Were this load the capacity of all endpoints, a cold one could serve 0.3 of what a warm one serves.
+        double capacity = 0.3 * total / (SERVERS - REPLACED + 0.3 * REPLACED);
+        for (long sent : cold) {
+            // Its capacity grows to 0.43 meanwhile. An equal tenth of the load would be 1.9 times its capacity.
+            assertTrue(sent < 1.6 * capacity, sent + " for an endpoint with a capacity of " + capacity);
         }
     }
 }
--- a/policy/src/test/java/topazvalve/policy/EjectionUnderLoadTest.java
+++ b/policy/src/test/java/topazvalve/policy/EjectionUnderLoadTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Endpoints that fall silent under load: their ejection, health checks and trial requests. */
+/** Tests of endpoints that stop responding under load: their ejection, health checks and trial requests. */
 class EjectionUnderLoadTest {
     private static final int SIDECARS = 14;
 
@@ -39,54 +39,54 @@
                 seed);
     }
 
-    private static EvenLoad withEndpointTwoEjected() {
-        EvenLoad load = new EvenLoad(healthCheckingHost(3).withEndpoints(8));
-        load.play(2, 60, server -> 60 * MS);
-        load.play(8, 60, server -> server == 2 ? -1 : 60 * MS);
+    private static ConstantRateLoad withEndpointTwoEjected() {
+        ConstantRateLoad load = new ConstantRateLoad(healthCheckingHost(3).withEndpoints(8));
+        load.run(2, 60, server -> 60 * MS);
+        load.run(8, 60, server -> server == 2 ? -1 : 60 * MS);
         return load;
     }
 
     @Test
     void silentEndpointsTakeNoCapacity() {
         for (int seed = 0; seed < 5; seed++) {
-            EvenLoad load =
-                    new EvenLoad(healthCheckingHost(seed, withObjective(100)).withEndpoints(20));
-            load.play(2, 60, server -> 20 * MS);
+            ConstantRateLoad load = new ConstantRateLoad(
+                    healthCheckingHost(seed, withObjective(100)).withEndpoints(20));
+            load.run(2, 60, server -> 20 * MS);
             long before = load.rejectedCount();
-            load.play(2, 60, server -> server < 10 ? -1 : 20 * MS);
+            load.run(2, 60, server -> server < 10 ? -1 : 20 * MS);
             assertTrue(load.rejectedCount() - before < 12, "rejected: " + (load.rejectedCount() - before));
         }
     }
 
-    /** No request is spent on finding out whether a silent endpoint answers again. */
+    /** A silent endpoint gets no request until a health check shows that it responds again. */
     @Test
     void ejectedEndpointGetsAHealthCheckBeforeATrialRequest() {
-        EvenLoad load = withEndpointTwoEjected();
+        ConstantRateLoad load = withEndpointTwoEjected();
         RecordingHost host = load.host;
         int before = host.attempts.size();
-        long probes = host.log.stream().filter("probe 2"::equals).count();
-        assertEquals(1, probes, "one is outstanding");
-        load.play(5, 60, server -> server == 2 ? -1 : 60 * MS);
+        long healthChecks = host.log.stream().filter("health-check 2"::equals).count();
+        assertEquals(1, healthChecks, "one health check is outstanding");
+        load.run(5, 60, server -> server == 2 ? -1 : 60 * MS);
         assertEquals(0, host.attemptsTo(2, before));
         host.policy.healthCheckCompleted(host.now, 2, Outcome.TIMEOUT, 250 * MS, new float[0]);
-        load.play(10, 60, server -> server == 2 ? -1 : 60 * MS);
+        load.run(10, 60, server -> server == 2 ? -1 : 60 * MS);
         assertEquals(0, host.attemptsTo(2, before), "the health check was not answered");
-        assertEquals(2, host.log.stream().filter("probe 2"::equals).count(), "checked again, later");
+        assertEquals(2, host.log.stream().filter("health-check 2"::equals).count(), "it is checked again later");
         host.policy.healthCheckCompleted(host.now, 2, Outcome.OK, MS, new float[0]);
-        load.play(5, 60, server -> 60 * MS);
+        load.run(5, 60, server -> 60 * MS);
         assertTrue(host.attemptsTo(2, before) > 5, "it takes its turns again");
     }
 
-    /** An endpoint that serves, but does not know health checks, is not ejected forever. */
+    /** An endpoint that serves requests but does not support health checks is not ejected forever. */
     @Test
     void manyUnansweredHealthChecksAdmitATrialRequest() {
-        EvenLoad load = withEndpointTwoEjected();
+        ConstantRateLoad load = withEndpointTwoEjected();
         RecordingHost host = load.host;
         int before = host.attempts.size();
         for (int i = 0; i < 6; i++) {
-            assertEquals(0, host.attemptsTo(2, before), "after " + i);
+            assertEquals(0, host.attemptsTo(2, before), "after unanswered health checks: " + i);
             host.policy.healthCheckCompleted(host.now, 2, Outcome.TIMEOUT, 250 * MS, new float[0]);
-            load.play(5, 60, server -> 60 * MS);
+            load.run(5, 60, server -> 60 * MS);
         }
         assertTrue(host.attemptsTo(2, before) > 0);
     }
--- a/policy/src/test/java/topazvalve/policy/EndpointRegistryTest.java
+++ b/policy/src/test/java/topazvalve/policy/EndpointRegistryTest.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Endpoint updates, the watch on the list and its backoff. */
+/** Tests of endpoint updates, the watch on the endpoint list and its backoff. */
 class EndpointRegistryTest {
 
     @Test
@@ -38,9 +38,9 @@
         assertEquals(1, host.attempts.size());
         host.policy.endpointsUpdated(host.now, UpdateKind.FAILED, List.of());
         host.advance(749 * MS);
-        assertEquals(9, host.watchCount, "after eight failures it waits");
+        assertEquals(9, host.watchCount, "after eight failures, half the maximum backoff passes without a call");
         host.advance(751 * MS);
-        assertEquals(10, host.watchCount, "but no longer than the maximum");
+        assertEquals(10, host.watchCount, "the maximum backoff is over");
     }
 
     /** New settings may name another discovery service, which has not failed. */
--- a/policy/src/test/java/topazvalve/policy/LoadProbingTest.java
+++ b/policy/src/test/java/topazvalve/policy/LoadProbingTest.java
@@ -9,18 +9,18 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Load probes before a send. */
+/** Tests of the load probes that precede an attempt. */
 class LoadProbingTest {
 
     private static RecordingHost loadProbingHost(int instanceCount) {
         return new RecordingHost(RecordingHost.loadProbingSettings(instanceCount, IDEMPOTENT), 7).withEndpoints(10);
     }
 
-    /** Answers all outstanding probes with this load; the probe at index {@code idle} reports none. */
+    /** Answers all outstanding probes with this load; the endpoint of the probe at index {@code idle} reports 0. */
     private static void answerProbes(RecordingHost host, float inFlight, int idle) {
         List<Long> probed = host.log.stream()
-                .filter(line -> line.startsWith("probe "))
-                .map(line -> Long.parseLong(line.substring(6)))
+                .filter(line -> line.startsWith("health-check "))
+                .map(line -> Long.parseLong(line.substring("health-check ".length())))
                 .toList();
         host.log.clear();
         host.now += MS;
@@ -34,12 +34,13 @@
     void busyEndpointsAreSkippedWhereProbesAreCheap() {
         RecordingHost host = loadProbingHost(100);
         host.request(1, 0);
-        assertTrue(host.attempts.isEmpty(), "it probes first");
-        List<String> probed =
-                host.log.stream().filter(line -> line.startsWith("probe ")).toList();
+        assertTrue(host.attempts.isEmpty(), "the request waits for its probes");
+        List<String> probed = host.log.stream()
+                .filter(line -> line.startsWith("health-check "))
+                .toList();
         assertEquals(5, probed.size());
         answerProbes(host, 3, 2);
-        assertEquals(probed.get(2), "probe " + host.last().endpoint());
+        assertEquals(probed.get(2), "health-check " + host.last().endpoint());
     }
 
     @Test
@@ -61,7 +62,8 @@
         }
         host.request(100, 0);
         answerProbes(host, 9, -1);
-        assertEquals(List.of("reject 100"), host.answers, "ten responses of 100 ms each against an objective of 500");
+        assertEquals(
+                List.of("reject 100"), host.answers, "ten responses of 100 ms each exceed the objective of 500 ms");
     }
 
     @Test
@@ -70,11 +72,11 @@
         host.request(1, 0);
         answerProbes(host, 0, 0);
         assertEquals(
-                List.of("send 1 " + host.last().endpoint() + " " + 499 * MS),
-                host.log.stream().filter(line -> line.startsWith("send")).toList());
+                List.of("forward 1 " + host.last().endpoint() + " " + 499 * MS),
+                host.log.stream().filter(line -> line.startsWith("forward")).toList());
         host = loadProbingHost(3);
         host.request(1, 0);
-        assertTrue(host.log.contains("send 1 " + host.last().endpoint() + " 0"));
+        assertTrue(host.log.contains("forward 1 " + host.last().endpoint() + " 0"));
     }
 
     @Test
@@ -82,6 +84,6 @@
         RecordingHost host = loadProbingHost(3);
         host.request(1, 0);
         assertEquals(1, host.attempts.size());
-        assertFalse(host.log.stream().anyMatch(line -> line.startsWith("probe ")));
+        assertFalse(host.log.stream().anyMatch(line -> line.startsWith("health-check ")));
     }
 }
--- a/policy/src/test/java/topazvalve/policy/OutlierDetectorTest.java
+++ b/policy/src/test/java/topazvalve/policy/OutlierDetectorTest.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Ejection of slow and failing endpoints, and trial requests. */
+/** Tests of the ejection of slow and failing endpoints, and of trial requests. */
 class OutlierDetectorTest {
 
     @Test
@@ -27,12 +27,12 @@
                 host.outcome(sent, Outcome.OK);
             }
         }
-        long lost = host.attemptsTo(2, before);
-        assertTrue(lost <= 4, "silent endpoint got " + lost + " of 60");
+        long sentToSilent = host.attemptsTo(2, before);
+        assertTrue(sentToSilent <= 4, "silent endpoint got " + sentToSilent + " of 60");
     }
 
     @Test
-    void fastErrorsWinNoTurns() {
+    void fastErrorsAttractNoRequests() {
         RecordingHost host = host(NON_IDEMPOTENT, IDEMPOTENT).withEndpoints(4);
         host.serve(0, 40, 0, 20 * MS);
         int before = host.attempts.size();
@@ -42,8 +42,10 @@
             host.advance(sent.endpoint() == 2 ? MS : 20 * MS);
             host.outcome(sent, sent.endpoint() == 2 ? Outcome.ERROR : Outcome.OK);
         }
-        long lost = host.attemptsTo(2, before);
-        assertTrue(lost <= 8, "failing endpoint got " + lost + " of 100, a third of an even turn");
+        long sentToFailing = host.attemptsTo(2, before);
+        assertTrue(
+                sentToFailing <= 8,
+                "failing endpoint got " + sentToFailing + " of 100, more than a third of its equal share");
     }
 
     @Test
@@ -54,7 +56,7 @@
         int before = host.attempts.size();
         host.serve(2_000, 2_040, 0, 80 * MS);
         Map<Long, Integer> turns = new HashMap<>();
-        host.attempts.subList(before, before + 40).forEach(s -> turns.merge(s.endpoint(), 1, Integer::sum));
+        host.attempts.subList(before, before + 40).forEach(sent -> turns.merge(sent.endpoint(), 1, Integer::sum));
         turns.values().forEach(count -> assertEquals(10, count));
         assertTrue(host.answers.isEmpty(), "nothing is rejected: " + host.answers);
     }
@@ -68,7 +70,7 @@
         }
         int before = host.attempts.size();
         host.request(10, 0);
-        assertTrue(host.attempts.size() > before, "if all are ejected, the ejections are ignored");
+        assertTrue(host.attempts.size() > before, "if all endpoints are ejected, the ejections are ignored");
     }
 
     @Test
@@ -92,11 +94,11 @@
         }
         assertTrue(
                 host.attempts.subList(host.attempts.size() - 20, host.attempts.size()).stream()
-                        .anyMatch(s -> s.endpoint() == 1),
-                "it gets requests again");
+                        .anyMatch(sent -> sent.endpoint() == 1),
+                "the endpoint gets requests again");
     }
 
-    /** The metric is the policy's own view; reading it has no side effect. */
+    /** The count reflects the policy's own evidence; reading it has no side effect. */
     @Test
     void ejectedEndpointsAreCounted() {
         RecordingHost host = host(IDEMPOTENT).withEndpoints(3);
--- a/policy/src/test/java/topazvalve/policy/RandomizedRoundRobinTest.java
+++ b/policy/src/test/java/topazvalve/policy/RandomizedRoundRobinTest.java
@@ -19,7 +19,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The order in which endpoints take turns, and the choice between two neighbors. */
+/** Tests of the order in which endpoints take turns, and of the choice between two neighbors. */
 class RandomizedRoundRobinTest {
 
     @Test
@@ -33,18 +33,18 @@
 
     @Test
     void permutationsAreEquallyLikely() {
-        Map<List<Long>, Integer> seen = new HashMap<>();
+        Map<List<Long>, Integer> counts = new HashMap<>();
         for (int seed = 0; seed < 6_000; seed++) {
             RecordingHost host = new RecordingHost(settings(IDEMPOTENT), seed).withEndpoints(3);
-            seen.merge(host.serveRequests(3, 0), 1, Integer::sum);
+            counts.merge(host.serveRequests(3, 0), 1, Integer::sum);
         }
-        assertEquals(6, seen.size());
-        // 1000 expected each; 150 is over five standard deviations.
-        seen.values().forEach(count -> assertTrue(Math.abs(count - 1_000) < 150, seen.toString()));
+        assertEquals(6, counts.size());
+        // Each is expected 1000 times; 150 is more than five standard deviations.
+        counts.values().forEach(count -> assertTrue(Math.abs(count - 1_000) < 150, counts.toString()));
     }
 
     @Test
-    void lessBusyOfPointedAndNextIsPicked() {
+    void lessBusyOfTwoNeighborsIsPicked() {
         RecordingHost host = host(IDEMPOTENT).withEndpoints(3);
         List<Long> order = host.serveRequests(3, 0);
         host.request(10, 0);
@@ -75,13 +75,13 @@
         for (int i = 0; i < 12; i++) {
             open(host, i, open);
         }
-        assertEquals(6, open.get(0L).size(), "evenly, as far as counts tie");
+        assertEquals(6, open.get(0L).size(), "half of the streams go to each endpoint");
         open.get(0L).forEach(sent -> host.outcome(sent, Outcome.OK));
         open.clear();
         for (int i = 20; i < 25; i++) {
             open(host, i, open);
         }
-        assertEquals(Set.of(0L), open.keySet(), "until it has as many as the other");
+        assertEquals(Set.of(0L), open.keySet(), "the endpoint without streams is picked until both have equally many");
     }
 
     private static void open(RecordingHost host, int id, Map<Long, List<RecordingHost.SentAttempt>> open) {
@@ -102,7 +102,7 @@
         List<Long> after = host.serveRequests(7, 40);
         assertFalse(after.contains(3L));
         before.remove(3L);
-        assertNotEquals(before, after, "a new permutation; this seed draws another one");
+        assertNotEquals(before, after, "the permutation is redrawn; with this seed it differs");
     }
 
     @Test
@@ -112,7 +112,7 @@
         assertEquals(List.of("reject 1"), host.answers);
     }
 
-    /** Requests sent to a fast and a slow endpoint of two machine kinds, given their response times. */
+    /** Returns how many requests a fast and a slow machine kind get, given their response times. */
     private static List<Long> turnsOfTwoMachineKinds(long fast, long slow) {
         RecordingHost host = host(IDEMPOTENT);
         host.policy.endpointsUpdated(
@@ -134,6 +134,8 @@
         assertEquals(
                 List.of(50L, 50L), turnsOfTwoMachineKinds(20 * MS, 60 * MS), "well within the objective of 500 ms");
         List<Long> turns = turnsOfTwoMachineKinds(100 * MS, 300 * MS);
-        assertTrue(turns.get(1) >= 5 && turns.get(1) < 25, "a third as fast, still fewer turns: " + turns);
+        assertTrue(
+                turns.get(1) >= 5 && turns.get(1) < 25,
+                "the slow kind takes fewer than half of the turns, but some: " + turns);
     }
 }
--- a/policy/src/test/java/topazvalve/policy/RecordingHost.java
+++ b/policy/src/test/java/topazvalve/policy/RecordingHost.java
@@ -4,13 +4,15 @@
 import java.util.List;
 import java.util.PriorityQueue;
 
-/** A host for tests: it has the clock, fires timers and records the policy's actions. */
+/** A host for tests: it advances a virtual clock, fires timers and records the policy's actions. */
 final class RecordingHost implements Actions {
-    static final long MS = 1_000_000;
+    static final long MS = 1_000_000; // nanoseconds
+    static final int ZONES = 2;
+    static final int ENDPOINTS_PER_CELL = 3;
     static final RequestClass IDEMPOTENT = requestClass(Idempotency.IDEMPOTENT, KeyScope.ALL);
     static final RequestClass NON_IDEMPOTENT = requestClass(Idempotency.NON_IDEMPOTENT, KeyScope.ALL);
-    static final RequestClass KEY_PER_CELL = requestClass(Idempotency.IDEMPOTENCY_KEY, KeyScope.CELL);
-    static final RequestClass KEY_EVERYWHERE = requestClass(Idempotency.IDEMPOTENCY_KEY, KeyScope.ALL);
+    static final RequestClass KEY_FOR_CELL = requestClass(Idempotency.IDEMPOTENCY_KEY, KeyScope.CELL);
+    static final RequestClass KEY_FOR_ALL = requestClass(Idempotency.IDEMPOTENCY_KEY, KeyScope.ALL);
 
     record SentAttempt(long request, int attempt, long endpoint, long at) {}
 
@@ -44,7 +46,7 @@
         return new RecordingHost(settings(classes), 7);
     }
 
-    /** Sends requests that are answered at once, so that in-flight counts always tie; returns their endpoints. */
+    /** Receives requests one by one and answers each, so that in-flight counts always tie; returns their endpoints. */
     List<Long> serveRequests(int count, long firstId) {
         List<Long> endpoints = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -78,7 +80,7 @@
                 1);
     }
 
-    /** Settings with cheap health checks whose reports contain the requests in flight. */
+    /** Returns settings with cheap health checks whose reports contain the requests in flight. */
     static Settings loadProbingSettings(int instanceCount, RequestClass... classes) {
         Settings base = settings(classes);
         return new Settings(
@@ -102,8 +104,8 @@
         return endpoint(id, EndpointStatus.READY, 0);
     }
 
-    static EndpointInfo endpoint(long id, EndpointStatus state, long startedAt) {
-        return new EndpointInfo(id, (int) (id % 2), 0, (int) (id / 3), state, 1, startedAt);
+    static EndpointInfo endpoint(long id, EndpointStatus status, long startedAt) {
+        return new EndpointInfo(id, (int) (id % ZONES), 0, (int) (id / ENDPOINTS_PER_CELL), status, 1, startedAt);
     }
 
     /** Lists endpoints 0 to count - 1 as ready and started long ago. */
@@ -143,12 +145,12 @@
         now = end;
     }
 
-    /** Receives requests from..to one by one and answers each after {@code took}. */
-    void serve(long from, long to, int requestClass, long took) {
+    /** Receives requests from..to one by one and answers each after {@code responseTime}. */
+    void serve(long from, long to, int requestClass, long responseTime) {
         for (long id = from; id < to; id++) {
             request(id, requestClass);
             SentAttempt sent = last();
-            advance(took);
+            advance(responseTime);
             outcome(sent, Outcome.OK);
         }
     }
@@ -160,9 +162,12 @@
         }
     }
 
-    /** The number of attempts sent to an endpoint, without the first {@code since} attempts of all. */
+    /** Returns how many attempts were sent to an endpoint, not counting the first {@code since} attempts to any. */
     long attemptsTo(long endpoint, int since) {
-        return attempts.stream().skip(since).filter(s -> s.endpoint == endpoint).count();
+        return attempts.stream()
+                .skip(since)
+                .filter(sent -> sent.endpoint == endpoint)
+                .count();
     }
 
     SentAttempt last() {
@@ -170,18 +175,18 @@
     }
 
     List<SentAttempt> attemptsOf(long request) {
-        return attempts.stream().filter(s -> s.request == request).toList();
+        return attempts.stream().filter(sent -> sent.request == request).toList();
     }
 
     @Override
     public void forward(long request, long endpoint, long timeout) {
-        log.add("send " + request + " " + endpoint + " " + timeout);
+        log.add("forward " + request + " " + endpoint + " " + timeout);
         attempts.add(new SentAttempt(request, attemptsOf(request).size(), endpoint, now));
     }
 
     @Override
-    public void reject(long request, long wait) {
-        log.add("reject " + request + " " + wait);
+    public void reject(long request, long retryAfter) {
+        log.add("reject " + request + " " + retryAfter);
         answers.add("reject " + request);
     }
 
@@ -204,7 +209,7 @@
 
     @Override
     public void sendHealthCheck(long endpoint) {
-        log.add("probe " + endpoint);
+        log.add("health-check " + endpoint);
     }
 
     @Override
@@ -214,7 +219,7 @@
 
     @Override
     public void sendGossip(int peer, byte[] message) {
-        log.add("tell " + peer);
+        log.add("gossip " + peer);
     }
 
     @Override
@@ -223,8 +228,8 @@
     }
 
     @Override
-    public void watchEndpoints(boolean on) {
-        log.add("subscribe " + on);
+    public void watchEndpoints(boolean enabled) {
+        log.add("watch " + enabled);
         watchCount++;
     }
 
--- a/policy/src/test/java/topazvalve/policy/RequestDeadlineTest.java
+++ b/policy/src/test/java/topazvalve/policy/RequestDeadlineTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Every request is answered once, by its deadline. */
+/** Tests that every request is answered once, by its deadline. */
 class RequestDeadlineTest {
 
     @Test
--- a/policy/src/test/java/topazvalve/policy/RetryTest.java
+++ b/policy/src/test/java/topazvalve/policy/RetryTest.java
@@ -1,9 +1,10 @@
 package topazvalve.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static topazvalve.policy.RecordingHost.ENDPOINTS_PER_CELL;
 import static topazvalve.policy.RecordingHost.IDEMPOTENT;
-import static topazvalve.policy.RecordingHost.KEY_EVERYWHERE;
-import static topazvalve.policy.RecordingHost.KEY_PER_CELL;
+import static topazvalve.policy.RecordingHost.KEY_FOR_ALL;
+import static topazvalve.policy.RecordingHost.KEY_FOR_CELL;
 import static topazvalve.policy.RecordingHost.MS;
 import static topazvalve.policy.RecordingHost.NON_IDEMPOTENT;
 import static topazvalve.policy.RecordingHost.host;
@@ -11,7 +12,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What may be sent again, where to, and how often. */
+/** Tests of which requests are retried, at which endpoints and how often. */
 class RetryTest {
 
     @Test
@@ -32,21 +33,21 @@
 
     @Test
     void requestWithKeyIsRetriedOnlyInItsCellAndWithinTheKeysTtl() {
-        RecordingHost host = host(KEY_PER_CELL).withEndpoints(9);
+        RecordingHost host = host(KEY_FOR_CELL).withEndpoints(9);
         host.request(1, 0);
-        long cell = host.last().endpoint() / 3;
+        long cell = host.last().endpoint() / ENDPOINTS_PER_CELL;
         host.outcome(host.last(), Outcome.ERROR);
         assertEquals(2, host.attempts.size());
-        assertEquals(cell, host.last().endpoint() / 3);
+        assertEquals(cell, host.last().endpoint() / ENDPOINTS_PER_CELL);
         host.now += 699 * MS;
         host.outcome(host.last(), Outcome.ERROR);
-        assertEquals(2, host.attempts.size(), "the key is about to expire");
+        assertEquals(2, host.attempts.size(), "the key expires before a retry could be sent");
         assertEquals(List.of("fail 1"), host.answers);
     }
 
     @Test
     void requestWithKeyOfScopeAllMayBeRejectedAfterItMayHaveRun() {
-        RecordingHost host = host(KEY_EVERYWHERE).withEndpoints(1);
+        RecordingHost host = host(KEY_FOR_ALL).withEndpoints(1);
         host.request(1, 0);
         host.outcome(host.last(), Outcome.RESET);
         host.advance(1_000 * MS);
@@ -54,7 +55,7 @@
     }
 
     @Test
-    void maxAttemptsIsKept() {
+    void requestGetsNoMoreThanTheMaximumOfAttempts() {
         RecordingHost host = host(IDEMPOTENT).withEndpoints(9);
         host.request(1, 0);
         for (int i = 0; i < 5 && host.answers.isEmpty(); i++) {
--- a/policy/src/test/java/topazvalve/policy/SidecarPolicyRandomEventsTest.java
+++ b/policy/src/test/java/topazvalve/policy/SidecarPolicyRandomEventsTest.java
@@ -14,55 +14,57 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Long random sequences of valid events; an independent observer checks every action. */
+/** Plays long random sequences of valid events to the policy; an independent observer checks every action. */
 class SidecarPolicyRandomEventsTest {
     private static final long DEADLINE = 1_000 * MS;
-    private static final long SLACK = 20 * MS;
+    private static final long ANSWER_SLACK = 20 * MS;
+    private static final int MAX_ATTEMPTS = 3;
+    private static final int CLOCK_RESOLUTION_MS = 5;
     private static final List<RequestClass> CLASSES = List.of(
             RecordingHost.IDEMPOTENT,
             RecordingHost.NON_IDEMPOTENT,
-            RecordingHost.KEY_PER_CELL,
-            RecordingHost.KEY_EVERYWHERE,
+            RecordingHost.KEY_FOR_CELL,
+            RecordingHost.KEY_FOR_ALL,
             RecordingHost.requestClass(Idempotency.IDEMPOTENCY_KEY, KeyScope.ZONE));
 
     private static final class ObservedRequest {
-        final RequestClass kind;
+        final RequestClass requestClass;
         final long deadline;
         final List<RecordingHost.SentAttempt> sent = new ArrayList<>();
-        final Map<Integer, Outcome> ended = new HashMap<>();
+        final Map<Integer, Outcome> outcomes = new HashMap<>();
         int answers;
 
-        ObservedRequest(RequestClass kind, long deadline) {
-            this.kind = kind;
+        ObservedRequest(RequestClass requestClass, long deadline) {
+            this.requestClass = requestClass;
             this.deadline = deadline;
         }
 
         boolean mayHaveRun(int attempt) {
-            Outcome outcome = ended.get(attempt);
+            Outcome outcome = outcomes.get(attempt);
             return outcome == null || !outcome.provesNeverRan();
         }
     }
 
     private final Map<Long, ObservedRequest> observed = new HashMap<>();
-    private final Map<Long, EndpointStatus> states = new HashMap<>();
+    private final Map<Long, EndpointStatus> statuses = new HashMap<>();
     private final Set<Integer> checkedAttempts = new HashSet<>();
     private final List<Long> outstandingProbes = new ArrayList<>();
     private int probes;
     private int logPosition;
     private RecordingHost host;
 
-    /** Reads the actions since the last event and checks each against the rules. */
-    private void check() {
+    /** Checks each action since the last call against the rules. */
+    private void checkActions() {
         int attemptsSeen = checkedAttempts.size();
         for (; logPosition < host.log.size(); logPosition++) {
             String[] action = host.log.get(logPosition).split(" ");
             switch (action[0]) {
-                case "send" -> {
+                case "forward" -> {
                     RecordingHost.SentAttempt sent = host.attempts.get(attemptsSeen);
                     checkedAttempts.add(attemptsSeen++);
                     checkAttempt(sent);
                 }
-                case "probe" -> {
+                case "health-check" -> {
                     outstandingProbes.add(Long.parseLong(action[1]));
                     probes++;
                 }
@@ -74,9 +76,10 @@
 
     private void checkAttempt(RecordingHost.SentAttempt sent) {
         ObservedRequest observedRequest = observed.get(sent.request());
-        assertEquals(0, observedRequest.answers, "sent after its end: " + sent);
-        assertEquals(EndpointStatus.READY, states.get(sent.endpoint()), "not ready: " + sent);
-        assertTrue(observedRequest.sent.size() < 3, "more than the maximum of attempts: " + sent);
+        assertEquals(0, observedRequest.answers, "sent after the final answer: " + sent);
+        assertEquals(
+                EndpointStatus.READY, statuses.get(sent.endpoint()), "sent to an endpoint that is not ready: " + sent);
+        assertTrue(observedRequest.sent.size() < MAX_ATTEMPTS, "more than the maximum of attempts: " + sent);
         RecordingHost.SentAttempt firstThatMayHaveRun = null;
         for (RecordingHost.SentAttempt earlier : observedRequest.sent) {
             if (firstThatMayHaveRun == null && observedRequest.mayHaveRun(earlier.attempt())) {
@@ -85,17 +88,22 @@
         }
         if (firstThatMayHaveRun != null) {
             assertTrue(
-                    observedRequest.kind.idempotency() != Idempotency.NON_IDEMPOTENT,
+                    observedRequest.requestClass.idempotency() != Idempotency.NON_IDEMPOTENT,
                     "non-idempotent request retried: " + sent);
-            if (observedRequest.kind.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
+            if (observedRequest.requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
                 assertTrue(
-                        sent.at() < firstThatMayHaveRun.at() + observedRequest.kind.keyTtlNanos(),
+                        sent.at() < firstThatMayHaveRun.at() + observedRequest.requestClass.keyTtlNanos(),
                         "key expired: " + sent);
-                long a = firstThatMayHaveRun.endpoint();
-                long b = sent.endpoint();
-                switch (observedRequest.kind.keyScope()) {
-                    case ZONE -> assertEquals(a % 2, b % 2, "zone: " + sent);
-                    case CELL -> assertEquals(a / 3, b / 3, "cell: " + sent);
+                long first = firstThatMayHaveRun.endpoint();
+                long next = sent.endpoint();
+                switch (observedRequest.requestClass.keyScope()) {
+                    case ZONE ->
+                        assertEquals(first % RecordingHost.ZONES, next % RecordingHost.ZONES, "other zone: " + sent);
+                    case CELL ->
+                        assertEquals(
+                                first / RecordingHost.ENDPOINTS_PER_CELL,
+                                next / RecordingHost.ENDPOINTS_PER_CELL,
+                                "other cell: " + sent);
                     default -> {}
                 }
             }
@@ -106,12 +114,12 @@
     private void checkAnswer(String answer, long id) {
         ObservedRequest observedRequest = observed.get(id);
         assertEquals(1, ++observedRequest.answers, "answered twice: " + id);
-        assertTrue(host.now <= observedRequest.deadline + SLACK, "late answer: " + id);
-        boolean mayHaveRun = observedRequest.sent.stream().anyMatch(s -> observedRequest.mayHaveRun(s.attempt()));
+        assertTrue(host.now <= observedRequest.deadline + ANSWER_SLACK, "late answer: " + id);
+        boolean mayHaveRun = observedRequest.sent.stream().anyMatch(sent -> observedRequest.mayHaveRun(sent.attempt()));
         boolean harmless = !mayHaveRun
-                || observedRequest.kind.idempotency() == Idempotency.IDEMPOTENT
-                || (observedRequest.kind.idempotency() == Idempotency.IDEMPOTENCY_KEY
-                        && observedRequest.kind.keyScope() == KeyScope.ALL);
+                || observedRequest.requestClass.idempotency() == Idempotency.IDEMPOTENT
+                || (observedRequest.requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                        && observedRequest.requestClass.keyScope() == KeyScope.ALL);
         assertTrue(answer.equals("fail") || harmless, "rejected though it may have run: " + id);
     }
 
@@ -137,7 +145,7 @@
                 Outcome outcome = random.nextInt(10) > 0 ? Outcome.OK : Outcome.TIMEOUT;
                 float[] load = random.nextInt(20) == 0 ? new float[0] : new float[] {0, random.nextInt(4)};
                 host.policy.healthCheckCompleted(host.now, endpoint, outcome, MS, load);
-                check();
+                checkActions();
             }
         }
     }
@@ -146,72 +154,72 @@
         Random random = new Random(seed);
         host = new RecordingHost(settings, seed);
         int endpoints = 1 + random.nextInt(12);
-        List<EndpointInfo> first = new ArrayList<>();
+        List<EndpointInfo> initial = new ArrayList<>();
         for (int i = 0; i < endpoints; i++) {
-            first.add(RecordingHost.endpoint(i));
-            states.put((long) i, EndpointStatus.READY);
+            initial.add(RecordingHost.endpoint(i));
+            statuses.put((long) i, EndpointStatus.READY);
         }
-        host.policy.endpointsUpdated(host.now, UpdateKind.CACHED, first);
-        List<RecordingHost.SentAttempt> out = new ArrayList<>();
+        host.policy.endpointsUpdated(host.now, UpdateKind.CACHED, initial);
+        List<RecordingHost.SentAttempt> outstanding = new ArrayList<>();
         int collected = 0;
         long nextId = 0;
         for (int step = 0; step < 6_000; step++) {
-            int what = random.nextInt(100);
-            if (what < 40) {
+            int event = random.nextInt(100);
+            if (event < 40) {
                 long timeLeft = random.nextInt(10) == 0 ? random.nextInt(30) * MS : DEADLINE;
-                int kind = random.nextInt(CLASSES.size());
-                observed.put(nextId, new ObservedRequest(CLASSES.get(kind), host.now + timeLeft));
-                host.request(nextId++, kind, timeLeft);
-            } else if (what < 70 && !out.isEmpty()) {
-                end(out.remove(random.nextInt(out.size())), random);
-            } else if (what < 72) {
-                change(random, endpoints);
-            } else if (what < 73 && nextId > 0) {
+                int requestClass = random.nextInt(CLASSES.size());
+                observed.put(nextId, new ObservedRequest(CLASSES.get(requestClass), host.now + timeLeft));
+                host.request(nextId++, requestClass, timeLeft);
+            } else if (event < 70 && !outstanding.isEmpty()) {
+                completeAtRandom(outstanding.remove(random.nextInt(outstanding.size())), random);
+            } else if (event < 72) {
+                updateRandomEndpoint(random, endpoints);
+            } else if (event < 73 && nextId > 0) {
                 long id = nextId - 1 - random.nextInt((int) Math.min(nextId, 20));
                 if (observed.get(id).answers == 0) {
                     observed.get(id).answers++;
                     host.policy.clientDisconnected(host.now, id);
                 }
             } else {
-                tick(random.nextInt(8));
+                advance(random.nextInt(8));
             }
-            check();
+            checkActions();
             answerProbes(random);
             while (collected < host.attempts.size()) {
-                out.add(host.attempts.get(collected++));
+                outstanding.add(host.attempts.get(collected++));
             }
-            for (int i = out.size() - 1; i >= 0; i--) {
-                if (host.now >= observed.get(out.get(i).request()).deadline) {
-                    RecordingHost.SentAttempt sent = out.remove(i);
-                    finish(sent, Outcome.TIMEOUT);
+            for (int i = outstanding.size() - 1; i >= 0; i--) {
+                if (host.now >= observed.get(outstanding.get(i).request()).deadline) {
+                    RecordingHost.SentAttempt sent = outstanding.remove(i);
+                    complete(sent, Outcome.TIMEOUT);
                 }
             }
-            check();
+            checkActions();
         }
-        tick(3_000);
-        check();
+        advance(3_000);
+        checkActions();
         observed.forEach((id, observedRequest) -> assertEquals(1, observedRequest.answers, "answers of " + id));
-        assertTrue(nextId > 2_000, "the sequence was long");
+        assertTrue(nextId > 2_000, "the sequence is too short: " + nextId);
     }
 
-    /** Advances in steps of the clock's resolution, as a host with a batch clock does. */
-    private void tick(int millis) {
-        for (int passed = 0; passed < millis; passed += 5) {
-            host.advance(5 * MS);
-            check();
+    /** Advances the clock in steps of its resolution, as a host does that handles events in batches. */
+    private void advance(int millis) {
+        for (int passed = 0; passed < millis; passed += CLOCK_RESOLUTION_MS) {
+            host.advance(CLOCK_RESOLUTION_MS * MS);
+            checkActions();
         }
     }
 
-    private void end(RecordingHost.SentAttempt sent, Random random) {
+    private void completeAtRandom(RecordingHost.SentAttempt sent, Random random) {
         int draw = random.nextInt(10);
-        finish(sent, draw < 6 ? Outcome.OK : Outcome.values()[random.nextInt(Outcome.values().length)]);
+        complete(sent, draw < 6 ? Outcome.OK : Outcome.values()[random.nextInt(Outcome.values().length)]);
     }
 
-    private void finish(RecordingHost.SentAttempt sent, Outcome outcome) {
+    private void complete(RecordingHost.SentAttempt sent, Outcome outcome) {
         ObservedRequest observedRequest = observed.get(sent.request());
-        boolean already = observedRequest.answers > 0;
-        observedRequest.ended.put(sent.attempt(), outcome);
-        if (outcome == Outcome.OK && !already) {
+        boolean answered = observedRequest.answers > 0;
+        observedRequest.outcomes.put(sent.attempt(), outcome);
+        if (outcome == Outcome.OK && !answered) {
             observedRequest.answers++;
         }
         host.policy.attemptCompleted(
@@ -222,18 +230,19 @@
                         sent.endpoint(),
                         outcome,
                         host.now - sent.at(),
-                        already || outcome == Outcome.OK),
+                        answered || outcome == Outcome.OK),
                 new float[0]);
-        check();
+        checkActions();
     }
 
-    private void change(Random random, int endpoints) {
+    private void updateRandomEndpoint(Random random, int endpoints) {
         long id = random.nextInt(endpoints);
-        EndpointStatus state = EndpointStatus.values()[random.nextInt(3)];
+        EndpointStatus status = EndpointStatus.values()[random.nextInt(3)];
         long startedAt =
-                state == EndpointStatus.READY && states.get(id) == EndpointStatus.REMOVED ? host.now - 100 * MS : 0;
-        states.put(id, state);
-        host.policy.endpointsUpdated(host.now, UpdateKind.DELTA, List.of(RecordingHost.endpoint(id, state, startedAt)));
-        check();
+                status == EndpointStatus.READY && statuses.get(id) == EndpointStatus.REMOVED ? host.now - 100 * MS : 0;
+        statuses.put(id, status);
+        host.policy.endpointsUpdated(
+                host.now, UpdateKind.DELTA, List.of(RecordingHost.endpoint(id, status, startedAt)));
+        checkActions();
     }
 }
--- a/policy/src/test/java/topazvalve/policy/SidecarPolicyTest.java
+++ b/policy/src/test/java/topazvalve/policy/SidecarPolicyTest.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Settings, unknown events and determinism. */
+/** Tests of settings, events about unknown requests, and determinism. */
 class SidecarPolicyTest {
 
     @Test
@@ -58,9 +58,9 @@
         assertEquals(before, host.log.size());
     }
 
-    /** New settings keep attempts in flight, ejections, and the rules of open requests. */
+    /** New settings keep in-flight counts and ejections, and do not apply to open requests. */
     @Test
-    void changedSettingsKeepWhatIsKnown() {
+    void changedSettingsKeepStateAndOpenRequests() {
         RecordingHost host = host(IDEMPOTENT).withEndpoints(3);
         host.request(1, 0);
         RecordingHost.SentAttempt first = host.last();
@@ -69,7 +69,7 @@
         host.outcome(host.last(), Outcome.CONNECT_FAILED);
         host.outcome(host.last(), Outcome.OK);
         Settings base = settings(IDEMPOTENT, NON_IDEMPOTENT);
-        Capabilities few = new Capabilities(true, false, false, true, true, 1, 1_000 * MS, 250 * MS);
+        Capabilities oneAttempt = new Capabilities(true, false, false, true, true, 1, 1_000 * MS, 250 * MS);
         host.policy.settingsChanged(
                 host.now,
                 new Settings(
@@ -81,7 +81,7 @@
                         base.weightKind(),
                         base.requestClasses(),
                         List.of(),
-                        few,
+                        oneAttempt,
                         base.limits(),
                         List.of(),
                         base.costs(),
@@ -89,10 +89,10 @@
                         1));
         assertEquals(1, host.policy.ejectedCount(host.now));
         host.request(3, 0);
-        assertNotEquals(first.endpoint(), host.last().endpoint(), "what is in flight still counts");
+        assertNotEquals(first.endpoint(), host.last().endpoint(), "attempts in flight still count");
         assertNotEquals(failing, host.last().endpoint());
         host.outcome(host.last(), Outcome.REJECTED);
-        assertEquals("reject 3", host.answers.get(host.answers.size() - 1), "one attempt is the maximum now");
+        assertEquals("reject 3", host.answers.get(host.answers.size() - 1), "the maximum is one attempt now");
         host.outcome(first, Outcome.RESET);
         assertEquals(1, host.last().request(), "an open request keeps its maximum of attempts");
         assertNotEquals(first.endpoint(), host.last().endpoint());
--- a/policy/src/test/java/topazvalve/policy/SlowStartTest.java
+++ b/policy/src/test/java/topazvalve/policy/SlowStartTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a warming endpoint gets from one sidecar. */
+/** Tests what a warming endpoint gets from one sidecar. */
 class SlowStartTest {
 
     @Test
@@ -22,7 +22,7 @@
         int before = host.attempts.size();
         host.serve(5_000, 5_300, 0, 5 * MS);
         long cold = host.attemptsTo(9, before);
-        // 1.5 s at 200 a second over 4 warm endpoints: 75 each; the cold capacity is 0.3 and has hardly grown.
+        // 200 requests per second for 1.5 s over 4 warm endpoints: 75 each. The cold capacity of 0.3 has hardly grown.
         assertTrue(cold > 5 && cold < 40, "cold endpoint got " + cold);
     }
 
@@ -40,8 +40,8 @@
             cold += (int) host.attemptsTo(9, before);
             warm += 5 - (int) host.attemptsTo(9, before);
         }
-        // A warm one gets about 120; the cold capacity of 0.3 grows to 0.4 in these 1.5 s.
-        assertTrue(cold > 5 && cold < 0.5 * warm / 4, "cold got " + cold + ", warm ones " + warm);
+        // A warm endpoint gets about 120; the cold capacity of 0.3 grows to 0.4 in these 1.5 s.
+        assertTrue(cold > 5 && cold < 0.5 * warm / 4, "cold endpoint got " + cold + ", warm ones " + warm);
     }
 
     @Test
--- a/policy/src/test/java/topazvalve/policy/UnusualSettingsTest.java
+++ b/policy/src/test/java/topazvalve/policy/UnusualSettingsTest.java
@@ -7,12 +7,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Unusual settings: hosts without capabilities, a single endpoint, large and vanishing lists. */
+/** Tests of hosts without capabilities, a single endpoint, and large or empty endpoint lists. */
 class UnusualSettingsTest {
 
-    /** A host that allows no optional action, with the given maximum of attempts. */
+    /** Returns a host that allows no optional action, with the given maximum of attempts. */
     private static RecordingHost hostWithoutCapabilities(int maxAttempts, RequestClass... classes) {
-        Capabilities allowed = new Capabilities(false, false, false, false, false, maxAttempts, 0, 0);
+        Capabilities capabilities = new Capabilities(false, false, false, false, false, maxAttempts, 0, 0);
         Limits limits = new Limits(20 * MS, 10_000 * MS, 250 * MS, 1, 0, 1, 0);
         return new RecordingHost(
                 new Settings(
@@ -24,7 +24,7 @@
                         WeightKind.SILENT,
                         List.of(classes),
                         List.of(),
-                        allowed,
+                        capabilities,
                         limits,
                         List.of(),
                         Costs.NONE,
@@ -41,7 +41,7 @@
         assertEquals(50, host.attempts.size());
         host.request(100, 0);
         host.outcome(host.last(), Outcome.CONNECT_FAILED);
-        assertEquals(List.of("reject 100"), host.answers, "no other endpoint, and it never ran");
+        assertEquals(List.of("reject 100"), host.answers, "there is no other endpoint, and the request never ran");
         host.advance(2_000 * MS);
         host.request(101, 0);
         assertEquals(101, host.last().request());
@@ -79,9 +79,11 @@
         }
         host.policy.clientDisconnected(host.now, host.last().request());
         host.advance(3_000 * MS);
-        assertTrue(host.log.stream().noneMatch(l -> l.matches("(cancel|probe|tell|close).*")), "unasked");
-        assertTrue(host.log.stream().anyMatch(l -> l.startsWith("reject")));
-        assertTrue(host.log.stream().noneMatch(l -> l.matches("reject \\d+ [1-9].*")), "no Retry-After is given");
+        assertTrue(
+                host.log.stream().noneMatch(line -> line.matches("(cancel|health-check|gossip|close).*")),
+                "the host allows no such action");
+        assertTrue(host.log.stream().anyMatch(line -> line.startsWith("reject")));
+        assertTrue(host.log.stream().noneMatch(line -> line.matches("reject \\d+ [1-9].*")), "no Retry-After is sent");
     }
 
     @Test
@@ -91,7 +93,7 @@
         host.serve(0, 20, 0, 10 * MS);
         host.policy.endpointsUpdated(host.now, UpdateKind.FULL, List.of());
         host.request(100, 0);
-        assertEquals(List.of("reject 100"), host.answers, "nothing ready");
+        assertEquals(List.of("reject 100"), host.answers, "no endpoint is ready");
         host.withEndpoints(4);
         host.request(101, 0);
         assertEquals(101, host.last().request());
@@ -135,12 +137,12 @@
 
     @Test
     void nonIdempotentRequestThatMayHaveRunIsNeverRetried() {
-        for (Outcome doubt : List.of(Outcome.TIMEOUT, Outcome.RESET, Outcome.ERROR)) {
+        for (Outcome inconclusive : List.of(Outcome.TIMEOUT, Outcome.RESET, Outcome.ERROR)) {
             RecordingHost host =
                     hostWithoutCapabilities(3, RecordingHost.NON_IDEMPOTENT).withEndpoints(6);
-            host.request(doubt.ordinal(), 0);
-            host.outcome(host.last(), doubt);
-            assertEquals(1, host.attemptsOf(doubt.ordinal()).size(), doubt.name());
+            host.request(inconclusive.ordinal(), 0);
+            host.outcome(host.last(), inconclusive);
+            assertEquals(1, host.attemptsOf(inconclusive.ordinal()).size(), inconclusive.name());
         }
     }
 
