--- a/discovery-client/src/main/java/topazvalve/discovery/client/PushedDiscovery.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/AutomaticWatchTiming.java
@@ -12,18 +12,18 @@
  * @param backoffMillis the time from a failure to the next call, in milliseconds
  * @param connectTimeoutMillis the longest time for a connect, in milliseconds
  */
-public record PushedDiscovery(int backoffMillis, int connectTimeoutMillis) {
+public record AutomaticWatchTiming(int backoffMillis, int connectTimeoutMillis) {
     private static final int BACKOFF_DIVISOR = 5;
     private static final int CONNECT_TIMEOUT_DIVISOR = 2;
 
     /** Returns the timing for these settings, or null if the policy subscribes by itself. */
-    public static PushedDiscovery of(SettingsReader options) {
+    public static AutomaticWatchTiming of(SettingsReader options) {
         if (options.settings().discoveryMode() != DiscoveryMode.AUTOMATIC) {
             return null;
         }
         long graceNanos = options.settings().limits().drainGraceNanos();
         int graceMillis = (int) TimeUnit.NANOSECONDS.toMillis(graceNanos);
-        return new PushedDiscovery(
+        return new AutomaticWatchTiming(
                 Math.max(1, graceMillis / BACKOFF_DIVISOR), Math.max(1, graceMillis / CONNECT_TIMEOUT_DIVISOR));
     }
 }
--- a/discovery-client/src/main/java/topazvalve/discovery/client/DiscoveryCall.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/DiscoveryCall.java
@@ -150,7 +150,7 @@
 
     private void reportResponseOverdue() {
         timeout = loop.schedule(
-                () -> fail(new DiscoveryFailure.Overdue()),
+                () -> fail(new DiscoveryFailure.ResponseOverdue()),
                 RESPONSE_TIMEOUT_MILLIS - RESPONSE_OVERDUE_MILLIS,
                 TimeUnit.MILLISECONDS);
         listener.responseOverdue();
--- a/discovery-client/src/main/java/topazvalve/discovery/client/DiscoveryClient.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/DiscoveryClient.java
@@ -26,16 +26,16 @@
      * @param loop the event loop of all calls and callbacks
      * @param address the address of discovery
      * @param known the current list and its version
-     * @param pushed the timing if the client keeps a watch open by itself; null if the policy subscribes
-     * @param listener is notified of each update and, unless {@code pushed}, each failure
+     * @param automaticWatch the timing if the client keeps a watch open by itself; null if the policy subscribes
+     * @param listener is notified of each update and, unless {@code automaticWatch}, each failure
      */
     public DiscoveryClient(
             EventLoop loop,
             InetSocketAddress address,
             EndpointUpdate known,
-            PushedDiscovery pushed,
+            AutomaticWatchTiming automaticWatch,
             EndpointDiscovery.Listener listener) {
-        this(loop, address, known, pushed, null, listener);
+        this(loop, address, known, automaticWatch, null, listener);
     }
 
     /**
@@ -44,29 +44,29 @@
      * @param loop the event loop of all calls and callbacks
      * @param address the address of discovery
      * @param known the current list and its version
-     * @param pushed the timing if the client keeps a watch open by itself; null if the policy subscribes
+     * @param automaticWatch the timing if the client keeps a watch open by itself; null if the policy subscribes
      * @param relays the relays to call instead of {@code address}; null if there are none
-     * @param listener is notified of each update and, unless {@code pushed}, each failure
+     * @param listener is notified of each update and, unless {@code automaticWatch}, each failure
      */
     public DiscoveryClient(
             EventLoop loop,
             InetSocketAddress address,
             EndpointUpdate known,
-            PushedDiscovery pushed,
+            AutomaticWatchTiming automaticWatch,
             RelaySelector relays,
             EndpointDiscovery.Listener listener) {
         EndpointListState list = new EndpointListState(known);
         RelayFailover failover = relays == null ? null : new RelayFailover(loop, relays);
-        this.session = new DiscoverySession(loop, address, list, pushed, failover, listener);
+        this.session = new DiscoverySession(loop, address, list, automaticWatch, failover, listener);
         this.watches = new WatchManager(session, this::fetch);
     }
 
     /**
-     * Opens a watch and keeps it open from now on, if the client was created with a {@link PushedDiscovery}; does
+     * Opens a watch and keeps it open from now on, if the client was created with a {@link AutomaticWatchTiming}; does
      * nothing otherwise. In this mode the policy does not subscribe by itself.
      */
-    public void followPushed() {
-        if (session.pushed() != null) {
+    public void startAutomaticWatch() {
+        if (session.automaticWatch() != null) {
             watch(true);
         }
     }
@@ -195,7 +195,7 @@
             // A relay has no queue and may hold a call on purpose.
             if (!session.usesRelays()) {
                 setOverdue(true);
-                reportFailure(new DiscoveryFailure.Overdue());
+                reportFailure(new DiscoveryFailure.ResponseOverdue());
             }
         }
 
@@ -209,7 +209,7 @@
 
         private void reportFailure(DiscoveryFailure failure) {
             session.callFailed(failure);
-            if (session.pushed() == null) {
+            if (session.automaticWatch() == null) {
                 session.notifyFailed();
             }
         }
--- a/discovery-client/src/main/java/topazvalve/discovery/client/DiscoveryFailure.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/DiscoveryFailure.java
@@ -69,7 +69,7 @@
     }
 
     /** No complete update or heartbeat arrived in the time allowed for the first one. */
-    record Overdue() implements DiscoveryFailure {
+    record ResponseOverdue() implements DiscoveryFailure {
         @Override
         public String message() {
             return "no complete response in time";
--- a/discovery-client/src/main/java/topazvalve/discovery/client/DiscoverySession.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/DiscoverySession.java
@@ -23,7 +23,7 @@
     private final EndpointDiscovery.Listener listener;
     private final EndpointListState list;
     /** Null where the policy decides when to call again after a failure. */
-    private final PushedDiscovery pushed;
+    private final AutomaticWatchTiming automaticWatch;
     /** Null where discovery itself is called. */
     private final RelayFailover relays;
 
@@ -38,13 +38,13 @@
             EventLoop loop,
             InetSocketAddress discoveryAddress,
             EndpointListState list,
-            PushedDiscovery pushed,
+            AutomaticWatchTiming automaticWatch,
             RelayFailover relays,
             EndpointDiscovery.Listener listener) {
         this.loop = loop;
         this.discoveryAddress = discoveryAddress;
         this.list = list;
-        this.pushed = pushed;
+        this.automaticWatch = automaticWatch;
         this.relays = relays;
         this.listener = listener;
     }
@@ -57,8 +57,8 @@
         return list;
     }
 
-    PushedDiscovery pushed() {
-        return pushed;
+    AutomaticWatchTiming automaticWatch() {
+        return automaticWatch;
     }
 
     RelayFailover relays() {
@@ -88,7 +88,7 @@
     }
 
     int connectTimeoutMillis() {
-        return pushed == null ? DiscoveryCall.CONNECT_TIMEOUT_MILLIS : pushed.connectTimeoutMillis();
+        return automaticWatch == null ? DiscoveryCall.CONNECT_TIMEOUT_MILLIS : automaticWatch.connectTimeoutMillis();
     }
 
     /** Records that a call has received an update or a heartbeat. */
--- a/discovery-client/src/main/java/topazvalve/discovery/client/EndpointCall.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/EndpointCall.java
@@ -68,7 +68,7 @@
             call.fail(new DiscoveryFailure.InvalidUpdate());
             return;
         }
-        EndpointUpdate update = EndpointUpdate.of(node);
+        EndpointUpdate update = EndpointUpdate.fromJson(node);
         Optional<DiscoveryFailure> rejection = session.list().validate(update, versionCheck());
         if (rejection.isPresent()) {
             call.fail(rejection.get());
--- a/discovery-client/src/main/java/topazvalve/discovery/client/EndpointUpdate.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/EndpointUpdate.java
@@ -33,7 +33,7 @@
 
     /** Returns whether a JSON object has the members that every update has. */
     static boolean isUpdate(JsonNode json) {
-        return json.path("rev").isWhole() && json.path("targets").isArray();
+        return json.path("rev").isLong() && json.path("targets").isArray();
     }
 
     /**
@@ -42,7 +42,7 @@
      *
      * @throws topazvalve.discovery.state.InvalidVersionException if {@code versions} can't be parsed
      */
-    public static EndpointUpdate of(JsonNode json) {
+    public static EndpointUpdate fromJson(JsonNode json) {
         List<Endpoint> endpoints = new ArrayList<>();
         for (JsonNode each : json.path("targets")) {
             Endpoint endpoint = parseEndpoint(each);
--- a/discovery-client/src/main/java/topazvalve/discovery/client/RelayFailover.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/RelayFailover.java
@@ -35,7 +35,7 @@
 
     /** Records that the current relay has responded. */
     void responded() {
-        relays.failover().answered();
+        relays.failover().responded();
     }
 
     /** Records that the first relay has responded to a failback and is the current one. */
--- a/discovery-client/src/main/java/topazvalve/discovery/client/WatchManager.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/WatchManager.java
@@ -220,7 +220,7 @@
         public void responseOverdue() {
             if (!session.usesRelays()) {
                 setOverdue(true);
-                resubscribe(new DiscoveryFailure.Overdue(), 0);
+                resubscribe(new DiscoveryFailure.ResponseOverdue(), 0);
             }
         }
 
@@ -247,11 +247,11 @@
             }
             if (wasCurrent && session.usesRelays()) {
                 session.relays().scheduleReconnect(retryAfterMillis, WatchManager.this::connectToNextRelay);
-            } else if (session.pushed() == null) {
+            } else if (session.automaticWatch() == null) {
                 session.notifyFailed();
             } else if (wasCurrent) {
                 // The policy did not subscribe, so it is not notified and does not call again.
-                int backoffMillis = session.pushed().backoffMillis();
+                int backoffMillis = session.automaticWatch().backoffMillis();
                 session.loop().schedule(WatchManager.this::reopenCurrent, backoffMillis, TimeUnit.MILLISECONDS);
             }
         }
--- a/discovery-client/src/main/java/topazvalve/discovery/json/JsonNode.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/json/JsonNode.java
@@ -74,7 +74,7 @@
     }
 
     /** Returns whether this is a number without fraction and exponent that fits 64 bits. */
-    public boolean isWhole() {
+    public boolean isLong() {
         return value instanceof Long;
     }
 
--- a/discovery-state/src/main/java/topazvalve/discovery/state/FailoverStateMachine.java
+++ b/discovery-state/src/main/java/topazvalve/discovery/state/FailoverStateMachine.java
@@ -95,7 +95,7 @@
     }
 
     /** Reports that the current peer has responded: it is followed from now on. */
-    public void answered() {
+    public void responded() {
         state = State.FOLLOWING;
         resetFailures();
     }
@@ -159,6 +159,6 @@
     /** Reports that the first peer has responded to a failback: it is followed from now on. */
     public void failedBack() {
         currentPeer = PREFERRED_PEER;
-        answered();
+        responded();
     }
 }
--- a/discovery-state/src/test/java/topazvalve/discovery/state/FailoverStateMachineTest.java
+++ b/discovery-state/src/test/java/topazvalve/discovery/state/FailoverStateMachineTest.java
@@ -44,7 +44,7 @@
         failover.start();
         failover.failed();
         failover.failed();
-        failover.answered();
+        failover.responded();
         assertTrue(failover.isFollowing());
         assertEquals(new Connect(0, 0), failover.failed(), "a new round starts with the next peer");
         assertEquals(new Connect(1, 0), failover.failed());
@@ -69,10 +69,10 @@
     void failsBackToTheFirstPeerOnlyWhileFollowingAnother() {
         failover.start();
         assertInstanceOf(Remain.class, failover.failback(), "still connecting");
-        failover.answered();
+        failover.responded();
         assertInstanceOf(Remain.class, failover.failback(), "already follows the first peer");
         failover.failed();
-        failover.answered();
+        failover.responded();
         assertEquals(new Connect(0, 0), failover.failback());
         failover.failedBack();
         assertEquals(0, failover.currentIndex());
--- a/relay/src/main/java/topazvalve/relay/Backfill.java
+++ b/relay/src/main/java/topazvalve/relay/Backfill.java
@@ -104,12 +104,12 @@
 
         @Override
         public void responseOverdue() {
-            call.fail(new DiscoveryFailure.Overdue());
+            call.fail(new DiscoveryFailure.ResponseOverdue());
         }
 
         @Override
         public void watchIdle() {
-            call.fail(new DiscoveryFailure.Overdue());
+            call.fail(new DiscoveryFailure.ResponseOverdue());
         }
 
         @Override
--- a/relay/src/main/java/topazvalve/relay/SourceSubscription.java
+++ b/relay/src/main/java/topazvalve/relay/SourceSubscription.java
@@ -130,7 +130,7 @@
         lastMessageNanos = System.nanoTime();
         if (state == State.CONNECTING) {
             state = State.FOLLOWING;
-            failover.answered();
+            failover.responded();
             call.markAnswered();
             if (lastFailure != null) {
                 LOG.info("{}: watch recovered", name());
@@ -205,7 +205,7 @@
         public void responseOverdue() {
             // With one address the call is let be: its place in the source's queue is better than a new one.
             if (settings.addresses().size() > 1) {
-                call.fail(new DiscoveryFailure.Overdue());
+                call.fail(new DiscoveryFailure.ResponseOverdue());
             }
         }
 
--- a/sidecar/src/main/java/topazvalve/sidecar/HttpProxy.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/HttpProxy.java
@@ -11,8 +11,8 @@
 import topazvalve.core.stream.ByteBudget;
 import topazvalve.core.time.EventLoopScheduler;
 import topazvalve.core.time.Scheduler;
+import topazvalve.discovery.client.AutomaticWatchTiming;
 import topazvalve.discovery.client.DiscoveryClient;
-import topazvalve.discovery.client.PushedDiscovery;
 import topazvalve.discovery.client.RelaySelector;
 import topazvalve.policy.SidecarPolicy;
 import topazvalve.sidecar.config.Config;
@@ -62,7 +62,7 @@
                 loop,
                 config.discovery(),
                 config.initialEndpoints(),
-                PushedDiscovery.of(config.settingsReader()),
+                AutomaticWatchTiming.of(config.settingsReader()),
                 RelaySelector.of(config.name(), relays, config.seed()),
                 exchanges);
         frontend = new HttpFrontend(
@@ -72,7 +72,7 @@
     /** Starts with the endpoints that the configuration knows, and follows discovery. */
     void start(Config config) {
         exchanges.start(discovery, config.initialEndpoints().endpoints());
-        discovery.followPushed();
+        discovery.startAutomaticWatch();
     }
 
     /** Applies a new configuration: the policy's settings and the address of discovery. */
--- a/sidecar/src/main/java/topazvalve/sidecar/OperatorFile.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/OperatorFile.java
@@ -42,7 +42,7 @@
      */
     public static OperatorFile parse(String name, String text) {
         return TomlFile.parse(
-                name, text, root -> new OperatorFile(TcpFile.listeners(root), relays(root.table("relays"))));
+                name, text, root -> new OperatorFile(TcpFile.readListeners(root), relays(root.table("relays"))));
     }
 
     private static List<InetSocketAddress> relays(Table table) {
--- a/sidecar/src/main/java/topazvalve/sidecar/TcpProxies.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/TcpProxies.java
@@ -55,7 +55,7 @@
 
     private static ClientListener listen(MultiThreadIoEventLoopGroup group, TcpProxy proxy, TcpSettings settings) {
         ClientListener listener = ClientListener.bindingSharedPort(settings.listen());
-        ChannelFuture opened = listener.open(group, proxy.connections(), () -> Integer.MAX_VALUE);
+        ChannelFuture opened = listener.open(group, proxy.connectionInitializer(), () -> Integer.MAX_VALUE);
         opened.addListener(done -> {
             if (done.isSuccess()) {
                 LOG.info("{}: streams at {}", settings.name(), opened.channel().localAddress());
--- a/sidecar/src/main/java/topazvalve/sidecar/config/ConfigReader.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/config/ConfigReader.java
@@ -31,7 +31,7 @@
         SettingsReader settingsReader = toSettingsReader(settings);
         JsonNode limits = root.path("limits");
         int sockets = ResourceLimits.readSockets(limits);
-        EndpointUpdate known = root.has("known") ? EndpointUpdate.of(root.path("known")) : EndpointUpdate.NONE;
+        EndpointUpdate known = root.has("known") ? EndpointUpdate.fromJson(root.path("known")) : EndpointUpdate.NONE;
         InetSocketAddress listen = address(root, "listen");
         InetSocketAddress admin = adminAddress(root);
         int adminSockets = admin == null ? 0 : AdminServer.MAX_CONNECTIONS;
--- a/sidecar/src/test/java/topazvalve/sidecar/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/DiscoveryClientTest.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import topazvalve.core.endpoint.Endpoint;
+import topazvalve.discovery.client.AutomaticWatchTiming;
 import topazvalve.discovery.client.DiscoveryClient;
 import topazvalve.discovery.client.EndpointUpdate;
-import topazvalve.discovery.client.PushedDiscovery;
 import topazvalve.policy.EndpointStatus;
 import topazvalve.policy.UpdateKind;
 import topazvalve.sidecar.DiscoveryFixture.Notification;
@@ -75,8 +75,8 @@
             return true;
         })) {
             DiscoveryClient discovery =
-                    fixture.client(stub, new EndpointUpdate(41, true, List.of()), new PushedDiscovery(10, 1000));
-            fixture.loop.execute(discovery::followPushed);
+                    fixture.client(stub, new EndpointUpdate(41, true, List.of()), new AutomaticWatchTiming(10, 1000));
+            fixture.loop.execute(discovery::startAutomaticWatch);
             assertEquals(UpdateKind.FULL, fixture.awaitNotification().kind());
             assertEquals(4, calls.get());
         }
--- a/sidecar/src/test/java/topazvalve/sidecar/DiscoveryFixture.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/DiscoveryFixture.java
@@ -9,9 +9,9 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import topazvalve.core.endpoint.Endpoint;
+import topazvalve.discovery.client.AutomaticWatchTiming;
 import topazvalve.discovery.client.DiscoveryClient;
 import topazvalve.discovery.client.EndpointUpdate;
-import topazvalve.discovery.client.PushedDiscovery;
 import topazvalve.discovery.client.RelaySelector;
 import topazvalve.policy.UpdateKind;
 
@@ -66,8 +66,8 @@
         return client(stub, known, null);
     }
 
-    DiscoveryClient client(StubServer stub, EndpointUpdate known, PushedDiscovery pushed) {
-        return new DiscoveryClient(loop, stub.address(), known, pushed, this::addNotification);
+    DiscoveryClient client(StubServer stub, EndpointUpdate known, AutomaticWatchTiming automaticWatch) {
+        return new DiscoveryClient(loop, stub.address(), known, automaticWatch, this::addNotification);
     }
 
     /** Returns a client that follows relays. */
--- a/tcp/src/main/java/topazvalve/tcp/TcpFile.java
+++ b/tcp/src/main/java/topazvalve/tcp/TcpFile.java
@@ -47,16 +47,16 @@
      * @throws topazvalve.toml.InvalidFileException with every problem, if there is any
      */
     public static List<TcpSettings> parse(String name, String text) {
-        return TomlFile.parse(name, text, TcpFile::listeners);
+        return TomlFile.parse(name, text, TcpFile::readListeners);
     }
 
     /** Reads the listeners of a file that may have other tables too; problems are recorded in {@code root}. */
-    public static List<TcpSettings> listeners(Table root) {
+    public static List<TcpSettings> readListeners(Table root) {
         List<TcpSettings> listeners = new ArrayList<>();
         Set<String> names = new HashSet<>();
         Set<InetSocketAddress> addresses = new HashSet<>();
         for (Table table : root.tables("listener", 0)) {
-            TcpSettings listener = listener(table);
+            TcpSettings listener = readListener(table);
             if (!names.add(listener.name())) {
                 table.addProblem("name", "\"" + listener.name() + "\" is given twice");
             }
@@ -69,7 +69,7 @@
     }
 
     /** Problems are reported in the order in which the keys are read here. */
-    private static TcpSettings listener(Table table) {
+    private static TcpSettings readListener(Table table) {
         String name = name(table);
         table.choice(Protocol.class, "protocol", null);
         InetSocketAddress listen = address(table, "listen", table.text("listen", null));
--- a/tcp/src/main/java/topazvalve/tcp/TcpProxy.java
+++ b/tcp/src/main/java/topazvalve/tcp/TcpProxy.java
@@ -122,7 +122,7 @@
     }
 
     /** Returns the handler that takes over each connection which the listener accepts. */
-    public ChannelHandler connections() {
+    public ChannelHandler connectionInitializer() {
         return frontend.connectionInitializer();
     }
 
--- a/tcp/src/test/java/topazvalve/tcp/TestListener.java
+++ b/tcp/src/test/java/topazvalve/tcp/TestListener.java
@@ -53,7 +53,7 @@
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, 4096)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(proxy.connections())
+                .childHandler(proxy.connectionInitializer())
                 .bind(new InetSocketAddress("127.0.0.1", 0))
                 .sync()
                 .channel()
