--- a/discovery-state/src/main/java/topazvalve/discovery/state/ChangeLog.java
+++ b/discovery-state/src/main/java/topazvalve/discovery/state/ChangeLog.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 
 /**
- * A bounded log of which endpoints of one source changed with which version. It covers all changes after its
- * {@linkplain #floor() floor}; the oldest are dropped once it holds more than the allowed number of endpoints.
+ * A bounded log of the endpoints of one source that changed with each version. It covers all changes after its
+ * {@linkplain #floor() floor}. The oldest changes are dropped when it exceeds the maximum number of endpoints.
  */
 final class ChangeLog {
     /** The endpoints that changed with one version. */
@@ -22,9 +22,9 @@
     private SourceVersion floor;
 
     /**
-     * Creates a log that has to be {@link #reset} before its first use.
+     * Creates a log that must be {@link #reset} before its first use.
      *
-     * @param maxUids how many endpoints it holds, over all changes; the newest change is kept whatever its size
+     * @param maxUids the maximum number of endpoints over all changes; the newest change is kept whatever its size
      */
     ChangeLog(int maxUids) {
         this.maxUids = maxUids;
@@ -35,14 +35,14 @@
         return floor;
     }
 
-    /** Drops all changes and starts the log after this version. */
+    /** Drops all changes and restarts the log after this version. */
     void reset(SourceVersion newFloor) {
         changes.clear();
         uidCount = 0;
         floor = newFloor;
     }
 
-    /** Adds the newest change; returns the endpoints of the changes that were dropped to stay within the bound. */
+    /** Appends the newest change; returns the endpoints of the changes that were dropped to stay within the limit. */
     List<String> append(SourceVersion version, Set<String> uids) {
         changes.add(new Change(version, uids));
         uidCount += uids.size();
@@ -52,9 +52,9 @@
     /**
      * Extends the log to an earlier version.
      *
-     * @param newFloor a version before the present floor
-     * @param uids the endpoints that changed since {@code newFloor}, also those that changed again later
-     * @return the endpoints of the changes that were dropped to stay within the bound
+     * @param newFloor a version before the current floor
+     * @param uids the endpoints that changed since {@code newFloor}, including those that changed again later
+     * @return the endpoints of the changes that were dropped to stay within the limit
      */
     List<String> prepend(SourceVersion newFloor, Collection<String> uids) {
         Set<String> changedBeforeFloor = new LinkedHashSet<>(uids);
@@ -78,12 +78,12 @@
         return dropped;
     }
 
-    /** Returns whether any change in the log concerns this endpoint. */
+    /** Returns whether any change in the log includes this endpoint. */
     boolean contains(String uid) {
         return changes.stream().anyMatch(change -> change.uids().contains(uid));
     }
 
-    /** Returns whether the log does not reach back to this version, which has to be of the same incarnation. */
+    /** Returns whether the log starts after this version, which must be of the same incarnation. */
     boolean startsAfter(SourceVersion version) {
         return version.isComparableTo(floor) && version.compareTo(floor) < 0;
     }
--- a/discovery-state/src/main/java/topazvalve/discovery/state/EndpointStore.java
+++ b/discovery-state/src/main/java/topazvalve/discovery/state/EndpointStore.java
@@ -8,10 +8,10 @@
 
 /**
  * The endpoint list that a relay serves, merged from several sources: the latest entry of each endpoint, the version
- * of each source, and a bounded log of changes from which followers get deltas.
+ * of each source, and a bounded change log from which deltas are served to followers.
  *
- * <p>Sources are independent: the entries of one that can't be reached stay, and changes of the others go on. Not
- * thread-safe.
+ * <p>Sources are independent: the entries of an unreachable source stay, and changes of the others are still applied.
+ * Not thread-safe.
  */
 public final class EndpointStore {
     /**
@@ -19,13 +19,13 @@
      *
      * @param uid the unique name of the endpoint
      * @param removed whether the endpoint no longer exists
-     * @param json the endpoint as JSON object, as its source wrote it
+     * @param json the endpoint as a JSON object, as sent by its source
      */
     public record Entry(String uid, boolean removed, String json) {
         private static final String JSON_PREFIX = "{\"uid\":\"";
         private static final String REMOVED_JSON_SUFFIX = "\",\"state\":\"DELETED\"}";
 
-        /** Returns the entry of an endpoint of which nothing is known but that it was removed. */
+        /** Returns the entry of an endpoint of which only the removal is known. */
         static Entry tombstone(String uid) {
             StringBuilder json = new StringBuilder(JSON_PREFIX);
             uid.chars().forEach(character -> appendEscaped(json, character));
@@ -44,41 +44,41 @@
     /**
      * An update from a source.
      *
-     * @param version the source's version after the update
-     * @param fullSnapshot whether endpoints that it does not list are removed; otherwise it is a delta
-     * @param entries the endpoints of the snapshot, or those that changed
+     * @param version the version of the source after the update
+     * @param fullSnapshot whether endpoints missing from the update are removed; otherwise it is a delta
+     * @param entries all endpoints of the snapshot, or the changed ones of the delta
      */
     public record Update(SourceVersion version, boolean fullSnapshot, List<Entry> entries) {}
 
-    /** The outcome of applying an update. The last three reject it and leave the store as it was. */
+    /** The outcome of applying an update. The last three mean that it was rejected and the store is unchanged. */
     public enum UpdateResult {
-        /** The update was applied and no entry changed; the version may have. There is nothing to pass on. */
+        /** The update was applied and no entry changed; the version may have changed. There is nothing to forward. */
         UNCHANGED,
-        /** The update was applied; the caller passes {@link EndpointStore#changedEntries} on to followers. */
+        /** The update was applied; the caller forwards {@link EndpointStore#changedEntries} to followers. */
         CHANGED,
         /**
          * The first snapshot of the source was applied. The caller calls {@link EndpointStore#catchUp} again for each
-         * follower, as endpoints that only the follower knows are not in {@link EndpointStore#changedEntries}.
+         * follower, because endpoints that only the follower knows are not in {@link EndpointStore#changedEntries}.
          */
         FIRST_UPDATE,
-        /** The update is older than the store, from the same incarnation of the source. The caller ignores it. */
+        /** The update is older than the current version of the source. The caller ignores it. */
         STALE,
         /** A snapshot without live endpoints would remove existing ones. The caller treats the source as faulty. */
         EMPTY_SNAPSHOT,
-        /** A delta does not continue the known version. The caller requests a full snapshot. */
+        /** A delta does not follow the current version. The caller requests a full snapshot. */
         NOT_CONTIGUOUS
     }
 
-    /** What to send to a follower. Later constants prevail where several sources give different answers. */
+    /** What to send to a follower. Later constants take precedence if the results of several sources differ. */
     public enum CatchUp {
         /** Send the result of {@link EndpointStore#changesSince}, which may be empty. */
         DELTA,
         /** Send the result of {@link EndpointStore#snapshot}. */
         SNAPSHOT,
         /**
-         * Send nothing yet: the follower has a later version than this store, or one of an earlier incarnation of a
-         * source that reports no epoch. If the source was heard since the follower asked, the store is not behind and
-         * the caller sends a snapshot.
+         * Send nothing yet: the follower has a later version than this store, or a version of an earlier incarnation
+         * of a source that reports no epoch. If a response of the source has arrived since the follower's request,
+         * the store is not behind and the caller sends a snapshot.
          */
         AHEAD_OR_RESTARTED,
         /** Send nothing yet: the follower has a later version than this store. */
@@ -93,16 +93,16 @@
     private List<Entry> changedEntries = List.of();
 
     /**
-     * Creates a store without endpoints.
+     * Creates an empty store.
      *
      * @param sourceNames the names of all sources
-     * @param maxLoggedEntries how many changed entries of each source are kept in its log
+     * @param maxLoggedEntries the maximum number of changed entries in the log of each source
      */
     public EndpointStore(Collection<String> sourceNames, int maxLoggedEntries) {
         sourceNames.forEach(name -> sources.put(name, new SourceState(maxLoggedEntries)));
     }
 
-    /** Applies an update of a source, or rejects it and changes nothing. */
+    /** Applies an update of a source, or rejects it without changes. */
     public UpdateResult apply(String source, Update update) {
         SourceState state = sources.get(source);
         UpdateResult result = state.apply(update);
@@ -112,10 +112,10 @@
 
     /**
      * Applies a delta that was requested from a version before this store's first snapshot, and extends the log to
-     * that version, so that followers with such a version need no snapshot. The log stays as it is if the update is
-     * rejected, is a snapshot, or {@code from} is not before the log.
+     * that version, so that followers with such a version need no snapshot. The log is not extended if the update is
+     * rejected or is a snapshot, or if {@code from} does not precede the log.
      *
-     * @param name the source
+     * @param name the name of the source
      * @param from the version that the delta was requested from
      */
     public UpdateResult backfill(String name, SourceVersion from, Update update) {
@@ -130,7 +130,7 @@
         return changedEntries;
     }
 
-    /** Returns the version of each source of which a snapshot was received. */
+    /** Returns the versions of all sources from which a snapshot has been received. */
     public VersionVector versions() {
         VersionVector versions = VersionVector.NONE;
         for (Map.Entry<String, SourceState> each : sources.entrySet()) {
@@ -141,24 +141,24 @@
         return versions;
     }
 
-    /** Returns whether a snapshot of every source was received, so that {@link #snapshot} is the whole list. */
+    /** Returns whether a snapshot of every source has been received, so that {@link #snapshot} is the full list. */
     public boolean isComplete() {
         return sources.values().stream().allMatch(SourceState::isKnown);
     }
 
     /**
-     * Returns whether a follower's version of a source lies before the source's log, so that {@link #backfill} could
-     * help. It is false if the source or the follower's version is not known.
+     * Returns whether a follower's version of a source precedes the log of the source, so that {@link #backfill} could
+     * extend the log to it. Returns false if the source or the follower's version is unknown.
      *
-     * @param name the source
-     * @param known the follower's version of it, null if it has none
+     * @param name the name of the source
+     * @param known the follower's version of the source, null if it has none
      */
     public boolean precedesLog(String name, SourceVersion known) {
         return sources.get(name).precedesLog(known);
     }
 
     /**
-     * Returns what a follower needs.
+     * Returns what to send to a follower.
      *
      * @param known the follower's versions; {@link VersionVector#NONE} if it has no list
      */
@@ -178,7 +178,7 @@
     }
 
     /**
-     * Returns the present entries of all endpoints that changed after these versions, and all live entries of sources
+     * Returns the current entries of all endpoints that changed after these versions, and all live entries of sources
      * that {@code known} does not contain.
      */
     public List<Entry> changesSince(VersionVector known) {
--- a/discovery-state/src/main/java/topazvalve/discovery/state/FailoverStateMachine.java
+++ b/discovery-state/src/main/java/topazvalve/discovery/state/FailoverStateMachine.java
@@ -4,22 +4,22 @@
 
 /**
  * Decides which of several peers a follower connects to, and when. It fails over to the next peer on a failure, backs
- * off once all peers have failed in a row, and after a while tries to return to the first peer. Peers are numbered
- * from 0 in the follower's own order of preference.
+ * off once all peers have failed in a row, and periodically tries to fail back to the first peer. Peers are numbered
+ * from 0 in the follower's order of preference.
  *
- * <p>The caller makes the connections, measures time and reports each event by a method. A failing peer is left
- * without delay, as its followers have different next peers. When a whole round of peers has failed, followers wait
- * for between half and the whole of a backoff that doubles from {@link #INITIAL_BACKOFF_NANOS} to {@link
- * #MAX_BACKOFF_NANOS}. {@code docs/design/relay.md} derives the bounds.
+ * <p>The caller makes the connections, measures time and reports each event by a method. Failover to the next peer
+ * has no delay, because the followers of a peer have different next peers. When all peers of a round have failed, a
+ * follower waits for a random time between half and all of a backoff, which doubles from {@link
+ * #INITIAL_BACKOFF_NANOS} to {@link #MAX_BACKOFF_NANOS}. {@code docs/design/relay.md} derives the bounds.
  */
 public final class FailoverStateMachine {
     /** The backoff after the first round in which all peers failed, in nanoseconds. */
     public static final long INITIAL_BACKOFF_NANOS = 250_000_000L;
-    /** The longest backoff, in nanoseconds. A change must be in force 9 s after peers respond again. */
+    /** The longest backoff, in nanoseconds. Changes must be in force within 9 s after peers respond again. */
     public static final long MAX_BACKOFF_NANOS = 2_000_000_000L;
-    /** The shortest time until a follower tries to fail back, in nanoseconds; the longest is twice this. */
+    /** The minimum time until a follower tries to fail back, in nanoseconds; the maximum is twice this. */
     public static final long FAILBACK_AFTER_NANOS = 60_000_000_000L;
-    /** The longest Retry-After that is respected, in nanoseconds. */
+    /** The largest Retry-After that is respected, in nanoseconds. */
     static final long MAX_RETRY_AFTER_NANOS = 5_000_000_000L;
 
     private static final int MAX_BACKOFF_DOUBLINGS = 8;
@@ -31,8 +31,8 @@
     /**
      * Connect to a peer.
      *
-     * @param index the number of the peer
-     * @param delayNanos the time to wait before, in nanoseconds; 0 is at once
+     * @param index the index of the peer
+     * @param delayNanos the delay before connecting, in nanoseconds; 0 for none
      */
     public record Connect(int index, long delayNanos) implements Action {}
 
@@ -53,18 +53,18 @@
     private int currentPeer;
     private int failuresInRound;
     private int failedRounds;
-    /** The longest Retry-After of this round. */
+    /** The largest Retry-After of this round. */
     private long retryAfterNanos;
 
     /**
      * Creates a state machine that has not been started.
      *
      * @param peerCount the number of peers, at least 1
-     * @param random the follower's own source of randomness
+     * @param random the follower's random generator
      */
     public FailoverStateMachine(int peerCount, RandomGenerator random) {
         if (peerCount < 1) {
-            throw new IllegalArgumentException("no peer to connect to");
+            throw new IllegalArgumentException("peerCount must be at least 1, but is " + peerCount);
         }
         this.peerCount = peerCount;
         this.random = random;
@@ -84,12 +84,12 @@
         retryAfterNanos = 0;
     }
 
-    /** Returns the number of the peer that is being connected to or followed. */
+    /** Returns the index of the peer that is being connected to or followed. */
     public int currentIndex() {
         return currentPeer;
     }
 
-    /** Returns whether the current peer has responded and has not failed since. */
+    /** Returns whether the current peer has responded and not failed since. */
     public boolean isFollowing() {
         return state == State.FOLLOWING;
     }
@@ -140,16 +140,16 @@
     }
 
     /**
-     * Draws the time from now until the next attempt to fail back, in nanoseconds. The caller draws one each time
-     * that a peer has responded or a failback has failed.
+     * Returns a random delay until the next failback attempt, in nanoseconds. The caller requests a new one each time
+     * a peer has responded or a failback has failed.
      */
     public long failbackDelayNanos() {
         return FAILBACK_AFTER_NANOS + random.nextLong(FAILBACK_AFTER_NANOS + 1);
     }
 
     /**
-     * Returns whether to connect to the first peer now, in parallel to the current one; {@link Remain} if the first
-     * one is the current one or no peer is followed.
+     * Returns whether to connect to the first peer now, in parallel to the current one: {@link Remain} if the first
+     * peer is the current one or no peer is followed.
      */
     public Action failback() {
         boolean followsOtherPeer = state == State.FOLLOWING && currentPeer != PREFERRED_PEER;
--- a/discovery-state/src/main/java/topazvalve/discovery/state/RendezvousOrder.java
+++ b/discovery-state/src/main/java/topazvalve/discovery/state/RendezvousOrder.java
@@ -8,17 +8,17 @@
 
 /**
  * The order in which a follower tries relays, by rendezvous hashing (highest random weight) with MurmurHash3. Each
- * follower has its own order, which is the same after a restart. If a relay is lost, its followers spread evenly over
- * the others; adding or removing a relay moves no other follower.
+ * follower has its own order, which is the same after a restart. If a relay fails, its followers spread evenly over
+ * the others; followers of other relays do not move.
  */
 public final class RendezvousOrder {
-    /** Occurs neither in names nor in addresses, so that different pairs give different keys. */
+    /** Occurs in neither names nor addresses, so that different pairs have different keys. */
     private static final String KEY_SEPARATOR = "\n";
 
     private RendezvousOrder() {}
 
     /**
-     * Returns all relays in the order in which the follower tries them. The order of the argument does not matter.
+     * Returns all relays in the order in which the follower tries them. The order of {@code relays} does not matter.
      *
      * @param follower the unique name of the follower
      * @param relays the addresses of the relays as text
--- a/discovery-state/src/main/java/topazvalve/discovery/state/SourceState.java
+++ b/discovery-state/src/main/java/topazvalve/discovery/state/SourceState.java
@@ -11,9 +11,9 @@
 import topazvalve.discovery.state.EndpointStore.Update;
 import topazvalve.discovery.state.EndpointStore.UpdateResult;
 
-/** What is known of one source: its endpoints, its version and the log of its latest changes. */
+/** The state of one source: its endpoints, its version and the log of its latest changes. */
 final class SourceState {
-    /** By uid, the entry that changed last at the end; removed endpoints stay until the log drops their removal. */
+    /** By uid, ordered by last change; removed endpoints stay until the log drops their removal. */
     private final Map<String, Entry> entries = new LinkedHashMap<>();
 
     private final ChangeLog log;
@@ -30,7 +30,7 @@
         return version;
     }
 
-    /** Returns whether a snapshot of the source was ever received. */
+    /** Returns whether a snapshot of the source has been received. */
     boolean isKnown() {
         return version != null;
     }
@@ -45,7 +45,7 @@
         return changedEntries;
     }
 
-    /** Applies an update, or rejects it and changes nothing. */
+    /** Applies an update, or rejects it without changes. */
     UpdateResult apply(Update update) {
         changedEntries = List.of();
         UpdateContinuity continuity = UpdateContinuity.of(version, update);
@@ -74,7 +74,7 @@
                 && update.entries().stream().allMatch(Entry::removed);
     }
 
-    /** Takes over the entries of an update and returns the endpoints whose entry changed. */
+    /** Merges the entries of an update and returns the endpoints whose entries changed. */
     private Set<String> merge(Update update) {
         Set<String> changedUids = new LinkedHashSet<>();
         Set<String> missing = update.fullSnapshot() ? new LinkedHashSet<>(entries.keySet()) : Set.of();
@@ -98,7 +98,7 @@
         if (entry.equals(previous) || unknownAndRemoved) {
             return;
         }
-        // Removed first, so that the entry moves to the end of the map.
+        // Removing the entry first moves it to the end of the map.
         entries.remove(entry.uid());
         entries.put(entry.uid(), entry);
         boolean wasLive = previous != null && !previous.removed();
@@ -110,17 +110,17 @@
         if (continuity == UpdateContinuity.FIRST || startsUnorderedIncarnation(continuity, next)) {
             log.reset(next);
         } else if (!changedUids.isEmpty()) {
-            forgetRemoved(log.append(next, changedUids));
+            purgeRemoved(log.append(next, changedUids));
         }
     }
 
-    /** Returns whether versions of before have no order with the next one, so that deltas to them are impossible. */
+    /** Returns whether earlier versions are not comparable to the next one, so that deltas from them are impossible. */
     private boolean startsUnorderedIncarnation(UpdateContinuity continuity, SourceVersion next) {
         return continuity == UpdateContinuity.RESTARTED && !(next.hasEpoch() && next.isComparableTo(version));
     }
 
-    /** Drops removed endpoints that the log no longer mentions. */
-    private void forgetRemoved(List<String> uidsDroppedFromLog) {
+    /** Drops removed endpoints that the log no longer contains. */
+    private void purgeRemoved(List<String> uidsDroppedFromLog) {
         for (String uid : uidsDroppedFromLog) {
             Entry entry = entries.get(uid);
             if (entry != null && entry.removed() && !log.contains(uid)) {
@@ -129,23 +129,23 @@
         }
     }
 
-    /** Applies an update that was requested from an earlier version, and extends the log to that version if it can. */
+    /** Applies an update that was requested from an earlier version and extends the log to that version if possible. */
     UpdateResult backfill(SourceVersion from, Update update) {
         UpdateResult result = apply(update);
         boolean applied = result == UpdateResult.UNCHANGED || result == UpdateResult.CHANGED;
         if (applied && !update.fullSnapshot() && log.startsAfter(from)) {
             List<String> uids = update.entries().stream().map(Entry::uid).toList();
-            forgetRemoved(log.prepend(from, uids));
+            purgeRemoved(log.prepend(from, uids));
         }
         return result;
     }
 
-    /** Returns whether this version is of the log's incarnation and before all changes in the log. */
+    /** Returns whether this version belongs to the incarnation of the log and precedes all changes in it. */
     boolean precedesLog(SourceVersion known) {
         return isKnown() && known != null && known.epoch() == log.floor().epoch() && log.startsAfter(known);
     }
 
-    /** Returns what a follower with this version needs. */
+    /** Returns what to send to a follower with this version. */
     CatchUp catchUp(SourceVersion known) {
         if (!known.isComparableTo(version)) {
             return CatchUp.AHEAD_OR_RESTARTED;
@@ -162,7 +162,7 @@
         return entries.values().stream().filter(entry -> !entry.removed()).toList();
     }
 
-    /** Returns the present entries of all endpoints that changed after this version. */
+    /** Returns the current entries of all endpoints that changed after this version. */
     List<Entry> changesSince(SourceVersion known) {
         List<Entry> changes = new ArrayList<>();
         for (String uid : log.changedSince(known)) {
--- a/discovery-state/src/main/java/topazvalve/discovery/state/SourceVersion.java
+++ b/discovery-state/src/main/java/topazvalve/discovery/state/SourceVersion.java
@@ -4,7 +4,7 @@
  * A version of the endpoint list of one source. The text form is {@code epoch.revision}.
  *
  * @param epoch the incarnation of the source, larger for a later one; 0 if the source does not report it
- * @param revision the source's change count within that incarnation; it never decreases
+ * @param revision the source's change counter within that incarnation; it never decreases
  */
 public record SourceVersion(long epoch, long revision) implements Comparable<SourceVersion> {
     /** The version before the first change of a source that reports no epoch. */
@@ -17,13 +17,13 @@
      */
     public SourceVersion {
         if (epoch < 0 || revision < 0) {
-            throw new InvalidVersionException("a version below nought: " + epoch + "." + revision);
+            throw new InvalidVersionException("negative version: " + epoch + "." + revision);
         }
     }
 
     /**
      * Returns whether {@link #compareTo} is meaningful for these two versions: either both have an epoch or neither
-     * has one. Without epochs the order holds only within one incarnation, which the caller has to know.
+     * has one. Without epochs the order is valid only within one incarnation, which the caller must ensure.
      */
     public boolean isComparableTo(SourceVersion other) {
         return hasEpoch() == other.hasEpoch();
@@ -48,7 +48,7 @@
     /**
      * Parses the text form.
      *
-     * @throws InvalidVersionException if the text is not of this form or a number has more than 18 digits
+     * @throws InvalidVersionException if the text has another form or a number has more than 18 digits
      */
     static SourceVersion parse(String text) {
         int dot = text.indexOf('.');
--- a/discovery-state/src/main/java/topazvalve/discovery/state/UpdateContinuity.java
+++ b/discovery-state/src/main/java/topazvalve/discovery/state/UpdateContinuity.java
@@ -2,23 +2,23 @@
 
 import topazvalve.discovery.state.EndpointStore.Update;
 
-/** How an update of a source relates to the version that is already known of it. */
+/** How an update of a source relates to the current version of that source. */
 enum UpdateContinuity {
     /** It is the first snapshot of the source. */
     FIRST,
-    /** It has the same or a later version of the same incarnation. */
+    /** It has the same or a later version within the same incarnation. */
     CONTINUES,
     /** It is a snapshot of another incarnation of the source. */
     RESTARTED,
-    /** It is older than what is known. */
+    /** It is older than the current version. */
     STALE,
-    /** It is a delta to a state that is not known; a snapshot is needed. */
+    /** It is a delta to an unknown state; a snapshot is needed. */
     GAP;
 
     /**
      * Classifies an update.
      *
-     * @param current the known version, null if there is none
+     * @param current the current version, null if there is none
      */
     static UpdateContinuity of(SourceVersion current, Update update) {
         if (current == null) {
--- a/discovery-state/src/main/java/topazvalve/discovery/state/VersionVector.java
+++ b/discovery-state/src/main/java/topazvalve/discovery/state/VersionVector.java
@@ -9,15 +9,15 @@
 
 /**
  * The version of an endpoint list that is merged from several sources: one {@link SourceVersion} for each source. It
- * is immutable. The text form is {@code source:epoch.revision}, separated by commas and sorted by source, which needs
- * no escaping in a URL query.
+ * is immutable. The text form is a list of {@code source:epoch.revision}, separated by commas and sorted by source,
+ * and needs no escaping in a URL query.
  */
 public final class VersionVector {
-    /** The vector of a list about which no source has reported anything. */
+    /** The empty vector, of a list without updates from any source. */
     public static final VersionVector NONE = new VersionVector(Collections.emptySortedMap());
-    /** The allowed names of sources, which appear in queries, log lines and metrics. */
+    /** The allowed source names, which appear in queries, log lines and metrics. */
     public static final Pattern SOURCE_NAME = Pattern.compile("[a-z0-9_-]{1,32}");
-    /** The largest number of sources that is accepted from a peer. */
+    /** The maximum number of sources that is accepted from a peer. */
     public static final int MAX_SOURCES = 32;
 
     private final SortedMap<String, SourceVersion> versionsBySource;
@@ -34,7 +34,7 @@
     /**
      * Parses the text form; the empty text is {@link #NONE}.
      *
-     * @throws InvalidVersionException if the text is not of this form, names a source twice, or names more than
+     * @throws InvalidVersionException if the text has another form, contains a source twice, or contains more than
      *     {@link #MAX_SOURCES}
      */
     public static VersionVector parse(String text) {
@@ -57,7 +57,7 @@
         return new VersionVector(parsed);
     }
 
-    /** Returns the version at a source, or null if the vector does not contain the source. */
+    /** Returns the version of a source, or null if the vector does not contain the source. */
     public SourceVersion versionOf(String source) {
         return versionsBySource.get(source);
     }
@@ -69,7 +69,7 @@
         return new VersionVector(changed);
     }
 
-    /** Returns this vector with all versions of {@code received} added or replaced, be they newer or older. */
+    /** Returns this vector with all versions of {@code received} added or replaced, whether newer or older. */
     public VersionVector merge(VersionVector received) {
         TreeMap<String, SourceVersion> merged = new TreeMap<>(versionsBySource);
         merged.putAll(received.versionsBySource);
@@ -77,7 +77,7 @@
     }
 
     /**
-     * Returns whether this vector is older than {@code other} at any source that both contain. Sources that report no
+     * Returns whether this vector is older than {@code other} for any source that both contain. Sources that report no
      * epoch are ignored, because a lower revision may mean that they restarted.
      */
     public boolean isBehind(VersionVector other) {
@@ -98,7 +98,7 @@
 
     /**
      * Returns the sum of all revisions, as a version for clients that know only a single number. It never decreases
-     * while no source restarts.
+     * unless a source restarts.
      */
     public long revisionSum() {
         return versionsBySource.values().stream()
--- a/discovery-state/src/main/java/topazvalve/discovery/state/package-info.java
+++ b/discovery-state/src/main/java/topazvalve/discovery/state/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The state of replicated endpoint lists: versions and their order, the list that a relay keeps, and the failover of
- * followers between peers. Nothing here does I/O, reads a clock or starts a thread; callers pass time and randomness
- * in.
+ * The state of replicated endpoint lists: versions and their order, the list that a relay holds, and the failover of
+ * followers between peers. Nothing in this package does I/O, reads a clock or starts a thread; callers pass in time
+ * and randomness.
  */
 package topazvalve.discovery.state;
--- a/discovery-state/src/test/java/topazvalve/discovery/state/ArchitectureTest.java
+++ b/discovery-state/src/test/java/topazvalve/discovery/state/ArchitectureTest.java
@@ -6,11 +6,11 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** The state machines depend on plain values only. */
+/** Checks that the package does no I/O, reads no clock and starts no thread. */
 class ArchitectureTest {
     @Test
-    void stateUsesNoInputClockOrThread() {
-        var lists = new ClassFileImporter()
+    void stateUsesNoIoClockOrThread() {
+        var classes = new ClassFileImporter()
                 .withImportOption(new ImportOption.DoNotIncludeTests())
                 .importPackages("topazvalve.discovery.state");
         noClasses()
@@ -27,7 +27,7 @@
                         "java.nio.charset",
                         "org.apache.commons.codec.digest",
                         "")
-                .check(lists);
+                .check(classes);
         noClasses()
                 .should()
                 .callMethod(System.class, "nanoTime")
@@ -36,6 +36,6 @@
                 .orShould()
                 .dependOnClassesThat()
                 .areAssignableTo(Thread.class)
-                .check(lists);
+                .check(classes);
     }
 }
--- a/discovery-state/src/test/java/topazvalve/discovery/state/EndpointStoreTest.java
+++ b/discovery-state/src/test/java/topazvalve/discovery/state/EndpointStoreTest.java
@@ -12,7 +12,7 @@
 import topazvalve.discovery.state.EndpointStore.Update;
 import topazvalve.discovery.state.EndpointStore.UpdateResult;
 
-/** Applying updates to the store, and what it sends to followers. */
+/** Tests applying updates to the store, and the deltas and snapshots that it serves to followers. */
 class EndpointStoreTest {
     private final EndpointStore store = new EndpointStore(List.of("eu"), 100);
 
@@ -20,16 +20,16 @@
         return new Entry(uid, false, json);
     }
 
-    private static Update snapshot(long epoch, long rev, Entry... entries) {
-        return new Update(new SourceVersion(epoch, rev), true, List.of(entries));
+    private static Update snapshot(long epoch, long revision, Entry... entries) {
+        return new Update(new SourceVersion(epoch, revision), true, List.of(entries));
     }
 
-    private static Update delta(long epoch, long rev, Entry... entries) {
-        return new Update(new SourceVersion(epoch, rev), false, List.of(entries));
+    private static Update delta(long epoch, long revision, Entry... entries) {
+        return new Update(new SourceVersion(epoch, revision), false, List.of(entries));
     }
 
-    private static VersionVector at(long epoch, long rev) {
-        return VersionVector.of("eu", new SourceVersion(epoch, rev));
+    private static VersionVector at(long epoch, long revision) {
+        return VersionVector.of("eu", new SourceVersion(epoch, revision));
     }
 
     private static List<String> uids(List<Entry> entries) {
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void deltaHoldsOnlyTheLatestEntryOfEachChangedEndpoint() {
+    void deltaContainsOnlyTheLatestEntryOfEachChangedEndpoint() {
         store.apply("eu", snapshot(1, 10, entry("a", "1"), entry("b", "1")));
         store.apply("eu", delta(1, 11, entry("a", "2")));
         store.apply("eu", delta(1, 12, entry("a", "3")));
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void aFollowerFromBeforeTheLogGetsASnapshot() {
+    void followerWithAVersionBeforeTheLogGetsASnapshot() {
         store.apply("eu", snapshot(1, 10, entry("a", "1")));
         assertEquals(CatchUp.SNAPSHOT, store.catchUp(at(1, 9)));
         assertEquals(CatchUp.SNAPSHOT, store.catchUp(VersionVector.NONE));
@@ -71,7 +71,7 @@
         assertEquals(List.of("b"), uids(small.changesSince(at(1, 12))));
     }
 
-    /** A relay that has just started requests earlier changes from its source and serves them to followers. */
+    /** A relay that has just started requests earlier changes from its source, to serve them to followers. */
     @Test
     void backfillServesChangesFromBeforeTheFirstSnapshot() {
         store.apply("eu", snapshot(0, 100, entry("a", "9"), entry("b", "1")));
@@ -98,17 +98,19 @@
     }
 
     @Test
-    void aSnapshotInResponseToABackfillDoesNotExtendTheLog() {
+    void snapshotInResponseToABackfillDoesNotExtendTheLog() {
         store.apply("eu", snapshot(0, 100, entry("a", "9")));
         store.backfill("eu", new SourceVersion(0, 50), snapshot(0, 100, entry("a", "9")));
         assertEquals(CatchUp.SNAPSHOT, store.catchUp(at(0, 60)));
     }
 
     @Test
-    void aRestartedSourceIsFollowedFromItsSnapshot() {
+    void restartedSourceIsAcceptedWithASnapshotOnly() {
         store.apply("eu", snapshot(1, 900, entry("a", "1"), entry("b", "1")));
         assertEquals(
-                UpdateResult.NOT_CONTIGUOUS, store.apply("eu", delta(2, 5, entry("a", "2"))), "a delta is not enough");
+                UpdateResult.NOT_CONTIGUOUS,
+                store.apply("eu", delta(2, 5, entry("a", "2"))),
+                "a delta after a restart is rejected");
         assertEquals(UpdateResult.CHANGED, store.apply("eu", snapshot(2, 5, entry("a", "1"))));
         assertEquals(List.of("b"), uids(store.changedEntries()), "followers get only the difference");
         assertEquals(List.of("b"), uids(store.changesSince(at(1, 900))));
@@ -118,7 +120,7 @@
     }
 
     @Test
-    void withoutEpochsALowerRevisionMayMeanARestart() {
+    void snapshotWithALowerRevisionIsAcceptedWithoutEpochs() {
         store.apply("eu", snapshot(0, 900, entry("a", "1")));
         assertEquals(UpdateResult.STALE, store.apply("eu", delta(0, 5, entry("a", "2"))));
         assertEquals(
@@ -129,11 +131,13 @@
         assertEquals(CatchUp.DELTA, store.catchUp(at(0, 5)));
         assertEquals(CatchUp.SNAPSHOT, store.catchUp(at(0, 4)));
         assertEquals(
-                CatchUp.AHEAD_OR_RESTARTED, store.catchUp(at(7, 5)), "a version with an epoch against one without");
+                CatchUp.AHEAD_OR_RESTARTED,
+                store.catchUp(at(7, 5)),
+                "versions with and without an epoch are not comparable");
     }
 
     @Test
-    void anEmptySnapshotIsRejected() {
+    void emptySnapshotIsRejected() {
         store.apply("eu", snapshot(1, 10, entry("a", "1")));
         assertEquals(UpdateResult.EMPTY_SNAPSHOT, store.apply("eu", snapshot(1, 11)));
         assertEquals(UpdateResult.EMPTY_SNAPSHOT, store.apply("eu", snapshot(1, 11, new Entry("a", true, "removed"))));
@@ -141,7 +145,7 @@
     }
 
     @Test
-    void anOlderSnapshotOfTheSameEpochIsRejected() {
+    void olderSnapshotOfTheSameEpochIsRejected() {
         store.apply("eu", snapshot(1, 10, entry("a", "2")));
         assertEquals(UpdateResult.STALE, store.apply("eu", snapshot(1, 9, entry("a", "1"))));
         assertEquals(List.of(entry("a", "2")), store.snapshot());
@@ -149,17 +153,17 @@
     }
 
     @Test
-    void aSourceThatCannotBeReachedKeepsItsEntriesWhileOthersChange() {
+    void unreachableSourceKeepsItsEntriesWhileOthersChange() {
         EndpointStore two = new EndpointStore(List.of("eu", "us"), 100);
         two.apply("eu", snapshot(1, 10, entry("a", "1")));
         assertEquals(
                 CatchUp.INCOMPLETE, two.catchUp(VersionVector.NONE), "a snapshot would remove the endpoints of us");
-        VersionVector has = VersionVector.parse("eu:1.10,us:1.70");
-        assertEquals(CatchUp.DELTA, two.catchUp(has), "deltas of the source that is known go on");
+        VersionVector known = VersionVector.parse("eu:1.10,us:1.70");
+        assertEquals(CatchUp.DELTA, two.catchUp(known), "deltas of the known source are still served");
         assertEquals(CatchUp.INCOMPLETE, two.catchUp(VersionVector.parse("eu:1.3,us:1.70")));
         two.apply("eu", delta(1, 11, entry("a", "2")));
-        assertEquals(List.of("a"), uids(two.changesSince(has)));
-        assertEquals("eu:1.11", two.versions().toString(), "without a version of us");
+        assertEquals(List.of("a"), uids(two.changesSince(known)));
+        assertEquals("eu:1.11", two.versions().toString(), "no version for us");
         two.apply("us", snapshot(1, 70, entry("x", "1")));
         assertTrue(two.isComplete());
         assertEquals(List.of("a", "x"), uids(two.snapshot()));
@@ -167,18 +171,18 @@
                 List.of("x"),
                 uids(two.changesSince(at(1, 11))),
                 "all entries of a source that the follower does not know");
-        assertEquals(CatchUp.AHEAD, two.catchUp(VersionVector.parse("eu:1.3,us:1.71")), "ahead at one of them");
+        assertEquals(CatchUp.AHEAD, two.catchUp(VersionVector.parse("eu:1.3,us:1.71")), "ahead for one source");
     }
 
     @Test
-    void aTombstoneIsValidJsonWhateverTheUid() {
+    void tombstoneIsValidJsonForAnyUid() {
         assertEquals(
                 "{\"uid\":\"a\\u0022\\u005c\\u000a\",\"state\":\"DELETED\"}",
                 Entry.tombstone("a\"\\\n").json());
     }
 
     @Test
-    void aZoneThatChangesAtOnceIsOneDelta() {
+    void simultaneousChangesOfAWholeZoneAreOneDelta() {
         Entry[] all = IntStream.range(0, 440).mapToObj(i -> entry("s" + i, "1")).toArray(Entry[]::new);
         Entry[] drained =
                 IntStream.range(0, 440).mapToObj(i -> entry("s" + i, "2")).toArray(Entry[]::new);
--- a/discovery-state/src/test/java/topazvalve/discovery/state/FailoverStateMachineTest.java
+++ b/discovery-state/src/test/java/topazvalve/discovery/state/FailoverStateMachineTest.java
@@ -10,9 +10,9 @@
 import topazvalve.discovery.state.FailoverStateMachine.Connect;
 import topazvalve.discovery.state.FailoverStateMachine.Remain;
 
-/** Which peer a follower connects to, and when. */
+/** Tests which peer a follower connects to, and when. */
 class FailoverStateMachineTest {
-    private static final long SECOND = 1_000_000_000L;
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
     private final FailoverStateMachine failover = new FailoverStateMachine(3, new Random(1));
 
     @Test
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void aResponseResetsTheFailureCount() {
+    void responseResetsTheFailureCount() {
         failover.start();
         failover.failed();
         failover.failed();
@@ -53,13 +53,13 @@
     @Test
     void respectsRetryAfterUpToItsMaximum() {
         failover.start();
-        failover.failed(SECOND);
+        failover.failed(NANOS_PER_SECOND);
         failover.failed(0);
         Connect backoff = failover.failed(0);
-        assertTrue(backoff.delayNanos() >= SECOND
-                && backoff.delayNanos() <= SECOND + FailoverStateMachine.INITIAL_BACKOFF_NANOS);
+        assertTrue(backoff.delayNanos() >= NANOS_PER_SECOND
+                && backoff.delayNanos() <= NANOS_PER_SECOND + FailoverStateMachine.INITIAL_BACKOFF_NANOS);
         failover.connecting();
-        failover.failed(3600 * SECOND);
+        failover.failed(3600 * NANOS_PER_SECOND);
         failover.failed();
         assertTrue(failover.failed().delayNanos()
                 <= FailoverStateMachine.MAX_RETRY_AFTER_NANOS + FailoverStateMachine.MAX_BACKOFF_NANOS);
@@ -89,7 +89,7 @@
             shortest = Math.min(shortest, delay);
             longest = Math.max(longest, delay);
         }
-        assertTrue(shortest >= 60 * SECOND && shortest < 62 * SECOND);
-        assertTrue(longest <= 120 * SECOND && longest > 118 * SECOND);
+        assertTrue(shortest >= 60 * NANOS_PER_SECOND && shortest < 62 * NANOS_PER_SECOND);
+        assertTrue(longest <= 120 * NANOS_PER_SECOND && longest > 118 * NANOS_PER_SECOND);
     }
 }
--- a/discovery-state/src/test/java/topazvalve/discovery/state/RendezvousOrderTest.java
+++ b/discovery-state/src/test/java/topazvalve/discovery/state/RendezvousOrderTest.java
@@ -13,7 +13,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Rendezvous hashing at the planned size: an even spread, a stable order, few moves. */
+/** Tests rendezvous hashing at the planned size: an even distribution, a stable order and few moved followers. */
 class RendezvousOrderTest {
     private static final int FOLLOWERS = 5_700;
     private final List<String> relays =
@@ -30,7 +30,7 @@
     @Test
     void followersSpreadEvenlyOverRelays() {
         int mean = FOLLOWERS / relays.size();
-        // Five standard deviations are beyond chance.
+        // A deviation of more than five standard deviations is not due to chance.
         countByFirstRelay(relays)
                 .forEach((relay, count) ->
                         assertTrue(Math.abs(count - mean) < 5 * Math.sqrt(mean), relay + " has " + count));
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void onlyFollowersOfALostRelayMoveAndSpreadOverTheOthers() {
+    void onlyFollowersOfALostRelayMoveAndTheySpreadOverTheOthers() {
         String lost = relays.get(3);
         List<String> remaining =
                 relays.stream().filter(relay -> !relay.equals(lost)).toList();
@@ -63,7 +63,7 @@
             }
         }
         int mean = FOLLOWERS / 16 / 15;
-        assertEquals(15, moved.size(), "every remaining relay takes some");
+        assertEquals(15, moved.size(), "every remaining relay takes over some followers");
         moved.values()
                 .forEach(count ->
                         assertTrue(count < mean + 5 * Math.sqrt(mean), count + " followers moved to one relay"));
--- a/discovery-state/src/test/java/topazvalve/discovery/state/ReplicationModelTest.java
+++ b/discovery-state/src/test/java/topazvalve/discovery/state/ReplicationModelTest.java
@@ -17,13 +17,13 @@
 import topazvalve.discovery.state.EndpointStore.UpdateResult;
 
 /**
- * Plays every sequence of events, up to a depth, of one source with epochs, two relays and a follower that fails over
- * between them. The follower's version never decreases, and once all messages are delivered it has the source's list.
- * {@code -Dspread.depth=N} sets the depth.
+ * Explores every sequence of events, up to a depth, of one source with epochs, two relays and a follower that fails
+ * over between them. Checks that the follower's version never decreases, and that the follower has the source's list
+ * once all messages are delivered. {@code -Dspread.depth=N} sets the depth.
  */
 class ReplicationModelTest {
     private static final int DEPTH = Integer.getInteger("spread.depth", 6);
-    private static final String NAME = "eu";
+    private static final String SOURCE = "eu";
 
     private enum Event {
         CHANGE_A,
@@ -42,12 +42,12 @@
     private record Response(boolean snapshot, VersionVector versions, List<Entry> entries) {}
 
     private static final class Relay {
-        EndpointStore store = new EndpointStore(List.of(NAME), 2);
+        EndpointStore store = new EndpointStore(List.of(SOURCE), 2);
         final Deque<Update> inbox = new ArrayDeque<>();
         boolean connected;
     }
 
-    private static final class Play {
+    private static final class Model {
         final Map<String, Entry> sourceEntries = new TreeMap<>();
         final Map<SourceVersion, Integer> versionOrder = new HashMap<>();
         final List<Update> sourceLog = new ArrayList<>();
@@ -60,7 +60,7 @@
         boolean waiting;
         int snapshots;
 
-        Play() {
+        Model() {
             sourceEntries.put("a", new Entry("a", false, "a0"));
             sourceEntries.put("b", new Entry("b", false, "b0"));
             versionOrder.put(sourceVersion, 0);
@@ -89,11 +89,11 @@
             }
         }
 
-        /** The source responds to a watch: a delta if it knows the relay's version, otherwise a snapshot. */
+        /** Connects a relay to the source, which sends a delta if it knows the version, otherwise a snapshot. */
         private void connect(Relay relay) {
             relay.connected = true;
             relay.inbox.clear();
-            SourceVersion from = relay.store.versions().versionOf(NAME);
+            SourceVersion from = relay.store.versions().versionOf(SOURCE);
             Map<String, Entry> entries = new TreeMap<>();
             if (from != null && from.epoch() == sourceVersion.epoch()) {
                 for (Update each : sourceLog) {
@@ -116,7 +116,7 @@
                 return false;
             }
             VersionVector before = relay.store.versions();
-            UpdateResult result = relay.store.apply(NAME, update);
+            UpdateResult result = relay.store.apply(SOURCE, update);
             assertTrue(
                     result == UpdateResult.UNCHANGED
                             || result == UpdateResult.CHANGED
@@ -134,16 +134,16 @@
 
         private void followerRequests() {
             followerInbox.clear();
-            EndpointStore state = relays[followedRelay].store;
-            CatchUp catchUp = state.catchUp(followerVersions);
+            EndpointStore store = relays[followedRelay].store;
+            CatchUp catchUp = store.catchUp(followerVersions);
             waiting = catchUp != CatchUp.DELTA && catchUp != CatchUp.SNAPSHOT;
             if (!waiting) {
                 boolean sendSnapshot = catchUp == CatchUp.SNAPSHOT;
                 snapshots += sendSnapshot ? 1 : 0;
                 followerInbox.add(new Response(
                         sendSnapshot,
-                        state.versions(),
-                        sendSnapshot ? state.snapshot() : state.changesSince(followerVersions)));
+                        store.versions(),
+                        sendSnapshot ? store.snapshot() : store.changesSince(followerVersions)));
             }
         }
 
@@ -156,16 +156,16 @@
                 followerEntries.clear();
             }
             response.entries().forEach(entry -> followerEntries.put(entry.uid(), entry));
-            SourceVersion before = followerVersions.versionOf(NAME);
+            SourceVersion before = followerVersions.versionOf(SOURCE);
             followerVersions = followerVersions.merge(response.versions());
             assertTrue(
-                    before == null || versionOrder.get(before) <= versionOrder.get(followerVersions.versionOf(NAME)),
+                    before == null || versionOrder.get(before) <= versionOrder.get(followerVersions.versionOf(SOURCE)),
                     () -> "version decreased from " + before + " to " + followerVersions);
             return true;
         }
 
-        /** Plays an event; returns false if it can't happen now. */
-        boolean play(Event event) {
+        /** Executes an event; returns false if it is not possible in the current state. */
+        boolean step(Event event) {
             switch (event) {
                 case CHANGE_A -> publish(new Entry("a", false, "a" + versionOrder.size()));
                 case TOGGLE_B -> publish(new Entry("b", !sourceEntries.get("b").removed(), "b" + versionOrder.size()));
@@ -187,7 +187,7 @@
                 case RELAY_0_RECONNECTS -> connect(relays[0]);
                 case RELAY_1_RECONNECTS -> connect(relays[1]);
                 case RELAY_1_RESTARTS -> {
-                    relays[1].store = new EndpointStore(List.of(NAME), 2);
+                    relays[1].store = new EndpointStore(List.of(SOURCE), 2);
                     connect(relays[1]);
                     if (followedRelay == 1) {
                         followerRequests();
@@ -204,8 +204,8 @@
             return true;
         }
 
-        /** Delivers all messages, serves the waiting follower and checks that its list is the source's. */
-        void settle() {
+        /** Reconnects the relays, delivers all messages and checks that the follower has the source's list. */
+        void checkConvergence() {
             for (Relay relay : relays) {
                 connect(relay);
             }
@@ -214,44 +214,44 @@
             live.values().removeIf(Entry::removed);
             followerEntries.values().removeIf(Entry::removed);
             assertEquals(live, followerEntries);
-            assertEquals(VersionVector.of(NAME, sourceVersion), followerVersions);
+            assertEquals(VersionVector.of(SOURCE, sourceVersion), followerVersions);
         }
     }
 
-    private long played;
+    private long sequences;
     private long snapshots;
 
-    private void playAllContinuations(List<Event> events) {
+    private void exploreContinuations(List<Event> prefix) {
         for (Event next : Event.values()) {
-            List<Event> longer = new ArrayList<>(events);
-            longer.add(next);
-            Play play = new Play();
+            List<Event> sequence = new ArrayList<>(prefix);
+            sequence.add(next);
+            Model model = new Model();
             boolean possible = true;
             try {
-                for (Event each : longer) {
-                    possible = play.play(each);
+                for (Event event : sequence) {
+                    possible = model.step(event);
                 }
                 if (possible) {
-                    play.settle();
+                    model.checkConvergence();
                 }
             } catch (AssertionError e) {
-                throw new AssertionError(longer + ": " + e.getMessage(), e);
+                throw new AssertionError(sequence + ": " + e.getMessage(), e);
             }
             if (possible) {
-                played++;
-                snapshots += play.snapshots;
-                if (longer.size() < DEPTH) {
-                    playAllContinuations(longer);
+                sequences++;
+                snapshots += model.snapshots;
+                if (sequence.size() < DEPTH) {
+                    exploreContinuations(sequence);
                 }
             }
         }
     }
 
     @Test
-    void aFollowerNeverGoesBackAndConvergesWithItsSource() {
-        playAllContinuations(List.of());
-        assertTrue(played > 10_000, "sequences played: " + played);
-        assertTrue(snapshots > played, "some followers were brought up to date by a snapshot");
-        System.out.println(played + " sequences of up to " + DEPTH + " events, " + snapshots + " snapshots");
+    void followerNeverGoesBackAndConvergesWithItsSource() {
+        exploreContinuations(List.of());
+        assertTrue(sequences > 10_000, "sequences explored: " + sequences);
+        assertTrue(snapshots > sequences, "fewer snapshots than sequences: " + snapshots);
+        System.out.println(sequences + " sequences of up to " + DEPTH + " events, " + snapshots + " snapshots");
     }
 }
--- a/discovery-state/src/test/java/topazvalve/discovery/state/VersionVectorTest.java
+++ b/discovery-state/src/test/java/topazvalve/discovery/state/VersionVectorTest.java
@@ -10,10 +10,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Text form and comparison of version vectors. */
+/** Tests the text form and the comparison of version vectors. */
 class VersionVectorTest {
     @Test
-    void textFormIsParsedBack() {
+    void textFormRoundTrips() {
         VersionVector versions = VersionVector.of("us", new SourceVersion(0, 7)).with("eu", new SourceVersion(3, 41));
         assertEquals("eu:3.41,us:0.7", versions.toString());
         assertEquals(versions, VersionVector.parse(versions.toString()));
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void aLaterEpochIsNewerWhateverItsRevision() {
+    void laterEpochIsNewerWhateverItsRevision() {
         VersionVector earlier = VersionVector.of("eu", new SourceVersion(1, 900));
         VersionVector later = VersionVector.of("eu", new SourceVersion(2, 5));
         assertTrue(earlier.isBehind(later));
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void mergeKeepsSourcesThatTheOtherDoesNotContain() {
+    void mergeKeepsSourcesMissingFromTheOtherVector() {
         VersionVector known = VersionVector.parse("eu:1.4,us:1.9");
         assertEquals("eu:1.5,us:1.9", known.merge(VersionVector.parse("eu:1.5")).toString());
     }
