--- a/discovery-client/src/main/java/topazvalve/discovery/client/DiscoveryCall.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/DiscoveryCall.java
@@ -24,29 +24,31 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One HTTP request for an endpoint list: a watch, whose response goes on until it is closed, or a fetch. It connects,
- * sends the request, splits the response into JSON objects and supervises the peer by timeouts. Used on the event
- * loop only.
+ * One HTTP request for an endpoint list: a watch, whose response continues until it is closed, or a fetch. It
+ * connects, sends the request, splits the response into JSON objects and enforces timeouts. Used on the event loop
+ * only.
  *
- * <p>The listener decides what a valid update is and reports the first one by {@link #markAnswered}. A watch has an
- * idle timeout from then on; before, and for a fetch, the response timeout applies.
+ * <p>The listener decides which updates are valid and calls {@link #markAnswered} for the first one. An answered
+ * watch has an idle timeout; before, and for a fetch, the response timeout applies.
  */
 public final class DiscoveryCall extends SimpleChannelInboundHandler<HttpObject> {
-    /** After this time without a response the listener is notified. A call may wait in discovery's queue for 2 s. */
+    /**
+     * The time without a response after which the listener is notified. A call may wait in discovery's queue for 2 s.
+     */
     private static final long RESPONSE_OVERDUE_MILLIS = 2_500;
-    /** After this time without a response the call fails. Discovery's queue may be longer than is known. */
+    /** The time without a response after which the call fails. Discovery's queue may be longer than is known. */
     private static final long RESPONSE_TIMEOUT_MILLIS = 5_000;
     /**
-     * After this time without an update or a heartbeat an answered watch is idle, in milliseconds. Discovery sends a
-     * heartbeat every 2 s; {@code docs/design/crossings.md} derives the bound.
+     * The time without an update or a heartbeat after which an answered watch is idle, in milliseconds. Discovery
+     * sends a heartbeat every 2 s; {@code docs/design/crossings.md} derives the bound.
      */
     public static final long IDLE_TIMEOUT_MILLIS = 3_000;
 
-    /** The default of the longest time for a connect, in milliseconds. */
+    /** The default connect timeout, in milliseconds. */
     public static final int CONNECT_TIMEOUT_MILLIS = 1_000;
 
     private static final String HOSTS_PATH = "/discovery/hosts";
-    private static final String RETRY_AFTER_SECONDS = "[0-9]{1,6}(\\.[0-9]{1,6})?";
+    private static final String RETRY_AFTER_PATTERN = "[0-9]{1,6}(\\.[0-9]{1,6})?";
     private static final int MILLIS_PER_SECOND = 1_000;
 
     /** The owner of a call. No method is called after {@link #failed} or {@link DiscoveryCall#close}. */
@@ -55,7 +57,7 @@
          * Called with each complete JSON object.
          *
          * @param json the object in UTF-8
-         * @throws IOException to let the call fail, as does any other exception
+         * @throws IOException to fail the call, as any other exception does
          */
         void objectReceived(byte[] json) throws IOException;
 
@@ -68,11 +70,11 @@
          */
         void watchIdle();
 
-        /** Called if no object or heartbeat came in time. The call stays open for a while and fails after that. */
+        /** Called if no object or heartbeat has arrived in time. The call stays open and fails later. */
         void responseOverdue();
 
         /**
-         * Called once if the call has ended with a failure.
+         * Called once if the call has failed.
          *
          * @param retryAfterMillis the peer's Retry-After in milliseconds; 0 if it gave none
          */
@@ -88,25 +90,25 @@
     private Channel channel;
     private Future<?> timeout;
     private boolean answered;
-    private boolean over;
+    private boolean done;
 
     /**
-     * Creates a call that does nothing before {@link #open}.
+     * Creates a call that {@link #open} starts.
      *
-     * @param watching whether it is a watch; otherwise the response is a single list
-     * @param owner is notified of what the call receives and how it ends
+     * @param watching whether this is a watch; otherwise the response is a single list
+     * @param listener is notified of received data and of failures
      */
-    public DiscoveryCall(EventLoop loop, InetSocketAddress address, boolean watching, Listener owner) {
+    public DiscoveryCall(EventLoop loop, InetSocketAddress address, boolean watching, Listener listener) {
         this.loop = loop;
         this.address = address;
         this.watching = watching;
-        this.listener = owner;
+        this.listener = listener;
     }
 
     /**
      * Connects and sends the request.
      *
-     * @param connectTimeoutMillis the longest time for the connect, in milliseconds
+     * @param connectTimeoutMillis the connect timeout, in milliseconds
      * @param query the query of the request, which is empty or starts with a question mark
      */
     public void open(int connectTimeoutMillis, String query) {
@@ -157,12 +159,12 @@
     }
 
     private void idle() {
-        if (!over) {
+        if (!done) {
             listener.watchIdle();
         }
     }
 
-    /** Records that the listener has received a valid update or heartbeat; a watch has an idle timeout from now on. */
+    /** Records that a valid update or heartbeat was received; a watch has an idle timeout from now on. */
     public void markAnswered() {
         answered = true;
     }
@@ -173,26 +175,26 @@
     }
 
     /** Returns whether the call has failed, was closed, or is a fetch whose list is complete. */
-    public boolean isOver() {
-        return over;
+    public boolean isDone() {
+        return done;
     }
 
-    /** Closes the call, which must have been opened; its listener is not called any more. */
+    /** Closes the call, which must have been opened; its listener is not called after this. */
     public void close() {
-        over = true;
+        done = true;
         timeout.cancel(false);
         if (channel != null) {
             channel.close();
         }
     }
 
-    /** Closes the call and notifies its listener of the failure; does nothing if the call is over. */
+    /** Closes the call and notifies its listener of the failure; does nothing if the call is done. */
     public void fail(DiscoveryFailure failure) {
         fail(failure, 0);
     }
 
     private void fail(DiscoveryFailure failure, long retryAfterMillis) {
-        if (!over) {
+        if (!done) {
             close();
             listener.failed(failure, retryAfterMillis);
         }
@@ -200,7 +202,7 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, HttpObject message) throws IOException {
-        if (over) {
+        if (done) {
             return;
         }
         if (message.decoderResult().isFailure()) {
@@ -213,7 +215,7 @@
         }
         if (message instanceof HttpContent content) {
             framer.feed(content.content(), framerHandler);
-            if (!over && message instanceof LastHttpContent) {
+            if (!done && message instanceof LastHttpContent) {
                 responseEnded();
             }
         }
@@ -231,10 +233,10 @@
     /** Returns {@code Retry-After}, which may be a decimal number of seconds; 0 if it is missing or not a number. */
     private static long retryAfterMillis(HttpResponse response) {
         String seconds = response.headers().get(HttpHeaderNames.RETRY_AFTER, "");
-        return seconds.matches(RETRY_AFTER_SECONDS) ? Math.round(Double.parseDouble(seconds) * MILLIS_PER_SECOND) : 0;
+        return seconds.matches(RETRY_AFTER_PATTERN) ? Math.round(Double.parseDouble(seconds) * MILLIS_PER_SECOND) : 0;
     }
 
-    /** Passes objects and heartbeats on to the listener, each of which restarts the timeout. */
+    /** Passes objects and heartbeats on to the listener; each of them restarts the timeout. */
     private final class FramerHandler implements JsonObjectFramer.Handler {
         @Override
         public boolean objectReceived(byte[] json) throws IOException {
@@ -249,10 +251,10 @@
         }
 
         private boolean proceed() {
-            if (!over) {
+            if (!done) {
                 restartTimeout();
             }
-            return !over;
+            return !done;
         }
     }
 
--- a/discovery-client/src/main/java/topazvalve/discovery/client/DiscoveryClient.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/DiscoveryClient.java
@@ -8,13 +8,14 @@
 import topazvalve.discovery.state.VersionVector;
 
 /**
- * Gets the endpoint list from discovery over HTTP: by a watch on its changes or by a one-off fetch, whenever the
- * policy asks for it. Updates that are invalid, incomplete, stale or empty are rejected: the current list stays in
- * force and the reason is logged.
+ * Gets the endpoint list from discovery over HTTP, by a watch or a one-off fetch, as requested by the policy. Updates
+ * that are invalid, incomplete, stale or empty are rejected: the current list stays in force and the reason is
+ * logged.
  *
- * <p>If there are relays, they are called instead of discovery. Failover between relays is not visible to the policy.
+ * <p>If relays are configured, they are called instead of discovery. Failover between relays is invisible to the
+ * policy.
  *
- * <p>All methods have to be called on the event loop, on which the listener is called as well.
+ * <p>All methods must be called on the event loop. The listener is called on it as well.
  */
 public final class DiscoveryClient implements EndpointDiscovery {
     private final DiscoverySession session;
@@ -26,7 +27,7 @@
      * @param loop the event loop of all calls and callbacks
      * @param address the address of discovery
      * @param known the current list and its version
-     * @param automaticWatch the timing if the client keeps a watch open by itself; null if the policy subscribes
+     * @param automaticWatch the timing of a watch that the client keeps open by itself; null if the policy subscribes
      * @param listener is notified of each update and, unless {@code automaticWatch}, each failure
      */
     public DiscoveryClient(
@@ -44,7 +45,7 @@
      * @param loop the event loop of all calls and callbacks
      * @param address the address of discovery
      * @param known the current list and its version
-     * @param automaticWatch the timing if the client keeps a watch open by itself; null if the policy subscribes
+     * @param automaticWatch the timing of a watch that the client keeps open by itself; null if the policy subscribes
      * @param relays the relays to call instead of {@code address}; null if there are none
      * @param listener is notified of each update and, unless {@code automaticWatch}, each failure
      */
@@ -62,8 +63,8 @@
     }
 
     /**
-     * Opens a watch and keeps it open from now on, if the client was created with a {@link AutomaticWatchTiming}; does
-     * nothing otherwise. In this mode the policy does not subscribe by itself.
+     * Opens a watch and keeps it open if the client was created with an {@link AutomaticWatchTiming}; does nothing
+     * otherwise. In this mode the policy does not subscribe by itself.
      */
     public void startAutomaticWatch() {
         if (session.automaticWatch() != null) {
@@ -72,25 +73,25 @@
     }
 
     /**
-     * Opens a watch from the version of the current list on, in place of the present one, or closes it.
+     * Replaces the current watch by one that starts at the version of the current list, or closes it.
      *
-     * @param on whether to open a watch
+     * @param enabled whether to open a watch
      */
     @Override
-    public void watch(boolean on) {
-        watches.setWanted(on);
+    public void watch(boolean enabled) {
+        watches.setEnabled(enabled);
     }
 
     /**
-     * Changes the address of discovery. Open calls are closed and made again at the new address. Its revisions have
-     * no relation to those of the previous address, so that the full list is requested. Does nothing if the address
-     * is the same or relays are used.
+     * Changes the address of discovery. Open calls are closed and repeated at the new address. Its revisions are
+     * unrelated to those of the previous address, so the full list is requested. Does nothing if the address is the
+     * same or relays are used.
      */
-    public void changeAddress(InetSocketAddress to) {
-        if (to.equals(session.discoveryAddress()) || session.usesRelays()) {
+    public void changeAddress(InetSocketAddress newAddress) {
+        if (newAddress.equals(session.discoveryAddress()) || session.usesRelays()) {
             return;
         }
-        session.setDiscoveryAddress(to);
+        session.setDiscoveryAddress(newAddress);
         session.list().addressChanged();
         int fetches = closeAllCalls();
         watches.reopen();
@@ -115,24 +116,24 @@
         new Fetch().open("");
     }
 
-    /** Closes all calls; the listener is not called any more. */
+    /** Closes all calls; the listener is not called after this. */
     @Override
     public void close() {
-        watches.setWanted(false);
+        watches.setEnabled(false);
         closeAllCalls();
     }
 
-    /** Returns the version of the current list at each source; empty if none is reported. */
+    /** Returns the version of the current list for each source; empty if the sender reports none. */
     public VersionVector versions() {
         return session.list().versions();
     }
 
-    /** Returns the revision of the current list, as counted by the peer that sent it. */
+    /** Returns the revision of the current list, as reported by its sender. */
     public long revision() {
         return session.list().revision();
     }
 
-    /** Appends metrics of the relays, a {@code name=value} on each line; nothing if no relays are used. */
+    /** Appends metrics of the relays, one {@code name=value} per line; nothing if no relays are used. */
     public void printMetrics(StringBuilder to) {
         if (session.usesRelays()) {
             session.relays().printMetrics(to, session.millisSinceLastResponse());
@@ -152,7 +153,7 @@
 
         @Override
         VersionCheck versionCheck() {
-            // The revisions of different relays have no relation to each other.
+            // The revisions of different relays are unrelated.
             return session.usesRelays() ? VersionCheck.VERSION_VECTOR : VersionCheck.REVISION_AND_VERSION_VECTOR;
         }
 
@@ -179,7 +180,7 @@
 
         @Override
         public void heartbeatReceived() {
-            // A blank line before the list is no response yet.
+            // A blank line before the list does not count as a response.
             if (isAnswered()) {
                 markAnswered();
             }
@@ -192,7 +193,7 @@
 
         @Override
         public void responseOverdue() {
-            // A relay has no queue and may hold a call on purpose.
+            // A relay has no queue and may delay the response on purpose.
             if (!session.usesRelays()) {
                 setOverdue(true);
                 reportFailure(new DiscoveryFailure.ResponseOverdue());
--- a/discovery-client/src/main/java/topazvalve/discovery/client/DiscoveryFailure.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/DiscoveryFailure.java
@@ -1,8 +1,8 @@
 package topazvalve.discovery.client;
 
 /**
- * Why a {@link DiscoveryCall} ended without success. Two failures are equal if they have the same cause, so that a
- * caller can log a repeated cause once.
+ * Why a {@link DiscoveryCall} ended without success. Failures with the same cause are equal, so that a caller can
+ * log a repeated cause only once.
  */
 public sealed interface DiscoveryFailure {
     /** Returns the cause as one line of text for the log. */
@@ -29,7 +29,7 @@
     }
 
     /**
-     * Reading from the connection or handling what was read failed.
+     * Reading from the connection or processing the data failed.
      *
      * @param cause the first line of the exception's text
      */
@@ -68,7 +68,7 @@
         }
     }
 
-    /** No complete update or heartbeat arrived in the time allowed for the first one. */
+    /** No complete update or heartbeat arrived within the response timeout. */
     record ResponseOverdue() implements DiscoveryFailure {
         @Override
         public String message() {
@@ -77,9 +77,9 @@
     }
 
     /**
-     * An established watch delivered neither a complete update nor a heartbeat for some time.
+     * An established watch received neither a complete update nor a heartbeat for some time.
      *
-     * @param idleMillis how long, in milliseconds
+     * @param idleMillis the idle time in milliseconds
      */
     record IdleWatch(long idleMillis) implements DiscoveryFailure {
         @Override
@@ -96,7 +96,7 @@
         }
     }
 
-    /** A full snapshot lists no endpoint although some were known; it is treated as an error of its sender. */
+    /** A full snapshot is empty although endpoints were known before; this is treated as an error of the sender. */
     record EmptySnapshot() implements DiscoveryFailure {
         @Override
         public String message() {
@@ -130,7 +130,7 @@
         }
     }
 
-    /** A heartbeat, which means that nothing has changed, arrived although no update was ever received. */
+    /** A heartbeat, which means that nothing has changed, arrived before any update. */
     record UnexpectedHeartbeat() implements DiscoveryFailure {
         @Override
         public String message() {
--- a/discovery-client/src/main/java/topazvalve/discovery/client/DiscoverySession.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/DiscoverySession.java
@@ -13,8 +13,8 @@
 import topazvalve.policy.UpdateKind;
 
 /**
- * What all calls of one {@link DiscoveryClient} share: the address to call, the state of the endpoint list, the
- * listener, and when a call last succeeded. Used on the event loop only.
+ * The state that all calls of one {@link DiscoveryClient} share: the address to call, the endpoint list, the listener,
+ * and when the last response was received. Used on the event loop only.
  */
 final class DiscoverySession {
     private static final Logger LOG = LoggerFactory.getLogger("discovery");
@@ -22,14 +22,14 @@
     private final EventLoop loop;
     private final EndpointDiscovery.Listener listener;
     private final EndpointListState list;
-    /** Null where the policy decides when to call again after a failure. */
+    /** Null if the policy decides when to call again after a failure. */
     private final AutomaticWatchTiming automaticWatch;
-    /** Null where discovery itself is called. */
+    /** Null if discovery is called directly. */
     private final RelayFailover relays;
 
     private final Set<EndpointCall> calls = new HashSet<>();
     private InetSocketAddress discoveryAddress;
-    /** Null if the last call did not fail. The text is kept, as a record's first equals() loads 70 classes. */
+    /** Null if the last call did not fail. This is the text because the first equals() of a record loads 70 classes. */
     private String lastFailureMessage;
 
     private long lastResponseNanos = System.nanoTime();
@@ -69,7 +69,7 @@
         return relays != null;
     }
 
-    /** Returns the calls that have neither failed nor been closed. */
+    /** Returns the calls that have neither failed nor been closed by {@link EndpointCall#close}. */
     Set<EndpointCall> calls() {
         return calls;
     }
@@ -82,7 +82,7 @@
         discoveryAddress = address;
     }
 
-    /** Returns the address that the next call goes to: the current relay or discovery. */
+    /** Returns the address of the next call: the current relay or discovery. */
     InetSocketAddress callAddress() {
         return relays == null ? discoveryAddress : relays.currentAddress();
     }
@@ -120,7 +120,7 @@
         listener.endpointsUpdated(UpdateKind.DELTA, List.of());
     }
 
-    /** Notifies the listener of a failure, upon which the policy decides when to call again. */
+    /** Notifies the listener of a failure; the policy decides when to call again. */
     void notifyFailed() {
         listener.endpointsUpdated(UpdateKind.FAILED, List.of());
     }
--- a/discovery-client/src/main/java/topazvalve/discovery/client/EndpointCall.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/EndpointCall.java
@@ -9,8 +9,8 @@
 import topazvalve.policy.UpdateKind;
 
 /**
- * A call of a {@link DiscoveryClient}, which is a watch or a fetch: it parses and validates each update, applies it
- * to the list's state and notifies the listener.
+ * A watch or a fetch of a {@link DiscoveryClient}: parses and validates each update, applies it to the state of the
+ * endpoint list and notifies the listener.
  */
 abstract class EndpointCall implements DiscoveryCall.Listener {
     private final DiscoverySession session;
@@ -22,13 +22,13 @@
         this.call = new DiscoveryCall(session.loop(), address, watching, this);
     }
 
-    /** Connects and sends the request with this query, which is empty or starts with a question mark. */
+    /** Connects and sends the request. The query is empty or starts with a question mark. */
     final void open(String query) {
         session.calls().add(this);
         call.open(session.connectTimeoutMillis(), query);
     }
 
-    /** Closes the call; its listener methods are not called any more. */
+    /** Closes the call; its listener methods are not called after this. */
     final void close() {
         session.calls().remove(this);
         call.close();
@@ -44,7 +44,7 @@
         return call.isAnswered();
     }
 
-    /** Returns whether no response came in time, so that another call was made meanwhile. */
+    /** Returns whether the response is overdue. For a watch, another one may have been opened meanwhile. */
     final boolean isOverdue() {
         return overdue;
     }
@@ -86,19 +86,19 @@
         session.notifyUpdated(update.fullSnapshot() ? UpdateKind.FULL : UpdateKind.DELTA, update.endpoints());
     }
 
-    /** Returns whether this is a one-off fetch and not a watch. */
+    /** Returns whether this is a one-off fetch rather than a watch. */
     abstract boolean isFetch();
 
-    /** Returns which versions of the next update have to be checked. */
+    /** Returns which versions of the next update are checked. */
     abstract VersionCheck versionCheck();
 
-    /** Handles a valid message; returns false if the call was closed because another one took its place. */
+    /** Handles a valid message; returns false if the call was closed because another one has replaced it. */
     abstract boolean acceptResponse();
 
     /** Returns whether the current list already contains the changes of this update. */
     abstract boolean isOutdated(EndpointUpdate update);
 
-    /** Called after the version of an update was adopted and before the listener is notified. */
+    /** Called after the version of an update was recorded and before the listener is notified. */
     abstract void updateApplied(EndpointUpdate update);
 
     /** Starts a fetch of the full list. */
--- a/discovery-client/src/main/java/topazvalve/discovery/client/EndpointListState.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/EndpointListState.java
@@ -3,23 +3,23 @@
 import java.util.Optional;
 import topazvalve.discovery.state.VersionVector;
 
-/** The version of the current endpoint list, and which updates may be applied to it. */
+/** The version of the current endpoint list; decides which updates may be applied to it. */
 final class EndpointListState {
     /** Which versions of an update are compared with the current list. */
     enum VersionCheck {
-        /** None, as the update is a later one of a watch that was checked at its start. */
+        /** None, because the first update of the watch was checked already. */
         NONE,
-        /** The versions at each source. */
+        /** The version of each source. */
         VERSION_VECTOR,
-        /** The sender's revision and the versions at each source. */
+        /** The sender's revision and the version of each source. */
         REVISION_AND_VERSION_VECTOR
     }
 
     private long revision;
     private VersionVector versions;
-    /** Whether the list ever had an endpoint. */
+    /** Whether the list has ever contained an endpoint. */
     private boolean populated;
-    /** Whether the list came from another address than the one that is now called. */
+    /** Whether the list came from an address other than the current one. */
     private boolean fromPreviousAddress;
 
     EndpointListState(EndpointUpdate initial) {
@@ -28,23 +28,23 @@
         this.populated = !initial.endpoints().isEmpty();
     }
 
-    /** Returns the sender's version of the list. */
+    /** Returns the revision of the list, as reported by its sender. */
     long revision() {
         return revision;
     }
 
-    /** Returns the version at each source; empty if the sender reports only a revision. */
+    /** Returns the version of each source; empty if the sender reports only a revision. */
     VersionVector versions() {
         return versions;
     }
 
-    /** Records that discovery has another address, whose revisions have no relation to those of the current list. */
+    /** Records that discovery has a new address, whose revisions are unrelated to those of the current list. */
     void addressChanged() {
         revision = 0;
         fromPreviousAddress = true;
     }
 
-    /** Returns why an update must not be applied, or empty if it may. */
+    /** Returns why an update must be rejected; empty if it may be applied. */
     Optional<DiscoveryFailure> validate(EndpointUpdate update, VersionCheck check) {
         if (update.fullSnapshot() && update.endpoints().isEmpty() && populated) {
             return Optional.of(new DiscoveryFailure.EmptySnapshot());
@@ -65,9 +65,9 @@
     }
 
     /**
-     * Takes over the version of an update that is being applied.
+     * Records the version of an update that is being applied.
      *
-     * @return whether a snapshot has to be fetched, as the update is a delta to the list of a previous address
+     * @return whether a snapshot must be fetched, because the update is a delta but the list is from a previous address
      */
     boolean advance(EndpointUpdate update) {
         boolean needsSnapshot = fromPreviousAddress && !update.fullSnapshot();
--- a/discovery-client/src/main/java/topazvalve/discovery/client/EndpointUpdate.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/EndpointUpdate.java
@@ -15,37 +15,36 @@
  * A full snapshot of the endpoint list or a delta to it, as received from discovery or a relay.
  *
  * @param revision the sender's version of the list after the update
- * @param fullSnapshot whether {@code endpoints} is the whole list; otherwise it holds the endpoints that changed
+ * @param fullSnapshot whether {@code endpoints} is the full list; otherwise it contains only the changed endpoints
  * @param endpoints the endpoints, without those that could not be parsed
- * @param versions the version at each source; empty if the sender reports only {@code revision}
+ * @param versions the version of each source; empty if the sender reports only {@code revision}
  */
 public record EndpointUpdate(long revision, boolean fullSnapshot, List<Endpoint> endpoints, VersionVector versions) {
-    /** The state before the first update: no endpoint, revision 0. */
+    /** The state before the first update: no endpoints, revision 0. */
     public static final EndpointUpdate NONE = new EndpointUpdate(0, true, List.of());
 
     private static final Logger LOG = LoggerFactory.getLogger("discovery");
     private static final int DEFAULT_CAPACITY = 1;
 
-    /** Creates an update of a sender that reports only a revision. */
+    /** Creates an update from a sender that reports only a revision. */
     public EndpointUpdate(long revision, boolean fullSnapshot, List<Endpoint> endpoints) {
         this(revision, fullSnapshot, endpoints, VersionVector.NONE);
     }
 
-    /** Returns whether a JSON object has the members that every update has. */
+    /** Returns whether a JSON object has the mandatory members of an update. */
     static boolean isUpdate(JsonNode json) {
         return json.path("rev").isLong() && json.path("targets").isArray();
     }
 
     /**
-     * Parses discovery's JSON. Endpoints that can't be parsed are logged and left out; other missing members get
-     * defaults.
+     * Parses an update. Endpoints that can't be parsed are logged and left out; other missing members get defaults.
      *
      * @throws topazvalve.discovery.state.InvalidVersionException if {@code versions} can't be parsed
      */
     public static EndpointUpdate fromJson(JsonNode json) {
         List<Endpoint> endpoints = new ArrayList<>();
-        for (JsonNode each : json.path("targets")) {
-            Endpoint endpoint = parseEndpoint(each);
+        for (JsonNode target : json.path("targets")) {
+            Endpoint endpoint = parseEndpoint(target);
             if (endpoint != null) {
                 endpoints.add(endpoint);
             }
@@ -78,7 +77,7 @@
                 json.path("boot_ms").asLong());
     }
 
-    /** Returns the status, or null if there is none of this name. */
+    /** Returns the status, or null if the name is unknown. */
     private static EndpointStatus parseStatus(String state) {
         return switch (state) {
             case "SERVING" -> EndpointStatus.READY;
--- a/discovery-client/src/main/java/topazvalve/discovery/client/JsonObjectFramer.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/JsonObjectFramer.java
@@ -5,16 +5,16 @@
 import java.io.IOException;
 
 /**
- * Splits a byte stream into JSON objects by counting braces, so that an object may take one line or, indented,
- * several. A blank line between objects is a heartbeat. Blank lines within an object are not, because an object that
- * never ends would then keep a connection alive.
+ * Splits a byte stream into JSON objects by counting braces, so that an object may span several lines. A blank line
+ * between objects is a heartbeat. Blank lines within an object are not, because otherwise an object that never ends
+ * would keep a connection alive.
  */
 final class JsonObjectFramer {
     private static final int MAX_OBJECT_BYTES = 4 << 20;
-    /** The buffer space that is kept for the next object; enough for changes of a few hundred endpoints. */
+    /** The largest buffer that is kept for the next object; enough for a delta of a few hundred endpoints. */
     static final int RETAINED_BUFFER_BYTES = 64 << 10;
 
-    /** Receives objects and heartbeats in their order. */
+    /** Receives objects and heartbeats in the order of their arrival. */
     interface Handler {
         /** Called with a complete object; returns false if the rest of the input is to be ignored. */
         boolean objectReceived(byte[] json) throws IOException;
@@ -34,16 +34,16 @@
     private int depth;
     private boolean inString;
     private boolean escaped;
-    /** Whether the current line contained an object or a part of one. */
+    /** Whether the current line contains an object or a part of one. */
     private boolean lineHasObject;
 
     /**
      * Consumes all readable bytes and calls the handler.
      *
-     * @throws IOException if an object is too long, there is other text between objects, or the handler throws it
+     * @throws IOException if an object is too long, there is other text between objects, or the handler throws
      */
     void feed(ByteBuf input, Handler handler) throws IOException {
-        // Reading an array is several times faster than reading the buffer byte by byte.
+        // Scanning an array is several times faster than reading the buffer byte by byte.
         byte[] bytes = new byte[input.readableBytes()];
         input.readBytes(bytes);
         int position = 0;
@@ -69,7 +69,7 @@
             return proceed;
         }
         if (next != ' ' && next != '\t' && next != '\r') {
-            throw new IOException("text outside a JSON object");
+            throw new IOException("unexpected text outside a JSON object");
         }
         return true;
     }
@@ -87,7 +87,7 @@
     private byte[] takeObject() {
         byte[] json = object.toByteArray();
         if (object.capacity() > RETAINED_BUFFER_BYTES) {
-            // A large snapshot is followed by small changes: its buffer must not live as long as the watch.
+            // A large snapshot is followed by small deltas, so its buffer is not kept for the lifetime of the watch.
             object = new ObjectBuffer();
         } else {
             object.reset();
@@ -98,12 +98,12 @@
     private void append(byte[] bytes, int from, int to) throws IOException {
         lineHasObject = true;
         if (object.size() + to - from > MAX_OBJECT_BYTES) {
-            throw new IOException("JSON object of over " + MAX_OBJECT_BYTES + " bytes");
+            throw new IOException("JSON object exceeds " + MAX_OBJECT_BYTES + " bytes");
         }
         object.write(bytes, from, to - from);
     }
 
-    /** Advances through an object; returns the position after its last byte, or the end of the input. */
+    /** Scans an object; returns the position after its last byte, or the end of the input. */
     private int scanObject(byte[] bytes, int from) {
         for (int position = from; position < bytes.length; position++) {
             byte next = bytes[position];
--- a/discovery-client/src/main/java/topazvalve/discovery/client/RelayFailover.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/RelayFailover.java
@@ -8,8 +8,8 @@
 import topazvalve.discovery.state.FailoverStateMachine;
 
 /**
- * Runs the timers of a {@link RelaySelector}: when to connect to the next relay after a failure, and when to try to
- * return to the first one. The watches belong to {@link WatchManager}. Used on the event loop only.
+ * Schedules the timers of a {@link RelaySelector}: the reconnect to the next relay after a failure, and the failback
+ * to the first relay. The watches themselves belong to {@link WatchManager}. Used on the event loop only.
  */
 final class RelayFailover {
     private static final Logger LOG = LoggerFactory.getLogger("discovery");
@@ -23,12 +23,12 @@
         this.relays = relays;
     }
 
-    /** Returns the address of the relay that is connected to or followed. */
+    /** Returns the address of the relay that is being connected to or followed. */
     InetSocketAddress currentAddress() {
         return relays.currentAddress();
     }
 
-    /** Starts again at the first relay. */
+    /** Restarts at the first relay. */
     void restart() {
         relays.failover().start();
     }
@@ -38,22 +38,22 @@
         relays.failover().responded();
     }
 
-    /** Records that the first relay has responded to a failback and is the current one. */
+    /** Records that the first relay has responded to a failback and is now the current one. */
     void failedBack() {
         relays.failover().failedBack();
     }
 
-    /** Records that the delay given by {@link #scheduleReconnect} is over and the current relay is connected to. */
+    /** Records that the delay of {@link #scheduleReconnect} is over and the current relay is being connected to. */
     void connecting() {
         relays.failover().connecting();
     }
 
     /**
-     * Records that the current relay has failed and schedules the connect to the next one: without delay, or after a
-     * backoff once all have failed.
+     * Records that the current relay has failed and schedules a connect to the next one: without delay, or after a
+     * backoff once all relays have failed.
      *
      * @param retryAfterMillis the failed relay's Retry-After in milliseconds, 0 if it gave none
-     * @param connect connects to the relay that is current by then
+     * @param connect connects to the relay that is current at that time
      */
     void scheduleReconnect(long retryAfterMillis, Runnable connect) {
         boolean wasFollowing = relays.failover().isFollowing();
@@ -67,19 +67,19 @@
         loop.schedule(connect, next.delayNanos(), TimeUnit.NANOSECONDS);
     }
 
-    /** Schedules an attempt to fail back; its delay is random. */
+    /** Schedules a failback attempt after a random delay. */
     void scheduleFailback(Runnable attempt) {
         loop.schedule(attempt, relays.failover().failbackDelayNanos(), TimeUnit.NANOSECONDS);
     }
 
-    /** Returns the address to fail back to, or null if there is no need to. */
+    /** Returns the address to fail back to, or null if no failback is due. */
     InetSocketAddress failbackAddress() {
         return relays.failover().failback() instanceof FailoverStateMachine.Connect first
                 ? relays.order().get(first.index())
                 : null;
     }
 
-    /** Appends metrics, a {@code name=value} on each line. */
+    /** Appends metrics, one {@code name=value} per line. */
     void printMetrics(StringBuilder to, long millisSinceLastResponse) {
         to.append("list_relay=")
                 .append(RelaySelector.hostAndPort(relays.currentAddress()))
--- a/discovery-client/src/main/java/topazvalve/discovery/client/RelaySelector.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/RelaySelector.java
@@ -10,14 +10,14 @@
 import topazvalve.discovery.state.RendezvousOrder;
 
 /**
- * The relays of a sidecar and which of them it follows.
+ * The relays of a sidecar and the one that it follows.
  *
  * @param order the relays' addresses, in the order in which this sidecar tries them
- * @param failover the state machine that selects one of them, by its index in {@code order}
+ * @param failover the state machine that selects one of them by its index in {@code order}
  */
 public record RelaySelector(List<InetSocketAddress> order, FailoverStateMachine failover) {
     /**
-     * Creates a selector with the order of {@link RendezvousOrder}.
+     * Creates a selector that orders the relays by {@link RendezvousOrder}.
      *
      * @param name the unique name of the sidecar
      * @param addresses the relays' resolved addresses, in any order
@@ -41,7 +41,7 @@
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    /** Returns the address of the relay that is connected to or followed. */
+    /** Returns the address of the relay that is being connected to or followed. */
     InetSocketAddress currentAddress() {
         return order.get(failover.currentIndex());
     }
--- a/discovery-client/src/main/java/topazvalve/discovery/client/WatchManager.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/WatchManager.java
@@ -8,7 +8,7 @@
 import topazvalve.discovery.state.VersionVector;
 
 /**
- * Keeps one watch on the endpoint list open while it is wanted: resubscribes after failures, replaces overdue calls,
+ * Keeps one watch on the endpoint list open while it is enabled: resubscribes after failures, replaces overdue watches,
  * and with relays opens a second watch to fail back to the first relay. Used on the event loop only.
  */
 final class WatchManager {
@@ -16,8 +16,8 @@
 
     private final DiscoverySession session;
     private final Runnable fetchSnapshot;
-    private boolean wanted;
-    /** The watch that is followed or connecting; null between a failure and the next one. */
+    private boolean enabled;
+    /** The watch that is followed or connecting; null between a failure and the next watch. */
     private Watch current;
     /** A watch at the first relay while another relay is followed; null if there is none. */
     private Watch failback;
@@ -32,19 +32,19 @@
         this.fetchSnapshot = fetchSnapshot;
     }
 
-    /** Sets whether a watch is wanted, and closes or opens watches as {@link #reopen} does. */
-    void setWanted(boolean wanted) {
-        this.wanted = wanted;
+    /** Sets whether to keep a watch open, then closes and opens watches as {@link #reopen} does. */
+    void setEnabled(boolean enabled) {
+        this.enabled = enabled;
         reopen();
     }
 
     /**
-     * Closes the current watch and a failback in progress, and opens a new watch if one is wanted. Overdue watches
-     * stay open until they are answered or fail.
+     * Closes the current watch and any failback in progress, and opens a new watch if enabled. Overdue watches stay
+     * open until they are answered or fail.
      */
     void reopen() {
         closeWatches();
-        if (wanted) {
+        if (enabled) {
             if (session.usesRelays()) {
                 session.relays().restart();
             }
@@ -69,20 +69,20 @@
     }
 
     private void reopenCurrent() {
-        if (wanted && current == null) {
+        if (enabled && current == null) {
             openCurrent();
         }
     }
 
     private void connectToNextRelay() {
-        if (wanted && current == null) {
+        if (enabled && current == null) {
             session.relays().connecting();
             openCurrent();
         }
     }
 
     private void tryFailback() {
-        if (!wanted || failback != null) {
+        if (!enabled || failback != null) {
             return;
         }
         InetSocketAddress address = session.relays().failbackAddress();
@@ -103,7 +103,7 @@
         current = watch;
     }
 
-    /** Makes the current watch ignore deltas up to this revision, as a fetched snapshot contains them. */
+    /** Makes the current watch ignore deltas up to this revision, which a fetched snapshot already contains. */
     void ignoreDeltasUpTo(long revision) {
         if (current != null) {
             current.snapshotRevision = revision;
@@ -113,7 +113,7 @@
     private final class Watch extends EndpointCall {
         private static final long NO_SNAPSHOT = -1;
 
-        /** The revision of the last snapshot that was fetched while this watch was the current one. */
+        /** The revision of the last snapshot that was fetched while this watch was current. */
         private long snapshotRevision = NO_SNAPSHOT;
 
         Watch(InetSocketAddress address) {
@@ -143,7 +143,7 @@
 
         @Override
         void updateApplied(EndpointUpdate update) {
-            // The watch itself reports what comes after this update.
+            // Nothing to do: later updates arrive on this watch.
         }
 
         @Override
@@ -165,10 +165,10 @@
             return true;
         }
 
-        /** Becomes the current watch although it is overdue, unless the one opened meanwhile was answered first. */
+        /** Makes this overdue watch the current one, unless its replacement was answered first. */
         private boolean takeOver() {
             boolean replacementAnswered = current != null && current.isAnswered();
-            if (!wanted || replacementAnswered) {
+            if (!enabled || replacementAnswered) {
                 return false;
             }
             replaceCurrent(this);
@@ -197,8 +197,8 @@
         /**
          * {@inheritDoc}
          *
-         * <p>The next watch is opened without backoff: idle watches are no sign of overload, and sidecars whose
-         * watches become idle together notice it spread over the time between two heartbeats.
+         * <p>The next watch is opened without backoff. An idle watch is no sign of overload, and sidecars whose watches
+         * become idle together detect it at times that are spread over a heartbeat interval.
          */
         @Override
         public void watchIdle() {
@@ -213,8 +213,8 @@
         /**
          * {@inheritDoc}
          *
-         * <p>The next watch is opened while this one keeps its place in discovery's queue; the one that is answered
-         * first is followed. Relays have no queue and may hold a call on purpose, so that nothing is done there.
+         * <p>Opens the next watch while this one keeps its place in discovery's queue; the one that is answered first
+         * is followed. Does nothing with relays, which have no queue and may delay the response on purpose.
          */
         @Override
         public void responseOverdue() {
@@ -236,8 +236,8 @@
         }
 
         /**
-         * Arranges for the next watch: with relays the next relay is tried; without, the policy is notified of the
-         * failure and subscribes again, or, where lists are pushed, this manager does so after a backoff.
+         * Arranges for the next watch. With relays, the next relay is tried. Without relays, the policy is notified
+         * and subscribes again, or this manager does so after a backoff if the watch is automatic.
          */
         private void resubscribe(DiscoveryFailure failure, long retryAfterMillis) {
             session.callFailed(failure);
@@ -250,7 +250,7 @@
             } else if (session.automaticWatch() == null) {
                 session.notifyFailed();
             } else if (wasCurrent) {
-                // The policy did not subscribe, so it is not notified and does not call again.
+                // The policy did not subscribe, so it is not notified and does not resubscribe.
                 int backoffMillis = session.automaticWatch().backoffMillis();
                 session.loop().schedule(WatchManager.this::reopenCurrent, backoffMillis, TimeUnit.MILLISECONDS);
             }
--- a/discovery-client/src/main/java/topazvalve/discovery/json/JsonNode.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/json/JsonNode.java
@@ -8,7 +8,7 @@
 
 /**
  * An immutable JSON value (RFC 8259): an object, an array, a string, a number, a boolean or null. The missing node
- * stands for a value that does not exist. Accessors never fail: they return a default if the value is of another
+ * represents a value that does not exist. Accessors never fail: they return a default if the value has another
  * type.
  */
 public final class JsonNode implements Iterable<JsonNode> {
@@ -19,7 +19,7 @@
 
     private final Object value;
 
-    /** Creates a node of a map of nodes, a list of nodes, a {@link String}, {@link Long}, {@link Double} or boolean. */
+    /** Wraps a map of nodes, a list of nodes, a {@link String}, {@link Long}, {@link Double} or {@link Boolean}. */
     JsonNode(Object value) {
         this.value = value;
     }
@@ -32,12 +32,12 @@
         return value instanceof List<?> list ? list : List.of();
     }
 
-    /** Returns a member of an object; the missing node if there is none or this is no object. */
+    /** Returns a member of an object; the missing node if it does not exist or this is not an object. */
     public JsonNode path(String key) {
         return members().get(key) instanceof JsonNode member ? member : MISSING;
     }
 
-    /** Returns whether this is an object with a member of this name, which may be null. */
+    /** Returns whether this is an object with a member of this name, even if its value is null. */
     public boolean has(String key) {
         return members().containsKey(key);
     }
@@ -47,8 +47,8 @@
         return has(key) && !path(key).isNull();
     }
 
-    /** Returns the names of an object's members in document order; empty if this is no object. */
-    @SuppressWarnings("unchecked") // an object's members have names for keys
+    /** Returns the names of an object's members in document order; empty if this is not an object. */
+    @SuppressWarnings("unchecked") // the keys of an object are strings
     public Set<String> keys() {
         return Collections.unmodifiableSet((Set<String>) members().keySet());
     }
@@ -73,7 +73,7 @@
         return value instanceof Number;
     }
 
-    /** Returns whether this is a number without fraction and exponent that fits 64 bits. */
+    /** Returns whether this is a number without fraction or exponent that fits into 64 bits. */
     public boolean isLong() {
         return value instanceof Long;
     }
@@ -90,7 +90,7 @@
 
     /** Iterates over the elements of an array or the members' values of an object. */
     @Override
-    @SuppressWarnings("unchecked") // members and items are nodes
+    @SuppressWarnings("unchecked") // all members and items are nodes
     public Iterator<JsonNode> iterator() {
         return (Iterator<JsonNode>) (isObject() ? members().values() : items()).iterator();
     }
@@ -105,12 +105,12 @@
         return value == null || isNull() || isObject() || isArray() ? defaultValue : value.toString();
     }
 
-    /** Returns a number without its fraction; 0 for other values. */
+    /** Returns a number truncated to an integer; 0 for other values. */
     public long asLong() {
         return asLong(0);
     }
 
-    /** Returns a number without its fraction; the default for other values. */
+    /** Returns a number truncated to an integer; the default for other values. */
     public long asLong(long defaultValue) {
         return value instanceof Number number ? number.longValue() : defaultValue;
     }
--- a/discovery-client/src/main/java/topazvalve/discovery/json/JsonReader.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/json/JsonReader.java
@@ -16,7 +16,7 @@
 
 /**
  * Parses JSON into {@link JsonNode}s with Jackson's streaming parser. Jackson's object mapper is not used, because it
- * costs a starting sidecar 70 ms of CPU time and 700 classes.
+ * adds 70 ms of CPU time and 700 loaded classes to the start of a sidecar.
  */
 public final class JsonReader {
     private static final int MAX_NESTING_DEPTH = 64;
@@ -29,7 +29,7 @@
     private JsonReader() {}
 
     /**
-     * Parses the first value of a text and ignores what follows. An empty text gives the missing node.
+     * Parses the first value of a text and ignores the rest. An empty text gives the missing node.
      *
      * @throws JsonProcessingException if the value is not valid JSON or is nested too deeply
      */
@@ -39,12 +39,12 @@
         } catch (JsonProcessingException e) {
             throw e;
         } catch (IOException e) {
-            throw new UncheckedIOException("cannot read a string in memory", e);
+            throw new UncheckedIOException("unexpected I/O error while reading a string", e);
         }
     }
 
     /**
-     * Parses the first value of a text in UTF-8 and ignores what follows. An empty text gives the missing node.
+     * Parses the first value of a UTF-8 text and ignores the rest. An empty text gives the missing node.
      *
      * @throws IOException if the value is not valid JSON or is nested too deeply
      */
@@ -55,10 +55,10 @@
     }
 
     /**
-     * Parses a text in UTF-8 that has to consist of one value. An empty text gives the missing node.
+     * Parses a UTF-8 text that must consist of exactly one value. An empty text gives the missing node.
      *
-     * @throws IOException if the text is not valid JSON, is nested too deeply, goes on after the value, or an object
-     *     has two members of the same name
+     * @throws IOException if the text is not valid JSON, is nested too deeply, continues after the value, or an object
+     *     has duplicate member names
      */
     public static JsonNode readStrictly(byte[] json) throws IOException {
         try (JsonParser parser = FACTORY.createParser(json)) {
@@ -89,7 +89,7 @@
         };
     }
 
-    /** Returns an integer, as floating-point number if it does not fit 64 bits. */
+    /** Parses an integer, as a floating-point number if it does not fit into 64 bits. */
     private static JsonNode parseInteger(JsonParser parser) throws IOException {
         return parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
                 ? new JsonNode(parser.getDoubleValue())
--- a/discovery-client/src/main/java/topazvalve/discovery/json/package-info.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/json/package-info.java
@@ -1,2 +1,2 @@
-/** A small JSON reader on Jackson's streaming parser, shared by all modules that read JSON when they start. */
+/** A small JSON reader based on Jackson's streaming parser, for modules that read JSON at startup. */
 package topazvalve.discovery.json;
--- a/discovery-client/src/test/java/topazvalve/discovery/client/ArchitectureTest.java
+++ b/discovery-client/src/test/java/topazvalve/discovery/client/ArchitectureTest.java
@@ -7,7 +7,7 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** What the discovery client and its JSON reader may depend on. */
+/** Checks the dependencies of the discovery client and its JSON reader. */
 class ArchitectureTest {
     private static final JavaClasses CLASSES = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
--- a/discovery-client/src/test/java/topazvalve/discovery/client/EndpointListStateTest.java
+++ b/discovery-client/src/test/java/topazvalve/discovery/client/EndpointListStateTest.java
@@ -12,7 +12,7 @@
 import topazvalve.discovery.state.VersionVector;
 import topazvalve.policy.EndpointStatus;
 
-/** Which updates the state of the endpoint list accepts. */
+/** Tests which updates the endpoint list accepts. */
 class EndpointListStateTest {
     private static final List<Endpoint> ONE_ENDPOINT =
             List.of(new Endpoint("s-1", null, "", "", 0, EndpointStatus.READY, 1, 0));
@@ -24,7 +24,7 @@
     private final EndpointListState list = new EndpointListState(snapshot(41, "eu:2.41"));
 
     @Test
-    void anEmptySnapshotIsRejectedOnceTheListHadAnEndpoint() {
+    void emptySnapshotIsRejectedOnceTheListHasContainedAnEndpoint() {
         EndpointUpdate empty = new EndpointUpdate(42, true, List.of());
         assertEquals(Optional.of(new DiscoveryFailure.EmptySnapshot()), list.validate(empty, VersionCheck.NONE));
         EndpointListState neverPopulated = new EndpointListState(EndpointUpdate.NONE);
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void revisionsAndVersionsAreCheckedAsFarAsTheCallAsksForIt() {
+    void onlyTheVersionsThatTheCallerRequestsAreChecked() {
         EndpointUpdate olderRevision = snapshot(40, "");
         EndpointUpdate olderVersions = snapshot(42, "eu:1.900");
         assertEquals(Optional.empty(), list.validate(olderRevision, VersionCheck.VERSION_VECTOR));
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void aDeltaAfterAChangeOfAddressNeedsASnapshotOnce() {
+    void firstDeltaAfterAnAddressChangeRequiresASnapshot() {
         list.addressChanged();
         assertEquals(0, list.revision());
         EndpointUpdate delta = new EndpointUpdate(3, false, ONE_ENDPOINT);
@@ -54,6 +54,7 @@
         assertTrue(list.advance(delta));
         assertFalse(list.advance(delta));
         assertEquals(3, list.revision());
-        assertEquals(VersionVector.parse("eu:2.41"), list.versions(), "sources that the update does not name stay");
+        assertEquals(
+                VersionVector.parse("eu:2.41"), list.versions(), "sources missing from the update keep their versions");
     }
 }
--- a/discovery-client/src/test/java/topazvalve/discovery/client/JsonObjectFramerTest.java
+++ b/discovery-client/src/test/java/topazvalve/discovery/client/JsonObjectFramerTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The buffer of the framer. What it splits is tested through the client, in the sidecar module. */
+/** Tests the buffer of the framer. Splitting is tested through the discovery client, in the sidecar module. */
 class JsonObjectFramerTest {
     private final List<Integer> objectLengths = new ArrayList<>();
     private final JsonObjectFramer framer = new JsonObjectFramer();
@@ -31,13 +31,13 @@
     }
 
     @Test
-    void theBufferOfALargeSnapshotIsReleasedAfterIt() throws IOException {
+    void bufferOfALargeSnapshotIsReleasedAfterwards() throws IOException {
         String snapshot = "{\"targets\":\"" + "x".repeat(900_000) + "\"}";
         feed(snapshot.substring(0, 500_000));
         assertTrue(framer.bufferCapacity() >= 500_000 && framer.isObjectOpen());
         feed(snapshot.substring(500_000) + "\n{\"rev\":2}\n");
         assertEquals(List.of(snapshot.length(), 9), objectLengths);
         int capacity = framer.bufferCapacity();
-        assertTrue(capacity <= JsonObjectFramer.RETAINED_BUFFER_BYTES, capacity + " bytes are kept");
+        assertTrue(capacity <= JsonObjectFramer.RETAINED_BUFFER_BYTES, capacity + " bytes are retained");
     }
 }
