--- a/tcp/src/main/java/topazvalve/tcp/ChannelCloser.java
+++ b/tcp/src/main/java/topazvalve/tcp/ChannelCloser.java
@@ -4,13 +4,13 @@
 import io.netty.channel.ChannelFutureListener;
 import io.netty.channel.ChannelOption;
 
-/** Closes connections in the two ways that a peer can tell apart. */
+/** Closes connections either by a FIN or by a RST. */
 final class ChannelCloser {
-    /** How the peer sees that its connection ends. */
+    /** How a connection is closed, as seen by the peer. */
     enum CloseMode {
-        /** A FIN behind all bytes that were written. */
+        /** A FIN after all bytes that were written. */
         ORDERLY,
-        /** A RST, which also drops what was not sent yet. */
+        /** A RST, which also drops unsent bytes. */
         RESET
     }
 
@@ -19,7 +19,7 @@
 
     private ChannelCloser() {}
 
-    /** Closes {@code channel}; a channel that is not active any more is only closed, never reset. */
+    /** Closes {@code channel}; a channel that is no longer active is closed without a reset. */
     static void close(Channel channel, CloseMode mode) {
         if (mode == CloseMode.RESET && channel.isActive()) {
             resetOnClose(channel);
@@ -27,13 +27,13 @@
         channel.close().addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
     }
 
-    /** Makes every later close of {@code channel} a reset, whoever closes it. */
+    /** Makes any later close of {@code channel} send a RST. */
     static void resetOnClose(Channel channel) {
         channel.config().setOption(ChannelOption.SO_LINGER, LINGER_RESET_SECONDS);
     }
 
-    /** Makes every later close of {@code channel} an orderly one, which is the system's default. */
-    static void endOrderlyOnClose(Channel channel) {
+    /** Makes any later close of {@code channel} send a FIN, which is the default. */
+    static void finOnClose(Channel channel) {
         channel.config().setOption(ChannelOption.SO_LINGER, LINGER_DISABLED);
     }
 }
--- a/tcp/src/main/java/topazvalve/tcp/ClientStream.java
+++ b/tcp/src/main/java/topazvalve/tcp/ClientStream.java
@@ -22,17 +22,16 @@
 import topazvalve.tcp.StreamCounters.RejectReason;
 
 /**
- * The client's side of one stream. It waits for the client's PROXY header where the listener expects one, has
- * the core find a server, and then passes the client's bytes to the {@link StreamSplice}. Bytes that arrive
- * before the stream is open are buffered; beyond the buffer's limit the client is not read from. Confined to
- * the event loop.
+ * The client side of one stream. It waits for the client's PROXY header if the listener expects one, lets the core
+ * select a server, and then passes the client's bytes to the {@link StreamSplice}. Bytes that arrive before the
+ * stream is open are buffered; reading is paused beyond the buffer limit. Confined to the event loop.
  */
-final class ClientStream extends ChannelInboundHandlerAdapter implements ResponseListener<ServerLink> {
+final class ClientStream extends ChannelInboundHandlerAdapter implements ResponseListener<ServerConnection> {
     private static final Logger LOG = LoggerFactory.getLogger("tcp");
     /** How long a client may take to send its PROXY header. */
     private static final long PROXY_HEADER_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(3);
 
-    /** Any state may be followed by CLOSED; the others follow each other in this order. */
+    /** The states in order; CLOSED may follow any other. */
     private enum State {
         AWAITING_PROXY_HEADER,
         OPENING,
@@ -83,11 +82,11 @@
     }
 
     private void awaitProxyHeader() {
-        // The decoder closes the channel itself, at once, when a header is malformed.
+        // The decoder closes the channel itself as soon as a header is malformed.
         if (settings.rejectionMode() == TcpSettings.RejectionMode.RESET) {
             ChannelCloser.resetOnClose(channel);
         } else {
-            ChannelCloser.endOrderlyOnClose(channel);
+            ChannelCloser.finOnClose(channel);
         }
         proxyHeaderTimer = scheduler.schedule(PROXY_HEADER_TIMEOUT_NANOS, () -> {
             if (state == State.AWAITING_PROXY_HEADER) {
@@ -104,7 +103,7 @@
     private void submit(StreamRequest request) {
         state = State.OPENING;
         long submittedId = frontend.submit(request, this);
-        // The core may have rejected or even opened the stream within that call.
+        // The core may have rejected or opened the stream during the call.
         if (state != State.CLOSED) {
             exchangeId = submittedId;
         }
@@ -129,7 +128,7 @@
         StreamRequest request = ProxyHeader.decode(header).orElseGet(this::connectionAddresses);
         header.release();
         if (state == State.AWAITING_PROXY_HEADER) {
-            ChannelCloser.endOrderlyOnClose(channel);
+            ChannelCloser.finOnClose(channel);
             submit(request);
         }
     }
@@ -159,16 +158,16 @@
         }
     }
 
-    /** The connection to a server is up: joins the two connections and forwards what came early. */
+    /** Connects the client to the server with a splice, and forwards the early data. */
     @Override
-    public void responseStarted(ServerLink server, long length, FlowControl flowControl) {
+    public void responseStarted(ServerConnection server, long length, FlowControl flowControl) {
         state = State.OPEN;
         splice = new StreamSplice(
                 scheduler, settings, frontend.budget(), counters, channel, server.channel(), endReason -> {
                     state = State.CLOSED;
                     server.streamEnded(endReason);
                 });
-        server.join(splice);
+        server.attach(splice);
         splice.open();
         if (frontend.isShuttingDown()) {
             splice.drain(settings.drainGraceNanos());
@@ -180,21 +179,21 @@
         server.channel().config().setAutoRead(true);
     }
 
-    /** The process drains: an open stream ends when its grace is over. */
+    /** Ends an open stream after the drain grace, because the process is draining. */
     void drain() {
         if (state == State.OPEN) {
             splice.drain(settings.drainGraceNanos());
         }
     }
 
-    /** The process shuts down: rejects a client whose PROXY header has not come yet. */
+    /** Rejects a client whose PROXY header has not been received yet, because the process is shutting down. */
     void rejectIfAwaitingProxyHeader() {
         if (state == State.AWAITING_PROXY_HEADER) {
             reject(RejectReason.ENDING);
         }
     }
 
-    /** Counts the rejection and closes the connection in the way that the listener is set to. */
+    /** Counts the rejection and closes the connection as the listener is configured. */
     void reject(RejectReason reason) {
         counters.streamRejected(reason);
         state = State.CLOSED;
@@ -212,11 +211,11 @@
         reject(RejectReason.CONNECT_FAILED);
     }
 
-    /** Does nothing: the splice has ended the stream before it completed the attempt. */
+    /** Does nothing, because the splice has ended the stream before it completed the attempt. */
     @Override
     public void responseCompleted() {}
 
-    /** The core has closed the server's connection, which the client sees as a reset. */
+    /** Handles a server connection that was closed by the core: resets the client. */
     @Override
     public void responseAborted() {
         if (state == State.OPEN) {
@@ -225,8 +224,8 @@
     }
 
     @Override
-    public void responseReceived(ServerLink server) {
-        throw new IllegalStateException("a stream's response was received without being started");
+    public void responseReceived(ServerConnection server) {
+        throw new IllegalStateException("received a complete response instead of a stream");
     }
 
     @Override
--- a/tcp/src/main/java/topazvalve/tcp/HalfStream.java
+++ b/tcp/src/main/java/topazvalve/tcp/HalfStream.java
@@ -9,9 +9,9 @@
 import java.util.function.LongConsumer;
 
 /**
- * One direction of a stream, from a sender's connection to a receiver's. It flows until its sender ends, then
- * writes what is still buffered, and has ended when the receiver's half is shut down. The sender is not read
- * from while more than the limit is buffered. Confined to the event loop.
+ * One direction of a stream, from the sender's connection to the receiver's. When the sender ends its half, the
+ * buffered bytes are written and the receiver's half is shut down. Reading from the sender is paused while more
+ * bytes than the limit are buffered. Confined to the event loop.
  */
 final class HalfStream {
     private enum State {
@@ -30,9 +30,9 @@
     private boolean readPaused;
 
     /**
-     * Creates a direction that buffers up to {@code maxBufferedBytes} bytes and what one read brings beyond.
+     * Creates a direction that buffers up to {@code maxBufferedBytes} bytes plus those of one read.
      *
-     * @param onBytesWritten called with the size in bytes of each buffer that the receiver's socket has taken
+     * @param onBytesWritten called with the size in bytes of each buffer that was written to the receiver's socket
      * @param onEnded called once, when the receiver's half is shut down
      */
     HalfStream(
@@ -48,7 +48,7 @@
         this.onEnded = onEnded;
     }
 
-    /** Takes over {@code bytes} and queues them for the receiver; {@link #flush} sends them. */
+    /** Takes ownership of {@code bytes} and queues them for the receiver; {@link #flush} sends them. */
     void write(ByteBuf bytes) {
         if (state != State.FLOWING) {
             bytes.release();
@@ -69,7 +69,7 @@
         }
     }
 
-    /** Reading goes on at half the limit, so that it doesn't stop and start with every write. */
+    /** Resumes reading at half the limit, so that it is not paused and resumed with every write. */
     private void resumeReadingIfDrained() {
         if (readPaused && bufferedBytes <= maxBufferedBytes.getAsInt() / 2 && state == State.FLOWING) {
             readPaused = false;
@@ -82,7 +82,7 @@
         receiver.flush();
     }
 
-    /** Shuts down the receiver's half behind all that was written; further calls do nothing. */
+    /** Shuts down the receiver's half after all queued bytes; further calls do nothing. */
     void end() {
         if (state != State.FLOWING) {
             return;
@@ -102,12 +102,12 @@
         }
     }
 
-    /** Returns whether the receiver got all bytes and the end of its half. */
+    /** Returns whether all bytes were written and the receiver's half is shut down. */
     boolean hasEnded() {
         return state == State.ENDED;
     }
 
-    /** Returns whether the sender is not read from because the receiver is slow. */
+    /** Returns whether reading from the sender is paused because the receiver is slow. */
     boolean isReadPaused() {
         return readPaused;
     }
--- a/tcp/src/main/java/topazvalve/tcp/ProxyHeader.java
+++ b/tcp/src/main/java/topazvalve/tcp/ProxyHeader.java
@@ -16,7 +16,7 @@
 
     private ProxyHeader() {}
 
-    /** Returns the header of {@code version} 1 or 2 for a request; both addresses are of one family, as it demands. */
+    /** Returns the header of {@code version} 1 or 2 for a request, with both addresses of one family, as required. */
     static HAProxyMessage encode(StreamRequest request, int version) {
         boolean ipv6 = isIpv6(request.source()) || isIpv6(request.destination());
         return new HAProxyMessage(
@@ -43,7 +43,7 @@
         return zoneStart < 0 ? address : address.substring(0, zoneStart);
     }
 
-    /** Returns the addresses in a header; empty where it has none (LOCAL, UNKNOWN, unix sockets). */
+    /** Returns the addresses of a header; empty if it has none (LOCAL, UNKNOWN, unix sockets). */
     static Optional<StreamRequest> decode(HAProxyMessage header) {
         if (header.command() != HAProxyCommand.PROXY || header.sourceAddress() == null) {
             return Optional.empty();
@@ -57,7 +57,7 @@
         };
     }
 
-    /** The decoder has checked that {@code address} is numeric, so no name is looked up. */
+    /** Parses an address. The decoder has checked that it is numeric, so that there is no DNS lookup. */
     private static InetSocketAddress socketAddress(String address, int port) {
         try {
             return new InetSocketAddress(InetAddress.getByName(address), port);
--- a/tcp/src/main/java/topazvalve/tcp/ServerConnection.java
+++ b/tcp/src/main/java/topazvalve/tcp/ServerConnection.java
@@ -3,14 +3,14 @@
 import io.netty.channel.Channel;
 import topazvalve.tcp.StreamCounters.EndReason;
 
-/** A connection to a server on which a stream may begin. */
-interface ServerLink {
-    /** Returns the connection; nothing is read from it before the stream begins. */
+/** A connection to a server, ready for one stream. */
+interface ServerConnection {
+    /** Returns the channel; nothing is read from it before the stream is open. */
     Channel channel();
 
-    /** Passes what the server sends to {@code splice} from now on. */
-    void join(StreamSplice splice);
+    /** Passes all data from the server to {@code splice} from now on. */
+    void attach(StreamSplice splice);
 
-    /** Ends the core's attempt and closes the connection, after the stream has ended. */
+    /** Completes the core's attempt and closes the connection. Called when the stream has ended. */
     void streamEnded(EndReason reason);
 }
--- a/tcp/src/main/java/topazvalve/tcp/StreamAdmission.java
+++ b/tcp/src/main/java/topazvalve/tcp/StreamAdmission.java
@@ -10,14 +10,14 @@
 import topazvalve.tcp.StreamCounters.RejectReason;
 
 /**
- * Decides whether a listener's limits admit a further stream, and keeps the admitted ones until their client
- * connections are closed. Confined to the event loop.
+ * Decides whether the limits of a listener admit another stream, and keeps track of admitted streams until their
+ * client connections are closed. Confined to the event loop.
  */
 final class StreamAdmission {
     private final Set<ClientStream> streams = new LinkedHashSet<>();
     private final Map<InetAddress, Integer> streamsPerClient = new HashMap<>();
 
-    /** Returns why a stream of {@code client} has to be rejected now; empty if it may be admitted. */
+    /** Returns why a stream of {@code client} must be rejected; empty if it may be admitted. */
     Optional<RejectReason> check(InetAddress client, TcpSettings settings, boolean shuttingDown) {
         if (shuttingDown) {
             return Optional.of(RejectReason.ENDING);
@@ -31,13 +31,13 @@
         return Optional.empty();
     }
 
-    /** Counts {@code stream} in until it is released. */
+    /** Adds {@code stream} to the admitted streams. */
     void admit(ClientStream stream) {
         streams.add(stream);
         streamsPerClient.merge(stream.clientAddress(), 1, Integer::sum);
     }
 
-    /** Counts {@code stream} out; returns false if it was not admitted. */
+    /** Removes {@code stream} from the admitted streams; returns false if it was not admitted. */
     boolean release(ClientStream stream) {
         if (!streams.remove(stream)) {
             return false;
@@ -51,7 +51,7 @@
         return List.copyOf(streams);
     }
 
-    /** Returns whether no admitted stream is left. */
+    /** Returns whether there are no admitted streams. */
     boolean isEmpty() {
         return streams.isEmpty();
     }
--- a/tcp/src/main/java/topazvalve/tcp/StreamCounters.java
+++ b/tcp/src/main/java/topazvalve/tcp/StreamCounters.java
@@ -8,19 +8,19 @@
 public final class StreamCounters {
     /** Why a stream was rejected. The constants' names are part of the metrics' names. */
     public enum RejectReason {
-        /** The listener has as many streams as it may. */
+        /** The listener has reached its maximum number of streams. */
         STREAMS_FULL,
-        /** The client's address has as many streams as it may. */
+        /** The client's address has reached its maximum number of streams. */
         CLIENT_FULL,
-        /** All servers drain. */
+        /** All servers are draining. */
         NO_SERVER,
-        /** No connection to a server came up in time. */
+        /** No connection to a server was established in time. */
         CONNECT_FAILED,
         /** The PROXY header was malformed. */
         BAD_PROXY_HEADER,
-        /** The PROXY header did not come in time. */
+        /** The PROXY header was not received in time. */
         PROXY_HEADER_LATE,
-        /** The process shuts down. */
+        /** The process is shutting down. */
         ENDING
     }
 
@@ -32,13 +32,13 @@
         CLIENT_RESET,
         /** The server's connection was reset or lost. */
         SERVER_RESET,
-        /** Nothing was sent for the idle timeout. */
+        /** No bytes were sent within the idle timeout. */
         IDLE,
-        /** The stream reached its longest lifetime. */
+        /** The stream reached its maximum lifetime. */
         TOTAL,
-        /** The server or this process drained, and the grace was over. */
+        /** The server or this process was draining, and the drain grace was over. */
         DRAINED,
-        /** The client went away before a server was found. */
+        /** The client disconnected before the stream was open. */
         LEFT_BEFORE_OPEN
     }
 
@@ -64,7 +64,7 @@
         ended.merge(reason, 1L, Long::sum);
     }
 
-    /** An accepted stream's client connection is closed. */
+    /** Records that the client connection of an accepted stream is closed. */
     void streamClosed() {
         openStreams--;
     }
@@ -77,7 +77,7 @@
         bytesToClients += bytes;
     }
 
-    /** Returns the number of streams that were accepted and whose client connection is not closed yet. */
+    /** Returns the number of accepted streams whose client connection is not closed yet. */
     public long openStreams() {
         return openStreams;
     }
--- a/tcp/src/main/java/topazvalve/tcp/StreamRequest.java
+++ b/tcp/src/main/java/topazvalve/tcp/StreamRequest.java
@@ -3,9 +3,9 @@
 import java.net.InetSocketAddress;
 
 /**
- * A stream that is to be opened, with the addresses that a PROXY header passes on to servers.
+ * A request to open a stream, with the addresses that a PROXY header passes to the server.
  *
  * @param source the client's address and port
- * @param destination the address and port to which the client connected
+ * @param destination the address and port that the client connected to
  */
 record StreamRequest(InetSocketAddress source, InetSocketAddress destination) {}
--- a/tcp/src/main/java/topazvalve/tcp/StreamSplice.java
+++ b/tcp/src/main/java/topazvalve/tcp/StreamSplice.java
@@ -9,12 +9,12 @@
 import topazvalve.tcp.StreamCounters.EndReason;
 
 /**
- * An open stream: two connections, and a {@link HalfStream} in each direction. It is closed once and notifies
- * its listener once. An orderly end of one half is passed on as such, a reset as a reset. Confined to the
+ * An open stream: two connections and a {@link HalfStream} in each direction. It is closed once and notifies its
+ * listener once. The end of one half is forwarded as a FIN, a reset as a RST. Confined to the
  * event loop.
  */
 final class StreamSplice {
-    /** How long both peers may take to end their halves after this process has ended them. */
+    /** How long the peers may take to end their halves after this process has shut them down. */
     private static final long LINGER_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     private final Scheduler scheduler;
@@ -30,18 +30,18 @@
     private Scheduler.Timer lifetimeTimer;
     private Scheduler.Timer drainTimer;
     private long lastActivityNanos;
-    /** Why this process is ending both halves; null while it is not. */
+    /** Why this process is ending both halves; null if it is not. */
     private EndReason pendingEndReason;
 
     private boolean closed;
 
-    /** Is notified of the end of a stream. */
+    /** Listens for the end of a stream. */
     interface EndListener {
-        /** The stream has ended and both connections are being closed. */
+        /** Called when the stream has ended and both connections are being closed. */
         void ended(EndReason reason);
     }
 
-    /** Creates the splice of two connections; {@link #open} begins it. */
+    /** Creates the splice of two connections, which {@link #open} starts. */
     StreamSplice(
             Scheduler scheduler,
             TcpSettings settings,
@@ -61,12 +61,12 @@
         toClient = new HalfStream(server, client, this::maxBufferedBytes, this::sentToClient, this::halfEnded);
     }
 
-    /** What a direction may buffer: its own limit, or its quota where many streams are open. */
+    /** Returns the buffer limit of each direction: the configured one, or the budget's quota if that is smaller. */
     private int maxBufferedBytes() {
         return Math.min(settings.maxBufferedBytes(), budget.quotaBytes());
     }
 
-    /** Begins the stream: claims its part of the budget and starts the timers that are set. */
+    /** Starts the stream: registers with the budget and starts the configured timers. */
     void open() {
         budget.register();
         lastActivityNanos = scheduler.now();
@@ -74,7 +74,7 @@
             idleTimer = scheduler.schedule(settings.idleTimeoutNanos(), this::checkIdle);
         }
         if (settings.maxLifetimeNanos() > 0) {
-            lifetimeTimer = scheduler.schedule(settings.maxLifetimeNanos(), () -> endInOrder(EndReason.TOTAL));
+            lifetimeTimer = scheduler.schedule(settings.maxLifetimeNanos(), () -> endGracefully(EndReason.TOTAL));
         }
     }
 
@@ -91,38 +91,38 @@
     private void checkIdle() {
         long idleNanos = scheduler.now() - lastActivityNanos;
         if (idleNanos >= settings.idleTimeoutNanos()) {
-            endInOrder(EndReason.IDLE);
+            endGracefully(EndReason.IDLE);
         } else if (!closed) {
             idleTimer = scheduler.schedule(settings.idleTimeoutNanos() - idleNanos, this::checkIdle);
         }
     }
 
-    /** Takes over {@code bytes} from the client. */
+    /** Takes ownership of {@code bytes}, received from the client. */
     void receivedFromClient(ByteBuf bytes) {
         toServer.write(bytes);
     }
 
-    /** Takes over {@code bytes} from the server. */
+    /** Takes ownership of {@code bytes}, received from the server. */
     void receivedFromServer(ByteBuf bytes) {
         toClient.write(bytes);
     }
 
-    /** One read of the client's connection is complete: sends its bytes on. */
+    /** Flushes the received bytes to the server after a read from the client. */
     void clientReadCompleted() {
         toServer.flush();
     }
 
-    /** One read of the server's connection is complete: sends its bytes on. */
+    /** Flushes the received bytes to the client after a read from the server. */
     void serverReadCompleted() {
         toClient.flush();
     }
 
-    /** The client sends no more. */
+    /** Handles the end of the client's half. */
     void clientEnded() {
         toServer.end();
     }
 
-    /** The server sends no more. */
+    /** Handles the end of the server's half. */
     void serverEnded() {
         toClient.end();
     }
@@ -133,30 +133,31 @@
         }
     }
 
-    /** The client's connection was reset or lost: resets the server's. */
+    /** Handles a client connection that was reset or lost: resets the server connection. */
     void clientReset() {
         EndReason reason = pendingEndReason == null ? EndReason.CLIENT_RESET : pendingEndReason;
         close(reason, CloseMode.ORDERLY, CloseMode.RESET);
     }
 
-    /** The server's connection was reset or lost: resets the client's. */
+    /** Handles a server connection that was reset or lost: resets the client connection. */
     void serverReset() {
         EndReason reason = pendingEndReason == null ? EndReason.SERVER_RESET : pendingEndReason;
         close(reason, CloseMode.RESET, CloseMode.ORDERLY);
     }
 
-    /** The server or this process drains: ends the stream in order after {@code graceNanos}; the first call counts. */
+    /** Ends the stream gracefully after {@code graceNanos}, because the server or this process is draining. Only the
+     * first call has an effect. */
     void drain(long graceNanos) {
         if (drainTimer == null && !closed) {
-            drainTimer = scheduler.schedule(graceNanos, () -> endInOrder(EndReason.DRAINED));
+            drainTimer = scheduler.schedule(graceNanos, () -> endGracefully(EndReason.DRAINED));
         }
     }
 
     /**
-     * Ends both halves behind what is buffered, and discards what still arrives, since a connection that is
-     * closed with unread bytes is reset. A peer that has not taken all its bytes after the linger is reset.
+     * Ends both halves after the buffered bytes, and discards further input, because closing a connection with unread
+     * bytes resets it. A peer that has not received all its bytes after the linger time is reset.
      */
-    private void endInOrder(EndReason reason) {
+    private void endGracefully(EndReason reason) {
         if (closed || pendingEndReason != null) {
             return;
         }
@@ -165,10 +166,10 @@
         toClient.end();
         client.config().setAutoRead(true);
         server.config().setAutoRead(true);
-        scheduler.schedule(LINGER_NANOS, () -> close(reason, closeModeAfter(toClient), closeModeAfter(toServer)));
+        scheduler.schedule(LINGER_NANOS, () -> close(reason, closeModeFor(toClient), closeModeFor(toServer)));
     }
 
-    private static CloseMode closeModeAfter(HalfStream half) {
+    private static CloseMode closeModeFor(HalfStream half) {
         return half.hasEnded() ? CloseMode.ORDERLY : CloseMode.RESET;
     }
 
@@ -193,7 +194,7 @@
         }
     }
 
-    /** Returns whether the client is not read from because the server is slow. */
+    /** Returns whether reading from the client is paused because the server is slow. */
     boolean isClientReadPaused() {
         return toServer.isReadPaused();
     }
--- a/tcp/src/main/java/topazvalve/tcp/TcpCodec.java
+++ b/tcp/src/main/java/topazvalve/tcp/TcpCodec.java
@@ -6,34 +6,34 @@
 import topazvalve.core.pool.PooledConnection;
 import topazvalve.policy.SettingsReader;
 
-/** Carries streams to servers, each on a connection of its own that is never reused. */
-final class TcpCodec implements Codec<StreamRequest, ServerLink> {
+/** Opens a separate server connection for each stream, which is never reused. */
+final class TcpCodec implements Codec<StreamRequest, ServerConnection> {
     private final Supplier<TcpSettings> settings;
 
-    /** Creates a codec whose new connections follow what {@code settings} returns at that moment. */
+    /** Creates a codec; each new connection uses the settings that {@code settings} returns at that time. */
     TcpCodec(Supplier<TcpSettings> settings) {
         this.settings = settings;
     }
 
     @Override
-    public ConnectionHandler<StreamRequest, ServerLink> newConnectionHandler(
-            PooledConnection<StreamRequest, ServerLink> connection) {
+    public ConnectionHandler<StreamRequest, ServerConnection> newConnectionHandler(
+            PooledConnection<StreamRequest, ServerConnection> connection) {
         return new TcpConnectionHandler(settings.get(), connection);
     }
 
-    /** Is never called: an opaque stream has no health check, and the policy is set to send none. */
+    /** Never called: opaque streams have no health checks, and the policy is configured to send none. */
     @Override
     public HealthCheck<StreamRequest> healthCheck() {
-        throw new UnsupportedOperationException("health checks of opaque streams");
+        throw new UnsupportedOperationException("opaque streams have no health checks");
     }
 
-    /** Returns 0, since no connection is reused. */
+    /** Returns 0, because no connection is reused. */
     @Override
     public long reuseDelayNanos() {
         return 0;
     }
 
-    /** Does nothing: the policy's settings don't concern connections of streams. */
+    /** Does nothing, because the policy's settings don't affect connections of streams. */
     @Override
     public void settingsChanged(SettingsReader reader) {}
 }
--- a/tcp/src/main/java/topazvalve/tcp/TcpConnectionHandler.java
+++ b/tcp/src/main/java/topazvalve/tcp/TcpConnectionHandler.java
@@ -19,15 +19,15 @@
 import topazvalve.tcp.StreamCounters.EndReason;
 
 /**
- * The server's side of one stream. To the core, a connection that comes up is the beginning of a response,
- * and the end of the stream is its outcome. Confined to the event loop.
+ * The server side of one stream. For the core, an established connection is the start of a response, and the end
+ * of the stream is the outcome of the attempt. Confined to the event loop.
  */
 final class TcpConnectionHandler extends ChannelInboundHandlerAdapter
-        implements ConnectionHandler<StreamRequest, ServerLink>, ServerLink {
+        implements ConnectionHandler<StreamRequest, ServerConnection>, ServerConnection {
     private static final Logger LOG = LoggerFactory.getLogger("tcp");
-    /** The length of a response that nobody knows beforehand. */
+    /** The length of a response is not known in advance. */
     private static final long UNKNOWN_LENGTH = -1;
-    /** Does nothing: a splice pauses and resumes its two connections itself. */
+    /** Does nothing, because a splice pauses and resumes its two connections itself. */
     private static final FlowControl NO_FLOW_CONTROL = new FlowControl() {
         @Override
         public void pause() {}
@@ -37,13 +37,13 @@
     };
 
     private final TcpSettings settings;
-    private final PooledConnection<StreamRequest, ServerLink> connection;
+    private final PooledConnection<StreamRequest, ServerConnection> connection;
     private Channel channel;
-    private Attempt<StreamRequest, ServerLink> attempt;
+    private Attempt<StreamRequest, ServerConnection> attempt;
     private StreamSplice splice;
 
-    /** Creates the handler of a connection that is about to be made. */
-    TcpConnectionHandler(TcpSettings settings, PooledConnection<StreamRequest, ServerLink> connection) {
+    /** Creates the handler of a connection that is about to be opened. */
+    TcpConnectionHandler(TcpSettings settings, PooledConnection<StreamRequest, ServerConnection> connection) {
         this.settings = settings;
         this.connection = connection;
     }
@@ -58,7 +58,7 @@
     }
 
     @Override
-    public void startAttempt(Attempt<StreamRequest, ServerLink> newAttempt) {
+    public void startAttempt(Attempt<StreamRequest, ServerConnection> newAttempt) {
         attempt = newAttempt;
         newAttempt.writeStarted();
         if (settings.sentProxyHeaderVersion() > 0) {
@@ -81,7 +81,7 @@
     }
 
     @Override
-    public void join(StreamSplice newSplice) {
+    public void attach(StreamSplice newSplice) {
         splice = newSplice;
     }
 
--- a/tcp/src/main/java/topazvalve/tcp/TcpFile.java
+++ b/tcp/src/main/java/topazvalve/tcp/TcpFile.java
@@ -25,7 +25,7 @@
     private static final int MAX_ATTEMPTS = 4;
     private static final int MAX_STREAMS = 1_000_000;
 
-    /** What a listener speaks; others come with other protocols. */
+    /** The protocol of a listener. TCP is the only one so far. */
     enum Protocol {
         TCP
     }
@@ -35,7 +35,7 @@
     /**
      * Reads the file at {@code path}.
      *
-     * @throws topazvalve.toml.InvalidFileException with every problem, if there is any
+     * @throws topazvalve.toml.InvalidFileException with all problems, if there are any
      */
     public static List<TcpSettings> read(Path path) throws IOException {
         return parse(path.toString(), Files.readString(path));
@@ -44,13 +44,13 @@
     /**
      * Reads a file's text; {@code name} stands for the file in messages.
      *
-     * @throws topazvalve.toml.InvalidFileException with every problem, if there is any
+     * @throws topazvalve.toml.InvalidFileException with all problems, if there are any
      */
     public static List<TcpSettings> parse(String name, String text) {
         return TomlFile.parse(name, text, TcpFile::readListeners);
     }
 
-    /** Reads the listeners of a file that may have other tables too; problems are recorded in {@code root}. */
+    /** Reads the listeners of a file that may contain other tables; problems are recorded in {@code root}. */
     public static List<TcpSettings> readListeners(Table root) {
         List<TcpSettings> listeners = new ArrayList<>();
         Set<String> names = new HashSet<>();
@@ -61,14 +61,14 @@
                 table.addProblem("name", "\"" + listener.name() + "\" is given twice");
             }
             if (listener.listen().getPort() != 0 && !addresses.add(listener.listen())) {
-                table.addProblem("listen", "two listeners at one address");
+                table.addProblem("listen", "is already the address of another listener");
             }
             listeners.add(listener);
         }
         return listeners;
     }
 
-    /** Problems are reported in the order in which the keys are read here. */
+    /** Reads one listener. Problems are reported in the order in which the keys are read here. */
     private static TcpSettings readListener(Table table) {
         String name = name(table);
         table.choice(Protocol.class, "protocol", null);
@@ -79,7 +79,7 @@
         long connectTimeoutNanos = table.duration("connect_timeout", "1s", "1ms", "1m");
         long connectDeadlineNanos = table.duration("connect_deadline", "3s", "1ms", "5m");
         if (connectDeadlineNanos < connectTimeoutNanos) {
-            table.addProblem("connect_deadline", "is shorter than connect_timeout: no attempt could use its time");
+            table.addProblem("connect_deadline", "is shorter than connect_timeout; no attempt could use its full time");
         }
         return new TcpSettings(
                 name,
@@ -104,17 +104,17 @@
     private static String name(Table table) {
         String name = table.text("name", null);
         if (!NAME.matcher(name).matches()) {
-            table.addProblem("name", "\"" + name + "\" is not 1 to 32 small letters, digits, - and _");
+            table.addProblem("name", "\"" + name + "\" is not 1 to 32 lowercase letters, digits, - and _");
         }
         return name;
     }
 
     private static void checkServers(Table table, List<InetSocketAddress> servers, List<InetSocketAddress> draining) {
         if (servers.isEmpty()) {
-            table.addProblem("servers", "is empty; at least one address and port");
+            table.addProblem("servers", "is empty; at least one address and port is required");
         }
         if (!servers.containsAll(draining)) {
-            table.addProblem("draining", "names what is not among the servers");
+            table.addProblem("draining", "contains an address that is not in servers");
         }
     }
 
@@ -130,7 +130,7 @@
         return addresses;
     }
 
-    /** Returns a placeholder for text that is not an address, after recording the problem. */
+    /** Parses an address. Records a problem and returns a placeholder if the text is not an address. */
     private static InetSocketAddress address(Table table, String key, String text) {
         InetSocketAddress address = Addresses.parse(text);
         if (address == null) {
--- a/tcp/src/main/java/topazvalve/tcp/TcpFrontend.java
+++ b/tcp/src/main/java/topazvalve/tcp/TcpFrontend.java
@@ -22,7 +22,7 @@
 
 /**
  * Accepts client connections within a listener's limits, and submits each to the core as an exchange that is
- * never repeated. Confined to the event loop.
+ * never retried. Confined to the event loop.
  */
 final class TcpFrontend implements Frontend {
     /** The request class of all streams of a listener. */
@@ -31,10 +31,10 @@
     private static final int NO_TENANT = 0;
     private static final long NO_RESOURCE_KEY = 0;
     private static final long UNKNOWN_COST_NANOS = 0;
-    /** What the core returns for an exchange that was rejected at once. */
+    /** The id that the core returns for an exchange that was rejected immediately. */
     private static final long NO_EXCHANGE = 0;
 
-    private final ExchangeManager<StreamRequest, ServerLink> exchanges;
+    private final ExchangeManager<StreamRequest, ServerConnection> exchanges;
     private final ClassTable requestClasses;
     private final Supplier<TcpSettings> settings;
     private final StreamCounters counters;
@@ -43,9 +43,9 @@
     private final BooleanSupplier shuttingDown;
     private final StreamAdmission admission = new StreamAdmission();
 
-    /** Creates a frontend; every new stream follows what {@code settings} returns at that moment. */
+    /** Creates a frontend; each new stream uses the settings that {@code settings} returns at that time. */
     TcpFrontend(
-            ExchangeManager<StreamRequest, ServerLink> exchanges,
+            ExchangeManager<StreamRequest, ServerConnection> exchanges,
             ClassTable requestClasses,
             Supplier<TcpSettings> settings,
             StreamCounters counters,
@@ -74,7 +74,7 @@
     private void accept(Channel channel) {
         InetSocketAddress remoteAddress = (InetSocketAddress) channel.remoteAddress();
         if (remoteAddress == null) {
-            // The client reset its connection before it was accepted.
+            // The client has reset its connection before it was accepted.
             channel.close();
             return;
         }
@@ -119,7 +119,7 @@
                 stream);
     }
 
-    /** The client of an exchange that has no response yet has gone away. */
+    /** Notifies the core that the client of an exchange without a response has disconnected. */
     void clientDisconnected(long exchangeId) {
         if (exchangeId != NO_EXCHANGE) {
             exchanges.clientDisconnected(exchangeId);
@@ -131,7 +131,7 @@
         return settings.get().draining().size() < settings.get().servers().size();
     }
 
-    /** Returns the bound of the bytes that all streams may buffer. */
+    /** Returns the budget of bytes that all streams together may buffer. */
     ByteBudget budget() {
         return budget;
     }
@@ -141,19 +141,19 @@
         return shuttingDown.getAsBoolean();
     }
 
-    /** The client connection of a stream is closed. */
+    /** Called when the client connection of a stream is closed. */
     void streamClosed(ClientStream stream) {
         if (admission.release(stream)) {
             counters.streamClosed();
         }
     }
 
-    /** Ends the open streams when their grace is over; new ones are still accepted. */
+    /** Ends the open streams after the drain grace; new ones are still accepted. */
     void drain() {
         admission.streams().forEach(ClientStream::drain);
     }
 
-    /** Drains, and rejects the clients whose PROXY header has not come yet. */
+    /** Drains, and rejects clients whose PROXY header has not been received yet. */
     void shutDown() {
         drain();
         admission.streams().forEach(ClientStream::rejectIfAwaitingProxyHeader);
--- a/tcp/src/main/java/topazvalve/tcp/TcpProxy.java
+++ b/tcp/src/main/java/topazvalve/tcp/TcpProxy.java
@@ -19,13 +19,13 @@
 import topazvalve.policy.SidecarPolicy;
 
 /**
- * Proxies the streams of one listener: the core with a policy instance of its own for the listener's servers.
- * All methods are called on the event loop.
+ * Proxies the streams of one listener, by the core with a separate policy instance for the servers of the listener.
+ * All methods must be called on the event loop.
  */
 public final class TcpProxy {
     /**
-     * The policy's settings, times in nanoseconds. The latency objective is the time-out of one connect; a
-     * stream is not idempotent; a server gets half its share while it warms up, for 5 s.
+     * The policy's settings, with times in nanoseconds. The latency objective is the connect timeout, streams are not
+     * idempotent, and a server gets half its share while it warms up, for 5 s.
      */
     private static final String POLICY_SETTINGS = """
             quantum=0
@@ -49,26 +49,26 @@
             profiles.0.stream=true
             """;
 
-    /** The frontend limits the streams instead, by settings that can change while the process runs. */
+    /** The core sets no limit: the frontend limits streams, by settings that can change while the process runs. */
     private static final int UNLIMITED = Integer.MAX_VALUE;
 
     private static final int ENDPOINT_WEIGHT = 1;
     private static final long STARTED_LONG_AGO = 0;
-    /** The zone and machine kind of a server, which the file doesn't give. */
+    /** The zone and machine kind of a server, which are not configured. */
     private static final String UNKNOWN = "";
 
     private final StreamCounters counters = new StreamCounters();
-    private final ExchangeManager<StreamRequest, ServerLink> exchanges;
+    private final ExchangeManager<StreamRequest, ServerConnection> exchanges;
     private final TcpFrontend frontend;
     private TcpSettings settings;
     private EndpointDiscovery discovery;
     private boolean shuttingDown;
 
     /**
-     * Creates a proxy that {@link #start} begins.
+     * Creates a proxy that {@link #start} starts.
      *
-     * @param seed of the policy's random numbers
-     * @param budget bounds the bytes that all streams of the process may buffer
+     * @param seed the seed of the policy's random numbers
+     * @param budget limits the bytes that all streams of the process may buffer
      */
     public TcpProxy(EventLoop loop, TcpSettings settings, long seed, ByteBudget budget) {
         this.settings = settings;
@@ -102,7 +102,9 @@
         exchanges.start(discovery, endpoints(settings));
     }
 
-    /** Each server is a cell of its own: the file says of no two that they fail together. */
+    /**
+     * Returns the servers as endpoints. Each is a cell of its own, because no shared failure domains are configured.
+     */
     private static List<Endpoint> endpoints(TcpSettings settings) {
         List<Endpoint> endpoints = new ArrayList<>();
         for (InetSocketAddress server : settings.servers()) {
@@ -121,7 +123,7 @@
         return endpoints;
     }
 
-    /** Returns the handler that takes over each connection which the listener accepts. */
+    /** Returns the initializer for connections that the listener accepts. */
     public ChannelHandler connectionInitializer() {
         return frontend.connectionInitializer();
     }
@@ -131,35 +133,35 @@
         return settings;
     }
 
-    /** Returns the counters since the start. */
+    /** Returns the counters of this listener. */
     public StreamCounters counters() {
         return counters;
     }
 
-    /** Applies new settings: open streams keep theirs, a server that is no longer listed is removed. */
+    /** Applies new settings: open streams keep theirs, and servers that are no longer listed are removed. */
     public void settingsChanged(TcpSettings newSettings) {
         settings = newSettings;
         exchanges.settingsChanged(policySettings(newSettings));
         discovery.fetch();
     }
 
-    /** Rejects new streams from now on, and ends the open ones when their grace is over. */
+    /** Rejects new streams from now on, and ends the open ones after the drain grace. */
     public void shutDown() {
         shuttingDown = true;
         frontend.shutDown();
     }
 
-    /** Ends the open streams when their grace is over; new ones are still accepted. */
+    /** Ends the open streams after the drain grace; new ones are still accepted. */
     public void drain() {
         frontend.drain();
     }
 
-    /** Returns whether no stream is left. */
+    /** Returns whether there are no streams. */
     public boolean isIdle() {
         return frontend.isIdle();
     }
 
-    /** Appends the listener's metrics, one line each. */
+    /** Appends the listener's metrics, one per line. */
     public void printMetrics(StringBuilder out) {
         counters.print(settings.name(), out);
     }
--- a/tcp/src/main/java/topazvalve/tcp/TcpSettings.java
+++ b/tcp/src/main/java/topazvalve/tcp/TcpSettings.java
@@ -4,26 +4,28 @@
 import java.util.List;
 
 /**
- * The settings of one listener for streams, as the operator's file gives them. {@link TcpFile} maps the file's
+ * The settings of one listener for streams, from the operator's file. {@link TcpFile} maps the file's
  * keys to these names and checks their ranges.
  *
  * @param name identifies the listener in log lines and metrics
- * @param listen the address at which clients connect
+ * @param listen the address that clients connect to
  * @param servers the addresses of the servers
  * @param draining the servers that get no new streams
- * @param connectTimeoutNanos for one attempt to connect, in nanoseconds
- * @param connectDeadlineNanos for all attempts of one stream together, in nanoseconds
- * @param maxAttempts how many servers may be tried for one stream, 1 to 4
- * @param idleTimeoutNanos a stream ends after so many nanoseconds without a byte in either direction; 0 for never
- * @param maxLifetimeNanos a stream ends so many nanoseconds after it opened; 0 for never
- * @param drainGraceNanos how many nanoseconds a stream may go on once its server or this process drains
- * @param maxStreams how many streams the listener may have
- * @param maxStreamsPerClient how many streams one client address may have
- * @param maxBufferedBytes how many bytes of one stream may be buffered in each direction
- * @param keepAlive whether TCP keep-alive is on, on both connections of a stream
- * @param rejectionMode how a client sees that its stream is rejected
- * @param expectProxyHeader whether each client's connection has to begin with a PROXY header
- * @param sentProxyHeaderVersion the version of the PROXY header that servers get; 0 for none
+ * @param connectTimeoutNanos the timeout of one connect attempt, in nanoseconds
+ * @param connectDeadlineNanos the timeout of all connect attempts of one stream together, in nanoseconds
+ * @param maxAttempts the maximum number of servers that are tried for one stream, 1 to 4
+ * @param idleTimeoutNanos the time without bytes in either direction after which a stream ends, in nanoseconds; 0
+ *     for none
+ * @param maxLifetimeNanos the time after its opening at which a stream ends, in nanoseconds; 0 for none
+ * @param drainGraceNanos the time that a stream may continue while its server or this process is draining, in
+ *     nanoseconds
+ * @param maxStreams the maximum number of streams of the listener
+ * @param maxStreamsPerClient the maximum number of streams of one client address
+ * @param maxBufferedBytes the maximum number of buffered bytes in each direction of a stream
+ * @param keepAlive whether TCP keep-alive is enabled on both connections of a stream
+ * @param rejectionMode how the connections of rejected clients are closed
+ * @param expectProxyHeader whether each client connection must begin with a PROXY header
+ * @param sentProxyHeaderVersion the version of the PROXY header that is sent to servers; 0 for none
  */
 public record TcpSettings(
         String name,
@@ -44,11 +46,11 @@
         boolean expectProxyHeader,
         int sentProxyHeaderVersion) {
 
-    /** How a client sees that its stream is rejected. The names are values of the file's key {@code refusal}. */
+    /** How the connection of a rejected client is closed. The names are values of the file's key {@code refusal}. */
     public enum RejectionMode {
-        /** Its connection is reset. */
+        /** By a RST. */
         RESET,
-        /** Its connection is closed in order. */
+        /** By a FIN. */
         CLOSE
     }
 
--- a/tcp/src/test/java/topazvalve/tcp/ListenerTest.java
+++ b/tcp/src/test/java/topazvalve/tcp/ListenerTest.java
@@ -21,13 +21,16 @@
 import topazvalve.tcp.StreamCounters.EndReason;
 import topazvalve.tcp.StreamCounters.RejectReason;
 
-/** A listener's limits, rejections, PROXY headers and ends of streams, each seen from both peers. */
+/** Tests the limits, rejections, PROXY headers and stream ends of a listener, as seen by both peers. */
 @Timeout(60)
 @SuppressWarnings("try") // some resources are opened only to be closed
 class ListenerTest {
     private static final int TIMEOUT_SECONDS = 30;
     private static final int TIMEOUT_MILLIS = 1_000 * TIMEOUT_SECONDS;
 
+    /** The length of a PROXY header of version 2 with IPv4 addresses. */
+    private static final int PROXY_V2_IPV4_BYTES = 28;
+
     private static InetSocketAddress address(ServerSocket server) {
         return new InetSocketAddress("127.0.0.1", server.getLocalPort());
     }
@@ -36,7 +39,7 @@
         return new ServerSocket(0, 100, InetAddress.getByName("127.0.0.1"));
     }
 
-    /** Listens with the given lines in the operator's file, in place of those of the same keys. */
+    /** Starts a listener with these lines in the operator's file, which replace lines with the same keys. */
     private static TestListener listen(ServerSocket server, String... lines) throws Exception {
         UnaryOperator<String> fileEdit = text -> {
             String all = text;
@@ -95,7 +98,7 @@
             write(first, "x");
             assertEquals("x", read(accepted.getInputStream(), 1));
             try (Socket second = client(listener)) {
-                assertEquals(-1, second.getInputStream().read(), "closed in order");
+                assertEquals(-1, second.getInputStream().read(), "closed by a FIN");
             }
             awaitRejected(listener, RejectReason.STREAMS_FULL, 1);
         }
@@ -134,10 +137,10 @@
                                 "PROXY TCP4 192.0.2.7 198.51.100.9 4711 443\r\nhello",
                                 read(accepted.getInputStream(), 49));
                     } else {
-                        byte[] head = accepted.getInputStream().readNBytes(28);
-                        assertEquals("\r\n\r\n\0\r\nQUIT\n", new String(head, 0, 12, StandardCharsets.ISO_8859_1));
-                        assertEquals(0x21, head[12]);
-                        assertEquals((byte) 192, head[16]);
+                        byte[] header = accepted.getInputStream().readNBytes(PROXY_V2_IPV4_BYTES);
+                        assertEquals("\r\n\r\n\0\r\nQUIT\n", new String(header, 0, 12, StandardCharsets.ISO_8859_1));
+                        assertEquals(0x21, header[12]);
+                        assertEquals((byte) 192, header[16]);
                         assertEquals("hello", read(accepted.getInputStream(), 5));
                     }
                 }
@@ -160,12 +163,12 @@
     }
 
     @Test
-    void idleTimeoutAndMaxLifetimeEndStreamsInOrder() throws Exception {
+    void idleTimeoutAndMaxLifetimeEndStreamsGracefully() throws Exception {
         for (EndReason reason : new EndReason[] {EndReason.IDLE, EndReason.TOTAL}) {
             String key = reason == EndReason.IDLE ? "idle" : "total";
             try (ServerSocket server = server();
                     TestListener listener = listen(server, key + " = \"300ms\"")) {
-                // The time runs from the opening of the stream: the client has written by then.
+                // The timeout starts when the stream opens. The client writes before that, so that the byte is in time.
                 CountDownLatch unblock = listener.blockEventLoop();
                 try (Socket client = client(listener)) {
                     write(client, "x");
@@ -182,39 +185,39 @@
     }
 
     @Test
-    void drainingServerKeepsItsStreamsForTheGraceAndGetsNoNewOnes() throws Exception {
+    void drainingServerKeepsItsStreamsDuringTheGraceAndGetsNoNewOnes() throws Exception {
         try (ServerSocket server = server();
                 ServerSocket other = server();
                 TestListener listener = new TestListener(
                         List.of(address(server), address(other)), text -> text + "grace = \"400ms\"\n")) {
             try (Socket one = client(listener);
                     Socket two = client(listener);
-                    Socket acceptedHere = accept(server);
-                    Socket acceptedThere = accept(other)) {
-                // The system accepts before the sidecar does: both streams are open once a byte has come through.
+                    Socket acceptedByDraining = accept(server);
+                    Socket acceptedByOther = accept(other)) {
+                // The kernel accepts connections before the listener does: a stream is open once a byte was forwarded.
                 write(one, "x");
                 write(two, "x");
-                assertEquals("x", read(acceptedHere.getInputStream(), 1));
-                assertEquals("x", read(acceptedThere.getInputStream(), 1));
-                // The event loop reads these bytes right after the drain has begun, so within the grace.
+                assertEquals("x", read(acceptedByDraining.getInputStream(), 1));
+                assertEquals("x", read(acceptedByOther.getInputStream(), 1));
+                // The event loop reads these bytes right after the drain has started, so within the grace.
                 CountDownLatch unblock = listener.blockEventLoop();
-                Future<?> drainBegun = listener.startDraining(List.of(address(server)));
-                write(acceptedHere, "y");
-                write(acceptedThere, "y");
+                Future<?> drainStarted = listener.startDraining(List.of(address(server)));
+                write(acceptedByDraining, "y");
+                write(acceptedByOther, "y");
                 unblock.countDown();
-                drainBegun.sync();
-                assertEquals("y", read(one.getInputStream(), 1), "goes on");
+                drainStarted.sync();
+                assertEquals("y", read(one.getInputStream(), 1), "the stream continues during the grace");
                 assertEquals("y", read(two.getInputStream(), 1));
                 for (int i = 0; i < 5; i++) {
                     client(listener).close();
                     accept(other).close();
                 }
-                assertEquals(-1, acceptedHere.getInputStream().read(), "until the grace is over");
+                assertEquals(-1, acceptedByDraining.getInputStream().read(), "the stream ends after the grace");
                 awaitEnded(listener, EndReason.DRAINED, 1);
-                write(acceptedThere, "z");
+                write(acceptedByOther, "z");
                 assertTrue(
                         one.getInputStream().read() + two.getInputStream().read() == 'z' - 1,
-                        "one has ended, the other goes on");
+                        "one stream has ended, the other continues");
             }
         }
     }
@@ -224,7 +227,7 @@
         try (ServerSocket server = server();
                 TestListener listener = listen(server, "idle = \"2s\"");
                 Socket slow = client(listener);
-                Socket neverRead = accept(server)) {
+                Socket nonReadingServer = accept(server)) {
             slow.setSendBufferSize(32 << 10);
             Thread sender = new Thread(() -> {
                 try {
@@ -245,14 +248,15 @@
                 }
             }
             awaitEnded(listener, EndReason.IDLE, 1);
-            assertReset(neverRead);
+            assertReset(nonReadingServer);
             sender.join(TIMEOUT_MILLIS);
         }
     }
 
     @Test
-    void clientThatResetsBeforeItsStreamOpensIsForgotten() throws Exception {
+    void clientResetBeforeTheStreamOpensIsCounted() throws Exception {
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+            // Fills the accept queue, so that the listener's connection to the server is not established.
             for (int i = 0; i < 8; i++) {
                 Socket filler = new Socket();
                 try {
--- a/tcp/src/test/java/topazvalve/tcp/StreamsTest.java
+++ b/tcp/src/test/java/topazvalve/tcp/StreamsTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import topazvalve.simulation.stream.StreamTrial;
 
-/** Plays many streams under drains, kills, resets and stalls, and compares every byte and every end. */
+/** Runs many streams during drains, kills, resets and stalls of servers, and compares every byte and every end. */
 class StreamsTest {
     private static final int STREAMS = Integer.getInteger("streams", 3_000);
     private static final int CONCURRENT_STREAMS = Integer.getInteger("streams.at.once", 100);
@@ -35,7 +35,7 @@
                     () -> "mismatches: " + result.faults().size());
             assertTrue(result.watched() > STREAMS / 50, "opened while a server drained: " + result.watched());
             assertEquals(0, result.late(), "streams to a drained server");
-            assertTrue(result.broken() > STREAMS / 100, "faults were played");
+            assertTrue(result.broken() > STREAMS / 100, "too few faults: " + result.broken());
             assertTrue(result.refused() <= STREAMS / 100, "refused: " + result.refused());
             long openStreams =
                     listener.awaitCount(StreamCounters::openStreams, count -> count == 0, CLOSE_TIMEOUT_SECONDS);
--- a/tcp/src/test/java/topazvalve/tcp/TcpFileTest.java
+++ b/tcp/src/test/java/topazvalve/tcp/TcpFileTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import topazvalve.toml.InvalidFileException;
 
-/** The operator's file: its defaults, and its problems with their lines and keys. */
+/** Tests the defaults of the operator's file, and the lines and keys of reported problems. */
 class TcpFileTest {
-    private static final String GOOD = """
+    private static final String VALID_FILE = """
             [[listener]]
             name = "a"
             protocol = "tcp"
@@ -22,7 +22,7 @@
 
     @Test
     void omittedKeysHaveTheirDefaults() {
-        TcpSettings settings = TcpFile.parse("o.toml", GOOD).get(0);
+        TcpSettings settings = TcpFile.parse("o.toml", VALID_FILE).get(0);
         assertEquals(2, settings.servers().size());
         assertEquals(600_000_000_000L, settings.idleTimeoutNanos());
         assertEquals(0, settings.maxLifetimeNanos());
@@ -59,7 +59,8 @@
             })
     void invalidKeyIsReportedWithItsLine(String line, String key) {
         String changedKey = line.substring(0, line.indexOf(' '));
-        String text = GOOD.lines()
+        String text = VALID_FILE
+                        .lines()
                         .filter(each -> !each.startsWith(changedKey + " "))
                         .reduce("", (all, each) -> all + each + "\n")
                 + line + "\n";
@@ -75,7 +76,7 @@
     @Test
     void listenersMayNotShareANameOrAnAddress() {
         InvalidFileException invalid =
-                assertThrows(InvalidFileException.class, () -> TcpFile.parse("o.toml", GOOD + GOOD));
+                assertThrows(InvalidFileException.class, () -> TcpFile.parse("o.toml", VALID_FILE + VALID_FILE));
         assertEquals(2, invalid.problems().size(), invalid.getMessage());
     }
 }
--- a/tcp/src/test/java/topazvalve/tcp/TestListener.java
+++ b/tcp/src/test/java/topazvalve/tcp/TestListener.java
@@ -16,9 +16,9 @@
 import java.util.function.UnaryOperator;
 import topazvalve.core.stream.ByteBudget;
 
-/** A listener for streams that runs in this process, on a port that the system picks. */
+/** A listener for streams within the test process, on an ephemeral port. */
 final class TestListener implements AutoCloseable {
-    private static final String FILE = """
+    private static final String FILE_TEMPLATE = """
             [[listener]]
             name = "it"
             protocol = "tcp"
@@ -42,7 +42,7 @@
     private final UnaryOperator<String> fileEdit;
     private final List<InetSocketAddress> servers;
 
-    /** Starts listening, with these servers and with {@code fileEdit} applied to the operator's file. */
+    /** Starts a listener with these servers, and with {@code fileEdit} applied to the operator's file. */
     TestListener(List<InetSocketAddress> servers, UnaryOperator<String> fileEdit) throws Exception {
         this.servers = servers;
         this.fileEdit = fileEdit;
@@ -61,7 +61,7 @@
     }
 
     private TcpSettings settings(List<InetSocketAddress> draining) {
-        return TcpFile.parse("it.toml", fileEdit.apply(FILE.formatted(quoted(servers), quoted(draining))))
+        return TcpFile.parse("it.toml", fileEdit.apply(FILE_TEMPLATE.formatted(quoted(servers), quoted(draining))))
                 .get(0);
     }
 
@@ -73,21 +73,21 @@
                         .toList());
     }
 
-    /** Makes these servers drain, as a reload of the file does. */
+    /** Makes these servers drain, like a reload of the file. */
     void setDraining(List<InetSocketAddress> draining) {
         startDraining(draining).syncUninterruptibly();
     }
 
-    /** Makes these servers drain at the event loop's next turn, before it reads from its sockets. */
+    /** Makes these servers drain in the next iteration of the event loop, before it reads from its sockets. */
     Future<?> startDraining(List<InetSocketAddress> draining) {
         TcpSettings newSettings = settings(draining);
         return loop.submit(() -> proxy.settingsChanged(newSettings));
     }
 
     /**
-     * Keeps the event loop from its sockets, so that all that comes meanwhile meets it in one turn.
+     * Blocks the event loop, so that everything that arrives meanwhile is handled in one iteration.
      *
-     * @return count it down to release the loop
+     * @return the latch that unblocks the loop when it is counted down
      */
     CountDownLatch blockEventLoop() throws InterruptedException {
         CountDownLatch blocked = new CountDownLatch(1);
@@ -109,7 +109,7 @@
         return loop.submit(() -> counter.applyAsLong(proxy.counters())).get();
     }
 
-    /** Waits until a counter meets the condition, or the time is over; returns its last value. */
+    /** Waits until a counter meets the condition or the timeout expires; returns its last value. */
     long awaitCount(ToLongFunction<StreamCounters> counter, LongPredicate condition, int timeoutSeconds)
             throws Exception {
         long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(timeoutSeconds);
