--- a/core/src/main/java/topazvalve/core/exchange/Exchange.java
+++ b/core/src/main/java/topazvalve/core/exchange/Exchange.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Objects;
-import topazvalve.core.metrics.ClassCounters;
+import topazvalve.core.metrics.RequestClassCounters;
 import topazvalve.core.pool.Attempt;
 import topazvalve.core.time.Scheduler;
 
@@ -15,7 +15,7 @@
     final long id;
     final ExchangeRequest<Q> request;
     final ResponseListener<A> listener;
-    final ClassCounters counters;
+    final RequestClassCounters counters;
     private final int maxAttempts;
     /** By attempt number; null for one that was ordered and never started. */
     private final List<Attempt<Q, A>> attempts = new ArrayList<>(1);
@@ -33,7 +33,7 @@
             long id,
             ExchangeRequest<Q> request,
             ResponseListener<A> listener,
-            ClassCounters counters,
+            RequestClassCounters counters,
             int maxAttempts) {
         this.id = id;
         this.request = request;
--- a/core/src/main/java/topazvalve/core/exchange/ExchangeLifecycle.java
+++ b/core/src/main/java/topazvalve/core/exchange/ExchangeLifecycle.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import topazvalve.core.metrics.ClassCounters;
 import topazvalve.core.metrics.Metrics;
+import topazvalve.core.metrics.RequestClassCounters;
 import topazvalve.core.pool.Attempt;
 import topazvalve.core.time.Scheduler;
 import topazvalve.policy.Request;
@@ -50,7 +50,8 @@
 
     @Override
     public long submit(ExchangeRequest<Q> request, ResponseListener<A> listener) {
-        ClassCounters counters = metrics.countersOf(request.requestClass().name());
+        RequestClassCounters counters =
+                metrics.countersOf(request.requestClass().name());
         if (exchanges.size() >= maxExchanges || request.timeoutMillis() <= 0) {
             counters.requestShed();
             listener.rejected(0);
@@ -109,7 +110,7 @@
     /** Sets the timer for an exchange that the policy, against its duty, does not answer by its deadline. */
     private void startTimeout(Exchange<Q, A> exchange) {
         long timeoutNanos = timeoutNanos(exchange);
-        exchange.startTimeout(scheduler.now() + timeoutNanos, scheduler.schedule(timeoutNanos + OVERDUE_NANOS, () -> {
+        exchange.startTimeout(scheduler.nowNanos() + timeoutNanos, scheduler.schedule(timeoutNanos + OVERDUE_NANOS, () -> {
             fail(exchange.id);
             // Reported as a disconnect: for the policy both mean that nobody waits for a response any longer.
             abandon(exchange);
--- a/core/src/main/java/topazvalve/core/exchange/ExchangeManager.java
+++ b/core/src/main/java/topazvalve/core/exchange/ExchangeManager.java
@@ -1,11 +1,11 @@
 package topazvalve.core.exchange;
 
 import java.util.List;
-import topazvalve.core.classes.ClassTable;
 import topazvalve.core.endpoint.Endpoint;
 import topazvalve.core.endpoint.EndpointDiscovery;
 import topazvalve.core.metrics.Metrics;
 import topazvalve.core.pool.Backend;
+import topazvalve.core.requestclass.RequestClassRegistry;
 import topazvalve.core.time.Scheduler;
 import topazvalve.policy.Actions;
 import topazvalve.policy.LoadBalancer;
@@ -32,7 +32,7 @@
 
     private final Backend<Q, A> backend;
     private final Metrics metrics;
-    private final ClassTable classes;
+    private final RequestClassRegistry classes;
     private final PolicyDispatcher dispatcher;
     private final ExchangeLifecycle<Q, A> lifecycle;
     private final PolicyActionExecutor<Q, A> actions;
@@ -52,7 +52,7 @@
             Backend<Q, A> backend,
             int maxExchanges,
             Metrics metrics,
-            ClassTable classes) {
+            RequestClassRegistry classes) {
         this.backend = backend;
         this.metrics = metrics;
         this.classes = classes;
--- a/core/src/main/java/topazvalve/core/exchange/ExchangeRequest.java
+++ b/core/src/main/java/topazvalve/core/exchange/ExchangeRequest.java
@@ -1,6 +1,6 @@
 package topazvalve.core.exchange;
 
-import topazvalve.core.classes.ClassTable;
+import topazvalve.core.requestclass.RequestClassRegistry;
 import topazvalve.core.stream.RequestBody;
 
 /**
@@ -18,7 +18,7 @@
  * @param <Q> request of the protocol
  */
 public record ExchangeRequest<Q>(
-        ClassTable.Entry requestClass,
+        RequestClassRegistry.Entry requestClass,
         int tenant,
         long resourceKey,
         long timeoutMillis,
--- a/core/src/main/java/topazvalve/core/exchange/PolicyActionExecutor.java
+++ b/core/src/main/java/topazvalve/core/exchange/PolicyActionExecutor.java
@@ -44,7 +44,7 @@
         if (exchange == null) {
             return;
         }
-        long now = scheduler.now();
+        long now = scheduler.nowNanos();
         boolean mayStart = exchange.mayStartAttempt(now);
         int number = exchange.addAttempt();
         ExchangeAttempt<Q, A> attempt = new ExchangeAttempt<>(lifecycle, exchange, number, endpoint, now);
@@ -59,7 +59,7 @@
                             attemptTimeoutNanos,
                             attempt));
         } else {
-            attempt.attemptCompleted(Outcome.NEVER_SENT, null, Attempt.NO_LOAD);
+            attempt.attemptCompleted(Outcome.NEVER_SENT, null, Attempt.NO_LOAD_REPORT);
         }
     }
 
@@ -89,13 +89,13 @@
 
     @Override
     public void setTimer(long token, long atNanos) {
-        long delayNanos = Math.max(0, atNanos - scheduler.now());
+        long delayNanos = Math.max(0, atNanos - scheduler.nowNanos());
         scheduler.schedule(delayNanos, () -> dispatcher.dispatch((policy, now) -> policy.timerFired(now, token)));
     }
 
     @Override
     public void sendHealthCheck(long endpoint) {
-        long sentAtNanos = scheduler.now();
+        long sentAtNanos = scheduler.nowNanos();
         backend.sendHealthCheck(
                 endpoint,
                 (outcome, response, loadReport) -> dispatcher.dispatch((policy, now) ->
--- a/core/src/main/java/topazvalve/core/exchange/PolicyDispatcher.java
+++ b/core/src/main/java/topazvalve/core/exchange/PolicyDispatcher.java
@@ -58,7 +58,7 @@
 
     private void deliver(Event event) {
         try {
-            event.deliver(policy, scheduler.now());
+            event.deliver(policy, scheduler.nowNanos());
         } catch (RuntimeException e) {
             reportFault(e);
         }
@@ -80,7 +80,7 @@
 
     /** Returns how many endpoints the policy has ejected now. */
     int ejectedCount() {
-        return policy.ejectedCount(scheduler.now());
+        return policy.ejectedCount(scheduler.nowNanos());
     }
 
     /** Returns how many events have thrown; each one is a fault of this program. */
--- a/core/src/main/java/topazvalve/core/metrics/Metrics.java
+++ b/core/src/main/java/topazvalve/core/metrics/Metrics.java
@@ -21,7 +21,7 @@
         long poolEjected();
     }
 
-    private final Map<String, ClassCounters> countersByClass = new LinkedHashMap<>();
+    private final Map<String, RequestClassCounters> countersByClass = new LinkedHashMap<>();
     private long configsApplied;
     private long configsRejected;
 
@@ -31,8 +31,8 @@
     }
 
     /** Returns the counters of a request class, which are created if there are none. */
-    public ClassCounters countersOf(String className) {
-        return countersByClass.computeIfAbsent(className, unknown -> new ClassCounters());
+    public RequestClassCounters countersOf(String className) {
+        return countersByClass.computeIfAbsent(className, unknown -> new RequestClassCounters());
     }
 
     /** Counts a configuration that was applied. */
--- a/core/src/main/java/topazvalve/core/metrics/ClassCounters.java
+++ b/core/src/main/java/topazvalve/core/metrics/RequestClassCounters.java
@@ -1,13 +1,13 @@
 package topazvalve.core.metrics;
 
 /** The counters of one request class since the process started. */
-public final class ClassCounters {
+public final class RequestClassCounters {
     private long served;
     private long shed;
     private long failed;
     private long attempts;
 
-    ClassCounters() {}
+    RequestClassCounters() {}
 
     /** Counts a request that was served. */
     public void requestServed() {
--- a/core/src/main/java/topazvalve/core/pool/Attempt.java
+++ b/core/src/main/java/topazvalve/core/pool/Attempt.java
@@ -20,7 +20,7 @@
  */
 public final class Attempt<Q, A> {
     /** The load report of an attempt that brought none. */
-    public static final float[] NO_LOAD = {};
+    public static final float[] NO_LOAD_REPORT = {};
 
     private enum State {
         PENDING,
@@ -172,7 +172,7 @@
     public void abort(Outcome outcome) {
         if (!isCompleted()) {
             closeConnection.run();
-            complete(outcome, null, NO_LOAD);
+            complete(outcome, null, NO_LOAD_REPORT);
         }
     }
 
--- a/core/src/main/java/topazvalve/core/pool/AttemptListener.java
+++ b/core/src/main/java/topazvalve/core/pool/AttemptListener.java
@@ -34,7 +34,7 @@
      * was written, or where the endpoint was draining: the server has not run the attempt.
      *
      * @param response the complete response for {@link Outcome#OK}; null for a streamed one and other outcomes
-     * @param loadReport the server's load report; {@link Attempt#NO_LOAD} if there is none
+     * @param loadReport the server's load report; {@link Attempt#NO_LOAD_REPORT} if there is none
      */
     void attemptCompleted(Outcome outcome, A response, float[] loadReport);
 }
--- a/core/src/main/java/topazvalve/core/pool/ConnectionHandler.java
+++ b/core/src/main/java/topazvalve/core/pool/ConnectionHandler.java
@@ -19,8 +19,8 @@
     boolean hasUnexpectedData();
 
     /** Notifies of a draining endpoint: an attempt under way may go on for as long as the protocol allows. */
-    default void draining() {}
+    default void endpointDraining() {}
 
     /** Releases what is held for the connection, which is being closed for whatever reason. */
-    void closing();
+    void connectionClosing();
 }
--- a/core/src/main/java/topazvalve/core/pool/EndpointPool.java
+++ b/core/src/main/java/topazvalve/core/pool/EndpointPool.java
@@ -133,7 +133,7 @@
         for (Attempt<Q, A> attempt : List.copyOf(unwritten)) {
             attempt.abort(Outcome.CONNECT_FAILED);
         }
-        List.copyOf(connections).forEach(PooledConnection::draining);
+        List.copyOf(connections).forEach(PooledConnection::endpointDraining);
     }
 
     /** Closes idle and reserved connections. */
--- a/core/src/main/java/topazvalve/core/pool/PooledConnection.java
+++ b/core/src/main/java/topazvalve/core/pool/PooledConnection.java
@@ -125,9 +125,9 @@
     }
 
     /** Notifies the protocol that the endpoint is draining, if an attempt is under way. */
-    void draining() {
+    void endpointDraining() {
         if (state == State.LEASED) {
-            handler.draining();
+            handler.endpointDraining();
         }
     }
 
@@ -162,7 +162,7 @@
         if (state != State.CLOSED) {
             state = State.CLOSED;
             pool.remove(this);
-            handler.closing();
+            handler.connectionClosing();
         }
         Attempt<Q, A> attempt = reservedFor;
         reservedFor = null;
--- a/core/src/main/java/topazvalve/core/classes/ClassTable.java
+++ b/core/src/main/java/topazvalve/core/requestclass/RequestClassRegistry.java
@@ -1,4 +1,4 @@
-package topazvalve.core.classes;
+package topazvalve.core.requestclass;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -13,7 +13,7 @@
  * name is another class with another number. So a number means one thing for as long as the sidecar runs, and an
  * open request keeps the rules under which it came.
  */
-public final class ClassTable {
+public final class RequestClassRegistry {
     /**
      * A request class that is in force.
      *
--- a/core/src/main/java/topazvalve/core/classes/package-info.java
+++ b/core/src/main/java/topazvalve/core/requestclass/package-info.java
@@ -1,2 +1,2 @@
 /** The request classes, over all configurations that a sidecar has applied. */
-package topazvalve.core.classes;
+package topazvalve.core.requestclass;
--- a/core/src/main/java/topazvalve/core/time/EventLoopScheduler.java
+++ b/core/src/main/java/topazvalve/core/time/EventLoopScheduler.java
@@ -40,7 +40,7 @@
     }
 
     @Override
-    public long now() {
+    public long nowNanos() {
         return System.nanoTime() + epochOffsetNanos;
     }
 
--- a/core/src/main/java/topazvalve/core/time/Scheduler.java
+++ b/core/src/main/java/topazvalve/core/time/Scheduler.java
@@ -6,7 +6,7 @@
  */
 public interface Scheduler {
     /** Returns the nanoseconds since 1970. They never run back and compare with the start times in lists. */
-    long now();
+    long nowNanos();
 
     /** Runs {@code action} once, {@code nanoseconds} from now or later. */
     Timer schedule(long nanoseconds, Runnable action);
--- a/core/src/test/java/topazvalve/core/exchange/ExchangeScenario.java
+++ b/core/src/test/java/topazvalve/core/exchange/ExchangeScenario.java
@@ -8,11 +8,11 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import topazvalve.core.classes.ClassTable;
 import topazvalve.core.endpoint.Endpoint;
 import topazvalve.core.endpoint.EndpointDiscovery;
 import topazvalve.core.exchange.ScenarioEvent.EventType;
 import topazvalve.core.metrics.Metrics;
+import topazvalve.core.requestclass.RequestClassRegistry;
 import topazvalve.core.stream.ByteBudget;
 import topazvalve.core.stream.FlowControl;
 import topazvalve.core.stream.RequestBody;
@@ -39,7 +39,7 @@
 
     private final FakeScheduler scheduler = new FakeScheduler();
     private final FakeBackend backend = new FakeBackend(scheduler);
-    private final ClassTable classes = new ClassTable();
+    private final RequestClassRegistry classes = new RequestClassRegistry();
     private final Idempotency idempotency;
     private final boolean rogue;
     private final ByteBudget budget = new ByteBudget(ByteBudget.MIN_QUOTA_BYTES);
--- a/core/src/test/java/topazvalve/core/exchange/FakeBackend.java
+++ b/core/src/test/java/topazvalve/core/exchange/FakeBackend.java
@@ -66,7 +66,7 @@
 
     @Override
     public void sendHealthCheck(long endpoint, AttemptListener<String, String> listener) {
-        listener.attemptCompleted(Outcome.OK, null, Attempt.NO_LOAD);
+        listener.attemptCompleted(Outcome.OK, null, Attempt.NO_LOAD_REPORT);
     }
 
     @Override
--- a/core/src/test/java/topazvalve/core/exchange/FakeScheduler.java
+++ b/core/src/test/java/topazvalve/core/exchange/FakeScheduler.java
@@ -33,7 +33,7 @@
     private long nextSerial;
 
     @Override
-    public long now() {
+    public long nowNanos() {
         return now;
     }
 
--- a/core/src/test/java/topazvalve/core/classes/ClassTableTest.java
+++ b/core/src/test/java/topazvalve/core/requestclass/RequestClassRegistryTest.java
@@ -1,4 +1,4 @@
-package topazvalve.core.classes;
+package topazvalve.core.requestclass;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -11,8 +11,8 @@
 import topazvalve.policy.RequestClass;
 
 /** The numbers of request classes over several configurations. */
-class ClassTableTest {
-    private final ClassTable table = new ClassTable();
+class RequestClassRegistryTest {
+    private final RequestClassRegistry table = new RequestClassRegistry();
 
     private static RequestClass rules(Idempotency idempotency, long deadlineNanos) {
         return new RequestClass(1, 0, deadlineNanos, 1, 0, idempotency, KeyScope.ALL, 0, false);
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/HollowIncarnation.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/HollowIncarnation.java
@@ -2,11 +2,11 @@
 
 import io.netty.channel.EventLoop;
 import java.util.List;
-import topazvalve.core.classes.ClassTable;
 import topazvalve.core.endpoint.Endpoint;
 import topazvalve.core.endpoint.EndpointDiscovery;
 import topazvalve.core.exchange.ExchangeManager;
 import topazvalve.core.metrics.Metrics;
+import topazvalve.core.requestclass.RequestClassRegistry;
 import topazvalve.core.time.EventLoopScheduler;
 import topazvalve.core.time.Scheduler;
 import topazvalve.discovery.client.DiscoveryClient;
@@ -41,8 +41,8 @@
         }
 
         @Override
-        public long now() {
-            return loopScheduler.now();
+        public long nowNanos() {
+            return loopScheduler.nowNanos();
         }
 
         @Override
@@ -80,7 +80,7 @@
                 new UnusedBackend(),
                 CORES,
                 new Metrics(),
-                new ClassTable());
+                new RequestClassRegistry());
         discovery = new DiscoveryClient(
                 countedLoop,
                 addresses.source(),
--- a/sidecar/src/main/java/topazvalve/sidecar/HttpProxy.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/HttpProxy.java
@@ -3,11 +3,11 @@
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
 import java.util.List;
-import topazvalve.core.classes.ClassTable;
 import topazvalve.core.exchange.ExchangeManager;
 import topazvalve.core.lifecycle.ProcessLifecycle;
 import topazvalve.core.metrics.Metrics;
 import topazvalve.core.pool.ConnectionPools;
+import topazvalve.core.requestclass.RequestClassRegistry;
 import topazvalve.core.stream.ByteBudget;
 import topazvalve.core.time.EventLoopScheduler;
 import topazvalve.core.time.Scheduler;
@@ -43,7 +43,7 @@
             ProcessLifecycle lifecycle,
             ByteBudget budget,
             List<InetSocketAddress> relays) {
-        ClassTable classes = new ClassTable();
+        RequestClassRegistry classes = new RequestClassRegistry();
         Scheduler scheduler = EventLoopScheduler.detectingStalls(loop);
         exchanges = new ExchangeManager<>(
                 scheduler,
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/HttpFrontend.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/HttpFrontend.java
@@ -13,9 +13,9 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import topazvalve.core.Frontend;
-import topazvalve.core.classes.ClassTable;
 import topazvalve.core.exchange.ExchangeHandler;
 import topazvalve.core.lifecycle.ProcessLifecycle;
+import topazvalve.core.requestclass.RequestClassRegistry;
 import topazvalve.core.stream.ByteBudget;
 import topazvalve.core.time.EventLoopScheduler;
 import topazvalve.sidecar.http.UpstreamRequest;
@@ -62,7 +62,7 @@
     public HttpFrontend(
             EventLoop loop,
             ExchangeHandler<UpstreamRequest, UpstreamResponse> exchangeHandler,
-            ClassTable classes,
+            RequestClassRegistry classes,
             List<String> tenantNames,
             int maxConnections,
             ProcessLifecycle lifecycle,
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/RequestReader.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/RequestReader.java
@@ -8,8 +8,8 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
 import java.util.List;
-import topazvalve.core.classes.ClassTable;
 import topazvalve.core.exchange.ExchangeRequest;
+import topazvalve.core.requestclass.RequestClassRegistry;
 import topazvalve.core.stream.RequestBody;
 import topazvalve.policy.Idempotency;
 import topazvalve.sidecar.http.Headers;
@@ -38,7 +38,7 @@
     private static final String CLIENT_RETRY = "Req-Retry";
     private static final String IDEMPOTENCY_KEY = "Idempotency-Key";
 
-    private final ClassTable classes;
+    private final RequestClassRegistry classes;
     private final List<String> tenantNames;
 
     /**
@@ -47,7 +47,7 @@
      * @param classes the request classes in force
      * @param tenantNames the known tenants in the order of their numbers; if empty, requests name none
      */
-    RequestReader(ClassTable classes, List<String> tenantNames) {
+    RequestReader(RequestClassRegistry classes, List<String> tenantNames) {
         this.classes = classes;
         this.tenantNames = tenantNames;
     }
@@ -142,7 +142,7 @@
         if (requiredHeader(head, REQUEST_ID).length() > MAX_REQUEST_ID_CHARS) {
             throw InvalidRequestException.badRequest("Req-Id too long");
         }
-        ClassTable.Entry requestClass = classes.find(requiredHeader(head, REQUEST_CLASS));
+        RequestClassRegistry.Entry requestClass = classes.find(requiredHeader(head, REQUEST_CLASS));
         if (requestClass == null) {
             throw InvalidRequestException.badRequest("unknown Req-Kind");
         }
@@ -181,7 +181,7 @@
     }
 
     /** The client's own limit, but no more than its class allows. */
-    private static long timeoutMillis(HttpRequest head, ClassTable.Entry requestClass) {
+    private static long timeoutMillis(HttpRequest head, RequestClassRegistry.Entry requestClass) {
         return Math.min(
                 wholeNumber(head, Headers.DEADLINE_MILLIS), requestClass.rules().deadlineNanos() / NANOS_PER_MILLI);
     }
--- a/sidecar/src/main/java/topazvalve/sidecar/upstream/HttpConnectionHandler.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/upstream/HttpConnectionHandler.java
@@ -284,7 +284,7 @@
     }
 
     @Override
-    public void closing() {
+    public void connectionClosing() {
         cancelStallCheck();
         cancelStreamingTimer();
     }
--- a/sidecar/src/main/java/topazvalve/sidecar/upstream/LoadReports.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/upstream/LoadReports.java
@@ -41,12 +41,12 @@
         String header = response.headers().get(LOAD_HEADER);
         String report = header == null ? healthCheckBody : header;
         if (report == null || fields.isEmpty()) {
-            return Attempt.NO_LOAD;
+            return Attempt.NO_LOAD_REPORT;
         }
         try {
             return values(JsonReader.read(report));
         } catch (JsonProcessingException e) {
-            return Attempt.NO_LOAD;
+            return Attempt.NO_LOAD_REPORT;
         }
     }
 
@@ -55,11 +55,11 @@
         for (int i = 0; i < values.length; i++) {
             JsonNode value = report.path(fields.get(i));
             if (!value.isNumber()) {
-                return Attempt.NO_LOAD;
+                return Attempt.NO_LOAD_REPORT;
             }
             values[i] = (float) value.asDouble(-1);
             if (!(values[i] >= 0 && values[i] < Float.POSITIVE_INFINITY)) {
-                return Attempt.NO_LOAD;
+                return Attempt.NO_LOAD_REPORT;
             }
         }
         return values;
--- a/sidecar/src/test/java/topazvalve/sidecar/RequestForwardingTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/RequestForwardingTest.java
@@ -13,9 +13,9 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
-import topazvalve.core.classes.ClassTable;
 import topazvalve.core.exchange.ExchangeRequest;
 import topazvalve.core.exchange.ResponseListener;
+import topazvalve.core.requestclass.RequestClassRegistry;
 import topazvalve.core.stream.FlowControl;
 import topazvalve.core.stream.RequestBody;
 import topazvalve.sidecar.http.UpstreamRequest;
@@ -168,7 +168,7 @@
         RequestBody body = RequestBody.of(new byte[1000]);
         CountDownLatch done = new CountDownLatch(1);
         ExchangeRequest<UpstreamRequest> job = new ExchangeRequest<>(
-                new ClassTable.Entry(2, "book", null),
+                new RequestClassRegistry.Entry(2, "book", null),
                 0,
                 0,
                 600_000,
--- a/tcp/src/main/java/topazvalve/tcp/StreamSplice.java
+++ b/tcp/src/main/java/topazvalve/tcp/StreamSplice.java
@@ -69,7 +69,7 @@
     /** Begins the stream: claims its part of the budget and starts the timers that are set. */
     void open() {
         budget.register();
-        lastActivityNanos = scheduler.now();
+        lastActivityNanos = scheduler.nowNanos();
         if (settings.idleTimeoutNanos() > 0) {
             idleTimer = scheduler.schedule(settings.idleTimeoutNanos(), this::checkIdle);
         }
@@ -79,17 +79,17 @@
     }
 
     private void sentToServer(long bytes) {
-        lastActivityNanos = scheduler.now();
+        lastActivityNanos = scheduler.nowNanos();
         counters.bytesSentToServer(bytes);
     }
 
     private void sentToClient(long bytes) {
-        lastActivityNanos = scheduler.now();
+        lastActivityNanos = scheduler.nowNanos();
         counters.bytesSentToClient(bytes);
     }
 
     private void checkIdle() {
-        long idleNanos = scheduler.now() - lastActivityNanos;
+        long idleNanos = scheduler.nowNanos() - lastActivityNanos;
         if (idleNanos >= settings.idleTimeoutNanos()) {
             endInOrder(EndReason.IDLE);
         } else if (!closed) {
--- a/tcp/src/main/java/topazvalve/tcp/TcpConnectionHandler.java
+++ b/tcp/src/main/java/topazvalve/tcp/TcpConnectionHandler.java
@@ -89,7 +89,7 @@
     public void streamEnded(EndReason reason) {
         splice = null;
         Outcome outcome = reason == EndReason.SERVER_RESET ? Outcome.RESET : Outcome.OK;
-        attempt.complete(outcome, null, Attempt.NO_LOAD);
+        attempt.complete(outcome, null, Attempt.NO_LOAD_REPORT);
         connection.close();
     }
 
@@ -100,14 +100,14 @@
     }
 
     @Override
-    public void draining() {
+    public void endpointDraining() {
         if (splice != null) {
             splice.drain(settings.drainGraceNanos());
         }
     }
 
     @Override
-    public void closing() {}
+    public void connectionClosing() {}
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
--- a/tcp/src/main/java/topazvalve/tcp/TcpFrontend.java
+++ b/tcp/src/main/java/topazvalve/tcp/TcpFrontend.java
@@ -12,9 +12,9 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
 import topazvalve.core.Frontend;
-import topazvalve.core.classes.ClassTable;
 import topazvalve.core.exchange.ExchangeManager;
 import topazvalve.core.exchange.ExchangeRequest;
+import topazvalve.core.requestclass.RequestClassRegistry;
 import topazvalve.core.stream.ByteBudget;
 import topazvalve.core.stream.RequestBody;
 import topazvalve.core.time.Scheduler;
@@ -35,7 +35,7 @@
     private static final long NO_EXCHANGE = 0;
 
     private final ExchangeManager<StreamRequest, ServerLink> exchanges;
-    private final ClassTable requestClasses;
+    private final RequestClassRegistry requestClasses;
     private final Supplier<TcpSettings> settings;
     private final StreamCounters counters;
     private final Scheduler scheduler;
@@ -46,7 +46,7 @@
     /** Creates a frontend; every new stream follows what {@code settings} returns at that moment. */
     TcpFrontend(
             ExchangeManager<StreamRequest, ServerLink> exchanges,
-            ClassTable requestClasses,
+            RequestClassRegistry requestClasses,
             Supplier<TcpSettings> settings,
             StreamCounters counters,
             Scheduler scheduler,
--- a/tcp/src/main/java/topazvalve/tcp/TcpProxy.java
+++ b/tcp/src/main/java/topazvalve/tcp/TcpProxy.java
@@ -5,12 +5,12 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import topazvalve.core.classes.ClassTable;
 import topazvalve.core.endpoint.Endpoint;
 import topazvalve.core.endpoint.EndpointDiscovery;
 import topazvalve.core.exchange.ExchangeManager;
 import topazvalve.core.metrics.Metrics;
 import topazvalve.core.pool.ConnectionPools;
+import topazvalve.core.requestclass.RequestClassRegistry;
 import topazvalve.core.stream.ByteBudget;
 import topazvalve.core.time.EventLoopScheduler;
 import topazvalve.core.time.Scheduler;
@@ -72,7 +72,7 @@
      */
     public TcpProxy(EventLoop loop, TcpSettings settings, long seed, ByteBudget budget) {
         this.settings = settings;
-        ClassTable requestClasses = new ClassTable();
+        RequestClassRegistry requestClasses = new RequestClassRegistry();
         Scheduler scheduler = EventLoopScheduler.detectingStalls(loop);
         SettingsReader policySettings = policySettings(settings);
         exchanges = new ExchangeManager<>(
