--- a/policy/src/main/java/topazvalve/policy/AdmissionController.java
+++ b/policy/src/main/java/topazvalve/policy/AdmissionController.java
@@ -9,7 +9,7 @@
         RandomizedRoundRobin rotation,
         OutlierDetector detector,
         ConcurrencyLimiter limiter,
-        TenantQuota queue,
+        TenantQueues queues,
         LoadProbing probing,
         AttemptTracker attempts) {
     private static final int MIN_RESPONSE_TIME_DIVISOR = 2; // of the expected time, for the least that it may take
@@ -24,8 +24,8 @@
             double expectedTime = Math.min(request.expectedTime, request.objective);
             if (first && now + expectedTime / MIN_RESPONSE_TIME_DIVISOR >= request.objectiveAt) {
                 attempts.answer(request);
-            } else if (!queue.isEmpty() || !trySend(now, request)) { // tenant quotas order the queue
-                queue.enqueue(request);
+            } else if (!queues.isEmpty() || !trySend(now, request)) { // tenant quotas order the queue
+                queues.enqueue(request);
                 scheduleQueueExpiry(now, request);
                 drainQueue(now);
             }
@@ -49,14 +49,14 @@
     }
 
     void drainQueue(long now) {
-        queue.drain(now, request -> trySend(now, request));
+        queues.drain(now, request -> trySend(now, request));
     }
 
     private boolean trySend(long now, RequestState request) {
         EndpointState endpoint = limiter.releaseOverdueAndCheckFull(now, request) ? null : pick(now, request);
         if (endpoint != null) {
             attempts.send(now, request, endpoint);
-            queue.requestSent(now, request);
+            queues.requestSent(now, request);
         }
         return endpoint != null;
     }
--- a/policy/src/main/java/topazvalve/policy/AttemptTracker.java
+++ b/policy/src/main/java/topazvalve/policy/AttemptTracker.java
@@ -11,7 +11,7 @@
         ConcurrencyLimiter limiter,
         LoadProbing probing,
         Map<Long, RequestState> requests) {
-    /** No request is retried at a higher shed fraction: a retry would take the place of a first attempt. */
+    /** No request is retried from this shed fraction on: a retry would take the place of a first attempt. */
     private static final double MAX_SHED_FRACTION_FOR_RETRIES = 0.8;
 
     private static final int RETRY_AFTER_DIVISOR = 2; // of the latency objective
--- a/policy/src/main/java/topazvalve/policy/ConcurrencyLimiter.java
+++ b/policy/src/main/java/topazvalve/policy/ConcurrencyLimiter.java
@@ -140,9 +140,9 @@
         if (outcome == Outcome.CONNECT_FAILED) {
             return;
         }
-        boolean early = now <= request.objectiveAt;
-        attempts.add(now, outcome.isAbandoned() && early ? 0 : 1);
-        attemptsInTime.add(now, outcome == Outcome.OK && early ? 1 : 0);
+        boolean inTime = now <= request.objectiveAt;
+        attempts.add(now, outcome.isAbandoned() && inTime ? 0 : 1);
+        attemptsInTime.add(now, outcome == Outcome.OK && inTime ? 1 : 0);
         if (!attempt.started) {
             return;
         }
@@ -152,8 +152,9 @@
             responses.add(now, 1);
             relativeTimes.add(now, responseTime / (GOOD_RESPONSE_FRACTION * request.objective));
         }
-        double normalized = responseTime * estimator.mean(request.request.requestClass()) / request.expectedTime;
-        if (outcome == Outcome.REJECTED || normalized > SLOW_RESPONSE_FRACTION * request.objective) {
+        // What a request of mean cost would have taken.
+        double normalizedTime = responseTime * estimator.mean(request.request.requestClass()) / request.expectedTime;
+        if (outcome == Outcome.REJECTED || normalizedTime > SLOW_RESPONSE_FRACTION * request.objective) {
             if (attempt.sentAt >= endpoint.limitReducedAt) {
                 endpoint.concurrencyLimit =
                         Math.max(MIN_CONCURRENCY_LIMIT, endpoint.concurrencyLimit * LIMIT_DECREASE_FACTOR);
--- a/policy/src/main/java/topazvalve/policy/OutlierDetector.java
+++ b/policy/src/main/java/topazvalve/policy/OutlierDetector.java
@@ -8,7 +8,7 @@
     /** Fraction of the objective. An endpoint that is faster takes all its turns. */
     private static final double FAST_FRACTION = 0.25;
 
-    /** Multiple of the expected time. Machines of one fleet differ about twofold from their mean. */
+    /** The slowdown up to which an endpoint is not slow: machines of one fleet differ about twofold from their mean. */
     private static final double MAX_SLOWDOWN = 2;
 
     /** How steeply the turns of an endpoint fall with its slowdown, relative to the fastest machine kind. */
--- a/policy/src/main/java/topazvalve/policy/RequestClass.java
+++ b/policy/src/main/java/topazvalve/policy/RequestClass.java
@@ -4,7 +4,7 @@
  * A class of requests. Times are in nanoseconds.
  *
  * @param latencyObjectiveNanos the time within which a response earns the full priority weight; above 0
- * @param objectiveStretch how many times its cost hint a request's objective is longer, up to the deadline
+ * @param objectiveStretch the factor of a request's cost hint that its objective is longer by, up to the deadline
  * @param deadlineNanos the time that a client waits at most, over all its own attempts; at least the objective
  * @param priorityWeight the value of a response within the objective; finite, 0 or more
  * @param lateFraction the fraction of the weight that a response between objective and deadline earns
--- a/policy/src/main/java/topazvalve/policy/RequestState.java
+++ b/policy/src/main/java/topazvalve/policy/RequestState.java
@@ -28,7 +28,7 @@
     boolean allCandidatesOverloaded; // the request is then rejected; set by LoadProbing
     boolean bodyArriving;
     boolean bodyNotReplayable;
-    boolean queued; // TenantQuota drops entries whose requests are no longer queued, such as expired ones
+    boolean queued; // TenantQueues drops entries whose requests are no longer queued, such as expired ones
     boolean streaming; // its response has started: no retry, no deadline
     boolean closed; // answered, or its client has disconnected
 
--- a/policy/src/main/java/topazvalve/policy/SidecarPolicy.java
+++ b/policy/src/main/java/topazvalve/policy/SidecarPolicy.java
@@ -27,8 +27,8 @@
         limiter = new ConcurrencyLimiter(context, registry, estimator);
         probing = new LoadProbing(context, registry);
         attempts = new AttemptTracker(context, registry, detector, limiter, probing, new HashMap<>());
-        TenantQuota queue = new TenantQuota(settings, limiter);
-        admission = new AdmissionController(context, registry, rotation, detector, limiter, queue, probing, attempts);
+        TenantQueues queues = new TenantQueues(settings, limiter);
+        admission = new AdmissionController(context, registry, rotation, detector, limiter, queues, probing, attempts);
     }
 
     private void drainQueueAndArmTimer(long now) {
--- a/policy/src/main/java/topazvalve/policy/TenantQueues.java
+++ b/policy/src/main/java/topazvalve/policy/TenantQueues.java
@@ -6,7 +6,7 @@
 import java.util.function.Predicate;
 
 /** The queued requests of all tenants; the tenant that has used the least of its quota goes first. */
-final class TenantQuota {
+final class TenantQueues {
     /** The window of the usage, in multiples of the first class's objective. */
     private static final double USAGE_WINDOW_OBJECTIVES = 4.0;
 
@@ -34,7 +34,7 @@
     private int queued;
     private long round; // counts the calls to drain
 
-    TenantQuota(Settings settings, ConcurrencyLimiter limiter) {
+    TenantQueues(Settings settings, ConcurrencyLimiter limiter) {
         this.limiter = limiter;
         double window =
                 USAGE_WINDOW_OBJECTIVES * settings.requestClasses().get(0).latencyObjectiveNanos();
