--- a/policy/src/main/java/topazvalve/policy/AdmissionController.java
+++ b/policy/src/main/java/topazvalve/policy/AdmissionController.java
@@ -12,7 +12,11 @@
         TenantQueues queues,
         LoadProbing probing,
         AttemptTracker attempts) {
-    private static final int MIN_RESPONSE_TIME_DIVISOR = 2; // of the expected time, for the least that it may take
+    /**
+     * Divisor of the expected time, bounded by the objective. A first request that is likely to be late is rejected,
+     * but not before half of its objective: a class that is never sent could not show that it would be in time by now.
+     */
+    private static final int MIN_RESPONSE_TIME_DIVISOR = 2;
 
     void admit(long now, RequestState request) {
         boolean first = request.attempts.isEmpty();
--- a/policy/src/main/java/topazvalve/policy/ConcurrencyLimiter.java
+++ b/policy/src/main/java/topazvalve/policy/ConcurrencyLimiter.java
@@ -96,6 +96,10 @@
     /**
      * Returns whether the total in-flight count has reached its limit for this request. Before that, attempts that have
      * taken longer than the shortest objective are no longer counted.
+     *
+     * <p>The limit is the number that would be in flight if all recent requests got good responses (Little's law), plus
+     * its square root as room for random variation, plus one. It shrinks as responses take longer. With many sidecars
+     * that have one or two requests in flight at each of many endpoints, the limits per endpoint never bind.
      */
     boolean releaseOverdueAndCheckFull(long now, RequestState request) {
         long oldestCounted = now - estimator.shortestObjective();
@@ -103,7 +107,7 @@
             release(started.poll());
         }
         double slowdown = (relativeTimes.value(now) + 1) / (responses.value(now) + 1);
-        double goodInFlight = requestedTime.rate(now) / Math.max(1, slowdown); // Little's law
+        double goodInFlight = requestedTime.rate(now) / Math.max(1, slowdown);
         double limit = 1 + goodInFlight + Math.sqrt(goodInFlight);
         return totalInFlight >= limit * (isNotOutranked(request) ? 1 : UNRESERVED_FRACTION);
     }
--- a/policy/src/main/java/topazvalve/policy/RequestState.java
+++ b/policy/src/main/java/topazvalve/policy/RequestState.java
@@ -5,7 +5,8 @@
 
 /** One client request, from its arrival until its final answer and the end of its last attempt. */
 final class RequestState {
-    private static final double MIN_EXPECTED_TIME_DIVISOR = 1000.0; // of the objective
+    /** Part of the objective that the expected time is at least; timers at shorter intervals would stop the clock. */
+    private static final double MIN_EXPECTED_TIME_DIVISOR = 1000.0;
 
     /** A queued request expires this many times its expected time before the end of its objective. */
     private static final double QUEUE_EXPIRY_FACTOR = 1.5;
@@ -39,7 +40,7 @@
         this.elapsedBefore = elapsedBefore;
         double stretch = requestClass.objectiveStretch() * request.costHintNanos();
         this.objective = (long) Math.min(requestClass.latencyObjectiveNanos() + stretch, requestClass.deadlineNanos());
-        this.expectedTime = Math.max(objective / MIN_EXPECTED_TIME_DIVISOR, estimatedTime); // bounded for the timers
+        this.expectedTime = Math.max(objective / MIN_EXPECTED_TIME_DIVISOR, estimatedTime);
     }
 
     /** Counts the deadline and the latency objective from now on. */
