--- a/discovery-client/src/main/java/topazvalve/discovery/client/DiscoveryFailure.java
+++ b/discovery-client/src/main/java/topazvalve/discovery/client/DiscoveryFailure.java
@@ -68,7 +68,7 @@
         }
     }
 
-    /** No complete update or heartbeat arrived within the response timeout. */
+    /** No complete update or heartbeat arrived in time. */
     record ResponseOverdue() implements DiscoveryFailure {
         @Override
         public String message() {
--- a/discovery-state/src/test/java/topazvalve/discovery/state/ReplicationModelTest.java
+++ b/discovery-state/src/test/java/topazvalve/discovery/state/ReplicationModelTest.java
@@ -34,7 +34,7 @@
         RELAY_0_RECONNECTS,
         RELAY_1_RECONNECTS,
         RELAY_1_RESTARTS,
-        FOLLOWER_MOVES,
+        FOLLOWER_FAILS_OVER,
         FOLLOWER_RECEIVES
     }
 
@@ -193,7 +193,7 @@
                         followerRequests();
                     }
                 }
-                case FOLLOWER_MOVES -> {
+                case FOLLOWER_FAILS_OVER -> {
                     followedRelay = 1 - followedRelay;
                     followerRequests();
                 }
--- a/tcp/src/main/java/topazvalve/tcp/TcpConnectionHandler.java
+++ b/tcp/src/main/java/topazvalve/tcp/TcpConnectionHandler.java
@@ -25,7 +25,7 @@
 final class TcpConnectionHandler extends ChannelInboundHandlerAdapter
         implements ConnectionHandler<StreamRequest, ServerConnection>, ServerConnection {
     private static final Logger LOG = LoggerFactory.getLogger("tcp");
-    /** The length of a response is not known in advance. */
+    /** The length of a response, which is not known in advance. */
     private static final long UNKNOWN_LENGTH = -1;
     /** Does nothing, because a splice pauses and resumes its two connections itself. */
     private static final FlowControl NO_FLOW_CONTROL = new FlowControl() {
--- a/tcp/src/main/java/topazvalve/tcp/TcpProxy.java
+++ b/tcp/src/main/java/topazvalve/tcp/TcpProxy.java
@@ -19,8 +19,8 @@
 import topazvalve.policy.SidecarPolicy;
 
 /**
- * Proxies the streams of one listener, by the core with a separate policy instance for the servers of the listener.
- * All methods must be called on the event loop.
+ * Proxies the streams of one listener. Each listener has its own instance of the core and of the policy. All methods
+ * must be called on the event loop.
  */
 public final class TcpProxy {
     /**
