--- a/sidecar/src/test/java/topazvalve/sidecar/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/DiscoveryClientTest.java
@@ -2,9 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static topazvalve.sidecar.DiscoveryFixture.CHUNKED;
+import static topazvalve.sidecar.DiscoveryFixture.CHUNKED_RESPONSE_HEAD;
 import static topazvalve.sidecar.DiscoveryFixture.chunk;
-import static topazvalve.sidecar.DiscoveryFixture.entry;
+import static topazvalve.sidecar.DiscoveryFixture.endpointJson;
 
 import java.io.IOException;
 import java.util.List;
@@ -20,10 +20,11 @@
 import topazvalve.policy.UpdateKind;
 import topazvalve.sidecar.DiscoveryFixture.Notification;
 
-/** {@link DiscoveryClient} against a stub of discovery that responds correctly or wrongly, and moves. */
+/** {@link DiscoveryClient} with a stub server: valid and invalid responses, and a change of the address. */
 class DiscoveryClientTest {
-    private static final String HALF_1 = "{\"rev\":43,\"all\":false,\"targets\":[" + entry("DRAINING") + ",";
-    private static final String HALF_2 = "{\"uid\":\"odd\",\"state\":\"???\"}]}\n";
+    private static final String UPDATE_START =
+            "{\"rev\":43,\"all\":false,\"targets\":[" + endpointJson("DRAINING") + ",";
+    private static final String UPDATE_END = "{\"uid\":\"odd\",\"state\":\"???\"}]}\n";
 
     private final DiscoveryFixture fixture = new DiscoveryFixture();
 
@@ -32,19 +33,19 @@
         fixture.close();
     }
 
-    /** An object may take several lines and chunks; blank lines in it and braces in strings have no meaning. */
+    /** An update may span several lines and chunks; neither blank lines nor braces in strings end it. */
     @Test
     void indentedUpdatesAreAcceptedFromAFetchAndAWatch() throws Exception {
         String indented = SidecarFixture.JSON
                 .writerWithDefaultPrettyPrinter()
                 .writeValueAsString(SidecarFixture.JSON.readTree("{\"rev\":43,\"all\":true,\"targets\":["
-                        + entry("DRAINING").replace("\"m\"", "\"m}\\\"{\"") + "]}"))
+                        + endpointJson("DRAINING").replace("\"m\"", "\"m}\\\"{\"") + "]}"))
                 .replace("\n", "\r\n\n");
         try (StubServer stub = new StubServer((socket, head) -> {
             if (!head.contains("watch=1")) {
                 return StubServer.reply(socket, "200 OK", "", indented);
             }
-            StubServer.write(socket, CHUNKED);
+            StubServer.write(socket, CHUNKED_RESPONSE_HEAD);
             for (int i = 0; i < indented.length(); i += 7) {
                 StubServer.write(socket, chunk(indented.substring(i, Math.min(indented.length(), i + 7))));
             }
@@ -57,12 +58,12 @@
             assertEquals(UpdateKind.FULL, list.kind());
             assertEquals("m}\"{", list.endpoints().get(0).machineKind());
             fixture.loop.execute(() -> discovery.watch(true));
-            assertEquals(list, fixture.awaitNotification(), "a watch gives the same as a fetch");
+            assertEquals(list, fixture.awaitNotification(), "the watch delivers the same list as the fetch");
             assertEquals(new Notification(UpdateKind.DELTA, List.of()), fixture.awaitNotification());
         }
     }
 
-    /** With pushed discovery the policy does not subscribe, and is not notified of failures. */
+    /** With pushed discovery the policy neither subscribes nor is notified of failures. */
     @Test
     void pushedDiscoveryResubscribesAfterEveryFailure() throws Exception {
         AtomicInteger calls = new AtomicInteger();
@@ -71,7 +72,9 @@
                 return false;
             }
             StubServer.write(
-                    socket, CHUNKED + chunk("{\"rev\":43,\"all\":true,\"targets\":[" + entry("DRAINING") + "]}\n"));
+                    socket,
+                    CHUNKED_RESPONSE_HEAD
+                            + chunk("{\"rev\":43,\"all\":true,\"targets\":[" + endpointJson("DRAINING") + "]}\n"));
             return true;
         })) {
             DiscoveryClient discovery =
@@ -82,20 +85,20 @@
         }
     }
 
-    /** The responses to a fetch and a watch may cross: deltas from before the snapshot are outdated. */
+    /** A watch may deliver a delta after a fetch has returned a newer full snapshot, which makes it outdated. */
     @Test
     void deltasOlderThanAFetchedSnapshotAreIgnored() throws Exception {
         CountDownLatch fetched = new CountDownLatch(1);
-        String whole = "{\"rev\":45,\"all\":true,\"targets\":[" + entry("DRAINING") + "]}\n";
+        String snapshot = "{\"rev\":45,\"all\":true,\"targets\":[" + endpointJson("DRAINING") + "]}\n";
         try (StubServer stub = new StubServer((socket, head) -> {
             if (!head.contains("watch=1")) {
-                return StubServer.reply(socket, "200 OK", "", whole);
+                return StubServer.reply(socket, "200 OK", "", snapshot);
             }
-            StubServer.write(socket, CHUNKED + chunk("\n"));
+            StubServer.write(socket, CHUNKED_RESPONSE_HEAD + chunk("\n"));
             await(fetched);
             StubServer.write(
                     socket,
-                    chunk("{\"rev\":44,\"all\":false,\"targets\":[" + entry("SERVING") + "]}\n")
+                    chunk("{\"rev\":44,\"all\":false,\"targets\":[" + endpointJson("SERVING") + "]}\n")
                             + chunk("{\"rev\":46,\"all\":false,\"targets\":[]}\n"));
             return true;
         })) {
@@ -108,7 +111,7 @@
             assertEquals(
                     new Notification(UpdateKind.DELTA, List.of()),
                     fixture.awaitNotification(),
-                    "only the delta that is newer");
+                    "only the newer delta is applied");
         }
     }
 
@@ -120,13 +123,14 @@
         }
     }
 
-    /** Updates may be split over chunks, and chunks may hold several. An invalid endpoint is left out. */
+    /** An update may be split over chunks, and a chunk may hold several. An invalid endpoint is left out. */
     @Test
-    void aWatchDeliversEachUpdateAndItsEndIsAFailure() throws Exception {
+    void watchDeliversEachUpdateAndItsEndIsAFailure() throws Exception {
         try (StubServer stub = new StubServer((socket, head) -> {
-            StubServer.write(socket, CHUNKED + chunk("\n") + chunk(HALF_1));
+            StubServer.write(socket, CHUNKED_RESPONSE_HEAD + chunk("\n") + chunk(UPDATE_START));
             StubServer.write(
-                    socket, chunk(HALF_2 + "{\"rev\":44,\"all\":true,\"targets\":[" + entry("SERVING") + "]}\n"));
+                    socket,
+                    chunk(UPDATE_END + "{\"rev\":44,\"all\":true,\"targets\":[" + endpointJson("SERVING") + "]}\n"));
             return false;
         })) {
             DiscoveryClient discovery = fixture.client(stub);
@@ -136,7 +140,7 @@
             assertEquals(
                     new Notification(UpdateKind.DELTA, List.of()),
                     fixture.awaitNotification(),
-                    "a heartbeat: nothing has changed");
+                    "the heartbeat is an empty delta");
             Notification delta = fixture.awaitNotification();
             assertEquals(UpdateKind.DELTA, delta.kind());
             assertEquals(
@@ -151,20 +155,20 @@
             fixture.loop.execute(() -> discovery.watch(true));
             assertTrue(
                     StubServer.awaitNext(stub.receivedHeads).contains("from=44 "),
-                    "resubscribes from the last revision");
+                    "resubscribes from the latest revision");
         }
     }
 
-    /** The policy counts failures for its backoff. */
+    /** The policy counts the failures to compute its backoff. */
     @Test
     void everyFailureIsNotifiedOnce() throws Exception {
         for (String reply : List.of(
                 "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
                 "",
                 "nonsense\r\n\r\n",
-                CHUNKED + chunk("{\"rev\":\n"),
-                CHUNKED + chunk("[]\n"),
-                CHUNKED + chunk("{\"rev\":1,\"targets\":{}}\n"))) {
+                CHUNKED_RESPONSE_HEAD + chunk("{\"rev\":\n"),
+                CHUNKED_RESPONSE_HEAD + chunk("[]\n"),
+                CHUNKED_RESPONSE_HEAD + chunk("{\"rev\":1,\"targets\":{}}\n"))) {
             try (StubServer stub = new StubServer((socket, head) -> {
                 StubServer.write(socket, reply);
                 return false;
@@ -180,24 +184,24 @@
         }
     }
 
-    /** A watch may restart with a lower revision, but a fetch may not give an older snapshot. */
+    /** A watch may restart at a lower revision, but a fetch must not return an older snapshot. */
     @Test
     void emptyAndStaleSnapshotsAreRejected() throws Exception {
         EndpointUpdate known =
                 new EndpointUpdate(41, true, List.of(new Endpoint("s-1", null, "", "", 0, EndpointStatus.READY, 1, 0)));
         String empty = "{\"rev\":42,\"all\":true,\"targets\":[]}\n";
-        String older = "{\"rev\":40,\"all\":true,\"targets\":[" + entry("SERVING") + "]}\n";
+        String older = "{\"rev\":40,\"all\":true,\"targets\":[" + endpointJson("SERVING") + "]}\n";
         for (String line : List.of(empty, older)) {
             try (StubServer stub = new StubServer((socket, head) -> {
-                StubServer.write(socket, CHUNKED + chunk(line));
+                StubServer.write(socket, CHUNKED_RESPONSE_HEAD + chunk(line));
                 return true;
             })) {
                 DiscoveryClient discovery = fixture.client(stub, known);
                 fixture.loop.execute(discovery::fetch);
                 assertEquals(new Notification(UpdateKind.FAILED, List.of()), fixture.awaitNotification(), line);
                 fixture.loop.execute(() -> discovery.watch(true));
-                UpdateKind taken = line.equals(empty) ? UpdateKind.FAILED : UpdateKind.FULL;
-                assertEquals(taken, fixture.awaitNotification().kind(), line);
+                UpdateKind expected = line.equals(empty) ? UpdateKind.FAILED : UpdateKind.FULL;
+                assertEquals(expected, fixture.awaitNotification().kind(), line);
                 fixture.loop.submit(discovery::close).sync();
             }
         }
@@ -205,7 +209,7 @@
 
     @Test
     void snapshotIsFetchedOnce() throws Exception {
-        String body = "{\"rev\":41,\"all\":true,\"targets\":[" + entry("SERVING") + "]}";
+        String body = "{\"rev\":41,\"all\":true,\"targets\":[" + endpointJson("SERVING") + "]}";
         try (StubServer stub = new StubServer((socket, head) -> StubServer.reply(socket, "200 OK", "", body))) {
             DiscoveryClient discovery = fixture.client(stub);
             fixture.loop.execute(discovery::fetch);
@@ -218,24 +222,24 @@
         }
     }
 
-    /** The list of the new address is accepted whatever its revision; the old watch is closed. */
+    /** The list from the new address is accepted whatever its revision, and the old watch is closed. */
     @Test
     void changedAddressResubscribesFromZeroAndClosesTheOldWatch() throws Exception {
-        StubServer.Responder silent = (socket, head) -> {
-            StubServer.write(socket, CHUNKED + chunk("{\"rev\":50,\"all\":true,\"targets\":[]}\n"));
+        StubServer.Responder oldResponder = (socket, head) -> {
+            StubServer.write(socket, CHUNKED_RESPONSE_HEAD + chunk("{\"rev\":50,\"all\":true,\"targets\":[]}\n"));
             return true;
         };
-        String whole = "{\"rev\":3,\"all\":true,\"targets\":[" + entry("SERVING") + "]}\n";
-        try (StubServer old = new StubServer(silent);
+        String snapshot = "{\"rev\":3,\"all\":true,\"targets\":[" + endpointJson("SERVING") + "]}\n";
+        try (StubServer old = new StubServer(oldResponder);
                 StubServer next = new StubServer((socket, head) -> {
-                    StubServer.write(socket, CHUNKED + chunk(whole));
+                    StubServer.write(socket, CHUNKED_RESPONSE_HEAD + chunk(snapshot));
                     return true;
                 })) {
             DiscoveryClient discovery = fixture.client(old);
             fixture.loop.execute(() -> discovery.watch(true));
             assertEquals(UpdateKind.FULL, fixture.awaitNotification().kind());
             fixture.loop.execute(() -> discovery.changeAddress(next.address()));
-            assertEquals("end", StubServer.awaitNext(old.closedConnections), "the old watch is closed");
+            assertEquals("closed", StubServer.awaitNext(old.closedConnections), "the old watch is closed");
             assertTrue(StubServer.awaitNext(next.receivedHeads)
                     .startsWith("GET /discovery/hosts?watch=1&from=0 HTTP/1.1"));
             Notification list = fixture.awaitNotification();
@@ -247,16 +251,17 @@
         }
     }
 
-    /** A delta does not tell which endpoints of the old address are gone, so that the snapshot is fetched too. */
+    /** A delta does not list the endpoints that only the old address knew, so the full snapshot is fetched as well. */
     @Test
     void deltaFromAChangedAddressIsFollowedByAFetchOfTheSnapshot() throws Exception {
-        String whole = "{\"rev\":3,\"all\":true,\"targets\":[" + entry("SERVING") + "]}";
+        String snapshot = "{\"rev\":3,\"all\":true,\"targets\":[" + endpointJson("SERVING") + "]}";
         try (StubServer old = new StubServer((socket, head) -> true);
                 StubServer next = new StubServer((socket, head) -> {
                     if (!head.contains("watch=1")) {
-                        return StubServer.reply(socket, "200 OK", "", whole);
+                        return StubServer.reply(socket, "200 OK", "", snapshot);
                     }
-                    StubServer.write(socket, CHUNKED + chunk("{\"rev\":3,\"all\":false,\"targets\":[]}\n"));
+                    StubServer.write(
+                            socket, CHUNKED_RESPONSE_HEAD + chunk("{\"rev\":3,\"all\":false,\"targets\":[]}\n"));
                     return true;
                 })) {
             DiscoveryClient discovery = fixture.client(old);
--- a/sidecar/src/test/java/topazvalve/sidecar/DiscoveryFixture.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/DiscoveryFixture.java
@@ -15,14 +15,14 @@
 import topazvalve.discovery.client.RelaySelector;
 import topazvalve.policy.UpdateKind;
 
-/** An event loop with discovery clients whose notifications a test can await, and what stubs of discovery send. */
+/** Runs discovery clients on an event loop, records their notifications, and builds responses of stub servers. */
 final class DiscoveryFixture implements AutoCloseable {
-    /** The headers of a response to a watch; chunks follow. */
-    static final String CHUNKED = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    /** The head of a response to a watch; chunks follow. */
+    static final String CHUNKED_RESPONSE_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
     private static final InetSocketAddress UNUSED_ADDRESS = new InetSocketAddress("127.0.0.1", 1);
 
-    /** What the policy is notified of. */
+    /** One notification to the policy. */
     record Notification(UpdateKind kind, List<Endpoint> endpoints) {}
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -34,8 +34,8 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    /** Returns the JSON of an endpoint in this state. */
-    static String entry(String state) {
+    /** Returns the JSON of an endpoint with this state. */
+    static String endpointJson(String state) {
         return SidecarFixture.endpointJson("s-1", "127.0.0.1:9", state).toString();
     }
 
@@ -43,21 +43,20 @@
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    /** Sends one heartbeat on each watch and then nothing more; adds the times before them, in nanoseconds. */
-    static StubServer.Responder oneHeartbeat(BlockingQueue<Long> sentNanos) {
+    /** Sends one heartbeat on each watch and nothing more; adds the time before each, as of {@link System#nanoTime}. */
+    static StubServer.Responder sendingOneHeartbeat(BlockingQueue<Long> sentNanos) {
         return (socket, head) -> {
             sentNanos.add(System.nanoTime());
-            StubServer.write(socket, CHUNKED + chunk("\n"));
+            StubServer.write(socket, CHUNKED_RESPONSE_HEAD + chunk("\n"));
             return true;
         };
     }
 
-    /** Waits for the next notification. */
     Notification awaitNotification() throws InterruptedException {
         return StubServer.awaitNext(notifications);
     }
 
-    /** Returns a client that knows an empty list of revision 41. */
+    /** Returns a client that starts with an empty endpoint list of revision 41. */
     DiscoveryClient client(StubServer stub) {
         return client(stub, new EndpointUpdate(41, true, List.of()));
     }
@@ -70,7 +69,7 @@
         return new DiscoveryClient(loop, stub.address(), known, pushed, this::addNotification);
     }
 
-    /** Returns a client that follows relays. */
+    /** Returns a client that calls relays instead of discovery. */
     DiscoveryClient client(EndpointUpdate known, RelaySelector relays) {
         return new DiscoveryClient(loop, UNUSED_ADDRESS, known, null, relays, this::addNotification);
     }
--- a/sidecar/src/test/java/topazvalve/sidecar/DiscoveryRelaysTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/DiscoveryRelaysTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static topazvalve.sidecar.DiscoveryFixture.CHUNKED;
+import static topazvalve.sidecar.DiscoveryFixture.CHUNKED_RESPONSE_HEAD;
 import static topazvalve.sidecar.DiscoveryFixture.chunk;
-import static topazvalve.sidecar.DiscoveryFixture.oneHeartbeat;
+import static topazvalve.sidecar.DiscoveryFixture.sendingOneHeartbeat;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -26,7 +26,7 @@
 import topazvalve.sidecar.DiscoveryFixture.Notification;
 import topazvalve.toml.InvalidFileException;
 
-/** {@link DiscoveryClient} with relays: failover, the versions that it sends and checks, and the operators' file. */
+/** {@link DiscoveryClient} with relays: failover, the versions that it sends and checks, and the operator file. */
 class DiscoveryRelaysTest {
     private final DiscoveryFixture fixture = new DiscoveryFixture();
 
@@ -40,22 +40,22 @@
                 + SidecarFixture.endpointJson("s-1", "127.0.0.1:9", state) + "]}\n");
     }
 
-    /** A relay that responds to each request with this update. */
-    private static StubServer relaySending(String line) {
+    /** Starts a relay that responds to each request with this chunk. */
+    private static StubServer relaySending(String chunk) {
         return new StubServer((socket, head) -> {
-            StubServer.write(socket, CHUNKED + line);
+            StubServer.write(socket, CHUNKED_RESPONSE_HEAD + chunk);
             return true;
         });
     }
 
     private DiscoveryClient subscribedClient(EndpointUpdate known, StubServer... relays) {
         List<InetSocketAddress> order = new ArrayList<>();
-        for (StubServer each : relays) {
-            order.add(each.address());
+        for (StubServer relay : relays) {
+            order.add(relay.address());
         }
-        RelaySelector of =
+        RelaySelector selector =
                 new RelaySelector(order, RelaySelector.of("n", order, 1).failover());
-        DiscoveryClient discovery = fixture.client(known, of);
+        DiscoveryClient discovery = fixture.client(known, selector);
         fixture.loop.execute(() -> discovery.watch(true));
         return discovery;
     }
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void aRelayWithAnOlderListIsSkipped() throws Exception {
+    void relayWithAnOlderListIsSkipped() throws Exception {
         try (StubServer first = relaySending(update(900, true, "eu:2.900", "DRAINING"));
                 StubServer older = relaySending(update(899, true, "eu:2.899", "SERVING"));
                 StubServer third = relaySending(update(5, false, "eu:3.5", "SERVING"))) {
@@ -86,7 +86,7 @@
             assertEquals(
                     UpdateKind.DELTA,
                     fixture.awaitNotification().kind(),
-                    "the update of the third relay, not the second");
+                    "the update of the third relay, not that of the second");
             StubServer.awaitNext(older.receivedHeads);
             assertEquals(
                     VersionVector.parse("eu:3.5"),
@@ -95,56 +95,56 @@
     }
 
     @Test
-    void anIdleRelayIsLeftForTheNext() throws Exception {
+    void failsOverFromAnIdleRelay() throws Exception {
         BlockingQueue<Long> heartbeatNanos = new LinkedBlockingQueue<>();
-        try (StubServer silent = new StubServer(oneHeartbeat(heartbeatNanos));
+        try (StubServer silent = new StubServer(sendingOneHeartbeat(heartbeatNanos));
                 StubServer next = relaySending(chunk("\n"))) {
             subscribedClient(EndpointUpdate.NONE, silent, next);
             assertEquals(UpdateKind.DELTA, fixture.awaitNotification().kind());
             StubServer.awaitNext(next.receivedHeads);
             assertTrue(
                     System.nanoTime() - heartbeatNanos.remove() >= TimeUnit.SECONDS.toNanos(2),
-                    "not before a heartbeat was missed");
-            assertEquals("end", StubServer.awaitNext(silent.closedConnections));
+                    "not before a heartbeat was overdue");
+            assertEquals("closed", StubServer.awaitNext(silent.closedConnections));
         }
     }
 
     @Test
-    void aRelayThatRespondsWithRetryAfterIsSkipped() throws Exception {
-        try (StubServer full = new StubServer((socket, head) ->
+    void relayThatRespondsWithRetryAfterIsSkipped() throws Exception {
+        try (StubServer overloaded = new StubServer((socket, head) ->
                         StubServer.reply(socket, "503 Service Unavailable", "Retry-After: 2\r\n", ""));
                 StubServer next = relaySending(update(41, true, "eu:1.41", "SERVING"))) {
-            subscribedClient(EndpointUpdate.NONE, full, next);
+            subscribedClient(EndpointUpdate.NONE, overloaded, next);
             assertEquals(UpdateKind.FULL, fixture.awaitNotification().kind());
-            StubServer.awaitNext(full.receivedHeads);
+            StubServer.awaitNext(overloaded.receivedHeads);
             StubServer.awaitNext(next.receivedHeads);
         }
     }
 
-    /** The relay fails three times and then responds. The policy is not notified of the failures. */
+    /** The only relay fails three times and then responds; the policy is not notified of the failures. */
     @Test
     void keepsTheListAndRetriesWhileNoRelayResponds() throws Exception {
-        BlockingQueue<String> asked = new LinkedBlockingQueue<>();
+        BlockingQueue<String> receivedCalls = new LinkedBlockingQueue<>();
         try (StubServer relay = new StubServer((socket, head) -> {
-            asked.add(head);
-            if (asked.size() < 4) {
+            receivedCalls.add(head);
+            if (receivedCalls.size() < 4) {
                 return false;
             }
-            StubServer.write(socket, CHUNKED + chunk("\n"));
+            StubServer.write(socket, CHUNKED_RESPONSE_HEAD + chunk("\n"));
             return true;
         })) {
             DiscoveryClient discovery = subscribedClient(new EndpointUpdate(41, true, List.of()), relay);
             assertEquals(new Notification(UpdateKind.DELTA, List.of()), fixture.awaitNotification());
-            assertEquals(4, asked.size());
+            assertEquals(4, receivedCalls.size());
             assertEquals(41, fixture.loop.submit(discovery::revision).get());
         }
     }
 
     @Test
-    void anUpdateWithInvalidVersionsIsRejected() throws Exception {
-        try (StubServer odd = relaySending(update(41, true, "eu=41", "SERVING"));
+    void updateWithInvalidVersionsIsRejected() throws Exception {
+        try (StubServer invalid = relaySending(update(41, true, "eu=41", "SERVING"));
                 StubServer next = relaySending(update(41, true, "eu:1.41", "DRAINING"))) {
-            subscribedClient(EndpointUpdate.NONE, odd, next);
+            subscribedClient(EndpointUpdate.NONE, invalid, next);
             assertEquals(
                     "DRAINING",
                     fixture.awaitNotification().endpoints().get(0).status().name());
@@ -176,8 +176,8 @@
                 "addresses = [\"10.0.0.1:1\", \"10.0.0.1:1\"]|addresses", "adresses = [\"10.0.0.1:1\"]|adresses"
             })
     void invalidRelayAddressesAreRejectedWithLineAndKey(String line, String key) {
-        InvalidFileException bad = assertThrows(
+        InvalidFileException exception = assertThrows(
                 InvalidFileException.class, () -> OperatorFile.parse("o.toml", "[relays]\n" + line + "\n"));
-        assertTrue(bad.getMessage().startsWith("o.toml:2: relays." + key + ": "), bad.getMessage());
+        assertTrue(exception.getMessage().startsWith("o.toml:2: relays." + key + ": "), exception.getMessage());
     }
 }
--- a/sidecar/src/test/java/topazvalve/sidecar/HttpConnectionTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/HttpConnectionTest.java
@@ -34,9 +34,10 @@
 import topazvalve.sidecar.http.UpstreamResponse;
 import topazvalve.sidecar.upstream.HttpCodec;
 
-/** Attempts and health checks on real HTTP connections, and their outcomes. */
+/** The outcomes of attempts and health checks on real HTTP connections. */
 class HttpConnectionTest {
     private static final long TIMEOUT_NANOS = 60_000_000_000L;
+
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
@@ -55,13 +56,13 @@
     private ConnectionPools<UpstreamRequest, UpstreamResponse> newPools(
             InetSocketAddress address, long connectTimeoutNanos, int maxConnections, long reuseDelayNanos)
             throws Exception {
-        SettingsReader options = new SettingsReader(
+        SettingsReader settings = new SettingsReader(
                 "caps.connectTimeout=" + connectTimeoutNanos + "\ncaps.connIdle=60000000000\nreport.fields=rate,q");
         return loop.submit(() -> {
                     ConnectionPools<UpstreamRequest, UpstreamResponse> pools = new ConnectionPools<>(
                             loop,
                             new EventLoopScheduler(loop),
-                            options,
+                            settings,
                             new HttpCodec(reuseDelayNanos),
                             maxConnections);
                     pools.endpointUpdated(1, address, 0, true);
@@ -87,7 +88,7 @@
         outcomes.add(outcome);
     }
 
-    /** A server that answers each request with 200, and adds the socket that the request came on. */
+    /** Starts a server that answers each request with 200 and records the socket on which the request arrived. */
     private static StubServer respondingAndRecording(BlockingQueue<Socket> sockets) {
         return new StubServer((socket, head) -> {
             sockets.add(socket);
@@ -95,9 +96,9 @@
         });
     }
 
-    /** A late second response closes its idle connection, and a waiting attempt gets another one. */
+    /** A late second response closes the idle connection, and the waiting attempt uses another one. */
     @Test
-    void lateSecondResponseIsNotTakenForTheNextRequests() throws Exception {
+    void lateSecondResponseIsNotTakenForTheResponseToTheNextRequest() throws Exception {
         BlockingQueue<Socket> sockets = new LinkedBlockingQueue<>();
         try (StubServer server = respondingAndRecording(sockets)) {
             ConnectionPools<UpstreamRequest, UpstreamResponse> pools =
@@ -107,10 +108,10 @@
             send(pools);
             loop.submit(() -> {}).sync();
             Socket first = StubServer.awaitNext(sockets);
-            // In one write: the stub's own thread closes the socket as soon as the peer has.
+            // Written at once, since the stub's thread closes the socket as soon as the peer has closed it.
             first.getOutputStream()
                     .write("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nagain".getBytes(StandardCharsets.ISO_8859_1));
-            assertEquals("end", StubServer.awaitNext(server.closedConnections), "the idle connection is closed");
+            assertEquals("closed", StubServer.awaitNext(server.closedConnections), "the idle connection is closed");
             assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
             assertTrue(
                     first != StubServer.awaitNext(sockets), "not on the connection whose reuse delay had not passed");
@@ -118,8 +119,8 @@
     }
 
     /**
-     * An attempt waits for a connection's reuse delay and opens no new one; a drain meanwhile ends the wait, with a
-     * delay that can't have passed by then.
+     * An attempt waits for a connection's reuse delay instead of opening a new one. If the endpoint starts to drain
+     * meanwhile, the wait ends at once; the second delay is too long to have passed by then.
      */
     @Test
     void connectionIsReusedAfterItsReuseDelay() throws Exception {
@@ -142,11 +143,12 @@
                     })
                     .sync();
             assertEquals(Outcome.CONNECT_FAILED, StubServer.awaitNext(outcomes));
-            assertEquals("end", StubServer.awaitNext(server.closedConnections), "its connections are closed");
+            assertEquals(
+                    "closed", StubServer.awaitNext(server.closedConnections), "the endpoint's connections are closed");
         }
     }
 
-    /** Fills a listener's accept queue, so that no further connection to it comes up. */
+    /** Fills a listener's accept queue, so that no further connection to it is established. */
     private static List<Socket> fillAcceptQueue(ServerSocket server) throws IOException {
         List<Socket> fillers = new ArrayList<>();
         while (true) {
@@ -160,7 +162,7 @@
         }
     }
 
-    /** Once an endpoint drains, a request that waits for a connection to it must not be sent there. */
+    /** Once an endpoint is draining, a request that waits for a connection to it must not be sent there. */
     @Test
     void drainFailsAttemptsThatWaitForAConnection() throws Exception {
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -171,14 +173,14 @@
             loop.execute(() -> pools.endpointUpdated(1, address, 0, false));
             assertEquals(Outcome.CONNECT_FAILED, StubServer.awaitNext(outcomes));
             send(pools);
-            assertEquals(Outcome.CONNECT_FAILED, StubServer.awaitNext(outcomes), "nor is a later one");
+            assertEquals(Outcome.CONNECT_FAILED, StubServer.awaitNext(outcomes), "nor is a later attempt sent");
             for (Socket filler : fillers) {
                 filler.close();
             }
         }
     }
 
-    /** With an unreachable server the connect timeout, not the request's, ends the wait. */
+    /** If the server is unreachable, the connect timeout ends the wait and not that of the request. */
     @Test
     void unansweredConnectFailsAtTheConnectTimeout() throws Exception {
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -191,7 +193,7 @@
         }
     }
 
-    /** A machine that crashed and came back under its address has not closed the connections to it. */
+    /** A machine that crashed and restarted at the same address never closed its old connections. */
     @Test
     void serverRestartClosesConnectionsToTheOldProcess() throws Exception {
         try (StubServer server = StubServer.respondingWith("x")) {
@@ -201,11 +203,11 @@
             loop.execute(() -> pools.endpointUpdated(1, server.address(), 1_700_000_000_000L, true));
             StubServer.awaitNext(server.closedConnections);
             send(pools);
-            assertEquals(Outcome.OK, StubServer.awaitNext(outcomes), "on a new one");
+            assertEquals(Outcome.OK, StubServer.awaitNext(outcomes), "on a new connection");
         }
     }
 
-    /** Above the limit an attempt is not sent: the process must not run out of descriptors. */
+    /** Above the limit an attempt is not sent, so that the process does not run out of descriptors. */
     @Test
     void connectionsAreLimited() throws Exception {
         try (StubServer silent = new StubServer((socket, head) -> true)) {
@@ -219,17 +221,18 @@
         }
     }
 
-    /** Reports are read in the settings' order, from responses and health checks; malformed ones are ignored. */
+    /** Reports of responses and health checks give the fields in the settings' order; malformed ones are ignored. */
     @Test
     void loadReportsAreRead() throws Exception {
         List<String> texts = List.of("{\"q\":2,\"rate\":1.5,\"more\":0}", "{\"q\":2}", "{", "[]", "{\"q\":\"x\"}");
         try (StubServer server = new StubServer((socket, head) -> head.startsWith("GET /metrics/load")
                 ? StubServer.reply(socket, "200 OK", "", "{\"rate\":7,\"q\":0}")
-                : StubServer.reply(socket, "200 OK", "Srv-Load: " + StubServer.header(head, "Say") + "\r\n", "x"))) {
+                : StubServer.reply(
+                        socket, "200 OK", "Srv-Load: " + StubServer.header(head, "X-Report") + "\r\n", "x"))) {
             ConnectionPools<UpstreamRequest, UpstreamResponse> pools = newPools(server.address(), TIMEOUT_NANOS, 10);
             for (String text : texts) {
                 UpstreamRequest message = get("/");
-                message.headers().set("Say", text);
+                message.headers().set("X-Report", text);
                 loop.execute(() -> send(pools, 1, message, this::attemptCompleted));
                 assertEquals(Outcome.OK, StubServer.awaitNext(outcomes));
                 assertArrayEquals(
@@ -240,7 +243,7 @@
         }
     }
 
-    /** A response above the size limit must not fill the memory. */
+    /** A response above the size limit must not exhaust the memory. */
     @Test
     void oversizedResponseIsAnError() throws Exception {
         String head = "HTTP/1.1 200 OK\r\nContent-Length: ";
@@ -258,8 +261,8 @@
     }
 
     /**
-     * Data right behind a response must never be taken for the next response, not even by a request that is sent
-     * while the first attempt completes.
+     * Data directly behind a response must never be taken for the next response, not even if the next request is
+     * sent while the first attempt completes.
      */
     @Test
     void dataBehindAResponseIsNotTakenForTheNextOne() throws Exception {
@@ -282,7 +285,7 @@
         }
     }
 
-    /** A malformed response fails when it comes, not at the timeout, even on a connection that stays open. */
+    /** A malformed response fails when it arrives, not at the timeout, even if the connection stays open. */
     @Test
     void malformedResponsesFailAtOnceAndCloseTheConnection() throws Exception {
         for (String malformed : List.of(
@@ -316,7 +319,7 @@
         }
     }
 
-    /** Interim responses and a load report of any bytes do not affect a valid response. */
+    /** Neither interim responses nor an unreadable load report affect a valid response. */
     @Test
     void interimResponsesAndUnreadableLoadReportsAreIgnored() throws Exception {
         try (StubServer server = new StubServer((socket, head) -> {
@@ -333,7 +336,7 @@
         }
     }
 
-    /** Idle connections to other endpoints must not keep a request from getting its own. */
+    /** Idle connections to other endpoints must not prevent a new connection. */
     @Test
     void idleConnectionsAreEvictedForOtherEndpoints() throws Exception {
         try (StubServer first = StubServer.respondingWith("x");
@@ -349,7 +352,7 @@
         }
     }
 
-    /** A removed endpoint must get nothing: its address may be another's now. */
+    /** A removed endpoint must get no requests, since its address may belong to another one by now. */
     @Test
     void removedEndpointGetsNoRequests() throws Exception {
         try (StubServer server = StubServer.respondingWith("x")) {
--- a/sidecar/src/test/java/topazvalve/sidecar/LargeBodyTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/LargeBodyTest.java
@@ -19,12 +19,12 @@
 import topazvalve.sidecar.SidecarFixture.ClientResponse;
 import topazvalve.sidecar.SidecarFixture.TestClient;
 
-/** Request bodies that are large, slow or chunked. */
+/** Request and response bodies that are large, slow or chunked. */
 class LargeBodyTest {
     private static final int LARGE_BYTES = 3_000_000;
     private static final String LARGE_BODY = "0123456789abcdef".repeat(LARGE_BYTES / 16);
 
-    private static String postWith(String headers) {
+    private static String postWithHeaders(String headers) {
         return postRequest("book", "", "").replace("Content-Length: 0\r\n", headers);
     }
 
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Both have chunk extensions and trailers; the next request is pipelined behind the first. */
+    /** Both bodies have chunk extensions and trailers; the next request is pipelined behind the first. */
     @Test
     void chunkedBodiesPassInBothDirections() throws Exception {
         try (StubServer upstream =
@@ -62,7 +62,7 @@
                 TestClient client = new TestClient(sidecar.address)) {
             writeInBackground(
                     client,
-                    postWith(CHUNKED_HEADER) + chunk(LARGE_BODY.substring(0, 70_000))
+                    postWithHeaders(CHUNKED_HEADER) + chunk(LARGE_BODY.substring(0, 70_000))
                             + chunk(LARGE_BODY.substring(70_000)) + "0\r\nX-Sum: 1\r\n\r\n"
                             + lookRequest("next"));
             for (int i = 0; i < 2; i++) {
@@ -77,7 +77,7 @@
 
     /** Request and response arrive byte by byte. */
     @Test
-    void messagesSplitAtEveryByteAreReadAlike() throws Exception {
+    void messagesSplitAtEveryByteAreReadCorrectly() throws Exception {
         try (StubServer upstream = new StubServer((socket, head) -> {
                     String response = "HTTP/1.1 200 OK\r\n" + CHUNKED_HEADER + "\r\n" + chunk("hello") + "0\r\n\r\n";
                     for (int i = 0; i < response.length(); i++) {
@@ -88,7 +88,7 @@
                 SidecarFixture sidecar = SidecarFixture.startWith(upstream);
                 TestClient client = new TestClient(sidecar.address)) {
             client.socket.setTcpNoDelay(true);
-            String request = postWith(CHUNKED_HEADER) + chunk("two") + chunk("three") + "0\r\n\r\n";
+            String request = postWithHeaders(CHUNKED_HEADER) + chunk("two") + chunk("three") + "0\r\n\r\n";
             for (int i = 0; i < request.length(); i++) {
                 StubServer.write(client.socket, request.substring(i, i + 1));
             }
@@ -105,7 +105,7 @@
         try (StubServer upstream = StubServer.respondingWith("x");
                 SidecarFixture sidecar = SidecarFixture.startWith(upstream);
                 TestClient client = new TestClient(sidecar.address)) {
-            StubServer.write(client.socket, postWith("Expect: 100-continue\r\nContent-Length: 3\r\n"));
+            StubServer.write(client.socket, postWithHeaders("Expect: 100-continue\r\nContent-Length: 3\r\n"));
             assertTrue(client.readHead().startsWith("HTTP/1.1 100 "));
             StubServer.write(client.socket, "two");
             assertEquals("x", client.readResponse().body());
@@ -113,13 +113,14 @@
         }
     }
 
-    /** The client takes longer to send its body than it would wait for the response. */
+    /** Sending the body takes longer than the request's deadline. */
     @Test
-    void timeoutStartsWithTheLastByteOfTheBody() throws Exception {
+    void deadlineStartsWithTheLastByteOfTheBody() throws Exception {
         try (StubServer upstream = StubServer.respondingWith("x");
                 SidecarFixture sidecar = startWithMinimalBudget(upstream);
                 TestClient client = new TestClient(sidecar.address)) {
-            String head = postWith("Content-Length: " + 10 * 20_000 + "\r\n").replace("Ms: 20000", "Ms: 1500");
+            String head =
+                    postWithHeaders("Content-Length: " + 10 * 20_000 + "\r\n").replace("Ms: 20000", "Ms: 1500");
             StubServer.write(client.socket, head);
             for (int i = 0; i < 10; i++) {
                 StubServer.write(client.socket, "x".repeat(20_000));
@@ -130,27 +131,28 @@
         }
     }
 
-    /** The client gets a response, and the attempt ends. */
+    /** The client receives a 408, and the attempt is cancelled. */
     @Test
     void stalledRequestBodyTimesOut() throws Exception {
         try (StubServer upstream = StubServer.respondingWith("x");
                 SidecarFixture sidecar = startWithMinimalBudget(upstream);
                 TestClient client = new TestClient(sidecar.address)) {
-            StubServer.write(client.socket, postWith("Content-Length: 200000\r\n") + "x".repeat(100_000));
+            StubServer.write(client.socket, postWithHeaders("Content-Length: 200000\r\n") + "x".repeat(100_000));
             assertEquals(408, client.readResponse().status());
             assertEquals(-1, client.in.read());
-            assertEquals("end", StubServer.awaitNext(upstream.closedConnections), "no complete request was forwarded");
+            assertEquals(
+                    "closed", StubServer.awaitNext(upstream.closedConnections), "no complete request was forwarded");
             assertEquals(0, sidecar.loop.submit(sidecar.exchanges::active).get());
         }
     }
 
-    /** As long as the start of the body is held, even a non-idempotent request may go to another endpoint. */
+    /** While the start of the body is still buffered, even a non-idempotent request may be retried elsewhere. */
     @Test
     void unsentLargeRequestIsRetriedWhenAConnectFails() throws Exception {
-        try (StubServer gone = StubServer.respondingWith("x");
+        try (StubServer stopped = StubServer.respondingWith("x");
                 StubServer upstream = StubServer.respondingWith("y");
-                SidecarFixture sidecar = startWithMinimalBudget(gone, upstream)) {
-            gone.stop();
+                SidecarFixture sidecar = startWithMinimalBudget(stopped, upstream)) {
+            stopped.stop();
             for (int i = 0; i < 4; i++) {
                 assertEquals(
                         "y",
@@ -161,7 +163,7 @@
         }
     }
 
-    /** The start of the body is released and cannot be sent again; it never ran, so the client may retry. */
+    /** The start of the body is no longer buffered, so no retry is possible; nothing ran, so the client may retry. */
     @Test
     void partlySentLargeRequestIsRejectedWithoutARetry() throws Exception {
         try (ResettingServer one = new ResettingServer();
@@ -170,9 +172,10 @@
                 TestClient client = new TestClient(sidecar.address)) {
             StubServer.startDaemonThread(() -> {
                 try {
-                    StubServer.write(client.socket, postWith("Content-Length: 30000000\r\n") + "x".repeat(29_000_000));
+                    StubServer.write(
+                            client.socket, postWithHeaders("Content-Length: 30000000\r\n") + "x".repeat(29_000_000));
                 } catch (IOException e) {
-                    // The sidecar has responded and does not read any more.
+                    // The sidecar has responded and reads no more.
                 }
             });
             assertEquals(503, client.readResponse().status());
@@ -180,9 +183,9 @@
         }
     }
 
-    /** A server that reads a part of a request's body and resets the connection. */
+    /** A server that reads part of a request's body and then resets the connection. */
     private static final class ResettingServer implements AutoCloseable {
-        /** Counted before the reset, so that it is settled once the sidecar can have noticed that. */
+        /** Incremented before the reset, so that the count is final by the time the sidecar sees the reset. */
         private final AtomicInteger attempts = new AtomicInteger();
 
         private final StubServer server = new StubServer((socket, head) -> true) {
@@ -191,7 +194,7 @@
                 in.readNBytes(1_000_000);
                 attempts.incrementAndGet();
                 StubServer.reset(socket);
-                throw new IOException("broken on purpose");
+                throw new IOException("connection reset by the test");
             }
         };
 
--- a/sidecar/src/test/java/topazvalve/sidecar/StubServer.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/StubServer.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A server on a port that the system chose; a {@link Responder} handles each request on each connection. */
+/** An HTTP server on an ephemeral port of the loopback interface; a {@link Responder} handles each request. */
 class StubServer implements AutoCloseable {
     /** Long enough for a busy machine; a passing test never waits this long. */
     static final long TIMEOUT_SECONDS = 30;
@@ -32,15 +32,15 @@
 
     final BlockingQueue<String> receivedHeads = new LinkedBlockingQueue<>();
     final BlockingQueue<String> receivedBodies = new LinkedBlockingQueue<>();
-    /** One entry for each connection that the peer has closed ("end") or broken off ("broken"). */
+    /** One entry for each connection that ended with an orderly close ("closed") or an error ("aborted"). */
     final BlockingQueue<String> closedConnections = new LinkedBlockingQueue<>();
 
     private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
     private final ServerSocket server;
     private final Responder responder;
 
-    StubServer(Responder script) {
-        this.responder = script;
+    StubServer(Responder responder) {
+        this.responder = responder;
         try {
             server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         } catch (IOException e) {
@@ -49,7 +49,7 @@
         startDaemonThread(this::acceptConnections);
     }
 
-    /** A server that answers each request with 200 and this body. */
+    /** Starts a server that answers each request with 200 and this body. */
     static StubServer respondingWith(String body) {
         return new StubServer((socket, head) -> reply(socket, "200 OK", "Content-Type: text/x-part\r\n", body));
     }
@@ -71,7 +71,7 @@
         return reply(socket, status, headers, body, body.length());
     }
 
-    /** Writes a response whose body may be longer or shorter than its {@code Content-Length} says. */
+    /** Writes a response whose {@code Content-Length} may differ from the length of its body. */
     static boolean reply(Socket socket, String status, String headers, String body, int contentLength)
             throws IOException {
         write(socket, "HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + contentLength + "\r\n\r\n" + body);
@@ -79,7 +79,7 @@
     }
 
     static void write(Socket socket, String text) throws IOException {
-        // Taken once: the peer may close between the write and the flush, and then no stream can be obtained any more.
+        // Obtained once: if the peer closes between the write and the flush, getOutputStream() throws.
         OutputStream output = socket.getOutputStream();
         output.write(text.getBytes(StandardCharsets.ISO_8859_1));
         output.flush();
@@ -102,8 +102,8 @@
         }
     }
 
-    static void startDaemonThread(Runnable work) {
-        Thread thread = new Thread(work);
+    static void startDaemonThread(Runnable task) {
+        Thread thread = new Thread(task);
         thread.setDaemon(true);
         thread.start();
     }
@@ -111,7 +111,7 @@
     static <T> T awaitNext(BlockingQueue<T> queue) throws InterruptedException {
         T next = queue.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         if (next == null) {
-            throw new AssertionError("nothing came within " + TIMEOUT_SECONDS + " s");
+            throw new AssertionError("queue still empty after " + TIMEOUT_SECONDS + " s");
         }
         return next;
     }
@@ -146,13 +146,13 @@
                     return;
                 }
             }
-            closedConnections.add("end");
+            closedConnections.add("closed");
         } catch (IOException e) {
-            closedConnections.add("broken");
+            closedConnections.add("aborted");
         }
     }
 
-    /** Reads a request's body, whose length its head gives. */
+    /** Reads a request's body, which is as long as the head's {@code Content-Length} says. */
     void readBody(Socket socket, InputStream in, String head) throws IOException {
         receivedBodies.add(new String(in.readNBytes(contentLength(head)), StandardCharsets.ISO_8859_1));
     }
@@ -187,7 +187,7 @@
         stop();
     }
 
-    /** Stops like a killed process: open connections break, new ones are refused. */
+    /** Stops as a killed process does: open connections are closed and new ones are refused. */
     void stop() throws IOException {
         server.close();
         for (Socket socket : openSockets) {
