--- a/sidecar/src/test/java/topazvalve/sidecar/Flood.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/ConnectionFlood.java
@@ -7,18 +7,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Silent clients that keep a sidecar's accept queue busy: one thread closes each in turn and connects it again as
- * fast as it can.
+ * A flood of connections on which nothing is sent: one thread closes and reopens them in turn as fast as it can, so
+ * that the sidecar always has connections to accept.
  */
-final class Flood implements AutoCloseable {
+final class ConnectionFlood implements AutoCloseable {
     private final InetSocketAddress address;
     private final SocketChannel[] channels;
     private final CountDownLatch firstConnected = new CountDownLatch(1);
     private final CountDownLatch ended = new CountDownLatch(1);
     private volatile boolean stopped;
 
-    /** Starts a flood from {@code clients} connections. */
-    Flood(InetSocketAddress address, int clients) {
+    /** Starts a flood of {@code clients} simultaneous connections. */
+    ConnectionFlood(InetSocketAddress address, int clients) {
         this.address = address;
         this.channels = new SocketChannel[clients];
         StubServer.startDaemonThread(this::run);
@@ -32,7 +32,7 @@
                     channels[i] = SocketChannel.open(address);
                     firstConnected.countDown();
                 } catch (IOException e) {
-                    // The sidecar does not listen yet.
+                    // The sidecar is not listening yet.
                     channels[i] = null;
                 }
             }
@@ -57,7 +57,7 @@
     /** Waits until a client has connected. */
     void awaitConnected() throws InterruptedException {
         if (!firstConnected.await(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
-            throw new AssertionError("no client ever connected");
+            throw new AssertionError("no connection was established");
         }
     }
 
@@ -66,7 +66,7 @@
         stopped = true;
         try {
             if (!ended.await(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
-                throw new AssertionError("the flood did not end");
+                throw new AssertionError("the flood did not stop in time");
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/sidecar/src/test/java/topazvalve/sidecar/DeployedIT.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/DeployedIT.java
@@ -19,11 +19,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Both programs as the deploy file starts them, with the packaged jar. */
+/** The packaged sidecar and simulator adapter, started by the commands of the deploy file. */
 class DeployedIT {
 
     @TempDir
-    private Path folder;
+    private Path directory;
 
     private Process process;
 
@@ -34,9 +34,10 @@
         }
     }
 
+    /** Returns the command that the deploy file has under this key. */
     static String command(String key) throws IOException {
         String line = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
-                .filter(each -> each.startsWith(key + " = \""))
+                .filter(text -> text.startsWith(key + " = \""))
                 .findFirst()
                 .orElseThrow();
         return line.substring(line.indexOf('"') + 1, line.lastIndexOf('"'));
@@ -50,10 +51,10 @@
     }
 
     private Path write(String config) throws IOException {
-        return Files.writeString(folder.resolve("config.json"), config);
+        return Files.writeString(directory.resolve("config.json"), config);
     }
 
-    /** Sends SIGHUP to the program itself: the shell that started it has replaced itself by it. */
+    /** Sends SIGHUP to the program itself, since the shell that started it has been replaced by it ({@code exec}). */
     static void sendSighup(Process process) throws Exception {
         assertEquals(
                 0,
@@ -68,8 +69,8 @@
     }
 
     static InetSocketAddress freeAddress() throws IOException {
-        try (ServerSocket any = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            return (InetSocketAddress) any.getLocalSocketAddress();
+        try (ServerSocket unused = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            return (InetSocketAddress) unused.getLocalSocketAddress();
         }
     }
 
@@ -84,7 +85,7 @@
                     return;
                 }
             } catch (ConnectException e) {
-                assertTrue(process.isAlive(), "ended before it listened");
+                assertTrue(process.isAlive(), "process exited before it listened");
             }
             Thread.sleep(20);
         }
@@ -112,7 +113,7 @@
                 StubServer.awaitNext(server.receivedHeads);
                 assertEquals(200, other.send(SidecarFixture.UP_REQUEST).status());
                 process.destroy();
-                // The shutdown has begun once /up on an existing connection is not 200 or closes the connection.
+                // The shutdown has begun once /up on an existing connection is not 200, or the connection is closed.
                 int up = 200;
                 while (up == 200) {
                     try {
@@ -129,7 +130,7 @@
     }
 
     private ProcessHandle startOnSharedSocket(String name, ObjectNode config) throws IOException {
-        Path file = Files.writeString(folder.resolve(name), config.toString());
+        Path file = Files.writeString(directory.resolve(name), config.toString());
         process.outputWriter().write(file + "\t" + command("run") + "\n");
         process.outputWriter().flush();
         return ProcessHandle.of(Long.parseLong(process.inputReader().readLine()))
@@ -145,15 +146,15 @@
                     return;
                 }
             } catch (ConnectException e) {
-                assertTrue(System.nanoTime() < end, "never listened");
+                assertTrue(System.nanoTime() < end, "admin endpoint not reachable");
             }
             Thread.sleep(20);
         }
     }
 
     /**
-     * A second process on the shared socket takes over: the first one answers its requests in flight and exits at
-     * SIGTERM, no client is rejected, and both write their logs.
+     * A second process on the shared socket takes over: at SIGTERM the first one answers its requests in flight and
+     * exits, no client is rejected, and both write their logs.
      */
     @Test
     void secondProcessOnTheSharedSocketTakesOver() throws Exception {
@@ -162,7 +163,7 @@
         StubServer.Responder replyAfterRelease = StubServer.afterRelease(release, reply);
         try (StubServer server = new StubServer(
                 (socket, head) -> (head.contains("Req-Id: held") ? replyAfterRelease : reply).respond(socket, head))) {
-            process = new ProcessBuilder("perl", "sidecar/src/test/resources/holder.pl").start();
+            process = new ProcessBuilder("perl", "sidecar/src/test/resources/socket_holder.pl").start();
             int port = Integer.parseInt(process.inputReader().readLine());
             InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
             InetSocketAddress oldAdmin = freeAddress();
@@ -213,15 +214,15 @@
     }
 
     @Test
-    void descriptorThatIsNoListenerExitsWithOneLine() throws Exception {
+    void inheritedDescriptorThatIsNoListenerExitsWithOneErrorLine() throws Exception {
         Path file = write(SidecarFixture.configJson().toString());
         ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", command("run"));
         builder.environment().put("PROXY_CONFIG", file.toString());
         builder.environment().put("PROXY_FD", "0");
         process = builder.start();
-        String err = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
+        String errorOutput = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
         assertEquals(2, awaitExitStatus());
-        assertTrue(err.contains("PROXY_FD") && err.lines().count() == 1, err);
+        assertTrue(errorOutput.contains("PROXY_FD") && errorOutput.lines().count() == 1, errorOutput);
     }
 
     private static String addressText(InetSocketAddress address) {
@@ -234,7 +235,7 @@
         }
     }
 
-    /** Discovery that lists this server; its watch never becomes idle, so that the sidecar opens no further one. */
+    /** Lists this server on a watch that never becomes idle, so that the sidecar does not open another one. */
     private static StubServer.Responder watchListing(StubServer server) {
         String list = "{\"rev\":42,\"all\":true,\"targets\":["
                 + SidecarFixture.endpointJson("s-0", server.endpoint(), "SERVING") + "]}\n";
@@ -247,9 +248,9 @@
         };
     }
 
-    /** Each SIGHUP applies the file's new discovery address to the running process, which the JVM would else end. */
+    /** Each SIGHUP makes the running process apply the new discovery address; by default the JVM would exit. */
     @Test
-    void sighupChangesDiscoveryAndABadFileChangesNothing() throws Exception {
+    void sighupChangesTheDiscoveryAddressAndAnInvalidFileChangesNothing() throws Exception {
         try (StubServer server = StubServer.respondingWith("x");
                 StubServer first = new StubServer((socket, head) -> true);
                 StubServer second = new StubServer(watchListing(server));
@@ -279,17 +280,17 @@
             try (SidecarFixture.TestClient client = new SidecarFixture.TestClient(address)) {
                 assertEquals(200, client.send(SidecarFixture.lookRequest("a")).status());
             }
-            assertEquals(0, second.receivedHeads.size(), "a bad file opens no new watch");
+            assertEquals(0, second.receivedHeads.size(), "an invalid file opens no new watch");
         }
     }
 
     @Test
-    void badConfigurationExitsWithOneLineNamingTheKey() throws Exception {
+    void invalidConfigurationExitsWithOneErrorLineNamingTheKey() throws Exception {
         ObjectNode json = SidecarFixture.configJson();
         json.withObject("/settings/rules").remove("rampTime");
         start("run", json);
-        String err = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
+        String errorOutput = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
         assertEquals(2, awaitExitStatus());
-        assertTrue(err.contains("rules.rampTime") && err.lines().count() == 1, err);
+        assertTrue(errorOutput.contains("rules.rampTime") && errorOutput.lines().count() == 1, errorOutput);
     }
 }
--- a/sidecar/src/test/java/topazvalve/sidecar/DescriptorsIT.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/DescriptorsIT.java
@@ -21,18 +21,20 @@
 import org.junit.jupiter.api.io.TempDir;
 import topazvalve.sidecar.SidecarFixture.TestClient;
 
-/** The packaged sidecar under a real limit on its descriptors, flooded by silent clients. */
+/** The packaged sidecar under the operating system's limit on file descriptors, flooded by silent clients. */
 class DescriptorsIT {
-    private static final String READINESS_CHECK = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
+    private static final String UP_REQUEST = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
     private static final int DESCRIPTOR_LIMIT = 200;
-    private static final int CLIENT_SHARE = DESCRIPTOR_LIMIT * 3 / 8;
+    /** The part of the descriptors that client connections may use. */
+    private static final int MAX_CLIENT_DESCRIPTORS = DESCRIPTOR_LIMIT * 3 / 8;
+
     private static final int SILENT_CLIENTS = 600;
-    private static final int ROUNDS = 20;
-    /** For calls to discovery and of an operator. */
-    private static final int OTHER_DESCRIPTORS = 6;
+    private static final int CHECK_ROUNDS = 20;
+    /** Descriptors for connections to discovery and from an operator. */
+    private static final int NON_CLIENT_DESCRIPTORS = 6;
 
     @TempDir
-    private Path folder;
+    private Path directory;
 
     private Process process;
     private final List<TestClient> silent = new ArrayList<>();
@@ -45,7 +47,7 @@
         }
     }
 
-    private static long descriptors(long pid) throws IOException {
+    private static long openDescriptorCount(long pid) throws IOException {
         try (Stream<Path> all = Files.list(Path.of("/proc/" + pid + "/fd"))) {
             return all.count();
         }
@@ -75,7 +77,7 @@
 
     /**
      * Discovery is down, and far more silent clients connect than the limit allows: an active client keeps its
-     * connection, a new one is served, discovery is called once it is back, and no accept fails.
+     * connection, a new one is served, the sidecar connects to discovery once that is back, and no accept fails.
      */
     @Test
     void silentClientsLeaveDescriptorsForAllOthers() throws Exception {
@@ -83,51 +85,50 @@
         InetSocketAddress discovery = DeployedIT.freeAddress();
         InetSocketAddress admin = DeployedIT.freeAddress();
         Path file = Files.writeString(
-                folder.resolve("config.json"),
+                directory.resolve("config.json"),
                 config(address, discovery).put("admin", hostAndPort(admin)).toString());
         ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", command());
         builder.environment().put("PROXY_CONFIG", file.toString());
         process = builder.start();
         DeployedIT.awaitUp(process, address);
         try (TestClient active = new TestClient(address)) {
-            assertEquals(200, active.send(READINESS_CHECK).status());
-            long maxDescriptors = descriptors(process.pid()) + CLIENT_SHARE + OTHER_DESCRIPTORS;
+            assertEquals(200, active.send(UP_REQUEST).status());
+            long maxDescriptors = openDescriptorCount(process.pid()) + MAX_CLIENT_DESCRIPTORS + NON_CLIENT_DESCRIPTORS;
             flood(address);
-            for (int i = 0; i < ROUNDS; i++) {
-                assertEquals(200, active.send(READINESS_CHECK).status(), "an active client keeps its connection");
+            for (int i = 0; i < CHECK_ROUNDS; i++) {
+                assertEquals(200, active.send(UP_REQUEST).status(), "an active client keeps its connection");
                 try (TestClient next = new TestClient(address);
                         TestClient operator = new TestClient(admin)) {
-                    assertEquals(200, next.send(READINESS_CHECK).status());
+                    assertEquals(200, next.send(UP_REQUEST).status());
                     assertEquals(
                             200,
-                            operator.send(READINESS_CHECK.replace("/up", "/_ready"))
-                                    .status());
+                            operator.send(UP_REQUEST.replace("/up", "/_ready")).status());
                 }
-                long openDescriptors = descriptors(process.pid());
+                long openDescriptors = openDescriptorCount(process.pid());
                 assertTrue(
                         openDescriptors <= maxDescriptors,
-                        openDescriptors + " descriptors held, not " + maxDescriptors);
+                        openDescriptors + " descriptors open, expected at most " + maxDescriptors);
             }
         }
-        try (ServerSocket back = new ServerSocket(discovery.getPort(), 1, InetAddress.getLoopbackAddress())) {
-            back.setSoTimeout((int) TimeUnit.SECONDS.toMillis(StubServer.TIMEOUT_SECONDS));
-            back.accept().close();
+        try (ServerSocket restarted = new ServerSocket(discovery.getPort(), 1, InetAddress.getLoopbackAddress())) {
+            restarted.setSoTimeout((int) TimeUnit.SECONDS.toMillis(StubServer.TIMEOUT_SECONDS));
+            restarted.accept().close();
         }
         process.toHandle().destroy();
         String log = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
         assertFalse(log.contains("Too many open files"), log);
     }
 
-    /** The flood begins before the process listens. */
+    /** The clients begin to connect before the process listens. */
     @Test
-    void floodDuringTheStartDelaysNothing() throws Exception {
+    void floodDuringTheStartDoesNotDelayReadiness() throws Exception {
         InetSocketAddress address = DeployedIT.freeAddress();
         Path file = Files.writeString(
-                folder.resolve("config.json"),
+                directory.resolve("config.json"),
                 config(address, DeployedIT.freeAddress()).toString());
         ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", command());
         builder.environment().put("PROXY_CONFIG", file.toString());
-        try (Flood flood = new Flood(address, SILENT_CLIENTS)) {
+        try (ConnectionFlood flood = new ConnectionFlood(address, SILENT_CLIENTS)) {
             process = builder.start();
             DeployedIT.awaitUp(process, address);
             flood.awaitConnected();
@@ -137,19 +138,19 @@
         assertTrue(log.contains("ready at") && !log.contains("Too many open files"), log);
     }
 
-    /** Two processes accept from one socket; together they hold no more than one of them may. */
+    /** Two processes accept from one socket; together their clients use no more descriptors than one process allows. */
     @Test
     void silentClientsOfTwoProcessesStayWithinOneShare() throws Exception {
-        process = new ProcessBuilder("perl", "sidecar/src/test/resources/holder.pl").start();
+        process = new ProcessBuilder("perl", "sidecar/src/test/resources/socket_holder.pl").start();
         int port = Integer.parseInt(process.inputReader().readLine());
         InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
         List<ProcessHandle> processes = new ArrayList<>();
         try {
-            long maxDescriptors = CLIENT_SHARE + 2 * OTHER_DESCRIPTORS;
+            long maxDescriptors = MAX_CLIENT_DESCRIPTORS + 2 * NON_CLIENT_DESCRIPTORS;
             for (String name : List.of("old.json", "new.json")) {
                 InetSocketAddress admin = DeployedIT.freeAddress();
                 Path file = Files.writeString(
-                        folder.resolve(name),
+                        directory.resolve(name),
                         config(address, DeployedIT.freeAddress())
                                 .put("admin", hostAndPort(admin))
                                 .toString());
@@ -160,18 +161,18 @@
                                 .orElseThrow());
                 DeployedIT.awaitReady(admin);
                 maxDescriptors +=
-                        descriptors(processes.get(processes.size() - 1).pid());
+                        openDescriptorCount(processes.get(processes.size() - 1).pid());
             }
             flood(address);
-            for (int i = 0; i < ROUNDS; i++) {
+            for (int i = 0; i < CHECK_ROUNDS; i++) {
                 try (TestClient next = new TestClient(address)) {
-                    assertEquals(200, next.send(READINESS_CHECK).status());
+                    assertEquals(200, next.send(UP_REQUEST).status());
                 }
-                long openDescriptors = descriptors(processes.get(0).pid())
-                        + descriptors(processes.get(1).pid());
+                long openDescriptors = openDescriptorCount(processes.get(0).pid())
+                        + openDescriptorCount(processes.get(1).pid());
                 assertTrue(
                         openDescriptors <= maxDescriptors,
-                        openDescriptors + " descriptors held, not " + maxDescriptors);
+                        openDescriptors + " descriptors open, expected at most " + maxDescriptors);
             }
         } finally {
             processes.forEach(ProcessHandle::destroy);
--- a/sidecar/src/test/java/topazvalve/sidecar/ReadinessTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/ReadinessTest.java
@@ -19,7 +19,7 @@
 import topazvalve.sidecar.config.Config;
 import topazvalve.sidecar.listen.ClientListener;
 
-/** Faults that must not delay a start: it has to be ready, and to answer, within ten seconds. */
+/** The sidecar is ready and serves clients within ten seconds of its start, in spite of faults around it. */
 class ReadinessTest {
     private static final long READY_TIMEOUT_SECONDS = 10;
     private static final int FLOOD_CONNECTIONS = 300;
@@ -38,7 +38,7 @@
         Config config = SidecarFixture.config(json.put("listen", "127.0.0.1:" + address.getPort()));
         EventLoop loop = group.next();
         loop.execute(() -> {
-            loop.schedule(() -> events.add("late"), READY_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+            loop.schedule(() -> events.add("timeout"), READY_TIMEOUT_SECONDS, TimeUnit.SECONDS);
             new Sidecar(
                             group,
                             loop,
@@ -55,7 +55,7 @@
         try (SidecarFixture.TestClient client = new SidecarFixture.TestClient(address)) {
             assertEquals(200, client.send(SidecarFixture.UP_REQUEST).status());
         }
-        assertEquals(0, events.size(), "answered within the time limit");
+        assertEquals(0, events.size(), "ready and answered within the time limit");
     }
 
     private static ObjectNode subscribingConfig(String discovery, StubServer... servers) throws IOException {
@@ -64,39 +64,39 @@
         return discovery.isEmpty() ? json : json.put("discovery", discovery);
     }
 
-    /** Discovery refuses connections, is silent or rejects calls; the known endpoint list is empty. */
+    /** Discovery refuses connections, never responds or rejects requests; the initial endpoint list is empty. */
     @ParameterizedTest
-    @ValueSource(strings = {"refuses", "silent", "full"})
-    void startsWithoutDiscoveryAndEndpoints(String how) throws Exception {
-        try (StubServer discovery = new StubServer((socket, head) ->
-                how.equals("silent") || StubServer.reply(socket, "503 Service Unavailable", "", ""))) {
-            start(subscribingConfig(how.equals("refuses") ? "" : discovery.endpoint()));
+    @ValueSource(strings = {"refuses connections", "never responds", "rejects requests"})
+    void startsWithoutDiscoveryAndEndpoints(String discoveryFault) throws Exception {
+        try (StubServer discovery = new StubServer((socket, head) -> discoveryFault.equals("never responds")
+                || StubServer.reply(socket, "503 Service Unavailable", "", ""))) {
+            start(subscribingConfig(discoveryFault.equals("refuses connections") ? "" : discovery.endpoint()));
             assertReady();
         }
     }
 
-    /** Nobody listens at most of the known addresses, and one server is silent. */
+    /** Nothing listens at most of the listed addresses, and the one server there never responds. */
     @Test
     void startsWithAnOutdatedEndpointList() throws Exception {
         try (StubServer silent = new StubServer((socket, head) -> true)) {
             ObjectNode json = subscribingConfig("", silent);
             ArrayNode targets = json.withObject("/known").withArray("targets");
             for (int i = 0; i < 20; i++) {
-                InetSocketAddress gone = DeployedIT.freeAddress();
-                targets.add(SidecarFixture.endpointJson("gone-" + i, "127.0.0.1:" + gone.getPort(), "SERVING"));
+                InetSocketAddress unused = DeployedIT.freeAddress();
+                targets.add(SidecarFixture.endpointJson("stale-" + i, "127.0.0.1:" + unused.getPort(), "SERVING"));
             }
             start(json);
             assertReady();
         }
     }
 
-    /** Silent clients connect from the first moment, and again whenever they are closed. */
+    /** Silent clients connect as soon as the sidecar listens, and again whenever they are disconnected. */
     @Test
     void startsUnderAFloodOfSilentClients() throws Exception {
         ObjectNode json = subscribingConfig("");
         json.withObject("/limits").put("sockets", 64);
         start(json);
-        try (Flood flood = new Flood(address, FLOOD_CONNECTIONS)) {
+        try (ConnectionFlood flood = new ConnectionFlood(address, FLOOD_CONNECTIONS)) {
             assertReady();
             flood.awaitConnected();
         }
--- a/sidecar/src/test/java/topazvalve/sidecar/StreamsIT.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/StreamsIT.java
@@ -20,11 +20,11 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Listeners of the operator's file, in the packaged program as the deploy file starts it. */
+/** TCP listeners of the operator file, in the packaged program as the deploy file starts it. */
 @Timeout(120)
 class StreamsIT {
     @TempDir
-    private Path folder;
+    private Path directory;
 
     private final List<Process> started = new ArrayList<>();
 
@@ -33,7 +33,7 @@
         started.forEach(Process::destroyForcibly);
     }
 
-    /** Starts a server that sends its letter on each connection and then echoes what it receives. */
+    /** Starts a server that sends a letter on each connection, to identify itself, and echoes what it receives. */
     private static ServerSocket startLetterServer(char letter) throws IOException {
         ServerSocket server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
         StubServer.startDaemonThread(() -> {
@@ -61,7 +61,8 @@
     }
 
     private Path writeOperatorFile(InetSocketAddress listen, String servers, String draining) throws IOException {
-        return Files.writeString(folder.resolve("operator.toml"), """
+        return Files.writeString(
+                directory.resolve("operator.toml"), """
                 [[listener]]
                 name = "it"
                 protocol = "tcp"
@@ -75,7 +76,7 @@
     private Process start(String name, InetSocketAddress address, InetSocketAddress admin, Path operator)
             throws IOException {
         Path file = Files.writeString(
-                folder.resolve(name),
+                directory.resolve(name),
                 SidecarFixture.configJson()
                         .put("listen", "127.0.0.1:" + address.getPort())
                         .put("admin", "127.0.0.1:" + admin.getPort())
@@ -89,14 +90,14 @@
     }
 
     private static Socket connect(InetSocketAddress listener) throws Exception {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(StubServer.TIMEOUT_SECONDS);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(StubServer.TIMEOUT_SECONDS);
         while (true) {
             try {
                 Socket socket = new Socket(InetAddress.getByName("127.0.0.1"), listener.getPort());
                 socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(StubServer.TIMEOUT_SECONDS));
                 return socket;
             } catch (IOException e) {
-                assertTrue(System.nanoTime() < until, "no listener");
+                assertTrue(System.nanoTime() < end, "listener does not accept connections");
                 Thread.sleep(20);
             }
         }
@@ -106,13 +107,13 @@
         return (char) socket.getInputStream().read();
     }
 
-    private static void awaitLine(Process process, String words) throws IOException {
+    private static void awaitLogLine(Process process, String text) throws IOException {
         BufferedReader log = process.errorReader();
         String line = log.readLine();
-        while (line != null && !line.contains(words)) {
+        while (line != null && !line.contains(text)) {
             line = log.readLine();
         }
-        assertTrue(line != null, "never logged: " + words);
+        assertTrue(line != null, "not logged: " + text);
     }
 
     @Test
@@ -130,34 +131,34 @@
                 StubServer.write(socket, "echo");
                 assertEquals("echo", new String(socket.getInputStream().readNBytes(4), StandardCharsets.US_ASCII));
                 try (SidecarFixture.TestClient client = new SidecarFixture.TestClient(admin)) {
-                    String figures = client.send("GET /_vars HTTP/1.1\r\nHost: a\r\n\r\n")
+                    String metrics = client.send("GET /_vars HTTP/1.1\r\nHost: a\r\n\r\n")
                             .body();
                     assertTrue(
-                            figures.contains("app.tcp.it.open=1\n")
-                                    && figures.contains("app.tcp.it.bytes_to_servers=4\n"),
-                            figures);
+                            metrics.contains("app.tcp.it.open=1\n")
+                                    && metrics.contains("app.tcp.it.bytes_to_servers=4\n"),
+                            metrics);
                 }
             }
             writeOperatorFile(listener, both, quotedAddress(one));
             DeployedIT.sendSighup(process);
-            awaitLine(process, "configuration reloaded");
+            awaitLogLine(process, "configuration reloaded");
             for (int i = 0; i < 8; i++) {
                 try (Socket socket = connect(listener)) {
-                    assertEquals('b', readLetter(socket), "the other server drains");
+                    assertEquals('b', readLetter(socket), "the draining server gets no new streams");
                 }
             }
             writeOperatorFile(listener, "", "");
             DeployedIT.sendSighup(process);
-            awaitLine(process, "configuration reload rejected");
+            awaitLogLine(process, "configuration reload rejected");
             try (Socket socket = connect(listener)) {
-                assertEquals('b', readLetter(socket), "the settings in force stay");
+                assertEquals('b', readLetter(socket), "the settings in force are kept");
             }
         }
     }
 
-    /** The old process's streams go on for their grace period and end; new ones reach the new process. */
+    /** Streams of the old process stay open for their grace period; new ones are accepted by the new process. */
     @Test
-    void secondProcessTakesTheListenerOver() throws Exception {
+    void secondProcessTakesOverTheListener() throws Exception {
         InetSocketAddress listener = DeployedIT.freeAddress();
         InetSocketAddress address = DeployedIT.freeAddress();
         InetSocketAddress next = DeployedIT.freeAddress();
@@ -168,11 +169,11 @@
             try (Socket open = connect(listener)) {
                 assertEquals('a', readLetter(open));
                 Process replacement = start("new.json", next, DeployedIT.freeAddress(), operator);
-                awaitLine(replacement, "streams at");
+                awaitLogLine(replacement, "streams at");
                 old.destroy();
                 StubServer.write(open, "x");
                 assertEquals('x', readLetter(open), "still open");
-                assertEquals(-1, open.getInputStream().read(), "until its grace period is over");
+                assertEquals(-1, open.getInputStream().read(), "closed after its grace period");
             }
             assertTrue(old.waitFor(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS));
             assertEquals(0, old.exitValue());
@@ -185,9 +186,13 @@
     }
 
     @Test
-    void badOperatorFileExitsWithItsLinesAndStatusTwo() throws Exception {
-        InetSocketAddress any = DeployedIT.freeAddress();
-        Process process = start("c.json", any, any, writeOperatorFile(any, "\"nowhere\"", "\"127.0.0.1:1\""));
+    void invalidOperatorFileIsReportedByLineAndExitsWithStatusTwo() throws Exception {
+        InetSocketAddress unusedAddress = DeployedIT.freeAddress();
+        Process process = start(
+                "c.json",
+                unusedAddress,
+                unusedAddress,
+                writeOperatorFile(unusedAddress, "\"nowhere\"", "\"127.0.0.1:1\""));
         String err = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
         assertTrue(process.waitFor(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         assertEquals(2, process.exitValue());
