--- a/sidecar/src/test/java/topazvalve/sidecar/ChunkedEncoding.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/ChunkedEncoding.java
@@ -6,18 +6,18 @@
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
 
-/** HTTP/1.1's chunked transfer coding, written and read independently of the sidecar's codec. */
+/** Encodes and decodes HTTP/1.1 chunked transfer coding, independently of the sidecar's codec. */
 final class ChunkedEncoding {
     static final String CHUNKED_HEADER = "Transfer-Encoding: chunked\r\n";
 
     private ChunkedEncoding() {}
 
-    /** Returns a chunk with an extension. */
+    /** Encodes one chunk, with a chunk extension. */
     static String chunk(String text) {
         return Integer.toHexString(text.length()) + ";ext=1\r\n" + text + "\r\n";
     }
 
-    /** Reads a chunked body; throws if the connection ends before the body. */
+    /** Reads a chunked body; throws if the connection ends before the body does. */
     static String readChunked(InputStream in) throws IOException {
         StringBuilder body = new StringBuilder();
         while (true) {
@@ -35,7 +35,7 @@
         }
     }
 
-    /** Reads a line without its end; throws if the connection ends before. */
+    /** Reads a line and strips its line ending; throws if the connection ends first. */
     static String readLine(InputStream in) throws IOException {
         StringBuilder line = new StringBuilder();
         for (int next = in.read(); next != '\n'; next = in.read()) {
--- a/sidecar/src/test/java/topazvalve/sidecar/ClientDisconnectTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/ClientDisconnectTest.java
@@ -6,7 +6,7 @@
 import static topazvalve.sidecar.FrontendTestHelper.assertServedAndClose;
 import static topazvalve.sidecar.FrontendTestHelper.awaitOpenRequests;
 import static topazvalve.sidecar.FrontendTestHelper.blockEventLoop;
-import static topazvalve.sidecar.FrontendTestHelper.occupyServer;
+import static topazvalve.sidecar.FrontendTestHelper.fillConcurrencyLimit;
 import static topazvalve.sidecar.FrontendTestHelper.pipelinedRequests;
 import static topazvalve.sidecar.FrontendTestHelper.respondAfter;
 import static topazvalve.sidecar.FrontendTestHelper.startWithMinimalBudget;
@@ -28,33 +28,33 @@
 
 /** Nothing is forwarded for a client that has disconnected; docs/design/crossings.md lists the cases. */
 class ClientDisconnectTest {
-    /** More than a socket's buffers and one read hold. */
+    /** More than one read and the socket buffers hold. */
     private static final int MORE_THAN_ONE_READ_BYTES = 1 << 16;
-    /** Far more than the smallest quota, a read and the socket's buffers, but less than a flood. */
+    /** Well above the smallest pipelining quota, one read and the socket buffers, but below the limit of a flood. */
     private static final int MORE_THAN_QUOTA_BYTES = 800_000;
-    /** Longer than the time after which a disconnect must have been noticed. */
-    private static final long STALL_MILLIS = 130;
+    /** Longer than the time within which a disconnect must be noticed. */
+    private static final long EVENT_LOOP_STALL_MILLIS = 130;
 
     private static void reset(Socket socket) throws IOException {
         StubServer.reset(socket);
         socket.close();
     }
 
-    /** The request is queued since its only server is busy; more requests are pipelined behind it. */
+    /** The request is queued since the only server is at its concurrency limit; more are pipelined behind it. */
     @ParameterizedTest
-    @ValueSource(strings = {"close", "reset", "half"})
-    void queuedRequestOfADisconnectedClientIsNotForwarded(String how) throws Exception {
+    @ValueSource(strings = {"close", "reset", "half-close"})
+    void queuedRequestOfADisconnectedClientIsNotForwarded(String disconnectKind) throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         try (StubServer upstream = new StubServer(respondAfter(release, "x"));
                 SidecarFixture sidecar = SidecarFixture.startWith(upstream)) {
-            List<TestClient> busy = occupyServer(sidecar, upstream);
-            TestClient gone = new TestClient(sidecar.address);
-            StubServer.write(gone.socket, lookRequest("gone") + pipelinedRequests(MORE_THAN_ONE_READ_BYTES));
+            List<TestClient> busy = fillConcurrencyLimit(sidecar, upstream);
+            TestClient leaving = new TestClient(sidecar.address);
+            StubServer.write(leaving.socket, lookRequest("gone") + pipelinedRequests(MORE_THAN_ONE_READ_BYTES));
             awaitOpenRequests(sidecar, 3);
-            switch (how) {
-                case "close" -> gone.close();
-                case "reset" -> reset(gone.socket);
-                default -> gone.socket.shutdownOutput();
+            switch (disconnectKind) {
+                case "close" -> leaving.close();
+                case "reset" -> reset(leaving.socket);
+                default -> leaving.socket.shutdownOutput();
             }
             awaitOpenRequests(sidecar, 2);
             release.countDown();
@@ -63,22 +63,22 @@
         }
     }
 
-    /** What exceeds the quota is read and dropped, so that the disconnect behind it is noticed. */
+    /** Bytes above the quota are read and dropped, so that the disconnect behind them is noticed. */
     @ParameterizedTest
     @ValueSource(strings = {"close", "reset"})
-    void disconnectIsNoticedBehindMorePipelinedBytesThanTheQuota(String how) throws Exception {
+    void disconnectIsNoticedBehindMorePipelinedBytesThanTheQuota(String disconnectKind) throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         try (StubServer upstream = new StubServer(respondAfter(release, "x"));
                 SidecarFixture sidecar = startWithMinimalBudget(upstream)) {
-            List<TestClient> busy = occupyServer(sidecar, upstream);
-            TestClient gone = new TestClient(sidecar.address);
-            StubServer.write(gone.socket, lookRequest("gone"));
+            List<TestClient> busy = fillConcurrencyLimit(sidecar, upstream);
+            TestClient leaving = new TestClient(sidecar.address);
+            StubServer.write(leaving.socket, lookRequest("gone"));
             awaitOpenRequests(sidecar, 3);
-            StubServer.write(gone.socket, pipelinedRequests(MORE_THAN_QUOTA_BYTES));
-            if (how.equals("reset")) {
-                reset(gone.socket);
+            StubServer.write(leaving.socket, pipelinedRequests(MORE_THAN_QUOTA_BYTES));
+            if (disconnectKind.equals("reset")) {
+                reset(leaving.socket);
             } else {
-                gone.close();
+                leaving.close();
             }
             awaitOpenRequests(sidecar, 2);
             release.countDown();
@@ -88,60 +88,60 @@
     }
 
     @Test
-    void requestOfAClientThatLeftBeforeTheAcceptIsNotForwarded() throws Exception {
+    void requestOfAClientThatDisconnectedBeforeTheAcceptIsNotForwarded() throws Exception {
         try (StubServer upstream = StubServer.respondingWith("x");
                 SidecarFixture sidecar = SidecarFixture.startWith(upstream)) {
             CountDownLatch release = blockEventLoop(sidecar, 0);
-            TestClient gone = new TestClient(sidecar.address);
-            StubServer.write(gone.socket, lookRequest("gone"));
-            gone.close();
+            TestClient leaving = new TestClient(sidecar.address);
+            StubServer.write(leaving.socket, lookRequest("gone"));
+            leaving.close();
             release.countDown();
             assertNothingElseForwarded(sidecar, upstream);
         }
     }
 
     @Test
-    void requestOfAClientThatLeftDuringAStallIsNotForwarded() throws Exception {
+    void requestOfAClientThatDisconnectedDuringAStallIsNotForwarded() throws Exception {
         try (StubServer upstream = StubServer.respondingWith("x");
                 SidecarFixture sidecar = SidecarFixture.startWith(upstream)) {
-            TestClient gone = new TestClient(sidecar.address);
-            assertEquals(200, gone.send(lookRequest("known")).status());
+            TestClient leaving = new TestClient(sidecar.address);
+            assertEquals(200, leaving.send(lookRequest("known")).status());
             StubServer.awaitNext(upstream.receivedHeads);
-            CountDownLatch release = blockEventLoop(sidecar, STALL_MILLIS);
-            StubServer.write(gone.socket, lookRequest("gone"));
-            gone.close();
+            CountDownLatch release = blockEventLoop(sidecar, EVENT_LOOP_STALL_MILLIS);
+            StubServer.write(leaving.socket, lookRequest("gone"));
+            leaving.close();
             release.countDown();
             assertNothingElseForwarded(sidecar, upstream);
         }
     }
 
-    /** The first attempt fails during the same stall. */
+    /** The first attempt fails during the same stall of the event loop. */
     @Test
-    void requestOfAClientThatLeftDuringAStallIsNotRetried() throws Exception {
+    void requestOfAClientThatDisconnectedDuringAStallIsNotRetried() throws Exception {
         BlockingQueue<Socket> receivedOn = new LinkedBlockingQueue<>();
         StubServer.Responder recording = (socket, head) -> receivedOn.add(socket);
         try (StubServer one = new StubServer(recording);
                 StubServer two = new StubServer(recording);
                 SidecarFixture sidecar = SidecarFixture.startWith(one, two);
                 TestClient last = new TestClient(sidecar.address)) {
-            TestClient gone = new TestClient(sidecar.address);
-            // Opens a connection to each server and lets it rest, so that the next attempt is written at once.
-            StubServer.write(gone.socket, lookRequest("one"));
+            TestClient leaving = new TestClient(sidecar.address);
+            // Opens a connection to each server and awaits the reuse delay, so that an attempt is written at once.
+            StubServer.write(leaving.socket, lookRequest("one"));
             StubServer.write(last.socket, lookRequest("two"));
             for (Socket server : List.of(StubServer.awaitNext(receivedOn), StubServer.awaitNext(receivedOn))) {
                 StubServer.reply(server, "200 OK", "", "x");
             }
             assertEquals(
                     List.of(200, 200),
-                    List.of(gone.readResponse().status(), last.readResponse().status()));
+                    List.of(leaving.readResponse().status(), last.readResponse().status()));
             sidecar.loop
                     .schedule(() -> {}, HttpCodec.REUSE_DELAY_NANOS, TimeUnit.NANOSECONDS)
                     .sync();
-            StubServer.write(gone.socket, lookRequest("gone"));
+            StubServer.write(leaving.socket, lookRequest("gone"));
             Socket firstAttempt = StubServer.awaitNext(receivedOn);
-            CountDownLatch release = blockEventLoop(sidecar, STALL_MILLIS);
+            CountDownLatch release = blockEventLoop(sidecar, EVENT_LOOP_STALL_MILLIS);
             StubServer.reply(firstAttempt, "500 Oops", "", "");
-            gone.close();
+            leaving.close();
             release.countDown();
             awaitOpenRequests(sidecar, 0);
             StubServer.write(last.socket, lookRequest("last"));
@@ -153,19 +153,19 @@
     }
 
     /**
-     * The body has no space while its request is queued, and stays in the socket; its client disconnects behind
-     * its last byte. The request is forwarded later, but must not become complete at its server.
+     * While its request is queued, the body exceeds the buffer and stays in the socket; the client disconnects after
+     * the last byte. The request is forwarded later, but the server must not receive it completely.
      */
     @Test
-    void bodyThatLayUnreadWhenItsClientLeftIsNotForwardedCompletely() throws Exception {
+    void unreadBodyOfADisconnectedClientIsNotForwardedCompletely() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         try (StubServer upstream = new StubServer(respondAfter(release, "x"));
                 SidecarFixture sidecar = startWithMinimalBudget(upstream)) {
-            List<TestClient> busy = occupyServer(sidecar, upstream);
-            TestClient gone = new TestClient(sidecar.address);
+            List<TestClient> busy = fillConcurrencyLimit(sidecar, upstream);
+            TestClient leaving = new TestClient(sidecar.address);
             String body = "x".repeat(MORE_THAN_ONE_READ_BYTES);
-            StubServer.write(gone.socket, postRequest("book", "", body).replace("9b1f", "gone"));
-            gone.close();
+            StubServer.write(leaving.socket, postRequest("book", "", body).replace("9b1f", "gone"));
+            leaving.close();
             release.countDown();
             assertServedAndClose(busy);
             for (int i = 0; i < busy.size(); i++) {
--- a/sidecar/src/test/java/topazvalve/sidecar/ConnectionRaceTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/ConnectionRaceTest.java
@@ -14,17 +14,17 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
-import topazvalve.policy.EndpointStatus;
 import topazvalve.sidecar.SidecarFixture.ClientResponse;
 
-/** Requests that race with a change of the sidecar's or a server's state; docs/design/crossings.md lists the cases. */
+/** Requests that race with a state change of the sidecar or a server; docs/design/crossings.md lists the cases. */
 class ConnectionRaceTest {
-    /** Behind the time up to which a request that a killed process did not answer is excused. */
+    /** Later than the first 0.6 s of a shutdown, in which requests keep a deadline that is after the kill. */
     private static final long LATE_IN_SHUTDOWN_MILLIS = 620;
 
-    private static final long KILL_MILLIS = 1_500;
+    /** Time from the start of the shutdown to the kill. */
+    private static final long KILL_DELAY_MILLIS = 1_500;
 
-    /** A pushed endpoint list counts as known from the start, so it is watched before any request comes. */
+    /** A pushed endpoint list counts as notified from the start, so it is watched before the first request arrives. */
     @Test
     void pushedDrainIsFollowed() throws Exception {
         BlockingQueue<Socket> watches = new LinkedBlockingQueue<>();
@@ -48,28 +48,28 @@
                             sidecar.send(lookRequest("a" + i)).body(),
                             sidecar.send(lookRequest("b" + i)).body());
                 }
-                assertEquals(List.of("two", "two"), bodies, EndpointStatus.DRAINING + " servers take nothing");
+                assertEquals(List.of("two", "two"), bodies, "a draining server gets no new requests");
             }
         }
     }
 
-    /** The server hangs, and the client would wait for longer than the process lives. */
+    /** The server never responds, and the client's deadline is after the kill. */
     @Test
     void requestAcceptedLateInShutdownIsAnsweredBeforeTheKill() throws Exception {
         CountDownLatch never = new CountDownLatch(1);
         try (StubServer upstream = new StubServer(respondAfter(never, "x"));
                 SidecarFixture sidecar = SidecarFixture.startWith(upstream)) {
             sidecar.loop
-                    .submit(() -> sidecar.lifecycle.shutDown(TimeUnit.MILLISECONDS.toNanos(KILL_MILLIS)))
+                    .submit(() -> sidecar.lifecycle.shutDown(TimeUnit.MILLISECONDS.toNanos(KILL_DELAY_MILLIS)))
                     .sync();
-            long killNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(KILL_MILLIS);
+            long killNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(KILL_DELAY_MILLIS);
             sidecar.loop
                     .schedule(() -> {}, LATE_IN_SHUTDOWN_MILLIS, TimeUnit.MILLISECONDS)
                     .sync();
             ClientResponse response = sidecar.send(postRequest("book", "", "x"));
             assertEquals("close", StubServer.header(response.head(), "Connection"));
             assertTrue(response.status() == 502 || response.status() == 503, response.head());
-            assertTrue(System.nanoTime() < killNanos, "answered too late");
+            assertTrue(System.nanoTime() < killNanos, "answered after the kill");
             never.countDown();
         }
     }
--- a/sidecar/src/test/java/topazvalve/sidecar/EvictionPolicyTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/EvictionPolicyTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import topazvalve.sidecar.SidecarFixture.TestClient;
 
-/** More clients than the connection limit: which are evicted, which wait, and how many descriptors are held. */
+/** More clients than the connection limit: which are evicted, which wait, and how many descriptors are used. */
 class EvictionPolicyTest {
     private static final int SMALL_CAPACITY = 4;
 
@@ -49,7 +49,7 @@
         assertTrue(maxOpen <= limit, "descriptors: " + maxOpen);
     }
 
-    /** Three times as many silent clients as the limit connect at once; a new client is served all the same. */
+    /** Three times as many silent clients as the limit connect at once, and a new client is still served. */
     @Test
     void floodOfSilentClientsStaysWithinTheLimitAndEvictsNoActiveClient() throws Exception {
         try (StubServer upstream = StubServer.respondingWith("x");
@@ -74,7 +74,7 @@
         try (StubServer upstream = new StubServer(respondAfter(release, "x"));
                 SidecarFixture sidecar = new SidecarFixture(SidecarFixture.configJson(upstream), SMALL_CAPACITY)) {
             int limit = SMALL_CAPACITY + SPARE_DESCRIPTORS;
-            // A client that is accepted before it has written its request may be evicted.
+            // Blocked until all requests are written: a client that is accepted before may be evicted as silent.
             CountDownLatch unblock = blockEventLoop(sidecar, 0);
             for (int i = 0; i < limit + 2; i++) {
                 StubServer.write(connect(sidecar).socket, lookRequest("open" + i));
@@ -90,7 +90,7 @@
         }
     }
 
-    /** The oldest silent connection would be evicted, but its request is in its socket. */
+    /** The oldest silent connection is next to be evicted, but its request already waits in the socket. */
     @Test
     void connectionWithAnUnreadRequestIsNotEvicted() throws Exception {
         try (StubServer upstream = StubServer.respondingWith("x");
--- a/sidecar/src/test/java/topazvalve/sidecar/FrontendTestHelper.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/FrontendTestHelper.java
@@ -12,30 +12,30 @@
 import java.util.concurrent.TimeUnit;
 import topazvalve.sidecar.SidecarFixture.TestClient;
 
-/** Steps that several tests of the client connections share. */
+/** Steps shared by the tests of client connections. */
 final class FrontendTestHelper {
-    /** How many requests the policy forwards at first to one server that is not warmed up. */
-    private static final int INITIAL_SERVER_LIMIT = 2;
+    /** The concurrency limit of a server at the start of the policy. */
+    private static final int INITIAL_CONCURRENCY_LIMIT = 2;
 
     private FrontendTestHelper() {}
 
-    /** Answers each request with 200 and this body, but not before {@code release} is counted down. */
+    /** Answers each request with 200 and this body once {@code release} has been counted down. */
     static StubServer.Responder respondAfter(CountDownLatch release, String body) {
         return StubServer.afterRelease(release, (socket, head) -> StubServer.reply(socket, "200 OK", "", body));
     }
 
-    /** Answers a request with 200 and its id as the body. */
+    /** Answers a request with 200 and its {@code Req-Id} as the body. */
     static boolean echoId(Socket socket, String head) throws IOException {
         return StubServer.reply(socket, "200 OK", "", StubServer.header(head, "Req-Id"));
     }
 
-    /** Sends a request, and waits until the server has received one; returns the head that the server received. */
+    /** Sends a request and waits until the server has received one; returns the head that it received. */
     static String sendAndAwaitForwarded(TestClient client, String request, StubServer upstream) throws Exception {
         StubServer.write(client.socket, request);
         return StubServer.awaitNext(upstream.receivedHeads);
     }
 
-    /** Writes on a thread of its own, since the connection may not take everything at once. */
+    /** Writes on a separate thread, since the write may block until the sidecar has read enough. */
     static void writeInBackground(TestClient client, String text) {
         StubServer.startDaemonThread(() -> {
             try {
@@ -57,10 +57,10 @@
     }
 
     /**
-     * Keeps the sidecar's event loop from its sockets, so that all that comes meanwhile meets it in one turn.
+     * Blocks the sidecar's event loop, so that everything that arrives meanwhile is handled in one iteration.
      *
-     * @param minMillis how long it stays blocked at least
-     * @return count it down to release the loop
+     * @param minMillis the shortest time for which the loop stays blocked, in milliseconds
+     * @return the latch that releases the loop when it is counted down
      */
     static CountDownLatch blockEventLoop(SidecarFixture sidecar, long minMillis) throws Exception {
         CountDownLatch blocked = new CountDownLatch(1);
@@ -81,14 +81,14 @@
         return release;
     }
 
-    /** Starts a sidecar with so little memory for bodies that no large one is buffered completely. */
+    /** Starts a sidecar whose byte budget is too small to buffer a large body completely. */
     static SidecarFixture startWithMinimalBudget(StubServer... upstreams) throws Exception {
         ObjectNode json = SidecarFixture.configJson(upstreams);
         json.withObject("/limits").put("memory_mb", 0);
         return new SidecarFixture(json);
     }
 
-    /** Returns requests with the ids pipelined0, pipelined1, ... of this length in all, rounded up to a request. */
+    /** Returns whole requests with the ids pipelined0, pipelined1, ..., of {@code minBytes} or more in total. */
     static String pipelinedRequests(int minBytes) {
         StringBuilder requests = new StringBuilder();
         for (int i = 0; requests.length() < minBytes; i++) {
@@ -97,10 +97,10 @@
         return requests.toString();
     }
 
-    /** Sends as many requests as the only server may have at first; further ones are queued in the sidecar. */
-    static List<TestClient> occupyServer(SidecarFixture sidecar, StubServer upstream) throws Exception {
+    /** Uses up the only server's initial concurrency limit, so that the sidecar queues further requests. */
+    static List<TestClient> fillConcurrencyLimit(SidecarFixture sidecar, StubServer upstream) throws Exception {
         List<TestClient> clients = new ArrayList<>();
-        for (int i = 0; i < INITIAL_SERVER_LIMIT; i++) {
+        for (int i = 0; i < INITIAL_CONCURRENCY_LIMIT; i++) {
             TestClient client = new TestClient(sidecar.address);
             StubServer.write(client.socket, SidecarFixture.lookRequest("busy" + i));
             clients.add(client);
@@ -109,7 +109,7 @@
         return clients;
     }
 
-    /** Expects a 200 on each connection and closes it. */
+    /** Asserts that each client receives a 200, and closes its connection. */
     static void assertServedAndClose(List<TestClient> clients) throws IOException {
         for (TestClient client : clients) {
             assertEquals(200, client.readResponse().status());
@@ -117,7 +117,7 @@
         }
     }
 
-    /** Sends a request and expects that the server has received nothing else before it. */
+    /** Sends a request and asserts that it is the next one that the server received. */
     static void assertNothingElseForwarded(SidecarFixture sidecar, StubServer upstream) throws Exception {
         assertEquals(200, sidecar.send(SidecarFixture.lookRequest("last")).status());
         String nextHead = StubServer.awaitNext(upstream.receivedHeads);
--- a/sidecar/src/test/java/topazvalve/sidecar/HttpFrontendTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/HttpFrontendTest.java
@@ -18,7 +18,7 @@
 
 /** Which requests the frontend accepts, how it rejects the others, and how long connections may stay open. */
 class HttpFrontendTest {
-    /** A server must not see an invalid request, since it could affect other requests there. */
+    /** An invalid request must not reach a server, where it could affect other requests. */
     @Test
     void invalidRequestsAreRejectedAndNotForwarded() throws Exception {
         try (StubServer upstream = StubServer.respondingWith("x");
@@ -75,7 +75,7 @@
         }
     }
 
-    /** RFC 9112 section 3.2.2: the target's host replaces the Host header. */
+    /** RFC 9112 section 3.2.2: the host of the target replaces the Host header. */
     @Test
     void absoluteFormTargetIsRewrittenToOriginForm() throws Exception {
         try (StubServer upstream = StubServer.respondingWith("x");
@@ -107,8 +107,8 @@
     }
 
     /**
-     * A message that two readers could take for requests of different lengths may hide a second request, and of
-     * a repeated header each reader could use another value.
+     * A message to which two parsers assign different lengths can smuggle a second request, and of a repeated header
+     * each parser may use another value.
      */
     @Test
     void ambiguousRequestsAreRejectedAndEndTheirConnection() throws Exception {
@@ -153,7 +153,7 @@
         }
     }
 
-    /** A client that sends much more than will be read must get the response, not only a reset. */
+    /** A client that sends much more than the sidecar reads must receive the response, not only a reset. */
     @Test
     void errorResponseArrivesWhileTheClientStillSends() throws Exception {
         try (SidecarFixture sidecar = SidecarFixture.startWith();
@@ -164,7 +164,7 @@
         }
     }
 
-    /** A client that has sent a part of a request gets a response, a silent or idle one only a close. */
+    /** A client that has sent part of a request receives a 408; a silent or idle one is only disconnected. */
     @Test
     void connectionsWithoutACompleteRequestTimeOut() throws Exception {
         try (SidecarFixture sidecar = SidecarFixture.startWith();
@@ -179,7 +179,7 @@
         }
     }
 
-    /** Silent connections above the limit must not keep new clients out. */
+    /** Silent connections above the limit must not prevent new clients from being served. */
     @Test
     void silentConnectionsAreEvictedForNewClients() throws Exception {
         List<TestClient> silent = new ArrayList<>();
--- a/sidecar/src/test/java/topazvalve/sidecar/OpenConnections.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/OpenConnections.java
@@ -7,8 +7,8 @@
 import topazvalve.core.time.EventLoopScheduler;
 
 /**
- * Counts the descriptors that a listener's connections hold. A closed connection counts until the event loop's
- * next select, which releases its descriptor.
+ * Counts the file descriptors that a listener's connections hold. A closed connection counts until the event
+ * loop's next select, which releases its descriptor.
  */
 final class OpenConnections {
     private int open;
@@ -30,7 +30,7 @@
         };
     }
 
-    /** Returns the largest number of connections that were open at a time. */
+    /** Returns the largest number of connections that were open at the same time. */
     int maxOpen() {
         return maxOpen;
     }
--- a/sidecar/src/test/java/topazvalve/sidecar/PipeliningTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/PipeliningTest.java
@@ -15,14 +15,14 @@
 import org.junit.jupiter.api.Test;
 import topazvalve.sidecar.SidecarFixture.TestClient;
 
-/** What a client sends behind its open request; docs/design/crossings.md gives the reasons. */
+/** Data that a client sends behind its open request; docs/design/crossings.md gives the reasons. */
 class PipeliningTest {
-    /** Far more than the smallest quota, a read and the socket's buffers, but less than a flood. */
+    /** Well above the smallest pipelining quota, one read and the socket buffers, but below the limit of a flood. */
     private static final int MORE_THAN_QUOTA_BYTES = 800_000;
-    /** More than a socket's buffers and one read hold. */
+    /** More than one read and the socket buffers hold. */
     private static final int MORE_THAN_ONE_READ_BYTES = 1 << 16;
-    /** Enough for the sidecar to read all that has been sent. */
-    private static final int EVENT_LOOP_TURNS = 100;
+    /** Enough for the sidecar to read everything that was sent. */
+    private static final int EVENT_LOOP_ITERATIONS = 100;
 
     private static final int PIPELINED_REQUESTS = 400;
 
@@ -42,9 +42,9 @@
         }
     }
 
-    /** The buffered requests are answered in order, then the connection ends. */
+    /** The buffered requests are answered in order, then the connection is closed. */
     @Test
-    void connectionEndsBehindTheBufferedRequestsWhenTheRestIsDropped() throws Exception {
+    void connectionClosesAfterTheBufferedRequestsIfTheRestWasDropped() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         try (StubServer upstream = new StubServer(respondAfter(release, "x"));
                 SidecarFixture sidecar = startWithMinimalBudget(upstream);
@@ -53,7 +53,7 @@
             assertEquals("first", StubServer.header(first, "Req-Id"));
             String pipelined = pipelinedRequests(MORE_THAN_QUOTA_BYTES);
             StubServer.write(client.socket, pipelined);
-            for (int i = 0; i < EVENT_LOOP_TURNS; i++) {
+            for (int i = 0; i < EVENT_LOOP_ITERATIONS; i++) {
                 sidecar.loop.submit(() -> {}).sync();
             }
             release.countDown();
@@ -73,7 +73,7 @@
         }
     }
 
-    /** The client gets a failure, and nothing more is read from it. */
+    /** The client receives a 502, and nothing more is read from it. */
     @Test
     void clientThatFloodsBehindAnOpenRequestIsDisconnected() throws Exception {
         CountDownLatch never = new CountDownLatch(1);
@@ -87,7 +87,7 @@
                         StubServer.write(client.socket, pipelinedRequests(MORE_THAN_QUOTA_BYTES));
                     }
                 } catch (IOException disconnected) {
-                    // As expected.
+                    // The expected end of the flood.
                 }
             });
             assertEquals(502, client.readResponse().status());
@@ -96,9 +96,9 @@
         }
     }
 
-    /** A connection's last response is followed by a close, which must not reset it for the sake of unread bytes. */
+    /** The close after the last response must not become a reset because of unread bytes. */
     @Test
-    void lastResponseIsNotLostToUnreadBytesBehindItsRequest() throws Exception {
+    void unreadBytesBehindTheLastRequestDoNotResetItsResponse() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         try (StubServer upstream = new StubServer(respondAfter(release, "x"));
                 SidecarFixture sidecar = startWithMinimalBudget(upstream);
@@ -107,7 +107,7 @@
             sendAndAwaitForwarded(client, request + "x".repeat(MORE_THAN_ONE_READ_BYTES), upstream);
             release.countDown();
             assertEquals(200, client.readResponse().status());
-            assertEquals(-1, client.in.read(), "ended in order, not reset");
+            assertEquals(-1, client.in.read(), "closed in order, not reset");
         }
     }
 }
--- a/sidecar/src/test/java/topazvalve/sidecar/StreamedResponseTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/StreamedResponseTest.java
@@ -21,12 +21,12 @@
 import org.junit.jupiter.api.Test;
 import topazvalve.sidecar.SidecarFixture.TestClient;
 
-/** Responses that are forwarded while they arrive, and how their end is told. */
+/** Responses that are forwarded while they arrive, and how the client can tell whether they are complete. */
 class StreamedResponseTest {
     private static final int LARGE_BYTES = 3_000_000;
     private static final String LARGE_BODY = "0123456789abcdef".repeat(LARGE_BYTES / 16);
 
-    /** Whether a length or chunks delimit it, a truncated response must not be taken for a complete one. */
+    /** A truncated response must not be taken for a complete one, whether a length or chunks delimit it. */
     @Test
     void truncatedResponseIsVisibleToTheClient() throws Exception {
         for (String length : List.of("Content-Length: 200000\r\n", CHUNKED_HEADER)) {
@@ -52,12 +52,12 @@
                         .submit(() -> sidecar.metrics.text(sidecar.exchanges))
                         .get();
                 assertTrue(metrics.contains("app.errors.look=1\n") && metrics.contains("app.ok.look=0\n"));
-                assertEquals(1, upstream.receivedHeads.size(), "a response that has begun is not retried");
+                assertEquals(1, upstream.receivedHeads.size(), "not retried once the response has started");
             }
         }
     }
 
-    /** Such a response is complete at an orderly close and failed at a reset. */
+    /** An orderly close completes such a response, and a reset fails it. */
     @Test
     void responseDelimitedByCloseIsForwarded() throws Exception {
         for (String body : List.of("short", LARGE_BODY)) {
@@ -76,7 +76,9 @@
                                 : new String(
                                         client.in.readNBytes(StubServer.contentLength(head)),
                                         StandardCharsets.US_ASCII));
-                assertNull(StubServer.header(head, "Connection"), "that was the upstream's connection");
+                assertNull(
+                        StubServer.header(head, "Connection"),
+                        "the header applied to the connection to the server only");
             }
         }
         try (StubServer upstream = new StubServer((socket, head) -> {
@@ -114,7 +116,7 @@
         }
     }
 
-    /** A client that stops reading stops its server instead of filling the sidecar's memory. */
+    /** A client that does not read makes its server wait, instead of filling the sidecar's memory. */
     @Test
     void slowClientsApplyBackpressureAndReceiveEverything() throws Exception {
         int size = 1 << 25;
@@ -148,7 +150,7 @@
                 assertEquals(size, StubServer.contentLength(client.readHead()));
             }
             assertEquals("x", sidecar.send(lookRequest("small")).body(), "other requests are served meanwhile");
-            assertEquals(3, sent.getCount(), "no server could send everything yet");
+            assertEquals(3, sent.getCount(), "no response was sent completely yet");
             for (TestClient client : clients) {
                 assertEquals(size, client.in.readNBytes(size).length);
                 client.close();
