--- a/sidecar/src/test/java/topazvalve/sidecar/AdminTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/AdminTest.java
@@ -24,7 +24,7 @@
         try (SidecarFixture.TestClient client = new SidecarFixture.TestClient(sidecar.adminAddress)) {
             SidecarFixture.ClientResponse response = client.send(request);
             assertEquals("close", StubServer.header(response.head(), "Connection"));
-            assertEquals(-1, client.socket.getInputStream().read(), "one call on each connection");
+            assertEquals(-1, client.socket.getInputStream().read(), "one call per connection");
             return response.status();
         }
     }
@@ -36,28 +36,28 @@
     @Test
     void readinessFollowsTheLifecycle() throws Exception {
         try (SidecarFixture sidecar = SidecarFixture.startWith()) {
-            assertEquals(503, status(sidecar, call("GET", "/_ready")), "not yet");
+            assertEquals(503, status(sidecar, call("GET", "/_ready")), "not started yet");
             sidecar.loop.submit(sidecar.lifecycle::markStarted).sync();
             assertEquals(200, status(sidecar, call("GET", "/_ready")));
             sidecar.loop
                     .submit(() -> sidecar.lifecycle.shutDown(Long.MAX_VALUE / 2))
                     .sync();
             assertEquals(503, status(sidecar, call("GET", "/_ready")));
-            assertEquals(409, status(sidecar, call("POST", "/_lameduck/off")), "a shutdown can't be undone");
+            assertEquals(409, status(sidecar, call("POST", "/_lameduck/off")), "a shutdown cannot be revoked");
         }
     }
 
     @Test
     void invalidCallsAreRejected() throws Exception {
         try (SidecarFixture sidecar = SidecarFixture.startWith()) {
-            assertEquals(404, status(sidecar, call("GET", "/_nothing")));
-            assertEquals(404, status(sidecar, call("GET", "/up")), "a call for clients only");
+            assertEquals(404, status(sidecar, call("GET", "/_unknown")));
+            assertEquals(404, status(sidecar, call("GET", "/up")), "served to clients only");
             assertEquals(405, status(sidecar, call("POST", "/_ready")));
             assertEquals(405, status(sidecar, call("GET", "/_lameduck/on")), "a GET must not drain a sidecar");
-            assertEquals(400, status(sidecar, "what is this\r\n\r\n"));
+            assertEquals(400, status(sidecar, "malformed\r\n\r\n"));
             try (SidecarFixture.TestClient client = new SidecarFixture.TestClient(sidecar.adminAddress)) {
-                String large = "POST /_lameduck/on HTTP/1.1\r\nContent-Length: 9999\r\n\r\n";
-                assertEquals(413, client.send(large).status());
+                String largeCall = "POST /_lameduck/on HTTP/1.1\r\nContent-Length: 9999\r\n\r\n";
+                assertEquals(413, client.send(largeCall).status());
             }
             assertFalse(
                     sidecar.loop.submit(sidecar.lifecycle::isDraining).get(), "none of the calls drained the sidecar");
@@ -73,14 +73,14 @@
         }
     }
 
-    /** Waits until a metric has a value: an attempt counts once the system has taken its last byte. */
+    /** Waits until a metric has a value: an attempt counts once the kernel has accepted its last byte. */
     private static void awaitMetric(SidecarFixture sidecar, String line) throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(StubServer.TIMEOUT_SECONDS);
-        String seen = fetchMetrics(sidecar);
-        while (seen.lines().noneMatch(line::equals)) {
-            assertTrue(System.nanoTime() < end, line + " never came: " + seen);
+        String metrics = fetchMetrics(sidecar);
+        while (metrics.lines().noneMatch(line::equals)) {
+            assertTrue(System.nanoTime() < end, line + " not reported: " + metrics);
             Thread.sleep(10);
-            seen = fetchMetrics(sidecar);
+            metrics = fetchMetrics(sidecar);
         }
     }
 
@@ -135,12 +135,12 @@
         }
     }
 
-    /** A server that refuses connections is ejected; an attempt that was never written is not counted. */
+    /** A server that refuses connections is ejected; an attempt that was never written does not count. */
     @Test
     void ejectedEndpointIsCounted() throws Exception {
-        try (StubServer dead = StubServer.respondingWith("x");
-                StubServer alive = StubServer.respondingWith("y");
-                SidecarFixture sidecar = SidecarFixture.startWithStopped(dead, alive)) {
+        try (StubServer stopped = StubServer.respondingWith("x");
+                StubServer running = StubServer.respondingWith("y");
+                SidecarFixture sidecar = SidecarFixture.startWithStopped(stopped, running)) {
             for (int i = 0; i < 4; i++) {
                 assertEquals(
                         "y", sidecar.send(SidecarFixture.lookRequest("a" + i)).body());
@@ -151,7 +151,7 @@
         }
     }
 
-    /** New requests are served all the while; once it is off, connections are kept open again. */
+    /** New requests are served during the lame duck state; after it, connections are kept open again. */
     @Test
     void lameDuckStillServesAndCanBeTurnedOff() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
@@ -169,9 +169,9 @@
             SidecarFixture.ClientResponse response = busy.readResponse();
             assertEquals(200, response.status());
             assertEquals("close", StubServer.header(response.head(), "Connection"));
-            SidecarFixture.ClientResponse late = sidecar.send(SidecarFixture.lookRequest("b"));
-            assertEquals(200, late.status(), "a new client is served");
-            assertEquals("close", StubServer.header(late.head(), "Connection"));
+            SidecarFixture.ClientResponse whileDraining = sidecar.send(SidecarFixture.lookRequest("b"));
+            assertEquals(200, whileDraining.status(), "a new client is served");
+            assertEquals("close", StubServer.header(whileDraining.head(), "Connection"));
             setLameDuck(sidecar, false);
             try (SidecarFixture.TestClient kept = new SidecarFixture.TestClient(sidecar.address)) {
                 assertEquals(200, kept.send(SidecarFixture.UP_REQUEST).status());
@@ -181,7 +181,7 @@
         }
     }
 
-    /** Requests that were read before the drain are answered, also those queued behind another. */
+    /** Requests that were read before the drain are answered, including those pipelined behind another. */
     @Test
     void pipelinedRequestsAreAnsweredBeforeALameDuckCloses() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
@@ -199,7 +199,7 @@
         }
     }
 
-    /** Silent connections and half calls, many more than the limit, must not keep a complete call out. */
+    /** Silent connections and incomplete calls, far more than the limit, must not prevent a complete call. */
     @Test
     void silentConnectionsDoNotBlockCalls() throws Exception {
         List<SidecarFixture.TestClient> silent = new ArrayList<>();
@@ -214,8 +214,8 @@
             assertEquals(503, status(sidecar, call("GET", "/_ready")));
             assertEquals(-1, silent.get(99).socket.getInputStream().read(), "silent connections are closed");
         } finally {
-            for (SidecarFixture.TestClient each : silent) {
-                each.close();
+            for (SidecarFixture.TestClient client : silent) {
+                client.close();
             }
         }
     }
--- a/sidecar/src/test/java/topazvalve/sidecar/ArchitectureTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/ArchitectureTest.java
@@ -11,14 +11,14 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** Dependency rules that Maven modules cannot express: inside the policy, and between the sidecar's packages. */
+/** Dependency rules that Maven modules cannot express, for the policy, the core and the sidecar's packages. */
 class ArchitectureTest {
     private static final JavaClasses CLASSES = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("topazvalve");
 
     @Test
-    void policyUsesNoLibraryInputClockOrThread() {
+    void policyUsesNoLibraryInputOutputClockOrThread() {
         noClasses()
                 .that()
                 .resideInAPackage("topazvalve.policy..")
--- a/sidecar/src/test/java/topazvalve/sidecar/ConfigTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/ConfigTest.java
@@ -17,11 +17,11 @@
 import topazvalve.sidecar.config.Config;
 import topazvalve.sidecar.config.InvalidConfigException;
 
-/** The configuration, and the settings in it as the module is told them. */
+/** Reading and validating the configuration and the settings in it. */
 class ConfigTest {
 
     @Test
-    void settingsAreReadAsInTheSimulatorsProtocol() throws Exception {
+    void settingsAreReadAsInTheSimulatorProtocol() throws Exception {
         Config config = SidecarFixture.config(SidecarFixture.configJson());
         Settings settings = config.settingsReader().settings();
         assertEquals(List.of("rate", "q"), settings.loadReportFields());
@@ -34,9 +34,9 @@
         assertEquals(41, config.initialEndpoints().revision());
     }
 
-    /** One line has to tell the operator which key to correct. */
+    /** A single line must tell the operator which key to correct. */
     @Test
-    void mistakesNameTheirKey() throws Exception {
+    void errorsNameTheInvalidKey() throws Exception {
         for (String key : List.of("listen", "discovery", "seed", "settings")) {
             ObjectNode json = SidecarFixture.configJson();
             json.remove(key);
@@ -57,47 +57,48 @@
     void exceptionCarriesThePathOfTheKey() throws Exception {
         ObjectNode json = SidecarFixture.configJson();
         ((ObjectNode) json.at("/settings/profiles/1")).remove("keyScope");
-        InvalidConfigException mistake = assertThrows(InvalidConfigException.class, () -> SidecarFixture.config(json));
-        assertEquals("profiles.1.keyScope", mistake.key());
-        assertEquals("missing: profiles.1.keyScope", mistake.getMessage());
+        InvalidConfigException exception =
+                assertThrows(InvalidConfigException.class, () -> SidecarFixture.config(json));
+        assertEquals("profiles.1.keyScope", exception.key());
+        assertEquals("missing: profiles.1.keyScope", exception.getMessage());
     }
 
-    /** A truncated file, or one with another appended to it, is rejected. */
+    /** A file that is truncated, has data appended to it or repeats a key is rejected. */
     @Test
-    void truncatedFileIsRejected(@TempDir Path folder) throws Exception {
-        String whole = SidecarFixture.configJson().toString();
-        Path file = folder.resolve("config.json");
-        for (int length = 0; length < whole.length(); length++) {
-            Files.writeString(file, whole.substring(0, length));
-            assertThrows(InvalidConfigException.class, () -> Config.read(file), "cut at " + length);
+    void malformedFileIsRejected(@TempDir Path directory) throws Exception {
+        String valid = SidecarFixture.configJson().toString();
+        Path file = directory.resolve("config.json");
+        for (int length = 0; length < valid.length(); length++) {
+            Files.writeString(file, valid.substring(0, length));
+            assertThrows(InvalidConfigException.class, () -> Config.read(file), "truncated to " + length);
         }
-        String twice = whole.replaceFirst("\\{", "{\"seed\":\"1\",");
-        for (String bad : List.of(whole + whole, whole + "}", twice)) {
-            Files.writeString(file, bad);
-            assertThrows(InvalidConfigException.class, () -> Config.read(file), bad);
+        String repeatedKey = valid.replaceFirst("\\{", "{\"seed\":\"1\",");
+        for (String invalid : List.of(valid + valid, valid + "}", repeatedKey)) {
+            Files.writeString(file, invalid);
+            assertThrows(InvalidConfigException.class, () -> Config.read(file), invalid);
         }
-        Files.writeString(file, whole);
+        Files.writeString(file, valid);
         assertEquals("n0", Config.read(file).name());
     }
 
     @Test
     void deadlinesAndAttemptsMustBePositiveNumbers() throws Exception {
-        for (String bad : List.of("0", "-1", "\"soon\"", "\"5\"", "null", "true", "[5]", "{}")) {
+        for (String invalid : List.of("0", "-1", "\"soon\"", "\"5\"", "null", "true", "[5]", "{}")) {
             ObjectNode json = SidecarFixture.configJson();
-            json.withObject("/settings/caps").set("tryLimit", SidecarFixture.JSON.readTree(bad));
+            json.withObject("/settings/caps").set("tryLimit", SidecarFixture.JSON.readTree(invalid));
             assertRejectedNaming("caps.tryLimit", json);
             json = SidecarFixture.configJson();
-            ((ObjectNode) json.at("/settings/profiles/1")).set("deadline", SidecarFixture.JSON.readTree(bad));
+            ((ObjectNode) json.at("/settings/profiles/1")).set("deadline", SidecarFixture.JSON.readTree(invalid));
             assertRejectedNaming("profiles.1.deadline", json);
         }
     }
 
-    /** Every key in force has to be there again: no default may replace it silently. */
+    /** Every key in force must be present again, so that no default replaces it silently. */
     @Test
-    void reloadRejectsAFileThatMissesAKey() throws Exception {
+    void reloadRejectsAFileThatLacksAKey() throws Exception {
         Config inForce = SidecarFixture.config(SidecarFixture.configJson());
         inForce.requireReloadableFrom(inForce);
-        for (String at : List.of(
+        for (String path : List.of(
                 "/settings/caps/connIdle",
                 "/settings/rules/askWithin",
                 "/limits/cores",
@@ -105,9 +106,9 @@
                 "/known",
                 "/name")) {
             ObjectNode json = SidecarFixture.configJson();
-            int slash = at.lastIndexOf('/');
-            String key = at.substring(slash + 1);
-            ((ObjectNode) json.at(at.substring(0, slash))).remove(key);
+            int slash = path.lastIndexOf('/');
+            String key = path.substring(slash + 1);
+            ((ObjectNode) json.at(path.substring(0, slash))).remove(key);
             String message = assertThrows(
                             IllegalArgumentException.class,
                             () -> SidecarFixture.config(json).requireReloadableFrom(inForce))
@@ -129,12 +130,12 @@
         assertTrue(message.contains(key) && message.lines().count() == 1, message);
     }
 
-    /** There is no DNS: a name would block the event loop until the resolver gives up. */
+    /** There is no DNS, so a host name would block the event loop until the resolver times out. */
     @Test
     void onlyNumericAddressesAreAccepted() {
         assertEquals(8080, Addresses.parse("127.0.0.1:8080").getPort());
-        for (String bad : List.of("", "localhost:80", "127.0.0.1", "127.0.0.1:", "127.0.0.1:70000", ":80")) {
-            assertNull(Addresses.parse(bad), bad);
+        for (String invalid : List.of("", "localhost:80", "127.0.0.1", "127.0.0.1:", "127.0.0.1:70000", ":80")) {
+            assertNull(Addresses.parse(invalid), invalid);
         }
     }
 }
--- a/sidecar/src/test/java/topazvalve/sidecar/DrainTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/DrainTest.java
@@ -12,17 +12,17 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** Draining: of one endpoint, told by discovery, and of the sidecar itself at a shutdown. */
+/** Draining of an endpoint, as reported by discovery, and of the sidecar itself at its shutdown. */
 class DrainTest {
-    /** A draining endpoint of the watch gets no new requests, and a broken watch is opened again. */
+    /** An endpoint that the watch reports as draining gets no new requests; a watch that ends is resubscribed. */
     @Test
-    void drainingEndpointGetsNoRequestsAndABrokenWatchIsResubscribed() throws Exception {
+    void drainingEndpointGetsNoRequestsAndAnEndedWatchIsResubscribed() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         try (StubServer drained = StubServer.respondingWith("x");
                 StubServer other = StubServer.respondingWith("y")) {
-            String line = "{\"rev\":42,\"all\":false,\"targets\":["
+            String update = "{\"rev\":42,\"all\":false,\"targets\":["
                     + SidecarFixture.endpointJson("s-0", drained.endpoint(), "DRAINING") + "]}\n";
-            try (StubServer discovery = new StubServer(watchSending(line, release))) {
+            try (StubServer discovery = new StubServer(watchSending(update, release))) {
                 ObjectNode json = SidecarFixture.configJson(drained, other).put("discovery", discovery.endpoint());
                 json.withObject("/settings").put("discovery", "subscribe");
                 try (SidecarFixture sidecar = new SidecarFixture(json)) {
@@ -45,19 +45,19 @@
                     assertTrue(StubServer.awaitNext(discovery.receivedHeads).contains("from=41 "));
                     assertTrue(
                             StubServer.awaitNext(discovery.receivedHeads).contains("from=42 "),
-                            "resumed where the first one ended");
+                            "resubscribed from the revision of the ended watch");
                 }
             }
         }
     }
 
-    /** Discovery whose watch sends one line once released, and ends after that. */
-    private static StubServer.Responder watchSending(String line, CountDownLatch release) {
+    /** Keeps each watch open until released, then closes it; the first watch gets one update before. */
+    private static StubServer.Responder watchSending(String update, CountDownLatch release) {
         return (socket, head) -> {
             StubServer.write(socket, "HTTP/1.1 200 OK\r\n" + ChunkedEncoding.CHUNKED_HEADER + "\r\n");
             StubServer.sendHeartbeatsUntil(release, socket);
             if (head.contains("from=41 ")) {
-                StubServer.write(socket, ChunkedEncoding.chunk(line));
+                StubServer.write(socket, ChunkedEncoding.chunk(update));
             }
             return false;
         };
@@ -77,13 +77,13 @@
                     .sync();
             assertEquals(-1, idle.socket.getInputStream().read(), "an idle connection is closed");
             SidecarFixture.ClientResponse meanwhile = sidecar.send(SidecarFixture.UP_REQUEST);
-            assertEquals(503, meanwhile.status(), "its client can still connect");
+            assertEquals(503, meanwhile.status(), "clients can still connect");
             assertEquals("close", StubServer.header(meanwhile.head(), "Connection"));
             sidecar.loop.submit(sidecar.clientListener::stop).sync();
             assertThrows(
                     IOException.class,
                     () -> sidecar.send(SidecarFixture.lookRequest("b")),
-                    "until the listener is stopped");
+                    "no connection once the listener is stopped");
             assertFalse(sidecar.loop.submit(sidecar.frontend::isIdle).get());
             release.countDown();
             SidecarFixture.ClientResponse response = busy.readResponse();
--- a/sidecar/src/test/java/topazvalve/sidecar/RequestForwardingTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/RequestForwardingTest.java
@@ -21,7 +21,7 @@
 import topazvalve.sidecar.http.UpstreamRequest;
 import topazvalve.sidecar.http.UpstreamResponse;
 
-/** Requests and responses through a whole sidecar between a client and servers on loopback. */
+/** Requests and responses that a complete sidecar forwards between a client and servers on loopback. */
 class RequestForwardingTest {
 
     @Test
@@ -38,17 +38,19 @@
             assertEquals("9b1f", StubServer.header(head, "Req-Id"));
             assertEquals("5c0f", StubServer.header(head, "Idempotency-Key"));
             assertEquals("t1", StubServer.header(head, "X-Trace"));
-            int wait = Integer.parseInt(StubServer.header(head, "Req-Deadline-Ms"));
-            assertTrue(wait > 0 && wait < SidecarFixture.DEADLINE_MS, "some time is kept for the way back: " + wait);
+            int forwardedDeadlineMs = Integer.parseInt(StubServer.header(head, "Req-Deadline-Ms"));
+            assertTrue(
+                    forwardedDeadlineMs > 0 && forwardedDeadlineMs < SidecarFixture.DEADLINE_MS,
+                    "part of the deadline is reserved for the response's way back: " + forwardedDeadlineMs);
             assertEquals("two", StubServer.awaitNext(server.receivedBodies));
             assertEquals(200, sidecar.send(SidecarFixture.lookRequest("a")).status());
             assertTrue(StubServer.awaitNext(server.receivedHeads).startsWith("GET /api/7f3a?full=1 HTTP/1.1\r\n"));
         }
     }
 
-    /** The largest body that is forwarded as one part, in both directions. */
+    /** The largest body that is buffered completely before it is forwarded, in both directions. */
     @Test
-    void largestBodiesAreForwarded() throws Exception {
+    void largestBufferedBodiesAreForwarded() throws Exception {
         String body = "x".repeat(1 << 16);
         try (StubServer server = StubServer.respondingWith(body);
                 SidecarFixture sidecar = SidecarFixture.startWith(server)) {
@@ -59,7 +61,7 @@
         }
     }
 
-    /** Servers do send large responses: failing one would have every server tried in turn. */
+    /** If a large response counted as a failure, the request would be retried on every server. */
     @Test
     void largeResponseIsForwarded() throws Exception {
         String body = "x".repeat(400_000);
@@ -70,7 +72,7 @@
         }
     }
 
-    /** A client that disconnects cancels its attempt, whose connection is closed and not reused. */
+    /** When a client disconnects, its attempt is cancelled and the connection to the server is not reused. */
     @Test
     void clientDisconnectClosesTheAttemptsConnection() throws Exception {
         try (StubServer silent = new StubServer((socket, head) -> true);
@@ -82,19 +84,19 @@
         }
     }
 
-    /** With silent servers the client gets its error response while it still waits. */
+    /** If no server responds, the client receives an error response before its own deadline. */
     @Test
     void silentServerIsReportedBeforeTheClientsDeadline() throws Exception {
         try (StubServer silent = new StubServer((socket, head) -> true);
                 SidecarFixture sidecar = SidecarFixture.startWith(silent)) {
-            String shorter =
+            String shortDeadline =
                     SidecarFixture.postRequest("book", "", "b").replace("Deadline-Ms: 20000", "Deadline-Ms: 1500");
-            assertEquals(502, sidecar.send(shorter).status());
+            assertEquals(502, sidecar.send(shortDeadline).status());
             StubServer.awaitNext(silent.closedConnections);
         }
     }
 
-    /** A stale connection turns requests into resets: it is closed before the server's own idle timeout. */
+    /** Idle connections are closed before the server closes them, since requests on closed ones would be reset. */
     @Test
     void idleConnectionIsClosedAfterItsTimeout() throws Exception {
         try (StubServer server = StubServer.respondingWith("x")) {
@@ -111,15 +113,15 @@
     @Test
     void connectionIsReused() throws Exception {
         CountDownLatch connections = new CountDownLatch(2);
-        ThreadLocal<Boolean> first = ThreadLocal.withInitial(() -> true);
-        StubServer.Responder counting = (socket, head) -> {
-            if (first.get()) {
-                first.set(false);
+        ThreadLocal<Boolean> firstOnConnection = ThreadLocal.withInitial(() -> true);
+        StubServer.Responder countingConnections = (socket, head) -> {
+            if (firstOnConnection.get()) {
+                firstOnConnection.set(false);
                 connections.countDown();
             }
             return StubServer.reply(socket, "200 OK", "", "x");
         };
-        try (StubServer server = new StubServer(counting);
+        try (StubServer server = new StubServer(countingConnections);
                 SidecarFixture sidecar = SidecarFixture.startWith(server)) {
             for (int i = 0; i < 5; i++) {
                 assertEquals(
@@ -129,11 +131,12 @@
         }
     }
 
-    /** A client error is forwarded as the server sent it: no retry, and no server is ejected. */
+    /** A 4xx response is forwarded unchanged, is not retried and does not count as a failure of the server. */
     @Test
     void clientErrorsDoNotEjectAServer() throws Exception {
-        StubServer.Responder wrong = (socket, head) -> StubServer.reply(socket, "422 Unprocessable Content", "", "qty");
-        try (TwoServerFixture servers = new TwoServerFixture(wrong)) {
+        StubServer.Responder clientError =
+                (socket, head) -> StubServer.reply(socket, "422 Unprocessable Content", "", "qty");
+        try (TwoServerFixture servers = new TwoServerFixture(clientError)) {
             SidecarFixture sidecar = servers.sidecar;
             for (int i = 0; i < 50; i++) {
                 SidecarFixture.ClientResponse response = sidecar.send(SidecarFixture.lookRequest("w" + i));
@@ -148,7 +151,7 @@
         }
     }
 
-    /** A request's body is released with its response, not only when its deadline passes. */
+    /** A request's body is released when its response arrives, not only when its deadline passes. */
     @Test
     void answeredRequestIsReleasedBeforeItsDeadline() throws Exception {
         try (StubServer server = StubServer.respondingWith("x");
@@ -167,7 +170,7 @@
     private static WeakReference<RequestBody> submitAndAwaitResponse(SidecarFixture sidecar) throws Exception {
         RequestBody body = RequestBody.of(new byte[1000]);
         CountDownLatch done = new CountDownLatch(1);
-        ExchangeRequest<UpstreamRequest> job = new ExchangeRequest<>(
+        ExchangeRequest<UpstreamRequest> request = new ExchangeRequest<>(
                 new ClassTable.Entry(2, "book", null),
                 0,
                 0,
@@ -177,14 +180,14 @@
                 true,
                 new UpstreamRequest(HttpMethod.POST, "/api/x", new DefaultHttpHeaders()),
                 body);
-        sidecar.loop.execute(() -> sidecar.exchanges.submit(job, new ResponseListener<UpstreamResponse>() {
+        sidecar.loop.execute(() -> sidecar.exchanges.submit(request, new ResponseListener<UpstreamResponse>() {
             @Override
             public void responseReceived(UpstreamResponse response) {
                 done.countDown();
             }
 
             @Override
-            public void responseStarted(UpstreamResponse first, long length, FlowControl rest) {}
+            public void responseStarted(UpstreamResponse firstPart, long length, FlowControl flowControl) {}
 
             @Override
             public void responseData(ByteBuf bytes) {}
@@ -196,7 +199,7 @@
             public void responseAborted() {}
 
             @Override
-            public void rejected(long wait) {}
+            public void rejected(long retryAfterNanos) {}
 
             @Override
             public void failed() {}
--- a/sidecar/src/test/java/topazvalve/sidecar/SettingsReloadTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/SettingsReloadTest.java
@@ -11,11 +11,11 @@
 import org.junit.jupiter.api.Test;
 import topazvalve.sidecar.config.Config;
 
-/** A configuration reload under way, and which requests its new settings apply to. */
+/** The requests to which new settings apply when the configuration is reloaded. */
 class SettingsReloadTest {
     /**
-     * A request in flight keeps its class and its attempt limit. For new requests a class of the same name with other
-     * rules applies at once, a removed class is unknown, and a new class has metrics from 0.
+     * A request in flight keeps its class and its attempt limit. For new requests a changed class applies at once, a
+     * removed class is unknown, and the metrics of an added class start at 0.
      */
     @Test
     void reloadedSettingsApplyToNewRequestsOnly() throws Exception {
@@ -28,13 +28,13 @@
                 SidecarFixture.TestClient inFlight = new SidecarFixture.TestClient(sidecar.address)) {
             StubServer.write(inFlight.socket, SidecarFixture.lookRequest("open"));
             assertTrue(received.await(StubServer.TIMEOUT_SECONDS, TimeUnit.SECONDS));
-            Config next = SidecarFixture.config(changedConfig(one, two));
-            sidecar.loop.submit(() -> sidecar.proxy.reconfigure(next)).sync();
+            Config newConfig = SidecarFixture.config(changedConfig(one, two));
+            sidecar.loop.submit(() -> sidecar.proxy.reconfigure(newConfig)).sync();
             assertNewClassesApply(sidecar);
             assertNewAttemptLimitApplies(sidecar);
             release.countDown();
-            assertEquals(503, inFlight.readResponse().status(), "idempotent, as it was when the request came");
-            assertEquals(2, attempts("open", one, two), "and retried, under the old attempt limit");
+            assertEquals(503, inFlight.readResponse().status(), "still idempotent, as when the request arrived");
+            assertEquals(2, attempts("open", one, two), "retried under the old attempt limit");
         }
     }
 
@@ -57,7 +57,7 @@
         };
     }
 
-    /** One attempt at most; look becomes non-idempotent, hold goes, fresh comes. */
+    /** Limits the attempts to one, makes the class look non-idempotent, removes hold and adds fresh. */
     private static ObjectNode changedConfig(StubServer one, StubServer two) throws Exception {
         ObjectNode json = SidecarFixture.configJson(one, two);
         json.withObject("/settings/caps").put("tryLimit", 1);
@@ -74,14 +74,16 @@
 
     private static void assertNewClassesApply(SidecarFixture sidecar) throws Exception {
         assertEquals(
-                400, sidecar.send(SidecarFixture.lookRequest("a")).status(), "a non-idempotent class takes no GET");
+                400,
+                sidecar.send(SidecarFixture.lookRequest("a")).status(),
+                "a non-idempotent class does not allow GET");
         String removedClass = SidecarFixture.postRequest("hold", "Idempotency-Key: 1\r\n", "");
         assertEquals(400, sidecar.send(removedClass).status(), "the class was removed");
         assertTrue(metrics(sidecar).contains("app.tries.fresh=0\n"));
     }
 
     private static void assertNewAttemptLimitApplies(SidecarFixture sidecar) throws Exception {
-        // The policy has no retries to spare while many requests fail: let most succeed.
+        // Most requests succeed, since the policy makes no retries while many fail, whatever the limit is.
         for (int i = 0; i < 30; i++) {
             assertEquals(200, sidecar.send(freshRequest("c" + i)).status());
         }
--- a/sidecar/src/test/java/topazvalve/sidecar/SidecarFixture.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/SidecarFixture.java
@@ -26,15 +26,15 @@
 import topazvalve.sidecar.http.UpstreamResponse;
 import topazvalve.sidecar.listen.ClientListener;
 
-/** A sidecar inside the test's process whose endpoints are known from the start, and a client for it. */
+/** A sidecar in the test's process whose initial endpoint list contains the given servers, and a client for it. */
 final class SidecarFixture implements AutoCloseable {
-    /** Asks whether the sidecar accepts clients. */
+    /** Requests whether the sidecar accepts clients. */
     static final String UP_REQUEST = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
 
     static final ObjectMapper JSON = new ObjectMapper();
     static final int DEADLINE_MS = 20_000;
     static final int MAX_CONNECTIONS = 100;
-    /** Descriptors for connections that are just being accepted or closed. */
+    /** Descriptors for connections that are being accepted or closed. */
     static final int SPARE_DESCRIPTORS = 10;
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -51,7 +51,7 @@
     /** A response as the client received it. */
     record ClientResponse(int status, String head, String body) {}
 
-    /** Counts the accepted connections that are open, by their descriptors. */
+    /** Counts the descriptors of accepted connections. */
     final OpenConnections openConnections = new OpenConnections();
 
     SidecarFixture(ObjectNode json) throws Exception {
@@ -105,7 +105,7 @@
         return Config.of(JsonReader.read(json.toString()));
     }
 
-    /** A configuration with the classes look (idempotent), hold (keyed) and book (non-idempotent), and one tenant. */
+    /** Returns a configuration with one tenant and classes look (idempotent), hold (keyed), book (non-idempotent). */
     static ObjectNode configJson(StubServer... servers) throws IOException {
         ObjectNode root = (ObjectNode) JSON.readTree("""
                 {"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
@@ -143,6 +143,7 @@
                 .put("boot_ms", 0);
     }
 
+    /** Returns a request of the idempotent class look. */
     static String lookRequest(String id) {
         return "GET /api/7f3a?full=1 HTTP/1.1\r\nHost: app.svc\r\nReq-Id: " + id
                 + "\r\nReq-Kind: look\r\nReq-Owner: acme\r\nReq-Deadline-Ms: " + DEADLINE_MS + "\r\n\r\n";
@@ -180,7 +181,7 @@
         String readHead() throws IOException {
             String head = StubServer.readHead(in);
             if (head.isEmpty()) {
-                throw new IOException("connection ended without an answer");
+                throw new IOException("connection ended without a response");
             }
             return head;
         }
--- a/sidecar/src/test/java/topazvalve/sidecar/TwoServerFixture.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/TwoServerFixture.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A sidecar with two servers that respond alike. */
+/** A sidecar with two servers that respond in the same way. */
 final class TwoServerFixture implements AutoCloseable {
     final StubServer one;
     final StubServer two;
@@ -14,7 +14,7 @@
         sidecar = SidecarFixture.startWith(one, two);
     }
 
-    /** Returns how many requests both servers together have received. */
+    /** Returns the number of requests that the two servers have received in total. */
     int receivedRequests() {
         return one.receivedHeads.size() + two.receivedHeads.size();
     }
