--- a/logging/src/main/java/topazvalve/logging/LineFormatter.java
+++ b/logging/src/main/java/topazvalve/logging/LineFormatter.java
@@ -8,10 +8,10 @@
 import java.util.logging.LogRecord;
 
 /**
- * Formats each record as exactly one line, whatever characters it has. Text is {@code TIME LEVEL NAME: message},
- * the form in {@code docs/oncall.md}; JSON has the keys {@code time}, {@code level}, {@code logger},
- * {@code message} and, with an exception, {@code exception} and {@code at} (the frame that threw it). Time is UTC
- * in milliseconds (RFC 3339).
+ * Formats each record as exactly one line, even if it contains line breaks or other control characters. The text format
+ * is {@code TIME LEVEL NAME: message}, as described in {@code docs/oncall.md}. The JSON format has the keys
+ * {@code time}, {@code level}, {@code logger}, {@code message} and, for an exception, {@code exception} and {@code at}
+ * (the stack frame that threw it). Times are in UTC with millisecond precision (RFC 3339).
  */
 final class LineFormatter extends Formatter {
     private static final DateTimeFormatter TIME =
@@ -20,23 +20,23 @@
 
     private final boolean json;
 
-    /** Creates a formatter of JSON or of text. */
+    /** Creates a formatter for JSON if {@code json} is true, otherwise for text. */
     LineFormatter(boolean json) {
         this.json = json;
     }
 
     @Override
-    public String format(LogRecord entry) {
-        return json ? formatJson(entry) : formatText(entry);
+    public String format(LogRecord logRecord) {
+        return json ? formatJson(logRecord) : formatText(logRecord);
     }
 
-    private String formatText(LogRecord entry) {
+    private String formatText(LogRecord logRecord) {
         StringBuilder line = new StringBuilder(INITIAL_LINE_CHARS);
-        line.append(TIME.format(entry.getInstant())).append(' ');
-        line.append(levelName(entry.getLevel())).append(' ');
-        line.append(entry.getLoggerName()).append(": ");
-        line.append(formatMessage(entry));
-        Throwable thrown = entry.getThrown();
+        line.append(TIME.format(logRecord.getInstant())).append(' ');
+        line.append(levelName(logRecord.getLevel())).append(' ');
+        line.append(logRecord.getLoggerName()).append(": ");
+        line.append(formatMessage(logRecord));
+        Throwable thrown = logRecord.getThrown();
         if (thrown != null) {
             line.append(": ").append(thrown);
             line.append(" at ").append(originOf(thrown));
@@ -45,13 +45,13 @@
         return line.append('\n').toString();
     }
 
-    private String formatJson(LogRecord entry) {
+    private String formatJson(LogRecord logRecord) {
         StringBuilder line = new StringBuilder(INITIAL_LINE_CHARS);
-        line.append("{\"time\":\"").append(TIME.format(entry.getInstant()));
-        line.append("\",\"level\":\"").append(levelName(entry.getLevel())).append('"');
-        appendField(line, "logger", entry.getLoggerName());
-        appendField(line, "message", formatMessage(entry));
-        Throwable thrown = entry.getThrown();
+        line.append("{\"time\":\"").append(TIME.format(logRecord.getInstant()));
+        line.append("\",\"level\":\"").append(levelName(logRecord.getLevel())).append('"');
+        appendField(line, "logger", logRecord.getLoggerName());
+        appendField(line, "message", formatMessage(logRecord));
+        Throwable thrown = logRecord.getThrown();
         if (thrown != null) {
             appendField(line, "exception", thrown.toString());
             appendField(line, "at", originOf(thrown));
@@ -65,7 +65,7 @@
         line.append('"');
     }
 
-    /** Replaces line ends and the like by spaces: text from outside must not pass for further log lines. */
+    /** Replaces control characters by spaces, so that external input cannot forge additional log lines. */
     private static void replaceControlCharacters(StringBuilder line) {
         for (int i = 0; i < line.length(); i++) {
             if (line.charAt(i) < ' ') {
@@ -74,13 +74,13 @@
         }
     }
 
-    /** Returns the frame that threw an exception. */
+    /** Returns the stack frame that threw an exception. */
     private static String originOf(Throwable thrown) {
         StackTraceElement[] frames = thrown.getStackTrace();
         return frames.length == 0 ? "?" : frames[0].toString();
     }
 
-    /** Returns SLF4J's name of a level. */
+    /** Returns the SLF4J name of a level. */
     private static String levelName(Level level) {
         int value = level.intValue();
         if (value >= Level.SEVERE.intValue()) {
--- a/logging/src/main/java/topazvalve/logging/Logging.java
+++ b/logging/src/main/java/topazvalve/logging/Logging.java
@@ -13,11 +13,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sets up SLF4J's backend, which is the JDK's own {@code java.util.logging}: the class library loads it anyway, so
- * that a sidecar pays for no other. Each record is one line on standard error, flushed at once.
+ * Configures {@code java.util.logging} as the backend of SLF4J. The JDK loads it in any case, so a sidecar avoids the
+ * cost of another backend. Each record is one line on standard error, flushed immediately.
  *
  * <p>System properties: {@code topazvalve.log.level} is one of error, warn, info (the default), debug and trace;
- * {@code topazvalve.log.format} is text (the default) or json. Any other value is reported in one log line, and the
+ * {@code topazvalve.log.format} is text (the default) or json. For any other value, a warning is logged and the
  * default is used.
  */
 public final class Logging {
@@ -37,15 +37,15 @@
     private Logging() {}
 
     /**
-     * Sets up the backend and returns the logger of this name. The first class of a process has to call it, before
-     * anything else uses {@code java.util.logging}.
+     * Configures the backend and returns the logger with this name. The first class that a process loads must call this
+     * before anything else uses {@code java.util.logging}.
      */
     public static Logger of(String name) {
-        install();
+        configureBackend();
         return LoggerFactory.getLogger(name);
     }
 
-    private static void install() {
+    private static void configureBackend() {
         System.setProperty(MANAGER_PROPERTY, ShutdownSafeLogManager.class.getName());
         String format = System.getProperty(FORMAT_PROPERTY, TEXT_FORMAT);
         String level = System.getProperty(LEVEL_PROPERTY, DEFAULT_LEVEL);
@@ -58,27 +58,28 @@
         root.addHandler(handler);
         root.setLevel(LEVELS.getOrDefault(level, Level.INFO));
         if (!LEVELS.containsKey(level)) {
-            root.warning(LEVEL_PROPERTY + "=" + level + " is none of error, warn, info, debug, trace: using info");
+            root.warning("invalid " + LEVEL_PROPERTY + "=" + level
+                    + ", expected error, warn, info, debug or trace: using info");
         }
         if (!format.equals(TEXT_FORMAT) && !format.equals(JSON_FORMAT)) {
-            root.warning(FORMAT_PROPERTY + "=" + format + " is neither text nor json: using text");
+            root.warning("invalid " + FORMAT_PROPERTY + "=" + format + ", expected text or json: using text");
         }
     }
 
-    /** Flushes each record, so that a process that is killed does not lose its last lines. */
+    /** Flushes after each record, so that the last lines are not lost if the process is killed. */
     private static final class FlushingHandler extends StreamHandler {
         FlushingHandler(boolean json) {
             super(new FileOutputStream(FileDescriptor.err), new LineFormatter(json));
             try {
                 setEncoding(StandardCharsets.UTF_8.name());
             } catch (UnsupportedEncodingException e) {
-                throw new AssertionError("every JDK has UTF-8", e);
+                throw new AssertionError("UTF-8 is supported by every JDK", e);
             }
         }
 
         @Override
-        public synchronized void publish(LogRecord entry) {
-            super.publish(entry);
+        public synchronized void publish(LogRecord logRecord) {
+            super.publish(logRecord);
             flush();
         }
     }
--- a/logging/src/main/java/topazvalve/logging/ShutdownSafeLogManager.java
+++ b/logging/src/main/java/topazvalve/logging/ShutdownSafeLogManager.java
@@ -3,19 +3,19 @@
 import java.util.logging.LogManager;
 
 /**
- * A log manager whose handlers stay until the JVM has ended. The JDK's own one removes all handlers in a shutdown
- * hook, which races with the hooks of a graceful shutdown and so loses their log lines. This one reads no
- * configuration file either: {@link Logging} sets everything up.
+ * A log manager that keeps its handlers until the JVM exits. The default log manager removes all handlers in a shutdown
+ * hook, which races with the hooks of a graceful shutdown and loses their log lines. No configuration file is read,
+ * because {@link Logging} configures everything.
  */
 public final class ShutdownSafeLogManager extends LogManager {
-    /** Creates a manager. Public for the JDK, which does so by the class's name. */
+    /** Public, because the JDK instantiates this class by name. */
     public ShutdownSafeLogManager() {}
 
-    /** Does nothing: there is no configuration file. */
+    /** Does nothing, because there is no configuration file. */
     @Override
     public void readConfiguration() {}
 
-    /** Does nothing: handlers are kept while the JVM ends. */
+    /** Does nothing, so that handlers are kept during the shutdown of the JVM. */
     @Override
     public void reset() {}
 }
--- a/logging/src/main/java/topazvalve/logging/package-info.java
+++ b/logging/src/main/java/topazvalve/logging/package-info.java
@@ -1,2 +1,2 @@
-/** Where log lines go and what they look like, for every program of the project. */
+/** Log output and log line format, shared by all programs of the project. */
 package topazvalve.logging;
--- a/logging/src/test/java/topazvalve/logging/LineFormatterTest.java
+++ b/logging/src/test/java/topazvalve/logging/LineFormatterTest.java
@@ -14,15 +14,15 @@
 
 class LineFormatterTest {
     private static LogRecord recordWithControlCharacters() {
-        LogRecord entry = new LogRecord(Level.WARNING, "a \"b\"\n{c} \u0001 ü");
-        entry.setLoggerName("upstream");
-        entry.setInstant(Instant.parse("2026-01-02T03:04:05.678Z"));
-        entry.setThrown(new IllegalStateException("bro\nken"));
-        return entry;
+        LogRecord logRecord = new LogRecord(Level.WARNING, "a \"b\"\n{c} \u0001 ü");
+        logRecord.setLoggerName("upstream");
+        logRecord.setInstant(Instant.parse("2026-01-02T03:04:05.678Z"));
+        logRecord.setThrown(new IllegalStateException("bro\nken"));
+        return logRecord;
     }
 
     @Test
-    void textIsOneLineWhateverCharactersItHas() {
+    void textFormatReplacesControlCharactersBySpaces() {
         String line = new LineFormatter(false).format(recordWithControlCharacters());
         assertEquals(1, line.lines().count());
         assertEquals(
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void jsonParsesBackToTheRecord() throws Exception {
+    void jsonFormatRoundTripsTheRecord() throws Exception {
         String line = new LineFormatter(true).format(recordWithControlCharacters());
         assertEquals(1, line.lines().count());
         Map<String, String> fields = new LinkedHashMap<>();
