--- a/core/src/main/java/topazvalve/core/endpoint/Endpoint.java
+++ b/core/src/main/java/topazvalve/core/endpoint/Endpoint.java
@@ -4,16 +4,16 @@
 import topazvalve.policy.EndpointStatus;
 
 /**
- * An endpoint as a list has it.
+ * An entry of an endpoint list.
  *
- * @param uid identifier that is stable over restarts
- * @param address where the endpoint listens; may be null for one that is removed
+ * @param uid identifier that is stable across restarts
+ * @param address address that the endpoint listens on; may be null if the endpoint is removed
  * @param zone name of the zone
- * @param machineKind name of the kind of machine
+ * @param machineKind name of the machine kind
  * @param cell number of the cell
  * @param status whether the endpoint accepts new requests
- * @param weight weight that the list gives
- * @param startedAtMillis when the process last started, in milliseconds since 1970; 0 for long ago
+ * @param weight relative weight given by the list
+ * @param startedAtMillis last start of the process, in milliseconds since 1970; 0 if it started long ago
  */
 public record Endpoint(
         String uid,
--- a/core/src/main/java/topazvalve/core/endpoint/EndpointDiscovery.java
+++ b/core/src/main/java/topazvalve/core/endpoint/EndpointDiscovery.java
@@ -5,8 +5,8 @@
 import topazvalve.policy.UpdateKind;
 
 /**
- * A source of endpoint lists. The policy decides when to watch and when to fetch; every answer and every failure
- * is reported to the one listener, on the event loop.
+ * A source of endpoint lists. The policy decides when to watch and when to fetch; every update and every failure is
+ * reported to a single listener on the event loop.
  */
 public interface EndpointDiscovery {
     /** Receives updates of the endpoint list. */
@@ -15,16 +15,19 @@
         void endpointsUpdated(UpdateKind kind, List<Endpoint> endpoints);
     }
 
-    /** Watches for changes after the last known list, or stops; answered by at least one update. */
+    /** Starts or stops watching for changes since the last known list. A start is followed by at least one update. */
     void watch(boolean enabled);
 
-    /** Fetches the complete list once; answered by one update. */
+    /** Fetches the complete list once; followed by one update. */
     void fetch();
 
-    /** Ends all calls; no update is reported any more. */
+    /** Ends all pending calls; no further updates are reported. */
     void close();
 
-    /** Creates a discovery over a fixed source: {@link #fetch} reports its list, and nothing is watched. */
+    /**
+     * Creates a discovery that does not watch for changes: each fetch and each start of a watch reports what
+     * {@code endpoints} supplies.
+     */
     static EndpointDiscovery fixed(Supplier<List<Endpoint>> endpoints, Listener listener) {
         return new EndpointDiscovery() {
             @Override
--- a/core/src/main/java/topazvalve/core/endpoint/package-info.java
+++ b/core/src/main/java/topazvalve/core/endpoint/package-info.java
@@ -1,2 +1,2 @@
-/** Endpoints, and the interface to the lists that name them. */
+/** Endpoints and the interface to the sources of endpoint lists. */
 package topazvalve.core.endpoint;
--- a/core/src/main/java/topazvalve/core/lifecycle/ProcessLifecycle.java
+++ b/core/src/main/java/topazvalve/core/lifecycle/ProcessLifecycle.java
@@ -1,37 +1,37 @@
 package topazvalve.core.lifecycle;
 
 /**
- * Whether the sidecar accepts clients. It does once it has started, unless it is a lame duck, which can be
- * revoked, or is shutting down, which can't. Used on the event loop alone.
+ * Tracks whether the sidecar accepts clients: it does after its start, unless it is a lame duck (reversible) or
+ * shutting down (final). Used only on the event loop.
  */
 public final class ProcessLifecycle {
     private static final long NANOS_PER_MILLI = 1_000_000;
-    /** How long a lame duck keeps idle connections: by then every client has had its notice. */
+    /** How long a lame duck keeps idle connections: every client has been notified by then. */
     private static final long LAME_DUCK_GRACE_NANOS = 1_000 * NANOS_PER_MILLI;
-    /** How long idle connections are kept after SIGTERM: new ones come for that long, and none is needed after. */
+    /** How long idle connections are kept after SIGTERM: new ones arrive until then, and none is needed afterwards. */
     private static final long SHUTDOWN_GRACE_NANOS = 400 * NANOS_PER_MILLI;
     /**
      * Requests that arrive within this time after SIGTERM keep their own deadline, even if it is after the earliest
-     * SIGKILL: the platform allows what arrives within 0.7 s to be unanswered at SIGKILL, and 0.1 s of that is kept
-     * as a margin. Later requests must be answered before SIGKILL.
+     * SIGKILL: the platform accepts that requests which arrive within 0.7 s are unanswered at SIGKILL, and 0.1 s of
+     * that is kept as a margin. Later requests must be answered before SIGKILL.
      */
-    private static final long UNANSWERED_ALLOWED_NANOS = 600 * NANOS_PER_MILLI;
-    /** Time before the kill that is reserved for an answer's way out and for an event loop that is held up. */
-    private static final long KILL_RESERVE_NANOS = 100 * NANOS_PER_MILLI;
+    private static final long UNCAPPED_DEADLINE_NANOS = 600 * NANOS_PER_MILLI;
+    /** Time before SIGKILL that is reserved for sending the answer and for a stalled event loop. */
+    private static final long SIGKILL_MARGIN_NANOS = 100 * NANOS_PER_MILLI;
 
     private boolean started;
     private boolean lameDuck;
     private boolean shuttingDown;
     private long drainingSinceNanos;
     private long shutdownAtNanos;
-    private long killAtNanos;
+    private long sigkillAtNanos;
 
-    /** Records that the sidecar is warmed up and listens. */
+    /** Records that the sidecar is warmed up and listening. */
     public void markStarted() {
         started = true;
     }
 
-    /** Makes the sidecar a lame duck or revokes that; returns false, changing nothing, during the shutdown. */
+    /** Switches lame duck on or off; returns false and changes nothing if the sidecar is shutting down. */
     public boolean setLameDuck(boolean enabled) {
         if (shuttingDown) {
             return false;
@@ -44,41 +44,42 @@
     }
 
     /**
-     * Begins the shutdown, which can't be revoked.
+     * Begins the shutdown, which cannot be revoked.
      *
-     * @param killedAfterNanos how long the process has until it is killed at the earliest, in nanoseconds
+     * @param sigkillDelayNanos time until SIGKILL at the earliest, in nanoseconds
      */
-    public void shutDown(long killedAfterNanos) {
+    public void shutDown(long sigkillDelayNanos) {
         long now = System.nanoTime();
         if (!isDraining()) {
             drainingSinceNanos = now;
         }
         shuttingDown = true;
         shutdownAtNanos = now;
-        killAtNanos = now + killedAfterNanos;
+        sigkillAtNanos = now + sigkillDelayNanos;
     }
 
     /**
-     * Returns how long a request that comes now may take at most, in nanoseconds. One that comes late in the
-     * shutdown has to be answered before the kill, however long its client would wait; 0 or less if it can't be.
+     * Returns the maximum timeout of a request that arrives now, in nanoseconds. A request that arrives late in the
+     * shutdown has to be answered before SIGKILL, whatever its own deadline; the result is 0 or less if no time is
+     * left.
      */
     public long maxRequestTimeoutNanos() {
         long now = System.nanoTime();
-        boolean lateInShutdown = shuttingDown && now - shutdownAtNanos > UNANSWERED_ALLOWED_NANOS;
-        return lateInShutdown ? killAtNanos - KILL_RESERVE_NANOS - now : Long.MAX_VALUE;
+        boolean lateInShutdown = shuttingDown && now - shutdownAtNanos > UNCAPPED_DEADLINE_NANOS;
+        return lateInShutdown ? sigkillAtNanos - SIGKILL_MARGIN_NANOS - now : Long.MAX_VALUE;
     }
 
-    /** Returns whether clients should connect. One that connects all the same is served. */
+    /** Returns whether clients should connect. A client that connects anyway is still served. */
     public boolean acceptsClients() {
         return started && !isDraining();
     }
 
-    /** Returns whether connections should end: each with its next response, idle ones after a grace period. */
+    /** Returns whether connections should close: each after its next response, idle ones after a grace period. */
     public boolean isDraining() {
         return lameDuck || shuttingDown;
     }
 
-    /** Returns whether a connection without a request should be closed now. */
+    /** Returns whether connections without a request should be closed now. */
     public boolean shouldCloseIdleConnections() {
         long now = System.nanoTime();
         boolean shutdownGraceOver = shuttingDown && now - shutdownAtNanos >= SHUTDOWN_GRACE_NANOS;
--- a/core/src/main/java/topazvalve/core/lifecycle/package-info.java
+++ b/core/src/main/java/topazvalve/core/lifecycle/package-info.java
@@ -1,2 +1,2 @@
-/** The state of the sidecar's process between its start and its shutdown. */
+/** The state of the sidecar process from start to shutdown. */
 package topazvalve.core.lifecycle;
--- a/core/src/main/java/topazvalve/core/net/Addresses.java
+++ b/core/src/main/java/topazvalve/core/net/Addresses.java
@@ -11,9 +11,9 @@
     private Addresses() {}
 
     /**
-     * Parses a numeric address and a port, as in {@code 127.0.0.1:80}; names are never looked up.
+     * Parses a numeric IP address and a port, such as {@code 127.0.0.1:80}; host names are not resolved.
      *
-     * @return null if {@code text} is no such address
+     * @return null if {@code text} is not a valid numeric address and port
      */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
--- a/core/src/main/java/topazvalve/core/net/package-info.java
+++ b/core/src/main/java/topazvalve/core/net/package-info.java
@@ -1,2 +1,2 @@
-/** Network addresses. */
+/** Parsing of network addresses. */
 package topazvalve.core.net;
--- a/core/src/main/java/topazvalve/core/pool/Attempt.java
+++ b/core/src/main/java/topazvalve/core/pool/Attempt.java
@@ -8,18 +8,18 @@
 import topazvalve.policy.Outcome;
 
 /**
- * One attempt to have an exchange served by an endpoint. Until its last byte is written the server has not run
- * it; after that the server may have.
+ * One attempt to have an exchange served by an endpoint. The server cannot have executed the request before its last
+ * byte is written; after that it may have.
  *
- * <p>An attempt waits for a connection (PENDING), is written on one (WRITING), is handed over to the connection
- * in full (HANDED_OVER), and is written (WRITTEN); from each of these states it can become COMPLETED. Its
- * listener is notified of the end exactly once. Used on the event loop alone.
+ * <p>An attempt waits for a connection (PENDING), is passed to the connection (WRITING), has been passed to it
+ * completely (HANDED_OVER), and has been written to the socket (WRITTEN). From each of these states it can become
+ * COMPLETED. Its listener is notified of the end exactly once. Used only on the event loop.
  *
- * @param <Q> request of the protocol
- * @param <A> response of the protocol
+ * @param <Q> request type of the protocol
+ * @param <A> response type of the protocol
  */
 public final class Attempt<Q, A> {
-    /** The load report of an attempt that brought none. */
+    /** The load report of an attempt whose response contained none. */
     public static final float[] NO_LOAD_REPORT = {};
 
     private enum State {
@@ -44,8 +44,8 @@
     /**
      * Creates an attempt that waits for a connection.
      *
-     * @param timeoutNanos how long the attempt may take, in nanoseconds; {@link #startTimeout} starts the time
-     * @param onWrittenOrCompleted called once the attempt is written or completed, possibly twice
+     * @param timeoutNanos timeout in nanoseconds; it does not run until {@link #startTimeout}
+     * @param onWrittenOrCompleted called when the attempt is written and when it is completed
      */
     public Attempt(
             Scheduler scheduler,
@@ -62,7 +62,7 @@
         this.onWrittenOrCompleted = onWrittenOrCompleted;
     }
 
-    /** Returns the request in terms of its protocol. */
+    /** Returns the protocol's request. */
     public Q message() {
         return message;
     }
@@ -72,7 +72,7 @@
         return body;
     }
 
-    /** Returns how long the attempt was allowed to take from its start, in nanoseconds. */
+    /** Returns the timeout that the attempt was created with, in nanoseconds. */
     public long timeoutNanos() {
         return timeoutNanos;
     }
@@ -82,39 +82,42 @@
         return state == State.COMPLETED;
     }
 
-    /** Returns whether the last byte was written, so that the server may have run it; also after the end. */
+    /**
+     * Returns whether the last byte was written, so that the server may have executed the request. Stays true after the
+     * end of the attempt.
+     */
     public boolean isWritten() {
         return written;
     }
 
-    /** Returns whether the last byte was passed to the connection, which has perhaps not written it yet. */
+    /** Returns whether the last byte was passed to the connection, which may not have written it yet. */
     public boolean isHandedOver() {
         return state == State.HANDED_OVER || state == State.WRITTEN;
     }
 
     /**
-     * Starts the timeout: the response has to be complete or to start within {@code nanoseconds}. Does nothing
-     * if the timeout was started before or the attempt has ended.
+     * Starts the timeout: within {@code durationNanos} a complete response must arrive or a streamed one must start.
+     * Does nothing if the timeout was already started or the attempt has ended.
      */
-    public void startTimeout(long nanoseconds) {
+    public void startTimeout(long durationNanos) {
         if (!isCompleted() && timeout == null) {
-            timeout = scheduler.schedule(nanoseconds, this::timedOut);
+            timeout = scheduler.schedule(durationNanos, this::timedOut);
         }
     }
 
-    /** Cancels the timeout; the attempt may take as long as it likes from now on. */
+    /** Cancels the timeout; the attempt has no time limit from now on. */
     public void cancelTimeout() {
         if (timeout != null) {
             timeout.cancel();
         }
     }
 
-    /** Assigns a connection, which {@code closer} closes if the attempt ends without a response. */
-    void assignConnection(Runnable closer) {
-        closeConnection = closer;
+    /** Assigns a connection; {@code closeAction} closes it if the attempt ends without a response. */
+    void assignConnection(Runnable closeAction) {
+        closeConnection = closeAction;
     }
 
-    /** Records that the connection begins to write the attempt. */
+    /** Records that the connection has started to write the attempt. */
     public void writeStarted() {
         if (state == State.PENDING) {
             state = State.WRITING;
@@ -139,7 +142,7 @@
         listener.requestWritten();
     }
 
-    /** Cancels the attempt and closes its connection; does nothing after its end. */
+    /** Cancels the attempt and closes its connection; does nothing if the attempt has ended. */
     public void cancel() {
         abort(Outcome.CANCELLED);
     }
@@ -154,21 +157,21 @@
     }
 
     /**
-     * Starts a streamed response, which has no timeout.
+     * Starts a streamed response, which is not subject to the timeout.
      *
-     * @param length length of the response's body in bytes; -1 where it is not known
+     * @param length length of the response body in bytes; -1 if unknown
      */
     public void responseStarted(A firstPart, long length, FlowControl flowControl) {
         cancelTimeout();
         listener.responseStarted(this, firstPart, length, flowControl);
     }
 
-    /** Passes on the next bytes of a streamed response; the listener takes ownership of the buffer. */
+    /** Forwards the next bytes of a streamed response; the listener takes ownership of the buffer. */
     public void responseData(ByteBuf bytes) {
         listener.responseData(bytes);
     }
 
-    /** Ends the attempt without a response and closes its connection; does nothing after its end. */
+    /** Ends the attempt without a response and closes its connection; does nothing if the attempt has ended. */
     public void abort(Outcome outcome) {
         if (!isCompleted()) {
             closeConnection.run();
@@ -176,7 +179,7 @@
         }
     }
 
-    /** Ends the attempt with what its connection, which stays open, has received; does nothing after its end. */
+    /** Ends the attempt with a result and leaves its connection open; does nothing if the attempt has ended. */
     public void complete(Outcome outcome, A response, float[] loadReport) {
         if (isCompleted()) {
             return;
--- a/core/src/main/java/topazvalve/core/pool/Backend.java
+++ b/core/src/main/java/topazvalve/core/pool/Backend.java
@@ -5,38 +5,39 @@
 import topazvalve.policy.SettingsReader;
 
 /**
- * Carries attempts to endpoints. {@link ConnectionPools} is the implementation over sockets.
+ * Performs attempts on endpoints. {@link ConnectionPools} is the implementation over sockets.
  *
- * @param <Q> request of the protocol
- * @param <A> response of the protocol
+ * @param <Q> request type of the protocol
+ * @param <A> response type of the protocol
  */
 public interface Backend<Q, A> {
     /**
-     * Starts an attempt. Its listener is notified of one end, possibly within this call.
+     * Starts an attempt. Its listener is notified of the end exactly once, possibly within this call.
      *
-     * @param timeoutNanos how long the attempt may take, in nanoseconds; for a body that is not complete,
-     *     {@link Attempt#startTimeout} starts the time
+     * @param timeoutNanos timeout in nanoseconds; starts now if the body is complete, otherwise with
+     *     {@link Attempt#startTimeout}
      */
     Attempt<Q, A> startAttempt(
             long endpoint, Q message, RequestBody body, long timeoutNanos, AttemptListener<Q, A> listener);
 
-    /** Sends a health check; its listener is notified of one end. */
+    /** Sends a health check; its listener is notified of the end exactly once. */
     void sendHealthCheck(long endpoint, AttemptListener<Q, A> listener);
 
     /**
-     * Applies what the endpoint list says of an endpoint. Once it is not ready, nothing that is not yet written
-     * goes there: attempts that wait for a connection end as not connected, and idle connections are closed.
-     * Idle connections are also closed if the process has restarted: the vanished one may not have ended them,
-     * and what is written to them would count as possibly run.
+     * Applies an entry of the endpoint list. If the endpoint is no longer ready, attempts that are not yet written end
+     * with {@link topazvalve.policy.Outcome#CONNECT_FAILED}, and idle connections are closed. Idle connections are also
+     * closed if the process has restarted: the previous process may not have closed them, and a request written to one
+     * would count as possibly executed.
      *
-     * @param startedAtMillis when the endpoint's process started, in milliseconds since 1970
+     * @param startedAtMillis start time of the endpoint's process, in milliseconds since 1970
+     * @param ready whether the endpoint accepts new requests
      */
     void endpointUpdated(long endpoint, InetSocketAddress address, long startedAtMillis, boolean ready);
 
-    /** Removes an endpoint that is no longer listed; attempts that are written there end by themselves. */
+    /** Removes an endpoint that is no longer listed; attempts already written to it run to their end. */
     void endpointRemoved(long endpoint);
 
-    /** Returns how many endpoints are listed. */
+    /** Returns the number of listed endpoints. */
     int endpointCount();
 
     /** Closes the idle connections to an endpoint. */
@@ -45,6 +46,6 @@
     /** Applies new settings; open connections stay open. */
     void settingsChanged(SettingsReader settings);
 
-    /** Closes all idle connections, and no longer closes those that become idle. */
+    /** Closes all idle connections and stops the timer that closes connections after their idle timeout. */
     void close();
 }
--- a/core/src/main/java/topazvalve/core/pool/ConnectionHandler.java
+++ b/core/src/main/java/topazvalve/core/pool/ConnectionHandler.java
@@ -3,10 +3,10 @@
 import io.netty.channel.Channel;
 
 /**
- * The protocol's part of one connection, which carries one attempt at a time.
+ * The protocol handler of one connection, which serves one attempt at a time.
  *
- * @param <Q> request of the protocol
- * @param <A> response of the protocol
+ * @param <Q> request type of the protocol
+ * @param <A> response type of the protocol
  */
 public interface ConnectionHandler<Q, A> {
     /** Adds the protocol's handlers to a channel that is not connected yet. */
@@ -15,12 +15,12 @@
     /** Writes an attempt and receives its response; the connection is leased to the attempt. */
     void startAttempt(Attempt<Q, A> attempt);
 
-    /** Returns whether data was received that answers no attempt, so that the connection can't be reused. */
+    /** Returns whether data was received outside a response, so that the connection cannot be reused. */
     boolean hasUnexpectedData();
 
-    /** Notifies of a draining endpoint: an attempt under way may go on for as long as the protocol allows. */
+    /** Called when the endpoint is draining; an attempt in progress may continue as long as the protocol allows. */
     default void endpointDraining() {}
 
-    /** Releases what is held for the connection, which is being closed for whatever reason. */
+    /** Called when the connection is being closed for any reason; releases the handler's resources. */
     void connectionClosing();
 }
--- a/core/src/main/java/topazvalve/core/pool/ConnectionPools.java
+++ b/core/src/main/java/topazvalve/core/pool/ConnectionPools.java
@@ -12,17 +12,17 @@
 import topazvalve.policy.SettingsReader;
 
 /**
- * The pools of connections to all endpoints, and the attempts on them. An attempt is written once, on one
- * connection, and has one outcome; nothing is retried here. Used on the event loop alone.
+ * The connection pools of all endpoints and the attempts on their connections. An attempt is written at most once, on
+ * one connection, and has one outcome; nothing is retried here. Used only on the event loop.
  *
- * @param <Q> request of the protocol
- * @param <A> response of the protocol
+ * @param <Q> request type of the protocol
+ * @param <A> response type of the protocol
  */
 public final class ConnectionPools<Q, A> implements Backend<Q, A> {
     private static final double DEFAULT_CONNECT_TIMEOUT_NANOS = 1e9;
     private static final double DEFAULT_SERVER_IDLE_TIMEOUT_NANOS = 5e9;
     private static final double NANOS_PER_MILLI = 1e6;
-    /** Less than all of the server's idle timeout: nothing that is written can cross the server's closing. */
+    /** Fraction of the server's idle timeout; below 1, so that no write races with the server's close. */
     private static final double IDLE_TIMEOUT_FRACTION = 0.9;
 
     private static final int SWEEPS_PER_IDLE_TIMEOUT = 20;
@@ -32,7 +32,7 @@
     private final Codec<Q, A> codec;
     private final int maxConnections;
     private final Map<Long, EndpointPool<Q, A>> pools = new HashMap<>();
-    /** The pool of every endpoint that is not listed; it is never ready. */
+    /** Used for every endpoint that is not listed; never ready. */
     private final EndpointPool<Q, A> unlistedPool = new EndpointPool<>();
 
     private final Future<?> idleSweep;
@@ -40,7 +40,7 @@
     private long maxIdleNanos;
     private int connectionCount;
 
-    /** Creates pools that hold at most {@code maxConnections} connections at a time. */
+    /** Creates pools with at most {@code maxConnections} open connections in total. */
     public ConnectionPools(
             EventLoop loop, Scheduler scheduler, SettingsReader settings, Codec<Q, A> codec, int maxConnections) {
         this.loop = loop;
@@ -100,16 +100,16 @@
             reusable.lease(attempt);
             return;
         }
-        PooledConnection<Q, A> resting = pool.reserveLeastRecentlyUsed();
-        if (resting != null) {
-            // Sooner than a new connection is established, and it costs the server nothing.
-            resting.reserve(attempt, resting.idleSinceNanos() + reuseDelayNanos - now);
+        PooledConnection<Q, A> reserved = pool.reserveLeastRecentlyUsed();
+        if (reserved != null) {
+            // Available sooner than a new connection, and at no cost to the server.
+            reserved.reserve(attempt, reserved.idleSinceNanos() + reuseDelayNanos - now);
             return;
         }
         open(pool, attempt);
     }
 
-    /** Opens a connection for an attempt, unless the attempt has ended; closes another one at the limit. */
+    /** Opens a connection for an attempt that has not ended; at the connection limit, closes an idle one first. */
     private void open(EndpointPool<Q, A> pool, Attempt<Q, A> attempt) {
         if (attempt.isCompleted()) {
             return;
@@ -121,7 +121,7 @@
         }
     }
 
-    /** Opens another connection for an attempt whose connection closed before anything was written there. */
+    /** Opens another connection for an attempt whose connection closed before anything was written to it. */
     void replace(EndpointPool<Q, A> pool, Attempt<Q, A> attempt) {
         if (pool.isReady()) {
             open(pool, attempt);
@@ -156,7 +156,7 @@
         pools.values().forEach(EndpointPool::closeIdleConnections);
     }
 
-    /** Closes the connection of all pools that has been idle for longest; false if none is idle. */
+    /** Closes the least recently used idle connection of all pools; returns false if there is none. */
     private boolean closeLeastRecentlyUsed() {
         PooledConnection<Q, A> oldest = null;
         for (EndpointPool<Q, A> pool : pools.values()) {
--- a/core/src/main/java/topazvalve/core/pool/EndpointPool.java
+++ b/core/src/main/java/topazvalve/core/pool/EndpointPool.java
@@ -12,7 +12,7 @@
 final class EndpointPool<Q, A> {
     /** Idle connections, the least recently used first. */
     private final ArrayDeque<PooledConnection<Q, A>> idle = new ArrayDeque<>();
-    /** Idle connections that an attempt waits for until the reuse delay is over. */
+    /** Idle connections, each reserved for an attempt until its reuse delay is over. */
     private final Set<PooledConnection<Q, A>> reserved = new LinkedHashSet<>();
     /** Attempts that are neither written nor completed. */
     private final Set<Attempt<Q, A>> unwritten = new LinkedHashSet<>();
@@ -33,7 +33,7 @@
         return ready;
     }
 
-    /** Applies what the endpoint list says; idle connections to a process before a restart are closed. */
+    /** Applies a list entry; closes idle connections if the address changed or the process restarted. */
     void update(InetSocketAddress listedAddress, long listedStartMillis, boolean listedReady) {
         if (!listedAddress.equals(address) || listedStartMillis > startedAtMillis) {
             address = listedAddress;
@@ -48,10 +48,10 @@
     }
 
     /**
-     * Takes the most recently used connection that has been idle for the reuse delay. Connections on which
-     * unexpected data was received are closed.
+     * Removes and returns the most recently used connection that has been idle for at least the reuse delay. Closes
+     * connections that have received unexpected data.
      *
-     * @param now time of {@link System#nanoTime}
+     * @param now current value of {@link System#nanoTime}
      * @return null if there is no such connection
      */
     PooledConnection<Q, A> acquireIdle(long now, long reuseDelayNanos) {
@@ -88,7 +88,7 @@
         return connection;
     }
 
-    /** Returns the connection that has been idle for longest, which stays in the pool; null if there is none. */
+    /** Returns the connection that has been idle longest without removing it; null if there is none. */
     PooledConnection<Q, A> leastRecentlyUsed() {
         return idle.peekFirst();
     }
@@ -98,7 +98,7 @@
         connections.add(connection);
     }
 
-    /** Takes back a connection that no attempt uses any more. */
+    /** Adds a connection that no attempt uses any more to the idle connections. */
     void addIdle(PooledConnection<Q, A> connection) {
         reserved.remove(connection);
         idle.addLast(connection);
@@ -116,7 +116,7 @@
         reserved.remove(connection);
     }
 
-    /** Adds an attempt that ends if the endpoint drains, until {@link #removeUnwritten}. */
+    /** Adds an attempt that is aborted if the endpoint drains before {@link #removeUnwritten}. */
     void addUnwritten(Attempt<Q, A> attempt) {
         unwritten.add(attempt);
     }
@@ -126,7 +126,7 @@
         unwritten.remove(attempt);
     }
 
-    /** Takes no new attempts, and ends those that are not yet written. */
+    /** Stops accepting attempts and aborts those that are not yet written. */
     void drain() {
         ready = false;
         closeIdleConnections();
--- a/core/src/main/java/topazvalve/core/pool/PooledConnection.java
+++ b/core/src/main/java/topazvalve/core/pool/PooledConnection.java
@@ -14,12 +14,12 @@
 import topazvalve.policy.Outcome;
 
 /**
- * One connection to an endpoint. It is CONNECTING at first, then LEASED to one attempt after the other and IDLE
- * between them; from each of these states it can become CLOSED. An idle connection may be reserved for an attempt
- * until its reuse delay is over; it stays IDLE meanwhile. One for which no socket could be opened stays CONNECTING.
+ * One connection to an endpoint. It is CONNECTING at first, then LEASED to one attempt after another and IDLE between
+ * them; from each of these states it can become CLOSED. An idle connection may be reserved for an attempt until its
+ * reuse delay is over; it remains IDLE until then. If no socket could be opened, the connection remains CONNECTING.
  *
- * @param <Q> request of the protocol
- * @param <A> response of the protocol
+ * @param <Q> request type of the protocol
+ * @param <A> response type of the protocol
  */
 public final class PooledConnection<Q, A> {
     private enum State {
@@ -41,7 +41,7 @@
     private State state = State.CONNECTING;
     private Channel channel;
     private long idleSinceNanos;
-    /** The attempt that waits for this idle connection until the reuse delay is over; null if none does. */
+    /** The attempt that this idle connection is reserved for until the reuse delay is over; null if there is none. */
     private Attempt<Q, A> reservedFor;
 
     PooledConnection(ConnectionPools<Q, A> pools, EventLoop loop, EndpointPool<Q, A> pool, Codec<Q, A> codec) {
@@ -51,7 +51,7 @@
         this.handler = codec.newConnectionHandler(this);
     }
 
-    /** Connects, and carries {@code first} as the first attempt. */
+    /** Connects to the endpoint and leases the connection to {@code first}. */
     void open(Attempt<Q, A> first, int connectTimeoutMillis) {
         first.assignConnection(this::close);
         pool.add(this);
@@ -80,7 +80,7 @@
 
     private void connectCompleted(Attempt<Q, A> first, boolean success) {
         if (channel == null) {
-            // No socket could be opened, which is no fault of the endpoint. Not within the call that opens it.
+            // No socket could be opened, which is not caused by the endpoint. Aborts after this call, not within it.
             pool.remove(this);
             loop.execute(() -> first.abort(Outcome.NEVER_SENT));
         } else if (!success) {
@@ -94,7 +94,7 @@
         }
     }
 
-    /** Leases the connection to an attempt after a delay; if it closes meanwhile, another one is opened at once. */
+    /** Leases the connection to an attempt after a delay; if it closes before, another one is opened immediately. */
     void reserve(Attempt<Q, A> attempt, long delayNanos) {
         reservedFor = attempt;
         loop.schedule(this::reuseDelayOver, Math.max(0, delayNanos), TimeUnit.NANOSECONDS);
@@ -124,19 +124,19 @@
         handler.startAttempt(attempt);
     }
 
-    /** Notifies the protocol that the endpoint is draining, if an attempt is under way. */
+    /** Notifies the protocol handler that the endpoint is draining, if an attempt is in progress. */
     void endpointDraining() {
         if (state == State.LEASED) {
             handler.endpointDraining();
         }
     }
 
-    /** Returns whether data was received that answers no attempt, so that no other attempt may follow. */
+    /** Returns whether data was received outside a response, so that the connection must not be reused. */
     boolean hasUnexpectedData() {
         return handler.hasUnexpectedData();
     }
 
-    /** Returns when the connection was last released, as a time of {@link System#nanoTime}. */
+    /** Returns when the connection was last released, as a value of {@link System#nanoTime}. */
     long idleSinceNanos() {
         return idleSinceNanos;
     }
@@ -146,7 +146,7 @@
         return pool.address();
     }
 
-    /** Ends the lease: the connection becomes idle, or is closed if the endpoint accepts no new attempts. */
+    /** Ends the lease: the connection becomes idle, or is closed if it is inactive or the endpoint is not ready. */
     public void release() {
         if (state == State.LEASED && pool.isReady() && channel.isActive()) {
             state = State.IDLE;
@@ -157,7 +157,7 @@
         }
     }
 
-    /** Closes the connection; an attempt that it is reserved for gets another one. */
+    /** Closes the connection; an attempt that it is reserved for gets another connection. */
     public void close() {
         if (state != State.CLOSED) {
             state = State.CLOSED;
@@ -167,7 +167,7 @@
         Attempt<Q, A> attempt = reservedFor;
         reservedFor = null;
         if (attempt != null) {
-            // Not within this call: the caller may be iterating over the pool.
+            // Deferred, because the caller may be iterating over the pool.
             loop.execute(() -> pools.replace(pool, attempt));
         }
         if (channel != null) {
--- a/core/src/main/java/topazvalve/core/pool/package-info.java
+++ b/core/src/main/java/topazvalve/core/pool/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Pools of connections to endpoints, and the attempts on them. The protocol that is spoken on a connection plugs
- * in as a {@link topazvalve.core.pool.Codec}.
+ * Connection pools and the attempts made on their connections. The protocol of the connections is provided by a
+ * {@link topazvalve.core.pool.Codec}.
  */
 package topazvalve.core.pool;
--- a/core/src/main/java/topazvalve/core/requestclass/RequestClassRegistry.java
+++ b/core/src/main/java/topazvalve/core/requestclass/RequestClassRegistry.java
@@ -9,20 +9,21 @@
 import topazvalve.policy.RequestClass;
 
 /**
- * Numbers the request classes. A class is identified by its name and its effect: with another effect, the same
- * name is another class with another number. So a number means one thing for as long as the sidecar runs, and an
- * open request keeps the rules under which it came.
+ * Assigns numbers to request classes. A class is identified by its name, idempotency, key rules and streaming: if a
+ * reload changes one of these, the name gets another number. A number therefore keeps its meaning as long as the
+ * sidecar runs, and an open request keeps the rules under which it was submitted.
  */
 public final class RequestClassRegistry {
     /**
-     * A request class that is in force.
+     * A request class of the current configuration.
      *
-     * @param number number under which the policy knows the class
+     * @param number number that identifies the class to the policy
      * @param name name by which requests refer to the class
+     * @param rules rules of the class
      */
     public record Entry(int number, String name, RequestClass rules) {}
 
-    /** What identifies a class. Latency objective, deadline and priority weight may change without it. */
+    /** What identifies a class. A change of latency objective, deadline or priority weight keeps the number. */
     private record Identity(
             String name, Idempotency idempotency, KeyScope keyScope, long keyTtlNanos, boolean streaming) {
         private static Identity of(String name, RequestClass rules) {
@@ -30,8 +31,8 @@
         }
 
         /**
-         * Implemented by hand, like equals: generated methods of a record are linked at run time, which costs 50 ms of
-         * CPU at each start.
+         * Written by hand, like {@link #equals}: the generated methods of a record are linked at run time, which costs
+         * 50 ms of CPU at each start.
          */
         @Override
         public int hashCode() {
@@ -53,7 +54,7 @@
     private final List<RequestClass> rulesByNumber = new ArrayList<>();
     private final Map<String, Entry> entriesByName = new HashMap<>();
 
-    /** Replaces the classes in force; {@code names} and {@code classes} correspond by index. */
+    /** Replaces the classes in force; {@code names} and {@code classes} are parallel lists. */
     public void update(List<String> names, List<RequestClass> classes) {
         entriesByName.clear();
         for (int i = 0; i < names.size(); i++) {
@@ -69,12 +70,12 @@
         }
     }
 
-    /** Returns the class in force under a name; null if there is none. */
+    /** Returns the class in force with this name; null if there is none. */
     public Entry find(String name) {
         return entriesByName.get(name);
     }
 
-    /** Returns all classes by number; those no longer in force as they last were, for open requests. */
+    /** Returns all classes, indexed by number; those no longer in force keep their last rules for open requests. */
     public List<RequestClass> rules() {
         return List.copyOf(rulesByNumber);
     }
--- a/core/src/main/java/topazvalve/core/requestclass/package-info.java
+++ b/core/src/main/java/topazvalve/core/requestclass/package-info.java
@@ -1,2 +1,2 @@
-/** The request classes, over all configurations that a sidecar has applied. */
+/** The request classes of all configurations that a sidecar has applied. */
 package topazvalve.core.requestclass;
--- a/core/src/main/java/topazvalve/core/stream/ByteBudget.java
+++ b/core/src/main/java/topazvalve/core/stream/ByteBudget.java
@@ -1,19 +1,19 @@
 package topazvalve.core.stream;
 
 /**
- * The bytes of bodies that the process may buffer, divided evenly among the bodies in progress. A body keeps to
- * its quota by pausing its reads; it may exceed the quota by what one read brings.
+ * The number of body bytes that the process may buffer, divided evenly among the bodies in progress. A body stays
+ * within its quota by pausing reads, so that it can exceed the quota by the size of one read.
  */
 public final class ByteBudget {
-    /** The least quota of a body: enough for one read, so that every body makes progress. */
+    /** Minimum quota of a body: enough for one read, so that every body makes progress. */
     public static final int MIN_QUOTA_BYTES = 16 << 10;
-    /** The largest quota of a body; more would make none faster. */
+    /** Maximum quota of a body; a larger one does not increase throughput. */
     public static final int MAX_QUOTA_BYTES = 256 << 10;
 
     private final long totalBytes;
     private int bodyCount;
 
-    /** Creates a budget of {@code totalBytes} for all bodies. */
+    /** Creates a budget of {@code totalBytes}, shared by all bodies. */
     public ByteBudget(long totalBytes) {
         this.totalBytes = totalBytes;
     }
@@ -23,12 +23,12 @@
         bodyCount++;
     }
 
-    /** Removes a body that has ended. */
+    /** Removes a body that is no longer in progress. */
     public void unregister() {
         bodyCount--;
     }
 
-    /** Returns how many bytes one body may buffer now. */
+    /** Returns how many bytes each body may currently buffer. */
     public int quotaBytes() {
         long evenQuotaBytes = totalBytes / Math.max(1, bodyCount);
         return (int) Math.max(MIN_QUOTA_BYTES, Math.min(MAX_QUOTA_BYTES, evenQuotaBytes));
--- a/core/src/main/java/topazvalve/core/stream/FlowControl.java
+++ b/core/src/main/java/topazvalve/core/stream/FlowControl.java
@@ -1,8 +1,8 @@
 package topazvalve.core.stream;
 
-/** Pauses and resumes the source of a stream of bytes. */
+/** Pauses and resumes the source of a byte stream. */
 public interface FlowControl {
-    /** Stops reading, because the consumer has as many bytes as it may buffer. */
+    /** Stops reading because the consumer has buffered as many bytes as it may. */
     void pause();
 
     /** Continues reading after {@link #pause}. */
--- a/core/src/main/java/topazvalve/core/stream/RequestBody.java
+++ b/core/src/main/java/topazvalve/core/stream/RequestBody.java
@@ -6,12 +6,12 @@
 import java.util.List;
 
 /**
- * A request's body, between the client that sends it and the attempts that read it one at a time. It buffers
- * what was read, for another attempt, until its quota of the budget is used up; then it releases that and is no
- * longer replayable. Used on the event loop alone.
+ * The body of a request, written by the client and read by the attempts, one attempt at a time. Bytes that have been
+ * read stay buffered for a later attempt until the body's quota of the budget is used up; then they are released and
+ * the body is no longer replayable. Used only on the event loop.
  */
 public final class RequestBody {
-    /** How many bytes an attempt reads at a time. */
+    /** Maximum number of bytes that an attempt reads at a time. */
     private static final int CHUNK_BYTES = 16 << 10;
 
     @SuppressWarnings("UnnecessaryLambda") // assigned in several places
@@ -26,9 +26,9 @@
     private Runnable onNotReplayable = NO_ACTION;
     private long bufferedBytes;
     private long receivedBytes;
-    /** Index of the segment that is read next. */
+    /** Index of the segment to read next. */
     private int readSegment;
-    /** Position in that segment, in bytes. */
+    /** Read position in that segment, in bytes. */
     private int readOffset;
 
     private boolean complete;
@@ -36,9 +36,9 @@
     private boolean discarded;
 
     /**
-     * Creates a body whose bytes are still to come.
+     * Creates a body whose bytes have not been received yet.
      *
-     * @param length announced length in bytes; -1 where it is not known
+     * @param length announced length in bytes; -1 if unknown
      */
     public RequestBody(ByteBudget budget, long length) {
         this.budget = budget;
@@ -55,23 +55,23 @@
         return body;
     }
 
-    /** Sets what is called when there may be space after {@link #isFull}. */
+    /** Sets the callback that is run when the body may have space again after {@link #isFull}. */
     public void onSpaceAvailable(Runnable action) {
         onSpaceAvailable = action;
     }
 
     /**
-     * Sets what is called as the body progresses.
+     * Sets the progress callbacks.
      *
-     * @param completed called when the last byte has come; not called if it has come before
-     * @param notReplayable called when the body can no longer be read from its start
+     * @param completed run when the last byte is received; not run if the body is already complete
+     * @param notReplayable run when the body can no longer be read from its start
      */
     public void onProgress(Runnable completed, Runnable notReplayable) {
         onComplete = completed;
         onNotReplayable = notReplayable;
     }
 
-    /** Adds a copy of received bytes, so that a small part does not keep the buffer of a whole read. */
+    /** Appends received bytes. They are copied, so that a few bytes do not retain the whole read buffer. */
     public void add(ByteBuf bytes) {
         int size = bytes.readableBytes();
         if (discarded || size == 0) {
@@ -96,29 +96,29 @@
         return last;
     }
 
-    /** Ends the body: its last byte has come. */
+    /** Marks the body as complete: its last byte has been received. */
     public void complete() {
         complete = true;
         onComplete.run();
         onReadable.run();
     }
 
-    /** Returns whether the last byte has come. */
+    /** Returns whether the last byte has been received. */
     public boolean isComplete() {
         return complete;
     }
 
-    /** Returns the length in bytes: the announced one until the body is complete; -1 if it is not known. */
+    /** Returns the length in bytes: the announced length until the body is complete; -1 if unknown. */
     public long length() {
         return complete ? receivedBytes : announcedLength;
     }
 
-    /** Returns how many bytes have come. */
+    /** Returns how many bytes have been received. */
     public long receivedBytes() {
         return receivedBytes;
     }
 
-    /** Returns whether the quota is used up, so that no more should be read from the client for now. */
+    /** Returns whether the quota is used up, so that reading from the client should pause. */
     public boolean isFull() {
         return !discarded && bufferedBytes >= budget.quotaBytes();
     }
@@ -128,19 +128,19 @@
         return replayable && !discarded;
     }
 
-    /** Starts reading from the beginning; {@code readable} is called when there are bytes or the end. */
+    /** Starts reading from the beginning; {@code readable} is run when there are bytes or the body is complete. */
     public void startReading(Runnable readable) {
         onReadable = readable;
         readSegment = 0;
         readOffset = 0;
     }
 
-    /** Ends the reading of the current attempt. */
+    /** Stops notifying the current reader. */
     public void stopReading() {
         onReadable = NO_ACTION;
     }
 
-    /** Returns the next bytes, in a buffer that the caller releases; null if there are none now. */
+    /** Returns the next bytes in a buffer that the caller must release; null if none are available now. */
     public ByteBuf nextChunk() {
         while (readSegment < segments.size() - 1
                 && readOffset == segments.get(readSegment).readableBytes()) {
@@ -172,7 +172,10 @@
                 && readOffset == segments.get(lastSegment).readableBytes();
     }
 
-    /** Releases what has been read while the quota is used up; the quota may also have grown meanwhile. */
+    /**
+     * Releases segments that have been read while the quota is used up. Reports available space even if nothing was
+     * released, because the quota may have grown in the meantime.
+     */
     private void releaseReadSegments() {
         boolean released = false;
         while (bufferedBytes >= budget.quotaBytes() && isFirstSegmentRead()) {
@@ -202,7 +205,7 @@
         segments.remove(0).release();
     }
 
-    /** Releases all bytes, because nobody needs the body any more; bytes that still come are ignored. */
+    /** Releases all bytes because the body is no longer needed; bytes received later are ignored. */
     public void discard() {
         if (discarded) {
             return;
--- a/core/src/main/java/topazvalve/core/stream/package-info.java
+++ b/core/src/main/java/topazvalve/core/stream/package-info.java
@@ -1,2 +1,2 @@
-/** Streaming of bodies, whatever their protocol, within one bound on the bytes that are buffered. */
+/** Streaming of message bodies of any protocol, with a limit on the total bytes buffered. */
 package topazvalve.core.stream;
--- a/core/src/main/java/topazvalve/core/time/EventLoopScheduler.java
+++ b/core/src/main/java/topazvalve/core/time/EventLoopScheduler.java
@@ -6,15 +6,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The scheduler of an event loop. With stall detection it notices when the loop was held up, for example by a garbage
- * collection or because its thread was not scheduled. Meanwhile, input from peers stays unread in the sockets.
+ * The scheduler of an event loop. With stall detection it notices when the loop has stalled, for example because of
+ * a garbage collection or because its thread was not scheduled. During a stall, input from peers stays unread in the
+ * sockets.
  */
 public final class EventLoopScheduler implements Scheduler {
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final long HEARTBEAT_INTERVAL_NANOS = 50 * NANOS_PER_MILLI;
     /**
-     * Lateness of a heartbeat that counts as a stall. A stall that goes unnoticed is shorter than this and the
-     * interval together, which is less than the 0.1 s within which a client's closing has to be noticed.
+     * Delay of a heartbeat that counts as a stall. An undetected stall is shorter than this plus the heartbeat
+     * interval, which is less than the 0.1 s within which a client disconnect has to be noticed.
      */
     private static final long STALL_THRESHOLD_NANOS = 25 * NANOS_PER_MILLI;
 
@@ -30,7 +31,7 @@
         this.loop = loop;
     }
 
-    /** Creates a scheduler that detects stalls for as long as the loop runs. */
+    /** Creates a scheduler that detects stalls as long as the loop runs. */
     public static EventLoopScheduler detectingStalls(EventLoop loop) {
         EventLoopScheduler scheduler = new EventLoopScheduler(loop);
         scheduler.detectsStalls = true;
@@ -45,17 +46,17 @@
     }
 
     @Override
-    public Timer schedule(long nanoseconds, Runnable action) {
-        Future<?> scheduled = loop.schedule(action, nanoseconds, TimeUnit.NANOSECONDS);
+    public Timer schedule(long delayNanos, Runnable action) {
+        Future<?> scheduled = loop.schedule(action, delayNanos, TimeUnit.NANOSECONDS);
         return () -> scheduled.cancel(false);
     }
 
     /**
-     * Runs {@code action} on the loop after its next select, however late that is. What peers have sent before
-     * this call has been read by then, and the descriptors of closed channels have been released.
+     * Runs {@code action} on the loop after its next select, however late that is. By then the loop has read what
+     * peers sent before this call and has released the descriptors of closed channels.
      */
     public static void afterNextSelect(EventLoop loop, Runnable action) {
-        // What is scheduled from within a task runs after the next select.
+        // An action scheduled from within a task runs after the next select.
         loop.execute(() -> loop.schedule(action, 1, TimeUnit.NANOSECONDS));
     }
 
@@ -74,17 +75,20 @@
         lastHeartbeatNanos = System.nanoTime();
     }
 
-    /** Begins to catch up if the loop has stalled: the first select reads data, the second an end behind it. */
+    /**
+     * Defers actions for two selects if the loop has stalled: the first select reads pending data, the second an end
+     * of stream that follows the data.
+     */
     private void detectStall() {
         if (detectsStalls
                 && !catchingUp
                 && System.nanoTime() - lastHeartbeatNanos > HEARTBEAT_INTERVAL_NANOS + STALL_THRESHOLD_NANOS) {
             catchingUp = true;
-            afterNextSelect(loop, () -> afterNextSelect(loop, this::caughtUp));
+            afterNextSelect(loop, () -> afterNextSelect(loop, this::runDeferredActions));
         }
     }
 
-    private void caughtUp() {
+    private void runDeferredActions() {
         catchingUp = false;
         while (!deferred.isEmpty()) {
             deferred.poll().run();
--- a/core/src/main/java/topazvalve/core/time/Scheduler.java
+++ b/core/src/main/java/topazvalve/core/time/Scheduler.java
@@ -1,19 +1,19 @@
 package topazvalve.core.time;
 
 /**
- * A clock and its timers. All calls are made on one thread, and timers fire there, never inside
+ * A clock and its timers. All calls are made on one thread; timers fire on that thread, never inside
  * {@link #schedule}.
  */
 public interface Scheduler {
-    /** Returns the nanoseconds since 1970. They never run back and compare with the start times in lists. */
+    /** Returns the nanoseconds since 1970, comparable with start times in endpoint lists; never decreases. */
     long nowNanos();
 
-    /** Runs {@code action} once, {@code nanoseconds} from now or later. */
-    Timer schedule(long nanoseconds, Runnable action);
+    /** Runs {@code action} once, not before {@code delayNanos} have passed. */
+    Timer schedule(long delayNanos, Runnable action);
 
     /**
-     * Runs {@code action} within this call, unless the thread was stalled for so long that what peers did
-     * meanwhile is still unread. The action runs after this call then, once that has been read.
+     * Runs {@code action} within this call, unless the thread has stalled and input from peers may be unread. In that
+     * case the action runs later, after the pending input has been read.
      */
     default void runOnceCaughtUp(Runnable action) {
         action.run();
@@ -21,7 +21,7 @@
 
     /** A scheduled action. */
     interface Timer {
-        /** Cancels the action; does nothing if it has run. */
+        /** Cancels the action; has no effect if it has already run. */
         void cancel();
     }
 }
--- a/core/src/main/java/topazvalve/core/time/package-info.java
+++ b/core/src/main/java/topazvalve/core/time/package-info.java
@@ -1,2 +1,2 @@
-/** The clock and the timers of the core, behind an interface that tests can implement. */
+/** The clock and the timers of the core, behind an interface so that tests can replace them. */
 package topazvalve.core.time;
--- a/core/src/test/java/topazvalve/core/lifecycle/ProcessLifecycleTest.java
+++ b/core/src/test/java/topazvalve/core/lifecycle/ProcessLifecycleTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Whether clients are accepted and connections drained, from start to shutdown. */
+/** Tests when clients are accepted and connections drained, from start to shutdown. */
 class ProcessLifecycleTest {
     private final ProcessLifecycle lifecycle = new ProcessLifecycle();
 
@@ -23,7 +23,7 @@
         assertFalse(lifecycle.shouldCloseIdleConnections());
     }
 
-    /** A sidecar that became a lame duck before its start stays one. */
+    /** A sidecar that was switched to lame duck before its start does not accept clients. */
     @Test
     void startDoesNotRevokeLameDuck() {
         lifecycle.setLameDuck(true);
--- a/core/src/test/java/topazvalve/core/requestclass/RequestClassRegistryTest.java
+++ b/core/src/test/java/topazvalve/core/requestclass/RequestClassRegistryTest.java
@@ -10,43 +10,43 @@
 import topazvalve.policy.KeyScope;
 import topazvalve.policy.RequestClass;
 
-/** The numbers of request classes over several configurations. */
+/** Tests the numbers of request classes across several configurations. */
 class RequestClassRegistryTest {
-    private final RequestClassRegistry table = new RequestClassRegistry();
+    private final RequestClassRegistry registry = new RequestClassRegistry();
 
     private static RequestClass rules(Idempotency idempotency, long deadlineNanos) {
         return new RequestClass(1, 0, deadlineNanos, 1, 0, idempotency, KeyScope.ALL, 0, false);
     }
 
     @Test
-    void classesAreNumberedInTheOrderOfTheFirstConfiguration() {
-        table.update(
+    void classesAreNumberedInOrderOfConfiguration() {
+        registry.update(
                 List.of("a", "b"), List.of(rules(Idempotency.NON_IDEMPOTENT, 1), rules(Idempotency.IDEMPOTENT, 1)));
-        assertEquals(0, table.find("a").number());
-        assertEquals(1, table.find("b").number());
-        assertNull(table.find("c"));
+        assertEquals(0, registry.find("a").number());
+        assertEquals(1, registry.find("b").number());
+        assertNull(registry.find("c"));
     }
 
-    /** A non-idempotent class that becomes idempotent must not make its open requests idempotent. */
+    /** If a class changes from non-idempotent to idempotent, its open requests must stay non-idempotent. */
     @Test
-    void classWithAnotherEffectGetsAnotherNumber() {
-        table.update(List.of("a"), List.of(rules(Idempotency.NON_IDEMPOTENT, 1)));
-        table.update(List.of("a"), List.of(rules(Idempotency.IDEMPOTENT, 1)));
-        assertNotEquals(0, table.find("a").number());
-        assertEquals(Idempotency.NON_IDEMPOTENT, table.rules().get(0).idempotency());
-        table.update(List.of("a"), List.of(rules(Idempotency.NON_IDEMPOTENT, 2)));
-        assertEquals(0, table.find("a").number(), "the first class again");
-        assertEquals(2, table.rules().size());
+    void classWithChangedIdempotencyGetsNewNumber() {
+        registry.update(List.of("a"), List.of(rules(Idempotency.NON_IDEMPOTENT, 1)));
+        registry.update(List.of("a"), List.of(rules(Idempotency.IDEMPOTENT, 1)));
+        assertNotEquals(0, registry.find("a").number());
+        assertEquals(Idempotency.NON_IDEMPOTENT, registry.rules().get(0).idempotency());
+        registry.update(List.of("a"), List.of(rules(Idempotency.NON_IDEMPOTENT, 2)));
+        assertEquals(0, registry.find("a").number(), "the original number is used again");
+        assertEquals(2, registry.rules().size());
     }
 
     @Test
-    void classWithOtherDeadlineKeepsItsNumber() {
-        table.update(
+    void classWithChangedDeadlineKeepsItsNumber() {
+        registry.update(
                 List.of("a", "b"), List.of(rules(Idempotency.NON_IDEMPOTENT, 1), rules(Idempotency.NON_IDEMPOTENT, 1)));
-        table.update(List.of("b"), List.of(rules(Idempotency.NON_IDEMPOTENT, 7)));
-        assertEquals(1, table.find("b").number());
-        assertEquals(7, table.rules().get(1).deadlineNanos());
-        assertNull(table.find("a"), "no longer in force");
-        assertEquals(2, table.rules().size(), "but still listed for open requests");
+        registry.update(List.of("b"), List.of(rules(Idempotency.NON_IDEMPOTENT, 7)));
+        assertEquals(1, registry.find("b").number());
+        assertEquals(7, registry.rules().get(1).deadlineNanos());
+        assertNull(registry.find("a"), "no longer in force");
+        assertEquals(2, registry.rules().size(), "still listed for open requests");
     }
 }
--- a/core/src/test/java/topazvalve/core/stream/RequestBodyTest.java
+++ b/core/src/test/java/topazvalve/core/stream/RequestBodyTest.java
@@ -13,9 +13,11 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** What a body buffers, for how long, and that none of its bytes are lost. */
+/** Tests what a body buffers and for how long, and that none of its bytes are lost. */
 class RequestBodyTest {
-    private final Random random = new Random(7);
+    private static final int SEED = 7;
+
+    private final Random random = new Random(SEED);
     private final ByteArrayOutputStream readBytes = new ByteArrayOutputStream();
     private int notReplayableCalls;
     private int spaceAvailableCalls;
@@ -47,7 +49,7 @@
         body.add(Unpooled.wrappedBuffer(bytes, 0, 20_000));
         body.startReading(() -> {});
         readAll(body);
-        assertFalse(body.isFullyRead(), "more is to come");
+        assertFalse(body.isFullyRead(), "the body is not complete yet");
         body.add(Unpooled.wrappedBuffer(bytes, 20_000, 30_000));
         body.complete();
         for (int attempt = 0; attempt < 3; attempt++) {
@@ -62,9 +64,9 @@
         assertEquals(0, notReplayableCalls);
     }
 
-    /** A body far above its quota passes in chunks of any size, and no more than the quota is buffered. */
+    /** A body far larger than its quota is read completely, in chunks of any size, and buffered within the quota. */
     @Test
-    void bodyAboveItsQuotaPassesAndIsNotReplayable() {
+    void bodyAboveItsQuotaIsReadCompletelyAndIsNotReplayable() {
         RequestBody body = newBody(0);
         byte[] bytes = randomBytes(2_000_000);
         int position = 0;
@@ -72,14 +74,14 @@
         while (position < bytes.length) {
             if (body.isFull()) {
                 if (!reading) {
-                    assertTrue(body.isReplayable(), "nothing is released before it is read");
+                    assertTrue(body.isReplayable(), "bytes were released before they were read");
                     body.startReading(() -> {});
                     reading = true;
                 }
                 int callsBefore = spaceAvailableCalls;
                 readAll(body);
                 assertFalse(body.isFull());
-                assertTrue(spaceAvailableCalls > callsBefore, "space is reported");
+                assertTrue(spaceAvailableCalls > callsBefore, "available space was not reported");
             }
             int size = Math.min(1 + random.nextInt(9000), bytes.length - position);
             body.add(Unpooled.wrappedBuffer(bytes, position, size));
@@ -90,12 +92,15 @@
         assertTrue(body.isFullyRead());
         assertArrayEquals(bytes, readBytes.toByteArray());
         assertFalse(body.isReplayable());
-        assertEquals(1, notReplayableCalls, "reported once");
+        assertEquals(1, notReplayableCalls, "notReplayable callbacks");
     }
 
-    /** The quota may grow while nobody reads: whoever waits for space must not wait for ever. */
+    /**
+     * The quota may grow while nothing is read. Space must then be reported on the next read, even if nothing is
+     * released; otherwise a client whose reads are paused waits forever.
+     */
     @Test
-    void spaceIsReportedAlsoWhenTheQuotaHasGrown() {
+    void spaceIsReportedWhenTheQuotaHasGrown() {
         ByteBudget budget = new ByteBudget(3 * ByteBudget.MIN_QUOTA_BYTES);
         RequestBody[] others = new RequestBody[3];
         for (int i = 0; i < others.length; i++) {
@@ -114,11 +119,11 @@
         body.startReading(() -> {});
         readAll(body);
         assertTrue(spaceAvailableCalls > 0);
-        assertTrue(body.isReplayable(), "nothing had to be released");
+        assertTrue(body.isReplayable(), "bytes were released although the quota has grown");
     }
 
     @Test
-    void discardedBodyBuffersAndAcceptsNothing() {
+    void discardedBodyBuffersNothing() {
         RequestBody body = newBody(0);
         body.add(Unpooled.wrappedBuffer(randomBytes(20_000)));
         assertTrue(body.isFull());
