--- a/core/src/main/java/topazvalve/core/exchange/EndpointIds.java
+++ b/core/src/main/java/topazvalve/core/exchange/EndpointIds.java
@@ -7,8 +7,8 @@
 import topazvalve.policy.SettingsReader;
 
 /**
- * Assigns the numbers under which the policy knows endpoints, zones and machine kinds. A number is assigned
- * once and never reused.
+ * Assigns the numbers that identify endpoints, zones and machine kinds to the policy. A number is assigned once and
+ * never reused.
  */
 final class EndpointIds {
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -18,7 +18,7 @@
     private final Map<String, Integer> zoneNumbers = new HashMap<>();
     private final Map<String, Integer> machineKindNumbers = new HashMap<>();
 
-    /** Numbers the zones and machine kinds that the settings list, in their order. */
+    /** Assigns numbers to the zones and machine kinds listed in the settings, in their order. */
     void registerNames(SettingsReader settings) {
         settings.list("zones").forEach(zone -> numberOf(zoneNumbers, zone));
         settings.list("kinds").forEach(kind -> numberOf(machineKindNumbers, kind));
@@ -29,11 +29,11 @@
     }
 
     /** Returns the ids of all endpoints that were ever listed. */
-    Iterable<Long> all() {
+    Iterable<Long> allEndpointIds() {
         return endpointIds.values();
     }
 
-    /** Converts an endpoint to the policy's view of it; one that is new gets the next id. */
+    /** Converts an endpoint to the policy's representation; a new endpoint gets the next id. */
     EndpointInfo toEndpointInfo(Endpoint endpoint) {
         long id = endpointIds.computeIfAbsent(endpoint.uid(), unknown -> endpointIds.size() + FIRST_ENDPOINT_ID);
         return new EndpointInfo(
--- a/core/src/main/java/topazvalve/core/exchange/EndpointUpdater.java
+++ b/core/src/main/java/topazvalve/core/exchange/EndpointUpdater.java
@@ -12,7 +12,7 @@
 import topazvalve.policy.SettingsReader;
 import topazvalve.policy.UpdateKind;
 
-/** Passes each update of the endpoint list on, first to the backend and then to the policy, in one event. */
+/** Forwards each update of the endpoint list to the backend and then to the policy, both in one event. */
 final class EndpointUpdater implements EndpointDiscovery.Listener {
     private final Backend<?, ?> backend;
     private final PolicyDispatcher dispatcher;
@@ -23,7 +23,7 @@
         this.dispatcher = dispatcher;
     }
 
-    /** Numbers the names that the settings list; before the first update that uses them. */
+    /** Assigns numbers to the names listed in the settings; called before the first update that uses them. */
     void registerNames(SettingsReader settings) {
         endpointIds.registerNames(settings);
     }
@@ -56,7 +56,7 @@
     }
 
     private void removeUnlisted(Map<Long, Endpoint> endpointsById) {
-        for (long id : endpointIds.all()) {
+        for (long id : endpointIds.allEndpointIds()) {
             if (!endpointsById.containsKey(id)) {
                 backend.endpointRemoved(id);
             }
--- a/core/src/main/java/topazvalve/core/exchange/Exchange.java
+++ b/core/src/main/java/topazvalve/core/exchange/Exchange.java
@@ -7,7 +7,7 @@
 import topazvalve.core.pool.Attempt;
 import topazvalve.core.time.Scheduler;
 
-/** One exchange: the request, its attempts and its state. Used on the event loop alone. */
+/** One exchange: the request, its attempts and its state. Used only on the event loop. */
 final class Exchange<Q, A> {
     private static final int NO_ATTEMPT = -1;
     private static final long NO_DEADLINE = Long.MAX_VALUE;
@@ -17,14 +17,14 @@
     final ResponseListener<A> listener;
     final RequestClassCounters counters;
     private final int maxAttempts;
-    /** By attempt number; null for one that was ordered and never started. */
+    /** Indexed by attempt number; null for an attempt that the policy ordered but that was not started. */
     private final List<Attempt<Q, A>> attempts = new ArrayList<>(1);
 
     private ExchangeState state = ExchangeState.RECEIVED;
     private int attemptsInFlight;
     /** Number of the attempt whose response is being streamed to the client. */
     private int respondingAttempt = NO_ATTEMPT;
-    /** When the client gives up; there is no such time until the body is complete. */
+    /** Deadline of the exchange; {@link #NO_DEADLINE} until the body is complete. */
     private long deadlineNanos = NO_DEADLINE;
 
     private Scheduler.Timer timeout;
@@ -46,7 +46,7 @@
         return state;
     }
 
-    /** Returns whether the client still waits for an answer or for the rest of one. */
+    /** Returns whether the client is still waiting for an answer or for the rest of one. */
     boolean isOpen() {
         return state.isOpen();
     }
@@ -56,26 +56,26 @@
         state = state.after(ExchangeState.Event.POLICY_NOTIFIED, attemptsInFlight);
     }
 
-    /** Starts the client's time: it gives up at {@code atNanos}, and {@code timer} runs unless it is answered. */
-    void startTimeout(long atNanos, Scheduler.Timer timer) {
-        deadlineNanos = atNanos;
+    /** Sets the deadline, and the timer that is cancelled when the exchange is answered or its response starts. */
+    void startTimeout(long deadlineNanos, Scheduler.Timer timer) {
+        this.deadlineNanos = deadlineNanos;
         timeout = timer;
     }
 
-    /** Returns the nanoseconds until the client gives up; negative once it has. */
-    long remainingNanos(long now) {
-        return deadlineNanos - now;
+    /** Returns the nanoseconds until the deadline; negative after it. */
+    long remainingNanos(long nowNanos) {
+        return deadlineNanos - nowNanos;
     }
 
-    /** Returns whether an attempt that is ordered now may be started. */
-    boolean mayStartAttempt(long now) {
+    /** Returns whether another attempt may be started now. */
+    boolean mayStartAttempt(long nowNanos) {
         return (state == ExchangeState.PENDING || state == ExchangeState.ATTEMPTING)
-                && now < deadlineNanos
+                && nowNanos < deadlineNanos
                 && attempts.size() < maxAttempts
                 && request.body().isReplayable();
     }
 
-    /** Adds an attempt that was ordered and returns its number; {@link #attemptStarted} may follow. */
+    /** Adds an attempt that the policy ordered and returns its number; {@link #attemptStarted} may follow. */
     int addAttempt() {
         attemptsInFlight++;
         state = state.after(ExchangeState.Event.ATTEMPT_ADDED, attemptsInFlight);
@@ -83,22 +83,22 @@
         return attempts.size() - 1;
     }
 
-    /** Records the started attempt under its number. The attempt may have ended while it was being started. */
+    /** Records a started attempt, which may already have ended. */
     void attemptStarted(int number, Attempt<Q, A> attempt) {
         attempts.set(number, attempt);
     }
 
-    /** Returns the attempt with a number; null if there is none or it was never started. */
+    /** Returns the attempt with this number; null if there is none or it was not started. */
     Attempt<Q, A> attempt(int number) {
         return number < attempts.size() ? attempts.get(number) : null;
     }
 
-    /** Returns the attempts that were started, those that have ended among them. */
+    /** Returns all attempts that were started, including those that have ended. */
     List<Attempt<Q, A>> startedAttempts() {
         return attempts.stream().filter(Objects::nonNull).toList();
     }
 
-    /** Begins to stream an attempt's response; returns false if the client needs no response any more. */
+    /** Begins to stream an attempt's response; returns false if the client no longer needs one from this attempt. */
     boolean startResponse(int number) {
         if (state != ExchangeState.ATTEMPTING) {
             return false;
@@ -109,7 +109,7 @@
         return true;
     }
 
-    /** Returns whether the response that is being streamed to the client is this attempt's. */
+    /** Returns whether this attempt's response is being streamed to the client. */
     boolean isRespondingWith(int number) {
         return state == ExchangeState.RESPONDING && respondingAttempt == number;
     }
@@ -120,7 +120,7 @@
         state = state.after(ExchangeState.Event.ATTEMPT_ENDED, attemptsInFlight);
     }
 
-    /** Ends the exchange for the client: it waits for nothing more, and the body is discarded. */
+    /** Completes the exchange for the client, cancels the timeout and discards the body. */
     void complete() {
         state = state.after(ExchangeState.Event.ANSWERED, attemptsInFlight);
         cancelTimeout();
@@ -132,7 +132,7 @@
         return respondingAttempt == NO_ATTEMPT ? null : attempts.get(respondingAttempt);
     }
 
-    /** Returns whether neither client nor policy waits for anything, so that the exchange can be removed. */
+    /** Returns whether the exchange is answered and no attempt is in flight, so that it can be removed. */
     boolean releaseIfSettled() {
         if (state == ExchangeState.COMPLETED && attemptsInFlight == 0) {
             state = state.after(ExchangeState.Event.SETTLED, attemptsInFlight);
--- a/core/src/main/java/topazvalve/core/exchange/ExchangeAttempt.java
+++ b/core/src/main/java/topazvalve/core/exchange/ExchangeAttempt.java
@@ -7,7 +7,7 @@
 import topazvalve.policy.AttemptResult;
 import topazvalve.policy.Outcome;
 
-/** Passes what becomes of one attempt on to the client and to the policy. */
+/** Reports the progress and the outcome of one attempt to the client and to the policy. */
 final class ExchangeAttempt<Q, A> implements AttemptListener<Q, A> {
     private final ExchangeLifecycle<Q, A> lifecycle;
     private final Exchange<Q, A> exchange;
@@ -53,8 +53,8 @@
 
     @Override
     public void attemptCompleted(Outcome outcome, A response, float[] loadReport) {
-        // A response does not wait for queued events. Its fault must not keep the policy from hearing of the end:
-        // the attempt would count as in flight for ever.
+        // The response is sent without waiting for queued events. An exception from it must not prevent the policy
+        // from being notified, or the attempt would count as in flight forever.
         lifecycle.dispatcher().runGuarded(() -> respond(outcome, response));
         lifecycle.dispatcher().dispatch((policy, now) -> {
             exchange.attemptEnded();
@@ -68,7 +68,7 @@
         });
     }
 
-    /** Answers the client if this attempt's response is the one that it gets. */
+    /** Completes the exchange if this attempt provides the client's answer. */
     private void respond(Outcome outcome, A response) {
         boolean responding = exchange.isRespondingWith(number);
         if (responding && outcome == Outcome.OK) {
--- a/core/src/main/java/topazvalve/core/exchange/ExchangeLifecycle.java
+++ b/core/src/main/java/topazvalve/core/exchange/ExchangeLifecycle.java
@@ -11,16 +11,16 @@
 import topazvalve.policy.Request;
 
 /**
- * Owns the tracked exchanges, from the request to the final answer and the end of the last attempt. Whatever
- * the policy and the backend do, the client of an exchange gets one final answer.
+ * Owns the tracked exchanges, from the request to the final answer and the end of the last attempt. Guarantees the
+ * client exactly one final answer, whatever the policy and the backend do.
  */
 final class ExchangeLifecycle<Q, A> implements ExchangeHandler<Q, A> {
     private static final long NANOS_PER_MILLI = 1_000_000;
-    /** Part of the client's time that is reserved for the answer's way back; the policy is given the rest. */
+    /** Part of the client's timeout that is reserved for sending the answer; the policy gets the rest. */
     private static final long RESPONSE_RESERVE_NANOS = 10 * NANOS_PER_MILLI;
-    /** An exchange that the policy has not answered by its deadline fails after this much of the reserve. */
+    /** Time after the policy's deadline at which an unanswered exchange fails, still within the reserve. */
     private static final long OVERDUE_NANOS = RESPONSE_RESERVE_NANOS / 2;
-    /** Id of an exchange that was rejected on arrival. */
+    /** Id returned for an exchange that was rejected on arrival. */
     private static final long REJECTED_ID = 0;
 
     private final Scheduler scheduler;
@@ -31,7 +31,7 @@
     private int maxAttempts;
     private long lastId;
 
-    /** Tracks at most {@code maxExchanges} exchanges; more are rejected on arrival. */
+    /** Creates a lifecycle that tracks at most {@code maxExchanges}; further exchanges are rejected on arrival. */
     ExchangeLifecycle(Scheduler scheduler, PolicyDispatcher dispatcher, Metrics metrics, int maxExchanges) {
         this.scheduler = scheduler;
         this.dispatcher = dispatcher;
@@ -39,7 +39,7 @@
         this.maxExchanges = maxExchanges;
     }
 
-    /** Sets the limit of attempts for exchanges that are submitted from now on. */
+    /** Sets the maximum number of attempts for exchanges submitted from now on. */
     void setMaxAttempts(int maxAttempts) {
         this.maxAttempts = maxAttempts;
     }
@@ -96,7 +96,7 @@
                 request.write());
     }
 
-    /** Returns how long the policy and an attempt have, from the complete body on. */
+    /** Returns the timeout of the exchange for the policy and its attempts, counted from the complete body. */
     static long timeoutNanos(Exchange<?, ?> exchange) {
         return Math.max(1, exchange.request.timeoutMillis() * NANOS_PER_MILLI - RESPONSE_RESERVE_NANOS);
     }
@@ -107,14 +107,15 @@
         dispatcher.dispatch((policy, now) -> policy.requestBodyCompleted(now, exchange.id));
     }
 
-    /** Sets the timer for an exchange that the policy, against its duty, does not answer by its deadline. */
+    /** Sets the deadline and a timer that fails the exchange if the policy has not answered by then. */
     private void startTimeout(Exchange<Q, A> exchange) {
         long timeoutNanos = timeoutNanos(exchange);
-        exchange.startTimeout(scheduler.nowNanos() + timeoutNanos, scheduler.schedule(timeoutNanos + OVERDUE_NANOS, () -> {
-            fail(exchange.id);
-            // Reported as a disconnect: for the policy both mean that nobody waits for a response any longer.
-            abandon(exchange);
-        }));
+        exchange.startTimeout(
+                scheduler.nowNanos() + timeoutNanos, scheduler.schedule(timeoutNanos + OVERDUE_NANOS, () -> {
+                    fail(exchange.id);
+                    // Reported as a disconnect: in both cases nobody waits for a response any longer.
+                    abandon(exchange);
+                }));
     }
 
     @Override
@@ -131,8 +132,8 @@
     }
 
     /**
-     * Notifies the policy that the client is gone and cancels the attempts that are not written yet, also where
-     * the settings allow no cancellation: that setting is about work that a server has.
+     * Notifies the policy of a client disconnect and cancels the attempts that are not written yet. This applies even
+     * if the settings do not allow cancellation, because that setting concerns requests that a server has received.
      */
     private void abandon(Exchange<Q, A> exchange) {
         dispatcher.dispatch((policy, now) -> policy.clientDisconnected(now, exchange.id));
@@ -143,7 +144,7 @@
         }
     }
 
-    /** Answers that a retry is harmless, unless the request is answered already or a response is being streamed. */
+    /** Rejects the request, so that a retry is harmless; does nothing once it is answered or a response is streamed. */
     void reject(long id, long retryAfterNanos) {
         completeUnlessResponding(id, exchange -> {
             exchange.counters.requestShed();
@@ -151,7 +152,7 @@
         });
     }
 
-    /** Answers that the request has failed, unless it is answered already or a response is being streamed. */
+    /** Fails the request; does nothing once it is answered or a response is being streamed. */
     void fail(long id) {
         completeUnlessResponding(id, exchange -> {
             exchange.counters.requestFailed();
@@ -166,7 +167,7 @@
         }
     }
 
-    /** Gives the client its final answer, which {@code answer} sends; does nothing after the first one. */
+    /** Completes the exchange and runs {@code answer}, which sends the final answer; does nothing after the first. */
     void complete(Exchange<Q, A> exchange, Runnable answer) {
         if (exchange.isOpen()) {
             exchange.complete();
@@ -182,19 +183,19 @@
         }
     }
 
-    /** Returns the tracked exchange with an id, or null. */
+    /** Returns the tracked exchange with this id, or null. */
     Exchange<Q, A> find(long id) {
         return exchanges.get(id);
     }
 
-    /** Returns how many exchanges have a complete body and no final answer yet. */
+    /** Returns the number of exchanges with a complete body and no final answer. */
     long activeCount() {
         return exchanges.values().stream()
                 .filter(exchange -> exchange.isOpen() && exchange.request.body().isComplete())
                 .count();
     }
 
-    /** Returns how many exchanges are tracked, answered ones with attempts in flight among them. */
+    /** Returns the number of tracked exchanges, including answered ones with attempts in flight. */
     int trackedCount() {
         return exchanges.size();
     }
--- a/core/src/main/java/topazvalve/core/exchange/ExchangeManager.java
+++ b/core/src/main/java/topazvalve/core/exchange/ExchangeManager.java
@@ -14,19 +14,19 @@
 import topazvalve.policy.UpdateKind;
 
 /**
- * The core of one sidecar: frontends submit exchanges, the policy decides, and a backend carries the attempts.
- * This class puts the parts together and is their only public face: {@link ExchangeLifecycle} owns the
- * exchanges, {@link PolicyDispatcher} calls the policy, {@link PolicyActionExecutor} carries out what it
- * orders, and {@link EndpointUpdater} passes on endpoint lists. Used on the event loop alone.
+ * The core of one sidecar: frontends submit exchanges, the policy decides, and a backend performs the attempts.
+ * This class wires the components together and is their only public entry point: {@link ExchangeLifecycle} owns
+ * the exchanges, {@link PolicyDispatcher} calls the policy, {@link PolicyActionExecutor} executes its actions, and
+ * {@link EndpointUpdater} forwards endpoint lists. Used only on the event loop.
  *
- * @param <Q> request of the protocol
- * @param <A> response of the protocol
+ * @param <Q> request type of the protocol
+ * @param <A> response type of the protocol
  */
 public final class ExchangeManager<Q, A> implements ExchangeHandler<Q, A>, Metrics.Gauges, EndpointDiscovery.Listener {
 
     /** Creates the policy. */
     public interface PolicyFactory {
-        /** Creates a policy with these settings that gives its orders to {@code actions}. */
+        /** Creates a policy with these settings that calls {@code actions}. */
         LoadBalancer create(Settings settings, Actions actions);
     }
 
@@ -40,10 +40,10 @@
     private EndpointDiscovery discovery;
 
     /**
-     * Creates the core and its policy; {@link #start} begins.
+     * Creates the core and its policy, to be started with {@link #start}.
      *
-     * @param maxExchanges how many exchanges are tracked at most; more are rejected on arrival
-     * @throws IllegalArgumentException if the settings lack a value or hold one that makes no sense
+     * @param maxExchanges maximum number of tracked exchanges; further exchanges are rejected on arrival
+     * @throws IllegalArgumentException if the settings lack a value or contain an invalid one
      */
     public ExchangeManager(
             Scheduler scheduler,
@@ -63,7 +63,7 @@
         dispatcher.setPolicy(policyFactory.create(applySettings(settings), actions));
     }
 
-    /** Applies settings to the core; returns them for the policy, with the class table's numbers. */
+    /** Applies settings to the core; returns them for the policy, with request classes by their registered numbers. */
     private Settings applySettings(SettingsReader reader) {
         Settings settings = reader.settings();
         List<String> classNames = reader.names("profiles");
@@ -82,7 +82,7 @@
         endpointsUpdated(UpdateKind.CACHED, cachedEndpoints);
     }
 
-    /** Stops discovery and closes idle connections; exchanges that are open are still answered. */
+    /** Stops discovery and closes idle connections; open exchanges are still answered. */
     public void stop() {
         if (discovery != null) {
             discovery.close();
@@ -91,9 +91,9 @@
     }
 
     /**
-     * Applies new settings; open exchanges keep the class and the limit of attempts that they came under.
+     * Applies new settings; open exchanges keep their request class and maximum number of attempts.
      *
-     * @throws IllegalArgumentException if the settings lack a value or hold one that makes no sense
+     * @throws IllegalArgumentException if the settings lack a value or contain an invalid one
      */
     public void settingsChanged(SettingsReader reader) {
         Settings settings = applySettings(reader);
@@ -117,28 +117,28 @@
     }
 
     @Override
-    public long active() {
+    public long activeExchanges() {
         return lifecycle.activeCount();
     }
 
     @Override
-    public long poolSize() {
+    public long listedEndpoints() {
         return backend.endpointCount();
     }
 
     @Override
-    public long poolEjected() {
+    public long ejectedEndpoints() {
         return dispatcher.ejectedCount();
     }
 
-    /** Returns how many exchanges are tracked, answered ones with attempts in flight among them. */
+    /** Returns the number of tracked exchanges, including answered ones with attempts in flight. */
     int trackedCount() {
         return lifecycle.trackedCount();
     }
 
-    /** Returns how many events have thrown; each one is a fault of this program. */
-    long faultCount() {
-        return dispatcher.faultCount();
+    /** Returns how many events have thrown an exception; each one indicates a bug. */
+    long exceptionCount() {
+        return dispatcher.exceptionCount();
     }
 
     /** Returns the states of the tracked exchanges. */
--- a/core/src/main/java/topazvalve/core/exchange/ExchangeRequest.java
+++ b/core/src/main/java/topazvalve/core/exchange/ExchangeRequest.java
@@ -4,18 +4,18 @@
 import topazvalve.core.stream.RequestBody;
 
 /**
- * A request as a frontend submits it; the end of its body may still be to come.
+ * A request submitted by a frontend; its body may still be incomplete.
  *
  * @param requestClass class of the request
  * @param tenant number of the tenant
- * @param resourceKey number of the resource that the request is about; 0 for none
- * @param timeoutMillis how long the client waits, in milliseconds, from the last byte of the body on
- * @param costHintNanos expected work in nanoseconds; 0 where it is not known
+ * @param resourceKey number of the resource that the request concerns; 0 for none
+ * @param timeoutMillis how long the client waits after the last byte of the body, in milliseconds
+ * @param costHintNanos expected work in nanoseconds; 0 if unknown
  * @param clientRetry whether the client marked the request as a retry
- * @param write whether the request may change something
- * @param message the request in terms of its protocol; the core does not look at it
+ * @param write whether the request may modify state
+ * @param message the protocol's request, opaque to the core
  * @param body body of the request
- * @param <Q> request of the protocol
+ * @param <Q> request type of the protocol
  */
 public record ExchangeRequest<Q>(
         RequestClassRegistry.Entry requestClass,
--- a/core/src/main/java/topazvalve/core/exchange/ExchangeState.java
+++ b/core/src/main/java/topazvalve/core/exchange/ExchangeState.java
@@ -1,23 +1,23 @@
 package topazvalve.core.exchange;
 
 /**
- * The state of an exchange and its transitions. An event without a transition is a fault of this program.
- * Attempts that are still in flight after the final answer keep the exchange tracked, because the policy has
- * to be notified of the end of each.
+ * The state of an exchange and its transitions. An event without a transition indicates a bug. Attempts that are still
+ * in flight after the final answer keep the exchange tracked, because the policy has to be notified of the end of
+ * each.
  *
  * <pre>
  * state       event              next state
- * RECEIVED    POLICY_NOTIFIED    PENDING     the policy knows the exchange
+ * RECEIVED    POLICY_NOTIFIED    PENDING     the policy is notified of the exchange
  * PENDING     ATTEMPT_ADDED      ATTEMPTING  the policy has ordered an attempt
- * ATTEMPTING  ATTEMPT_ADDED      ATTEMPTING  one more
+ * ATTEMPTING  ATTEMPT_ADDED      ATTEMPTING  the policy has ordered another attempt
  * ATTEMPTING  ATTEMPT_ENDED      ATTEMPTING  others are still in flight
  * ATTEMPTING  ATTEMPT_ENDED      PENDING     it was the last one in flight
  * ATTEMPTING  RESPONSE_STARTED   RESPONDING  a response is being streamed to the client
- * RESPONDING  ATTEMPT_ADDED      RESPONDING  an order that comes too late: the attempt is never started
+ * RESPONDING  ATTEMPT_ADDED      RESPONDING  ordered too late: the attempt is not started
  * RESPONDING  ATTEMPT_ENDED      RESPONDING  any attempt; for the responding one ANSWERED follows at once
  * any above   ANSWERED           COMPLETED   served, aborted, rejected, failed or disconnected
  * COMPLETED   POLICY_NOTIFIED, ATTEMPT_ADDED, ATTEMPT_ENDED
- *                                COMPLETED   events that were on their way
+ *                                COMPLETED   events that were queued or in progress
  * COMPLETED   SETTLED            RELEASED    no attempt is in flight
  * </pre>
  */
@@ -29,7 +29,7 @@
     COMPLETED,
     RELEASED;
 
-    /** What happens to an exchange. */
+    /** An event in the life of an exchange. */
     enum Event {
         POLICY_NOTIFIED,
         ATTEMPT_ADDED,
@@ -39,7 +39,7 @@
         SETTLED
     }
 
-    /** Returns whether the client still waits for an answer or for the rest of one. */
+    /** Returns whether the client is still waiting for an answer or for the rest of one. */
     boolean isOpen() {
         return this != COMPLETED && this != RELEASED;
     }
@@ -48,7 +48,7 @@
      * Returns the state after an event.
      *
      * @param attemptsInFlight number of attempts in flight after the event
-     * @throws IllegalTransitionException if the event can't happen in this state
+     * @throws IllegalTransitionException if the event is not allowed in this state
      */
     ExchangeState after(Event event, int attemptsInFlight) {
         ExchangeState next = nextOrNull(event, attemptsInFlight);
--- a/core/src/main/java/topazvalve/core/exchange/IllegalTransitionException.java
+++ b/core/src/main/java/topazvalve/core/exchange/IllegalTransitionException.java
@@ -1,6 +1,6 @@
 package topazvalve.core.exchange;
 
-/** An event that can't happen to an exchange in its state; always a fault of this program. */
+/** Thrown for an event that is not allowed in the current state of an exchange; always indicates a bug. */
 final class IllegalTransitionException extends IllegalStateException {
     private static final long serialVersionUID = 1;
 
--- a/core/src/main/java/topazvalve/core/exchange/PolicyActionExecutor.java
+++ b/core/src/main/java/topazvalve/core/exchange/PolicyActionExecutor.java
@@ -10,8 +10,8 @@
 import topazvalve.policy.Outcome;
 
 /**
- * Carries out what the policy orders, at the time of the event that the policy is handling. Each attempt that
- * is ordered has exactly one outcome, also one that can't be started.
+ * Executes the actions of the policy, within the event that the policy is handling. Each attempt that the policy
+ * orders has exactly one outcome, even if it cannot be started.
  */
 final class PolicyActionExecutor<Q, A> implements Actions {
     private static final Logger POLICY_LOG = LoggerFactory.getLogger("module");
@@ -33,7 +33,7 @@
         this.backend = backend;
     }
 
-    /** Sets where endpoint lists are watched and fetched; called before the policy is started. */
+    /** Sets the source of endpoint lists; called before the policy is started. */
     void setDiscovery(EndpointDiscovery discovery) {
         this.discovery = discovery;
     }
@@ -63,9 +63,9 @@
         }
     }
 
-    private long attemptTimeoutNanos(Exchange<Q, A> exchange, long orderedNanos, long now) {
+    private long attemptTimeoutNanos(Exchange<Q, A> exchange, long policyTimeoutNanos, long now) {
         long clientNanos = Math.min(ExchangeLifecycle.timeoutNanos(exchange), exchange.remainingNanos(now));
-        return orderedNanos > 0 ? Math.min(clientNanos, orderedNanos) : clientNanos;
+        return policyTimeoutNanos > 0 ? Math.min(clientNanos, policyTimeoutNanos) : clientNanos;
     }
 
     @Override
@@ -107,7 +107,7 @@
         backend.closeIdleConnections(endpoint);
     }
 
-    /** Sidecars of this kind have no peers; the policy sends no gossip. */
+    /** Not supported: these sidecars have no peers, so the policy sends no gossip. */
     @Override
     public void sendGossip(int peer, byte[] message) {
         throw new UnsupportedOperationException("gossip is not supported");
--- a/core/src/main/java/topazvalve/core/exchange/PolicyDispatcher.java
+++ b/core/src/main/java/topazvalve/core/exchange/PolicyDispatcher.java
@@ -7,14 +7,14 @@
 import topazvalve.policy.LoadBalancer;
 
 /**
- * The only caller of the policy. It queues events and handles them one after the other on the event loop, so
- * that the policy is never entered twice. After a stall of the loop, events wait until disconnects that
- * happened meanwhile have been read, because whatever the policy decides may start attempts.
+ * The only caller of the policy. It queues events and delivers them one after another on the event loop, so that calls
+ * to the policy never nest. After a stall of the loop, events wait until disconnects that happened during the stall
+ * have been read, because any decision of the policy may start attempts.
  */
 final class PolicyDispatcher {
     /** A call to the policy. */
     interface Event {
-        /** Calls {@code policy} with {@code now}, the time of the call in nanoseconds. */
+        /** Calls {@code policy}; {@code now} is the time of the call in nanoseconds since 1970. */
         void deliver(LoadBalancer policy, long now);
     }
 
@@ -23,10 +23,10 @@
     private final Scheduler scheduler;
     private final ArrayDeque<Event> events = new ArrayDeque<>();
     private LoadBalancer policy;
-    /** Whether queued events are being delivered, or will be once the loop has caught up after a stall. */
+    /** Whether queued events are being delivered, or will be delivered after a stall. */
     private boolean deliveryPending;
 
-    private long faultCount;
+    private long exceptionCount;
 
     PolicyDispatcher(Scheduler scheduler) {
         this.scheduler = scheduler;
@@ -37,7 +37,7 @@
         this.policy = policy;
     }
 
-    /** Delivers an event: within this call, unless another is being delivered or the loop has stalled. */
+    /** Delivers an event, within this call unless another one is being delivered or the loop has stalled. */
     void dispatch(Event event) {
         events.add(event);
         if (!deliveryPending) {
@@ -60,31 +60,31 @@
         try {
             event.deliver(policy, scheduler.nowNanos());
         } catch (RuntimeException e) {
-            reportFault(e);
+            recordException(e);
         }
     }
 
-    /** Runs an action that does not reach the policy at once; what it throws is logged and counted as a fault. */
+    /** Runs an action that does not call the policy directly; an exception from it is logged and counted. */
     void runGuarded(Runnable action) {
         try {
             action.run();
         } catch (RuntimeException e) {
-            reportFault(e);
+            recordException(e);
         }
     }
 
-    private void reportFault(RuntimeException cause) {
-        faultCount++;
+    private void recordException(RuntimeException cause) {
+        exceptionCount++;
         LOG.error("Failed to handle event", cause);
     }
 
-    /** Returns how many endpoints the policy has ejected now. */
+    /** Returns the number of endpoints that the policy currently has ejected. */
     int ejectedCount() {
         return policy.ejectedCount(scheduler.nowNanos());
     }
 
-    /** Returns how many events have thrown; each one is a fault of this program. */
-    long faultCount() {
-        return faultCount;
+    /** Returns how many events have thrown an exception; each one indicates a bug. */
+    long exceptionCount() {
+        return exceptionCount;
     }
 }
--- a/core/src/main/java/topazvalve/core/exchange/package-info.java
+++ b/core/src/main/java/topazvalve/core/exchange/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The lifecycle of exchanges: requests in, decisions of the policy carried out, one final answer to the client.
+ * The lifecycle of exchanges: receives requests, executes the decisions of the policy, and gives the client one final
+ * answer.
  * {@link topazvalve.core.exchange.ExchangeManager} is the entry point.
  */
 package topazvalve.core.exchange;
--- a/core/src/main/java/topazvalve/core/metrics/Metrics.java
+++ b/core/src/main/java/topazvalve/core/metrics/Metrics.java
@@ -5,32 +5,32 @@
 import java.util.Map;
 
 /**
- * The metrics of a sidecar and their text for operators: counters, which never fall, and gauges, which are read
- * from their owner when the text is made. Used on the event loop alone.
+ * The metrics of a sidecar and their text format: counters, which never decrease, and gauges, which are read from
+ * their owner when the text is rendered. Used only on the event loop.
  */
 public final class Metrics {
-    /** Values that hold at the moment of the call. */
+    /** Current values, read at the time of the call. */
     public interface Gauges {
-        /** Returns how many requests were received in full and are not yet answered. */
-        long active();
+        /** Returns the number of requests that were received in full and have no final answer yet. */
+        long activeExchanges();
 
-        /** Returns how many endpoints are listed. */
-        long poolSize();
+        /** Returns the number of endpoints in the current endpoint list. */
+        long listedEndpoints();
 
-        /** Returns how many of them the policy has ejected. */
-        long poolEjected();
+        /** Returns the number of endpoints that the policy has ejected. */
+        long ejectedEndpoints();
     }
 
     private final Map<String, RequestClassCounters> countersByClass = new LinkedHashMap<>();
     private long configsApplied;
     private long configsRejected;
 
-    /** Shows these request classes from now on, new ones from 0. A class that is dropped keeps its counters. */
+    /** Adds request classes to the metrics, new ones at 0. A class that is no longer in force keeps its counters. */
     public void register(List<String> classNames) {
         classNames.forEach(this::countersOf);
     }
 
-    /** Returns the counters of a request class, which are created if there are none. */
+    /** Returns the counters of a request class, creating them if necessary. */
     public RequestClassCounters countersOf(String className) {
         return countersByClass.computeIfAbsent(className, unknown -> new RequestClassCounters());
     }
@@ -45,13 +45,13 @@
         configsRejected++;
     }
 
-    /** Returns all metrics, each as a line {@code app.name=value}. */
+    /** Returns all metrics, one per line as {@code app.name=value}. */
     public String text(Gauges gauges) {
         StringBuilder text = new StringBuilder();
-        countersByClass.forEach((className, counters) -> counters.print(className, text));
-        appendLine(text, "active", gauges.active());
-        appendLine(text, "pool_size", gauges.poolSize());
-        appendLine(text, "pool_ejected", gauges.poolEjected());
+        countersByClass.forEach((className, counters) -> counters.appendTo(text, className));
+        appendLine(text, "active", gauges.activeExchanges());
+        appendLine(text, "pool_size", gauges.listedEndpoints());
+        appendLine(text, "pool_ejected", gauges.ejectedEndpoints());
         appendLine(text, "config_applied", configsApplied);
         appendLine(text, "config_rejected", configsRejected);
         return text.toString();
--- a/core/src/main/java/topazvalve/core/metrics/RequestClassCounters.java
+++ b/core/src/main/java/topazvalve/core/metrics/RequestClassCounters.java
@@ -14,22 +14,22 @@
         served++;
     }
 
-    /** Counts a request that was rejected; its client may retry. */
+    /** Counts a request that was rejected without effect, so that its client may retry. */
     public void requestShed() {
         shed++;
     }
 
-    /** Counts a request that has failed. */
+    /** Counts a request that failed. */
     public void requestFailed() {
         failed++;
     }
 
-    /** Counts an attempt that was written to an endpoint in full. */
+    /** Counts an attempt that was completely written to an endpoint. */
     public void attemptWritten() {
         attempts++;
     }
 
-    void print(String className, StringBuilder text) {
+    void appendTo(StringBuilder text, String className) {
         Metrics.appendLine(text, "ok." + className, served);
         Metrics.appendLine(text, "shed." + className, shed);
         Metrics.appendLine(text, "errors." + className, failed);
--- a/core/src/main/java/topazvalve/core/metrics/package-info.java
+++ b/core/src/main/java/topazvalve/core/metrics/package-info.java
@@ -1,2 +1,2 @@
-/** The metrics that a sidecar shows to its operators. */
+/** The metrics that a sidecar exposes to its operators. */
 package topazvalve.core.metrics;
--- a/core/src/test/java/topazvalve/core/exchange/CheckingListener.java
+++ b/core/src/test/java/topazvalve/core/exchange/CheckingListener.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import topazvalve.core.stream.FlowControl;
 
-/** Checks that the client gets one answer whose parts come in order. */
+/** Checks that the client gets one final answer and that the parts of a response arrive in order. */
 final class CheckingListener implements ResponseListener<String> {
     private final FakeBackend backend;
     private final List<String> finalAnswers = new ArrayList<>();
@@ -18,12 +18,12 @@
         this.backend = backend;
     }
 
-    /** From now on no answer is expected, unless there was one already. */
-    void clientDisconnects() {
+    /** Records a client disconnect. No answer may follow, unless there was one already. */
+    void disconnectClient() {
         clientDisconnected = finalAnswers.isEmpty();
     }
 
-    /** Returns whether the client disconnected before it had an answer. */
+    /** Returns whether the client disconnected before the final answer. */
     boolean isClientDisconnected() {
         return clientDisconnected;
     }
@@ -47,13 +47,13 @@
 
     @Override
     public void responseStarted(String first, long length, FlowControl rest) {
-        assertTrue(!responseStarted && finalAnswers.isEmpty(), "the response starts once, before any end");
+        assertTrue(!responseStarted && finalAnswers.isEmpty(), "response started twice or after the final answer");
         responseStarted = true;
     }
 
     @Override
     public void responseData(ByteBuf bytes) {
-        assertTrue(responseStarted, "data of a response that has not started");
+        assertTrue(responseStarted, "data received for a response that has not started");
         bytes.release();
     }
 
@@ -63,7 +63,7 @@
         assertTrue(
                 backend.startedAttempts.stream()
                         .allMatch(started -> !started.responseStarted || started.attempt.isCompleted()),
-                "completed by another attempt's end");
+                "response completed while its attempt is still in flight");
         recordFinalAnswer("completed");
     }
 
--- a/core/src/test/java/topazvalve/core/exchange/CountingPolicyFactory.java
+++ b/core/src/test/java/topazvalve/core/exchange/CountingPolicyFactory.java
@@ -11,7 +11,7 @@
 import topazvalve.policy.Settings;
 import topazvalve.policy.SidecarPolicy;
 
-/** Creates the real policy between two proxies, which count the attempts that it orders and their outcomes. */
+/** Creates the real policy behind proxies that count the attempts it orders and the outcomes it receives. */
 final class CountingPolicyFactory implements ExchangeManager.PolicyFactory {
     private static final int POLICY_SEED = 7;
 
@@ -66,12 +66,12 @@
         executor.forward(request, endpoint, 0);
     }
 
-    /** Returns how many attempts were ordered. */
+    /** Returns the number of ordered attempts. */
     int forwardCount() {
         return forwardCount;
     }
 
-    /** Returns how many outcomes the policy was notified of, by attempt number. */
+    /** Returns the number of outcomes that the policy was notified of, by attempt number. */
     Map<Integer, Integer> outcomesByAttempt() {
         return outcomesByAttempt;
     }
--- a/core/src/test/java/topazvalve/core/exchange/ExchangeModelTest.java
+++ b/core/src/test/java/topazvalve/core/exchange/ExchangeModelTest.java
@@ -14,13 +14,14 @@
 import topazvalve.policy.Idempotency;
 
 /**
- * Plays every order of events up to a depth against the real core and policy, each from the beginning: the client
- * disconnects, attempts are written, lost, answered, streamed and reset, timers fire, an endpoint drains, settings
- * change, the process stops, and attempts are ordered that should not be. {@code -Dmodel.depth=N} goes deeper.
+ * Model test: plays every sequence of events up to a maximum length against the real core and policy, each from the
+ * initial state. The client disconnects; attempts are written, lost, answered, streamed and reset; timers fire; an
+ * endpoint drains; settings change; the process stops; and attempts are forwarded that the policy did not order.
+ * {@code -Dmodel.depth=N} sets the maximum length.
  */
 class ExchangeModelTest {
-    private static final int DEPTH = Integer.getInteger("model.depth", 5);
-    private static final List<EventType> EVENTS_IN_STALL = List.of(
+    private static final int MAX_DEPTH = Integer.getInteger("model.depth", 5);
+    private static final List<EventType> EVENTS_DURING_STALL = List.of(
             EventType.TIMER_FIRED,
             EventType.CLIENT_DISCONNECTED,
             EventType.LOOP_CAUGHT_UP,
@@ -28,30 +29,30 @@
             EventType.STOPPED);
 
     private final Set<String> states = new HashSet<>();
-    private long playedOrders;
+    private long playedSequences;
 
     @ParameterizedTest
     @EnumSource(Idempotency.class)
-    void everyOrderOfEventsEndsInOneAnswerAndLosesNothing(Idempotency idempotency) {
+    void everyEventSequenceEndsWithOneAnswerAndNoLeak(Idempotency idempotency) {
         for (boolean bodyComplete : new boolean[] {true, false}) {
-            for (boolean rogue : new boolean[] {true, false}) {
-                explore(idempotency, bodyComplete, rogue, new ArrayList<>());
+            for (boolean extraForwards : new boolean[] {true, false}) {
+                explore(idempotency, bodyComplete, extraForwards, new ArrayList<>());
             }
         }
         System.out.printf(
-                "model %s: %,d orders, %,d different states, depth %d%n",
-                idempotency, playedOrders, states.size(), DEPTH);
-        assertTrue(states.size() > 100, "something happens");
+                "model %s: %,d event sequences, %,d distinct states, depth %d%n",
+                idempotency, playedSequences, states.size(), MAX_DEPTH);
+        assertTrue(states.size() > 100, "too few distinct states: " + states.size());
     }
 
-    /** Whatever happens to a request that came in a stall, before the policy was notified of it. */
+    /** Covers events between the submission of a request during a stall and the notification of the policy. */
     @ParameterizedTest
     @EnumSource(Idempotency.class)
-    void everyOrderOfEventsInAStallEndsInOneAnswer(Idempotency idempotency) {
+    void everyEventSequenceDuringAStallEndsWithOneAnswer(Idempotency idempotency) {
         for (boolean bodyComplete : new boolean[] {true, false}) {
             for (ScenarioEvent first :
                     stalledScenario(idempotency, bodyComplete).possibleEvents()) {
-                for (EventType second : EVENTS_IN_STALL) {
+                for (EventType second : EVENTS_DURING_STALL) {
                     ExchangeScenario scenario = stalledScenario(idempotency, bodyComplete);
                     scenario.play(first);
                     scenario.play(ScenarioEvent.of(second));
@@ -65,23 +66,24 @@
         return new ExchangeScenario(idempotency, bodyComplete, false, true);
     }
 
-    private void explore(Idempotency idempotency, boolean bodyComplete, boolean rogue, List<ScenarioEvent> path) {
+    private void explore(
+            Idempotency idempotency, boolean bodyComplete, boolean extraForwards, List<ScenarioEvent> path) {
         List<ScenarioEvent> nextEvents;
         try {
-            ExchangeScenario scenario = new ExchangeScenario(idempotency, bodyComplete, rogue);
+            ExchangeScenario scenario = new ExchangeScenario(idempotency, bodyComplete, extraForwards);
             path.forEach(scenario::play);
-            states.add(bodyComplete + " " + rogue + scenario.describeState());
+            states.add(bodyComplete + " " + extraForwards + scenario.describeState());
             nextEvents = scenario.possibleEvents();
             scenario.settle();
-            playedOrders++;
+            playedSequences++;
         } catch (AssertionError | RuntimeException e) {
-            String body = bodyComplete ? " complete body " : " arriving body ";
-            throw new AssertionError(idempotency + body + (rogue ? "rogue " : "") + path, e);
+            String body = bodyComplete ? " complete body " : " incomplete body ";
+            throw new AssertionError(idempotency + body + (extraForwards ? "extra forwards " : "") + path, e);
         }
-        if (path.size() < DEPTH) {
+        if (path.size() < MAX_DEPTH) {
             for (ScenarioEvent event : nextEvents) {
                 path.add(event);
-                explore(idempotency, bodyComplete, rogue, path);
+                explore(idempotency, bodyComplete, extraForwards, path);
                 path.remove(path.size() - 1);
             }
         }
--- a/core/src/test/java/topazvalve/core/exchange/ExchangeScenario.java
+++ b/core/src/test/java/topazvalve/core/exchange/ExchangeScenario.java
@@ -23,17 +23,18 @@
 import topazvalve.policy.UpdateKind;
 
 /**
- * One exchange and two endpoints, with the real core and the real policy in simulated time. It knows which events
- * can happen next, plays them, and checks after each what always holds.
+ * One exchange and two endpoints, with the real core and the real policy in simulated time. Lists the events that can
+ * happen next, plays them, and checks the invariants after each one.
  */
 final class ExchangeScenario {
     private static final int MAX_ATTEMPTS = 4;
-    private static final int MAX_ROGUE_FORWARDS = 2;
+    private static final int MAX_EXTRA_FORWARDS = 2;
     private static final int MAX_EXCHANGES = 2;
     private static final int TIMEOUT_MILLIS = 400;
     private static final int BODY_BYTES = 8;
     private static final long EVENT_INTERVAL_NANOS = 1_000_000;
     private static final long SETTLE_NANOS = 10_000_000_000L;
+    private static final int BODY_PIECES_ABOVE_QUOTA = 3;
     private static final int DRAINED_ENDPOINT = 1;
     private static final int OTHER_ENDPOINT = 2;
 
@@ -41,7 +42,7 @@
     private final FakeBackend backend = new FakeBackend(scheduler);
     private final RequestClassRegistry classes = new RequestClassRegistry();
     private final Idempotency idempotency;
-    private final boolean rogue;
+    private final boolean extraForwards;
     private final ByteBudget budget = new ByteBudget(ByteBudget.MIN_QUOTA_BYTES);
     private final RequestBody body;
     private final ExchangeManager<String, String> manager;
@@ -57,19 +58,20 @@
     private boolean hasStalled;
 
     /**
-     * Creates a scenario whose request is taken at once.
+     * Creates a scenario whose request is submitted while the loop is not stalled.
      *
      * @param bodyComplete whether the body is complete when the request is submitted
-     * @param rogue whether attempts may be ordered that the policy did not order; the policy can't cancel then
+     * @param extraForwards whether the scenario may forward attempts that the policy did not order; in this case, the
+     *     settings do not allow the policy to cancel attempts
      */
-    ExchangeScenario(Idempotency idempotency, boolean bodyComplete, boolean rogue) {
-        this(idempotency, bodyComplete, rogue, false);
+    ExchangeScenario(Idempotency idempotency, boolean bodyComplete, boolean extraForwards) {
+        this(idempotency, bodyComplete, extraForwards, false);
     }
 
-    /** Creates a scenario as above; with {@code stalled} the request is taken while the loop is stalled. */
-    ExchangeScenario(Idempotency idempotency, boolean bodyComplete, boolean rogue, boolean stalled) {
+    /** Creates a scenario as above; with {@code stalled}, the request is submitted while the loop is stalled. */
+    ExchangeScenario(Idempotency idempotency, boolean bodyComplete, boolean extraForwards, boolean stalled) {
         this.idempotency = idempotency;
-        this.rogue = rogue;
+        this.extraForwards = extraForwards;
         body = bodyComplete ? RequestBody.of(new byte[BODY_BYTES]) : new RequestBody(budget, -1);
         manager = new ExchangeManager<>(
                 scheduler, settings(MAX_ATTEMPTS), policyFactory, backend, MAX_EXCHANGES, new Metrics(), classes);
@@ -96,7 +98,7 @@
     }
 
     private SettingsReader settings(int maxAttempts) {
-        return ScenarioSettings.of(idempotency, maxAttempts, !rogue);
+        return ScenarioSettings.of(idempotency, maxAttempts, !extraForwards);
     }
 
     private static Endpoint endpoint(int number, EndpointStatus status) {
@@ -147,8 +149,8 @@
     }
 
     private void addEnvironmentEvents(List<ScenarioEvent> events) {
-        if (rogue && policyFactory.forwardCount() < MAX_ATTEMPTS + MAX_ROGUE_FORWARDS) {
-            events.add(ScenarioEvent.of(EventType.ROGUE_FORWARD));
+        if (extraForwards && policyFactory.forwardCount() < MAX_ATTEMPTS + MAX_EXTRA_FORWARDS) {
+            events.add(ScenarioEvent.of(EventType.EXTRA_FORWARD));
         }
         events.add(ScenarioEvent.of(EventType.TIMER_FIRED));
         if (scheduler.isStalled()) {
@@ -167,7 +169,7 @@
         }
     }
 
-    /** Plays an event a little later than the one before, and checks the invariants. */
+    /** Plays an event {@link #EVENT_INTERVAL_NANOS} after the previous one and checks the invariants. */
     void play(ScenarioEvent event) {
         scheduler.advance(EVENT_INTERVAL_NANOS);
         if (event.attempt() == ScenarioEvent.NO_ATTEMPT) {
@@ -175,7 +177,7 @@
         } else {
             FakeBackend.StartedAttempt started = backend.startedAttempts.get(event.attempt());
             if (started.attempt.isCompleted()) {
-                return; // ended by a timer that was due meanwhile
+                return; // ended by a timer that has just fired
             }
             playAttemptEvent(event.type(), started);
         }
@@ -203,11 +205,11 @@
                 started.attempt.responseData(bytes);
             }
             case RESPONSE_COMPLETED -> started.attempt.complete(Outcome.OK, null, new float[0]);
-            default -> throw new IllegalArgumentException("not an event of an attempt: " + type);
+            default -> throw new IllegalArgumentException("not an attempt event: " + type);
         }
     }
 
-    /** Does nothing on either call: the scenario sends as much as it likes. */
+    /** Ignores all calls, because the scenario produces response data regardless of flow control. */
     private static final class NoFlowControl implements FlowControl {
         @Override
         public void pause() {}
@@ -219,7 +221,7 @@
     private void playEvent(EventType type) {
         switch (type) {
             case CLIENT_DISCONNECTED -> disconnect();
-            case ROGUE_FORWARD -> forwardWithoutPolicy();
+            case EXTRA_FORWARD -> forwardWithoutPolicy();
             case BODY_COMPLETED -> completeBody();
             case BODY_DROPPED -> dropBody();
             case TIMER_FIRED -> scheduler.fireNextTimer();
@@ -241,12 +243,12 @@
                 stopped = true;
                 manager.stop();
             }
-            default -> throw new IllegalArgumentException("an event of an attempt: " + type);
+            default -> throw new IllegalArgumentException("unexpected attempt event: " + type);
         }
     }
 
     private void disconnect() {
-        listener.clientDisconnects();
+        listener.disconnectClient();
         manager.clientDisconnected(id);
         attemptsUntilDisconnect = backend.startedAttempts.size();
     }
@@ -263,11 +265,11 @@
         }
     }
 
-    /** Sends and reads more of the body than may be held, so that it is no longer replayable. */
+    /** Adds and reads more body bytes than the quota allows to buffer, so that the body is no longer replayable. */
     private void dropBody() {
         bodyDropped = true;
         ByteBuf piece = Unpooled.wrappedBuffer(new byte[ByteBudget.MIN_QUOTA_BYTES]);
-        for (int i = 0; i < 3; i++) {
+        for (int i = 0; i < BODY_PIECES_ABOVE_QUOTA; i++) {
             body.add(piece.duplicate());
             for (ByteBuf chunk = body.nextChunk(); chunk != null; chunk = body.nextChunk()) {
                 chunk.release();
@@ -275,36 +277,36 @@
         }
     }
 
-    /** Checks what holds at every moment. */
+    /** Checks the conditions that hold after every event. */
     private void checkInvariants() {
-        assertEquals(0, manager.faultCount(), "an event was not handled");
+        assertEquals(0, manager.exceptionCount(), "an event handler threw an exception");
         policyFactory
                 .outcomesByAttempt()
                 .forEach((number, count) -> assertEquals(1, count, "outcomes of attempt " + number));
-        assertTrue(backend.startedAttempts.size() <= MAX_ATTEMPTS, "more attempts than allowed");
+        assertTrue(backend.startedAttempts.size() <= MAX_ATTEMPTS, "more attempts than MAX_ATTEMPTS");
         assertTrue(
                 !listener.isClientDisconnected() || backend.startedAttempts.size() == attemptsUntilDisconnect,
                 "an attempt was started after the client disconnected");
         backend.startedAttempts.forEach(this::checkInvariants);
         assertTrue(
-                backend.startedAttempts.stream().noneMatch(started -> started.bodyWasLost),
-                "an attempt was started without its body");
+                backend.startedAttempts.stream().noneMatch(started -> started.bodyWasNotReplayable),
+                "an attempt was started with a body that is not replayable");
     }
 
     private void checkInvariants(FakeBackend.StartedAttempt started) {
         assertTrue(started.endpointWasReady, "forwarded to a draining endpoint");
         assertTrue(
-                rogue || idempotency != Idempotency.NON_IDEMPOTENT || !started.followsWrittenAttempt,
+                extraForwards || idempotency != Idempotency.NON_IDEMPOTENT || !started.followsWrittenAttempt,
                 "a non-idempotent request was repeated");
         assertTrue(
                 !listener.isClientDisconnected() || !started.responseStarted || started.attempt.isCompleted(),
-                "responds to a client that has disconnected");
+                "a response is streamed to a client that has disconnected");
         assertTrue(
                 !listener.isClientDisconnected() || started.attempt.isWritten() || started.attempt.isCompleted(),
-                "an attempt waits to be written though its client has disconnected");
+                "an attempt is still waiting to be written after its client disconnected");
     }
 
-    /** Lets everything come to its end, and checks that nothing is left. */
+    /** Ends the body and all attempts, fires the remaining timers, and checks that no exchange or buffer is left. */
     void settle() {
         scheduler.catchUp();
         if (!body.isComplete() && !listener.isClientDisconnected() && !listener.isAnswered()) {
@@ -324,12 +326,12 @@
         assertEquals(
                 policyFactory.forwardCount(),
                 policyFactory.outcomesByAttempt().size(),
-                "each ordered attempt has an outcome");
+                "number of ordered attempts with an outcome");
         assertEquals(0, manager.trackedCount(), "exchanges still tracked");
-        responseBuffers.forEach(bytes -> assertEquals(0, bytes.refCnt(), "a buffer is lost"));
+        responseBuffers.forEach(bytes -> assertEquals(0, bytes.refCnt(), "a response buffer was not released"));
     }
 
-    /** Describes the state of the scenario, to count how many different states were seen. */
+    /** Describes the state of the scenario, so that distinct states can be counted. */
     String describeState() {
         StringBuilder text = new StringBuilder()
                 .append(manager.states())
@@ -343,12 +345,12 @@
                 .append(endpointDraining)
                 .append(scheduler.isStalled());
         for (FakeBackend.StartedAttempt started : backend.startedAttempts) {
-            text.append(started.endpoint).append(stateLetter(started));
+            text.append(started.endpoint).append(attemptStateLetter(started));
         }
         return text.toString();
     }
 
-    private static char stateLetter(FakeBackend.StartedAttempt started) {
+    private static char attemptStateLetter(FakeBackend.StartedAttempt started) {
         if (started.attempt.isCompleted()) {
             return 'c';
         }
--- a/core/src/test/java/topazvalve/core/exchange/FakeBackend.java
+++ b/core/src/test/java/topazvalve/core/exchange/FakeBackend.java
@@ -13,15 +13,15 @@
 import topazvalve.policy.Outcome;
 import topazvalve.policy.SettingsReader;
 
-/** A backend whose attempts do what the test says; it records how things stood when each was started. */
+/** A backend whose attempts are controlled by the test. Records the circumstances under which each was started. */
 final class FakeBackend implements Backend<String, String> {
-    /** An attempt that was started, and how things stood then. */
+    /** A started attempt and the circumstances of its start. */
     static final class StartedAttempt {
         final long endpoint;
         final Attempt<String, String> attempt;
         final boolean endpointWasReady;
         final boolean followsWrittenAttempt;
-        final boolean bodyWasLost;
+        final boolean bodyWasNotReplayable;
         boolean responseStarted;
 
         StartedAttempt(
@@ -29,12 +29,12 @@
                 Attempt<String, String> attempt,
                 boolean endpointWasReady,
                 boolean followsWrittenAttempt,
-                boolean bodyWasLost) {
+                boolean bodyWasNotReplayable) {
             this.endpoint = endpoint;
             this.attempt = attempt;
             this.endpointWasReady = endpointWasReady;
             this.followsWrittenAttempt = followsWrittenAttempt;
-            this.bodyWasLost = bodyWasLost;
+            this.bodyWasNotReplayable = bodyWasNotReplayable;
         }
     }
 
--- a/core/src/test/java/topazvalve/core/exchange/FakeScheduler.java
+++ b/core/src/test/java/topazvalve/core/exchange/FakeScheduler.java
@@ -4,42 +4,44 @@
 import java.util.PriorityQueue;
 import topazvalve.core.time.Scheduler;
 
-/** A scheduler whose time passes when the test says so. */
+/** A scheduler with simulated time, advanced by the test. */
 final class FakeScheduler implements Scheduler {
     private static final long START_NANOS = 1_000_000_000_000L;
 
     private static final class ScheduledAction implements Comparable<ScheduledAction> {
         private final long atNanos;
-        private final long serial;
+        private final long sequenceNumber;
         private final Runnable action;
         private boolean cancelled;
 
-        ScheduledAction(long atNanos, long serial, Runnable action) {
+        ScheduledAction(long atNanos, long sequenceNumber, Runnable action) {
             this.atNanos = atNanos;
-            this.serial = serial;
+            this.sequenceNumber = sequenceNumber;
             this.action = action;
         }
 
         @Override
         public int compareTo(ScheduledAction other) {
-            return atNanos != other.atNanos ? Long.compare(atNanos, other.atNanos) : Long.compare(serial, other.serial);
+            return atNanos != other.atNanos
+                    ? Long.compare(atNanos, other.atNanos)
+                    : Long.compare(sequenceNumber, other.sequenceNumber);
         }
     }
 
     private final PriorityQueue<ScheduledAction> timers = new PriorityQueue<>();
     private final ArrayDeque<Runnable> deferred = new ArrayDeque<>();
     private boolean stalled;
-    private long now = START_NANOS;
-    private long nextSerial;
+    private long nowNanos = START_NANOS;
+    private long nextSequenceNumber;
 
     @Override
     public long nowNanos() {
-        return now;
+        return nowNanos;
     }
 
     @Override
-    public Timer schedule(long nanoseconds, Runnable action) {
-        ScheduledAction timer = new ScheduledAction(now + nanoseconds, nextSerial++, action);
+    public Timer schedule(long delayNanos, Runnable action) {
+        ScheduledAction timer = new ScheduledAction(nowNanos + delayNanos, nextSequenceNumber++, action);
         timers.add(timer);
         return () -> timer.cancelled = true;
     }
@@ -53,7 +55,7 @@
         }
     }
 
-    /** Begins a stall: what peers did is not read yet. */
+    /** Begins a stall: input from peers is not read until {@link #catchUp}. */
     void stall() {
         stalled = true;
     }
@@ -62,7 +64,7 @@
         return stalled;
     }
 
-    /** Ends a stall: what peers did has been read. */
+    /** Ends a stall: input from peers has been read, and deferred actions run. */
     void catchUp() {
         stalled = false;
         while (!deferred.isEmpty()) {
@@ -70,13 +72,13 @@
         }
     }
 
-    /** Lets time pass, and fires the timers that are due meanwhile. */
-    void advance(long nanoseconds) {
-        long until = now + nanoseconds;
-        while (!timers.isEmpty() && timers.peek().atNanos <= until) {
+    /** Advances the time and fires the timers that become due. */
+    void advance(long durationNanos) {
+        long untilNanos = nowNanos + durationNanos;
+        while (!timers.isEmpty() && timers.peek().atNanos <= untilNanos) {
             fireNextTimer();
         }
-        now = until;
+        nowNanos = untilNanos;
     }
 
     /** Fires the next timer that is not cancelled; returns false if there is none. */
@@ -84,7 +86,7 @@
         while (!timers.isEmpty()) {
             ScheduledAction timer = timers.poll();
             if (!timer.cancelled) {
-                now = Math.max(now, timer.atNanos);
+                nowNanos = Math.max(nowNanos, timer.atNanos);
                 timer.action.run();
                 return true;
             }
--- a/core/src/test/java/topazvalve/core/exchange/ScenarioEvent.java
+++ b/core/src/test/java/topazvalve/core/exchange/ScenarioEvent.java
@@ -1,14 +1,14 @@
 package topazvalve.core.exchange;
 
 /**
- * Something that can happen in an {@link ExchangeScenario}.
+ * An event that can happen in an {@link ExchangeScenario}.
  *
- * @param attempt index of the attempt that it happens to; {@link #NO_ATTEMPT} for the others
+ * @param attempt index of the attempt that the event concerns; {@link #NO_ATTEMPT} if it concerns none
  */
 record ScenarioEvent(EventType type, int attempt) {
     static final int NO_ATTEMPT = -1;
 
-    /** What happens. */
+    /** The type of event. Types from {@code CLIENT_DISCONNECTED} on do not concern an attempt. */
     enum EventType {
         ATTEMPT_WRITTEN,
         CONNECTION_LOST,
@@ -22,7 +22,7 @@
         CLIENT_DISCONNECTED,
         BODY_COMPLETED,
         BODY_DROPPED,
-        ROGUE_FORWARD,
+        EXTRA_FORWARD,
         TIMER_FIRED,
         LOOP_STALLED,
         LOOP_CAUGHT_UP,
--- a/core/src/test/java/topazvalve/core/exchange/ScenarioSettings.java
+++ b/core/src/test/java/topazvalve/core/exchange/ScenarioSettings.java
@@ -32,16 +32,16 @@
     private ScenarioSettings() {}
 
     /**
-     * Returns settings.
+     * Returns settings with one request class.
      *
-     * @param maxAttempts how many attempts a request may have
+     * @param maxAttempts maximum number of attempts of a request
      * @param mayCancel whether the policy may cancel attempts
      */
     static SettingsReader of(Idempotency idempotency, int maxAttempts, boolean mayCancel) {
         return new SettingsReader(SETTINGS.formatted(mayCancel, maxAttempts, settingOf(idempotency)));
     }
 
-    /** Returns the settings' word for a constant. */
+    /** Returns the value of the semantics setting. */
     private static String settingOf(Idempotency idempotency) {
         return switch (idempotency) {
             case IDEMPOTENT -> "repeatable";
