--- a/sidecar/src/main/java/topazvalve/sidecar/ShutdownSequence.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/ShutdownSequence.java
@@ -57,7 +57,7 @@
         LOG.info(
                 "{} shutting down, {} requests in flight",
                 config.name(),
-                http.exchanges().active());
+                http.exchanges().activeExchanges());
         long killedAfterMillis =
                 Math.min(longestDeadlineMillis(config), MAX_COUNTED_DEADLINE_MILLIS) + KILL_MARGIN_MILLIS;
         lifecycle.shutDown(TimeUnit.MILLISECONDS.toNanos(killedAfterMillis));
@@ -75,7 +75,7 @@
     }
 
     private boolean isIdle() {
-        return http.frontend().isIdle() && tcp.isIdle() && http.exchanges().active() == 0;
+        return http.frontend().isIdle() && tcp.isIdle() && http.exchanges().activeExchanges() == 0;
     }
 
     /** How long a shutdown may take in milliseconds; from any thread. */
--- a/sidecar/src/test/java/topazvalve/sidecar/FrontendTestHelper.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/FrontendTestHelper.java
@@ -51,7 +51,7 @@
         long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(StubServer.TIMEOUT_SECONDS);
         long active = -1;
         while (active != expected && System.nanoTime() < deadline) {
-            active = sidecar.loop.submit(sidecar.exchanges::active).get();
+            active = sidecar.loop.submit(sidecar.exchanges::activeExchanges).get();
         }
         assertEquals(expected, active, "open requests");
     }
--- a/sidecar/src/test/java/topazvalve/sidecar/LargeBodyTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/LargeBodyTest.java
@@ -140,7 +140,7 @@
             assertEquals(408, client.readResponse().status());
             assertEquals(-1, client.in.read());
             assertEquals("end", StubServer.awaitNext(upstream.closedConnections), "no complete request was forwarded");
-            assertEquals(0, sidecar.loop.submit(sidecar.exchanges::active).get());
+            assertEquals(0, sidecar.loop.submit(sidecar.exchanges::activeExchanges).get());
         }
     }
 
