--- a/sidecar/src/test/java/topazvalve/sidecar/LargeBodyTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/LargeBodyTest.java
@@ -142,7 +142,7 @@
             assertEquals(-1, client.in.read());
             assertEquals(
                     "closed", StubServer.awaitNext(upstream.closedConnections), "no complete request was forwarded");
-            assertEquals(0, sidecar.loop.submit(sidecar.exchanges::active).get());
+            assertEquals(0, sidecar.loop.submit(sidecar.exchanges::activeExchanges).get());
         }
     }
 
