--- a/sidecar/src/main/java/topazvalve/sidecar/ConfigReloader.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/ConfigReloader.java
@@ -12,31 +12,36 @@
 import topazvalve.tcp.TcpSettings;
 
 /**
- * Owns the configuration in force and replaces it at a reload. An invalid configuration changes nothing, except that
- * {@code caps.connIdle} is first read while the new configuration is being applied: if it is no number, the reload
- * stops there and may be applied in part. Changes happen on the event loop; {@link #config} and
+ * Holds the current configuration and replaces it on a reload. An invalid configuration is rejected as a whole, with
+ * one exception: {@code caps.connIdle} is first read while the new configuration is being applied. If it is not a
+ * number, the reload stops there and may be applied in part. Changes happen on the event loop; {@link #config} and
  * {@link #tcpListeners} may be read from any thread.
  */
 final class ConfigReloader {
     private static final Logger LOG = LoggerFactory.getLogger("topazvalve");
 
     private final EventLoop loop;
-    private final HttpProxy http;
-    private final TcpProxies tcp;
+    private final HttpProxy httpProxy;
+    private final TcpProxies tcpProxies;
     private final Metrics metrics;
     private final List<InetSocketAddress> relays;
     private volatile Config config;
     private volatile List<TcpSettings> tcpListeners;
 
-    /** Starts with the configuration and the operator's file that the sidecar was started with. */
+    /** Creates a reloader that starts with the configuration and the operator file the sidecar was started with. */
     ConfigReloader(
-            EventLoop loop, Config config, OperatorFile operatorFile, HttpProxy http, TcpProxies tcp, Metrics metrics) {
+            EventLoop loop,
+            Config config,
+            OperatorFile operatorFile,
+            HttpProxy httpProxy,
+            TcpProxies tcpProxies,
+            Metrics metrics) {
         this.loop = loop;
         this.config = config;
         this.tcpListeners = operatorFile.listeners();
         this.relays = operatorFile.relays();
-        this.http = http;
-        this.tcp = tcp;
+        this.httpProxy = httpProxy;
+        this.tcpProxies = tcpProxies;
         this.metrics = metrics;
     }
 
@@ -48,7 +53,7 @@
         return tcpListeners;
     }
 
-    /** Reads and validates both files on the caller's thread, then applies or rejects them on the event loop. */
+    /** Reads and validates both files on the calling thread, then applies or rejects them on the event loop. */
     void reload(Path configFile, Path operatorFile) {
         try {
             Config nextConfig = Config.read(configFile);
@@ -66,9 +71,9 @@
             reject(e);
             return;
         }
-        http.reconfigure(nextConfig);
+        httpProxy.reconfigure(nextConfig);
         config = nextConfig;
-        tcp.reconfigure(nextOperatorFile.listeners());
+        tcpProxies.reconfigure(nextOperatorFile.listeners());
         tcpListeners = nextOperatorFile.listeners();
         if (!nextOperatorFile.relays().equals(relays)) {
             LOG.warn("relays stay as they are until a restart");
@@ -80,8 +85,8 @@
                 nextConfig.settingsReader().settings().capabilities().maxAttempts());
     }
 
-    private void reject(Exception fault) {
+    private void reject(Exception problem) {
         metrics.configRejected();
-        LOG.warn("configuration reload rejected: {}", fault.getMessage());
+        LOG.warn("configuration reload rejected: {}", problem.getMessage());
     }
 }
--- a/sidecar/src/main/java/topazvalve/sidecar/HttpProxy.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/HttpProxy.java
@@ -21,18 +21,18 @@
 import topazvalve.sidecar.http.UpstreamResponse;
 import topazvalve.sidecar.upstream.HttpCodec;
 
-/** The HTTP proxy: the core's exchanges between an HTTP frontend, connection pools and the discovered endpoints. */
+/** The HTTP proxy: connects the HTTP frontend, the exchanges of the core, the connection pools and discovery. */
 final class HttpProxy {
     private final ExchangeManager<UpstreamRequest, UpstreamResponse> exchanges;
     private final DiscoveryClient discovery;
     private final HttpFrontend frontend;
 
     /**
-     * Assembles the proxy.
+     * Creates a proxy; {@link #start} connects it to discovery.
      *
-     * @param maxActiveRequests requests that may be in progress at once
-     * @param maxClients client connections above which idle ones are evicted
-     * @param relays where the endpoint list is asked for in discovery's place; empty to ask discovery
+     * @param maxActiveRequests maximum number of requests in progress at the same time
+     * @param maxClients number of client connections above which idle ones are evicted
+     * @param relays relays to get the endpoint list from; empty to get it from discovery directly
      */
     HttpProxy(
             EventLoop loop,
@@ -69,19 +69,19 @@
                 loop, exchanges, classes, config.settingsReader().names("parties"), maxClients, lifecycle, budget);
     }
 
-    /** Starts with the endpoints that the configuration knows, and follows discovery. */
+    /** Starts with the endpoints in the configuration and subscribes to discovery. */
     void start(Config config) {
         exchanges.start(discovery, config.initialEndpoints().endpoints());
         discovery.followPushed();
     }
 
-    /** Applies a new configuration: the policy's settings and the address of discovery. */
+    /** Applies the policy settings and the discovery address of a new configuration. */
     void reconfigure(Config config) {
         exchanges.settingsChanged(config.settingsReader());
         discovery.changeAddress(config.discovery());
     }
 
-    /** Appends the metrics of the endpoint list, where it comes from relays. */
+    /** Appends the metrics of the endpoint list if it comes from relays. */
     void printMetrics(StringBuilder to) {
         discovery.printMetrics(to);
     }
@@ -94,7 +94,7 @@
         return frontend;
     }
 
-    /** Stops the timers and closes the pools of a proxy that never served a client. */
+    /** Stops the timers and closes the connection pools of a proxy that never served a client. */
     void stop() {
         frontend.stop();
         exchanges.stop();
--- a/sidecar/src/main/java/topazvalve/sidecar/OperatorFile.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/OperatorFile.java
@@ -14,21 +14,22 @@
 import topazvalve.toml.TomlFile;
 
 /**
- * The operator's own settings beyond the platform's; {@code docs/tcp.md} and {@code docs/relay.md} describe each key.
+ * The settings of the operator file, which supplement the platform's configuration. {@code docs/tcp.md} and
+ * {@code docs/relay.md} describe each key.
  *
- * @param listeners for opaque TCP streams
- * @param relays where the endpoint list is asked for in discovery's place; empty to ask discovery
+ * @param listeners listeners for opaque TCP streams
+ * @param relays relays to get the endpoint list from; empty to get it from discovery directly
  */
 public record OperatorFile(List<TcpSettings> listeners, List<InetSocketAddress> relays) {
-    /** The settings of an installation without an operator's file. */
+    /** The settings of an installation without an operator file. */
     public static final OperatorFile NONE = new OperatorFile(List.of(), List.of());
-    /** A permutation of all relays is drawn; this is more than any installation has. */
+    /** Bounds the permutation that is drawn of all relays; no installation has as many. */
     private static final int MAX_RELAYS = 256;
 
     /**
-     * Reads a file; {@code null} stands for none.
+     * Reads a file; {@code null} means that there is none.
      *
-     * @throws topazvalve.toml.InvalidFileException if the file has mistakes; the message names each key
+     * @throws topazvalve.toml.InvalidFileException if the file is invalid; the message names each key at fault
      * @throws IOException if the file can't be read
      */
     public static OperatorFile read(Path file) throws IOException {
@@ -36,9 +37,9 @@
     }
 
     /**
-     * Parses a file's text; {@code name} stands for the file in messages.
+     * Parses the text of a file; {@code name} identifies the file in messages.
      *
-     * @throws topazvalve.toml.InvalidFileException if it has mistakes; the message names each key
+     * @throws topazvalve.toml.InvalidFileException if it is invalid; the message names each key at fault
      */
     public static OperatorFile parse(String name, String text) {
         return TomlFile.parse(
@@ -49,7 +50,7 @@
         Set<InetSocketAddress> relays = new LinkedHashSet<>();
         List<String> texts = table.strings("addresses", List.of());
         if (texts.size() > MAX_RELAYS) {
-            table.addProblem("addresses", texts.size() + " are more than " + MAX_RELAYS);
+            table.addProblem("addresses", texts.size() + " addresses exceed the maximum of " + MAX_RELAYS);
         }
         for (String text : texts) {
             InetSocketAddress address = Addresses.parse(text);
--- a/sidecar/src/main/java/topazvalve/sidecar/ShutdownSequence.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/ShutdownSequence.java
@@ -10,79 +10,85 @@
 import topazvalve.sidecar.config.Config;
 import topazvalve.sidecar.listen.ClientListener;
 
-/** The graceful shutdown of a sidecar: it stops accepting, drains, and reports when nothing is in progress. */
+/** The graceful shutdown of a sidecar: stops accepting, drains, and signals when nothing is in progress any more. */
 final class ShutdownSequence {
     private static final Logger LOG = LoggerFactory.getLogger("topazvalve");
-    /** How long an unshared socket still accepts: clients go on connecting for up to 0.4 s after SIGTERM. */
-    private static final long ACCEPT_MILLIS = 500;
+    /** How long a socket that is not shared keeps accepting: clients still connect for up to 0.4 s after SIGTERM. */
+    private static final long ACCEPT_DURATION_MILLIS = 500;
 
-    private static final long POLL_INTERVAL_MILLIS = 20;
-    /** The platform sends SIGKILL no earlier than this long after the longest deadline, as far as it counts that. */
+    private static final long IDLE_CHECK_INTERVAL_MILLIS = 20;
+    /**
+     * The platform sends SIGKILL no earlier than this long after the longest request deadline, which it caps at
+     * {@link #MAX_COUNTED_DEADLINE_MILLIS}.
+     */
     private static final long KILL_MARGIN_MILLIS = 700;
 
-    /** The platform counts at most this much of the longest deadline before it may send SIGKILL. */
+    /** The platform takes at most this much of the longest request deadline into account before it sends SIGKILL. */
     private static final long MAX_COUNTED_DEADLINE_MILLIS = 3_000;
     /**
-     * How long the process waits beyond the longest deadline before it exits, so that a request that was admitted
+     * How long the process waits beyond the longest request deadline before it exits, so that a request admitted
      * early in the shutdown has its full deadline and its response is still sent. This may be later than the earliest
-     * SIGKILL, because the platform may send that later.
+     * possible SIGKILL, since the platform may send it later.
      */
     private static final long EXIT_MARGIN_MILLIS = 2_000;
 
     private final EventLoop loop;
     private final ProcessLifecycle lifecycle;
-    private final ClientListener clients;
-    private final HttpProxy http;
-    private final TcpProxies tcp;
-    private final ConfigReloader configuration;
+    private final ClientListener clientListener;
+    private final HttpProxy httpProxy;
+    private final TcpProxies tcpProxies;
+    private final ConfigReloader configReloader;
 
     ShutdownSequence(
             EventLoop loop,
             ProcessLifecycle lifecycle,
-            ClientListener clients,
-            HttpProxy http,
-            TcpProxies tcp,
-            ConfigReloader configuration) {
+            ClientListener clientListener,
+            HttpProxy httpProxy,
+            TcpProxies tcpProxies,
+            ConfigReloader configReloader) {
         this.loop = loop;
         this.lifecycle = lifecycle;
-        this.clients = clients;
-        this.http = http;
-        this.tcp = tcp;
-        this.configuration = configuration;
+        this.clientListener = clientListener;
+        this.httpProxy = httpProxy;
+        this.tcpProxies = tcpProxies;
+        this.configReloader = configReloader;
     }
 
-    /** Begins the shutdown, on the event loop; counts {@code done} down once nobody is connected any more. */
+    /** Begins the shutdown, on the event loop; counts down {@code done} once it is complete. */
     void begin(CountDownLatch done) {
-        Config config = configuration.config();
+        Config config = configReloader.config();
         LOG.info(
                 "{} shutting down, {} requests in flight",
                 config.name(),
-                http.exchanges().active());
-        long killedAfterMillis =
+                httpProxy.exchanges().active());
+        long earliestKillMillis =
                 Math.min(longestDeadlineMillis(config), MAX_COUNTED_DEADLINE_MILLIS) + KILL_MARGIN_MILLIS;
-        lifecycle.shutDown(TimeUnit.MILLISECONDS.toNanos(killedAfterMillis));
-        tcp.shutDown();
-        loop.schedule(clients::stop, clients.isInherited() ? 0 : ACCEPT_MILLIS, TimeUnit.MILLISECONDS);
+        lifecycle.shutDown(TimeUnit.MILLISECONDS.toNanos(earliestKillMillis));
+        tcpProxies.shutDown();
+        loop.schedule(
+                clientListener::stop, clientListener.isInherited() ? 0 : ACCEPT_DURATION_MILLIS, TimeUnit.MILLISECONDS);
         loop.scheduleWithFixedDelay(
                 () -> {
                     if (isIdle()) {
                         done.countDown();
                     }
                 },
-                ACCEPT_MILLIS,
-                POLL_INTERVAL_MILLIS,
+                ACCEPT_DURATION_MILLIS,
+                IDLE_CHECK_INTERVAL_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 
     private boolean isIdle() {
-        return http.frontend().isIdle() && tcp.isIdle() && http.exchanges().active() == 0;
+        return httpProxy.frontend().isIdle()
+                && tcpProxies.isIdle()
+                && httpProxy.exchanges().active() == 0;
     }
 
-    /** How long a shutdown may take in milliseconds; from any thread. */
+    /** Returns how long a shutdown may take, in milliseconds; may be called on any thread. */
     long maxDurationMillis() {
         return Math.max(
-                longestDeadlineMillis(configuration.config()) + EXIT_MARGIN_MILLIS,
-                TcpProxies.maxShutdownMillis(configuration.tcpListeners()));
+                longestDeadlineMillis(configReloader.config()) + EXIT_MARGIN_MILLIS,
+                TcpProxies.maxShutdownMillis(configReloader.tcpListeners()));
     }
 
     private static long longestDeadlineMillis(Config config) {
--- a/sidecar/src/main/java/topazvalve/sidecar/Sidecar.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/Sidecar.java
@@ -18,60 +18,60 @@
 import topazvalve.sidecar.frontend.HttpFrontend;
 import topazvalve.sidecar.listen.ClientListener;
 
-/** One running sidecar: assembles its parts and starts them in order. Used on the event loop unless noted otherwise. */
+/** One running sidecar: creates its components and starts them in order. Confined to the event loop unless noted. */
 final class Sidecar {
     private static final Logger LOG = LoggerFactory.getLogger("topazvalve");
     private static final int EXIT_CANNOT_LISTEN = 1;
 
     private final MultiThreadIoEventLoopGroup group;
     private final EventLoop loop;
-    private final ClientListener clients;
-    private final Runnable whenReady;
+    private final ClientListener clientListener;
+    private final Runnable onReady;
     private final ProcessLifecycle lifecycle = new ProcessLifecycle();
     private final Metrics metrics = new Metrics();
-    /** Shared by the bodies and streams of all frontends. */
+    /** Shared by the message bodies and TCP streams of all listeners. */
     private final ByteBudget budget;
-    /** Processes that accept from one shared socket while one takes over from the other. */
-    private final int processes;
+    /** Number of processes that accept from the listening socket; 2 while one process takes it over from another. */
+    private final int processCount;
 
-    private final HttpProxy http;
-    private final TcpProxies tcp = new TcpProxies();
-    private final ConfigReloader configuration;
+    private final HttpProxy httpProxy;
+    private final TcpProxies tcpProxies = new TcpProxies();
+    private final ConfigReloader configReloader;
     private final ShutdownSequence shutdown;
 
-    /** Assembles a sidecar; {@code whenReady} runs once it accepts clients. */
+    /** Creates a sidecar; {@code onReady} runs once it accepts clients. */
     Sidecar(
             MultiThreadIoEventLoopGroup group,
             EventLoop loop,
             Config config,
-            ClientListener clients,
+            ClientListener clientListener,
             OperatorFile operatorFile,
-            Runnable whenReady) {
+            Runnable onReady) {
         this.group = group;
         this.loop = loop;
-        this.clients = clients;
-        this.whenReady = whenReady;
+        this.clientListener = clientListener;
+        this.onReady = onReady;
         ResourceLimits limits = config.limits();
         this.budget = new ByteBudget(limits.bodyBytes());
-        // Two processes on one socket count as one sidecar: together they keep no more idle clients than one.
-        this.processes = clients.isInherited() ? 2 : 1;
-        this.http = new HttpProxy(
+        // Two processes that share a socket keep no more idle client connections together than one would alone.
+        this.processCount = clientListener.isInherited() ? 2 : 1;
+        this.httpProxy = new HttpProxy(
                 loop,
                 config,
                 limits.maxActiveRequests(),
-                limits.maxClients() / processes,
+                limits.maxClients() / processCount,
                 metrics,
                 lifecycle,
                 budget,
                 operatorFile.relays());
-        this.configuration = new ConfigReloader(loop, config, operatorFile, http, tcp, metrics);
-        this.shutdown = new ShutdownSequence(loop, lifecycle, clients, http, tcp, configuration);
+        this.configReloader = new ConfigReloader(loop, config, operatorFile, httpProxy, tcpProxies, metrics);
+        this.shutdown = new ShutdownSequence(loop, lifecycle, clientListener, httpProxy, tcpProxies, configReloader);
     }
 
-    /** Starts: first the admin endpoint if there is one, then warm-up and the clients' listener. */
+    /** Starts the admin endpoint if there is one, then the warm-up and the client listener. */
     void start() {
-        Config config = configuration.config();
-        http.start(config);
+        Config config = configReloader.config();
+        httpProxy.start(config);
         if (config.admin() == null) {
             startServing(null);
         } else {
@@ -81,40 +81,40 @@
     }
 
     /**
-     * Warms up and listens for clients. Where the socket is shared, another process may be serving: this one accepts
-     * nobody before it is warm, and sends its warm-up requests to the admin endpoint, since a connection to the shared
-     * socket may reach the other process.
+     * Warms up and listens for clients. If the socket is shared, another process may be serving: this one accepts no
+     * client before it has warmed up, and sends its warm-up requests to the admin endpoint, since a connection to the
+     * shared socket may reach the other process.
      *
      * @param adminAddress null if there is no admin endpoint
      */
     private void startServing(InetSocketAddress adminAddress) {
-        WarmUp warmUp = WarmUp.begin(loop, configuration.config());
-        if (clients.isInherited()) {
+        WarmUp warmUp = WarmUp.begin(loop, configReloader.config());
+        if (clientListener.isInherited()) {
             warmUp.finish(adminAddress, this::listenUnlessDraining);
         } else {
-            onceListening(openClients(), "listen", address -> warmUp.finish(address, this::ready));
+            onceListening(openClientListener(), "listen", address -> warmUp.finish(address, this::ready));
         }
     }
 
     private void listenUnlessDraining() {
         if (!lifecycle.isDraining()) {
-            onceListening(openClients(), "listen", address -> ready());
+            onceListening(openClientListener(), "listen", address -> ready());
         }
     }
 
-    private ChannelFuture openClients() {
-        HttpFrontend frontend = http.frontend();
-        ResourceLimits limits = configuration.config().limits();
+    private ChannelFuture openClientListener() {
+        HttpFrontend frontend = httpProxy.frontend();
+        ResourceLimits limits = configReloader.config().limits();
         int descriptors = limits.clientDescriptors();
-        int spareDescriptors = (descriptors - limits.maxClients()) / processes;
-        frontend.onConnectionLimitRaised(clients::resume);
-        return clients.open(
+        int spareDescriptors = (descriptors - limits.maxClients()) / processCount;
+        frontend.onConnectionLimitRaised(clientListener::resume);
+        return clientListener.open(
                 group,
                 frontend.connectionInitializer(),
                 () -> Math.min(descriptors, frontend.connectionLimit() + spareDescriptors));
     }
 
-    /** Continues once a socket listens. A sidecar that can't listen exits, so that its parent process notices. */
+    /** Runs {@code next} once a socket listens; exits if it can't, so that the parent process notices the failure. */
     private static void onceListening(ChannelFuture opened, String key, Consumer<InetSocketAddress> next) {
         opened.addListener(done -> {
             if (done.isSuccess()) {
@@ -127,31 +127,31 @@
     }
 
     private String metricsText() {
-        StringBuilder text = new StringBuilder(metrics.text(http.exchanges()));
-        tcp.printMetrics(text);
-        http.printMetrics(text);
+        StringBuilder text = new StringBuilder(metrics.text(httpProxy.exchanges()));
+        tcpProxies.printMetrics(text);
+        httpProxy.printMetrics(text);
         return text.toString();
     }
 
     private void ready() {
-        Config config = configuration.config();
+        Config config = configReloader.config();
         lifecycle.markStarted();
-        tcp.start(group, loop, configuration.tcpListeners(), config.seed(), budget, lifecycle);
+        tcpProxies.start(group, loop, configReloader.tcpListeners(), config.seed(), budget, lifecycle);
         LOG.info("{} ready at {}", config.name(), config.listen());
-        whenReady.run();
+        onReady.run();
     }
 
-    /** Reloads the configuration as at SIGHUP; called on a thread other than the event loop. */
+    /** Reloads the configuration, as on SIGHUP; called on a thread other than the event loop. */
     void reload(Path configFile, Path operatorFile) {
-        configuration.reload(configFile, operatorFile);
+        configReloader.reload(configFile, operatorFile);
     }
 
-    /** Shuts down as at SIGTERM; counts {@code done} down once every request is answered and nobody is connected. */
+    /** Shuts down, as on SIGTERM; counts down {@code done} once no request is open and no client is connected. */
     void shutDown(CountDownLatch done) {
         shutdown.begin(done);
     }
 
-    /** How long a shutdown may take in milliseconds; from any thread. */
+    /** Returns how long a shutdown may take, in milliseconds; may be called on any thread. */
     long maxShutdownMillis() {
         return shutdown.maxDurationMillis();
     }
--- a/sidecar/src/main/java/topazvalve/sidecar/TcpProxies.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/TcpProxies.java
@@ -15,11 +15,11 @@
 import topazvalve.tcp.TcpProxy;
 import topazvalve.tcp.TcpSettings;
 
-/** The TCP listeners of the operator's file, beside the platform's HTTP one. Used on the event loop unless noted. */
+/** The TCP listeners of the operator file, beside the HTTP listener. Confined to the event loop unless noted. */
 final class TcpProxies {
     private static final Logger LOG = LoggerFactory.getLogger("tcp");
     private static final long DRAIN_CHECK_INTERVAL_MILLIS = 100;
-    /** How long a graceful shutdown may last beyond a listener's grace period. */
+    /** How long a graceful shutdown may last beyond the drain grace of a listener. */
     private static final long SHUTDOWN_MARGIN_NANOS = 1_500_000_000L;
 
     private record OpenListener(TcpProxy proxy, ClientListener listener) {
@@ -29,9 +29,9 @@
         }
     }
 
-    private final List<OpenListener> open = new ArrayList<>();
+    private final List<OpenListener> openListeners = new ArrayList<>();
 
-    /** Opens the listeners; the failure of one is logged and does not affect the others. */
+    /** Opens the listeners; a listener that can't be opened is logged and does not affect the others. */
     void start(
             MultiThreadIoEventLoopGroup group,
             EventLoop loop,
@@ -42,9 +42,9 @@
         for (TcpSettings settings : listeners) {
             TcpProxy proxy = new TcpProxy(loop, settings, seed, budget);
             proxy.start();
-            open.add(new OpenListener(proxy, listen(group, proxy, settings)));
+            openListeners.add(new OpenListener(proxy, listen(group, proxy, settings)));
         }
-        if (!open.isEmpty()) {
+        if (!openListeners.isEmpty()) {
             loop.scheduleWithFixedDelay(
                     () -> drainIfNeeded(lifecycle),
                     DRAIN_CHECK_INTERVAL_MILLIS,
@@ -68,17 +68,17 @@
 
     private void drainIfNeeded(ProcessLifecycle lifecycle) {
         if (lifecycle.isDraining()) {
-            open.forEach(each -> each.proxy.drain());
+            openListeners.forEach(open -> open.proxy.drain());
         }
     }
 
-    /** Applies new settings to the open listeners; others come and go with a restart, which is logged. */
+    /** Applies new settings to the open listeners; logs that adding or removing a listener needs a restart. */
     void reconfigure(List<TcpSettings> next) {
         for (TcpSettings settings : next) {
             reconfigure(settings);
         }
-        String removed = open.stream()
-                .map(each -> each.proxy.settings().name())
+        String removed = openListeners.stream()
+                .map(open -> open.proxy.settings().name())
                 .filter(name ->
                         next.stream().noneMatch(settings -> settings.name().equals(name)))
                 .collect(Collectors.joining(", "));
@@ -88,39 +88,39 @@
     }
 
     private void reconfigure(TcpSettings settings) {
-        for (OpenListener each : open) {
-            if (each.isFor(settings)) {
-                each.proxy.settingsChanged(settings);
+        for (OpenListener open : openListeners) {
+            if (open.isFor(settings)) {
+                open.proxy.settingsChanged(settings);
                 return;
             }
         }
         LOG.warn("{}: a new listener or a new address needs a restart", settings.name());
     }
 
-    /** Stops accepting; open streams may end within their grace period. */
+    /** Stops accepting; open streams may end within the drain grace. */
     void shutDown() {
-        for (OpenListener each : open) {
-            each.listener.stop();
-            each.proxy.shutDown();
+        for (OpenListener open : openListeners) {
+            open.listener.stop();
+            open.proxy.shutDown();
         }
     }
 
-    /** Whether no stream is open. */
+    /** Returns whether no stream is open. */
     boolean isIdle() {
-        return open.stream().allMatch(each -> each.proxy.isIdle());
+        return openListeners.stream().allMatch(open -> open.proxy.isIdle());
     }
 
-    /** How long a shutdown may take in milliseconds; 0 without listeners. From any thread. */
+    /** Returns how long a shutdown may take, in milliseconds; 0 without listeners. May be called on any thread. */
     static long maxShutdownMillis(List<TcpSettings> listeners) {
         long longestNanos = listeners.stream()
-                .mapToLong(each -> each.drainGraceNanos() + SHUTDOWN_MARGIN_NANOS)
+                .mapToLong(settings -> settings.drainGraceNanos() + SHUTDOWN_MARGIN_NANOS)
                 .max()
                 .orElse(0);
         return TimeUnit.NANOSECONDS.toMillis(longestNanos);
     }
 
-    /** Appends the metrics of each listener. */
+    /** Appends the metrics of all listeners. */
     void printMetrics(StringBuilder to) {
-        open.forEach(each -> each.proxy.printMetrics(to));
+        openListeners.forEach(open -> open.proxy.printMetrics(to));
     }
 }
--- a/sidecar/src/main/java/topazvalve/sidecar/WarmUp.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/WarmUp.java
@@ -34,35 +34,35 @@
 import topazvalve.sidecar.upstream.HttpCodec;
 
 /**
- * Loads and compiles the code that every request runs through before the first client comes. Three steps do so: the
- * policy decides about made-up requests, a frontend in memory answers some, and the sidecar sends requests to one of
- * its own listeners. Together they take at most 2.5 s. {@code docs/design/sidecar.md} has the reasons.
+ * Loads and compiles the request path before the first client connects. It has three steps: the policy handles
+ * synthetic requests, an in-memory frontend answers some, and the sidecar sends requests to one of its own listeners.
+ * Together they take at most 2.5 s. {@code docs/design/sidecar.md} gives the reasons.
  */
 final class WarmUp {
-    /** Rounds of each step. Fewer start sooner but slow the first seconds: docs/measurements.md has the figures. */
-    private static final int ROUNDS = 200;
-    /** For all steps together: on a busy core a sidecar that is partly warm is better than a late one. */
+    /** Requests per step. Fewer shorten the start but slow the first seconds: docs/measurements.md has the figures. */
+    private static final int REQUESTS_PER_STEP = 200;
+    /** Limit for all steps together: on a busy core, starting partly warmed up is better than starting late. */
     private static final long MAX_DURATION_NANOS = 2_500_000_000L;
 
     private static final long REQUEST_TIMEOUT_NANOS = 1_000_000_000;
-    /** Virtual time between two made-up requests to the policy. */
-    private static final long POLICY_STEP_NANOS = 10_000_000;
+    /** Virtual time between two synthetic requests to the policy. */
+    private static final long POLICY_REQUEST_INTERVAL_NANOS = 10_000_000;
 
     private static final int OWN_ENDPOINT_ID = 0;
 
-    private final ConnectionPools<UpstreamRequest, UpstreamResponse> connectionsToSelf;
+    private final ConnectionPools<UpstreamRequest, UpstreamResponse> ownConnections;
     private final long startedNanos;
-    private Runnable whenDone;
+    private Runnable completion;
 
     private WarmUp(long startedNanos, EventLoop loop, Config config) {
         this.startedNanos = startedNanos;
-        this.connectionsToSelf =
+        this.ownConnections =
                 new ConnectionPools<>(loop, new EventLoopScheduler(loop), config.settingsReader(), new HttpCodec(0), 1);
     }
 
     /**
-     * Runs the steps that need no socket, on the event loop and without a pause. Nobody may be able to connect yet: a
-     * request would lie unread, and its deadline pass, until this returns.
+     * Runs the steps that need no socket. They block the event loop, so no client may be able to connect yet: its
+     * request would stay unread until this returns, and could exceed its deadline.
      */
     static WarmUp begin(EventLoop loop, Config config) {
         long startedNanos = System.nanoTime();
@@ -75,47 +75,47 @@
      * Sends requests to one of the sidecar's own listeners.
      *
      * @param listener null if there is none
-     * @param then runs in the end, also if there is no listener or it can't be reached
+     * @param onDone runs in the end, even if there is no listener or it can't be reached
      */
-    void finish(InetSocketAddress listener, Runnable then) {
-        whenDone = then;
+    void finish(InetSocketAddress listener, Runnable onDone) {
+        completion = onDone;
         if (listener != null) {
-            connectionsToSelf.endpointUpdated(OWN_ENDPOINT_ID, listener, 0, true);
+            ownConnections.endpointUpdated(OWN_ENDPOINT_ID, listener, 0, true);
         }
-        sendRequests(ROUNDS);
+        sendRequests(REQUESTS_PER_STEP);
     }
 
-    private static boolean isOverTime(long startedNanos) {
+    private static boolean isTimeLimitExceeded(long startedNanos) {
         return System.nanoTime() - startedNanos > MAX_DURATION_NANOS;
     }
 
-    /** Sends requests one after another. The response is 503 or 404, but it runs through the same code as any. */
+    /** Sends requests one after another. The responses are 503 or 404, but run through the same code as others. */
     private void sendRequests(int remaining) {
-        if (remaining == 0 || isOverTime(startedNanos)) {
-            connectionsToSelf.close();
-            whenDone.run();
+        if (remaining == 0 || isTimeLimitExceeded(startedNanos)) {
+            ownConnections.close();
+            completion.run();
             return;
         }
         UpstreamRequest request = new UpstreamRequest(
                 HttpMethod.GET, "/up", new DefaultHttpHeaders().set(HttpHeaderNames.HOST, HttpCodec.HOST));
-        connectionsToSelf.startAttempt(
+        ownConnections.startAttempt(
                 OWN_ENDPOINT_ID,
                 request,
                 RequestBody.of(new byte[0]),
                 REQUEST_TIMEOUT_NANOS,
-                (outcome, response, load) -> sendRequests(wasAnswered(outcome) ? remaining - 1 : 0));
+                (outcome, response, load) -> sendRequests(isAnswered(outcome) ? remaining - 1 : 0));
     }
 
-    private static boolean wasAnswered(Outcome outcome) {
+    private static boolean isAnswered(Outcome outcome) {
         return outcome == Outcome.ERROR || outcome == Outcome.OK;
     }
 
-    /** Sends requests to a frontend in memory, behind which the core knows no endpoint and rejects them. */
+    /** Sends requests to an in-memory frontend; the core knows no endpoint and rejects them. */
     private static void exerciseFrontend(long startedNanos, EventLoop loop, Config config) {
         HttpProxy proxy = new HttpProxy(
                 loop,
                 config,
-                ROUNDS,
+                REQUESTS_PER_STEP,
                 1,
                 new Metrics(),
                 new ProcessLifecycle(),
@@ -125,7 +125,7 @@
         List<RequestClass> classes = config.settingsReader().settings().requestClasses();
         List<String> classNames = config.settingsReader().names("profiles");
         List<String> tenants = config.settingsReader().names("parties");
-        for (int i = 0; i < ROUNDS && !isOverTime(startedNanos); i++) {
+        for (int i = 0; i < REQUESTS_PER_STEP && !isTimeLimitExceeded(startedNanos); i++) {
             int classIndex = i % classes.size();
             String request = request(
                     i, classNames.get(classIndex), classes.get(classIndex).idempotency(), tenants);
@@ -162,18 +162,18 @@
         long now = System.nanoTime() & Long.MAX_VALUE;
         policy.start(now);
         policy.endpointsUpdated(now, UpdateKind.CACHED, List.of(readyEndpoint(1), readyEndpoint(2)));
-        for (int i = 0; i < ROUNDS && !isOverTime(startedNanos); i++) {
-            now += POLICY_STEP_NANOS;
+        for (int i = 0; i < REQUESTS_PER_STEP && !isTimeLimitExceeded(startedNanos); i++) {
+            now += POLICY_REQUEST_INTERVAL_NANOS;
             int classIndex = i % settings.requestClasses().size();
             policy.requestReceived(now, policyRequest(i, classIndex));
-            long responseNanos = POLICY_STEP_NANOS / 2;
+            long responseNanos = POLICY_REQUEST_INTERVAL_NANOS / 2;
             policy.attemptCompleted(
                     now + responseNanos, new AttemptResult(i, 0, 1, Outcome.OK, responseNanos, true), new float[0]);
             policy.timerFired(now + responseNanos, i);
         }
     }
 
-    /** Carries out nothing that the policy decides. */
+    /** Ignores the actions of the policy. */
     private static final class IgnoredActions implements Actions {
         @Override
         public void forward(long request, long upstream, long timeout) {}
