--- a/sidecar/src/main/java/topazvalve/sidecar/admin/AdminRoutes.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/admin/AdminRoutes.java
@@ -8,21 +8,21 @@
 import org.slf4j.LoggerFactory;
 import topazvalve.core.lifecycle.ProcessLifecycle;
 
-/** The paths of the admin endpoint and what each does. */
+/** The paths of the admin endpoint and the action of each. */
 final class AdminRoutes {
     private static final Logger LOG = LoggerFactory.getLogger("admin");
 
     /**
-     * The response to a call.
+     * The response to a request.
      *
-     * @param allow the method that the path accepts, if another was used; else null
+     * @param allow the method that the path accepts, if the request used another; null otherwise
      */
     record Response(HttpResponseStatus status, String text, HttpMethod allow) {
         private Response(HttpResponseStatus status, String text) {
             this(status, text, null);
         }
 
-        /** The response to something that is not a valid HTTP request. */
+        /** Returns the response to an invalid HTTP request. */
         static Response badRequest() {
             return new Response(HttpResponseStatus.BAD_REQUEST, "not a call\n");
         }
@@ -40,7 +40,7 @@
                 "/_lameduck/off", new Route(HttpMethod.POST, () -> setLameDuck(lifecycle, false)));
     }
 
-    /** Runs the call for a method and path: 404 for an unknown path, 405 for a wrong method. */
+    /** Handles a request; responds with 404 for an unknown path and with 405 for a wrong method. */
     Response handle(HttpMethod method, String path) {
         Route route = routes.get(path);
         if (route == null) {
--- a/sidecar/src/main/java/topazvalve/sidecar/admin/AdminServer.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/admin/AdminServer.java
@@ -37,31 +37,31 @@
 import topazvalve.sidecar.listen.AcceptLimit;
 
 /**
- * Serves the admin endpoint over HTTP/1.1: one call on each connection, limited in size, time and number. A silent
- * caller can't keep others out, since a connection above the limit closes the oldest one.
+ * Serves the admin endpoint over HTTP/1.1: one request per connection. Request size, connection duration and the number
+ * of connections are limited. A silent client can't block others, since a connection above the limit closes the oldest.
  */
 public final class AdminServer {
     private static final Logger LOG = LoggerFactory.getLogger("admin");
-    /** Descriptors that the admin endpoint may hold. */
+    /** File descriptors that the connections of the admin endpoint may hold. */
     public static final int MAX_CONNECTIONS = 16;
-    /** Those of them for connections that come while the oldest one is being closed. */
+    /** The part of {@link #MAX_CONNECTIONS} for connections that are accepted while the oldest one is being closed. */
     private static final int SPARE_CONNECTIONS = 4;
 
     private static final int MAX_REQUEST_LINE_BYTES = 1024;
     private static final int MAX_HEADER_BYTES = 8192;
     private static final int MAX_BODY_BYTES = 1024;
-    /** How long a connection may last, whatever was sent on it. */
+    /** How long a connection may last, whatever is sent on it. */
     private static final long MAX_CONNECTION_MILLIS = 2_000;
 
     private final AdminRoutes routes;
     private final Set<Channel> connections = new LinkedHashSet<>();
 
-    /** Creates a server; calls are handled, and {@code metricsText} called, on the event loop of the connections. */
+    /** Creates a server; requests are handled and {@code metricsText} is called on the connections' event loop. */
     public AdminServer(ProcessLifecycle lifecycle, Supplier<String> metricsText) {
         this.routes = new AdminRoutes(lifecycle, metricsText);
     }
 
-    /** Starts to listen; the future completes once the address is bound. */
+    /** Starts listening; the future completes once the address is bound. */
     public ChannelFuture listen(EventLoopGroup group, InetSocketAddress address) {
         return new ServerBootstrap()
                 .group(group)
@@ -72,13 +72,13 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        initialize(channel);
+                        initializeConnection(channel);
                     }
                 })
                 .bind(address);
     }
 
-    private void initialize(Channel channel) {
+    private void initializeConnection(Channel channel) {
         if (connections.size() >= MAX_CONNECTIONS - SPARE_CONNECTIONS) {
             closeOldest();
         }
@@ -93,7 +93,7 @@
                 .addLast(
                         new HttpServerCodec(MAX_REQUEST_LINE_BYTES, MAX_HEADER_BYTES, MAX_BODY_BYTES),
                         new HttpObjectAggregator(MAX_BODY_BYTES, true),
-                        new CallHandler());
+                        new RequestHandler());
     }
 
     private void closeOldest() {
@@ -103,8 +103,8 @@
         oldest.close();
     }
 
-    /** Answers the first call on a connection and ignores what follows. */
-    private final class CallHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+    /** Answers the first request on a connection and ignores what follows. */
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private boolean answered;
 
         @Override
@@ -125,7 +125,8 @@
                 response.headers().set(HttpHeaderNames.ALLOW, result.allow().name());
             }
             HttpUtil.setContentLength(response, body.readableBytes());
-            // Only the output: with unread input a full close would be a reset, which could overtake the response.
+            // Shuts down only the output: closing with unread input would send a reset, which could overtake the
+            // response.
             context.writeAndFlush(response)
                     .addListener(ChannelFutureListener.CLOSE_ON_FAILURE)
                     .addListener(done -> ((DuplexChannel) context.channel()).shutdownOutput());
@@ -134,7 +135,7 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (!(cause instanceof IOException)) {
-                LOG.error("call failed", cause);
+                LOG.error("request failed", cause);
             }
             context.close();
         }
--- a/sidecar/src/main/java/topazvalve/sidecar/config/Config.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/config/Config.java
@@ -13,15 +13,15 @@
 /**
  * The validated configuration of one sidecar.
  *
- * @param name the instance's name in log lines and towards relays
- * @param listen where clients connect
- * @param admin where the admin endpoint listens; null if there is none
- * @param discovery where the endpoint list comes from
- * @param seed of the policy's random choices
- * @param limits what the process may use
+ * @param name the name of the instance, used in log lines and sent to relays
+ * @param listen the address that clients connect to
+ * @param admin the address of the admin endpoint; null if there is none
+ * @param discovery the address of discovery
+ * @param seed the seed of the policy's random choices
+ * @param limits the resources that the process may use
  * @param initialEndpoints the endpoint list to start with
  * @param settingsReader the policy's settings
- * @param root the whole file, to compare with the next one at a reload
+ * @param root the whole file, for comparison with the next one on a reload
  */
 public record Config(
         String name,
@@ -35,11 +35,10 @@
         JsonNode root) {
 
     /**
-     * Reads and validates a file. One that is truncated, has further text behind its end or repeats a key is
-     * rejected.
+     * Reads and validates a file. A file that is truncated, has trailing text or repeats a key is rejected.
      *
-     * @throws InvalidConfigException if the file has a mistake; the message names the key, or for a value out of
-     *     bounds a short name of the setting instead of its path
+     * @throws InvalidConfigException if the file is invalid; the message names the key, or for a value out of range a
+     *     short name of the setting instead of its path
      * @throws IOException if the file can't be read
      */
     public static Config read(Path file) throws IOException {
@@ -51,9 +50,9 @@
     }
 
     /**
-     * Validates a configuration that is already parsed.
+     * Validates a parsed configuration.
      *
-     * @throws InvalidConfigException if it has a mistake; the message names the key, or for a value out of bounds a
+     * @throws InvalidConfigException if it is invalid; the message names the key, or for a value out of range a
      *     short name of the setting instead of its path
      */
     public static Config of(JsonNode root) {
@@ -61,13 +60,13 @@
     }
 
     /**
-     * Checks that a running sidecar can change over to this configuration.
+     * Checks that a running sidecar can switch to this configuration.
      *
-     * @param inForce the configuration that the sidecar runs with
-     * @throws InvalidConfigException if a key in force is missing here, or one differs that changes only with a
-     *     restart
+     * @param current the configuration that the sidecar runs with
+     * @throws InvalidConfigException if a key of the current configuration is missing here, or if a setting differs
+     *     that can change only with a restart
      */
-    public void requireReloadableFrom(Config inForce) {
-        ReloadValidator.requireReloadable(inForce, this);
+    public void requireReloadableFrom(Config current) {
+        ReloadValidator.requireReloadable(current, this);
     }
 }
--- a/sidecar/src/main/java/topazvalve/sidecar/config/ConfigReader.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/config/ConfigReader.java
@@ -10,14 +10,14 @@
 import topazvalve.policy.SettingsReader;
 import topazvalve.sidecar.admin.AdminServer;
 
-/** Reads and validates a configuration's JSON. */
+/** Reads and validates the JSON of a configuration. */
 final class ConfigReader {
     private static final String ADMIN_VARIABLE = "PROXY_ADMIN";
     private static final String DEFAULT_NAME = "sidecar";
     private static final int SEED_RADIX = 16;
 
-    private static final List<String> PROFILE_KEYS = List.of("name", "semantics");
-    private static final List<String> KEYED_PROFILE_KEYS = List.of("name", "semantics", "keyScope", "keyTtl");
+    private static final List<String> REQUEST_CLASS_KEYS = List.of("name", "semantics");
+    private static final List<String> KEYED_REQUEST_CLASS_KEYS = List.of("name", "semantics", "keyScope", "keyTtl");
 
     private ConfigReader() {}
 
@@ -27,11 +27,12 @@
         if (!settings.isObject()) {
             throw new InvalidConfigException("missing", "settings");
         }
-        requireNumbers(settings);
+        requireMandatorySettings(settings);
         SettingsReader settingsReader = toSettingsReader(settings);
         JsonNode limits = root.path("limits");
         int sockets = ResourceLimits.readSockets(limits);
-        EndpointUpdate known = root.has("known") ? EndpointUpdate.of(root.path("known")) : EndpointUpdate.NONE;
+        EndpointUpdate initialEndpoints =
+                root.has("known") ? EndpointUpdate.of(root.path("known")) : EndpointUpdate.NONE;
         InetSocketAddress listen = address(root, "listen");
         InetSocketAddress admin = adminAddress(root);
         int adminSockets = admin == null ? 0 : AdminServer.MAX_CONNECTIONS;
@@ -42,21 +43,21 @@
                 address(root, "discovery"),
                 seed(root),
                 new ResourceLimits(sockets, ResourceLimits.readMemoryMegabytes(limits), adminSockets),
-                known,
+                initialEndpoints,
                 settingsReader,
                 root);
     }
 
-    /** Requires the numbers that decide how long and how often something is tried: they have no default. */
-    private static void requireNumbers(JsonNode settings) {
+    /** Requires the settings without defaults: the bounds of attempts and times, and the keys of each class. */
+    private static void requireMandatorySettings(JsonNode settings) {
         requirePositive(settings.path("caps"), "caps.", "tryLimit");
         int index = 0;
-        for (JsonNode profile : settings.path("profiles")) {
+        for (JsonNode requestClass : settings.path("profiles")) {
             String path = "profiles." + index + ".";
-            requirePositive(profile, path, "deadline");
-            requirePositive(profile, path, "slo");
-            boolean keyed = "by_key".equals(profile.path("semantics").asText());
-            requireKeys(profile, path, keyed ? KEYED_PROFILE_KEYS : PROFILE_KEYS);
+            requirePositive(requestClass, path, "deadline");
+            requirePositive(requestClass, path, "slo");
+            boolean usesKey = "by_key".equals(requestClass.path("semantics").asText());
+            requireKeys(requestClass, path, usesKey ? KEYED_REQUEST_CLASS_KEYS : REQUEST_CLASS_KEYS);
             index++;
         }
     }
@@ -64,14 +65,14 @@
     private static void requirePositive(JsonNode parent, String path, String key) {
         boolean positive = parent.path(key).asDouble(0) > 0;
         if (!positive) {
-            throw new InvalidConfigException("not a number above 0", path + key);
+            throw new InvalidConfigException("not a positive number", path + key);
         }
     }
 
     /**
-     * Requires that an object has keys whose values are not null.
+     * Requires that an object has all of the keys, with values other than null.
      *
-     * @param path of the object, empty or ending with a dot
+     * @param path the path of the object; empty, or ending with a dot
      */
     static void requireKeys(JsonNode parent, String path, List<String> keys) {
         for (String key : keys) {
@@ -81,7 +82,7 @@
         }
     }
 
-    /** Converts the settings to the policy's form and checks that the policy can read them. */
+    /** Converts the settings to the format of the policy and checks that the policy accepts them. */
     private static SettingsReader toSettingsReader(JsonNode settings) {
         StringBuilder lines = new StringBuilder();
         appendLines("", settings, lines);
@@ -89,7 +90,7 @@
         reader.settings();
         List<String> names = reader.names("profiles");
         if (Set.copyOf(names).size() < names.size()) {
-            throw new InvalidConfigException("a name is given twice", "settings.profiles");
+            throw new InvalidConfigException("duplicate name", "settings.profiles");
         }
         return reader;
     }
@@ -120,7 +121,7 @@
         return node.isArray() && node.size() > 0 && node.iterator().next().isContainer();
     }
 
-    /** Returns the admin endpoint's address from the file, else from the environment; null if neither has one. */
+    /** Returns the address of the admin endpoint from the file, else from the environment; null if there is none. */
     private static InetSocketAddress adminAddress(JsonNode root) {
         if (root.has("admin")) {
             return address(root, "admin");
--- a/sidecar/src/main/java/topazvalve/sidecar/config/InvalidConfigException.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/config/InvalidConfigException.java
@@ -1,6 +1,6 @@
 package topazvalve.sidecar.config;
 
-/** Thrown for a configuration with a mistake; the one-line message names the key at fault. */
+/** Thrown for an invalid configuration; the one-line message names the key at fault. */
 public final class InvalidConfigException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
@@ -10,7 +10,7 @@
      * Creates an exception with the message {@code PROBLEM: KEY}.
      *
      * @param problem what is wrong with the key, such as {@code missing}
-     * @param key the path of the key at fault, its parts joined by dots, or the name of an environment variable
+     * @param key the dotted path of the key at fault, or the name of an environment variable
      */
     public InvalidConfigException(String problem, String key) {
         this(problem + ": " + key, key, null);
@@ -26,12 +26,12 @@
         return new InvalidConfigException(problem + ": " + key, key, cause);
     }
 
-    /** Returns an exception for a file that is no JSON text at all; its key is empty. */
+    /** Returns an exception for a file that is not valid JSON; its key is empty. */
     static InvalidConfigException notJson(String detail, Throwable cause) {
         return new InvalidConfigException("not JSON: " + detail, "", cause);
     }
 
-    /** Returns the path of the key at fault; empty if the whole file is. */
+    /** Returns the path of the key at fault; empty if the whole file is invalid. */
     public String key() {
         return key;
     }
--- a/sidecar/src/main/java/topazvalve/sidecar/listen/AcceptLimit.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/listen/AcceptLimit.java
@@ -13,14 +13,14 @@
 import topazvalve.core.time.EventLoopScheduler;
 
 /**
- * Limits how many connections of a listener hold a file descriptor. At the limit it stops accepting; further
- * clients then wait in the kernel's backlog. It belongs into the pipeline of the listening channel, which must
- * run on the event loop of its connections. {@code docs/design/crossings.md} gives the reasons.
+ * Limits how many connections of a listener hold a file descriptor. At the limit it stops accepting, and further
+ * clients wait in the kernel's backlog. It belongs in the pipeline of the listening channel, which must run on the
+ * event loop of its connections. {@code docs/design/crossings.md} gives the reasons.
  */
 public final class AcceptLimit extends ChannelInboundHandlerAdapter {
     private static final Logger LOG = LoggerFactory.getLogger("topazvalve");
     private static final int MAX_ACCEPTS_PER_READ = 16;
-    /** Pause after a failed accept: other parts of the process then hold more descriptors than planned. */
+    /** Pause after a failed accept, when other parts of the process hold more file descriptors than planned. */
     private static final long ACCEPT_FAILURE_PAUSE_MILLIS = 20;
 
     private static final long LOG_INTERVAL_NANOS = 1_000_000_000;
@@ -34,8 +34,8 @@
     /**
      * Creates a limit.
      *
-     * @param maxConnections how many connections may hold a descriptor now; a caller that raises it calls
-     *     {@link #resume} afterwards
+     * @param maxConnections returns how many connections may currently hold a file descriptor; a caller that raises
+     *     the value calls {@link #resume} afterwards
      */
     public AcceptLimit(IntSupplier maxConnections) {
         this.maxConnections = maxConnections;
@@ -47,41 +47,41 @@
         updateAccepting(context.channel());
     }
 
-    /** Never lets one read accept more connections than the limit has headroom for. */
-    private void updateAccepting(Channel server) {
+    /** Accepts no more connections in one read than the limit has headroom for, and none during a pause. */
+    private void updateAccepting(Channel listeningChannel) {
         int headroom = maxConnections.getAsInt() - openConnections;
         acceptsPerRead.maxMessagesPerRead(Math.max(1, Math.min(MAX_ACCEPTS_PER_READ, headroom)));
-        server.config().setAutoRead(headroom > 0 && !pausedAfterFailure);
+        listeningChannel.config().setAutoRead(headroom > 0 && !pausedAfterFailure);
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
         openConnections++;
-        Channel server = context.channel();
+        Channel listeningChannel = context.channel();
         Channel accepted = (Channel) message;
         accepted.closeFuture()
-                .addListener(closed ->
-                        EventLoopScheduler.afterNextSelect(server.eventLoop(), () -> descriptorReleased(server)));
-        updateAccepting(server);
+                .addListener(closed -> EventLoopScheduler.afterNextSelect(
+                        listeningChannel.eventLoop(), () -> descriptorReleased(listeningChannel)));
+        updateAccepting(listeningChannel);
         context.fireChannelRead(message);
     }
 
-    /** The selector releases a closed channel's descriptor only in its next select. */
-    private void descriptorReleased(Channel server) {
+    /** Called after the next select, since the selector releases the descriptor of a closed channel only then. */
+    private void descriptorReleased(Channel listeningChannel) {
         openConnections--;
-        resume(server);
+        resume(listeningChannel);
     }
 
-    /** Accepts again if the limit allows it. */
-    void resume(Channel server) {
-        // Netty closes a channel on which a read is requested while it is unregistered, even a socket shared with
+    /** Resumes accepting if the limit allows it. */
+    void resume(Channel listeningChannel) {
+        // Netty closes a channel if a read is requested while it is unregistered, even if its socket is shared with
         // another process.
-        if (server.isRegistered()) {
-            updateAccepting(server);
+        if (listeningChannel.isRegistered()) {
+            updateAccepting(listeningChannel);
         }
     }
 
-    /** Handles failed accepts here: Netty's own handler would stop accepting for a second. */
+    /** Handles failed accepts here, since Netty's default handler would stop accepting for a second. */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) throws Exception {
         if (!(cause instanceof IOException)) {
@@ -100,13 +100,13 @@
         }
     }
 
-    private void pauseAccepting(Channel server) {
+    private void pauseAccepting(Channel listeningChannel) {
         pausedAfterFailure = true;
-        updateAccepting(server);
+        updateAccepting(listeningChannel);
         Runnable endPause = () -> {
             pausedAfterFailure = false;
-            resume(server);
+            resume(listeningChannel);
         };
-        server.eventLoop().schedule(endPause, ACCEPT_FAILURE_PAUSE_MILLIS, TimeUnit.MILLISECONDS);
+        listeningChannel.eventLoop().schedule(endPause, ACCEPT_FAILURE_PAUSE_MILLIS, TimeUnit.MILLISECONDS);
     }
 }
--- a/sidecar/src/main/java/topazvalve/sidecar/listen/ClientListener.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/listen/ClientListener.java
@@ -19,14 +19,12 @@
 import topazvalve.core.stream.ByteBudget;
 
 /**
- * A listening socket for client connections: one that this process binds, or one that it inherits and may
- * share with another process, as during an upgrade.
+ * A listening socket for client connections. The process either binds it or inherits it; an inherited socket may be
+ * shared with another process, for example during an upgrade.
  */
 public final class ClientListener {
     private static final Logger LOG = LoggerFactory.getLogger("topazvalve");
-    /**
-     * Connections that may wait to be accepted; the kernel caps it. Clients beyond it retry a second later.
-     */
+    /** Connections that may wait to be accepted; the kernel caps it. Further clients retry a second later. */
     private static final int BACKLOG = 4096;
 
     private static final int MIN_READ_BYTES = 64;
@@ -36,7 +34,7 @@
     private final ServerSocketChannel inherited;
     private final boolean sharesPort;
     private AcceptLimit acceptLimit;
-    private Channel server;
+    private Channel listeningChannel;
 
     private ClientListener(InetSocketAddress address, ServerSocketChannel inherited, boolean sharesPort) {
         this.address = address;
@@ -44,24 +42,24 @@
         this.sharesPort = sharesPort;
     }
 
-    /** Returns a listener that will bind {@code address}, alone on its port. */
+    /** Returns a listener that will bind {@code address} exclusively. */
     public static ClientListener binding(InetSocketAddress address) {
         return new ClientListener(address, null, false);
     }
 
     /**
-     * Returns a listener that will bind {@code address} with {@code SO_REUSEPORT}, so that other processes of
-     * the same user can bind it too. Linux distributes new connections among them.
+     * Returns a listener that will bind {@code address} with {@code SO_REUSEPORT}, so that other processes of the same
+     * user can bind it, too. Linux distributes new connections among them.
      */
     public static ClientListener bindingSharedPort(InetSocketAddress address) {
         return new ClientListener(address, null, true);
     }
 
     /**
-     * Returns a listener for {@code address} that uses the inherited socket if there is one.
+     * Returns a listener that uses the inherited socket if there is one, and binds {@code address} otherwise.
      *
-     * @param fd the value of {@code $PROXY_FD}: the inherited socket's descriptor number; null or empty if
-     *     there is none. Without native code Java can only use descriptor 0.
+     * @param fd the value of {@code $PROXY_FD}: the descriptor number of the inherited socket; null or empty if there
+     *     is none. Without native code, Java can use only descriptor 0.
      * @throws IllegalArgumentException if {@code fd} is not 0, or descriptor 0 is not a listening socket
      */
     public static ClientListener inheritedOrBinding(InetSocketAddress address, String fd) throws IOException {
@@ -69,10 +67,10 @@
             return binding(address);
         }
         if (!fd.equals("0")) {
-            throw new IllegalArgumentException("only descriptor 0 can be taken over: PROXY_FD=" + fd);
+            throw new IllegalArgumentException("only descriptor 0 can be inherited: PROXY_FD=" + fd);
         }
         if (!(System.inheritedChannel() instanceof ServerSocketChannel socket)) {
-            throw new IllegalArgumentException("descriptor 0 is no listening socket: PROXY_FD");
+            throw new IllegalArgumentException("descriptor 0 is not a listening socket: PROXY_FD");
         }
         if (!address.equals(socket.getLocalAddress())) {
             LOG.warn(
@@ -83,7 +81,7 @@
         return new ClientListener(address, socket, false);
     }
 
-    /** Returns whether the socket was inherited, so that another process may accept connections from it, too. */
+    /** Returns whether the socket is inherited, so that another process may accept connections from it, too. */
     public boolean isInherited() {
         return inherited != null;
     }
@@ -93,8 +91,8 @@
      *
      * @param group runs the listening channel and the connections
      * @param connectionInitializer sets up the pipeline of each connection
-     * @param maxConnections how many connections may be open at a time; further clients wait in the backlog
-     * @return completes once the socket listens, or fails if the address cannot be bound
+     * @param maxConnections returns how many connections may currently be open; further clients wait in the backlog
+     * @return a future that completes once the socket listens, and fails if the address can't be bound
      */
     public ChannelFuture open(EventLoopGroup group, ChannelHandler connectionInitializer, IntSupplier maxConnections) {
         acceptLimit = new AcceptLimit(maxConnections);
@@ -112,7 +110,7 @@
             bootstrap.option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true);
         }
         ChannelFuture opened = isInherited() ? registerInherited(bootstrap) : bind(bootstrap);
-        server = opened.channel();
+        listeningChannel = opened.channel();
         return opened;
     }
 
@@ -129,25 +127,25 @@
                 .bind(address);
     }
 
-    /** Accepts again after {@code maxConnections} has grown; without effect before {@link #open}. */
+    /** Resumes accepting after {@code maxConnections} has grown; has no effect before {@link #open}. */
     public void resume() {
-        if (server != null) {
-            acceptLimit.resume(server);
+        if (listeningChannel != null) {
+            acceptLimit.resume(listeningChannel);
         }
     }
 
     /**
-     * Stops accepting. Connections in a shared socket's backlog are left to the other process. An inherited
-     * socket is not closed, since the JVM would then redirect standard output and error to {@code /dev/null}.
+     * Stops accepting. Connections in the backlog of a shared socket are left to the other process. An inherited socket
+     * is not closed, since the JVM would then redirect standard output and error to {@code /dev/null}.
      */
     public void stop() {
-        if (server == null) {
+        if (listeningChannel == null) {
             return;
         }
         if (isInherited()) {
-            server.deregister();
+            listeningChannel.deregister();
         } else {
-            server.close();
+            listeningChannel.close();
         }
     }
 }
--- a/sidecar/src/main/java/topazvalve/sidecar/listen/package-info.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/listen/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The listening sockets for client connections: how they are opened, shared with another process and limited in
- * the number of connections that they accept.
+ * The listening sockets for client connections: opening them, sharing them with another process, and limiting the
+ * number of accepted connections.
  */
 package topazvalve.sidecar.listen;
