--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/RequestReader.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/RequestReader.java
@@ -15,7 +15,7 @@
 import topazvalve.sidecar.http.Headers;
 import topazvalve.sidecar.http.UpstreamRequest;
 
-/** Validates a request's head and turns it into an {@link ExchangeRequest}. */
+/** Validates the head of a request and converts it to an {@link ExchangeRequest}. */
 final class RequestReader {
     /** Larger request bodies are answered with 413. */
     static final int MAX_BODY_BYTES = 1 << 25;
@@ -25,6 +25,7 @@
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final long NANOS_PER_MICRO = 1_000;
     private static final long HASH_MULTIPLIER = 0x100000001b3L;
+    private static final int ASCII_DELETE = 0x7f;
 
     private static final String API_PATH = "/api";
     private static final String READINESS_PATH = "/up";
@@ -45,25 +46,25 @@
      * Creates a reader.
      *
      * @param classes the request classes in force
-     * @param tenantNames the known tenants in the order of their numbers; if empty, requests name none
+     * @param tenantNames the known tenants in the order of their numbers; empty if requests name no tenant
      */
     RequestReader(ClassTable classes, List<String> tenantNames) {
         this.classes = classes;
         this.tenantNames = tenantNames;
     }
 
-    /** Returns the id that the client gave its request; null if it gave none. */
+    /** Returns the id that the client gave the request; null if there is none. */
     static String requestId(HttpRequest head) {
         return head.headers().get(REQUEST_ID);
     }
 
     /**
      * Validates a head and reads the request from it. A target in absolute form is rewritten to origin form. A
-     * readiness check passes the same checks as a request, except those of the request headers, and then yields null.
+     * readiness check is validated like any request, except for the {@code Req-} headers.
      *
-     * @param body receives the request's body
+     * @param body receives the body of the request
      * @return the request to forward; null for a readiness check, which the sidecar answers itself
-     * @throws InvalidRequestException if the request must not be forwarded; the body need not be read then
+     * @throws InvalidRequestException if the request must not be forwarded; its body need not be read then
      */
     ExchangeRequest<UpstreamRequest> read(HttpRequest head, RequestBody body) {
         requireUnambiguous(head);
@@ -81,7 +82,7 @@
         return request;
     }
 
-    /** Returns the fault of a body with more than {@link #MAX_BODY_BYTES}. */
+    /** Returns the exception for a body of more than {@link #MAX_BODY_BYTES}. */
     static InvalidRequestException bodyTooLarge() {
         return new InvalidRequestException(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body too large");
     }
@@ -91,21 +92,21 @@
         return query < 0 ? uri : uri.substring(0, query);
     }
 
-    /** Rejects what two readers could take for requests of different lengths or for different hosts. */
+    /** Rejects requests whose length or host another HTTP implementation could interpret differently. */
     private static void requireUnambiguous(HttpRequest head) {
         HttpHeaders headers = head.headers();
         if (head.protocolVersion().equals(HttpVersion.HTTP_1_1) && !headers.contains(HttpHeaderNames.HOST)) {
             throw InvalidRequestException.badRequest("no Host");
         }
         boolean hasTransferCoding = headers.contains(HttpHeaderNames.TRANSFER_ENCODING);
-        if (head.protocolVersion().majorVersion() != 1 || (hasTransferCoding && !Headers.onlyChunked(head))) {
+        if (head.protocolVersion().majorVersion() != 1 || (hasTransferCoding && !Headers.isChunkedOnly(head))) {
             throw InvalidRequestException.badRequest("version or transfer coding not supported");
         }
         boolean mayHaveBody = head.method().equals(HttpMethod.POST);
         if (!mayHaveBody && (hasTransferCoding || HttpUtil.getContentLength(head, 0L) > 0)) {
             throw InvalidRequestException.badRequest("body where none belongs");
         }
-        if (!head.uri().chars().allMatch(each -> each > ' ' && each < 0x7f)) {
+        if (!head.uri().chars().allMatch(character -> character > ' ' && character < ASCII_DELETE)) {
             throw InvalidRequestException.badRequest("path can't be read");
         }
         for (String name : headers.names()) {
@@ -121,7 +122,7 @@
                 || headerName.equalsIgnoreCase("Host");
     }
 
-    /** Rewrites a target in absolute form; its host replaces the Host header's (RFC 9112 section 3.2.2). */
+    /** Rewrites a target in absolute form; its host replaces the Host header (RFC 9112 section 3.2.2). */
     private static void toOriginForm(HttpRequest head) {
         String uri = head.uri();
         if (!uri.regionMatches(true, 0, SCHEME, 0, SCHEME.length())) {
@@ -180,7 +181,7 @@
         return key != null && !key.isEmpty();
     }
 
-    /** The client's own limit, but no more than its class allows. */
+    /** Returns the timeout that the client asks for, limited by the deadline of the request class. */
     private static long timeoutMillis(HttpRequest head, ClassTable.Entry requestClass) {
         return Math.min(
                 wholeNumber(head, Headers.DEADLINE_MILLIS), requestClass.rules().deadlineNanos() / NANOS_PER_MILLI);
@@ -207,7 +208,7 @@
         return Long.parseLong(value);
     }
 
-    /** Hashes the last segment of the path, so that requests for one resource have the same key; 0 if empty. */
+    /** Hashes the last path segment, so that requests for the same resource have the same key; 0 if it is empty. */
     private static long resourceKey(String path) {
         String segment = path.substring(path.lastIndexOf('/') + 1);
         long key = 0;
--- a/sidecar/src/main/java/topazvalve/sidecar/http/Headers.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/http/Headers.java
@@ -10,10 +10,10 @@
 
 /** Rules for the headers that the sidecar forwards. */
 public final class Headers {
-    /** The time that a request may take, in milliseconds. */
+    /** The time that a request may take, in milliseconds; sent by the client and forwarded with the remaining time. */
     public static final String DEADLINE_MILLIS = "Req-Deadline-Ms";
 
-    /** Headers of a single connection, and those that are meant for the sidecar alone. */
+    /** Headers that apply to a single connection, and headers that are meant for the sidecar alone. */
     private static final List<CharSequence> HOP_BY_HOP = List.of(
             HttpHeaderNames.CONNECTION,
             "Proxy-Connection",
@@ -31,10 +31,10 @@
     private Headers() {}
 
     /**
-     * Whether a message with {@code Transfer-Encoding} is framed by chunks alone: HTTP/1.1, the only coding
-     * {@code chunked}, and no {@code Content-Length}. Any other combination leaves its end ambiguous.
+     * Returns whether a message with {@code Transfer-Encoding} is framed by chunks alone: HTTP/1.1, {@code chunked} as
+     * the only coding, and no {@code Content-Length}. Any other combination leaves the end of the body ambiguous.
      */
-    public static boolean onlyChunked(HttpMessage message) {
+    public static boolean isChunkedOnly(HttpMessage message) {
         List<String> codings = message.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         return codings.size() == 1
                 && codings.get(0).trim().equalsIgnoreCase("chunked")
@@ -43,7 +43,7 @@
     }
 
     /**
-     * Copies the end-to-end headers: all but the hop-by-hop ones and those that {@code Connection} names.
+     * Copies the end-to-end headers: all except hop-by-hop headers and those that {@code Connection} names.
      *
      * @throws IllegalArgumentException if {@code to} validates its headers and a name or value is malformed
      */
@@ -58,8 +58,8 @@
     }
 
     private static boolean isHopByHop(String name) {
-        for (CharSequence hop : HOP_BY_HOP) {
-            if (AsciiString.contentEqualsIgnoreCase(hop, name)) {
+        for (CharSequence hopByHop : HOP_BY_HOP) {
+            if (AsciiString.contentEqualsIgnoreCase(hopByHop, name)) {
                 return true;
             }
         }
--- a/sidecar/src/main/java/topazvalve/sidecar/http/UpstreamRequest.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/http/UpstreamRequest.java
@@ -6,6 +6,6 @@
 /**
  * The request to forward, without its body.
  *
- * @param headers as the client sent them, hop-by-hop headers included
+ * @param headers the headers that the client sent, including hop-by-hop headers
  */
 public record UpstreamRequest(HttpMethod method, String uri, HttpHeaders headers) {}
--- a/sidecar/src/main/java/topazvalve/sidecar/http/package-info.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/http/package-info.java
@@ -1,2 +1,2 @@
-/** HTTP messages on their way through the sidecar: requests, responses and the headers that are forwarded. */
+/** HTTP messages passed between frontend and upstream: requests, responses and the rules for forwarded headers. */
 package topazvalve.sidecar.http;
--- a/sidecar/src/main/java/topazvalve/sidecar/upstream/HttpCodec.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/upstream/HttpCodec.java
@@ -10,15 +10,15 @@
 import topazvalve.sidecar.http.UpstreamRequest;
 import topazvalve.sidecar.http.UpstreamResponse;
 
-/** Speaks HTTP/1.1 with the servers of the application. */
+/** The codec for HTTP/1.1 connections to the servers of the application. */
 public final class HttpCodec implements Codec<UpstreamRequest, UpstreamResponse> {
     /**
-     * How long a connection stays idle before it is reused. A stray second response that comes some milliseconds
-     * after the first then closes the connection, and is not mistaken for the next request's response.
+     * How long a connection stays idle before it is reused. An unexpected second response some milliseconds after the
+     * first then closes the connection, and is not mistaken for the response to the next request.
      */
     public static final long REUSE_DELAY_NANOS = 10_000_000;
 
-    /** The Host header of requests that the sidecar makes itself. */
+    /** The Host header of requests that the sidecar itself creates. */
     public static final String HOST = "app.svc";
 
     private static final long HEALTH_CHECK_TIMEOUT_NANOS = 250_000_000;
@@ -37,7 +37,7 @@
         return new HttpConnectionHandler(loadReports, connection);
     }
 
-    /** Asks for the server's load report where the deployment has reports, else whether it is alive. */
+    /** Requests the server's load report if the deployment has load reports, else its health path. */
     @Override
     public HealthCheck<UpstreamRequest> healthCheck() {
         return new HealthCheck<>(
--- a/sidecar/src/main/java/topazvalve/sidecar/upstream/HttpConnectionHandler.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/upstream/HttpConnectionHandler.java
@@ -26,16 +26,16 @@
 import topazvalve.sidecar.http.UpstreamResponse;
 
 /**
- * Carries attempts over one HTTP/1.1 connection, one at a time. An attempt completes at the end of the read that
- * brought the end of its response: only then is it known whether the server has sent more than it was asked for,
- * and so whether the connection can be reused.
+ * Runs attempts over one HTTP/1.1 connection, one at a time. An attempt completes at the end of the read that contained
+ * the end of its response: only then is it known whether the server has sent unexpected data after it, and so whether
+ * the connection can be reused.
  */
 final class HttpConnectionHandler extends SimpleChannelInboundHandler<HttpObject>
         implements ConnectionHandler<UpstreamRequest, UpstreamResponse>, FlowControl {
     private static final Logger LOG = LoggerFactory.getLogger("upstream");
     /** How long a response of unknown length is buffered before it is streamed. */
     private static final long MAX_BUFFERING_NANOS = 30_000_000;
-    /** How long a server may neither take nor send a byte in the middle of a body although it could. */
+    /** How long a server may make no progress in the middle of a body while the sidecar waits for it. */
     private static final long STALL_TIMEOUT_NANOS = 30_000_000_000L;
 
     private final LoadReports loadReports;
@@ -95,11 +95,11 @@
     @Override
     protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
         if (!isExpected(message)) {
-            unexpectedData();
+            handleUnexpectedData();
             return;
         }
         if (message instanceof HttpResponse head && !response.acceptHead(head)) {
-            unexpectedData();
+            handleUnexpectedData();
             return;
         }
         if (message instanceof HttpContent content && response.head() != null) {
@@ -120,7 +120,7 @@
         response.received(bytes.readableBytes(), content instanceof LastHttpContent);
         if (response.isTooLarge(isStreamable())) {
             response.markIncomplete();
-            unexpectedData();
+            handleUnexpectedData();
         } else if (response.isStreaming()) {
             current.responseData(bytes.retain());
         } else {
@@ -131,7 +131,7 @@
         }
     }
 
-    /** Whether the response answers the whole request successfully: no retry will replace it. */
+    /** Returns whether the response is a success for a completely written request, so that no retry replaces it. */
     private boolean isStreamable() {
         return current.isWritten() && isOk(response.head());
     }
@@ -155,7 +155,7 @@
         }
     }
 
-    /** Forwards the response as it comes from now on; in place of the attempt's timeout it has the stall timeout. */
+    /** Forwards the response as it is received; the stall timeout replaces the timeout of the attempt. */
     private void startStreaming() {
         cancelStreamingTimer();
         UpstreamResponse first = response.startStreaming();
@@ -208,12 +208,12 @@
     }
 
     private Outcome outcomeOf(Attempt<UpstreamRequest, UpstreamResponse> attempt) {
-        // A success before the whole request was written can't be the answer to it.
+        // A success before the request is completely written can't be the response to it.
         boolean premature = !attempt.isWritten() && isOk(response.head());
         return premature ? Outcome.ERROR : HttpHeads.outcome(response.head());
     }
 
-    /** The body of the response to a health check for the load report; null for any other response. */
+    /** Returns the response body of a health check that requested the load report; null for any other response. */
     private String healthCheckBody(Attempt<UpstreamRequest, UpstreamResponse> attempt) {
         return attempt.message().uri().equals(LoadReports.PATH) ? response.bodyText() : null;
     }
@@ -236,8 +236,8 @@
         }
     }
 
-    /** Handles data that is no response or was not asked for. A response that is already complete stays valid. */
-    private void unexpectedData() {
+    /** Handles invalid or unrequested data. A response that is already complete stays valid. */
+    private void handleUnexpectedData() {
         if (response.isComplete()) {
             receivedUnexpectedData = true;
             return;
@@ -263,18 +263,18 @@
         }
     }
 
-    /** Ends the attempt if the server could go on with a body and has not done so for the stall timeout. */
+    /** Ends the attempt if the sidecar has waited for the server to read or send a body for the stall timeout. */
     private void checkStall() {
         Attempt<UpstreamRequest, UpstreamResponse> attempt = current;
         if (attempt == null || attempt.isCompleted() || (attempt.isHandedOver() && !response.isStreaming())) {
             return;
         }
-        boolean waitsForServer = response.isStreaming() ? channel.config().isAutoRead() : !channel.isWritable();
+        boolean isWaitingForServer = response.isStreaming() ? channel.config().isAutoRead() : !channel.isWritable();
         long idleNanos = System.nanoTime() - lastProgressNanos;
-        if (waitsForServer && idleNanos >= STALL_TIMEOUT_NANOS) {
+        if (isWaitingForServer && idleNanos >= STALL_TIMEOUT_NANOS) {
             attempt.connectionLost();
         } else {
-            scheduleStallCheck(waitsForServer ? STALL_TIMEOUT_NANOS - idleNanos : STALL_TIMEOUT_NANOS);
+            scheduleStallCheck(isWaitingForServer ? STALL_TIMEOUT_NANOS - idleNanos : STALL_TIMEOUT_NANOS);
         }
     }
 
@@ -297,7 +297,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (cause instanceof DecoderException) {
-            unexpectedData();
+            handleUnexpectedData();
             return;
         }
         if (!(cause instanceof IOException)) {
--- a/sidecar/src/main/java/topazvalve/sidecar/upstream/HttpHeads.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/upstream/HttpHeads.java
@@ -13,9 +13,9 @@
 import topazvalve.sidecar.http.UpstreamRequest;
 import topazvalve.sidecar.http.UpstreamResponse;
 
-/** Maps between attempts and HTTP heads: the request head to send, and the outcome that a response head means. */
+/** Converts between attempts and HTTP heads: the request head to send, and the outcome that a response head means. */
 final class HttpHeads {
-    /** Set to 1 by a server that rejects a request without having run it. */
+    /** Set to 1 by a server that has rejected a request without running it. */
     private static final String DECLINED_HEADER = "Srv-Declined";
 
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -23,8 +23,8 @@
     private HttpHeads() {}
 
     /**
-     * Creates the head to send: the client's end-to-end headers, the attempt's remaining time in milliseconds (at
-     * least 1) and the framing of its body.
+     * Creates the head to send: the end-to-end headers of the client, the timeout of the attempt in milliseconds (at
+     * least 1) and the framing of the body.
      */
     static HttpRequest requestHead(Attempt<UpstreamRequest, UpstreamResponse> attempt) {
         HttpRequest request = new DefaultHttpRequest(
@@ -45,8 +45,8 @@
     }
 
     /**
-     * Returns what a response's status says about its server. Most client errors (RFC 9110, 15.5) are the caller's
-     * fault: the server is healthy, another would answer the same, and the caller is to see the answer.
+     * Returns the outcome that a response status means for the server. Most client errors (RFC 9110, section 15.5) are
+     * caused by the client: the server is healthy, another would answer the same, and the client gets the response.
      */
     static Outcome outcome(HttpResponse response) {
         int code = response.status().code();
--- a/sidecar/src/main/java/topazvalve/sidecar/upstream/LoadReports.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/upstream/LoadReports.java
@@ -8,11 +8,11 @@
 import topazvalve.discovery.json.JsonReader;
 
 /**
- * Reads the load reports of a deployment, whose fields and their order are given by the settings. A report that
- * can't be read counts as absent and does not affect the response that carried it.
+ * Reads the load reports of a deployment, whose fields and their order are given by the settings. An invalid report
+ * counts as absent and does not affect the response that contained it.
  */
 final class LoadReports {
-    /** Where a server answers with its load report. */
+    /** The path at which a server returns its load report. */
     static final String PATH = "/metrics/load";
 
     private static final String HEALTH_PATH = "/alive";
@@ -25,17 +25,17 @@
         fields = names;
     }
 
-    /** The path of a health check: that of the load report where the deployment has reports. */
+    /** Returns the path of a health check, which is that of the load report if the deployment has load reports. */
     String healthCheckPath() {
         return fields.isEmpty() ? HEALTH_PATH : PATH;
     }
 
     /**
-     * Reads the load report that came with a response.
+     * Reads the load report in a response.
      *
-     * @param response whose header is read first
-     * @param healthCheckBody the body of a health check's response, read where the header is missing; may be null
-     * @return one value for each field, in their order; empty if there is no report that can be read
+     * @param response the response, whose header takes precedence
+     * @param healthCheckBody the response body of a health check, used if the header is missing; may be null
+     * @return one value for each field, in their order; empty if there is no valid report
      */
     float[] read(HttpResponse response, String healthCheckBody) {
         String header = response.headers().get(LOAD_HEADER);
--- a/sidecar/src/main/java/topazvalve/sidecar/upstream/RequestWriter.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/upstream/RequestWriter.java
@@ -8,29 +8,29 @@
 import topazvalve.sidecar.http.UpstreamRequest;
 import topazvalve.sidecar.http.UpstreamResponse;
 
-/** Writes the requests of one connection to its channel, each body as far as the channel is writable. */
+/** Writes the requests of one connection to its channel; a body is written while the channel is writable. */
 final class RequestWriter {
     private final Channel channel;
     private boolean writing;
 
-    /** Creates the writer of a connection; {@code channel} has the HTTP encoder in its pipeline. */
+    /** Creates the writer of a connection; the pipeline of {@code channel} contains the HTTP encoder. */
     RequestWriter(Channel channel) {
         this.channel = channel;
     }
 
-    /** Writes the head of an attempt's request, without flushing it. */
+    /** Writes the request head of an attempt without flushing it. */
     void writeHead(Attempt<UpstreamRequest, UpstreamResponse> attempt) {
         channel.write(HttpHeads.requestHead(attempt));
     }
 
     /**
-     * Writes what has come of the request's body, until the channel is not writable. After the last chunk the
-     * attempt is handed over, and learns from the write's result whether it may have run.
+     * Writes the available part of the request body, until the channel is not writable. After the last chunk the
+     * attempt is marked as handed over; the result of the last write then tells it whether it may have run.
      *
      * @return whether at least one chunk was written
      */
     boolean writeAvailable(Attempt<UpstreamRequest, UpstreamResponse> attempt) {
-        // A write can report a change of writability from inside the encoder, which must not be re-entered.
+        // A write can trigger a writability change from inside the encoder, which is not reentrant.
         if (writing) {
             return false;
         }
--- a/sidecar/src/main/java/topazvalve/sidecar/upstream/ResponseAccumulator.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/upstream/ResponseAccumulator.java
@@ -14,16 +14,16 @@
 import topazvalve.sidecar.http.UpstreamResponse;
 
 /**
- * The response that a connection is receiving: its head, the body buffered so far, and how much has come. A
- * response is buffered until it is complete; a large or slow one is streamed instead, from some point on.
+ * The response that a connection is receiving: its head, the buffered part of the body, and the number of received
+ * bytes. A response is buffered until it is complete, unless it is large or slow: then it switches to streaming.
  */
 final class ResponseAccumulator {
-    /** Size in bytes up to which a response is buffered, so that a faulty one can still be retried elsewhere. */
+    /** Size up to which a response is buffered, so that a failed one can still be retried on another server. */
     static final int MAX_BUFFERED_BYTES = 1 << 16;
 
     private static final int MAX_RESPONSE_BYTES = 1 << 25;
     private static final long DEFAULT_BUFFER_BYTES = 1024;
-    /** Interim (1xx) responses that may precede the final one. */
+    /** Maximum number of interim (1xx) responses before the final one. */
     private static final int MAX_INTERIM_RESPONSES = 16;
 
     private HttpResponse head;
@@ -34,16 +34,16 @@
     private boolean streaming;
     private boolean complete;
 
-    /** Starts to count the interim responses of a new request. */
+    /** Resets the count of interim responses for a new request. */
     void requestStarted() {
         interimResponses = 0;
     }
 
     /**
-     * Takes the head of an interim or the final response.
+     * Accepts the head of an interim response or of the final response.
      *
-     * @return false if the head makes the response unusable: a protocol switch, too many interim responses, a
-     *     body without an end or above the limit, or headers that can't be forwarded
+     * @return false if the response is unusable: a protocol switch, too many interim responses, a body that is too
+     *     large or whose end is unknown, or headers that can't be forwarded
      */
     boolean acceptHead(HttpResponse response) {
         int code = response.status().code();
@@ -51,9 +51,9 @@
             return code != HttpResponseStatus.SWITCHING_PROTOCOLS.code() && ++interimResponses <= MAX_INTERIM_RESPONSES;
         }
         receivedBytes = 0;
-        boolean bodyless =
+        boolean hasNoBody =
                 code == HttpResponseStatus.NO_CONTENT.code() || code == HttpResponseStatus.NOT_MODIFIED.code();
-        if (!hasKnownEnd(response) && !bodyless) {
+        if (!hasKnownEnd(response) && !hasNoBody) {
             return false;
         }
         if (HttpUtil.getContentLength(response, 0L) > MAX_RESPONSE_BYTES) {
@@ -72,43 +72,43 @@
     }
 
     /**
-     * Whether it is clear where a response's body ends. Without a length it ends with the connection, which the
-     * response has to announce: on a persistent connection that end would never come.
+     * Returns whether the end of the response body is defined. Without a length it is the end of the connection, which
+     * the response has to announce: a persistent connection would not end.
      */
     private static boolean hasKnownEnd(HttpResponse response) {
         if (response.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)) {
-            return Headers.onlyChunked(response);
+            return Headers.isChunkedOnly(response);
         }
         return HttpUtil.getContentLength(response, -1L) >= 0 || !HttpUtil.isKeepAlive(response);
     }
 
-    /** Counts received bytes of the body; {@code last} if no more follow. */
+    /** Records received bytes of the body; {@code last} if no more follow. */
     void received(int bytes, boolean last) {
         receivedBytes += bytes;
         complete = last;
     }
 
-    /** Appends a copy of a part of the body to the buffer; only while the response is not streamed. */
+    /** Appends a copy of a part of the body to the buffer; allowed only while the response is not streamed. */
     void buffer(ByteBuf content) {
         body.writeBytes(ByteBufUtil.getBytes(content));
     }
 
-    /** Whether more has come than any response may have, or than one that can't be streamed may have. */
+    /** Returns whether the received bytes exceed the limit of any response, or the buffer if it isn't streamable. */
     boolean isTooLarge(boolean streamable) {
         return receivedBytes > MAX_RESPONSE_BYTES || (receivedBytes > MAX_BUFFERED_BYTES && !streamable);
     }
 
-    /** Whether the response is longer than may be buffered, by what has come or what its head says. */
+    /** Returns whether the received bytes, or the length in the head, exceed the buffer. */
     boolean exceedsBuffer() {
         return Math.max(receivedBytes, contentLength()) > MAX_BUFFERED_BYTES;
     }
 
-    /** Gives up a response whose last part has come but which can't be used. */
+    /** Marks a completely received response as incomplete, since it can't be used. */
     void markIncomplete() {
         complete = false;
     }
 
-    /** Switches to streaming; returns the response with the part of the body that was buffered until now. */
+    /** Switches to streaming; returns the response with the part of the body buffered so far. */
     UpstreamResponse startStreaming() {
         streaming = true;
         UpstreamResponse first = toResponse();
@@ -116,17 +116,17 @@
         return first;
     }
 
-    /** The response with all of its buffered body. */
+    /** Returns the response with its buffered body. */
     UpstreamResponse toResponse() {
         return new UpstreamResponse(head.status(), endToEndHeaders, body.toByteArray());
     }
 
-    /** The buffered body as UTF-8 text; null if the response is streamed. */
+    /** Returns the buffered body as UTF-8 text; null if the response is streamed. */
     String bodyText() {
         return body == null ? null : body.toString(StandardCharsets.UTF_8);
     }
 
-    /** Forgets the response, so that another may follow; returns to buffering. */
+    /** Clears the response for the next one and switches back to buffering. */
     void clear() {
         head = null;
         endToEndHeaders = null;
@@ -135,12 +135,12 @@
         streaming = false;
     }
 
-    /** The final response's head; null before it has come. */
+    /** Returns the head of the final response; null until it is received. */
     HttpResponse head() {
         return head;
     }
 
-    /** The length in bytes that the head gives; -1 if it gives none. */
+    /** Returns the length in bytes according to the head; -1 if unknown. */
     long contentLength() {
         return HttpUtil.getContentLength(head, -1L);
     }
@@ -153,7 +153,7 @@
         return streaming;
     }
 
-    /** Whether the last part of the response has come. */
+    /** Returns whether the last part of the response has been received. */
     boolean isComplete() {
         return complete;
     }
--- a/sidecar/src/main/java/topazvalve/sidecar/upstream/ResponseDecoder.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/upstream/ResponseDecoder.java
@@ -12,19 +12,19 @@
 import java.util.List;
 
 /**
- * Decodes HTTP/1 responses more strictly than Netty does. Data that can't be a response fails at its first bytes:
- * Netty's decoder skips control characters and waits for the end of a line that may never come.
+ * Decodes HTTP/1 responses more strictly than Netty does. Data that can't be a response is rejected at its first bytes;
+ * Netty's decoder would skip control characters and wait for the end of a line that may never be sent.
  */
 final class ResponseDecoder extends HttpResponseDecoder {
     private static final byte[] RESPONSE_PREFIX = "HTTP/1.".getBytes(StandardCharsets.US_ASCII);
     private boolean prefixChecked;
 
-    /** Header values are not validated here: a load report may hold anything, and a bad one is only ignored. */
+    /** Header values are not validated, since a load report may contain any text and an invalid one is just ignored. */
     ResponseDecoder() {
         super(new HttpDecoderConfig().setValidateHeaders(false));
     }
 
-    /** Whether bytes have come that do not make up a complete part of a response yet. */
+    /** Returns whether undecoded bytes have been received, which are not yet a complete part of a response. */
     boolean hasPartialMessage() {
         return actualReadableBytes() > 0;
     }
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Rejects a header line without a colon, which Netty's response decoder reads as a header with no value. */
+    /** Rejects a header line without a colon, which Netty's response decoder accepts as a header without a value. */
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
         if (start + length >= line.length || line[start + length] != ':') {
