--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/ClientConnection.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/ClientConnection.java
@@ -28,8 +28,8 @@
 import topazvalve.sidecar.http.UpstreamResponse;
 
 /**
- * One client's connection: the state machine that serves its requests one at a time and answers each once.
- * {@link RequestBodyReceiver} holds the request's body, {@link ResponseWriter} writes the response.
+ * The connection of one client: a state machine that serves its requests one at a time and answers each once.
+ * {@link RequestBodyReceiver} receives the request body, {@link ResponseWriter} writes the response.
  */
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject>
         implements ResponseListener<UpstreamResponse> {
@@ -69,7 +69,7 @@
         this.request = new CurrentRequest(frontend, exchangeHandler);
     }
 
-    /** Returns the decoder that belongs in front of this handler. */
+    /** Returns the decoder that precedes this handler in the pipeline. */
     RequestDecoder decoder() {
         return decoder;
     }
@@ -78,12 +78,12 @@
         return state;
     }
 
-    /** Returns when the state began or last made progress, in {@link System#nanoTime}. */
+    /** Returns when the state was entered or last made progress, as a {@link System#nanoTime}. */
     long lastActivityNanos() {
         return lastActivityNanos;
     }
 
-    /** Restarts the current state's timeout. */
+    /** Restarts the timeout of the current state. */
     void recordActivity() {
         lastActivityNanos = System.nanoTime();
     }
@@ -93,19 +93,19 @@
         recordActivity();
     }
 
-    /** Closes the connection at once. */
+    /** Closes the connection immediately. */
     void close() {
         channel.close();
     }
 
-    /** Closes the connection, or rejects its request, if its state has lasted for too long. */
+    /** Closes the connection, or rejects its request, if its state has timed out. */
     void checkTimeouts(long nowNanos) {
         long stateNanos = nowNanos - lastActivityNanos;
         if (lifecycle.shouldCloseIdleConnections() && ConnectionTimeouts.isCloseableWhileDraining(state, stateNanos)) {
             channel.close();
             return;
         }
-        // A client that could not send because the sidecar does not read is not late.
+        // The client is not late with its body while the sidecar does not read from it.
         boolean awaitsBody = bodyReceiver.isIncomplete() && channel.config().isAutoRead();
         if (stateNanos <= ConnectionTimeouts.limitNanos(state, awaitsBody, responseWriter.isStreamFullySent())) {
             return;
@@ -117,9 +117,9 @@
         }
     }
 
-    // Reading of requests
+    // Reading requests
 
-    /** Handles that bytes were received; returns false if they are to be discarded, since no request may follow. */
+    /** Called when bytes are received; returns false if they must be discarded because no further request is served. */
     boolean bytesReceived(int byteCount) {
         if (state.discardsInput()) {
             lingeringClose.addDiscarded(byteCount);
@@ -131,20 +131,20 @@
         if (state == ConnectionState.IDLE) {
             transitionTo(ConnectionState.READING_REQUEST);
         } else if (state == ConnectionState.NEW) {
-            // The timeout of the first request runs from the accept.
+            // The timeout of the first request starts at the accept.
             state = ConnectionState.READING_REQUEST;
         }
         return true;
     }
 
-    /** Reads as long as there is space, since only a connection that is read notices that its client leaves. */
+    /** Reads while there is buffer space, since a disconnect is noticed only while the connection is being read. */
     void updateAutoRead() {
         boolean mayRead =
-                state.discardsInput() ? lingeringClose.mayRead() : !decoder.isFlooded() && bodyReceiver.hasSpace();
+                state.discardsInput() ? lingeringClose.mayRead() : !decoder.hasOverflowed() && bodyReceiver.hasSpace();
         channel.config().setAutoRead(mayRead);
     }
 
-    /** Returns whether what is received now belongs to a later request and has to wait. */
+    /** Returns whether input received now belongs to a later request and must be queued. */
     boolean queuesInput() {
         return bodyReceiver.isLastContentDeferred()
                 || !pipelinedMessages.isEmpty()
@@ -173,13 +173,13 @@
         if (message instanceof HttpRequest head) {
             startRequest(head);
         }
-        // The end of a head without a body is a content, too; the head may have been rejected.
+        // A head without a body is also followed by a content; the head may have been rejected.
         if (message instanceof HttpContent content && !state.discardsInput()) {
             bodyReceiver.receive(content);
         }
     }
 
-    /** Validates the head at once, so that the body of an invalid request need not be received. */
+    /** Validates the head immediately, so that the body of an invalid request need not be received. */
     private void startRequest(HttpRequest head) {
         transitionTo(ConnectionState.READING_REQUEST);
         responseWriter.requestStarted(head);
@@ -201,7 +201,7 @@
         }
     }
 
-    /** Submits the request, whose body is complete or as much of it as may be held, unless that is done. */
+    /** Submits the request, unless already done; its body is complete or fills its quota. */
     void submitUnlessSubmitted() {
         if (state != ConnectionState.READING_REQUEST) {
             return;
@@ -221,20 +221,20 @@
         transitionTo(ConnectionState.AWAITING_RESPONSE);
         frontend.requestStateChanged();
         long exchangeId = exchangeHandler.submit(exchangeRequest, this);
-        // The response may have come within that call.
+        // The response may have been received within that call.
         if (state == ConnectionState.AWAITING_RESPONSE) {
             request.exchangeOpened(exchangeId);
         }
     }
 
-    /** Processes what was received behind the request that has just ended. */
+    /** Processes the input received after the request that has just ended. */
     void processQueued() {
         pipelinedMessages.process();
         decoder.decodeBuffered();
         updateAutoRead();
     }
 
-    /** Returns whether the next message of {@link PipelinedMessages} may be processed now. */
+    /** Returns whether the next message in {@link PipelinedMessages} may be processed now. */
     boolean mayProcessQueued() {
         return !bodyReceiver.isLastContentDeferred() && (bodyReceiver.isIncomplete() || !state.isRequestSubmitted());
     }
@@ -281,7 +281,7 @@
 
     private void respond(FullHttpResponse response) {
         if (bodyReceiver.isIncomplete()) {
-            // The rest of the body is not worth waiting for, and without it no request can follow.
+            // Does not wait for the rest of the body, and without it no request can follow.
             respondAndLinger(response);
             return;
         }
@@ -290,13 +290,13 @@
         finishResponse(responseWriter.writeBuffered(response, acceptsFurtherRequest()));
     }
 
-    /** A request that has been read already is answered also while the sidecar drains. */
+    /** Returns whether a further request is served; one that was already read is answered even during a drain. */
     private boolean acceptsFurtherRequest() {
         boolean readsFurtherRequests = !lifecycle.isDraining() && !decoder.hasDropped();
         return readsFurtherRequests || !pipelinedMessages.isEmpty() || decoder.hasBuffered();
     }
 
-    /** Continues with the next request, or closes, once the response is written. */
+    /** Continues with the next request or closes the connection once the response is written. */
     private void finishResponse(ChannelFuture written) {
         if (responseWriter.keepsAlive()) {
             written.addListener(done -> becomeIdle());
@@ -310,19 +310,19 @@
     private void becomeIdle() {
         transitionTo(ConnectionState.IDLE);
         frontend.requestStateChanged();
-        // Not within this call: pipelined requests would recurse once for each.
+        // Not called directly, since each pipelined request would add a level of recursion.
         channel.eventLoop().execute(this::processQueued);
     }
 
-    // Ends
+    // Closing
 
-    /** Answers with the fault, closes, and ends the submitted request if there is one. */
-    void rejectInvalid(InvalidRequestException fault) {
-        endExchange(LocalResponses.plainText(fault.status(), fault.getMessage()));
+    /** Answers with an error, closes the connection, and ends the submitted request if there is one. */
+    void rejectInvalid(InvalidRequestException error) {
+        endExchange(LocalResponses.plainText(error.status(), error.getMessage()));
     }
 
-    /** Handles that far more was pipelined than can be held; a response that has begun is still completed. */
-    void pipelineFlooded() {
+    /** Called when too many pipelined bytes were dropped; a response that has begun is still completed. */
+    void pipelineOverflowed() {
         failAwaitedResponse();
     }
 
@@ -333,10 +333,10 @@
         }
     }
 
-    /** Handles that all buffered requests are answered, and that what followed them was dropped. */
+    /** Called when all buffered requests are answered and the input after them was dropped. */
     void pipelineEnded() {
         if (state == ConnectionState.AWAITING_RESPONSE) {
-            // The rest of its body was dropped.
+            // The rest of the request body was dropped.
             failAwaitedResponse();
         } else if (state == ConnectionState.IDLE || state == ConnectionState.READING_REQUEST) {
             linger(channel.writeAndFlush(Unpooled.EMPTY_BUFFER));
@@ -353,7 +353,7 @@
         linger(responseWriter.writeLast(lastResponse));
     }
 
-    /** Ends the connection behind the last write, as {@link LingeringClose} describes. */
+    /** Ends the connection after the last write, as described in {@link LingeringClose}. */
     private void linger(ChannelFuture lastWrite) {
         transitionTo(ConnectionState.LINGERING);
         discardInput();
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/ConnectionState.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/ConnectionState.java
@@ -1,14 +1,14 @@
 package topazvalve.sidecar.frontend;
 
-/** The state of a client connection with regard to the request that it serves. */
+/** The state of a client connection and of the request that it serves. */
 enum ConnectionState {
-    /** The last response is written; what still comes is read and discarded until the client closes. */
+    /** The last response is written; further input is read and discarded until the client closes. */
     LINGERING,
-    /** A response was written completely; the next request may come. */
+    /** The last response was written completely; the next request may follow. */
     IDLE,
-    /** Nothing was received since the connection was accepted. */
+    /** Nothing has been received since the connection was accepted. */
     NEW,
-    /** A part of a request was received; it is not yet submitted. */
+    /** A part of a request has been received; the request is not yet submitted. */
     READING_REQUEST,
     /** The request is submitted; its body may still be incomplete. */
     AWAITING_RESPONSE,
@@ -27,12 +27,12 @@
         return this == AWAITING_RESPONSE || this == WRITING_RESPONSE;
     }
 
-    /** Returns whether the connection serves no further request, so that what is received is discarded. */
+    /** Returns whether the connection serves no further request, so that its input is discarded. */
     boolean discardsInput() {
         return this == LINGERING || this == CLOSED;
     }
 
-    /** Returns whether the connection is open for a request of which nothing was received yet. */
+    /** Returns whether the connection awaits a request of which nothing has been received yet. */
     boolean awaitsRequest() {
         return this == IDLE || this == NEW;
     }
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/CurrentRequest.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/CurrentRequest.java
@@ -6,11 +6,11 @@
 import topazvalve.sidecar.http.UpstreamResponse;
 
 /**
- * The request that a client connection serves: its phase, its id and its exchange. One object serves all requests
- * of a connection, one after the other.
+ * The request that a client connection serves: its phase, its id and its exchange. The object is reused for all
+ * requests of the connection.
  */
 final class CurrentRequest {
-    /** Stands for the id of an exchange where none is open. */
+    /** The value of an exchange id if no exchange is open. */
     private static final long NO_EXCHANGE = 0;
 
     private enum Phase {
@@ -18,24 +18,24 @@
         NONE,
         /** A readiness check, which the sidecar answers itself. */
         READINESS_CHECK,
-        /** A valid request that waits for its body, or for as much of it as may be held. */
+        /** A valid request whose body is neither complete nor fills its quota. */
         UNSUBMITTED,
-        /** The exchange handler was given the request, and has not yet returned its exchange. */
+        /** The request is passed to the exchange handler, which has not yet returned the id of the exchange. */
         SUBMITTED,
-        /** The exchange handler is notified if the client disconnects. */
+        /** The exchange is open; the exchange handler is notified if the client disconnects. */
         EXCHANGE_OPEN
     }
 
     private final HttpFrontend frontend;
     private final ExchangeHandler<UpstreamRequest, UpstreamResponse> exchangeHandler;
     private Phase phase = Phase.NONE;
-    /** What is to be submitted; null unless the phase is {@link Phase#UNSUBMITTED}. */
+    /** The request to submit; null unless the phase is {@link Phase#UNSUBMITTED}. */
     private ExchangeRequest<UpstreamRequest> unsubmitted;
-    /** The client's id of the request; null for a readiness check. */
+    /** The id that the client gave the request; null for a readiness check. */
     private String requestId;
 
     private boolean idReserved;
-    /** The exchange handler's id of the exchange; valid only while the phase is {@link Phase#EXCHANGE_OPEN}. */
+    /** The id of the exchange; valid only while the phase is {@link Phase#EXCHANGE_OPEN}. */
     private long exchangeId;
 
     CurrentRequest(HttpFrontend frontend, ExchangeHandler<UpstreamRequest, UpstreamResponse> exchangeHandler) {
@@ -43,12 +43,12 @@
         this.exchangeHandler = exchangeHandler;
     }
 
-    /** Starts with a readiness check. */
+    /** Starts a readiness check. */
     void startReadinessCheck() {
         phase = Phase.READINESS_CHECK;
     }
 
-    /** Starts with a valid request, which the client calls {@code id}. */
+    /** Starts a valid request; {@code id} is the id that the client gave it. */
     void start(ExchangeRequest<UpstreamRequest> request, String id) {
         phase = Phase.UNSUBMITTED;
         unsubmitted = request;
@@ -59,7 +59,7 @@
         return phase == Phase.READINESS_CHECK;
     }
 
-    /** Reserves the request's id until {@link #release}; returns false if it is in use or was so recently. */
+    /** Reserves the request's id until {@link #release}; returns false if it is or recently was in use. */
     boolean reserveId() {
         idReserved = frontend.reserveRequestId(requestId);
         return idReserved;
@@ -73,18 +73,18 @@
         return submitted;
     }
 
-    /** Records the exchange of the submitted request, which has not ended yet. */
+    /** Records the id of the submitted request's exchange, which is still open. */
     void exchangeOpened(long id) {
         phase = Phase.EXCHANGE_OPEN;
         exchangeId = id;
     }
 
-    /** Returns what to give {@link #notifyDisconnected} once the request is released. */
+    /** Returns the id of the open exchange, to pass to {@link #notifyDisconnected} once the request is released. */
     long openExchange() {
         return phase == Phase.EXCHANGE_OPEN ? exchangeId : NO_EXCHANGE;
     }
 
-    /** Tells the exchange handler that the client has left the exchange, if one was open. */
+    /** Notifies the exchange handler that the client has disconnected, if an exchange was open. */
     void notifyDisconnected(long openExchange) {
         if (openExchange != NO_EXCHANGE) {
             exchangeHandler.clientDisconnected(openExchange);
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/EvictionPolicy.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/EvictionPolicy.java
@@ -6,13 +6,13 @@
 import java.util.List;
 
 /**
- * Chooses the connections that are closed when there are too many. One that holds a complete request is never
- * chosen. Silent connections, which have sent nothing since their accept, may use half of the capacity before
- * they are evicted ahead of idle ones: so a flood of them evicts no active client, and a new client has time
- * for its first request. {@code docs/design/crossings.md} gives the reasons.
+ * Chooses the connections to close when there are too many. A connection that holds a complete request is never chosen.
+ * Silent connections, which have sent nothing since their accept, may use half of the capacity before they are evicted
+ * ahead of idle ones: a flood of them evicts no active client, and a new client has time for its first request.
+ * {@code docs/design/crossings.md} gives the reasons.
  */
 final class EvictionPolicy {
-    /** A new client sends its request at once; one that is silent for longer is evicted first. */
+    /** A new client sends its request immediately; one that is silent for longer is evicted first. */
     private static final long SILENCE_LIMIT_NANOS = 100_000_000;
 
     private final int capacity;
@@ -20,18 +20,18 @@
     /**
      * Creates a policy.
      *
-     * @param capacity how many connections may be open; more only if they all hold requests
+     * @param capacity maximum number of open connections, exceeded only if more hold requests
      */
     EvictionPolicy(int capacity) {
         this.capacity = capacity;
     }
 
-    /** Returns how many connections may be open unless more hold requests. */
+    /** Returns the maximum number of open connections, which is exceeded only if more hold requests. */
     int capacity() {
         return capacity;
     }
 
-    /** Returns how many of the connections hold a request or a part of one. */
+    /** Returns the number of connections that hold a request or a part of one. */
     static int countHoldingRequests(Collection<ClientConnection> connections) {
         int count = 0;
         for (ClientConnection connection : connections) {
@@ -43,18 +43,18 @@
     }
 
     /**
-     * Returns the connections to close, at most {@code count}, in the order of their eviction.
+     * Returns the connections to close, at most {@code count}, in eviction order.
      *
      * @param nowNanos the current {@link System#nanoTime}
-     * @param readUntilNanos all that clients sent up to this time has been read; connections with a later
-     *     activity are not chosen
+     * @param readUntilNanos time until which all input of the clients has been read; connections with a later activity
+     *     are not chosen
      */
     List<ClientConnection> chooseEvictions(
             Collection<ClientConnection> connections, int count, long nowNanos, long readUntilNanos) {
         Candidates candidates = new Candidates(connections, readUntilNanos);
         List<ClientConnection> chosen = new ArrayList<>(count);
         while (chosen.size() < count) {
-            ClientConnection next = candidates.takeNext(nowNanos, capacity / 2);
+            ClientConnection next = candidates.pollNext(nowNanos, capacity / 2);
             if (next == null) {
                 break;
             }
@@ -63,18 +63,18 @@
         return chosen;
     }
 
-    /** The connections that may be evicted, by category; in each the one without activity for longest comes first. */
+    /** The connections that may be evicted, by category; each category is ordered by last activity, oldest first. */
     private static final class Candidates {
         private final ArrayDeque<ClientConnection> lingering = new ArrayDeque<>();
         private final ArrayDeque<ClientConnection> silent = new ArrayDeque<>();
         private final ArrayDeque<ClientConnection> idle = new ArrayDeque<>();
         private final ArrayDeque<ClientConnection> incomplete = new ArrayDeque<>();
-        /** All silent connections, also those that may not be evicted yet. */
+        /** Number of all silent connections, including those that may not be evicted yet. */
         private int silentCount;
 
         Candidates(Collection<ClientConnection> connections, long readUntilNanos) {
             List<ClientConnection> oldestFirst = new ArrayList<>(connections);
-            // By difference, since nanoTime may wrap around.
+            // Compares by difference, since nanoTime may wrap around.
             oldestFirst.sort((one, other) -> Long.signum(one.lastActivityNanos() - other.lastActivityNanos()));
             for (ClientConnection connection : oldestFirst) {
                 if (connection.state() == ConnectionState.NEW) {
@@ -97,24 +97,24 @@
             }
         }
 
-        /** Removes and returns the next one to evict; null if there is none. */
-        ClientConnection takeNext(long nowNanos, int maxSilent) {
+        /** Removes and returns the next connection to evict; null if there is none. */
+        ClientConnection pollNext(long nowNanos, int maxSilent) {
             if (!lingering.isEmpty()) {
                 return lingering.poll();
             }
             if (isOverdue(silent, nowNanos) || (silentCount > maxSilent && !silent.isEmpty())) {
-                return takeSilent();
+                return pollSilent();
             }
             if (!idle.isEmpty()) {
                 return idle.poll();
             }
             if (!silent.isEmpty()) {
-                return takeSilent();
+                return pollSilent();
             }
             return isOverdue(incomplete, nowNanos) ? incomplete.poll() : null;
         }
 
-        private ClientConnection takeSilent() {
+        private ClientConnection pollSilent() {
             silentCount--;
             return silent.poll();
         }
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/HttpFrontend.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/HttpFrontend.java
@@ -22,11 +22,11 @@
 import topazvalve.sidecar.http.UpstreamResponse;
 
 /**
- * The HTTP/1 frontend: it owns the client connections, their timeouts, the limit on their number and the ids of
- * open requests. An invalid request is answered at once and ends its connection. Used on its event loop alone.
+ * The HTTP/1 frontend: manages the client connections, their timeouts, the limit on their number, and the ids of open
+ * requests. An invalid request is answered immediately and ends its connection. Confined to its event loop.
  */
 public final class HttpFrontend implements Frontend {
-    /** How long a request's id stays reserved after its response: clients never use one twice. */
+    /** How long the id of a request stays reserved after its response; clients never use an id twice. */
     private static final long REQUEST_ID_RETENTION_NANOS = 2_000_000_000L;
 
     private static final long SWEEP_INTERVAL_MILLIS = 100;
@@ -54,10 +54,10 @@
      *
      * @param exchangeHandler receives the requests
      * @param classes the request classes in force
-     * @param tenantNames the known tenants in the order of their numbers; if empty, requests name none
-     * @param maxConnections how many connections may be open; more only if they all hold requests
-     * @param lifecycle says whether the sidecar accepts clients or drains
-     * @param budget limits the bytes of bodies and pipelined requests in memory
+     * @param tenantNames the known tenants in the order of their numbers; empty if requests name no tenant
+     * @param maxConnections maximum number of open connections, exceeded only if more hold requests
+     * @param lifecycle tells whether the sidecar accepts clients or drains
+     * @param budget limits the memory for bodies and pipelined requests
      */
     public HttpFrontend(
             EventLoop loop,
@@ -78,7 +78,7 @@
                 this::sweep, SWEEP_INTERVAL_MILLIS, SWEEP_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Returns the initializer of client connections, which serve requests at once, whatever {@code /up} says. */
+    /** Returns the initializer of client connections, which serve requests whatever {@code /up} answers. */
     @Override
     public ChannelHandler connectionInitializer() {
         return new ChannelInitializer<Channel>() {
@@ -103,7 +103,7 @@
         return connections.isEmpty();
     }
 
-    /** Schedules an eviction behind the next reads, since a connection to evict may have sent a request. */
+    /** Schedules an eviction after the next reads, since a connection to evict may have sent a request. */
     private void evictIfOverCapacity() {
         if (evictionScheduled || connections.size() <= evictionPolicy.capacity()) {
             return;
@@ -121,7 +121,7 @@
         if (excess > 0) {
             for (ClientConnection connection :
                     evictionPolicy.chooseEvictions(connections, excess, System.nanoTime(), readUntilNanos)) {
-                // Counted out now: its close event comes later than the next accept.
+                // Removed now, since the close event comes later than the next accept.
                 connectionClosed(connection);
                 connection.close();
             }
@@ -138,19 +138,19 @@
     }
 
     /**
-     * Returns how many connections are kept now: the capacity, or more if more hold requests. Connections that
-     * are being opened or closed come on top.
+     * Returns the current limit on connections: the capacity, or the number of connections that hold requests if that
+     * is higher. Connections that are being opened or closed are not included.
      */
     public int connectionLimit() {
         return connectionLimit;
     }
 
-    /** Sets the action to run whenever {@link #connectionLimit} has grown. */
+    /** Sets the action that runs whenever {@link #connectionLimit} has increased. */
     public void onConnectionLimitRaised(Runnable action) {
         connectionLimitRaised = action;
     }
 
-    /** Handles that a connection has submitted a request, or has become idle and so may be evicted. */
+    /** Called when a connection has submitted a request, or has become idle and so may be evicted. */
     void requestStateChanged() {
         evictIfOverCapacity();
     }
@@ -166,17 +166,17 @@
         }
     }
 
-    /** Reserves a request's id; returns false if it is in use or was so recently. */
+    /** Reserves the id of a request; returns false if it is or recently was in use. */
     boolean reserveRequestId(String requestId) {
         return reservedIds.add(requestId);
     }
 
-    /** Handles the end of a request; its id stays reserved for {@link #REQUEST_ID_RETENTION_NANOS}. */
+    /** Called when a request has ended; its id stays reserved for {@link #REQUEST_ID_RETENTION_NANOS}. */
     void releaseRequestId(String requestId) {
         releasedIds.add(new ReleasedId(requestId, System.nanoTime()));
     }
 
-    /** Handles the end of a connection. */
+    /** Called when a connection has been closed. */
     void connectionClosed(ClientConnection connection) {
         connections.remove(connection);
     }
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/InvalidRequestException.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/InvalidRequestException.java
@@ -3,8 +3,8 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 
 /**
- * A request that is answered with an error without being forwarded. It is always answered and never logged, so
- * it has no stack trace.
+ * Thrown for a request that is answered with an error instead of being forwarded. It has no stack trace, since it is
+ * always answered and never logged.
  */
 final class InvalidRequestException extends RuntimeException {
     private static final long serialVersionUID = 1;
@@ -12,7 +12,7 @@
     private final transient HttpResponseStatus status;
 
     /**
-     * Creates a fault.
+     * Creates an exception.
      *
      * @param status the status of the response
      * @param text the body of the response
@@ -22,12 +22,12 @@
         this.status = status;
     }
 
-    /** Returns a fault that is answered with 400 and {@code text}. */
+    /** Returns an exception for a request that is answered with 400 and {@code text}. */
     static InvalidRequestException badRequest(String text) {
         return new InvalidRequestException(HttpResponseStatus.BAD_REQUEST, text);
     }
 
-    /** Returns the fault of a request that the HTTP decoder could not read. */
+    /** Returns an exception for a request that the HTTP decoder could not read. */
     static InvalidRequestException malformed(Throwable decoderFailure) {
         return new InvalidRequestException(LocalResponses.decoderFailureStatus(decoderFailure), "malformed request");
     }
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/LingeringClose.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/LingeringClose.java
@@ -5,11 +5,11 @@
 import io.netty.channel.socket.DuplexChannel;
 
 /**
- * The orderly end of a connection: nothing is sent behind the last write, and what the client still sends is read
- * and discarded for a while, since a close with unread bytes would reset the connection.
+ * Lingering close of a connection: the output is shut down after the last write, and input is still read and discarded
+ * for a while, since closing with unread bytes would reset the connection.
  */
 final class LingeringClose {
-    /** How much is read and discarded behind the last response before reading stops. */
+    /** Maximum number of bytes that are read and discarded after the last response. */
     private static final int MAX_DISCARDED_BYTES = 1 << 20;
 
     private final Channel channel;
@@ -19,12 +19,12 @@
         this.channel = channel;
     }
 
-    /** Ends the sidecar's side of the connection once the last response is written. */
+    /** Shuts down the output once the last response is written. */
     void shutdownOutputAfter(ChannelFuture lastWrite) {
         lastWrite.addListener(done -> ((DuplexChannel) channel).shutdownOutput());
     }
 
-    /** Counts bytes that were read and discarded. */
+    /** Records bytes that were read and discarded. */
     void addDiscarded(int byteCount) {
         discardedBytes += byteCount;
     }
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/LocalResponses.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/LocalResponses.java
@@ -13,7 +13,7 @@
 import java.math.RoundingMode;
 import java.nio.charset.StandardCharsets;
 
-/** The responses that the sidecar gives itself. Their texts are part of its interface. */
+/** The responses that the sidecar generates itself. Their texts are part of its interface. */
 final class LocalResponses {
     private static final int NANOS_DECIMALS = 9;
     private static final int MILLIS_DECIMALS = 3;
@@ -32,11 +32,11 @@
     }
 
     /**
-     * Returns 503 for a request that the client may retry without harm: it did not run, or running it again changes
-     * nothing.
+     * Returns 503 for a request that the client may safely retry: it did not run, or running it again has no further
+     * effect.
      *
-     * @param retryAfterNanos the wait before a retry, which the policy derives from the class and the settings, not
-     *     from a server's header; sent as {@code Retry-After} in seconds, rounded up to milliseconds; 0 omits it
+     * @param retryAfterNanos the delay before a retry, which the policy derives from the class and the settings, not
+     *     from the header of a server; sent as {@code Retry-After} in seconds, rounded up to milliseconds; 0 omits it
      */
     static FullHttpResponse rejected(long retryAfterNanos) {
         FullHttpResponse response = plainText(HttpResponseStatus.SERVICE_UNAVAILABLE, "refused");
@@ -52,17 +52,17 @@
                 .toPlainString();
     }
 
-    /** Returns 502 for a request that failed and may have run at a server. */
+    /** Returns 502 for a request that failed and may have run on a server. */
     static FullHttpResponse failed() {
         return plainText(HttpResponseStatus.BAD_GATEWAY, "failed");
     }
 
-    /** Returns the answer to a readiness check. */
+    /** Returns the response to a readiness check. */
     static FullHttpResponse readiness(boolean acceptsClients) {
         return plainText(acceptsClients ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, "");
     }
 
-    /** Returns a response of type {@code text/plain}, without its length. */
+    /** Returns a response of type {@code text/plain} without {@code Content-Length}. */
     static FullHttpResponse plainText(HttpResponseStatus status, String text) {
         FullHttpResponse response = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/PipelinedMessages.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/PipelinedMessages.java
@@ -4,7 +4,7 @@
 import io.netty.util.ReferenceCountUtil;
 import java.util.ArrayDeque;
 
-/** The decoded messages of a connection's later requests, from the read that completed the current one. */
+/** Decoded messages of later requests, which were received in the same read as the end of the current request. */
 final class PipelinedMessages {
     private final ClientConnection connection;
     private final ArrayDeque<HttpObject> queue = new ArrayDeque<>(1);
@@ -22,7 +22,7 @@
         queue.add(ReferenceCountUtil.retain(message));
     }
 
-    /** Lets the connection process the messages, until it has a complete request to answer first. */
+    /** Passes the messages to the connection until it has a complete request to answer. */
     void process() {
         while (!queue.isEmpty() && connection.mayProcessQueued()) {
             HttpObject next = queue.poll();
@@ -34,7 +34,7 @@
         }
     }
 
-    /** Releases all messages; they will not be processed. */
+    /** Releases all messages without processing them. */
     void discard() {
         queue.forEach(ReferenceCountUtil::release);
         queue.clear();
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/RequestBodyReceiver.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/RequestBodyReceiver.java
@@ -8,8 +8,8 @@
 import topazvalve.core.time.EventLoopScheduler;
 
 /**
- * Receives the request bodies of one connection, one after the other. A request is submitted once its body is
- * complete or fills its quota of the byte budget: so an endpoint is chosen late and can be chosen again.
+ * Receives the request bodies of one connection, one after the other. A request is submitted once its body is complete
+ * or fills its quota of the byte budget, so that the endpoint is chosen late and a retry can use another.
  */
 final class RequestBodyReceiver {
     private final ClientConnection connection;
@@ -17,14 +17,14 @@
     private final ByteBudget budget;
     /** The body of the current or latest request; null before the first. */
     private RequestBody body;
-    /** Whether the end of the body is still to come. */
+    /** Whether the end of the body has not been received yet. */
     private boolean incomplete;
     /**
-     * Whether the client may have disconnected unnoticed: what is received now was sent before the socket was
-     * read, since the connection was not yet accepted or reading had paused.
+     * Whether the client may have disconnected without being noticed, because the input received now may have waited in
+     * the socket: the connection was not yet accepted, or reading was paused.
      */
-    private boolean disconnectMayBeUnread = true;
-    /** Whether the body's last bytes wait until the socket has been read once more. */
+    private boolean disconnectMayBePending = true;
+    /** Whether the last bytes of the body are held back until the socket has been read once more. */
     private boolean lastContentDeferred;
 
     RequestBodyReceiver(ClientConnection connection, Channel channel, ByteBudget budget) {
@@ -34,9 +34,9 @@
     }
 
     /**
-     * Starts with the body of a new request.
+     * Starts receiving the body of a new request.
      *
-     * @param contentLength its length in bytes; -1 if unknown
+     * @param contentLength the length in bytes; -1 if unknown
      */
     RequestBody start(long contentLength) {
         body = new RequestBody(budget, contentLength);
@@ -53,7 +53,7 @@
             return;
         }
         boolean isLast = content instanceof LastHttpContent;
-        if (isLast && disconnectMayBeUnread) {
+        if (isLast && disconnectMayBePending) {
             deferLastContent(content.retain());
             return;
         }
@@ -63,15 +63,15 @@
             body.complete();
             connection.submitUnlessSubmitted();
         } else if (body.isFull()) {
-            disconnectMayBeUnread = true;
+            disconnectMayBePending = true;
             channel.config().setAutoRead(false);
             connection.submitUnlessSubmitted();
         }
     }
 
     /**
-     * Holds the last bytes back until the socket has been read once more: a disconnect behind them is only seen
-     * then, and a request of a client that has left must not become complete at a server.
+     * Holds the last bytes back until the socket has been read once more. A disconnect after them is noticed only then,
+     * and the request of a client that has disconnected must not reach a server completely.
      */
     private void deferLastContent(HttpContent last) {
         lastContentDeferred = true;
@@ -80,7 +80,7 @@
         EventLoopScheduler.afterNextSelect(channel.eventLoop(), () -> {
             if (lastContentDeferred && body == deferredBody) {
                 lastContentDeferred = false;
-                disconnectMayBeUnread = false;
+                disconnectMayBePending = false;
                 receive(last);
                 connection.processQueued();
             }
@@ -95,28 +95,28 @@
         }
     }
 
-    /** Returns whether the end of the body is still to come. */
+    /** Returns whether the end of the body has not been received yet. */
     boolean isIncomplete() {
         return incomplete;
     }
 
-    /** Returns whether the body's last bytes are received but not yet added. */
+    /** Returns whether the last bytes of the body are received but not yet added. */
     boolean isLastContentDeferred() {
         return lastContentDeferred;
     }
 
-    /** Returns whether what the connection reads now can be held. */
+    /** Returns whether there is space for further input of the connection. */
     boolean hasSpace() {
         return !incomplete || lastContentDeferred || !body.isFull();
     }
 
-    /** Stops waiting for the rest of the body. */
+    /** Stops receiving the body. */
     void stop() {
         incomplete = false;
         lastContentDeferred = false;
     }
 
-    /** Releases what is held of the body; its request has ended. */
+    /** Releases the received part of the body after the request has ended. */
     void discard() {
         if (body != null) {
             body.discard();
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/RequestDecoder.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/RequestDecoder.java
@@ -10,17 +10,17 @@
 import topazvalve.core.stream.ByteBudget;
 
 /**
- * Decodes a client's requests and buffers what is pipelined behind an open one.
+ * Decodes the requests of a client and buffers input that is pipelined after an open request.
  *
- * <p>Pipelined bytes are buffered undecoded up to a quota of the byte budget; what exceeds it is dropped. Reading
- * never stops, since a client's disconnect is only seen once everything before it has been read. After a drop
- * the connection ends behind the last request that was buffered completely; the client sends the rest again.
+ * <p>Pipelined bytes are buffered undecoded up to a quota of the byte budget; bytes beyond it are dropped. Reading
+ * continues, since a disconnect is noticed only once everything before it has been read. After a drop the connection
+ * ends with the last request that was buffered completely, and the client sends the others again.
  * {@code docs/design/crossings.md} gives the reasons.
  */
 final class RequestDecoder extends HttpRequestDecoder {
-    /** How much of the buffer is decoded at once: decoded requests take several times their bytes. */
+    /** Number of buffered bytes to decode at a time: decoded requests take several times their encoded size. */
     private static final int DECODE_CHUNK_BYTES = 1 << 10;
-    /** A client that has more bytes dropped is disconnected, since reading them costs the others. */
+    /** A client with more dropped bytes is disconnected, since reading them takes time from other clients. */
     private static final int MAX_DROPPED_BYTES = 1 << 20;
 
     private final ClientConnection connection;
@@ -28,7 +28,7 @@
     private ChannelHandlerContext context;
     /** The pipelined bytes that are not yet decoded; null if there are none. */
     private ByteBuf buffered;
-    /** Bytes that exceeded the quota; after the first one nothing more is buffered on this connection. */
+    /** Number of bytes that exceeded the quota; once it is not 0, nothing more is buffered on this connection. */
     private long droppedBytes;
 
     RequestDecoder(ClientConnection connection, ByteBudget budget) {
@@ -70,9 +70,9 @@
 
     private void drop(int byteCount) {
         droppedBytes += byteCount;
-        if (isFlooded()) {
+        if (hasOverflowed()) {
             discardBuffer();
-            connection.pipelineFlooded();
+            connection.pipelineOverflowed();
         }
     }
 
@@ -84,12 +84,12 @@
         buffered.discardSomeReadBytes().writeBytes(bytes);
     }
 
-    /** Returns whether so much was dropped that nothing more is read from the client. */
-    boolean isFlooded() {
+    /** Returns whether so many bytes were dropped that nothing more is read from the client. */
+    boolean hasOverflowed() {
         return droppedBytes > MAX_DROPPED_BYTES;
     }
 
-    /** Returns whether bytes were dropped, so that the connection ends behind what is buffered. */
+    /** Returns whether bytes were dropped, so that the connection ends after the buffered requests. */
     boolean hasDropped() {
         return droppedBytes > 0;
     }
@@ -99,7 +99,7 @@
         return buffered != null;
     }
 
-    /** Decodes what is buffered until the connection has a request to serve. */
+    /** Decodes buffered bytes until the connection has a request to serve. */
     void decodeBuffered() {
         while (buffered != null && !connection.queuesInput()) {
             ByteBuf chunk = buffered.readBytes(Math.min(DECODE_CHUNK_BYTES, buffered.readableBytes()));
@@ -125,7 +125,7 @@
         }
     }
 
-    /** Releases what is buffered; it will not be served. */
+    /** Releases the buffered bytes without decoding them. */
     void discardBuffer() {
         if (buffered != null) {
             buffered.release();
@@ -134,9 +134,9 @@
         }
     }
 
-    /** Rejects both lengths together: Netty would ignore one, which allows request smuggling. */
+    /** Rejects {@code Transfer-Encoding} with {@code Content-Length}: ignoring one, as Netty does, allows smuggling. */
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-        throw new CorruptedFrameException("two lengths");
+        throw new CorruptedFrameException("both Transfer-Encoding and Content-Length");
     }
 }
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/ResponseWriter.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/ResponseWriter.java
@@ -22,15 +22,15 @@
 import topazvalve.sidecar.http.UpstreamResponse;
 
 /**
- * Writes the responses of one connection: buffered ones, which are complete when they are written, and streamed
- * ones. It decides from the request and the response whether the connection persists.
+ * Writes the responses of one connection, either buffered, when the response is complete, or streamed. It decides from
+ * the request and the response whether the connection is kept alive.
  */
 final class ResponseWriter {
     private final ClientConnection connection;
     private final Channel channel;
     private final ByteBudget budget;
     private boolean keepAlive;
-    /** HTTP/1.0 knows no chunks: there the end of the connection ends a body of unknown length. */
+    /** HTTP/1.0 has no chunked encoding: a body of unknown length ends with the connection. */
     private boolean http10;
     /** The response that is being streamed; null if there is none. */
     private StreamedResponse streamed;
@@ -41,24 +41,24 @@
         this.budget = budget;
     }
 
-    /** Takes over from a new request's head what its response depends on. */
+    /** Records the properties of a new request that its response depends on. */
     void requestStarted(HttpRequest head) {
         keepAlive = HttpUtil.isKeepAlive(head);
         http10 = head.protocolVersion().minorVersion() == 0;
     }
 
-    /** Returns whether the connection persists after the current response. */
+    /** Returns whether the connection is kept alive after the current response. */
     boolean keepsAlive() {
         return keepAlive;
     }
 
-    /** Tells a client that waits before it sends a body to send it. */
+    /** Sends {@code 100 Continue} to a client that waits for it before it sends the body. */
     void writeContinue() {
         channel.writeAndFlush(
                 new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
     }
 
-    /** Returns a server's complete response in the form in which the client gets it. */
+    /** Converts the complete response of a server to the response to the client. */
     static FullHttpResponse fromUpstream(UpstreamResponse upstream) {
         FullHttpResponse response = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1, upstream.status(), Unpooled.wrappedBuffer(upstream.body()));
@@ -69,10 +69,10 @@
     /**
      * Writes a complete response.
      *
-     * @param mayPersist whether the connection accepts a further request; if not, the response says so
+     * @param mayKeepAlive whether the connection accepts a further request; if not, the response announces its end
      */
-    ChannelFuture writeBuffered(FullHttpResponse response, boolean mayPersist) {
-        keepAlive = keepAlive && mayPersist;
+    ChannelFuture writeBuffered(FullHttpResponse response, boolean mayKeepAlive) {
+        keepAlive = keepAlive && mayKeepAlive;
         HttpUtil.setContentLength(response, response.content().readableBytes());
         if (!keepAlive) {
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
@@ -80,7 +80,7 @@
         return channel.writeAndFlush(response);
     }
 
-    /** Writes a complete response which announces that the connection ends behind it. */
+    /** Writes a complete response that announces the end of the connection. */
     ChannelFuture writeLast(FullHttpResponse response) {
         response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         HttpUtil.setContentLength(response, response.content().readableBytes());
@@ -91,10 +91,10 @@
      * Writes the head and the first bytes of a streamed response.
      *
      * @param contentLength the length of the body in bytes; -1 if unknown
-     * @param source where the rest of the body comes from
-     * @param mayPersist whether the connection accepts a further request
+     * @param source controls the flow of the rest of the body
+     * @param mayKeepAlive whether the connection accepts a further request
      */
-    void startStreaming(UpstreamResponse upstream, long contentLength, FlowControl source, boolean mayPersist) {
+    void startStreaming(UpstreamResponse upstream, long contentLength, FlowControl source, boolean mayKeepAlive) {
         HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, upstream.status());
         head.headers().set(upstream.headers()).remove(HttpHeaderNames.CONTENT_LENGTH);
         if (contentLength >= 0) {
@@ -104,7 +104,7 @@
         } else {
             HttpUtil.setTransferEncodingChunked(head, true);
         }
-        keepAlive = keepAlive && mayPersist;
+        keepAlive = keepAlive && mayKeepAlive;
         if (!keepAlive) {
             head.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
@@ -113,7 +113,7 @@
         streamed.write(Unpooled.wrappedBuffer(upstream.body()));
     }
 
-    /** Writes a part of a streamed response's body and takes ownership of the buffer. */
+    /** Writes a part of the body of a streamed response and takes ownership of the buffer. */
     void write(ByteBuf bytes) {
         if (streamed == null) {
             bytes.release();
@@ -129,8 +129,8 @@
     }
 
     /**
-     * Closes the connection in the middle of a streamed response. The client notices by the missing bytes or the
-     * missing last chunk, an HTTP/1.0 client only by a reset.
+     * Closes the connection in the middle of a streamed response. The client detects the truncation by missing bytes or
+     * by the missing last chunk; an HTTP/1.0 client can detect it only by a reset.
      */
     void abortStreaming() {
         endStreaming();
@@ -140,7 +140,7 @@
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
     }
 
-    /** Writes no more of a streamed response, if there is one. */
+    /** Stops writing the streamed response, if there is one. */
     void endStreaming() {
         if (streamed != null) {
             streamed.end();
@@ -153,7 +153,7 @@
         return streamed != null;
     }
 
-    /** Returns whether the part of the streamed response received so far is written to the client's socket. */
+    /** Returns whether all received bytes of the streamed response are written to the client's socket. */
     boolean isStreamFullySent() {
         return streamed != null && streamed.isFullySent();
     }
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/StreamedResponse.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/StreamedResponse.java
@@ -7,8 +7,8 @@
 import topazvalve.core.stream.FlowControl;
 
 /**
- * The body of a response that is forwarded while it arrives. It pauses its source while more than its quota
- * of the byte budget is not yet written to the client's socket.
+ * The body of a response that is forwarded as it is received. It pauses the source while the bytes not yet written to
+ * the client's socket exceed its quota of the byte budget.
  */
 final class StreamedResponse {
     private final Channel channel;
@@ -21,8 +21,8 @@
     /**
      * Registers a body with the budget until {@link #end}.
      *
-     * @param source where the body comes from
-     * @param onProgress runs whenever a part of the body was written to the client's socket
+     * @param source controls the flow of the body
+     * @param onProgress runs whenever a part of the body has been written to the client's socket
      */
     StreamedResponse(Channel channel, ByteBudget budget, FlowControl source, Runnable onProgress) {
         this.channel = channel;
@@ -52,12 +52,12 @@
         }
     }
 
-    /** Returns whether everything was written to the client's socket. */
+    /** Returns whether all received bytes are written to the client's socket. */
     boolean isFullySent() {
         return unsentBytes == 0;
     }
 
-    /** Releases the quota; nothing more will be written and the source is not resumed any more. */
+    /** Releases the quota; nothing more is written, and the source is not resumed. */
     void end() {
         source = null;
         budget.unregister();
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/package-info.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The HTTP frontend: accepts the application's connections, reads their requests, hands each to the exchange
- * manager and writes exactly one response to it.
+ * The HTTP frontend: accepts connections of the application, reads requests, passes each to the exchange handler, and
+ * writes exactly one response to it.
  */
 package topazvalve.sidecar.frontend;
