--- a/sidecar/src/main/java/topazvalve/sidecar/config/ConfigReader.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/config/ConfigReader.java
@@ -32,7 +32,7 @@
         JsonNode limits = root.path("limits");
         int sockets = ResourceLimits.readSockets(limits);
         EndpointUpdate initialEndpoints =
-                root.has("known") ? EndpointUpdate.of(root.path("known")) : EndpointUpdate.NONE;
+                root.has("known") ? EndpointUpdate.fromJson(root.path("known")) : EndpointUpdate.NONE;
         InetSocketAddress listen = address(root, "listen");
         InetSocketAddress admin = adminAddress(root);
         int adminSockets = admin == null ? 0 : AdminServer.MAX_CONNECTIONS;
