--- a/sidecar/src/main/java/topazvalve/sidecar/ShutdownSequence.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/ShutdownSequence.java
@@ -60,7 +60,7 @@
         LOG.info(
                 "{} shutting down, {} requests in flight",
                 config.name(),
-                httpProxy.exchanges().active());
+                httpProxy.exchanges().activeExchanges());
         long earliestKillMillis =
                 Math.min(longestDeadlineMillis(config), MAX_COUNTED_DEADLINE_MILLIS) + KILL_MARGIN_MILLIS;
         lifecycle.shutDown(TimeUnit.MILLISECONDS.toNanos(earliestKillMillis));
@@ -81,7 +81,7 @@
     private boolean isIdle() {
         return httpProxy.frontend().isIdle()
                 && tcpProxies.isIdle()
-                && httpProxy.exchanges().active() == 0;
+                && httpProxy.exchanges().activeExchanges() == 0;
     }
 
     /** Returns how long a shutdown may take, in milliseconds; may be called on any thread. */
