--- a/sidecar/src/test/java/topazvalve/sidecar/ClientDisconnectTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/ClientDisconnectTest.java
@@ -49,7 +49,7 @@
                 SidecarFixture sidecar = SidecarFixture.startWith(upstream)) {
             List<TestClient> busy = fillConcurrencyLimit(sidecar, upstream);
             TestClient leaving = new TestClient(sidecar.address);
-            StubServer.write(leaving.socket, lookRequest("gone") + pipelinedRequests(MORE_THAN_ONE_READ_BYTES));
+            StubServer.write(leaving.socket, lookRequest("leaving") + pipelinedRequests(MORE_THAN_ONE_READ_BYTES));
             awaitOpenRequests(sidecar, 3);
             switch (disconnectKind) {
                 case "close" -> leaving.close();
@@ -72,7 +72,7 @@
                 SidecarFixture sidecar = startWithMinimalBudget(upstream)) {
             List<TestClient> busy = fillConcurrencyLimit(sidecar, upstream);
             TestClient leaving = new TestClient(sidecar.address);
-            StubServer.write(leaving.socket, lookRequest("gone"));
+            StubServer.write(leaving.socket, lookRequest("leaving"));
             awaitOpenRequests(sidecar, 3);
             StubServer.write(leaving.socket, pipelinedRequests(MORE_THAN_QUOTA_BYTES));
             if (disconnectKind.equals("reset")) {
@@ -93,7 +93,7 @@
                 SidecarFixture sidecar = SidecarFixture.startWith(upstream)) {
             CountDownLatch release = blockEventLoop(sidecar, 0);
             TestClient leaving = new TestClient(sidecar.address);
-            StubServer.write(leaving.socket, lookRequest("gone"));
+            StubServer.write(leaving.socket, lookRequest("leaving"));
             leaving.close();
             release.countDown();
             assertNothingElseForwarded(sidecar, upstream);
@@ -108,7 +108,7 @@
             assertEquals(200, leaving.send(lookRequest("known")).status());
             StubServer.awaitNext(upstream.receivedHeads);
             CountDownLatch release = blockEventLoop(sidecar, EVENT_LOOP_STALL_MILLIS);
-            StubServer.write(leaving.socket, lookRequest("gone"));
+            StubServer.write(leaving.socket, lookRequest("leaving"));
             leaving.close();
             release.countDown();
             assertNothingElseForwarded(sidecar, upstream);
@@ -137,10 +137,10 @@
             sidecar.loop
                     .schedule(() -> {}, HttpCodec.REUSE_DELAY_NANOS, TimeUnit.NANOSECONDS)
                     .sync();
-            StubServer.write(leaving.socket, lookRequest("gone"));
+            StubServer.write(leaving.socket, lookRequest("leaving"));
             Socket firstAttempt = StubServer.awaitNext(receivedOn);
             CountDownLatch release = blockEventLoop(sidecar, EVENT_LOOP_STALL_MILLIS);
-            StubServer.reply(firstAttempt, "500 Oops", "", "");
+            StubServer.reply(firstAttempt, "500 Error", "", "");
             leaving.close();
             release.countDown();
             awaitOpenRequests(sidecar, 0);
@@ -164,7 +164,7 @@
             List<TestClient> busy = fillConcurrencyLimit(sidecar, upstream);
             TestClient leaving = new TestClient(sidecar.address);
             String body = "x".repeat(MORE_THAN_ONE_READ_BYTES);
-            StubServer.write(leaving.socket, postRequest("book", "", body).replace("9b1f", "gone"));
+            StubServer.write(leaving.socket, postRequest("book", "", body).replace("9b1f", "leaving"));
             leaving.close();
             release.countDown();
             assertServedAndClose(busy);
--- a/sidecar/src/test/java/topazvalve/sidecar/ConnectionRaceTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/ConnectionRaceTest.java
@@ -18,15 +18,15 @@
 
 /** Requests that race with a state change of the sidecar or a server; docs/design/crossings.md lists the cases. */
 class ConnectionRaceTest {
-    /** Later than the first 0.6 s of a shutdown, in which requests keep a deadline that is after the kill. */
+    /** After the first 0.6 s of a shutdown, within which requests keep even a deadline that is after the kill. */
     private static final long LATE_IN_SHUTDOWN_MILLIS = 620;
 
     /** Time from the start of the shutdown to the kill. */
     private static final long KILL_DELAY_MILLIS = 1_500;
 
-    /** A pushed endpoint list counts as notified from the start, so it is watched before the first request arrives. */
+    /** With automatic discovery, changes count as notified from the start, so the watch opens before any request. */
     @Test
-    void pushedDrainIsFollowed() throws Exception {
+    void drainOnTheAutomaticWatchIsFollowed() throws Exception {
         BlockingQueue<Socket> watches = new LinkedBlockingQueue<>();
         try (StubServer one = StubServer.respondingWith("one");
                 StubServer two = StubServer.respondingWith("two");
--- a/sidecar/src/test/java/topazvalve/sidecar/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/DiscoveryClientTest.java
@@ -24,7 +24,7 @@
 class DiscoveryClientTest {
     private static final String UPDATE_START =
             "{\"rev\":43,\"all\":false,\"targets\":[" + endpointJson("DRAINING") + ",";
-    private static final String UPDATE_END = "{\"uid\":\"odd\",\"state\":\"???\"}]}\n";
+    private static final String UPDATE_END = "{\"uid\":\"invalid\",\"state\":\"???\"}]}\n";
 
     private final DiscoveryFixture fixture = new DiscoveryFixture();
 
@@ -63,9 +63,9 @@
         }
     }
 
-    /** With pushed discovery the policy neither subscribes nor is notified of failures. */
+    /** If the client keeps a watch open by itself, the policy neither subscribes nor is notified of failures. */
     @Test
-    void pushedDiscoveryResubscribesAfterEveryFailure() throws Exception {
+    void automaticWatchResubscribesAfterEveryFailure() throws Exception {
         AtomicInteger calls = new AtomicInteger();
         try (StubServer stub = new StubServer((socket, head) -> {
             if (calls.incrementAndGet() <= 3) {
@@ -165,7 +165,7 @@
         for (String reply : List.of(
                 "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
                 "",
-                "nonsense\r\n\r\n",
+                "malformed\r\n\r\n",
                 CHUNKED_RESPONSE_HEAD + chunk("{\"rev\":\n"),
                 CHUNKED_RESPONSE_HEAD + chunk("[]\n"),
                 CHUNKED_RESPONSE_HEAD + chunk("{\"rev\":1,\"targets\":{}}\n"))) {
--- a/sidecar/src/test/java/topazvalve/sidecar/DrainTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/DrainTest.java
@@ -51,7 +51,7 @@
         }
     }
 
-    /** Keeps each watch open until released, then closes it; the first watch gets one update before. */
+    /** Keeps each watch open until released and then closes it, after one update on the first watch. */
     private static StubServer.Responder watchSending(String update, CountDownLatch release) {
         return (socket, head) -> {
             StubServer.write(socket, "HTTP/1.1 200 OK\r\n" + ChunkedEncoding.CHUNKED_HEADER + "\r\n");
--- a/sidecar/src/test/java/topazvalve/sidecar/HttpFrontendTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/HttpFrontendTest.java
@@ -24,10 +24,10 @@
         try (StubServer upstream = StubServer.respondingWith("x");
                 SidecarFixture sidecar = SidecarFixture.startWith(upstream)) {
             for (String invalid : List.of(
-                    "NONSENSE\r\n\r\n",
+                    "MALFORMED\r\n\r\n",
                     lookRequest("a").replace("Req-Id: a\r\n", ""),
                     lookRequest("a").replace("look", "glance"),
-                    lookRequest("a").replace("acme", "nobody"),
+                    lookRequest("a").replace("acme", "unknown"),
                     lookRequest("a").replace("Req-Deadline-Ms: 20000", "Req-Deadline-Ms: soon"),
                     lookRequest("a").replace("Req-Deadline-Ms: 20000", "Req-Deadline-Ms: -5"),
                     lookRequest("a").replace("Req-Deadline-Ms: 20000", "Req-Deadline-Ms: 99999999999999999999"),
--- a/sidecar/src/test/java/topazvalve/sidecar/SettingsReloadTest.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/SettingsReloadTest.java
@@ -51,7 +51,7 @@
                     received.countDown();
                     yield resetAfterRelease.respond(socket, head);
                 }
-                case "bad", "unsafe" -> StubServer.reply(socket, "500 No", "", "");
+                case "failing", "unsafe" -> StubServer.reply(socket, "500 No", "", "");
                 default -> StubServer.reply(socket, "200 OK", "", "x");
             };
         };
@@ -89,7 +89,7 @@
         }
         String nonIdempotent = SidecarFixture.postRequest("look", "", "").replace("9b1f", "unsafe");
         assertEquals(502, sidecar.send(nonIdempotent).status());
-        assertEquals(503, sidecar.send(freshRequest("bad")).status());
+        assertEquals(503, sidecar.send(freshRequest("failing")).status());
         assertTrue(metrics(sidecar).contains("app.tries.fresh=31\n"), "one attempt is the limit");
     }
 
