--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/HttpFrontend.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/HttpFrontend.java
@@ -53,7 +53,7 @@
      * Creates a frontend that serves its connections on {@code loop}.
      *
      * @param exchangeHandler receives the requests
-     * @param classes the request classes in force
+     * @param classes the current request classes
      * @param tenantNames the known tenants in the order of their numbers; empty if requests name no tenant
      * @param maxConnections maximum number of open connections, exceeded only if more hold requests
      * @param lifecycle tells whether the sidecar accepts clients or drains
--- a/sidecar/src/main/java/topazvalve/sidecar/frontend/RequestReader.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/frontend/RequestReader.java
@@ -45,7 +45,7 @@
     /**
      * Creates a reader.
      *
-     * @param classes the request classes in force
+     * @param classes the current request classes
      * @param tenantNames the known tenants in the order of their numbers; empty if requests name no tenant
      */
     RequestReader(RequestClassRegistry classes, List<String> tenantNames) {
