--- a/capacity/src/main/java/topazvalve/capacity/measure/ConnectionMeasurement.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/ConnectionMeasurement.java
@@ -40,7 +40,7 @@
         double callsPerSecond = callsPerSecondAndPair * scenario.fleet().servers();
         VirtualSimulation simulation =
                 new VirtualSimulation(withLoad(scenario, callsPerSecond), ExperimentArm.of(Policy.MODULE), SEED);
-        RunStatistics.Sums sums = simulation.play().statistics().sums();
+        RunStatistics.Sums sums = simulation.run().statistics().sums();
         return (double) sums.connections() / Math.max(1, sums.attempts());
     }
 
@@ -48,19 +48,19 @@
         Load load = scenario.load();
         return new Scenario(
                 scenario.name(),
-                scenario.about(),
+                scenario.description(),
                 scenario.length(),
-                scenario.settle(),
+                scenario.settlingTime(),
                 scenario.fleet(),
                 new Load(
                         callsPerSecond,
                         0,
                         load.shape(),
-                        load.swing(),
+                        load.amplitude(),
                         load.period(),
                         load.instanceSpread(),
                         load.keys(),
-                        load.zipf()),
+                        load.zipfExponent()),
                 scenario.network(),
                 scenario.discovery(),
                 scenario.limits(),
--- a/cli/src/main/java/topazvalve/cli/SimulateVerb.java
+++ b/cli/src/main/java/topazvalve/cli/SimulateVerb.java
@@ -43,7 +43,7 @@
     }
 
     private RunResult playVirtually(Scenario scenario) {
-        RunResult run = new VirtualSimulation(scenario, ExperimentArm.of(policy.value()), seed.value()).play();
+        RunResult run = new VirtualSimulation(scenario, ExperimentArm.of(policy.value()), seed.value()).run();
         Summary.print(out(), scenario, run);
         return run;
     }
--- a/simulation/src/main/java/topazvalve/simulation/SimulationException.java
+++ b/simulation/src/main/java/topazvalve/simulation/SimulationException.java
@@ -8,8 +8,8 @@
 public abstract sealed class SimulationException extends RuntimeException
         permits DeployFileException,
                 SidecarStartException,
-                SidecarEndedException,
-                StreamsHangException,
+                SidecarExitedException,
+                StreamTimeoutException,
                 SimulationFailedException {
     private static final long serialVersionUID = 1;
 
--- a/simulation/src/main/java/topazvalve/simulation/experiment/Runner.java
+++ b/simulation/src/main/java/topazvalve/simulation/experiment/Runner.java
@@ -131,7 +131,7 @@
     }
 
     private static Result play(ExperimentPlan.PlannedRun planned) {
-        RunResult run = new VirtualSimulation(planned.scenario(), planned.arm(), planned.seed()).play();
+        RunResult run = new VirtualSimulation(planned.scenario(), planned.arm(), planned.seed()).run();
         return Result.of(planned.scenario(), run);
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/model/FaultPlayer.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/FaultInjector.java
@@ -9,7 +9,7 @@
 import topazvalve.toml.Table;
 
 /** Plays the faults of a scenario at their times. Each fault draws the servers it affects from a stream of its own. */
-public final class FaultPlayer {
+public final class FaultInjector {
     /** What the recorded event of a fault's begin starts with. */
     public static final String BEGIN_PREFIX = "begins: ";
     /** What the recorded event of a fault's end starts with. */
@@ -31,13 +31,13 @@
 
     private final FaultTarget target;
 
-    private FaultPlayer(FaultTarget target) {
+    private FaultInjector(FaultTarget target) {
         this.target = target;
     }
 
     /** Schedules all faults of a scenario, written and drawn, and returns them for the report. */
     public static List<Fault> scheduleAll(FaultTarget target, Scenario scenario, long seed) {
-        FaultPlayer player = new FaultPlayer(target);
+        FaultInjector player = new FaultInjector(target);
         List<Fault> all = plan(scenario, seed);
         long start = target.clock().now();
         for (int i = 0; i < all.size(); i++) {
--- a/simulation/src/main/java/topazvalve/simulation/model/Fleet.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/Fleet.java
@@ -25,7 +25,7 @@
         int podsOfZone = Math.max(1, (perZone + spec.podSize() - 1) / spec.podSize());
         for (int i = 0; i < podsOfZone * zones; i++) {
             RandomStream random = RandomStream.named(seed, "pod." + i);
-            boolean limited = random.nextBoolean(spec.limitedPods());
+            boolean limited = random.nextBoolean(spec.limitedPodFraction());
             pods.add(new Pod(clock, i, i % zones, limited ? spec.podLimit().at(random.nextDouble()) : 1));
         }
         WeightedChoice kinds = new WeightedChoice(scenario.machines().stream().mapToDouble(MachineKind::share));
--- a/simulation/src/main/java/topazvalve/simulation/model/RequestGenerator.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/RequestGenerator.java
@@ -2,8 +2,8 @@
 
 import org.apache.commons.rng.sampling.distribution.DiscreteSampler;
 import org.apache.commons.rng.sampling.distribution.RejectionInversionZipfSampler;
+import topazvalve.simulation.scenario.RequestClassSpec;
 import topazvalve.simulation.scenario.Scenario;
-import topazvalve.simulation.scenario.WorkClass;
 
 /**
  * The requests of one instance's clients. The load is an open loop: arrivals don't depend on earlier responses. All is
@@ -15,8 +15,8 @@
      *
      * @param requestClass index of its class in the scenario
      * @param work in nanoseconds of a standard core
-     * @param patienceNanos how long the client waits for the response
-     * @param leavesEarly whether the client disconnects when its patience ends
+     * @param clientTimeoutNanos how long the client waits for the response
+     * @param disconnectsEarly whether the client disconnects when its patience ends
      * @param retries whether the client retries once after a failure that allows it
      * @param honoursRetryAfter whether the client heeds Retry-After
      */
@@ -24,8 +24,8 @@
             int requestClass,
             long key,
             double work,
-            long patienceNanos,
-            boolean leavesEarly,
+            long clientTimeoutNanos,
+            boolean disconnectsEarly,
             boolean retries,
             boolean honoursRetryAfter) {}
 
@@ -51,11 +51,11 @@
         this.trafficPattern = trafficPattern;
         this.ratePerNano =
                 scenario.instanceRate() * random.nextLognormal(scenario.load().instanceSpread()) / NANOS_PER_SECOND;
-        this.classes = new WeightedChoice(scenario.classes().stream().mapToDouble(WorkClass::share));
+        this.classes = new WeightedChoice(scenario.classes().stream().mapToDouble(RequestClassSpec::share));
         this.keys = RejectionInversionZipfSampler.of(
                 random.generator(),
                 scenario.load().keys(),
-                Math.max(MIN_ZIPF_EXPONENT, scenario.load().zipf()));
+                Math.max(MIN_ZIPF_EXPONENT, scenario.load().zipfExponent()));
     }
 
     /**
@@ -75,10 +75,10 @@
     /** Draws the request that arrives. */
     public GeneratedRequest next() {
         int classNumber = classes.draw(random);
-        WorkClass requestClass = scenario.classes().get(classNumber);
+        RequestClassSpec requestClass = scenario.classes().get(classNumber);
         Scenario.Clients clients = scenario.clients();
-        boolean leavesEarly = random.nextBoolean(clients.impatient());
-        long patience = leavesEarly
+        boolean disconnectsEarly = random.nextBoolean(clients.earlyDisconnectFraction());
+        long patience = disconnectsEarly
                 ? (long) (requestClass.deadline() * (MIN_PATIENCE + PATIENCE_RANGE * random.nextDouble()))
                 : requestClass.deadline();
         return new GeneratedRequest(
@@ -86,8 +86,8 @@
                 keys.sample(),
                 requestClass.work() * random.nextLognormal(requestClass.workVariation()),
                 patience,
-                leavesEarly,
-                random.nextBoolean(clients.retries()),
-                random.nextBoolean(clients.honourRetryAfter()));
+                disconnectsEarly,
+                random.nextBoolean(clients.retryFraction()),
+                random.nextBoolean(clients.honourRetryAfterFraction()));
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/model/TrafficPattern.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/TrafficPattern.java
@@ -32,20 +32,20 @@
         return loadFactor
                 * switch (load.shape()) {
                     case POISSON -> 1;
-                    case WAVE -> 1 + load.swing() * Math.sin(2 * Math.PI * time / load.period());
+                    case WAVE -> 1 + load.amplitude() * Math.sin(2 * Math.PI * time / load.period());
                     case BURSTY -> {
                         while (time >= phaseEndsAt) {
                             burst = !burst;
                             phaseEndsAt +=
                                     Math.max(MIN_PHASE_NANOS, (long) random.nextExponential(load.period() / 2.0));
                         }
-                        yield burst ? 1 + load.swing() : 1 - load.swing();
+                        yield burst ? 1 + load.amplitude() : 1 - load.amplitude();
                     }
                 };
     }
 
     /** Returns an upper bound of the factor under the present load factor. */
     public double maxFactor() {
-        return loadFactor * (1 + load.swing());
+        return loadFactor * (1 + load.amplitude());
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/oracle/Oracle.java
+++ b/simulation/src/main/java/topazvalve/simulation/oracle/Oracle.java
@@ -5,10 +5,10 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import topazvalve.simulation.scenario.RequestClassSpec;
+import topazvalve.simulation.scenario.RequestClassSpec.Repeatability;
+import topazvalve.simulation.scenario.RequestClassSpec.Scope;
 import topazvalve.simulation.scenario.Scenario.Limits;
-import topazvalve.simulation.scenario.WorkClass;
-import topazvalve.simulation.scenario.WorkClass.Repeatability;
-import topazvalve.simulation.scenario.WorkClass.Scope;
 
 /**
  * Judges a run by what servers received and clients were answered; it relies on nothing that the sidecar reports. All
@@ -128,7 +128,7 @@
     }
 
     private void checkRepeat(Trace trace, int zone, int pod, long at) {
-        WorkClass requestClass = trace.requestClass;
+        RequestClassSpec requestClass = trace.requestClass;
         if (requestClass.repeatability() == Repeatability.NEVER) {
             reportViolation(Rule.NEVER_TWICE, at, trace.describe());
         } else if (requestClass.repeatability() == Repeatability.KEYED) {
--- a/simulation/src/main/java/topazvalve/simulation/oracle/Trace.java
+++ b/simulation/src/main/java/topazvalve/simulation/oracle/Trace.java
@@ -1,6 +1,6 @@
 package topazvalve.simulation.oracle;
 
-import topazvalve.simulation.scenario.WorkClass;
+import topazvalve.simulation.scenario.RequestClassSpec;
 
 /**
  * What servers and the client observed of one request. Times are nanoseconds of the oracle's clock. Only the
@@ -11,7 +11,7 @@
 
     final long id;
     final int instance;
-    final WorkClass requestClass;
+    final RequestClassSpec requestClass;
     final long sentAt;
     final long deadline;
     int attempts;
@@ -38,7 +38,7 @@
      * @param sentAt when its last byte was written
      * @param deadline when the client stops waiting
      */
-    public Trace(long id, int instance, WorkClass requestClass, long sentAt, long deadline) {
+    public Trace(long id, int instance, RequestClassSpec requestClass, long sentAt, long deadline) {
         this.id = id;
         this.instance = instance;
         this.requestClass = requestClass;
--- a/simulation/src/main/java/topazvalve/simulation/real/ActiveFaults.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/ActiveFaults.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import topazvalve.simulation.model.FaultPlayer;
+import topazvalve.simulation.model.FaultInjector;
 
 /** The faults that have begun and not ended, as the recorded events tell. */
 final class ActiveFaults {
@@ -10,10 +10,10 @@
 
     /** An event was recorded; without effect unless it is the begin or end of a fault. */
     void eventRecorded(String what) {
-        if (what.startsWith(FaultPlayer.BEGIN_PREFIX)) {
-            active.add(what.substring(FaultPlayer.BEGIN_PREFIX.length()));
-        } else if (what.startsWith(FaultPlayer.END_PREFIX)) {
-            active.remove(what.substring(FaultPlayer.END_PREFIX.length()));
+        if (what.startsWith(FaultInjector.BEGIN_PREFIX)) {
+            active.add(what.substring(FaultInjector.BEGIN_PREFIX.length()));
+        } else if (what.startsWith(FaultInjector.END_PREFIX)) {
+            active.remove(what.substring(FaultInjector.END_PREFIX.length()));
         }
     }
 
--- a/simulation/src/main/java/topazvalve/simulation/real/ClientRequest.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/ClientRequest.java
@@ -16,8 +16,8 @@
 import topazvalve.simulation.oracle.Oracle.Answer;
 import topazvalve.simulation.oracle.Trace;
 import topazvalve.simulation.real.SentRequests.SentRequest;
-import topazvalve.simulation.scenario.WorkClass;
-import topazvalve.simulation.scenario.WorkClass.Repeatability;
+import topazvalve.simulation.scenario.RequestClassSpec;
+import topazvalve.simulation.scenario.RequestClassSpec.Repeatability;
 import topazvalve.simulation.statistics.ClientTry;
 
 /** One try of a client over HTTP, from its sending to what the client does about its end. */
@@ -34,7 +34,7 @@
     private final GeneratedRequest generated;
     private final long firstSentAt;
     private final boolean isRetry;
-    private final WorkClass requestClass;
+    private final RequestClassSpec requestClass;
     private final String id;
     private final Trace trace;
     private final long deadline;
@@ -66,7 +66,7 @@
         this.id = SentRequests.id(instance, number);
         long now = run.clock().now();
         // The time of the first try runs from when it was meant to be sent.
-        this.deadline = (isRetry ? now : firstSentAt) + generated.patienceNanos();
+        this.deadline = (isRetry ? now : firstSentAt) + generated.clientTimeoutNanos();
         this.timeLeftNanos = deadline - now;
         this.trace = new Trace(number, instance, requestClass, run.sinceStart(now), run.sinceStart(deadline));
     }
@@ -135,7 +135,7 @@
             return;
         }
         finished = true;
-        if (generated.leavesEarly()) {
+        if (generated.disconnectsEarly()) {
             run.oracle().clientDisconnected(trace, run.elapsed());
         }
         if (channel != null) {
--- a/simulation/src/main/java/topazvalve/simulation/real/RealClients.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/RealClients.java
@@ -70,7 +70,7 @@
 
     /** Draws whether a request comes on a new connection. */
     boolean drawsNewConnection() {
-        return random.nextBoolean(run.scenario().clients().reconnect());
+        return random.nextBoolean(run.scenario().clients().newConnectionFraction());
     }
 
     /** Opens a connection to an instance. */
@@ -79,7 +79,7 @@
     }
 
     private ClientHandler newHandler(int instance) {
-        boolean slowReader = random.nextBoolean(run.scenario().clients().slowReaders());
+        boolean slowReader = random.nextBoolean(run.scenario().clients().slowReaderFraction());
         return new ClientHandler(run, idleConnections.get(instance), slowReader);
     }
 
--- a/simulation/src/main/java/topazvalve/simulation/real/RealTimeSimulation.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/RealTimeSimulation.java
@@ -11,10 +11,10 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
-import topazvalve.simulation.SidecarEndedException;
+import topazvalve.simulation.SidecarExitedException;
 import topazvalve.simulation.SidecarStartException;
 import topazvalve.simulation.SimulationFailedException;
-import topazvalve.simulation.model.FaultPlayer;
+import topazvalve.simulation.model.FaultInjector;
 import topazvalve.simulation.model.OrderServer;
 import topazvalve.simulation.scenario.Fault;
 import topazvalve.simulation.scenario.Scenario;
@@ -59,7 +59,7 @@
      * @param eachSecond is called every second with the statistics of the second before and the active faults
      * @return the results
      * @throws SidecarStartException if a sidecar doesn't start
-     * @throws SidecarEndedException if a sidecar ends by itself
+     * @throws SidecarExitedException if a sidecar ends by itself
      * @throws SimulationFailedException if the simulation itself fails
      */
     public RunResult play(BiConsumer<RunStatistics.Second, String> eachSecond)
@@ -117,7 +117,7 @@
 
     private List<Fault> startClientsAndFaults() {
         run.start();
-        List<Fault> faults = FaultPlayer.scheduleAll(run, scenario, seed);
+        List<Fault> faults = FaultInjector.scheduleAll(run, scenario, seed);
         new RealClients(run, seed).start();
         return faults;
     }
--- a/simulation/src/main/java/topazvalve/simulation/real/SidecarFleet.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/SidecarFleet.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import topazvalve.simulation.SidecarEndedException;
+import topazvalve.simulation.SidecarExitedException;
 import topazvalve.simulation.SidecarStartException;
 import topazvalve.simulation.scenario.Scenario;
 
@@ -125,12 +125,12 @@
     /**
      * Checks that all sidecars are still running.
      *
-     * @throws SidecarEndedException if one has ended by itself
+     * @throws SidecarExitedException if one has ended by itself
      */
     void checkAlive() {
         for (int i = 0; i < sidecars.size(); i++) {
             if (!sidecars.get(i).isAlive()) {
-                throw new SidecarEndedException(i, folder.resolve("n" + i + ".log"));
+                throw new SidecarExitedException(i, folder.resolve("n" + i + ".log"));
             }
         }
     }
--- a/simulation/src/main/java/topazvalve/simulation/real/SidecarProcess.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/SidecarProcess.java
@@ -13,8 +13,8 @@
 import topazvalve.simulation.process.SidecarConfiguration;
 import topazvalve.simulation.process.SidecarConfiguration.Discovery;
 import topazvalve.simulation.scenario.MachineKind;
+import topazvalve.simulation.scenario.RequestClassSpec;
 import topazvalve.simulation.scenario.Scenario;
-import topazvalve.simulation.scenario.WorkClass;
 
 /** One sidecar process, started by the {@code run} line of the deploy file. */
 final class SidecarProcess {
@@ -111,13 +111,13 @@
         rules.put("answerSlack", limits.responseSlack())
                 .put("stopSendingWithin", limits.drainGrace())
                 .put("askWithin", limits.resubscribeWithin())
-                .put("coldShare", limits.coldShare())
-                .put("rampTime", limits.rampTime())
+                .put("coldShare", limits.coldCapacityFraction())
+                .put("rampTime", limits.slowStartTime())
                 .put("overloadFactor", limits.overloadFactor())
                 .put("tipAfter", limits.coldLoadWindow());
     }
 
-    private static ObjectNode profile(WorkClass requestClass) {
+    private static ObjectNode profile(RequestClassSpec requestClass) {
         ObjectNode profile = JSON.createObjectNode()
                 .put("name", requestClass.name())
                 .put("slo", requestClass.latencyObjective())
@@ -130,7 +130,7 @@
                             case KEYED -> "by_key";
                             case NEVER -> "once";
                         });
-        if (requestClass.repeatability() == WorkClass.Repeatability.KEYED) {
+        if (requestClass.repeatability() == RequestClassSpec.Repeatability.KEYED) {
             profile.put("keyTtl", requestClass.repeatWindow())
                     .put(
                             "keyScope",
--- a/simulation/src/main/java/topazvalve/simulation/scenario/WorkClass.java
+++ b/simulation/src/main/java/topazvalve/simulation/scenario/RequestClassSpec.java
@@ -13,7 +13,7 @@
  * @param deadline how long a client waits at most
  * @param repeatWindow for a keyed class, how long the servers of its scope drop repeats; otherwise 0
  */
-public record WorkClass(
+public record RequestClassSpec(
         String name,
         double share,
         long work,
@@ -50,8 +50,8 @@
     }
 
     /** Reads a {@code [[class]]} table; its problems are collected by the table. */
-    static WorkClass read(Table table) {
-        WorkClass read = new WorkClass(
+    static RequestClassSpec read(Table table) {
+        RequestClassSpec read = new RequestClassSpec(
                 table.text("name", null),
                 table.number("share", 1.0, 0.001, 1000),
                 table.duration("work", null, "1us", "1m"),
--- a/simulation/src/main/java/topazvalve/simulation/scenario/Scenario.java
+++ b/simulation/src/main/java/topazvalve/simulation/scenario/Scenario.java
@@ -7,22 +7,22 @@
  * A scenario: the fleet, the load on it, and the faults. Times are in nanoseconds unless a name says otherwise.
  *
  * @param length the length of the run
- * @param settle the time from the start of the run that statistics leave out
+ * @param settlingTime the time from the start of the run that statistics leave out
  * @param discovery how discovery learns of the servers' states
  * @param limits the limits of the oracle's rules
  */
 public record Scenario(
         String name,
-        String about,
+        String description,
         long length,
-        long settle,
+        long settlingTime,
         Fleet fleet,
         Load load,
         Network network,
         DiscoverySettings discovery,
         Limits limits,
         List<MachineKind> machines,
-        List<WorkClass> classes,
+        List<RequestClassSpec> classes,
         Clients clients,
         List<Fault> faults,
         Chaos chaos) {
@@ -33,32 +33,32 @@
      * The servers and the sidecar instances.
      *
      * @param podSize the number of servers of a pod
-     * @param limitedPods the fraction (0 to 1) of the pods whose servers share a capacity limit
+     * @param limitedPodFraction the fraction (0 to 1) of the pods whose servers share a capacity limit
      * @param podLimit that limit, as a fraction of the servers' joint capacity
      */
     public record Fleet(
-            int servers, int instances, List<String> zones, int podSize, double limitedPods, Range podLimit) {}
+            int servers, int instances, List<String> zones, int podSize, double limitedPodFraction, Range podLimit) {}
 
     /**
      * The load of the clients. Either {@code rate} or {@code utilisation} is above 0.
      *
      * @param rate requests a second, without clients' retries, of a mean instance
      * @param utilisation the requests' work as a fraction of the capacity of all servers
-     * @param swing for bursts and waves, the amplitude as a fraction of the mean rate
+     * @param amplitude for bursts and waves, the amplitude as a fraction of the mean rate
      * @param period for bursts and waves, the mean length of one
      * @param instanceSpread coefficient of variation of the instances' rates
      * @param keys the number of idempotency keys
-     * @param zipf the exponent of the keys' popularity
+     * @param zipfExponent the exponent of the keys' popularity
      */
     public record Load(
             double rate,
             double utilisation,
             Shape shape,
-            double swing,
+            double amplitude,
             long period,
             double instanceSpread,
             int keys,
-            double zipf) {}
+            double zipfExponent) {}
 
     /** How the request rate varies. */
     public enum Shape {
@@ -105,8 +105,8 @@
      * @param attempts the largest number of attempts of a request
      * @param connectTimeout how long an attempt to connect may take
      * @param resubscribeWithin how soon an instance must subscribe again after it lost its subscription
-     * @param coldShare the lowest cold speed fraction (0 to 1) of the kinds of machines
-     * @param rampTime the longest warm-up time of the kinds of machines
+     * @param coldCapacityFraction the lowest cold speed fraction (0 to 1) of the kinds of machines
+     * @param slowStartTime the longest warm-up time of the kinds of machines
      */
     public record Limits(
             long drainGrace,
@@ -116,28 +116,28 @@
             int attempts,
             long connectTimeout,
             long resubscribeWithin,
-            double coldShare,
-            long rampTime) {}
+            double coldCapacityFraction,
+            long slowStartTime) {}
 
     /**
      * The behaviour of clients. All fractions are from 0 to 1.
      *
-     * @param retries the fraction of requests that are retried once after a failure that allows it
+     * @param retryFraction the fraction of requests that are retried once after a failure that allows it
      * @param backoff how long a client waits before a retry
-     * @param honourRetryAfter the fraction of clients that heed Retry-After
+     * @param honourRetryAfterFraction the fraction of clients that heed Retry-After
      * @param maxRetryAfter the longest Retry-After that clients heed
-     * @param impatient the fraction of requests whose client disconnects early
-     * @param slowReaders the fraction of clients that read responses slowly; on real sockets only
-     * @param reconnect the fraction of requests that come on a new connection; on real sockets only
+     * @param earlyDisconnectFraction the fraction of requests whose client disconnects early
+     * @param slowReaderFraction the fraction of clients that read responses slowly; on real sockets only
+     * @param newConnectionFraction the fraction of requests that come on a new connection; on real sockets only
      */
     public record Clients(
-            double retries,
+            double retryFraction,
             long backoff,
-            double honourRetryAfter,
+            double honourRetryAfterFraction,
             long maxRetryAfter,
-            double impatient,
-            double slowReaders,
-            double reconnect) {
+            double earlyDisconnectFraction,
+            double slowReaderFraction,
+            double newConnectionFraction) {
 
         /**
          * Returns how long a client waits before a retry, in nanoseconds.
@@ -163,7 +163,7 @@
     public double meanWork() {
         double work = 0;
         double shares = 0;
-        for (WorkClass each : classes) {
+        for (RequestClassSpec each : classes) {
             work += each.work() * each.share();
             shares += each.share();
         }
@@ -188,7 +188,7 @@
 
     /** Returns the longest deadline of all classes. */
     public long maxDeadline() {
-        return classes.stream().mapToLong(WorkClass::deadline).max().orElseThrow();
+        return classes.stream().mapToLong(RequestClassSpec::deadline).max().orElseThrow();
     }
 
     /** Returns the requests a second, without clients' retries, of a mean instance. */
--- a/simulation/src/main/java/topazvalve/simulation/scenario/ScenarioFile.java
+++ b/simulation/src/main/java/topazvalve/simulation/scenario/ScenarioFile.java
@@ -60,10 +60,10 @@
         DiscoverySettings discovery = discovery(table.table("discovery"));
         List<MachineKind> machines =
                 table.tables("machine", 1).stream().map(MachineKind::read).toList();
-        List<WorkClass> classes =
-                table.tables("class", 1).stream().map(WorkClass::read).toList();
+        List<RequestClassSpec> classes =
+                table.tables("class", 1).stream().map(RequestClassSpec::read).toList();
         checkUnique(table, "machine", machines.stream().map(MachineKind::name).toList());
-        checkUnique(table, "class", classes.stream().map(WorkClass::name).toList());
+        checkUnique(table, "class", classes.stream().map(RequestClassSpec::name).toList());
         Limits limits = limits(table.table("rules"), machines);
         Clients clients = clients(table.table("clients"));
         List<Fault> faults = table.tables("fault", 0).stream()
--- a/simulation/src/main/java/topazvalve/simulation/statistics/ClientTry.java
+++ b/simulation/src/main/java/topazvalve/simulation/statistics/ClientTry.java
@@ -2,7 +2,7 @@
 
 import topazvalve.simulation.model.RequestGenerator.GeneratedRequest;
 import topazvalve.simulation.oracle.Oracle.Answer;
-import topazvalve.simulation.scenario.WorkClass;
+import topazvalve.simulation.scenario.RequestClassSpec;
 
 /**
  * One try of a client at a request.
@@ -33,7 +33,7 @@
     }
 
     private boolean mayRetry(RecordedRun run, Answer answer) {
-        WorkClass requestClass = run.scenario().classes().get(generated.requestClass());
+        RequestClassSpec requestClass = run.scenario().classes().get(generated.requestClass());
         boolean harmless = answer == Answer.REJECTED || requestClass.retryIsHarmless();
         return generated.retries() && !isRetry && harmless;
     }
--- a/simulation/src/main/java/topazvalve/simulation/statistics/RunStatistics.java
+++ b/simulation/src/main/java/topazvalve/simulation/statistics/RunStatistics.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.Arrays;
 import org.HdrHistogram.Histogram;
+import topazvalve.simulation.scenario.RequestClassSpec;
 import topazvalve.simulation.scenario.Scenario;
-import topazvalve.simulation.scenario.WorkClass;
 
 /**
  * The statistics of a run, by class and by second. Latencies count from the time at which a request was meant to be
@@ -32,7 +32,7 @@
         this.scenario = scenario;
         int classes = scenario.classes().size();
         this.seconds = (int) (scenario.length() / NANOS_PER_SECOND) + 1;
-        int firstSecond = (int) ((scenario.settle() + NANOS_PER_SECOND - 1) / NANOS_PER_SECOND);
+        int firstSecond = (int) ((scenario.settlingTime() + NANOS_PER_SECOND - 1) / NANOS_PER_SECOND);
         this.service = new ServiceStatistics(scenario, firstSecond, seconds);
         this.latency = new LatencyStatistics(classes, seconds);
         this.rejected = new long[classes];
@@ -48,7 +48,7 @@
 
     /** Returns whether a time is after the part of the run that the statistics leave out. */
     private boolean afterSettling(long at) {
-        return at >= scenario.settle();
+        return at >= scenario.settlingTime();
     }
 
     /** A client has sent a first try; {@code at} is when it was meant to be sent. */
@@ -63,7 +63,7 @@
      * @param latencyNanos how long the client has waited since then
      */
     public void requestServed(int requestClass, long firstAt, long latencyNanos) {
-        WorkClass workClass = scenario.classes().get(requestClass);
+        RequestClassSpec workClass = scenario.classes().get(requestClass);
         int second = second(firstAt);
         if (latencyNanos <= workClass.latencyObjective()) {
             service.servedInTime(requestClass, second);
--- a/simulation/src/main/java/topazvalve/simulation/stream/StreamTrial.java
+++ b/simulation/src/main/java/topazvalve/simulation/stream/StreamTrial.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
-import topazvalve.simulation.StreamsHangException;
+import topazvalve.simulation.StreamTimeoutException;
 
 /**
  * Sends many streams of random sizes, pauses and half-closes through a proxy to stand-in servers, while servers drain
@@ -107,7 +107,7 @@
      * @param listener the address of the proxy
      * @param atOnce the largest number of streams that are open at once
      * @param everyMs the milliseconds between two faults
-     * @throws StreamsHangException if streams hang
+     * @throws StreamTimeoutException if streams hang
      */
     public Result play(InetSocketAddress listener, Fleet fleet, int streams, int atOnce, long everyMs)
             throws InterruptedException {
@@ -116,7 +116,7 @@
         faults.start();
         for (long i = 0; i < streams; i++) {
             if (!capacity.tryAcquire(HANG_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
-                throw new StreamsHangException(hanging());
+                throw new StreamTimeoutException(hanging());
             }
             StreamLog log = new StreamLog(i, StreamPlan.of(seed, i, MAX_STREAM_BYTES));
             logs.put(i, log);
@@ -126,7 +126,7 @@
         faults.interrupt();
         faults.join();
         if (!allFinished) {
-            throw new StreamsHangException(hanging());
+            throw new StreamTimeoutException(hanging());
         }
         // The servers' ends close a moment after the clients'.
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_SETTLE_SECONDS);
--- a/simulation/src/main/java/topazvalve/simulation/virtual/ColdLoadExperiment.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/ColdLoadExperiment.java
@@ -62,7 +62,7 @@
         ColdLoadExperiment experiment = new ColdLoadExperiment();
         VirtualSimulation simulation = new VirtualSimulation(scenario(fleet), ExperimentArm.of(policy), seed);
         simulation.monitorColdLoad(experiment);
-        simulation.play();
+        simulation.run();
         return new Result(
                 List.copyOf(experiment.peaks.values()),
                 experiment.informedPeaks.values().stream()
--- a/simulation/src/main/java/topazvalve/simulation/virtual/ExperimentArm.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/ExperimentArm.java
@@ -11,8 +11,8 @@
 import topazvalve.policy.Settings;
 import topazvalve.policy.WeightKind;
 import topazvalve.simulation.policy.Policy;
+import topazvalve.simulation.scenario.RequestClassSpec;
 import topazvalve.simulation.scenario.Scenario;
-import topazvalve.simulation.scenario.WorkClass;
 import topazvalve.toml.Table;
 
 /**
@@ -62,8 +62,8 @@
                         limits.responseSlack(),
                         limits.resubscribeWithin(),
                         limits.drainGrace(),
-                        limits.coldShare(),
-                        limits.rampTime(),
+                        limits.coldCapacityFraction(),
+                        limits.slowStartTime(),
                         limits.overloadFactor(),
                         limits.coldLoadWindow()),
                 List.of(),
@@ -72,7 +72,7 @@
                 1);
     }
 
-    private static RequestClass requestClass(WorkClass kind) {
+    private static RequestClass requestClass(RequestClassSpec kind) {
         Idempotency semantics = switch (kind.repeatability()) {
             case FREE -> Idempotency.IDEMPOTENT;
             case KEYED -> Idempotency.IDEMPOTENCY_KEY;
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualClients.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualClients.java
@@ -7,8 +7,8 @@
 import topazvalve.simulation.model.TrafficPattern;
 import topazvalve.simulation.oracle.Oracle.Answer;
 import topazvalve.simulation.oracle.Trace;
+import topazvalve.simulation.scenario.RequestClassSpec;
 import topazvalve.simulation.scenario.Scenario;
-import topazvalve.simulation.scenario.WorkClass;
 import topazvalve.simulation.statistics.ClientTry;
 
 /**
@@ -39,7 +39,7 @@
     VirtualClients(VirtualSimulation simulation, long seed, TrafficPattern trafficPattern) {
         this.simulation = simulation;
         this.scenario = simulation.scenario();
-        for (WorkClass requestClass : scenario.classes()) {
+        for (RequestClassSpec requestClass : scenario.classes()) {
             long expiresAfter = Math.max(1, requestClass.deadline() - RESPONSE_RESERVE_NANOS);
             expiryTimers.add(new FixedDelayQueue<>(simulation.clock(), expiresAfter, this::expire));
         }
@@ -86,7 +86,7 @@
         }
         VirtualRequest request = createRequest(clientRequest, isRetry);
         simulation.oracle().requestSent(request.trace);
-        if (clientRequest.generated().leavesEarly()) {
+        if (clientRequest.generated().disconnectsEarly()) {
             simulation.clock().scheduleAt(request.deadline, () -> disconnect(request));
         } else {
             request.expiryTimer = expiryTimers.get(request.requestClass).add(request);
@@ -97,7 +97,7 @@
     private VirtualRequest createRequest(ClientRequest clientRequest, boolean isRetry) {
         GeneratedRequest generated = clientRequest.generated();
         long id = ++lastId;
-        long deadline = now() + generated.patienceNanos();
+        long deadline = now() + generated.clientTimeoutNanos();
         Trace trace = new Trace(
                 id,
                 clientRequest.instance(),
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualSimulation.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualSimulation.java
@@ -6,7 +6,7 @@
 import topazvalve.simulation.model.AttemptWork;
 import topazvalve.simulation.model.Clock;
 import topazvalve.simulation.model.ColdServerMonitor;
-import topazvalve.simulation.model.FaultPlayer;
+import topazvalve.simulation.model.FaultInjector;
 import topazvalve.simulation.model.OrderServer;
 import topazvalve.simulation.model.RandomStream;
 import topazvalve.simulation.model.Topology;
@@ -86,16 +86,16 @@
                 (crashed, informedFraction) -> recorder.serverCrashedWhileCold(crashed, informedFraction, elapsed()));
     }
 
-    /** Measures the load of cold servers, which no longer crash. To be called before {@link #play}. */
+    /** Measures the load of cold servers, which no longer crash. To be called before {@link #run}. */
     void monitorColdLoad(ColdServerMonitor monitor) {
         coldServerMonitor = monitor;
         servers().forEach(each -> each.monitorColdLoad(monitor));
     }
 
     /** Plays the run to its end and returns its results. To be called once. */
-    public RunResult play() {
+    public RunResult run() {
         long startedAt = System.nanoTime();
-        List<Fault> faults = FaultPlayer.scheduleAll(this, scenario, seed);
+        List<Fault> faults = FaultInjector.scheduleAll(this, scenario, seed);
         instances.forEach(this::start);
         clients.start();
         clock.runUntil(endsAt()
--- a/simulation/src/test/java/topazvalve/simulation/virtual/FaultySidecar.java
+++ b/simulation/src/test/java/topazvalve/simulation/virtual/FaultySidecar.java
@@ -7,7 +7,7 @@
 import topazvalve.simulation.model.EndpointDirectory.Entry;
 import topazvalve.simulation.oracle.Oracle.Answer;
 import topazvalve.simulation.oracle.Rule;
-import topazvalve.simulation.scenario.WorkClass.Repeatability;
+import topazvalve.simulation.scenario.RequestClassSpec.Repeatability;
 
 /** A sidecar that violates one rule for some requests, for tests of the oracle. */
 final class FaultySidecar extends VirtualInstance {
--- a/simulation/src/test/java/topazvalve/simulation/virtual/OracleTest.java
+++ b/simulation/src/test/java/topazvalve/simulation/virtual/OracleTest.java
@@ -29,7 +29,7 @@
                         ExperimentArm.of(Policy.RANDOM),
                         SEED,
                         (simulation, number) -> new FaultySidecar(simulation, number, rule))
-                .play();
+                .run();
         assertTrue(run.violationCounts().containsKey(rule), rule + " not found, but " + run.violationCounts());
         assertTrue(
                 run.violations().stream()
@@ -43,7 +43,7 @@
         for (long seed = 1; seed <= 5; seed++) {
             RunResult run = new VirtualSimulation(
                             SmallScenario.with(SmallScenario.FAULTS), ExperimentArm.of(Policy.MODULE), seed)
-                    .play();
+                    .run();
             assertEquals(Map.of(), run.violationCounts(), run.violations().toString());
         }
     }
--- a/simulation/src/test/java/topazvalve/simulation/virtual/VirtualSimulationTest.java
+++ b/simulation/src/test/java/topazvalve/simulation/virtual/VirtualSimulationTest.java
@@ -21,7 +21,7 @@
 
 class VirtualSimulationTest {
     private static RunResult play(Scenario scenario, long seed) {
-        return new VirtualSimulation(scenario, ExperimentArm.of(Policy.MODULE), seed).play();
+        return new VirtualSimulation(scenario, ExperimentArm.of(Policy.MODULE), seed).run();
     }
 
     @Test
@@ -129,7 +129,7 @@
                 deadline = "1m"
                 repeats = "free"
                 """);
-        RunResult run = new VirtualSimulation(scenario, ExperimentArm.of(Policy.RANDOM), 5).play();
+        RunResult run = new VirtualSimulation(scenario, ExperimentArm.of(Policy.RANDOM), 5).run();
         double mean = run.statistics().latency(0).getMean() / 1e6;
         assertEquals(10 / (1 - 0.6), mean, 1.5, "mean response in ms");
     }
