--- a/capacity/src/main/java/topazvalve/capacity/demand/DemandModel.java
+++ b/capacity/src/main/java/topazvalve/capacity/demand/DemandModel.java
@@ -12,8 +12,8 @@
     /**
      * Calculates the demand table of a plan.
      *
-     * @param slopes the measured slopes; those of relays may be missing
-     * @throws NotMeasuredException if another slope is missing
+     * @param slopes the measured slopes; those of the relay are optional
+     * @throws NotMeasuredException if any other slope is missing
      */
     public static DemandTable of(CapacityPlan plan, Slopes slopes) {
         List<ResourceDemand> rows = new ArrayList<>();
--- a/capacity/src/main/java/topazvalve/capacity/demand/DemandTable.java
+++ b/capacity/src/main/java/topazvalve/capacity/demand/DemandTable.java
@@ -12,7 +12,7 @@
  */
 public record DemandTable(List<ResourceDemand> rows) {
     private static final String HEADER = "| role | when | what | need | allowed | ratio | how | from |";
-    private static final String HEADER_RULE = "| --- | --- | --- | --- | --- | --- | --- | --- |";
+    private static final String HEADER_SEPARATOR = "| --- | --- | --- | --- | --- | --- | --- | --- |";
     private static final String BOLD = "**";
     /** Below this, three decimals would print as zero. */
     private static final double MIN_FIXED_POINT = 0.0005;
@@ -30,7 +30,7 @@
                 .toList();
     }
 
-    /** Returns the table of one tier alone. */
+    /** Returns the table with the rows of one tier only. */
     public DemandTable ofTier(ResourceDemand.Tier tier) {
         return new DemandTable(rows.stream().filter(row -> row.tier() == tier).toList());
     }
@@ -47,7 +47,7 @@
 
     /** Returns the rows of a tier as a Markdown table, one line each after the header. */
     public List<String> lines(ResourceDemand.Tier tier) {
-        List<String> lines = new ArrayList<>(List.of(HEADER, HEADER_RULE));
+        List<String> lines = new ArrayList<>(List.of(HEADER, HEADER_SEPARATOR));
         for (ResourceDemand row : rows) {
             if (row.tier() == tier) {
                 lines.add(line(row));
@@ -71,7 +71,7 @@
         return "| " + cells + " |";
     }
 
-    /** Formats three significant digits, or a whole number with separators from a thousand on. */
+    /** Formats a value with three significant digits, or from 1,000 on as a whole number with thousands separators. */
     static String format(double value) {
         return String.format(Locale.ROOT, pattern(Math.abs(value)), value);
     }
--- a/capacity/src/main/java/topazvalve/capacity/demand/Estimate.java
+++ b/capacity/src/main/java/topazvalve/capacity/demand/Estimate.java
@@ -5,17 +5,17 @@
 import java.util.Set;
 
 /**
- * An estimated value and what it is based on.
+ * An estimated value and the measurements that it is based on.
  *
  * @param value the value, in a unit that the caller knows
  * @param origin how well measurements support it
- * @param basis the slopes that it was read off, joined by {@code +}; "plan" if it follows from the plan alone
+ * @param basis the slopes that it is derived from, joined by {@code +}; "plan" if it follows from the plan alone
  */
 public record Estimate(double value, Origin origin, String basis) {
     private static final String PLAN = "plan";
     private static final String SEPARATOR = "+";
 
-    /** Zero, which adds nothing to another estimate. */
+    /** The neutral element of {@link #plus}. */
     static final Estimate ZERO = ofPlan(0);
 
     /** Returns a value that follows from the plan alone. */
@@ -23,12 +23,12 @@
         return new Estimate(value, Origin.CALCULATED, PLAN);
     }
 
-    /** Returns this estimate multiplied; the product counts as calculated unless the factor is 1. */
+    /** Returns this estimate multiplied by a factor; the product counts as calculated unless the factor is 1. */
     Estimate times(double factor) {
         return new Estimate(value * factor, factor == 1 ? origin : Origin.CALCULATED, basis);
     }
 
-    /** Returns the same estimate in a larger unit, which is {@code factor} of the present one. */
+    /** Returns the same estimate in a larger unit, equal to {@code factor} of the current units. */
     Estimate inUnitsOf(double factor) {
         return new Estimate(value / factor, origin, basis);
     }
@@ -43,7 +43,7 @@
         return new Estimate(Math.max(value, other.value), Origin.CALCULATED, joinedBasis(other));
     }
 
-    /** Names each slope once; a slope that contributes nothing is left out. */
+    /** Joins the slopes of both estimates without duplicates, leaving out an estimate whose value is zero. */
     private String joinedBasis(Estimate other) {
         Set<String> slopes = new LinkedHashSet<>();
         for (Estimate estimate : List.of(this, other)) {
@@ -54,7 +54,7 @@
         return slopes.isEmpty() ? PLAN : String.join(SEPARATOR, slopes);
     }
 
-    /** Returns the same value marked as calculated, for a slope that stands in for one that was not measured. */
+    /** Returns the same value marked as calculated, for a slope that is used in place of one that was not measured. */
     Estimate asCalculated() {
         return new Estimate(value, Origin.CALCULATED, basis);
     }
--- a/capacity/src/main/java/topazvalve/capacity/demand/FailureDemand.java
+++ b/capacity/src/main/java/topazvalve/capacity/demand/FailureDemand.java
@@ -3,8 +3,8 @@
 import topazvalve.capacity.plan.CapacityPlan;
 
 /**
- * The demand of every role in one failure. The load of a failure is spread over the time in which a change has to
- * be in force, and calls are spread evenly over the list servers.
+ * The demand of every role in one failure. The load of a failure is spread over the time in which a change has to be in
+ * force, and calls are spread evenly over the list servers.
  */
 final class FailureDemand {
     private final TierModel model;
@@ -97,8 +97,8 @@
     }
 
     /**
-     * Returns the seconds until the last sidecar has everything. Calls wait for their turn at the source; relays
-     * answer as measured.
+     * Returns the seconds until the last sidecar is up to date. Calls queue at the source; relays respond in the
+     * measured time.
      */
     private Estimate secondsUntilLast() {
         Estimate seconds = Estimate.ofPlan(sourceCalls() / model.sourceCallBudget());
@@ -122,7 +122,7 @@
                 .plus(inForce);
     }
 
-    /** List server and sidecars process the changes in parallel, each one change after another. */
+    /** The list server and the sidecars work in parallel; each of them processes one change after another. */
     private Estimate changesSeconds() {
         Estimate millisPerChange = model.ofListServer(Quantity.SOURCE_CHANGE_CPU, Quantity.RELAY_CHANGE_CPU, watches)
                 .max(model.atFullList(Quantity.CHANGE_CPU));
--- a/capacity/src/main/java/topazvalve/capacity/demand/FailureEvent.java
+++ b/capacity/src/main/java/topazvalve/capacity/demand/FailureEvent.java
@@ -6,8 +6,8 @@
 /**
  * A failure that the plan names, described by the load that it puts on discovery.
  *
- * @param name the failure as the demand table prints it
- * @param load what the sidecars request and receive
+ * @param name the name of the failure in the demand table
+ * @param load the load that the sidecars cause
  * @param relays the relays that serve this load
  * @param possibleWithoutRelays whether the failure can also happen where sidecars call the source directly
  */
@@ -15,11 +15,11 @@
     private static final double NANOS_PER_SECOND = 1e9;
 
     /**
-     * What the sidecars request and receive.
+     * The load that the sidecars cause.
      *
      * @param snapshotRequests sidecars that need the complete endpoint list
      * @param resumedWatches sidecars that resume their watch from the version that they have
-     * @param missedChanges changes that each of those has missed
+     * @param missedChanges changes that each of these sidecars has missed
      * @param changes changes that every sidecar receives
      */
     record Load(int snapshotRequests, int resumedWatches, double missedChanges, int changes) {
@@ -32,8 +32,8 @@
     /**
      * The relays that serve the load.
      *
-     * @param count how many there are
-     * @param watchesEach watches on each of them afterwards
+     * @param count the number of relays
+     * @param watchesEach watches on each of them after the failure
      * @param sourceCalls calls that relays make to the source because of the failure
      */
     record Relays(int count, int watchesEach, int sourceCalls) {}
@@ -97,14 +97,14 @@
     }
 
     private static FailureEvent relaysLost(CapacityPlan plan) {
-        int all = plan.budget().control().machines();
+        int machines = plan.budget().control().machines();
         int lost = plan.failure().controlMachinesLost();
-        int left = all - lost;
-        int watchesEach = CapacityPlan.ceilDiv(plan.fleet().servers(), left);
+        int remaining = machines - lost;
+        int watchesEach = CapacityPlan.ceilDiv(plan.fleet().servers(), remaining);
         return new FailureEvent(
-                lost + " of " + all + " control machines gone",
+                lost + " of " + machines + " control machines gone",
                 new Load(0, lost * plan.watchesPerMachine(), 1, 0),
-                new Relays(left, watchesEach, 0),
+                new Relays(remaining, watchesEach, 0),
                 false);
     }
 }
--- a/capacity/src/main/java/topazvalve/capacity/demand/ListServerDemand.java
+++ b/capacity/src/main/java/topazvalve/capacity/demand/ListServerDemand.java
@@ -11,16 +11,16 @@
     }
 
     /**
-     * What one list server has to do.
+     * The work of one list server.
      *
      * @param watches watches that it serves
-     * @param snapshotBytes bytes per second of complete lists and resumed watches
+     * @param snapshotBytes bytes per second for complete lists and resumed watches
      * @param snapshotCpu percent of a core for complete lists
-     * @param changesPerSecond changes that it passes to every watch
+     * @param changesPerSecond changes that it sends on every watch
      */
     record Work(int watches, Estimate snapshotBytes, Estimate snapshotCpu, double changesPerSecond) {}
 
-    /** Adds the rows of a situation. */
+    /** Adds the rows of a situation; the row for memory only if {@code withMemory}. */
     void addRows(String situation, Work work, boolean withMemory) {
         CapacityPlan.Control budget = model.plan().budget().control();
         model.addRow(
--- a/capacity/src/main/java/topazvalve/capacity/demand/NotMeasuredException.java
+++ b/capacity/src/main/java/topazvalve/capacity/demand/NotMeasuredException.java
@@ -1,6 +1,6 @@
 package topazvalve.capacity.demand;
 
-/** Thrown where a demand depends on a quantity that was not measured. */
+/** Thrown if a demand depends on a quantity that was not measured. */
 public final class NotMeasuredException extends IllegalStateException {
     private static final long serialVersionUID = 1;
 
--- a/capacity/src/main/java/topazvalve/capacity/demand/Origin.java
+++ b/capacity/src/main/java/topazvalve/capacity/demand/Origin.java
@@ -2,9 +2,9 @@
 
 /** How well measurements support an estimate, the best supported first. */
 public enum Origin {
-    /** Read off a fitted line within the measured sizes. */
+    /** Interpolated on a fitted line, within the measured sizes. */
     MEASURED("measured"),
-    /** Read off a fitted line beyond the measured sizes. */
+    /** Extrapolated on a fitted line, outside the measured sizes. */
     EXTRAPOLATED("extended"),
     /** Calculated from the plan or from several estimates; no single run confirms it. */
     CALCULATED("reckoned");
--- a/capacity/src/main/java/topazvalve/capacity/demand/Quantity.java
+++ b/capacity/src/main/java/topazvalve/capacity/demand/Quantity.java
@@ -1,8 +1,8 @@
 package topazvalve.capacity.demand;
 
 /**
- * A quantity that is measured at several sizes. The constants' names, in small letters, are printed in the demand
- * table.
+ * A quantity that is measured at several sizes. The names of the constants are printed in the demand table in lower
+ * case.
  */
 public enum Quantity {
     SIDECAR_HEAP("sidecar, live heap", "server listed", "MiB"),
@@ -53,17 +53,17 @@
         this.unit = unit;
     }
 
-    /** Returns the quantity in words. */
+    /** Returns the description of the quantity. */
     public String label() {
         return label;
     }
 
-    /** Returns what one unit of size is, such as one listed server. */
+    /** Returns the unit of the size, such as one listed server. */
     public String sizeUnit() {
         return sizeUnit;
     }
 
-    /** Returns the value's unit; empty for a number without one. */
+    /** Returns the value's unit; empty if it is dimensionless. */
     public String unit() {
         return unit;
     }
--- a/capacity/src/main/java/topazvalve/capacity/demand/ResourceDemand.java
+++ b/capacity/src/main/java/topazvalve/capacity/demand/ResourceDemand.java
@@ -1,12 +1,12 @@
 package topazvalve.capacity.demand;
 
 /**
- * One row of the demand table: a role's demand for a resource beside its budget.
+ * One row of the demand table: a role's demand for a resource and its budget.
  *
  * @param tier how endpoint lists reach the sidecars
  * @param role who needs the resource
  * @param situation an ordinary day or a failure
- * @param resource what is needed, such as memory
+ * @param resource the resource, such as memory
  * @param unit the unit of demand and budget
  * @param demand how much is needed
  * @param budget how much is allowed
--- a/capacity/src/main/java/topazvalve/capacity/demand/Slopes.java
+++ b/capacity/src/main/java/topazvalve/capacity/demand/Slopes.java
@@ -10,7 +10,7 @@
 public final class Slopes {
     private final Map<Quantity, Fit> fits = new EnumMap<>(Quantity.class);
 
-    /** Sets a quantity's line, in place of any earlier one. */
+    /** Sets a quantity's line, replacing any earlier one. */
     public void put(Quantity quantity, Fit fit) {
         fits.put(quantity, fit);
     }
@@ -31,7 +31,7 @@
     }
 
     /**
-     * Returns a quantity's value at a size, 0 at least.
+     * Returns a quantity's fitted value at a size; a negative value counts as 0.
      *
      * @throws NotMeasuredException if the quantity was not measured
      */
--- a/capacity/src/main/java/topazvalve/capacity/demand/TierModel.java
+++ b/capacity/src/main/java/topazvalve/capacity/demand/TierModel.java
@@ -6,8 +6,8 @@
 import topazvalve.capacity.plan.CapacityPlan;
 
 /**
- * The measured slopes as they apply to one tier, and the rows that have been calculated for it. A relay's quantity
- * that was not measured is estimated by the source's slope.
+ * The measured slopes as they apply to one tier, and the rows that have been calculated for it. A quantity of the relay
+ * that was not measured is estimated with the source's slope.
  */
 final class TierModel {
     static final double MILLIS_PER_SECOND = 1e3;
@@ -41,7 +41,7 @@
         rows.add(new ResourceDemand(tier, role, situation, resource, unit, demand, budget));
     }
 
-    /** Returns whether sidecars call the source without relays between. */
+    /** Returns whether sidecars call the source directly, without relays. */
     boolean isDirect() {
         return tier == Tier.BEFORE;
     }
@@ -61,7 +61,7 @@
         return isDirect() ? servers() : plan.watchesPerMachine();
     }
 
-    /** Returns the calls per second that the source answers at worst. */
+    /** Returns the lowest rate, in calls per second, at which the source answers. */
     double sourceCallBudget() {
         return plan.source().callsPerSecond().low();
     }
@@ -87,7 +87,7 @@
         return slopes.at(Quantity.SOURCE_REST_BYTES, 1);
     }
 
-    /** Returns the bytes of so many changes, each in a line of its own. */
+    /** Returns the bytes of a number of changes, each sent as a separate line. */
     Estimate changeBytes(double changes) {
         return slopes.at(Quantity.CHANGE_BYTES, 1).times(changes);
     }
@@ -103,7 +103,7 @@
     }
 
     private Estimate sourceToRelayMillis() {
-        // A relay's measured time begins at its source's publication, so it includes this step.
+        // The relay's time is measured from the source's publication, so it includes this step.
         if (isDirect() || slopes.has(Quantity.RELAY_CHANGE_TIME)) {
             return Estimate.ZERO;
         }
--- a/capacity/src/main/java/topazvalve/capacity/demand/package-info.java
+++ b/capacity/src/main/java/topazvalve/capacity/demand/package-info.java
@@ -1,2 +1,2 @@
-/** The demand of each role at the planned size, beside its budget. No clock and no I/O. */
+/** The demand of each role at the planned size, compared with its budget. Uses no clock and no I/O. */
 package topazvalve.capacity.demand;
--- a/capacity/src/main/java/topazvalve/capacity/fit/Fit.java
+++ b/capacity/src/main/java/topazvalve/capacity/fit/Fit.java
@@ -5,26 +5,27 @@
 import java.util.Optional;
 
 /**
- * The line fitted to values that were measured at several sizes. Where the line misses a point by much and two lines
- * that meet at one of the sizes leave far smaller residuals, the fit also has a breakpoint; sizes above it are
- * extrapolated by the upper line.
+ * The line fitted to values that were measured at several sizes. If the line has a large residual and two lines that
+ * meet at one of the sizes leave far smaller residuals, the fit also has a breakpoint; sizes above it are extrapolated
+ * with the upper line.
  *
  * @param points the measured points, sorted by size
  * @param line the line through all points
  * @param maxResidualPercent the largest residual of the line, in percent of the largest value
- * @param breakpoint where the slope changes, if it does
+ * @param breakpoint where the slope changes, if it changes
  */
 public record Fit(List<Point> points, Line line, double maxResidualPercent, Optional<Breakpoint> breakpoint) {
-    /** With fewer points a line has no residual. */
+    private static final double PERCENT = 100;
+    /** A line through fewer points has no residual. */
     private static final int MIN_POINTS = 3;
-    /** With fewer points two lines always fit, whatever the values. */
+    /** Two lines fit fewer points exactly, whatever the values. */
     private static final int MIN_POINTS_FOR_BREAKPOINT = 4;
-    /** A breakpoint is looked for only if the line's largest residual exceeds this. */
+    /** A breakpoint is searched for only if the largest residual of the single line exceeds this. */
     private static final double MIN_RESIDUAL_PERCENT_FOR_BREAKPOINT = 10;
-    /** Two lines have to leave less than this fraction of the one line's sum of squared residuals. */
-    private static final double MAX_REMAINING_SQUARES = 0.2;
-    /** The two slopes have to differ by at least this fraction of the steeper one. */
-    private static final double MIN_SLOPE_DIFFERENCE = 0.3;
+    /** The two lines must leave less than this fraction of the single line's residual sum of squares. */
+    private static final double MAX_RESIDUAL_SQUARES_FRACTION = 0.2;
+    /** The two slopes must differ by more than this fraction of the steeper one. */
+    private static final double MIN_SLOPE_DIFFERENCE_FRACTION = 0.3;
 
     /**
      * A change of slope.
@@ -42,7 +43,7 @@
      */
     public static Fit of(List<Point> measured) {
         if (measured.size() < MIN_POINTS) {
-            throw new IllegalArgumentException("a line with a residual needs three points: " + measured);
+            throw new IllegalArgumentException("a fit needs at least three points, got: " + measured);
         }
         List<Point> points =
                 measured.stream().sorted(Comparator.comparingDouble(Point::x)).toList();
@@ -61,12 +62,12 @@
                 .mapToDouble(point -> Math.abs(point.y() - line.valueAt(point.x())))
                 .max()
                 .orElseThrow();
-        return largestValue == 0 ? 0 : 100 * largestResidual / largestValue;
+        return largestValue == 0 ? 0 : PERCENT * largestResidual / largestValue;
     }
 
     private static Optional<Breakpoint> findBreakpoint(List<Point> points, Line wholeLine) {
         Breakpoint best = null;
-        double leastSquares = MAX_REMAINING_SQUARES * wholeLine.residualSumOfSquares();
+        double leastSquares = MAX_RESIDUAL_SQUARES_FRACTION * wholeLine.residualSumOfSquares();
         for (int i = 1; i < points.size() - 1; i++) {
             Line lower = Line.through(points.subList(0, i + 1));
             Line upper = Line.through(points.subList(i, points.size()));
@@ -81,10 +82,10 @@
 
     private static boolean slopesDiffer(Line lower, Line upper) {
         double steeper = Math.max(Math.abs(lower.slope()), Math.abs(upper.slope()));
-        return Math.abs(lower.slope() - upper.slope()) > MIN_SLOPE_DIFFERENCE * steeper;
+        return Math.abs(lower.slope() - upper.slope()) > MIN_SLOPE_DIFFERENCE_FRACTION * steeper;
     }
 
-    /** Returns the fitted value at a size, by the line on that size's side of the breakpoint if there is one. */
+    /** Returns the fitted value at a size, on the line for that side of the breakpoint if there is one. */
     public double valueAt(double size) {
         return lineFor(size).valueAt(size);
     }
@@ -97,7 +98,7 @@
         return size > found.size() ? found.upper() : found.lower();
     }
 
-    /** Returns whether a size lies within the measured ones. */
+    /** Returns whether a size lies within the range of the measured sizes. */
     public boolean covers(double size) {
         return size >= points.get(0).x() && size <= maxSize();
     }
--- a/capacity/src/main/java/topazvalve/capacity/fit/Line.java
+++ b/capacity/src/main/java/topazvalve/capacity/fit/Line.java
@@ -4,11 +4,11 @@
 import org.apache.commons.math3.stat.regression.SimpleRegression;
 
 /**
- * A line of least squares.
+ * A least-squares line.
  *
  * @param intercept the value at size 0
  * @param slope the increase of the value for each unit of size
- * @param rSquared the fraction of the variance that the line explains; 1 where the values do not vary
+ * @param rSquared the fraction of the variance that the line explains; 1 if the values do not vary
  * @param residualSumOfSquares the sum of the squared residuals
  */
 public record Line(double intercept, double slope, double rSquared, double residualSumOfSquares) {
@@ -23,7 +23,7 @@
         points.forEach(point -> regression.addData(point.x(), point.y()));
         double slope = regression.getSlope();
         if (Double.isNaN(slope)) {
-            throw new IllegalArgumentException("a line needs two sizes: " + points);
+            throw new IllegalArgumentException("a line needs at least two different sizes, got: " + points);
         }
         double rSquared = regression.getRSquare();
         return new Line(
--- a/capacity/src/main/java/topazvalve/capacity/measure/CallMeasurement.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/CallMeasurement.java
@@ -15,12 +15,12 @@
 import topazvalve.simulation.measure.OpenLoopGenerator;
 
 /**
- * Measures the delay and CPU that the sidecar, pinned to one core, adds to a call. An open loop sends calls to
- * servers that respond at once, directly and through the sidecar in turn.
+ * Measures the delay and CPU that the sidecar, pinned to one core, adds to a call. An open loop sends calls to servers
+ * that respond immediately, alternately direct and through the sidecar.
  */
 final class CallMeasurement {
     private static final int SERVERS = 4;
-    private static final int TURNS = 2;
+    private static final int ROUNDS = 2;
     private static final String CORE = "7";
     private static final int READY_TIMEOUT_MILLIS = 15_000;
     /** The wait for the responses that are outstanding when sending ends. */
@@ -39,7 +39,7 @@
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private int runs;
 
-    /** The latencies of the calls that went one way, and how many calls had no response. */
+    /** One path of the calls, direct or through the sidecar, with their latencies and the number without a response. */
     private static final class Route {
         private final int port;
         private final Histogram latencyNanos = new Histogram(MIN_LATENCY_NANOS, MAX_LATENCY_NANOS, SIGNIFICANT_DIGITS);
@@ -59,7 +59,7 @@
         this.recorder = context.recorder();
     }
 
-    /** Measures several rates, from the plan's calls per sidecar up, after a warm-up. */
+    /** After a warm-up, measures several rates from the plan's calls per sidecar upwards. */
     void run() throws IOException, InterruptedException {
         recorder.beginSection("packaged sidecar on core " + CORE + ", calls direct and through it in turn");
         List<Integer> serverPorts = new ArrayList<>();
@@ -98,14 +98,14 @@
         Route direct = new Route(directPort);
         Route proxied = new Route(sidecar.port());
         long cpuNanos = 0;
-        for (int i = 0; i < TURNS; i++) {
+        for (int i = 0; i < ROUNDS; i++) {
             sendCalls(direct, callsPerSecond, durationMillis);
             Map<String, Long> cpuBefore = ProcessMetrics.threadCpuNanos(sidecar.pid());
             sendCalls(proxied, callsPerSecond, durationMillis);
             cpuNanos += ProcessMetrics.cpuNanosSince(cpuBefore, sidecar.pid());
         }
         printLatencies(callsPerSecond, direct, proxied);
-        double elapsedNanos = TURNS * (durationMillis + DRAIN_MILLIS) * NANOS_PER_MILLI;
+        double elapsedNanos = ROUNDS * (durationMillis + DRAIN_MILLIS) * NANOS_PER_MILLI;
         recorder.record(Quantity.CALL_CPU, callsPerSecond, PERCENT * cpuNanos / elapsedNanos);
         recordAddedDelay(callsPerSecond, direct, proxied);
     }
@@ -128,11 +128,11 @@
 
     private void recordAddedDelay(double callsPerSecond, Route direct, Route proxied) {
         recordAddedDelay(Quantity.CALL_ADDED_P50, 50, callsPerSecond, direct, proxied);
-        double allowedP99Millis = context.plan().budget().addedP99Nanos() / NANOS_PER_MILLI;
-        if (direct.percentileMillis(99) > allowedP99Millis) {
-            recorder.print("  the direct way's p99 alone is over the plan's "
-                    + allowedP99Millis
-                    + " ms: this machine is too busy to tell what p99 and p99.9 the sidecar adds");
+        double addedP99BudgetMillis = context.plan().budget().addedP99Nanos() / NANOS_PER_MILLI;
+        if (direct.percentileMillis(99) > addedP99BudgetMillis) {
+            recorder.print("  the direct p99 alone exceeds the plan's "
+                    + addedP99BudgetMillis
+                    + " ms: this machine is too busy to measure the p99 and p99.9 that the sidecar adds");
             return;
         }
         recordAddedDelay(Quantity.CALL_ADDED_P99, 99, callsPerSecond, direct, proxied);
@@ -146,10 +146,10 @@
     }
 
     private void sendCalls(Route route, double callsPerSecond, long durationMillis) throws InterruptedException {
-        int run = runs++;
+        int runNumber = runs++;
         long durationNanos = (long) (durationMillis * NANOS_PER_MILLI);
-        OpenLoopGenerator openLoop =
-                new OpenLoopGenerator(clientGroup.next(), route.port, "c" + run, callsPerSecond, durationNanos, run);
+        OpenLoopGenerator openLoop = new OpenLoopGenerator(
+                clientGroup.next(), route.port, "c" + runNumber, callsPerSecond, durationNanos, runNumber);
         openLoop.start();
         Thread.sleep(durationMillis + DRAIN_MILLIS);
         route.latencyNanos.add(openLoop.latency());
--- a/capacity/src/main/java/topazvalve/capacity/measure/CapacityMeasurement.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/CapacityMeasurement.java
@@ -17,13 +17,13 @@
     private CapacityMeasurement() {}
 
     /**
-     * Measures and returns the demand table; a full run takes some six minutes.
+     * Measures and returns the demand table; a full run takes about six minutes.
      *
-     * @param repositoryRoot where the packaged programs are
-     * @param workFolder where the measured processes' files go
+     * @param repositoryRoot the directory that contains the packaged programs
+     * @param workFolder the directory for the files of the measured processes
      * @param quick whether to measure fewer sizes and for a shorter time
-     * @param output takes the lines of text that report progress
-     * @throws IOException if a measured process cannot be started or does not do what the measurement needs
+     * @param output receives the lines that report progress
+     * @throws IOException if a measured process cannot be started, fails or does not respond in time
      */
     public static DemandTable run(
             CapacityPlan plan, Path repositoryRoot, Path workFolder, boolean quick, Consumer<String> output)
@@ -57,7 +57,7 @@
         output.accept("| --- | --- | --- | --- | --- | --- | --- | --- |");
         slopes.all().forEach((quantity, fit) -> output.accept(line(quantity, fit)));
         if (!slopes.has(Quantity.CALL_ADDED_P99)) {
-            output.accept("not decided: the delay added to a call, which has no line in the table");
+            output.accept("not decided: the delay added to a call, which has no row in the table");
         }
     }
 
--- a/capacity/src/main/java/topazvalve/capacity/measure/ChildProcess.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/ChildProcess.java
@@ -5,7 +5,7 @@
 
 /** Helpers for starting the measured processes. */
 final class ChildProcess {
-    /** Options of the processes that serve endpoint lists, the same for all so that they compare. */
+    /** JVM options of the processes that serve endpoint lists, identical for all so that results are comparable. */
     static final List<String> LIST_SERVER_JVM_OPTIONS = List.of("-XX:+UseSerialGC", "-Xmx1g", "-XX:-UsePerfData");
 
     private ChildProcess() {}
--- a/capacity/src/main/java/topazvalve/capacity/measure/ConnectionMeasurement.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/ConnectionMeasurement.java
@@ -12,8 +12,9 @@
 import topazvalve.simulation.virtual.VirtualSimulation;
 
 /**
- * Measures in virtual time how many new connections a call needs, by the calls per second between one sidecar and
- * one server: connections that are idle for too long are closed. The same seed gives the same result.
+ * Measures in virtual time how many new connections a call needs, depending on the calls per second between one sidecar
+ * and one server. Rare calls need more, since connections are closed after an idle timeout. The same seed gives the
+ * same result.
  */
 final class ConnectionMeasurement {
     private static final long SEED = 5;
@@ -22,7 +23,7 @@
 
     private ConnectionMeasurement() {}
 
-    /** Measures all rates; a quick run leaves out the highest. */
+    /** Measures all rates; a quick run skips the highest one. */
     static void run(MeasurementContext context) throws IOException {
         Path file = context.repositoryRoot().resolve(SCENARIO);
         MeasurementRecorder recorder = context.recorder();
@@ -35,7 +36,7 @@
         }
     }
 
-    /** Returns the new connections for each attempt at a rate of calls between one sidecar and one server. */
+    /** Returns the new connections per attempt, at a rate of calls between one sidecar and one server. */
     static double connectionsPerCall(Scenario scenario, double callsPerSecondAndPair) {
         double callsPerSecond = callsPerSecondAndPair * scenario.fleet().servers();
         VirtualSimulation simulation =
--- a/capacity/src/main/java/topazvalve/capacity/measure/EndpointListJson.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/EndpointListJson.java
@@ -3,11 +3,12 @@
 import java.util.Locale;
 
 /**
- * Endpoint lists and changes in discovery's JSON, one line each. Nothing listens at the endpoints' addresses, and
- * nothing is sent there. Besides its fixed servers a list has extra servers, which changes add and remove.
+ * Endpoint lists and changes in the JSON format of discovery, one line each. Nothing listens at the endpoints'
+ * addresses, and nothing is sent there. A list has fixed servers and extra servers; changes add and remove the extra
+ * servers.
  */
 final class EndpointListJson {
-    /** About the length of one endpoint, for the capacity of buffers. */
+    /** Approximate length of one endpoint, used to size buffers. */
     private static final int ENDPOINT_LENGTH = 150;
 
     private static final int HOSTS_PER_SUBNET = 250;
@@ -19,7 +20,7 @@
 
     private EndpointListJson() {}
 
-    /** Returns a complete list, with the first extra server or without it. */
+    /** Returns a complete list, with or without the first extra server. */
     static String fullSnapshot(long revision, int servers, boolean withExtraServer) {
         StringBuilder json = begin(revision, true, servers);
         appendEndpoints(json, FIXED_PREFIX, servers, SERVING);
@@ -29,7 +30,7 @@
         return json.append("]}\n").toString();
     }
 
-    /** Returns a change that adds or removes some extra servers. */
+    /** Returns a change that adds or removes a number of extra servers. */
     static String delta(long revision, int extraServers, boolean added) {
         StringBuilder json = begin(revision, false, extraServers);
         appendEndpoints(json, EXTRA_PREFIX, extraServers, added ? SERVING : DELETED);
--- a/capacity/src/main/java/topazvalve/capacity/measure/ListMeasurement.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/ListMeasurement.java
@@ -19,7 +19,7 @@
         this.recorder = context.recorder();
     }
 
-    /** Measures lists up to the plan's length. A length at which the sidecar fails is reported and left out. */
+    /** Measures lists up to the plan's length. A length at which the sidecar fails is reported and skipped. */
     void run() throws IOException, InterruptedException {
         for (int servers : listLengths()) {
             try {
@@ -59,12 +59,12 @@
         }
     }
 
-    /** How long the starts with one length of the list took, and their CPU time. */
+    /** The durations and CPU times of the sidecar starts with one length of the list. */
     private final class StartTimes {
         private final List<Double> seconds = new ArrayList<>();
         private final List<Double> cpuSeconds = new ArrayList<>();
 
-        /** Adds the start of a sidecar that has its list in force now. */
+        /** Adds the start of a sidecar whose list has just come into force. */
         void add(MeasuredSidecar sidecar) {
             seconds.add(sidecar.ageNanos() / NANOS_PER_SECOND);
             cpuSeconds.add(ProcessMetrics.totalCpuNanos(sidecar.handle()) / NANOS_PER_SECOND);
--- a/capacity/src/main/java/topazvalve/capacity/measure/ListServerQuantities.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/ListServerQuantities.java
@@ -5,14 +5,14 @@
 /**
  * A kind of list server and the quantities that its measurement records.
  *
- * @param name the server in the output
+ * @param name the name of the server in the output
  * @param heap live heap, by watches
  * @param memory resident memory, by watches
  * @param idleCpu CPU without changes, by watches
  * @param idleBytes bytes per second on each watch without changes
- * @param changeTime time until the last watch has a change, by watches
+ * @param changeTime time until the last watch has received a change, by watches
  * @param changeCpu CPU of one change, by watches
- * @param snapshotTime time until the last of several simultaneous calls has the complete list, by calls
+ * @param snapshotTime time until the last of several simultaneous calls has received the complete list, by calls
  * @param snapshotCpu CPU of several simultaneous calls, by calls
  */
 record ListServerQuantities(
--- a/capacity/src/main/java/topazvalve/capacity/measure/MeasuredSidecar.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/MeasuredSidecar.java
@@ -11,7 +11,7 @@
 import topazvalve.simulation.process.RunLine;
 import topazvalve.simulation.process.SidecarConfiguration;
 
-/** The packaged sidecar in a process of its own, started by the deploy file's {@code run} line. */
+/** The packaged sidecar in a separate process, started with the deploy file's {@code run} line. */
 final class MeasuredSidecar implements AutoCloseable {
     private static final Duration STOP_GRACE = Duration.ofSeconds(8);
     private static final int READY_POLL_MILLIS = 5;
@@ -33,8 +33,8 @@
     /**
      * Starts a sidecar.
      *
-     * @param configuration its configuration without the ports that it listens on
-     * @param commandPrefix words before the command, such as those that pin it to a core
+     * @param configuration the configuration without the listening ports
+     * @param commandPrefix arguments placed before the command, for example to pin it to a core
      */
     static MeasuredSidecar start(
             MeasurementContext context, SidecarConfiguration configuration, List<String> commandPrefix)
@@ -68,10 +68,10 @@
     }
 
     /**
-     * Polls the admin endpoint until the list in force has a length.
+     * Polls the admin endpoint until the list in force has the expected length.
      *
-     * @return when it was seen, by the monotonic clock
-     * @throws MeasurementException if that takes too long or the sidecar ends
+     * @return the monotonic time at which that was observed
+     * @throws MeasurementException if that takes too long or the sidecar exits
      */
     long awaitListed(int servers, long timeoutMillis, long pollIntervalMillis)
             throws IOException, InterruptedException {
@@ -83,26 +83,26 @@
             }
             Thread.sleep(pollIntervalMillis);
         }
-        throw new MeasurementException(
-                "the sidecar has not taken a list of " + servers + " in " + timeoutMillis + " ms: " + describeState());
+        throw new MeasurementException("the sidecar has no list of " + servers + " servers in force after "
+                + timeoutMillis + " ms: " + describeState());
     }
 
     private String describeState() throws IOException {
         if (process.isAlive()) {
-            return admin.listedServers().orElse(NO_LIST) + " listed";
+            return admin.listedServers().orElse(NO_LIST) + " servers listed";
         }
-        return "it has ended, " + lastLogLine();
+        return "it has exited, " + lastLogLine();
     }
 
     private String lastLogLine() throws IOException {
         List<String> lines = Files.readAllLines(logFile);
-        return lines.isEmpty() ? "without a word" : lines.get(lines.size() - 1);
+        return lines.isEmpty() ? "with an empty log" : "last log line: " + lines.get(lines.size() - 1);
     }
 
     /**
      * Waits until the sidecar accepts clients.
      *
-     * @throws MeasurementException if that takes too long or the sidecar ends
+     * @throws MeasurementException if that takes too long or the sidecar exits
      */
     void awaitReady(long timeoutMillis) throws IOException, InterruptedException {
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
--- a/capacity/src/main/java/topazvalve/capacity/measure/MeasurementContext.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/MeasurementContext.java
@@ -4,13 +4,13 @@
 import topazvalve.capacity.plan.CapacityPlan;
 
 /**
- * What all measurements of a run share.
+ * The parameters and the recorder that all measurements of a run share.
  *
- * @param plan the plan whose sizes are approached
- * @param repositoryRoot where the packaged programs are
- * @param workFolder where the measured processes' files go
+ * @param plan the plan that determines the measured sizes
+ * @param repositoryRoot the directory that contains the packaged programs
+ * @param workFolder the directory for the files of the measured processes
  * @param quick whether to measure fewer sizes and for a shorter time
- * @param recorder takes the results
+ * @param recorder receives the results
  */
 record MeasurementContext(
         CapacityPlan plan, Path repositoryRoot, Path workFolder, boolean quick, MeasurementRecorder recorder) {
@@ -20,12 +20,12 @@
         return plan.fleet().servers();
     }
 
-    /** Returns the time between heartbeats, which are empty lines, on an idle watch, in milliseconds. */
+    /** Returns the interval of the heartbeats (empty lines) on an idle watch, in milliseconds. */
     long heartbeatIntervalMillis() {
         return plan.source().heartbeatIntervalNanos() / 1_000_000;
     }
 
-    /** Returns one of two values, for a quick run or a full one. */
+    /** Returns the value for the kind of this run. */
     int quickOrFull(int quickValue, int fullValue) {
         return quick ? quickValue : fullValue;
     }
--- a/capacity/src/main/java/topazvalve/capacity/measure/MeasurementException.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/MeasurementException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** Thrown where a measured process does not do in time what the measurement needs. */
+/** Thrown if a measured process fails or does not reach the required state in time. */
 final class MeasurementException extends IOException {
     private static final long serialVersionUID = 1;
 
--- a/capacity/src/main/java/topazvalve/capacity/measure/MeasurementRecorder.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/MeasurementRecorder.java
@@ -11,7 +11,7 @@
 import topazvalve.capacity.fit.Fit;
 import topazvalve.capacity.fit.Point;
 
-/** Collects measured values and prints each of them as it comes. */
+/** Collects measured values and prints each one as it is recorded. */
 final class MeasurementRecorder {
     private static final int MIN_POINTS_FOR_FIT = 3;
     private static final double NANOS_PER_SECOND = 1e9;
@@ -24,7 +24,7 @@
         this.output = output;
     }
 
-    /** Prints what is measured next, after the seconds since the start. */
+    /** Prints the seconds since the start and what is measured next. */
     void beginSection(String title) {
         double seconds = (System.nanoTime() - startedAtNanos) / NANOS_PER_SECOND;
         output.accept(String.format(Locale.ROOT, "%.0f s: %s", seconds, title));
@@ -47,7 +47,7 @@
                 quantity.unit()));
     }
 
-    /** Fits a line to each quantity that has three values or more. */
+    /** Fits a line to each quantity that has enough points. */
     Slopes fit() {
         Slopes slopes = new Slopes();
         points.forEach((quantity, measured) -> {
@@ -58,7 +58,7 @@
         return slopes;
     }
 
-    /** Returns the median; of an even number of values the upper one of the two in the middle. */
+    /** Returns the median; for an even number of values, the upper of the two middle values. */
     static double median(List<Double> values) {
         List<Double> sorted = values.stream().sorted().toList();
         return sorted.get(sorted.size() / 2);
--- a/capacity/src/main/java/topazvalve/capacity/measure/ProcessMetrics.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/ProcessMetrics.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** CPU and memory of a process, from Linux's {@code /proc} and from the JDK's {@code jcmd}. */
+/** CPU and memory of a process, from {@code /proc} on Linux and the JDK's {@code jcmd}. */
 final class ProcessMetrics {
     private static final double KIB_PER_MIB = 1024;
     private static final double BYTES_PER_KIB = 1024;
@@ -31,7 +31,7 @@
                             thread.getFileName().toString(),
                             Long.parseLong(schedstat.split(" ")[0]));
                 } catch (NoSuchFileException ignored) {
-                    // The thread has just ended.
+                    // The thread has ended since the directory was listed.
                 }
             }
         }
@@ -39,8 +39,9 @@
     }
 
     /**
-     * Returns the CPU time that the threads alive now have used since an earlier snapshot, in nanoseconds. The JVM
-     * ends idle compiler threads; a sum over all threads would fall by what those have used.
+     * Returns the CPU time that the threads alive now have used since an earlier snapshot, in nanoseconds. The JVM ends
+     * idle compiler threads; the difference of two sums over all threads would therefore be too low by the CPU time of
+     * the ended threads.
      */
     static long cpuNanosSince(Map<String, Long> earlierNanos, long pid) throws IOException {
         return threadCpuNanos(pid).entrySet().stream()
@@ -77,7 +78,7 @@
             }
         }
         if (!jcmd.waitFor(JCMD_TIMEOUT_SECONDS, TimeUnit.SECONDS) || mib < 0) {
-            throw new MeasurementException("jcmd says nothing of process " + pid);
+            throw new MeasurementException("jcmd reported no live heap for process " + pid);
         }
         return mib;
     }
--- a/capacity/src/main/java/topazvalve/capacity/measure/RelayProcess.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/RelayProcess.java
@@ -9,7 +9,7 @@
 import topazvalve.simulation.process.ChildProcesses;
 import topazvalve.simulation.process.RunLine;
 
-/** The packaged relay in a process of its own, subscribed to one source. */
+/** The packaged relay in a separate process, subscribed to one source. */
 final class RelayProcess implements AutoCloseable {
     private static final Duration STOP_GRACE = Duration.ofSeconds(5);
 
--- a/capacity/src/main/java/topazvalve/capacity/measure/RunningSidecarMeasurement.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/RunningSidecarMeasurement.java
@@ -8,8 +8,8 @@
 import topazvalve.capacity.plan.CapacityPlan;
 
 /**
- * Measures a running sidecar: idle CPU, memory, and what changes of its endpoint list cost. Whether a change is in
- * force is polled at the admin endpoint; CPU is measured while nothing polls.
+ * Measures a running sidecar: idle CPU, memory, and the cost of changes of its endpoint list. The admin endpoint is
+ * polled to see when a change is in force; CPU is measured without polling.
  */
 final class RunningSidecarMeasurement {
     private static final int SETTLE_MILLIS = 500;
@@ -30,7 +30,7 @@
     private final MeasuredSidecar sidecar;
     private double idleCpuPercent;
 
-    /** Publishes a change; two in a row have to leave the list as it was. */
+    /** Publishes a change; two consecutive calls must leave the list unchanged. */
     private interface Publisher {
         PublishedChange publish() throws IOException;
     }
@@ -50,13 +50,13 @@
         this.sidecar = sidecar;
     }
 
-    /** Returns the numbers of endpoints that one line of changes is measured with. */
+    /** Returns the numbers of endpoints in one line of changes that are measured. */
     static int[] endpointsPerLine(MeasurementContext context) {
         CapacityPlan plan = context.plan();
         return new int[] {1, 10, 100, plan.fleet().largestZone()};
     }
 
-    /** Measures everything at the current length of the list; lines of many changes only at the plan's length. */
+    /** Measures all quantities at the current length of the list; lines of many changes only at the plan's length. */
     void run() throws IOException, InterruptedException {
         Thread.sleep(SETTLE_MILLIS);
         idleCpuPercent = measureIdleCpuPercent(context.quickOrFull(IDLE_MILLIS, 3 * IDLE_MILLIS));
@@ -99,7 +99,7 @@
         }
     }
 
-    /** Returns the median time from publication until in force; each change adds or removes some endpoints. */
+    /** Returns the median time from publication until a change is in force; each one adds or removes endpoints. */
     private double medianMillisUntilInForce(int endpoints, int repetitions, Publisher publisher)
             throws IOException, InterruptedException {
         List<Double> millis = new ArrayList<>();
@@ -112,7 +112,7 @@
         return MeasurementRecorder.median(millis);
     }
 
-    /** Returns the CPU time of one change in milliseconds, without the sidecar's idle CPU. */
+    /** Returns the CPU time of one change in milliseconds, less the sidecar's idle CPU. */
     private double cpuMillis(int repetitions, int pauseMillis, Publisher publisher)
             throws IOException, InterruptedException {
         Map<String, Long> cpuBefore = ProcessMetrics.threadCpuNanos(sidecar.pid());
--- a/capacity/src/main/java/topazvalve/capacity/measure/ServingMeasurement.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/ServingMeasurement.java
@@ -12,8 +12,9 @@
 import topazvalve.capacity.plan.CapacityPlan;
 
 /**
- * Measures what watches, changes and simultaneous calls cost a list server: the source, unbounded and bounded, and
- * the relay. The clients are plain ones of this process. No figure includes the kernel's memory for sockets.
+ * Measures the cost of watches, changes and simultaneous calls on a list server: the source, with unbounded and bounded
+ * capacity, and the relay. The clients are minimal HTTP clients in this process. Memory that the kernel uses for
+ * sockets is not included.
  */
 final class ServingMeasurement {
     private static final int CLIENT_THREADS = 2;
@@ -33,7 +34,7 @@
         this.recorder = context.recorder();
     }
 
-    /** Measures all list servers; the relay only if its jar is built. */
+    /** Measures all list servers; the relay only if its jar has been built. */
     void run() throws IOException, InterruptedException {
         try {
             measureUnboundedSource();
@@ -57,7 +58,8 @@
     private void measureRelay() throws IOException, InterruptedException {
         Path jar = context.repositoryRoot().resolve(RELAY_JAR);
         if (!Files.isRegularFile(jar)) {
-            recorder.print("no relay is built here: not measured, reckoned by the source's slopes");
+            recorder.print(
+                    "no relay jar at " + jar + ": the relay is not measured but estimated with the source's slopes");
             return;
         }
         try (StandInSourceProcess source = startUnboundedSource();
--- a/capacity/src/main/java/topazvalve/capacity/measure/SnapshotClients.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/SnapshotClients.java
@@ -16,8 +16,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Many plain clients that request the complete endpoint list at the same moment. A client whose call fails retries
- * with exponential backoff and jitter, as a sidecar does.
+ * Minimal HTTP clients that all request the complete endpoint list at the same moment. A client whose call fails
+ * retries with exponential backoff and jitter, as a sidecar does.
  */
 final class SnapshotClients {
     private static final int FIRST_BACKOFF_MILLIS = 100;
@@ -38,9 +38,9 @@
     }
 
     /**
-     * Runs some clients until each has received a list.
+     * Runs a number of clients until each has received a list.
      *
-     * @param seed the seed of the backoff's jitter
+     * @param seed the seed of the backoff jitter
      * @return the seconds from the first call until the last client has a list
      * @throws MeasurementException if a client has no list after {@code timeoutSeconds}
      */
@@ -52,8 +52,8 @@
             clients.request(FIRST_BACKOFF_MILLIS);
         }
         if (!clients.pending.await(timeoutSeconds, TimeUnit.SECONDS)) {
-            throw new MeasurementException(
-                    clients.pending.getCount() + " of " + count + " have no list after " + timeoutSeconds + " s");
+            throw new MeasurementException(clients.pending.getCount() + " of " + count
+                    + " clients have no endpoint list after " + timeoutSeconds + " s");
         }
         return (clients.lastReceivedAtNanos - startedAtNanos) / NANOS_PER_SECOND;
     }
--- a/capacity/src/main/java/topazvalve/capacity/measure/StandInSource.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/StandInSource.java
@@ -24,8 +24,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A discovery source with complete lists, watches and heartbeats. With a bounded capacity it answers one call after
- * another; a call that has waited longer than the timeout is rejected. All state belongs to the event loop.
+ * A discovery source with complete lists, watches and heartbeats. With bounded capacity it answers one call after
+ * another; a call that would wait longer than the timeout is rejected when the timeout has passed. All state is
+ * confined to the event loop.
  */
 @ChannelHandler.Sharable
 final class StandInSource extends SimpleChannelInboundHandler<FullHttpRequest> {
@@ -47,8 +48,8 @@
      * Creates a source.
      *
      * @param servers the length of its endpoint list
-     * @param callsPerSecond the calls that it answers; 0 is unbounded
-     * @param timeoutMillis the longest wait of a call
+     * @param callsPerSecond the rate at which it answers; 0 means unbounded
+     * @param timeoutMillis the longest time that a call waits before it is rejected
      */
     StandInSource(
             EventLoop loop, int servers, double callsPerSecond, long timeoutMillis, long heartbeatIntervalMillis) {
@@ -64,13 +65,13 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** Publishes a change of some extra servers, which are added and removed in turn. */
+    /** Publishes a change that adds or removes a number of extra servers, alternately. */
     PublishedChange publishDelta(int extraServers) {
         beginChange();
         return publish(buffer(EndpointListJson.delta(revision, extraServers, extraServersListed)));
     }
 
-    /** Publishes a change of one extra server as a complete list. */
+    /** Publishes a change that adds or removes one extra server, as a complete list. */
     PublishedChange publishSnapshot() {
         beginChange();
         return publish(currentSnapshot());
@@ -87,11 +88,11 @@
         return new PublishedChange(publishedAtNanos, revision);
     }
 
-    /** Returns the number of calls since this was last called. */
-    int takeCalls() {
-        int taken = calls;
+    /** Returns the number of calls since the previous invocation. */
+    int getAndResetCallCount() {
+        int count = calls;
         calls = 0;
-        return taken;
+        return count;
     }
 
     private static ByteBuf buffer(String text) {
--- a/capacity/src/main/java/topazvalve/capacity/measure/StandInSourceMain.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/StandInSourceMain.java
@@ -18,12 +18,12 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Runs a {@link StandInSource} as a process of its own. It writes its port to standard output, then reads commands
- * from standard input and writes a reply to each, one a line:
+ * Runs a {@link StandInSource} as a separate process. It writes its port to standard output, then reads commands from
+ * standard input and writes a reply to each, one per line:
  *
  * <ul>
- *   <li>{@code change N} publishes a change of N extra servers, which are added and removed in turn;
- *   <li>{@code whole} publishes a change of one extra server as a complete list;
+ *   <li>{@code change N} publishes a change that adds or removes N extra servers, alternately;
+ *   <li>{@code whole} publishes a change that adds or removes one extra server, as a complete list;
  *   <li>{@code calls} replies with the number of calls since the last such command.
  * </ul>
  */
@@ -43,8 +43,8 @@
     /**
      * Runs a source until standard input ends.
      *
-     * @param args the number of listed servers, the calls per second (0: unbounded), the timeout of a waiting call
-     *     and the time between heartbeats, both in milliseconds
+     * @param args the number of listed servers, the calls per second (0: unbounded), the timeout of a waiting call and
+     *     the interval between heartbeats, both in milliseconds
      */
     public static void main(String[] args) throws IOException, InterruptedException {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -85,10 +85,10 @@
 
     private static String execute(StandInSource source, String[] command) {
         return switch (command[0]) {
-            case COMMAND_CALLS -> REPLY_CALLS + " " + source.takeCalls();
+            case COMMAND_CALLS -> REPLY_CALLS + " " + source.getAndResetCallCount();
             case COMMAND_SNAPSHOT -> describe(source.publishSnapshot());
             case COMMAND_DELTA -> describe(source.publishDelta(Integer.parseInt(command[1])));
-            default -> throw new IllegalArgumentException("unknown command " + command[0]);
+            default -> throw new IllegalArgumentException("unknown command: " + command[0]);
         };
     }
 
--- a/capacity/src/main/java/topazvalve/capacity/measure/StandInSourceProcess.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/StandInSourceProcess.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import topazvalve.simulation.process.ChildProcesses;
 
-/** A {@link StandInSource} in a process of its own, controlled through its standard input and output. */
+/** A {@link StandInSource} in a separate process, controlled through its standard input and output. */
 final class StandInSourceProcess implements AutoCloseable {
     private static final Duration STOP_GRACE = Duration.ofSeconds(5);
 
@@ -35,8 +35,8 @@
      * Starts a source.
      *
      * @param servers the length of its endpoint list
-     * @param callsPerSecond the calls that it answers; 0 is unbounded
-     * @param timeoutMillis the longest wait of a call before it fails
+     * @param callsPerSecond the rate at which it answers; 0 means unbounded
+     * @param timeoutMillis the longest time that a call waits before it is rejected
      */
     static StandInSourceProcess start(
             int servers, double callsPerSecond, long timeoutMillis, long heartbeatIntervalMillis) throws IOException {
@@ -53,11 +53,11 @@
                 .start());
     }
 
-    /** Reads a reply and returns its numbers. */
+    /** Reads a reply that starts with the expected word and returns its numbers. */
     private long[] readReply(String word) throws IOException {
         String line = replies.readLine();
         if (line == null || !line.startsWith(word + " ")) {
-            throw new MeasurementException("the stand-in source says: " + line);
+            throw new MeasurementException("expected reply \"" + word + "\" from the stand-in source, got: " + line);
         }
         String[] words = line.split(" ");
         long[] numbers = new long[words.length - 1];
@@ -75,12 +75,12 @@
         return process.pid();
     }
 
-    /** Publishes a change of so many endpoints, which are added and removed in turn. */
+    /** Publishes a change that adds or removes a number of endpoints, alternately. */
     PublishedChange publishDelta(int endpoints) throws IOException {
         return publish(StandInSourceMain.COMMAND_DELTA + " " + endpoints);
     }
 
-    /** Publishes a change of one endpoint as a complete list. */
+    /** Publishes a change that adds or removes one endpoint, as a complete list. */
     PublishedChange publishSnapshot() throws IOException {
         return publish(StandInSourceMain.COMMAND_SNAPSHOT);
     }
@@ -91,7 +91,7 @@
         return new PublishedChange(numbers[0], numbers[1]);
     }
 
-    /** Returns the number of calls since the last time this was requested. */
+    /** Returns the number of calls since the previous invocation. */
     long callsSinceLastRequest() throws IOException {
         commands.println(StandInSourceMain.COMMAND_CALLS);
         return readReply(StandInSourceMain.REPLY_CALLS)[0];
--- a/capacity/src/main/java/topazvalve/capacity/measure/WatchClients.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/WatchClients.java
@@ -17,9 +17,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Many watches from this process, which read all that comes and notice when the last of them has a change. */
+/** Many watches opened by this process; records the bytes they receive and when the last of them receives a change. */
 final class WatchClients implements AutoCloseable {
-    /** Connections that are opened at the same time. */
+    /** Number of connections opened concurrently. */
     private static final int OPEN_BATCH_SIZE = 128;
 
     private static final int OPEN_TIMEOUT_SECONDS = 20;
@@ -38,14 +38,14 @@
     }
 
     /**
-     * Opens further watches and waits until all of them are answered.
+     * Opens additional watches and waits until all of them are answered.
      *
      * @param fromRevision a revision that the server knows
      * @throws MeasurementException if a watch is not answered in time
      */
     void open(int count, long fromRevision) throws IOException, InterruptedException {
-        for (int begun = 0; begun < count; begun += OPEN_BATCH_SIZE) {
-            openBatch(Math.min(OPEN_BATCH_SIZE, count - begun), fromRevision);
+        for (int opened = 0; opened < count; opened += OPEN_BATCH_SIZE) {
+            openBatch(Math.min(OPEN_BATCH_SIZE, count - opened), fromRevision);
         }
     }
 
@@ -55,7 +55,8 @@
             openOne(fromRevision, answered);
         }
         if (!answered.await(OPEN_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
-            throw new MeasurementException(answered.getCount() + " watches were not answered");
+            throw new MeasurementException(answered.getCount() + " of " + count + " watches were not answered within "
+                    + OPEN_TIMEOUT_SECONDS + " s");
         }
     }
 
@@ -81,7 +82,7 @@
         return receivedBytes.get();
     }
 
-    /** Makes {@link #awaitChange} wait until each watch has received one more line that is not empty. */
+    /** Makes {@link #awaitChange} wait until each open watch has received one more non-empty line. */
     void expectChange() {
         pendingChanges = new CountDownLatch(channels.size());
     }
@@ -94,7 +95,8 @@
      */
     long awaitChange() throws IOException, InterruptedException {
         if (!pendingChanges.await(CHANGE_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
-            throw new MeasurementException(pendingChanges.getCount() + " watches have not had the change");
+            throw new MeasurementException(pendingChanges.getCount() + " watches did not receive the change within "
+                    + CHANGE_TIMEOUT_SECONDS + " s");
         }
         return lastChangeAtNanos;
     }
@@ -139,7 +141,7 @@
             }
         }
 
-        /** The measured servers send a change without splitting its last byte from the rest. */
+        /** The measured servers never send a change's final newline separately from the rest of its line. */
         private static boolean endsNonEmptyLine(ByteBuf content) {
             return content.readableBytes() > 1 && content.getByte(content.writerIndex() - 1) == '\n';
         }
--- a/capacity/src/main/java/topazvalve/capacity/measure/WatchMeasurement.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/WatchMeasurement.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Measures what a watch and a change cost a list server, with several numbers of watches. */
+/** Measures the cost of watches and changes on a list server, with several numbers of watches. */
 final class WatchMeasurement {
-    /** Changes before the measurement, in which a new process compiles its code. */
+    /** Changes published before the measurement, while the JIT compiler of the new process is busy. */
     private static final int WARM_UP_CHANGES = 40;
 
     private static final double NANOS_PER_MILLI = 1e6;
@@ -26,7 +26,7 @@
     /**
      * Creates a measurement.
      *
-     * @param quantities what to record
+     * @param quantities the quantities to record
      * @param source publishes the changes
      * @param pid the list server's process
      * @param watches clients of the list server
@@ -45,7 +45,7 @@
         this.watches = watches;
     }
 
-    /** Measures the list server that listens on a port and runs as a process. */
+    /** Measures the list server that listens on {@code port} in the process {@code pid}. */
     static void run(
             MeasurementContext context,
             ListServerQuantities quantities,
@@ -111,7 +111,7 @@
         recorder.record(quantities.changeCpu(), count, Math.max(0, changeNanos) / repetitions / NANOS_PER_MILLI);
     }
 
-    /** Publishes a change and returns the milliseconds until the last watch has it. */
+    /** Publishes a change and returns the milliseconds until the last watch has received it. */
     private double publishAndAwait() throws IOException, InterruptedException {
         watches.expectChange();
         PublishedChange change = source.publishDelta(1);
--- a/capacity/src/main/java/topazvalve/capacity/measure/package-info.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/package-info.java
@@ -1,2 +1,2 @@
-/** Measures slopes on processes and sockets of this machine, over loopback. */
+/** Measures slopes with processes and sockets of this machine, over loopback. */
 package topazvalve.capacity.measure;
--- a/capacity/src/main/java/topazvalve/capacity/plan/CapacityPlan.java
+++ b/capacity/src/main/java/topazvalve/capacity/plan/CapacityPlan.java
@@ -6,10 +6,10 @@
  * The size to design for, as {@link PlanFile} reads it.
  *
  * @param name the plan's name
- * @param fleet how many servers there are and how they are grouped
- * @param load what happens on an ordinary day
+ * @param fleet the servers and how they are grouped
+ * @param load the load of an ordinary day
  * @param failure the failures to survive
- * @param budget what each role may use
+ * @param budget the resources that each role may use
  * @param source the discovery source that exists today
  */
 public record CapacityPlan(String name, Fleet fleet, Load load, Failure failure, Budget budget, Source source) {
@@ -24,7 +24,7 @@
      * @param zones zones of all regions
      * @param largestZone servers of the largest zone
      * @param rack servers behind one rack or switch
-     * @param deepestChain the greatest depth of calls that cause one another
+     * @param deepestChain the longest chain of nested calls
      * @param callersOfServer sidecars that call one server
      */
     public record Fleet(
@@ -38,7 +38,7 @@
             int callersOfServer) {}
 
     /**
-     * An ordinary day.
+     * The load of an ordinary day.
      *
      * @param callsPerSecond calls of the whole fleet
      * @param changesPerDay configuration changes
@@ -63,28 +63,28 @@
     public record Failure(int restartedTogether, long regionCutOffNanos, int controlMachinesLost) {}
 
     /**
-     * What may be used.
+     * The budgets for time and resources.
      *
      * @param inForceWithinNanos the time until a change is in force at every sidecar
      * @param addedP99Nanos the 99th percentile of the delay that a sidecar adds to a call
-     * @param sidecar what one sidecar may use for discovery
+     * @param sidecar the budget of one sidecar for discovery
      * @param control the machines that serve endpoint lists
      */
     public record Budget(long inForceWithinNanos, long addedP99Nanos, Sidecar sidecar, Control control) {}
 
     /**
-     * What one sidecar may use for discovery.
+     * The budget of one sidecar for discovery.
      *
      * @param corePercent CPU, in percent of a core
      * @param memoryMib resident memory in MiB
-     * @param bytesPerSecond bytes on the network
+     * @param bytesPerSecond network traffic
      */
     public record Sidecar(double corePercent, double memoryMib, double bytesPerSecond) {}
 
     /**
      * The machines that serve endpoint lists.
      *
-     * @param machines how many there are
+     * @param machines the number of machines
      * @param coresPerMachine cores of each
      * @param memoryMibPerMachine memory of each, in MiB
      * @param bytesPerSecondPerMachine network bandwidth of each
@@ -95,8 +95,8 @@
     /**
      * The discovery source that exists today.
      *
-     * @param callsPerSecond the calls it answers, at worst and at best
-     * @param timeoutNanos the longest time that a call waits for its turn before it fails
+     * @param callsPerSecond the calls that it answers, lowest and highest rate
+     * @param timeoutNanos the longest time that a call waits in the queue before it fails
      * @param heartbeatIntervalNanos the time between the heartbeats, which are empty lines, on an idle watch
      */
     public record Source(Range callsPerSecond, long timeoutNanos, long heartbeatIntervalNanos) {}
@@ -112,7 +112,7 @@
         return load.callsPerSecond() / fleet.servers();
     }
 
-    /** Returns the number of sidecars of a mean region, rounded up. */
+    /** Returns the average number of sidecars in a region, rounded up. */
     public int sidecarsPerRegion() {
         return ceilDiv(fleet.servers(), fleet.regions());
     }
@@ -122,7 +122,7 @@
         return ceilDiv(fleet.servers(), budget.control().machines());
     }
 
-    /** Returns a quotient of whole numbers, rounded up. */
+    /** Returns the quotient of two integers, rounded up. */
     public static int ceilDiv(int dividend, int divisor) {
         return -Math.floorDiv(-dividend, divisor);
     }
--- a/capacity/src/main/java/topazvalve/capacity/plan/PlanFile.java
+++ b/capacity/src/main/java/topazvalve/capacity/plan/PlanFile.java
@@ -14,11 +14,12 @@
 import topazvalve.toml.TomlFile;
 
 /**
- * Reads a capacity plan from a TOML file. Every key is required, since no default would be a sensible plan. All
- * problems of a file are reported at once, each with its line.
+ * Reads a capacity plan from a TOML file. Every key is required, since a plan has no sensible defaults. All problems of
+ * a file are reported at once, each with its line.
  */
 public final class PlanFile {
     private static final int MAX_SERVERS = 100_000;
+    private static final int MAX_CONTROL_MACHINES = 1000;
 
     private PlanFile() {}
 
@@ -35,7 +36,7 @@
     /**
      * Reads the text of a file.
      *
-     * @param name stands for the file in messages
+     * @param name the name of the file in messages
      * @throws InvalidFileException if the text has problems
      */
     public static CapacityPlan parse(String name, String text) {
@@ -63,10 +64,10 @@
         Failure failure = new Failure(
                 table.integer("restarted_together", null, 1, MAX_SERVERS),
                 table.duration("region_cut_off", null, "1s", "60m"),
-                table.integer("control_machines_lost", null, 1, 1000));
+                table.integer("control_machines_lost", null, 1, MAX_CONTROL_MACHINES));
         requireAtMostServers(table, "restarted_together", failure.restartedTogether(), fleet.servers());
         if (failure.controlMachinesLost() >= control.machines()) {
-            table.addProblem("control_machines_lost", "leaves none of budget.control.machines");
+            table.addProblem("control_machines_lost", "must be less than budget.control.machines");
         }
         return failure;
     }
@@ -86,14 +87,14 @@
         requireAtMostServers(table, "rack", fleet.rack(), fleet.servers());
         requireAtMostServers(table, "callers_of_a_server", fleet.callersOfServer(), fleet.servers());
         if (fleet.zones() < fleet.regions()) {
-            table.addProblem("zones", "are fewer than the regions that they are in");
+            table.addProblem("zones", "must be at least fleet.regions");
         }
         return fleet;
     }
 
     private static void requireAtMostServers(Table table, String key, int value, int servers) {
         if (value > servers) {
-            table.addProblem(key, "is more than there are servers");
+            table.addProblem(key, "must be at most fleet.servers");
         }
     }
 
@@ -115,7 +116,7 @@
 
     private static Control readControl(Table table) {
         return new Control(
-                table.integer("machines", null, 1, 1000),
+                table.integer("machines", null, 1, MAX_CONTROL_MACHINES),
                 table.integer("cores_per_machine", null, 1, 1024),
                 table.number("memory_mib_per_machine", null, 1, 1e8),
                 table.number("bytes_per_second_per_machine", null, 1, 1e12));
@@ -123,7 +124,7 @@
 
     private static Source readSource(Table table) {
         if (!table.has("calls_per_second")) {
-            // A range has no way to be required.
+            // Table.range reports a missing key, too, with its bounds.
             table.addProblem("calls_per_second", "missing; a number, or two in brackets");
         }
         return new Source(
--- a/capacity/src/test/java/topazvalve/capacity/ArchitectureTest.java
+++ b/capacity/src/test/java/topazvalve/capacity/ArchitectureTest.java
@@ -8,14 +8,14 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** Plan, fit and demand are pure calculations without clock, socket or process; packages have no cycles. */
+/** Plan, fit and demand use no clock, sockets or measurement code; the packages have no cyclic dependencies. */
 class ArchitectureTest {
     private static final JavaClasses CAPACITY = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("topazvalve.capacity");
 
     @Test
-    void calculationsDoNoMeasuring() {
+    void calculationsDoNotMeasure() {
         noClasses()
                 .that()
                 .resideInAnyPackage("..capacity.plan..", "..capacity.fit..", "..capacity.demand..")
--- a/capacity/src/test/java/topazvalve/capacity/demand/DemandModelTest.java
+++ b/capacity/src/test/java/topazvalve/capacity/demand/DemandModelTest.java
@@ -17,12 +17,12 @@
 import topazvalve.capacity.plan.CapacityPlan;
 import topazvalve.capacity.plan.PlanFile;
 
-/** The demand table calculated from made-up slopes, each a round number. */
+/** The demand table calculated from artificial slopes with round numbers. */
 class DemandModelTest {
     private final Slopes slopes = new Slopes();
     private CapacityPlan plan;
 
-    private void line(Quantity quantity, double intercept, double slope, double... sizes) {
+    private void putLine(Quantity quantity, double intercept, double slope, double... sizes) {
         List<Point> points = new ArrayList<>();
         for (double size : sizes) {
             points.add(new Point(size, intercept + slope * size));
@@ -35,14 +35,14 @@
         plan = PlanFile.read(Path.of("../simulation/capacity/plan.toml"));
         for (Quantity quantity : Quantity.values()) {
             if (!quantity.name().startsWith("RELAY")) {
-                line(quantity, 0, 0, 1, 1_000, 6_000);
+                putLine(quantity, 0, 0, 1, 1_000, 6_000);
             }
         }
-        line(Quantity.SIDECAR_RESIDENT, 100, 0.01, 100, 1_500, 5_700);
-        line(Quantity.LIST_BYTES, 0, 150, 100, 1_500, 5_700);
-        line(Quantity.CHANGE_BYTES, 0, 200, 1, 10, 100);
-        line(Quantity.SOURCE_REST_BYTES, 3, 0, 1, 100, 1_000);
-        line(Quantity.SOURCE_MEMORY, 50, 0.1, 100, 356, 1_000);
+        putLine(Quantity.SIDECAR_RESIDENT, 100, 0.01, 100, 1_500, 5_700);
+        putLine(Quantity.LIST_BYTES, 0, 150, 100, 1_500, 5_700);
+        putLine(Quantity.CHANGE_BYTES, 0, 200, 1, 10, 100);
+        putLine(Quantity.SOURCE_REST_BYTES, 3, 0, 1, 100, 1_000);
+        putLine(Quantity.SOURCE_MEMORY, 50, 0.1, 100, 356, 1_000);
     }
 
     private ResourceDemand find(Tier tier, String role, String situation, String resource) {
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void sidecarMemoryIsReadOffItsLine() {
+    void sidecarMemoryIsInterpolatedOnItsLine() {
         ResourceDemand demand = find(Tier.BEFORE, "sidecar", "ordinary", "memory");
         assertEquals(157, demand.demand().value(), 1e-9);
         assertEquals(256, demand.budget());
@@ -83,7 +83,7 @@
         assertEquals(Origin.CALCULATED, demand.demand().origin());
         assertEquals("source_memory", demand.demand().basis());
         assertEquals(50 + 35.7, demand.demand().value(), 1e-9);
-        line(Quantity.RELAY_MEMORY, 70, 0.2, 100, 356, 1_000);
+        putLine(Quantity.RELAY_MEMORY, 70, 0.2, 100, 356, 1_000);
         demand = find(Tier.AFTER, "serves lists", "ordinary", "memory");
         assertEquals(Origin.MEASURED, demand.demand().origin());
         assertEquals("relay_memory", demand.demand().basis());
@@ -126,22 +126,23 @@
 
     @Test
     void slowChangesAloneExceedABudget() {
-        line(Quantity.LIST_BYTES, 0, 0, 100, 1_500, 5_700);
-        line(Quantity.CHANGE_BYTES, 0, 0, 1, 10, 100);
-        DemandTable kept = DemandModel.of(plan, slopes);
-        assertTrue(kept.isWithinBudget(Tier.AFTER), kept.exceeded().toString());
-        line(Quantity.CHANGE_TIME, 9_001, 0, 100, 1_500, 5_700);
-        DemandTable broken = DemandModel.of(plan, slopes);
-        assertFalse(broken.isWithinBudget(Tier.AFTER));
-        assertTrue(broken.exceeded().stream().anyMatch(row -> row.resource().equals("a change, to the last")));
+        putLine(Quantity.LIST_BYTES, 0, 0, 100, 1_500, 5_700);
+        putLine(Quantity.CHANGE_BYTES, 0, 0, 1, 10, 100);
+        DemandTable withinBudget = DemandModel.of(plan, slopes);
+        assertTrue(
+                withinBudget.isWithinBudget(Tier.AFTER), withinBudget.exceeded().toString());
+        putLine(Quantity.CHANGE_TIME, 9_001, 0, 100, 1_500, 5_700);
+        DemandTable overBudget = DemandModel.of(plan, slopes);
+        assertFalse(overBudget.isWithinBudget(Tier.AFTER));
+        assertTrue(overBudget.exceeded().stream().anyMatch(row -> row.resource().equals("a change, to the last")));
     }
 
     @Test
     void tableListsExceededBudgetsTheHighestRatioFirst() {
-        List<ResourceDemand> over = DemandModel.of(plan, slopes).exceeded();
-        assertTrue(over.size() > 1);
-        for (int i = 1; i < over.size(); i++) {
-            assertTrue(over.get(i - 1).ratio() >= over.get(i).ratio());
+        List<ResourceDemand> exceeded = DemandModel.of(plan, slopes).exceeded();
+        assertTrue(exceeded.size() > 1);
+        for (int i = 1; i < exceeded.size(); i++) {
+            assertTrue(exceeded.get(i - 1).ratio() >= exceeded.get(i).ratio());
         }
         List<String> lines = DemandModel.of(plan, slopes).lines(Tier.BEFORE);
         assertTrue(
--- a/capacity/src/test/java/topazvalve/capacity/fit/FitTest.java
+++ b/capacity/src/test/java/topazvalve/capacity/fit/FitTest.java
@@ -11,7 +11,7 @@
 import java.util.function.DoubleUnaryOperator;
 import org.junit.jupiter.api.Test;
 
-/** Fitted lines, their residuals and breakpoints. */
+/** Tests the fitted lines, their residuals and breakpoints. */
 class FitTest {
     private static final double[] SIZES = {100, 500, 1_500, 3_000, 5_700};
 
@@ -80,7 +80,7 @@
     @Test
     void residualIsRelativeToTheLargestValue() {
         Fit fit = Fit.of(List.of(new Point(0, 0), new Point(1, 4), new Point(2, 2)));
-        // The line is 1 + x: it misses 0, 4 and 2 by 1, 2 and 1.
+        // The fitted line is 1 + x, with residuals of 1, 2 and 1 at the values 0, 4 and 2.
         assertEquals(50, fit.maxResidualPercent(), 1e-9);
     }
 
--- a/capacity/src/test/java/topazvalve/capacity/measure/ConnectionMeasurementTest.java
+++ b/capacity/src/test/java/topazvalve/capacity/measure/ConnectionMeasurementTest.java
@@ -9,7 +9,7 @@
 import topazvalve.simulation.scenario.Scenario;
 import topazvalve.simulation.scenario.ScenarioFile;
 
-/** Connections in virtual time are reproducible, and rarer calls open more of them each. */
+/** The measurement in virtual time is reproducible, and each call opens more connections if calls are rare. */
 class ConnectionMeasurementTest {
     @Test
     void isReproducibleAndRareCallsOpenMoreConnections() throws IOException {
--- a/capacity/src/test/java/topazvalve/capacity/measure/StandInSourceTest.java
+++ b/capacity/src/test/java/topazvalve/capacity/measure/StandInSourceTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The tools of the measurement: stand-in source, clients and process metrics. No measured value is checked. */
+/** Tests the measuring tools: stand-in source, clients and process metrics. Measured values are not checked. */
 class StandInSourceTest {
     private static final int SERVERS = 40;
-    /** Long enough that no heartbeat comes during a test. */
+    /** Long enough that no heartbeat is sent during a test. */
     private static final int HEARTBEAT_INTERVAL_MILLIS = 600_000;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
--- a/capacity/src/test/java/topazvalve/capacity/plan/PlanFileTest.java
+++ b/capacity/src/test/java/topazvalve/capacity/plan/PlanFileTest.java
@@ -13,7 +13,7 @@
 import topazvalve.toml.InvalidFileException;
 import topazvalve.toml.Problem;
 
-/** Reads the plan's file, and rejects it with file, line, key and a suggestion. */
+/** Reads the plan file; problems are reported with file, line, key and, for an unknown key, a suggestion. */
 class PlanFileTest {
     private static final Path FILE = Path.of("../simulation/capacity/plan.toml");
 
