--- a/cli/src/main/java/topazvalve/cli/CapacityVerb.java
+++ b/cli/src/main/java/topazvalve/cli/CapacityVerb.java
@@ -14,24 +14,24 @@
 import topazvalve.capacity.measure.CapacityMeasurement;
 import topazvalve.capacity.plan.CapacityPlan;
 
-/** Prints what the planned size demands of each role, beside its budget. */
+/** Prints the demand of each role at the planned size, compared with its budget. */
 @Command(
         name = "capacity",
         description = {
-            "Measures what servers, watches, changes and calls cost on this machine, fits lines,",
-            "and prints what each role needs at the plan's size beside what it is allowed.",
-            "Exit code 1 says that a budget is not kept."
+            "Measures the cost of servers, watches, changes and calls on this machine.",
+            "Fits lines to the values and prints the demand of each role at the plan's size, compared with its budget.",
+            "Exit code 1 means that a budget is exceeded."
         })
 final class CapacityVerb extends Verb {
     private static final String DEFAULT_PLAN = "simulation/capacity/plan.toml";
 
-    @Parameters(arity = "0..1", paramLabel = "PLAN", description = "the plan's file (simulation/capacity/plan.toml)")
+    @Parameters(arity = "0..1", paramLabel = "PLAN", description = "the plan file (simulation/capacity/plan.toml)")
     private Path file;
 
-    @Option(names = "--quick", description = "fewer sizes, and shorter: under a minute")
+    @Option(names = "--quick", description = "fewer sizes and shorter measurements: under a minute")
     private boolean quick;
 
-    @Option(names = "--tier", description = "only without relays (before) or only with them (after)")
+    @Option(names = "--tier", description = "prints one tier only: without relays (before) or with relays (after)")
     private Tier tier;
 
     @Override
@@ -46,7 +46,7 @@
         return print(tier == null ? demands : demands.ofTier(tier), plan, out);
     }
 
-    /** Prints the tables and the budgets that are exceeded; returns the exit code, which says whether any is. */
+    /** Prints the tables and the exceeded budgets, and returns the exit code. */
     static int print(DemandTable demands, CapacityPlan plan, PrintWriter out) {
         for (Tier each : demands.tiers()) {
             out.println();
--- a/cli/src/main/java/topazvalve/cli/CheckVerb.java
+++ b/cli/src/main/java/topazvalve/cli/CheckVerb.java
@@ -12,15 +12,15 @@
 import topazvalve.tcp.TcpSettings;
 import topazvalve.toml.InvalidFileException;
 
-/** Reads a file as the program that takes it would, and starts nothing. */
+/** Validates a file with the reader of the program that uses it, without starting that program. */
 @Command(
         name = "check",
         description = {
-            "Checks a sidecar's configuration (.json), an operator's file or a scenario "
-                    + "(.toml), and starts nothing."
+            "Validates a sidecar's configuration, an operator file or a scenario without running it.",
+            "A configuration has the suffix .json; operator files and scenarios have the suffix .toml."
         })
 final class CheckVerb extends Verb {
-    /** Tables that an operator's file has and a scenario hasn't. */
+    /** Tables that occur in an operator file but not in a scenario. */
     private static final Pattern OPERATOR_TABLE =
             Pattern.compile("(?m)^\\s*(\\[\\[\\s*listener\\s*]]|\\[\\s*relays\\s*])");
 
@@ -31,7 +31,7 @@
     public Integer call() throws IOException {
         Path found = InputFiles.find(file);
         out().println(found + ": good; " + describe(found));
-        return ExitCode.DONE;
+        return ExitCode.SUCCESS;
     }
 
     private static String describe(Path file) throws IOException {
--- a/cli/src/main/java/topazvalve/cli/DemoVerb.java
+++ b/cli/src/main/java/topazvalve/cli/DemoVerb.java
@@ -7,12 +7,13 @@
 import picocli.CommandLine.Option;
 import topazvalve.simulation.scenario.Scenario;
 
-/** Plays the scenario {@code demo.toml} on real sockets; the caller has no file to write first. */
+/** Runs the built-in scenario {@code demo.toml} on real sockets, so that no scenario file is needed. */
 @Command(
         name = "demo",
         description = {
-            "Plays one minute on loopback: real sidecars between stand-in clients, " + "order servers and discovery,",
-            "with a slow and a silent server, a drain and restarts. " + "Ends with 0 only if no rule was broken."
+            "Runs real sidecars for one minute on loopback, between stand-in clients, order servers and discovery.",
+            "The scenario has a slow and an unresponsive server, a drain and restarts.",
+            "The exit code is 0 only if no rule was broken."
         })
 final class DemoVerb extends Verb {
     private static final String SCENARIO = "simulation/scenarios/demo.toml";
@@ -20,12 +21,15 @@
     @Mixin
     private SeedOption seed;
 
-    @Option(names = "--out", defaultValue = "found/demo", description = "where report and logs go (${DEFAULT-VALUE})")
+    @Option(
+            names = "--out",
+            defaultValue = "found/demo",
+            description = "the directory of the report and the logs (${DEFAULT-VALUE})")
     private Path out;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
         Scenario scenario = InputFiles.scenario(ProjectRoot.resolve(SCENARIO));
-        return ExitCode.of(RealTimeRun.play(scenario, seed.value(), out, out()).allRulesHeld());
+        return ExitCode.of(RealTimeRun.run(scenario, seed.value(), out, out()).allRulesHeld());
     }
 }
--- a/cli/src/main/java/topazvalve/cli/ExitCode.java
+++ b/cli/src/main/java/topazvalve/cli/ExitCode.java
@@ -1,20 +1,20 @@
 package topazvalve.cli;
 
-/** The command's exit codes, as its help lists them. */
+/** The command's exit codes; its help lists them, too. */
 final class ExitCode {
-    /** Done, and nothing was found wrong. */
-    static final int DONE = 0;
-    /** A rule was broken, or the run could not be finished. */
-    static final int FAILED = 1;
-    /** The arguments or a file are at fault. */
-    static final int BAD_INPUT = 2;
-    /** Ended by Ctrl-C: 128 and the number of SIGINT, as shells report it. */
+    /** Completed, and no check failed. */
+    static final int SUCCESS = 0;
+    /** A rule was broken, a budget was exceeded, or the run could not be completed. */
+    static final int FAILURE = 1;
+    /** Invalid arguments or an invalid input file. */
+    static final int INVALID_INPUT = 2;
+    /** Interrupted by Ctrl-C: 128 plus the number of SIGINT, as shells report it. */
     static final int INTERRUPTED = 130;
 
     private ExitCode() {}
 
-    /** Returns {@link #DONE} if a run has passed, else {@link #FAILED}. */
+    /** Returns {@link #SUCCESS} if a run has passed, else {@link #FAILURE}. */
     static int of(boolean passed) {
-        return passed ? DONE : FAILED;
+        return passed ? SUCCESS : FAILURE;
     }
 }
--- a/cli/src/main/java/topazvalve/cli/ExperimentCompareVerb.java
+++ b/cli/src/main/java/topazvalve/cli/ExperimentCompareVerb.java
@@ -17,16 +17,16 @@
         name = "compare",
         description = {
             "Compares two arms seed by seed, with 95%% intervals.",
-            "An arm is named ARM, or DIR:ARM where its results are elsewhere than in --out."
+            "An arm is given as ARM, or as DIR:ARM if its results are not in the directory of --out."
         })
 final class ExperimentCompareVerb extends Verb {
-    @Parameters(index = "0", paramLabel = "A", description = "one arm")
+    @Parameters(index = "0", paramLabel = "A", description = "the first arm")
     private String first;
 
-    @Parameters(index = "1", paramLabel = "B", description = "the other")
+    @Parameters(index = "1", paramLabel = "B", description = "the second arm")
     private String second;
 
-    @Option(names = "--out", paramLabel = "DIR", description = "the folder of the results")
+    @Option(names = "--out", paramLabel = "DIR", description = "the directory of the results")
     private Path out;
 
     @Override
@@ -36,13 +36,13 @@
             throw new InvalidInputException(first + " and " + second + " have no scenario and seed in common");
         }
         comparisons.forEach(this::print);
-        return ExitCode.DONE;
+        return ExitCode.SUCCESS;
     }
 
     private void print(Comparison comparison) {
         out().printf(
                         Locale.ROOT,
-                        "%-16s %-24s %9.4f against %9.4f: %+.4f, 95%% from %+.4f to %+.4f " + "(%d seeds): %s%n",
+                        "%-16s %-24s %9.4f against %9.4f: %+.4f, 95%% from %+.4f to %+.4f (%d seeds): %s%n",
                         comparison.scenario(),
                         comparison.metric(),
                         comparison.first(),
@@ -67,13 +67,13 @@
         Path directory = colon > 0 ? Path.of(armName.substring(0, colon)) : out;
         String arm = armName.substring(colon + 1);
         if (directory == null || !Files.isDirectory(directory)) {
-            throw new InvalidInputException(armName + ": no such folder of results; say --out DIR, or DIR:ARM");
+            throw new InvalidInputException(armName + ": no such results directory; give --out DIR, or DIR:ARM");
         }
         List<Result> found = Results.read(directory).stream()
                 .filter(each -> each.arm().equals(arm))
                 .toList();
         if (found.isEmpty()) {
-            throw new InvalidInputException(directory + ": has no results of an arm " + arm);
+            throw new InvalidInputException(directory + ": has no results for arm " + arm);
         }
         return found;
     }
--- a/cli/src/main/java/topazvalve/cli/ExperimentRunVerb.java
+++ b/cli/src/main/java/topazvalve/cli/ExperimentRunVerb.java
@@ -25,26 +25,26 @@
 @Command(
         name = "run",
         description = {
-            "Runs an experiment in virtual time; results go to DIR as JSON lines, " + "with one HTML report.",
-            "Ctrl-C leaves what is finished readable; --resume goes on from there."
+            "Runs an experiment in virtual time; writes the results to DIR as JSON lines, with an HTML report.",
+            "After Ctrl-C the finished runs are kept and reported; --resume continues from there."
         })
 final class ExperimentRunVerb extends Verb {
-    /** How long Ctrl-C waits for the report of what is finished. */
+    /** The longest time that shutdown after Ctrl-C waits for the report of the finished runs. */
     private static final long MAX_REPORT_SECONDS = 20;
 
-    @Parameters(paramLabel = "FILE", description = "the experiment (.toml)")
+    @Parameters(paramLabel = "FILE", description = "the experiment file (.toml)")
     private Path file;
 
-    @Option(names = "--seeds", paramLabel = "A..B", description = "in place of the file's")
+    @Option(names = "--seeds", paramLabel = "A..B", description = "the range of seeds (as in FILE)")
     private String seeds;
 
-    @Option(names = "--jobs", paramLabel = "N", description = "runs at once (one for each core)")
+    @Option(names = "--jobs", paramLabel = "N", description = "concurrent runs (one per core)")
     private Integer jobs;
 
-    @Option(names = "--out", paramLabel = "DIR", description = "where results go (found/NAME)")
+    @Option(names = "--out", paramLabel = "DIR", description = "the directory of the results (found/NAME)")
     private Path out;
 
-    @Option(names = "--resume", description = "keeps the results that DIR has already")
+    @Option(names = "--resume", description = "keeps the results in DIR and runs the missing ones")
     private boolean resume;
 
     @Override
@@ -61,7 +61,7 @@
     private int threadCount() {
         int threads = jobs == null ? Runtime.getRuntime().availableProcessors() : jobs;
         if (threads < 1) {
-            throw new InvalidInputException("--jobs: " + threads + " is not a whole number above 0");
+            throw new InvalidInputException("--jobs: " + threads + " is not a positive integer");
         }
         return threads;
     }
@@ -69,11 +69,11 @@
     private static void requireNoResults(Path directory) throws IOException {
         if (!Results.read(directory).isEmpty()) {
             throw new InvalidInputException(
-                    directory + ": has results already; go on with --resume, or name another --out");
+                    directory + ": already has results; continue with --resume, or choose another --out");
         }
     }
 
-    /** Runs the experiment; after Ctrl-C the process ends only once what is finished has been reported. */
+    /** Runs the experiment; after Ctrl-C the process ends only once the finished runs have been reported. */
     private int runUntilReported(ExperimentPlan plan, Runner runner, Path directory)
             throws IOException, InterruptedException {
         CountDownLatch reported = new CountDownLatch(1);
@@ -86,7 +86,7 @@
         }
     }
 
-    /** Keeps the JVM from ending after Ctrl-C before what is finished has been reported. */
+    /** Delays the end of the JVM after Ctrl-C until the finished runs have been reported. */
     private static void stopAndAwaitReport(Runner runner, CountDownLatch reported) {
         runner.stop();
         try {
@@ -144,7 +144,7 @@
     private static void printArm(PrintWriter console, String scenario, String arm, List<Result> runs) {
         console.printf(
                 Locale.ROOT,
-                "%-16s %-16s goal %.4f  service %.4f  worst 10 s %.4f  " + "broken in %d of %d%n",
+                "%-16s %-16s goal %.4f  service %.4f  worst 10 s %.4f  broken in %d of %d%n",
                 scenario,
                 arm,
                 average(runs, Result::goal),
--- a/cli/src/main/java/topazvalve/cli/FleetVerb.java
+++ b/cli/src/main/java/topazvalve/cli/FleetVerb.java
@@ -15,20 +15,21 @@
 import topazvalve.hollowfleet.run.StageResult;
 import topazvalve.hollowfleet.timeline.Timeline;
 
-/** Plays a fleet of hollow sidecars and their sources of endpoint lists on loopback. */
+/** Runs a fleet of hollow sidecars and their sources of endpoint lists on loopback. */
 @Command(
         name = "fleet",
         description = {
-            "Plays a fleet's control plane on loopback: thousands of hollow sidecars that follow lists,",
-            "the sources of these lists, and what happens to both; an oracle watches."
+            "Runs a fleet's control plane on loopback: thousands of hollow sidecars and their sources.",
+            "The sidecars follow the sources' endpoint lists through the events of a timeline.",
+            "An oracle checks the rules."
         })
 final class FleetVerb extends Verb {
     private static final String FULL_TIMELINE = "simulation/fleets/plan.toml";
     private static final String QUICK_TIMELINE = "simulation/fleets/quick.toml";
 
     /**
-     * Thousands of sidecars log the same of every failure. The references are strong, since the logging library
-     * forgets a logger, and its level, that nobody refers to.
+     * Loggers that are turned off, since thousands of sidecars log the same messages at every failure. The strong
+     * references are needed: java.util.logging discards an unreferenced logger together with its level.
      */
     private static final List<Logger> REPETITIVE_LOGGERS =
             List.of(Logger.getLogger("discovery"), Logger.getLogger("source"), Logger.getLogger("relay"));
@@ -36,10 +37,10 @@
     @Parameters(
             paramLabel = "TIMELINE",
             arity = "0..1",
-            description = "what happens (.toml); simulation/fleets/plan.toml, or quick.toml there for --quick")
+            description = "the timeline (.toml); default simulation/fleets/plan.toml, with --quick quick.toml there")
     private Path file;
 
-    @Option(names = "--quick", description = "the short form: some hundred sidecars, under a minute")
+    @Option(names = "--quick", description = "the short timeline: some hundred sidecars, under a minute")
     private boolean quick;
 
     @Mixin
@@ -48,7 +49,7 @@
     @Option(
             names = "--packaged",
             defaultValue = "0",
-            description = "packaged sidecars that follow the first source beside them (${DEFAULT-VALUE})")
+            description = "additional packaged sidecars that follow the first source (${DEFAULT-VALUE})")
     private int packaged;
 
     @Override
@@ -56,7 +57,8 @@
         Timeline timeline = InputFiles.timeline(file != null ? file : defaultTimeline());
         List<String> missingResources = Preflight.check(timeline);
         if (!missingResources.isEmpty()) {
-            throw new InvalidInputException("this machine has no room for it\n" + String.join("\n", missingResources));
+            throw new InvalidInputException(
+                    "this machine lacks the resources for this timeline\n" + String.join("\n", missingResources));
         }
         REPETITIVE_LOGGERS.forEach(logger -> logger.setLevel(Level.OFF));
         FleetReport report = new FleetReport(timeline, out());
--- a/cli/src/main/java/topazvalve/cli/InputFiles.java
+++ b/cli/src/main/java/topazvalve/cli/InputFiles.java
@@ -13,16 +13,16 @@
 import topazvalve.simulation.scenario.ScenarioFile;
 import topazvalve.toml.InvalidFileException;
 
-/** Finds and reads the files that the caller names. A file that has problems is an {@link InvalidInputException}. */
+/** Finds and reads the files that the caller names. An invalid file is reported by an {@link InvalidInputException}. */
 final class InputFiles {
-    /** The last directory {@code world} of a path; that is what {@code simulation} was called before. */
+    /** The last directory {@code world} of a path, the former name of {@code simulation}. */
     private static final Pattern FORMER_DIRECTORY = Pattern.compile("^(.*/)?world/");
 
     private InputFiles() {}
 
     /**
-     * Returns the file itself, or the one that has taken its place in {@code simulation/} if the path leads
-     * through the former directory {@code world/}.
+     * Returns the file, or, if it is not readable and its path contains the former directory {@code world/}, the file
+     * at the same path below {@code simulation/}.
      */
     static Path find(Path file) {
         if (isReadable(file)) {
@@ -32,7 +32,7 @@
         if (isReadable(renamed)) {
             return renamed;
         }
-        throw new InvalidInputException(file + ": no such file, or it can't be read");
+        throw new InvalidInputException(file + ": no such file, or not readable");
     }
 
     private static boolean isReadable(Path file) {
@@ -49,7 +49,7 @@
         return readOrReject(file, PlanFile::read);
     }
 
-    /** Reads an experiment; its scenarios are only named. */
+    /** Reads an experiment, which refers to its scenarios by path; they are not read. */
     static ExperimentFile.Experiment experiment(Path file) throws IOException {
         return read(file, ExperimentFile::read);
     }
@@ -64,7 +64,7 @@
         T read(Path file) throws IOException;
     }
 
-    /** Reads a file, and takes one that can't be decoded for the caller's fault too. */
+    /** Reads a file; one that cannot be decoded is reported as invalid input, too. */
     private static <T> T readOrReject(Path file, Reader<T> reader) {
         try {
             return read(file, reader);
--- a/cli/src/main/java/topazvalve/cli/InvalidInputException.java
+++ b/cli/src/main/java/topazvalve/cli/InvalidInputException.java
@@ -1,6 +1,6 @@
 package topazvalve.cli;
 
-/** An argument or a file that the caller gave can't be used; the message has one line for each problem. */
+/** Thrown if an argument or an input file is invalid; the message has one line per problem. */
 final class InvalidInputException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
--- a/cli/src/main/java/topazvalve/cli/Main.java
+++ b/cli/src/main/java/topazvalve/cli/Main.java
@@ -6,8 +6,8 @@
 import topazvalve.logging.Logging;
 
 /**
- * Entry point of the command. An error is printed on standard error, one line for each problem and without a stack
- * trace; the process ends with an {@link ExitCode}.
+ * Entry point of the command. Errors are printed on standard error, one line per problem and without a stack trace; the
+ * process ends with an {@link ExitCode}.
  */
 @Command(
         name = "topazvalve",
@@ -15,7 +15,7 @@
         versionProvider = VersionVerb.class,
         synopsisSubcommandLabel = "VERB",
         scope = CommandLine.ScopeType.INHERIT,
-        description = "A load-balancing sidecar, and a world to try it in.",
+        description = "A load-balancing sidecar and a simulation to test it in.",
         subcommands = {
             DemoVerb.class,
             ServeVerb.class,
@@ -30,10 +30,10 @@
         },
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
-            "0:done, and nothing was found wrong",
-            "1:a rule was broken, or the run could not be finished",
-            "2:the arguments or a file are at fault; the line says where and what was meant",
-            "130:ended by Ctrl-C; what was finished can be read"
+            "0:completed, and no check failed",
+            "1:a rule was broken, a budget was exceeded, or the run could not be completed",
+            "2:invalid arguments or input file; the message names the place and the problem",
+            "130:interrupted by Ctrl-C; the results of the finished runs are kept"
         })
 public final class Main implements Runnable {
     private static final Logger LOG = Logging.of("topazvalve");
@@ -41,7 +41,7 @@
 
     private Main() {}
 
-    /** Ends the process with the verb's exit code, once no other thread keeps it. */
+    /** Runs a verb and ends the process with its exit code, once the shutdown hooks have finished. */
     public static void main(String[] args) {
         System.exit(run(args));
     }
@@ -60,18 +60,18 @@
         CommandLine command = exception.getCommandLine();
         String help = command.getCommandSpec().qualifiedName() + " --help";
         command.getErr().println("topazvalve: " + oneLine(exception.getMessage()) + " (see: " + help + ")");
-        return ExitCode.BAD_INPUT;
+        return ExitCode.INVALID_INPUT;
     }
 
     private static int verbFailed(Exception exception, CommandLine command, CommandLine.ParseResult parsed) {
         if (exception instanceof InvalidInputException) {
             exception.getMessage().lines().forEach(line -> command.getErr().println("topazvalve: " + line));
-            return ExitCode.BAD_INPUT;
+            return ExitCode.INVALID_INPUT;
         }
-        LOG.debug("failed", exception);
+        LOG.debug("verb failed", exception);
         String message = exception.getMessage() == null ? exception.getClass().getSimpleName() : exception.getMessage();
         command.getErr().println("topazvalve: " + oneLine(message));
-        return ExitCode.FAILED;
+        return ExitCode.FAILURE;
     }
 
     private static String oneLine(String text) {
--- a/cli/src/main/java/topazvalve/cli/MeasureRateVerb.java
+++ b/cli/src/main/java/topazvalve/cli/MeasureRateVerb.java
@@ -9,12 +9,12 @@
 import picocli.CommandLine.Option;
 import topazvalve.simulation.measure.RateMeasurement;
 
-/** Measures the highest rate that the packaged sidecar carries. */
+/** Measures the highest request rate that the packaged sidecar sustains. */
 @Command(
         name = "rate",
         description = {
-            "The highest open-loop rate that one sidecar on one core carries with a " + "p99 within 5 ms",
-            "of the direct path's, both measured side by side in one run."
+            "Measures the highest open-loop rate that one sidecar on one core sustains.",
+            "Its p99 has to stay within 5 ms of that of the direct path; both are measured in the same run."
         })
 final class MeasureRateVerb extends Verb {
     /** Smaller steps would take too many measurements to reach the limit. */
@@ -26,13 +26,16 @@
             names = "--from",
             paramLabel = "<first>",
             defaultValue = "1000",
-            description = "first rate, a second (${DEFAULT-VALUE})")
+            description = "the first rate, in requests per second (${DEFAULT-VALUE})")
     private double firstRate;
 
-    @Option(names = "--factor", defaultValue = "1.25", description = "from one rate to the next (${DEFAULT-VALUE})")
+    @Option(
+            names = "--factor",
+            defaultValue = "1.25",
+            description = "the ratio of each rate to the one before (${DEFAULT-VALUE})")
     private double factor;
 
-    @Option(names = "--seconds", defaultValue = "5", description = "at each rate (${DEFAULT-VALUE})")
+    @Option(names = "--seconds", defaultValue = "5", description = "the duration at each rate (${DEFAULT-VALUE})")
     private int seconds;
 
     @Option(names = "--core", defaultValue = "7", description = "the sidecar's core; -1 for any (${DEFAULT-VALUE})")
@@ -41,7 +44,7 @@
     @Override
     public Integer call() throws IOException, InterruptedException {
         if (!(firstRate > 0 && factor > MIN_FACTOR && seconds > 0)) {
-            throw new InvalidInputException("--from and --seconds have to be above 0, --factor above 1.01");
+            throw new InvalidInputException("--from and --seconds must be greater than 0, --factor greater than 1.01");
         }
         Path workDirectory = createWorkDirectory();
         List<RateMeasurement.Step> steps = RateMeasurement.run(
--- a/cli/src/main/java/topazvalve/cli/MeasureStartVerb.java
+++ b/cli/src/main/java/topazvalve/cli/MeasureStartVerb.java
@@ -12,23 +12,23 @@
 @Command(
         name = "start",
         description = {
-            "How long a start takes on a whole core, a half and a quarter of one: " + "beside busy processes",
-            "on the same core, which the scheduler shares out evenly."
+            "Measures how long a start takes on a whole, a half and a quarter of a core.",
+            "Busy processes on the same core take the rest; the scheduler divides the CPU time evenly."
         })
 final class MeasureStartVerb extends Verb {
-    /** A start gets one part of so many of a core. */
+    /** The numbers of equal parts into which a core is divided; a start gets one part. */
     private static final int[] CORE_PARTS = {1, 2, 4};
 
-    @Option(names = "--times", defaultValue = "5", description = "starts at each share (${DEFAULT-VALUE})")
+    @Option(names = "--times", defaultValue = "5", description = "starts at each fraction of a core (${DEFAULT-VALUE})")
     private int times;
 
-    @Option(names = "--core", defaultValue = "7", description = "the core (${DEFAULT-VALUE})")
+    @Option(names = "--core", defaultValue = "7", description = "the number of the core (${DEFAULT-VALUE})")
     private int core;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
         if (times < 1 || core < 0) {
-            throw new InvalidInputException("--times has to be above 0, --core a core's number");
+            throw new InvalidInputException("--times must be at least 1, --core at least 0");
         }
         PrintWriter out = out();
         Path workDirectory = createWorkDirectory();
@@ -45,6 +45,6 @@
                     share.medianCpu());
             out.flush();
         }
-        return ExitCode.DONE;
+        return ExitCode.SUCCESS;
     }
 }
--- a/cli/src/main/java/topazvalve/cli/ProjectRoot.java
+++ b/cli/src/main/java/topazvalve/cli/ProjectRoot.java
@@ -2,11 +2,11 @@
 
 import java.nio.file.Path;
 
-/** The directory in which the program was built, with its packaged programs and its scenarios. */
+/** The directory in which the project was built; contains the packaged programs and the scenarios. */
 final class ProjectRoot {
     private ProjectRoot() {}
 
-    /** Returns the directory that the {@code topazvalve} script gives, or else the working directory. */
+    /** Returns the directory that the {@code topazvalve} script sets, or the working directory if none is set. */
     static Path path() {
         return Path.of(System.getProperty("topazvalve.home", "."))
                 .toAbsolutePath()
--- a/cli/src/main/java/topazvalve/cli/RealTimeRun.java
+++ b/cli/src/main/java/topazvalve/cli/RealTimeRun.java
@@ -12,12 +12,12 @@
 import topazvalve.simulation.statistics.RunResult;
 import topazvalve.simulation.statistics.RunStatistics;
 
-/** Plays a scenario on real sockets in real time, prints one line a second, and writes a report. */
+/** Runs a scenario on real sockets in real time, prints one line per second and writes a report. */
 final class RealTimeRun {
     private RealTimeRun() {}
 
-    /** Plays {@code scenario}, prints to {@code out}, and leaves report and logs in {@code directory}. */
-    static RunResult play(Scenario scenario, long seed, Path directory, PrintWriter out)
+    /** Runs {@code scenario}, prints to {@code out}, and writes the report and the logs to {@code directory}. */
+    static RunResult run(Scenario scenario, long seed, Path directory, PrintWriter out)
             throws IOException, InterruptedException {
         out.printf(
                 "starting %d sidecars, %d stand-in order servers and discovery on loopback ...%n",
--- a/cli/src/main/java/topazvalve/cli/SimulatorVerb.java
+++ b/cli/src/main/java/topazvalve/cli/SimulatorVerb.java
@@ -5,11 +5,13 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** Hosts a policy for the operators' simulator, so that it can rank the policies that the simulation ranks. */
+/**
+ * Hosts a policy for the operators' simulator, so that the simulator can compare the same policies as the simulation.
+ */
 @Command(
         name = "simulator",
         aliases = "simhost",
-        description = "Hosts any policy on the simulator's wire, on standard streams.")
+        description = "Hosts a policy for the simulator, with its protocol on the standard streams.")
 final class SimulatorVerb implements Callable<Integer> {
     @Mixin
     private PolicyOption policy;
@@ -17,6 +19,6 @@
     @Override
     public Integer call() throws IOException {
         topazvalve.simulator.Main.runOnStandardStreams(policy.value()::create);
-        return ExitCode.DONE;
+        return ExitCode.SUCCESS;
     }
 }
--- a/cli/src/main/java/topazvalve/cli/Verb.java
+++ b/cli/src/main/java/topazvalve/cli/Verb.java
@@ -18,7 +18,7 @@
         return spec.commandLine().getOut();
     }
 
-    /** Creates a directory for the files of measured processes. It is left behind, since their logs are there. */
+    /** Creates a directory for the files of measured processes. It is not deleted, so that their logs can be read. */
     static Path createWorkDirectory() throws IOException {
         return Files.createTempDirectory("topazvalve");
     }
--- a/cli/src/main/java/topazvalve/cli/VerbGroup.java
+++ b/cli/src/main/java/topazvalve/cli/VerbGroup.java
@@ -3,7 +3,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** A verb that only has verbs of its own; alone it prints their list. */
+/** A verb that only groups other verbs; without one of them it prints its usage help. */
 abstract class VerbGroup implements Runnable {
     @Spec
     private CommandSpec spec;
--- a/cli/src/main/java/topazvalve/cli/VersionVerb.java
+++ b/cli/src/main/java/topazvalve/cli/VersionVerb.java
@@ -6,13 +6,13 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.IVersionProvider;
 
-/** Prints the version of the program, and of the Java that runs it. */
-@Command(name = "version", description = "Prints the version, and the Java that runs it.")
+/** Prints the versions of the program and of the Java runtime. */
+@Command(name = "version", description = "Prints the versions of the program and of the Java runtime.")
 final class VersionVerb extends Verb implements IVersionProvider {
     @Override
     public Integer call() throws IOException {
         out().println(String.join("\n", getVersion()));
-        return ExitCode.DONE;
+        return ExitCode.SUCCESS;
     }
 
     @Override
--- a/cli/src/main/java/topazvalve/cli/package-info.java
+++ b/cli/src/main/java/topazvalve/cli/package-info.java
@@ -1,5 +1,5 @@
 /**
  * The {@code ./topazvalve} command. {@link topazvalve.cli.Main} parses the arguments; each verb is a class whose name
- * ends in Verb, which reads its files, runs a program of another module and returns an exit code.
+ * ends in Verb; it reads the input files, runs a program of another module and returns an exit code.
  */
 package topazvalve.cli;
--- a/cli/src/test/java/topazvalve/cli/CapacityTest.java
+++ b/cli/src/test/java/topazvalve/cli/CapacityTest.java
@@ -19,7 +19,7 @@
 import topazvalve.capacity.plan.CapacityPlan;
 import topazvalve.capacity.plan.PlanFile;
 
-/** The output and the exit code of {@code measure capacity}, on made-up figures; nothing is measured here. */
+/** Tests the output and the exit code of {@code measure capacity} on artificial values, without measuring. */
 class CapacityTest {
     private static final Path PLAN = Path.of("../simulation/capacity/plan.toml");
 
@@ -56,11 +56,12 @@
     }
 
     @Test
-    void endsWithTwoBeforeMeasuringWhenThePlanIsInvalid(@TempDir Path folder) throws IOException {
-        Path file = folder.resolve("plan.toml");
+    void endsWithTwoBeforeMeasuringWhenThePlanIsInvalid(@TempDir Path directory) throws IOException {
+        Path file = directory.resolve("plan.toml");
         Files.writeString(file, Files.readString(PLAN).replace("restarted_together", "restart_together"));
         assertEquals(2, Main.run("measure", "capacity", file.toString()));
         assertEquals(
-                2, Main.run("measure", "capacity", folder.resolve("none.toml").toString()));
+                2,
+                Main.run("measure", "capacity", directory.resolve("none.toml").toString()));
     }
 }
--- a/cli/src/test/java/topazvalve/cli/CommandIT.java
+++ b/cli/src/test/java/topazvalve/cli/CommandIT.java
@@ -14,24 +14,24 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The command as a person types it: names of verbs, exit codes, and errors of one line without a stack trace. */
+/** Runs the command in a process of its own: names of verbs, exit codes, and errors without a stack trace. */
 @Timeout(300)
 class CommandIT {
     @TempDir
-    private Path folder;
+    private Path directory;
 
     private record Result(int status, String out, String err) {}
 
     private Result run(String... args) throws IOException, InterruptedException {
         List<String> command = new ArrayList<>(List.of("./topazvalve"));
         command.addAll(List.of(args));
-        Path out = folder.resolve("out");
-        Path err = folder.resolve("err");
+        Path out = directory.resolve("out");
+        Path err = directory.resolve("err");
         Process process = new ProcessBuilder(command)
                 .redirectOutput(out.toFile())
                 .redirectError(err.toFile())
                 .start();
-        // The end of its input is what ends the simulator's host.
+        // The simulator verb runs until its input ends.
         process.getOutputStream().close();
         return new Result(
                 process.waitFor(),
@@ -87,7 +87,7 @@
 
     @Test
     void invalidInputIsReportedInOneLineWithStatus2() throws Exception {
-        Path bad = Files.writeString(folder.resolve("bad.json"), "{\"settings\":");
+        Path bad = Files.writeString(directory.resolve("bad.json"), "{\"settings\":");
         for (List<String> args : List.of(
                 List.of("fly"),
                 List.of("check"),
@@ -115,7 +115,7 @@
         assertTrue(result.err.contains("not set: PROXY_CONFIG"), result.err);
     }
 
-    /** Plays the packaged sidecar between stand-ins on real sockets, through a drain, restarts and a kill. */
+    /** Runs the packaged sidecar between stand-ins on real sockets, with a drain, restarts and a kill. */
     @Test
     void shortScenarioOnRealSocketsKeepsEveryRule() throws Exception {
         Result result = run(
@@ -123,20 +123,20 @@
                 "cli/src/test/resources/short.toml",
                 "--real",
                 "--out",
-                folder.resolve("real").toString());
+                directory.resolve("real").toString());
         assertEquals(0, result.status, result.out + result.err);
         assertTrue(result.out.contains("rules: all held"), result.out);
-        assertTrue(Files.size(folder.resolve("real/report.html")) > 50_000, "the report holds its plots");
+        assertTrue(Files.size(directory.resolve("real/report.html")) > 50_000, "the report contains its plots");
         assertEquals(
                 7, result.out.lines().filter(line -> line.contains(" req/s ")).count(), result.out);
     }
 
-    /** Every problem of a scenario is reported on a line of its own with its place, and nothing is played. */
+    /** Every problem of a scenario is reported on a separate line with its position, and the scenario is not run. */
     @Test
     void invalidScenarioIsRejectedWithEveryProblem() throws Exception {
         String good = Files.readString(Path.of("cli/src/test/resources/short.toml"));
         Path bad = Files.writeString(
-                folder.resolve("bad.toml"),
+                directory.resolve("bad.toml"),
                 good.replace("servers = 4", "sevrers = 4").replace("length = \"7s\"", "length = 7"));
         for (String verb : List.of("check", "simulate")) {
             Result result = run(verb, bad.toString());
--- a/cli/src/test/java/topazvalve/cli/InputFilesTest.java
+++ b/cli/src/test/java/topazvalve/cli/InputFilesTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** How the command finds the files that its callers name. */
+/** Tests how the command finds the files that its arguments name. */
 class InputFilesTest {
     @TempDir
     private Path directory;
