--- a/cli/src/main/java/topazvalve/cli/FleetVerb.java
+++ b/cli/src/main/java/topazvalve/cli/FleetVerb.java
@@ -60,10 +60,10 @@
         }
         REPETITIVE_LOGGERS.forEach(logger -> logger.setLevel(Level.OFF));
         FleetReport report = new FleetReport(timeline, out());
-        report.begin(seed.value());
+        report.printHeader(seed.value());
         try (FleetRun run = new FleetRun(timeline, seed.value(), ProjectRoot.path(), packaged)) {
-            boolean clean = run.play(report::stage).stream().allMatch(StageResult::clean);
-            report.end(run.oracle());
+            boolean clean = run.run(report::printStage).stream().allMatch(StageResult::isClean);
+            report.printSummary(run.oracle());
             return ExitCode.of(clean);
         }
     }
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/FleetReport.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/FleetReport.java
@@ -37,8 +37,8 @@
         out.printf(Locale.ROOT, format, arguments);
     }
 
-    /** Prints what is about to be played. */
-    public void begin(long seed) {
+    /** Prints the size of the fleet and the budget, before the run starts. */
+    public void printHeader(long seed) {
         Timeline.Size size = timeline.size();
         print(
                 "%s: %d hollow sidecars, %d servers, %d sources%s, %d zones in %d regions, seed %d%n",
@@ -73,7 +73,7 @@
     }
 
     /** Prints the result of a stage. */
-    public void stage(StageResult result) {
+    public void printStage(StageResult result) {
         print(
                 "%n%s: %.1f s, %d changes, %d behind at its end%n",
                 result.name(), result.seconds(), result.changes(), result.behind());
@@ -159,7 +159,7 @@
     }
 
     /** Prints the first violations of each rule, the memory that the run uses, and the verdict. */
-    public void end(FleetOracle oracle) {
+    public void printSummary(FleetOracle oracle) {
         out.println();
         for (Violation violation : oracle.examples()) {
             print(
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/FleetRun.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/FleetRun.java
@@ -61,7 +61,7 @@
      * @param listener receives each result as the stage ends
      * @return the results of the start and of every stage
      */
-    public List<StageResult> play(Consumer<StageResult> listener) {
+    public List<StageResult> run(Consumer<StageResult> listener) {
         List<StageResult> results = new ArrayList<>();
         environment.awaitRelays(START_TIMEOUT_NANOS);
         addResult(startSidecars(), results, listener);
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/StageResult.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/StageResult.java
@@ -55,7 +55,7 @@
     public record ProcessLoad(double cores, long maxResidentBytes) {}
 
     /** Returns whether no rule was violated and every sidecar was up to date. */
-    public boolean clean() {
+    public boolean isClean() {
         return violations.isEmpty() && behind == 0;
     }
 }
--- a/hollow-fleet/src/test/java/topazvalve/hollowfleet/run/FleetRunTest.java
+++ b/hollow-fleet/src/test/java/topazvalve/hollowfleet/run/FleetRunTest.java
@@ -56,7 +56,7 @@
     private static Set<Rule> violatedRules(String text, int stages, Consumer<FleetRun> fault) {
         try (FleetRun run = new FleetRun(TimelineFile.parse("t", text), 7)) {
             boolean[] injected = {false};
-            List<StageResult> results = run.play(result -> {
+            List<StageResult> results = run.run(result -> {
                 if (!injected[0]) {
                     injected[0] = true;
                     fault.accept(run);
@@ -90,8 +90,8 @@
         appendStage(text, "length = \"1s\"\nsource_down = \"500ms\"");
         appendStage(text, "length = \"1s\"\nsource_down = \"500ms\"\nversions = \"lower\"");
         try (FleetRun run = new FleetRun(TimelineFile.parse("t", text.toString()), 7)) {
-            for (StageResult stage : run.play(result -> {})) {
-                assertTrue(stage.clean(), stage.name() + ": " + stage.behind() + " behind, " + stage.violations());
+            for (StageResult stage : run.run(result -> {})) {
+                assertTrue(stage.isClean(), stage.name() + ": " + stage.behind() + " behind, " + stage.violations());
             }
         }
     }
@@ -108,8 +108,8 @@
         String text = FLEET + ALLOWED + "[[stage]]\nname = \"s\"\nlength = \"10ms\"\nsettle = \"60s\"\n"
                 + "restart = 120\ndown = \"1s\"\n";
         try (FleetRun run = new FleetRun(TimelineFile.parse("t", text), 7)) {
-            StageResult result = run.play(each -> {}).get(1);
-            assertTrue(result.clean(), result.toString());
+            StageResult result = run.run(each -> {}).get(1);
+            assertTrue(result.isClean(), result.toString());
             assertEquals(120, result.hollow().firstResponseMicros().getTotalCount());
         }
     }
@@ -125,9 +125,9 @@
         appendStage(text, "length = \"1s\"\nsource_down = \"500ms\"\nversions = \"lower\"");
         appendStage(text, "length = \"1s\"\nstalled = 10");
         try (FleetRun run = new FleetRun(TimelineFile.parse("t", text.toString()), 7)) {
-            for (StageResult stage : run.play(result -> {})) {
+            for (StageResult stage : run.run(result -> {})) {
                 assertTrue(
-                        stage.clean(),
+                        stage.isClean(),
                         stage.name() + ": " + stage.behind() + " behind, " + stage.violations()
                                 + run.oracle().examples());
             }
