--- a/simulation/src/main/java/topazvalve/simulation/DeployFileException.java
+++ b/simulation/src/main/java/topazvalve/simulation/DeployFileException.java
@@ -1,10 +1,10 @@
 package topazvalve.simulation;
 
-/** The deploy file doesn't say how a sidecar is started. */
+/** The deploy file has no command that starts a sidecar. */
 public final class DeployFileException extends SimulationException {
     private static final long serialVersionUID = 1;
 
-    /** Creates the error of a file without a {@code run} line. */
+    /** Creates an exception for a file without a {@code run} line. */
     public DeployFileException(String file) {
         super(file + " has no run line", null);
     }
--- a/simulation/src/main/java/topazvalve/simulation/SidecarExitedException.java
+++ b/simulation/src/main/java/topazvalve/simulation/SidecarExitedException.java
@@ -6,7 +6,7 @@
 public final class SidecarExitedException extends SimulationException {
     private static final long serialVersionUID = 1;
 
-    /** Creates the error of the sidecar with this number. */
+    /** Creates an exception for the sidecar with this number. */
     public SidecarExitedException(int number, Path log) {
         super("sidecar " + number + " exited unexpectedly; see its log " + log, null);
     }
--- a/simulation/src/main/java/topazvalve/simulation/SimulationFailedException.java
+++ b/simulation/src/main/java/topazvalve/simulation/SimulationFailedException.java
@@ -1,10 +1,10 @@
 package topazvalve.simulation;
 
-/** The simulation itself is at fault: its code has thrown. */
+/** The simulation failed because its own code threw an exception. */
 public final class SimulationFailedException extends SimulationException {
     private static final long serialVersionUID = 1;
 
-    /** Creates the error with what the code has thrown. */
+    /** Creates an exception; {@code cause} is what the code threw. */
     public SimulationFailedException(String message, Throwable cause) {
         super(message, cause);
     }
--- a/simulation/src/main/java/topazvalve/simulation/StreamTimeoutException.java
+++ b/simulation/src/main/java/topazvalve/simulation/StreamTimeoutException.java
@@ -6,7 +6,7 @@
 public final class StreamTimeoutException extends SimulationException {
     private static final long serialVersionUID = 1;
 
-    /** Creates the error; {@code streams} describes some of them. */
+    /** Creates an exception; {@code streams} describes some of the unfinished streams. */
     public StreamTimeoutException(List<String> streams) {
         super("streams did not finish in time: " + streams, null);
     }
--- a/simulation/src/main/java/topazvalve/simulation/model/AttemptScheduler.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/AttemptScheduler.java
@@ -17,7 +17,7 @@
     private final RandomStream random;
     private final int slots;
     private final int capacity;
-    /** Null if the kind of machine keeps no keys. */
+    /** Null if the kind of machine caches no keys. */
     private final IdempotencyCache idempotencyCache;
 
     private final SharedProcessor processor;
@@ -27,7 +27,7 @@
     /**
      * Creates the scheduler of an idle server.
      *
-     * @param random decides which responses are errors or damaged
+     * @param random decides which responses are errors or corrupted
      */
     AttemptScheduler(
             Clock clock,
@@ -53,7 +53,7 @@
         return processor.runningCount() + queue.size();
     }
 
-    /** Returns whether a further attempt is rejected for want of a slot and of room in the queue. */
+    /** Returns whether a further attempt is rejected because all slots are taken and the queue is full. */
     boolean rejectsFurther() {
         return held() >= capacity && kind.rejectsWhenFull();
     }
@@ -102,7 +102,7 @@
         attempt.completed(success, corrupted);
     }
 
-    /** Sets the fraction (0 to 1) of responses that are damaged from now on. */
+    /** Sets the fraction (0 to 1) of responses that are corrupted from now on. */
     void setCorruptionRate(double rate) {
         corruptionRate = rate;
     }
@@ -134,7 +134,7 @@
         return removed;
     }
 
-    /** The process starts: it knows no keys. */
+    /** The process starts, with an empty idempotency cache. */
     void processStarted() {
         if (idempotencyCache != null) {
             idempotencyCache.clear();
--- a/simulation/src/main/java/topazvalve/simulation/model/AttemptWork.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/AttemptWork.java
@@ -2,12 +2,12 @@
 
 import topazvalve.simulation.scenario.Scenario;
 
-/** Draws the work of attempts, which varies about the work of their request. */
+/** Draws the work of attempts, which varies around the work of their request. */
 public final class AttemptWork {
     private final Scenario scenario;
     private final RandomStream random;
 
-    /** Creates a source with a random stream of its own. */
+    /** Creates an instance with a random stream of its own. */
     public AttemptWork(Scenario scenario, long seed) {
         this.scenario = scenario;
         this.random = RandomStream.named(seed, "noise");
--- a/simulation/src/main/java/topazvalve/simulation/model/Clock.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/Clock.java
@@ -5,11 +5,11 @@
  * clock and everything that it runs belong to one thread.
  */
 public interface Clock {
-    /** Returns the present time in nanoseconds. */
+    /** Returns the current time in nanoseconds. */
     long now();
 
     /**
-     * Schedules an event. An event whose time is past runs as soon as the present event has returned.
+     * Schedules an event. An event whose time is past runs as soon as the current event has returned.
      *
      * @param time when to run it, in nanoseconds of this clock
      */
--- a/simulation/src/main/java/topazvalve/simulation/model/ColdCrashDetector.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/ColdCrashDetector.java
@@ -2,7 +2,7 @@
 
 import topazvalve.simulation.scenario.Scenario.Limits;
 
-/** Decides whether an order server crashes under what it is sent while it is cold, or reports its load to a monitor. */
+/** Decides whether a cold order server crashes under its load, or reports that load to a monitor instead. */
 final class ColdCrashDetector {
     private final OrderServer server;
     private final Limits limits;
@@ -24,11 +24,11 @@
     }
 
     /** Reports the load from now on; the server no longer crashes. */
-    void setMonitor(ColdServerMonitor next) {
-        monitor = next;
+    void setMonitor(ColdServerMonitor newMonitor) {
+        monitor = newMonitor;
     }
 
-    /** The process starts: it hasn't been sent anything. */
+    /** The process starts: its load is 0. */
     void processStarted() {
         load = new ColdLoadWindow(limits.coldLoadWindow(), limits.overloadFactor(), meanWork);
     }
@@ -36,7 +36,7 @@
     /**
      * An attempt has reached the cold server; returns whether the server crashes under it.
      *
-     * @param speed the server's present speed in work a nanosecond
+     * @param speed the server's current speed in work per nanosecond
      * @param senderInformed whether its sender knew when the server last started
      */
     boolean crashesUnder(ServerAttempt attempt, double speed, boolean senderInformed, long now) {
--- a/simulation/src/main/java/topazvalve/simulation/model/ColdLoadWindow.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/ColdLoadWindow.java
@@ -1,7 +1,7 @@
 package topazvalve.simulation.model;
 
 /**
- * The work that a cold server was sent in a sliding window, and its capacity over the same window. A server that is
+ * The work sent to a cold server in a sliding window, and the server's capacity over the same window. A server that is
  * sent more than a multiple of its capacity crashes. The window consists of ten slices of equal length.
  */
 final class ColdLoadWindow {
@@ -20,7 +20,7 @@
     /**
      * Creates an empty window.
      *
-     * @param overloadFactor the multiple of its capacity that the server bears
+     * @param overloadFactor the multiple of its capacity above which the server crashes
      * @param meanWork mean work of a request in nanoseconds of a standard core
      */
     ColdLoadWindow(long windowNanos, double overloadFactor, double meanWork) {
@@ -33,13 +33,13 @@
      * Records the arrival of an attempt.
      *
      * @param work its work in nanoseconds of a standard core
-     * @param speed the server's present speed in work a nanosecond
+     * @param speed the server's current speed in work per nanosecond
      * @param senderInformed whether its sender knew of the server's last start
      */
     void record(long now, double work, double speed, boolean senderInformed) {
         long slice = now / sliceNanos;
-        for (long each = Math.max(currentSlice + 1, slice - SLICES + 1); each <= slice; each++) {
-            int index = (int) (each % SLICES);
+        for (long skipped = Math.max(currentSlice + 1, slice - SLICES + 1); skipped <= slice; skipped++) {
+            int index = (int) (skipped % SLICES);
             offered[index] = 0;
             informed[index] = 0;
             capacity[index] = speed * sliceNanos;
@@ -50,7 +50,7 @@
         informed[index] += senderInformed ? work : 0;
     }
 
-    /** Returns whether the work in the window exceeds the limit and what random variation may add to it. */
+    /** Returns whether the work in the window exceeds the limit plus the slack for random variation. */
     boolean isOverloaded() {
         return sum(offered) > allowedWork() + slackWork();
     }
--- a/simulation/src/main/java/topazvalve/simulation/model/CongestionDetector.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/CongestionDetector.java
@@ -3,12 +3,12 @@
 import topazvalve.simulation.scenario.MachineKind;
 
 /**
- * Congestion of a server: it turns slow when it has held too many attempts for long enough, and recovers when it has
+ * Congestion of a server: it slows down when it has held too many attempts for long enough, and recovers when it has
  * held few for long enough. The thresholds and times are the {@code crowded...} values of its kind of machine.
  */
 final class CongestionDetector {
     private static final long NEVER = -1;
-    /** Recovery needs the load to fall to the threshold divided by this number. */
+    /** A server recovers only once its load is at most the congestion threshold divided by this number. */
     private static final double RECOVERY_DIVISOR = 4;
 
     private final MachineKind kind;
@@ -20,7 +20,7 @@
         this.kind = kind;
     }
 
-    /** The process starts: it isn't congested. */
+    /** The process starts, without congestion. */
     void reset() {
         congested = false;
         overloadedSince = NEVER;
--- a/simulation/src/main/java/topazvalve/simulation/model/ConnectionCounter.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/ConnectionCounter.java
@@ -24,9 +24,9 @@
         return true;
     }
 
-    /** A connection has closed; without effect if the process of that incarnation has ended. */
-    void closed(int acceptedIn) {
-        if (acceptedIn == incarnation) {
+    /** A connection has closed; ignored if the process that accepted it has ended. */
+    void closed(int acceptingIncarnation) {
+        if (acceptingIncarnation == incarnation) {
             open--;
         }
     }
@@ -42,7 +42,7 @@
         return open;
     }
 
-    /** Returns how many processes have ended before the present one. */
+    /** Returns how many processes have ended before the current one. */
     int incarnation() {
         return incarnation;
     }
--- a/simulation/src/main/java/topazvalve/simulation/model/EndpointDirectory.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/EndpointDirectory.java
@@ -10,10 +10,11 @@
 
 /**
  * The endpoint list of discovery. It lags behind the servers: the end or drain of a process is noticed after a delay,
- * the disappearance of a machine after a longer one. Each change has a revision. Transport is the caller's concern.
+ * the disappearance of a machine after a longer one. Each change has a revision. How changes reach the instances is up
+ * to the caller.
  */
 public final class EndpointDirectory {
-    /** A server and its listed state; {@code startedAt} is the start of its process, 0 for long ago. */
+    /** A server and its listed state; {@code startedAt} is when its process started, 0 for before the run. */
     public record Entry(OrderServer server, EndpointStatus state, long startedAt, long changedAtRevision) {}
 
     private static final double NANOS_PER_SECOND = 1e9;
@@ -43,14 +44,14 @@
     /**
      * A server's state has changed. The list follows after a delay, unless the server has started again meanwhile.
      *
-     * @param silently whether the server can't say so itself, which takes longer to notice
+     * @param silently whether the server cannot report the change itself, so that it takes longer to notice
      */
     public void stateChanged(OrderServer server, EndpointStatus state, boolean silently) {
         double delaySeconds =
                 (silently ? settings.silentNoticeSeconds() : settings.noticeSeconds()).at(random.nextDouble());
-        long started = server.startedAt();
+        long startedAt = server.startedAt();
         clock.scheduleAt(clock.now() + (long) (delaySeconds * NANOS_PER_SECOND), () -> {
-            if (server.startedAt() == started) {
+            if (server.startedAt() == startedAt) {
                 apply(server, state);
             }
         });
@@ -71,8 +72,8 @@
     }
 
     /** Calls a listener with every change from now on. */
-    public void addListener(Consumer<Entry> follower) {
-        listeners.add(follower);
+    public void addListener(Consumer<Entry> listener) {
+        listeners.add(listener);
     }
 
     /** Returns all entries, in the order in which the servers were listed. */
@@ -86,30 +87,32 @@
     }
 
     /** Returns the changes after a revision, or null if the log no longer has all of them. */
-    public List<Entry> changesSince(long after) {
-        if (!hasAllSince(after)) {
+    public List<Entry> changesSince(long afterRevision) {
+        if (!hasAllSince(afterRevision)) {
             return null;
         }
-        return log.stream().filter(each -> each.changedAtRevision() > after).toList();
+        return log.stream()
+                .filter(each -> each.changedAtRevision() > afterRevision)
+                .toList();
     }
 
-    private boolean hasAllSince(long after) {
-        if (after > revision) {
+    private boolean hasAllSince(long afterRevision) {
+        if (afterRevision > revision) {
             return false;
         }
         if (log.isEmpty()) {
-            return after == revision;
+            return afterRevision == revision;
         }
-        return log.get(0).changedAtRevision() <= after + 1;
+        return log.get(0).changedAtRevision() <= afterRevision + 1;
     }
 
-    /** Returns whether discovery is down. */
+    /** Returns whether the discovery service is down. */
     public boolean isUnavailable() {
         return unavailable;
     }
 
-    /** Takes the service down or up; the list is kept. */
-    public void setUnavailable(boolean next) {
-        unavailable = next;
+    /** Makes the service unavailable or available; the list is kept. */
+    public void setUnavailable(boolean newUnavailable) {
+        unavailable = newUnavailable;
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/model/FaultInjector.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/FaultInjector.java
@@ -8,26 +8,26 @@
 import topazvalve.simulation.scenario.Scenario.Chaos;
 import topazvalve.toml.Table;
 
-/** Plays the faults of a scenario at their times. Each fault draws the servers it affects from a stream of its own. */
+/** Injects the faults of a scenario at their times. Each fault draws the servers it affects from its own stream. */
 public final class FaultInjector {
-    /** What the recorded event of a fault's begin starts with. */
+    /** The prefix of the event that is recorded when a fault begins. */
     public static final String BEGIN_PREFIX = "begins: ";
-    /** What the recorded event of a fault's end starts with. */
+    /** The prefix of the event that is recorded when a fault ends. */
     public static final String END_PREFIX = "ends: ";
 
     private static final double NANOS_PER_SECOND = 1e9;
-    /** The least time for which the process of a drained or replaced server is down. */
+    /** The minimum downtime of the process of a drained or replaced server. */
     private static final long MIN_DOWNTIME_NANOS = 50_000_000;
 
-    /** The largest part of packets or responses that a drawn fault affects. */
+    /** The largest fraction of packets or responses that a randomly drawn fault affects. */
     private static final double MAX_DRAWN_RATE = 0.5;
-    /** A drawn size stands for a slowdown; a part is this many times smaller. */
+    /** Drawn sizes are slowdowns; divided by this number, they serve as fractions of packets or responses. */
     private static final double DRAWN_RATE_DIVISOR = 10;
 
     private static final long DRAWN_DELAY_NANOS = 20_000_000;
 
-    /** A drained server rejects new attempts during the last one of so many parts of the drain. */
-    private static final int DRAIN_PARTS = 3;
+    /** A drained server rejects new attempts in the last third of the drain. */
+    private static final int DRAIN_REJECTION_DIVISOR = 3;
 
     private final FaultTarget target;
 
@@ -35,20 +35,20 @@
         this.target = target;
     }
 
-    /** Schedules all faults of a scenario, written and drawn, and returns them for the report. */
+    /** Schedules all faults of a scenario, configured and drawn, and returns them for the report. */
     public static List<Fault> scheduleAll(FaultTarget target, Scenario scenario, long seed) {
-        FaultInjector player = new FaultInjector(target);
+        FaultInjector injector = new FaultInjector(target);
         List<Fault> all = plan(scenario, seed);
         long start = target.clock().now();
         for (int i = 0; i < all.size(); i++) {
             Fault fault = all.get(i);
             RandomStream random = RandomStream.named(seed, "fault." + i);
-            target.clock().scheduleAt(start + fault.start(), () -> player.begin(fault, random));
+            target.clock().scheduleAt(start + fault.start(), () -> injector.begin(fault, random));
         }
         return all;
     }
 
-    /** Returns the faults of a run: those written, then those drawn from the seed. */
+    /** Returns the faults of a run: those of the scenario file, then those drawn from the seed. */
     static List<Fault> plan(Scenario scenario, long seed) {
         List<Fault> all = new ArrayList<>(scenario.faults());
         for (int i = 0; i < scenario.chaos().count(); i++) {
@@ -66,8 +66,8 @@
         if (kind == Fault.Kind.LOSS || kind == Fault.Kind.SPOIL) {
             size = Math.min(MAX_DRAWN_RATE, size / DRAWN_RATE_DIVISOR);
         }
-        double share = chaos.share().at(random.nextDouble());
-        return new Fault(kind, start, length, share, size, DRAWN_DELAY_NANOS);
+        double affectedFraction = chaos.affectedFraction().at(random.nextDouble());
+        return new Fault(kind, start, length, affectedFraction, size, DRAWN_DELAY_NANOS);
     }
 
     private void begin(Fault fault, RandomStream random) {
@@ -89,34 +89,35 @@
             case RESTART -> stopServers(fault, random, false);
             case REPLACE, REPLACE_IN_PLACE -> replaceServers(fault, random);
             case DRAIN -> drainServers(fault, random);
-            default -> throw new IllegalStateException("no such fault: " + fault.kind());
+            default -> throw new IllegalStateException("unknown fault kind: " + fault.kind());
         }
     }
 
     private static String describe(Fault fault) {
         String kind = Table.nameOf(fault.kind());
-        return kind + " (" + Math.round(fault.share() * 100) + "% for " + fault.length() / NANOS_PER_SECOND + " s)";
+        return kind + " (" + Math.round(fault.affectedFraction() * 100) + "% for " + fault.length() / NANOS_PER_SECOND
+                + " s)";
     }
 
-    /** Schedules the end of a fault, and what undoes it. */
-    private void endLater(Fault fault, Runnable undo) {
+    /** Schedules the end of a fault, which runs {@code undo}. */
+    private void scheduleEnd(Fault fault, Runnable undo) {
         target.clock().scheduleAt(target.clock().now() + fault.length(), () -> {
             target.recordEvent(END_PREFIX + describe(fault));
             undo.run();
         });
     }
 
-    private static int affectedCount(double share, int total) {
-        return Math.min(total, Math.max(1, (int) Math.round(share * total)));
+    private static int affectedCount(double fraction, int total) {
+        return Math.min(total, Math.max(1, (int) Math.round(fraction * total)));
     }
 
-    /** Draws the affected servers, without repetition, from those that are up. */
+    /** Draws the affected servers, without replacement, from those that are up. */
     private List<OrderServer> drawServers(Fault fault, RandomStream random) {
         List<OrderServer> candidates = new ArrayList<>(target.servers().stream()
                 .filter(each -> each.mode() == ServerMode.UP)
                 .toList());
         List<OrderServer> drawn = new ArrayList<>();
-        int count = candidates.isEmpty() ? 0 : affectedCount(fault.share(), candidates.size());
+        int count = candidates.isEmpty() ? 0 : affectedCount(fault.affectedFraction(), candidates.size());
         while (drawn.size() < count) {
             drawn.add(candidates.remove(random.nextInt(candidates.size())));
         }
@@ -125,50 +126,50 @@
 
     private void overload(Fault fault) {
         target.setLoadFactor(fault.size());
-        endLater(fault, () -> target.setLoadFactor(1));
+        scheduleEnd(fault, () -> target.setLoadFactor(1));
     }
 
     private void losePackets(Fault fault) {
         target.link().setLossRate(fault.size());
-        endLater(fault, () -> target.link().setLossRate(0));
+        scheduleEnd(fault, () -> target.link().setLossRate(0));
     }
 
     private void delayPackets(Fault fault) {
         target.link().setExtraDelay(fault.extraDelay());
-        endLater(fault, () -> target.link().setExtraDelay(0));
+        scheduleEnd(fault, () -> target.link().setExtraDelay(0));
     }
 
     private void takeDiscoveryDown(Fault fault) {
         target.directory().setUnavailable(true);
-        endLater(fault, () -> target.directory().setUnavailable(false));
+        scheduleEnd(fault, () -> target.directory().setUnavailable(false));
     }
 
     private void restartInstances(Fault fault, RandomStream random) {
-        int count = affectedCount(fault.share(), target.instanceCount());
+        int count = affectedCount(fault.affectedFraction(), target.instanceCount());
         int first = random.nextInt(target.instanceCount());
         for (int i = 0; i < count; i++) {
             int number = (first + i) % target.instanceCount();
             long at = target.clock().now() + (long) (random.nextDouble() * fault.length());
             target.clock().scheduleAt(at, () -> target.restartInstance(number));
         }
-        endLater(fault, () -> {});
+        scheduleEnd(fault, () -> {});
     }
 
     private void slowDown(Fault fault, List<OrderServer> servers) {
         servers.forEach(each -> each.setSlowdown(fault.size()));
-        endLater(fault, () -> servers.forEach(each -> each.setSlowdown(1)));
+        scheduleEnd(fault, () -> servers.forEach(each -> each.setSlowdown(1)));
     }
 
     private void corruptResponses(Fault fault, RandomStream random) {
         List<OrderServer> servers = drawServers(fault, random);
         servers.forEach(each -> each.setCorruptionRate(fault.size()));
-        endLater(fault, () -> servers.forEach(each -> each.setCorruptionRate(0)));
+        scheduleEnd(fault, () -> servers.forEach(each -> each.setCorruptionRate(0)));
     }
 
     private void setModeFor(Fault fault, RandomStream random, ServerMode mode) {
         List<OrderServer> servers = drawServers(fault, random);
         servers.forEach(each -> each.setMode(mode));
-        endLater(
+        scheduleEnd(
                 fault,
                 () -> servers.stream()
                         .filter(each -> each.mode() == mode)
@@ -177,7 +178,7 @@
 
     private void resetConnections(Fault fault, RandomStream random) {
         drawServers(fault, random).forEach(OrderServer::resetAll);
-        endLater(fault, () -> {});
+        scheduleEnd(fault, () -> {});
     }
 
     private void stopServers(Fault fault, RandomStream random, boolean silently) {
@@ -186,7 +187,7 @@
             each.stop(silently);
             target.directory().stateChanged(each, EndpointStatus.REMOVED, silently);
         }
-        endLater(fault, () -> servers.forEach(this::restart));
+        scheduleEnd(fault, () -> servers.forEach(this::restart));
     }
 
     private void restart(OrderServer server) {
@@ -198,7 +199,7 @@
 
     private void replaceServers(Fault fault, RandomStream random) {
         drawServers(fault, random).forEach(old -> replace(fault, old));
-        endLater(fault, () -> {});
+        scheduleEnd(fault, () -> {});
     }
 
     private void replace(Fault fault, OrderServer old) {
@@ -214,14 +215,14 @@
 
     private void drainServers(Fault fault, RandomStream random) {
         drawServers(fault, random).forEach(server -> drain(fault, server));
-        endLater(fault, () -> {});
+        scheduleEnd(fault, () -> {});
     }
 
-    /** Lists a server as draining; it serves on until all instances know, rejects what is new, and restarts. */
+    /** Lists a server as draining. It serves while instances are notified, then rejects new attempts, and restarts. */
     private void drain(Fault fault, OrderServer server) {
         target.directory().stateChanged(server, EndpointStatus.DRAINING, false);
         long end = target.clock().now() + Math.max(MIN_DOWNTIME_NANOS, fault.length());
-        target.clock().scheduleAt(end - fault.length() / DRAIN_PARTS, server::drain);
+        target.clock().scheduleAt(end - fault.length() / DRAIN_REJECTION_DIVISOR, server::drain);
         target.clock().scheduleAt(end, () -> {
             server.stop(false);
             target.clock().scheduleAt(end + MIN_DOWNTIME_NANOS, () -> restart(server));
--- a/simulation/src/main/java/topazvalve/simulation/model/FaultTarget.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/FaultTarget.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** What faults act upon, in virtual time and on real sockets alike. */
+/** The simulated system that faults act on, in virtual time as well as on real sockets. */
 public interface FaultTarget {
     /** Returns the clock of the run. */
     Clock clock();
@@ -13,13 +13,13 @@
     /** Kills a sidecar instance and starts it again. */
     void restartInstance(int number);
 
-    /** Replaces a server by one with a new id, at the same address or at another one; returns the new one. */
+    /** Replaces a server by one with a new id, at the same or another address; returns the replacement. */
     OrderServer replaceServer(OrderServer old, boolean sameAddress);
 
     /** Records the begin or end of a fault for the report. */
-    void recordEvent(String what);
+    void recordEvent(String description);
 
-    /** Returns the servers that exist now. */
+    /** Returns the current servers. */
     default List<OrderServer> servers() {
         return topology().fleet().servers();
     }
@@ -40,7 +40,7 @@
     }
 
     /** Multiplies the clients' request rate by a factor from now on; 1 restores it. */
-    default void setLoadFactor(double times) {
-        topology().trafficPattern().setLoadFactor(times);
+    default void setLoadFactor(double factor) {
+        topology().trafficPattern().setLoadFactor(factor);
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/model/Fleet.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/Fleet.java
@@ -21,20 +21,20 @@
         this.seed = seed;
         Scenario.Fleet spec = scenario.fleet();
         int zones = spec.zones().size();
-        int perZone = (spec.servers() + zones - 1) / zones;
-        int podsOfZone = Math.max(1, (perZone + spec.podSize() - 1) / spec.podSize());
-        for (int i = 0; i < podsOfZone * zones; i++) {
+        int serversPerZone = (spec.servers() + zones - 1) / zones;
+        int podsPerZone = Math.max(1, (serversPerZone + spec.podSize() - 1) / spec.podSize());
+        for (int i = 0; i < podsPerZone * zones; i++) {
             RandomStream random = RandomStream.named(seed, "pod." + i);
             boolean limited = random.nextBoolean(spec.limitedPodFraction());
             pods.add(new Pod(clock, i, i % zones, limited ? spec.podLimit().at(random.nextDouble()) : 1));
         }
-        WeightedChoice kinds = new WeightedChoice(scenario.machines().stream().mapToDouble(MachineKind::share));
+        WeightedChoice kinds = new WeightedChoice(scenario.machines().stream().mapToDouble(MachineKind::weight));
         for (int i = 0; i < spec.servers(); i++) {
-            servers.add(make(pods.get(i % pods.size()), kinds.draw(RandomStream.named(seed, "kind." + i))));
+            servers.add(createServer(pods.get(i % pods.size()), kinds.draw(RandomStream.named(seed, "kind." + i))));
         }
     }
 
-    private OrderServer make(Pod pod, int kind) {
+    private OrderServer createServer(Pod pod, int kind) {
         long id = ++lastId;
         return new OrderServer(
                 clock,
@@ -47,15 +47,15 @@
                 RandomStream.named(seed, "server." + id));
     }
 
-    /** Returns the servers that exist now. */
+    /** Returns the current servers. */
     public List<OrderServer> servers() {
         return servers;
     }
 
-    /** Replaces a server by a new one of the same kind in the same pod, and returns the new one. */
+    /** Replaces a server by a new one of the same kind in the same pod, and returns the replacement. */
     public OrderServer replace(OrderServer old) {
-        OrderServer fresh = make(old.pod(), old.kindNumber());
-        servers.set(servers.indexOf(old), fresh);
-        return fresh;
+        OrderServer replacement = createServer(old.pod(), old.kindNumber());
+        servers.set(servers.indexOf(old), replacement);
+        return replacement;
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/model/IdempotencyCache.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/IdempotencyCache.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The idempotency keys that an order server has seen lately. The least recently seen key is evicted first. */
+/** The idempotency keys that an order server has seen recently. The least recently seen key is evicted first. */
 final class IdempotencyCache {
     private final long retentionNanos;
     private final Map<Long, Long> lastSeenAt;
@@ -20,7 +20,7 @@
         };
     }
 
-    /** Records a key and returns whether it was seen within the retention time before. */
+    /** Records a key and returns whether it was last seen within the retention time. */
     boolean recordAndCheck(long key, long now) {
         Long previous = lastSeenAt.put(key, now);
         return previous != null && now - previous <= retentionNanos;
--- a/simulation/src/main/java/topazvalve/simulation/model/Link.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/Link.java
@@ -2,7 +2,7 @@
 
 import topazvalve.simulation.scenario.Scenario.Network;
 
-/** The network between sidecar instances and servers: one-way delays, and what faults add to them. */
+/** The network between sidecar instances and servers: one-way delays, and the loss and delay that faults add. */
 public final class Link {
     /** The delay before the first retransmission of a lost packet; it doubles with each further one. */
     private static final long FIRST_RETRANSMISSION_NANOS = 200_000_000;
--- a/simulation/src/main/java/topazvalve/simulation/model/OrderServer.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/OrderServer.java
@@ -5,8 +5,8 @@
 import topazvalve.simulation.scenario.Scenario.Limits;
 
 /**
- * One order server, on either clock. It puts together its connections, the attempts that it holds, its speed and the
- * load under which it crashes while cold, and applies faults to them. Bytes and sockets are the caller's concern.
+ * One order server, in virtual or real time. It combines its connections, the attempts that it holds, its speed and its
+ * crash under load while cold, and applies faults to them. The transport is up to the caller.
  */
 public final class OrderServer {
     private static final long WARM_UP_STEP_NANOS = 200_000_000;
@@ -28,7 +28,7 @@
     private boolean crashedWhileCold;
 
     /**
-     * Creates a warm server that has run for long.
+     * Creates a server that is already warm.
      *
      * @param kindNumber the index of its kind in the scenario
      * @param meanWork mean work of a request in nanoseconds of a standard core
@@ -72,17 +72,17 @@
         return kind;
     }
 
-    /** Returns the pod that it belongs to. */
+    /** Returns its pod. */
     public Pod pod() {
         return pod;
     }
 
-    /** Returns when its process last started, in nanoseconds of the clock; 0 for long ago. */
+    /** Returns when its process last started, in nanoseconds of the clock; 0 for before the run. */
     public long startedAt() {
         return speed.startedAt();
     }
 
-    /** Returns how it treats connections and attempts now. */
+    /** Returns how it currently treats connections and attempts. */
     public ServerMode mode() {
         return mode;
     }
@@ -115,33 +115,33 @@
         coldCrash.setMonitor(monitor);
     }
 
-    /** Returns the work a nanosecond that all cores do when warm. */
+    /** Returns the work per nanosecond that all cores do when warm. */
     double fullSpeed() {
         return speed.full();
     }
 
-    /** Returns the work a nanosecond of the cores that have something to do, when warm. */
+    /** Returns the work per nanosecond that the busy cores do when warm. */
     double speedInUse() {
         return mode == ServerMode.UP ? speed.ofCoresInUse(processor.runningCount()) : 0;
     }
 
     // Connections.
 
-    /** Accepts a connection, or returns false if it has as many as it can hold. */
+    /** Accepts a connection, or returns false if it already has the maximum number. */
     public boolean acceptConnection() {
         return connections.accept();
     }
 
     /**
-     * A connection has closed. Without effect if the process that accepted it has ended.
+     * A connection has closed. Ignored if the process that accepted it has ended.
      *
-     * @param acceptedIn the {@link #incarnation} in which it was accepted
+     * @param acceptingIncarnation the {@link #incarnation} in which it was accepted
      */
-    public void connectionClosed(int acceptedIn) {
-        connections.closed(acceptedIn);
+    public void connectionClosed(int acceptingIncarnation) {
+        connections.closed(acceptingIncarnation);
     }
 
-    /** Returns the number of its present process. A process that ends takes its connections with it. */
+    /** Returns the number of its current process. Connections end with the process that accepted them. */
     public int incarnation() {
         return connections.incarnation();
     }
@@ -149,7 +149,7 @@
     // Attempts.
 
     /**
-     * Takes an attempt that has arrived completely: starts, queues, rejects or ignores it, or crashes under it.
+     * Receives a complete attempt: starts, queues, rejects or ignores it, or crashes under it.
      *
      * @param senderInformed whether its sender knew when this server last started
      */
@@ -158,7 +158,7 @@
             return;
         }
         long now = clock.now();
-        if (speed.isCold() && coldCrash.crashesUnder(attempt, speed.present(now), senderInformed, now)) {
+        if (speed.isCold() && coldCrash.crashesUnder(attempt, speed.current(now), senderInformed, now)) {
             crash();
             attempt.reset();
             return;
@@ -192,16 +192,16 @@
 
     // Speed.
 
-    /** Accounts for the work done until now, at the speed that held until now. */
+    /** Accounts for the work done since the last call, at the speed that applied until now. */
     void advance() {
         speed.addWork(processor.advance());
     }
 
-    /** Applies the speed that holds from now on, and schedules the next completion. */
+    /** Sets the processor to the current speed, and schedules the next completion. */
     void reschedule() {
         long now = clock.now();
-        if (mode.works() && !speed.isPaused(now) && processor.runningCount() > 0) {
-            processor.run(speed.present(now));
+        if (mode.isProcessing() && !speed.isPaused(now) && processor.runningCount() > 0) {
+            processor.run(speed.current(now));
         } else {
             processor.halt();
         }
@@ -209,29 +209,31 @@
 
     // Faults.
 
-    /** Makes the server this many times slower from now on; 1 restores its own speed. */
-    public void setSlowdown(double times) {
+    /** Divides the speed of the server by a factor from now on; 1 restores its normal speed. */
+    public void setSlowdown(double factor) {
         advance();
-        speed.setSlowdown(times);
+        speed.setSlowdown(factor);
         reschedule();
     }
 
-    /** Sets the fraction (0 to 1) of responses that are damaged from now on. */
+    /** Sets the fraction (0 to 1) of responses that are corrupted from now on. */
     public void setCorruptionRate(double rate) {
         attempts.setCorruptionRate(rate);
     }
 
-    /** Sets how it treats connections and attempts. A server that turns silent never responds to those it holds. */
-    public void setMode(ServerMode next) {
+    /**
+     * Sets how it treats connections and attempts. A server that becomes silent never responds to attempts it holds.
+     */
+    public void setMode(ServerMode newMode) {
         advance();
-        mode = next;
-        if (next == ServerMode.SILENT) {
+        mode = newMode;
+        if (newMode == ServerMode.SILENT) {
             attempts.removeAll();
         }
         reschedule();
     }
 
-    /** Rejects new attempts from now on, and finishes those that it holds. */
+    /** Starts draining: rejects new attempts from now on, and finishes those that it holds. */
     public void drain() {
         draining = true;
     }
@@ -248,7 +250,7 @@
     /**
      * Ends the process.
      *
-     * @param silently true if the whole machine disappears: attempts are lost without a reset
+     * @param silently true if the whole machine becomes unreachable: attempts are lost without a reset
      */
     public void stop(boolean silently) {
         advance();
@@ -269,7 +271,7 @@
         }
         mode = ServerMode.UP;
         draining = false;
-        processor.skipToPresent();
+        processor.skipToNow();
         speed.processStarted(clock.now());
         coldCrash.processStarted();
         attempts.processStarted();
@@ -291,7 +293,7 @@
         coldCrashListener.accept(this, informedFraction);
     }
 
-    /** Ends the process for good and leaves the pod. */
+    /** Ends the process permanently and removes the server from its pod. */
     public void decommission() {
         stop(false);
         pod.remove(this);
--- a/simulation/src/main/java/topazvalve/simulation/model/PauseGenerator.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/PauseGenerator.java
@@ -2,9 +2,9 @@
 
 import topazvalve.simulation.scenario.MachineKind;
 
-/** The short pauses of an order server's process, as of garbage collection, at random times and of random length. */
+/** Short pauses of an order server's process, such as garbage collection, at random times and of random length. */
 final class PauseGenerator {
-    /** A pause takes the mean length times a factor that is uniform from this one to this one plus 1. */
+    /** A pause lasts the mean length times a factor drawn uniformly between this value and this value plus 1. */
     private static final double MIN_LENGTH_FACTOR = 0.5;
 
     private final Clock clock;
@@ -21,7 +21,7 @@
         this.speed = speed;
     }
 
-    /** Schedules the first pause, if the kind of machine has any; each schedules the next one. */
+    /** Schedules the first pause, if the kind of machine has pauses; each pause schedules the next one. */
     void start() {
         if (kind.meanPauseInterval() > 0) {
             scheduleNext();
--- a/simulation/src/main/java/topazvalve/simulation/model/Pod.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/Pod.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Servers of one zone that may share a capacity limit. Discovery doesn't list which pods have one. */
+/** A group of servers in one zone that may share a capacity limit. Discovery does not list which pods have one. */
 public final class Pod {
     private static final long UPDATE_INTERVAL_NANOS = 50_000_000;
     /** Smaller changes of the speed factor are ignored. */
@@ -16,9 +16,9 @@
     private double speedFactor = 1;
 
     /**
-     * Creates a pod without servers.
+     * Creates an empty pod.
      *
-     * @param capacityLimit the fraction of the servers' joint capacity that they may use; 1 for no limit
+     * @param capacityLimit the fraction of the servers' total capacity that they may use together; 1 for no limit
      */
     public Pod(Clock clock, int number, int zone, double capacityLimit) {
         this.number = number;
@@ -59,10 +59,10 @@
             inUse += each.speedInUse();
             capacity += each.fullSpeed();
         }
-        double next = inUse == 0 ? 1 : Math.min(1, capacityLimit * capacity / inUse);
-        if (Math.abs(next - speedFactor) > MIN_CHANGE) {
+        double newFactor = inUse == 0 ? 1 : Math.min(1, capacityLimit * capacity / inUse);
+        if (Math.abs(newFactor - speedFactor) > MIN_CHANGE) {
             servers.forEach(OrderServer::advance);
-            speedFactor = next;
+            speedFactor = newFactor;
             servers.forEach(OrderServer::reschedule);
         }
         clock.scheduleAt(clock.now() + UPDATE_INTERVAL_NANOS, () -> updateSpeedFactor(clock));
--- a/simulation/src/main/java/topazvalve/simulation/model/RandomStream.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/RandomStream.java
@@ -7,8 +7,8 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * A stream of random numbers. Each purpose has a stream of its own, which depends on the run's seed and the purpose's
- * name alone; thus another fault doesn't change the arrivals or the work.
+ * A stream of random numbers. Each purpose has a stream of its own, which depends only on the run's seed and the name
+ * of the purpose, so that adding a fault, say, changes neither arrivals nor work.
  */
 public final class RandomStream {
     private final UniformRandomProvider random;
@@ -22,8 +22,8 @@
     }
 
     /**
-     * Creates the stream of a name: xoroshiro128++, seeded by MurmurHash3 of seed and name. Names stay as they are even
-     * where their users are renamed, since another name gives another run.
+     * Creates the stream for a name: xoroshiro128++, seeded by MurmurHash3 of seed and name. Keep the names even where
+     * the classes that use them are renamed, since a different name gives a different run.
      */
     public static RandomStream named(long seed, String name) {
         byte[] bytes = (seed + ":" + name).getBytes(StandardCharsets.UTF_8);
@@ -36,7 +36,7 @@
         return random.nextDouble();
     }
 
-    /** Draws true with this probability; probabilities up to 0 or from 1 on draw nothing. */
+    /** Draws true with this probability; nothing is drawn if it is at most 0 or at least 1. */
     public boolean nextBoolean(double probability) {
         return probability > 0 && (probability >= 1 || random.nextDouble() < probability);
     }
@@ -46,7 +46,7 @@
         return random.nextInt(bound);
     }
 
-    /** Draws any long, uniformly. */
+    /** Draws a long, uniformly from all values. */
     public long nextLong() {
         return random.nextLong();
     }
--- a/simulation/src/main/java/topazvalve/simulation/model/RequestGenerator.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/RequestGenerator.java
@@ -6,19 +6,19 @@
 import topazvalve.simulation.scenario.Scenario;
 
 /**
- * The requests of one instance's clients. The load is an open loop: arrivals don't depend on earlier responses. All is
- * drawn from a stream of its own, so that nothing else can change it.
+ * The requests of one instance's clients. The load is open-loop: arrivals do not depend on earlier responses.
+ * Everything is drawn from a stream of its own, so that nothing else in the run can change the requests.
  */
 public final class RequestGenerator {
     /**
-     * A request as a client means it.
+     * A request as drawn, before a client sends it.
      *
      * @param requestClass index of its class in the scenario
      * @param work in nanoseconds of a standard core
      * @param clientTimeoutNanos how long the client waits for the response
-     * @param disconnectsEarly whether the client disconnects when its patience ends
+     * @param disconnectsEarly whether the client disconnects after that time
      * @param retries whether the client retries once after a failure that allows it
-     * @param honoursRetryAfter whether the client heeds Retry-After
+     * @param honoursRetryAfter whether the client honours Retry-After
      */
     public record GeneratedRequest(
             int requestClass,
@@ -30,12 +30,12 @@
             boolean honoursRetryAfter) {}
 
     private static final double NANOS_PER_SECOND = 1e9;
-    /** The least exponent that the sampler of keys takes. */
+    /** The smallest exponent that the sampler of keys accepts. */
     private static final double MIN_ZIPF_EXPONENT = 1e-9;
-    /** An impatient client waits for a fraction of its deadline from this one on, this range wide. */
-    private static final double MIN_PATIENCE = 0.05;
+    /** A client that disconnects early waits for a fraction of its deadline drawn from this range. */
+    private static final double MIN_TIMEOUT_FRACTION = 0.05;
 
-    private static final double PATIENCE_RANGE = 0.5;
+    private static final double TIMEOUT_FRACTION_RANGE = 0.5;
 
     private final Scenario scenario;
     private final RandomStream random;
@@ -51,7 +51,7 @@
         this.trafficPattern = trafficPattern;
         this.ratePerNano =
                 scenario.instanceRate() * random.nextLognormal(scenario.load().instanceSpread()) / NANOS_PER_SECOND;
-        this.classes = new WeightedChoice(scenario.classes().stream().mapToDouble(RequestClassSpec::share));
+        this.classes = new WeightedChoice(scenario.classes().stream().mapToDouble(RequestClassSpec::weight));
         this.keys = RejectionInversionZipfSampler.of(
                 random.generator(),
                 scenario.load().keys(),
@@ -60,7 +60,7 @@
 
     /**
      * Draws the nanoseconds until the next candidate arrival. {@link #arrivesAt} decides whether a request arrives then
-     * (thinning of a Poisson process of the maximal rate).
+     * (thinning of a Poisson process of the maximum rate).
      */
     public long nextGapNanos() {
         return (long) random.nextExponential(1 / (ratePerNano * trafficPattern.maxFactor()));
@@ -78,14 +78,15 @@
         RequestClassSpec requestClass = scenario.classes().get(classNumber);
         Scenario.Clients clients = scenario.clients();
         boolean disconnectsEarly = random.nextBoolean(clients.earlyDisconnectFraction());
-        long patience = disconnectsEarly
-                ? (long) (requestClass.deadline() * (MIN_PATIENCE + PATIENCE_RANGE * random.nextDouble()))
+        long clientTimeout = disconnectsEarly
+                ? (long) (requestClass.deadline()
+                        * (MIN_TIMEOUT_FRACTION + TIMEOUT_FRACTION_RANGE * random.nextDouble()))
                 : requestClass.deadline();
         return new GeneratedRequest(
                 classNumber,
                 keys.sample(),
                 requestClass.work() * random.nextLognormal(requestClass.workVariation()),
-                patience,
+                clientTimeout,
                 disconnectsEarly,
                 random.nextBoolean(clients.retryFraction()),
                 random.nextBoolean(clients.honourRetryAfterFraction()));
--- a/simulation/src/main/java/topazvalve/simulation/model/ServerAttempt.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/ServerAttempt.java
@@ -1,7 +1,7 @@
 package topazvalve.simulation.model;
 
 /**
- * One attempt as an order server holds it. Whoever carries the response back extends this class. A server calls
+ * One attempt as an order server holds it. The sender extends this class to receive the outcome. A server calls
  * exactly one of {@link #completed}, {@link #rejected}, {@link #reset} and {@link #discarded}, or none at all: a silent
  * server never responds.
  */
@@ -13,15 +13,15 @@
     final int requestClass;
     final long key;
     final long deadline;
-    /** The progress of the processor at which it is finished. */
+    /** The value of the processor's progress at which it is finished. */
     double finishProgress;
-    /** The server that holds it; null when none does. */
+    /** The server that holds it; null if none does. */
     OrderServer server;
 
     boolean running;
 
     /**
-     * Creates an attempt that hasn't reached a server yet.
+     * Creates an attempt that has not reached a server yet.
      *
      * @param work its work in nanoseconds of a standard core
      * @param requestClass the index of its request's class in the scenario
@@ -35,14 +35,14 @@
         this.deadline = deadline;
     }
 
-    /** The server starts to work on it: from now on it may have an effect. */
+    /** The server has started it: from now on it may have side effects. */
     protected abstract void started();
 
     /**
      * The server has finished it.
      *
      * @param success false if the response is an error
-     * @param corrupted whether the response is damaged
+     * @param corrupted whether the response is corrupted
      */
     protected abstract void completed(boolean success, boolean corrupted);
 
@@ -52,6 +52,6 @@
     /** The server has reset its connection. */
     protected abstract void reset();
 
-    /** The server has removed it, after a cancellation or because its deadline was past before it started. */
+    /** The server has removed it, after a cancellation or because its deadline passed before it started. */
     protected abstract void discarded();
 }
--- a/simulation/src/main/java/topazvalve/simulation/model/ServerMode.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/ServerMode.java
@@ -2,11 +2,11 @@
 
 /** How an order server treats connections and attempts. */
 public enum ServerMode {
-    /** It serves. */
+    /** It serves attempts. */
     UP,
-    /** It takes attempts and never responds. */
+    /** It receives attempts and never responds. */
     SILENT,
-    /** It accepts connections, and nothing else happens. */
+    /** It accepts connections and attempts, but its processor is stopped. */
     FROZEN,
     /** It refuses new connections. */
     REFUSING,
@@ -15,13 +15,13 @@
     /** The machine is unreachable: connections are never established. */
     VANISHED;
 
-    /** Returns whether attempts that reach the server have any effect. */
+    /** Returns whether the server processes attempts that reach it. */
     boolean takesAttempts() {
         return this != DOWN && this != VANISHED && this != SILENT;
     }
 
-    /** Returns whether the processor works. */
-    boolean works() {
+    /** Returns whether the processor runs. */
+    boolean isProcessing() {
         return this == UP || this == REFUSING;
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/model/ServerSpeed.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/ServerSpeed.java
@@ -3,8 +3,8 @@
 import topazvalve.simulation.scenario.MachineKind;
 
 /**
- * The speed of an order server, and what changes it: warm-up, slowness by a fault, congestion, its pod's capacity limit
- * and pauses. Speeds are work a nanosecond, where a standard core does 1.
+ * The speed of an order server, which depends on warm-up, slowdown by faults, congestion, its pod's capacity limit and
+ * pauses. Speeds are in work per nanosecond, where a standard core does 1.
  */
 final class ServerSpeed {
     private final MachineKind kind;
@@ -17,7 +17,7 @@
     private long pausedUntil;
 
     /**
-     * Creates the speed of a server that has been warm for long.
+     * Creates the speed of a server that is already warm.
      *
      * @param coreSpeed the speed of one of its cores when warm
      */
@@ -40,8 +40,8 @@
         return coreSpeed * Math.min(kind.cores(), runningAttempts);
     }
 
-    /** Returns the speed of all cores now, pauses aside. */
-    double present(long now) {
+    /** Returns the current speed of all cores, without regard to pauses. */
+    double current(long now) {
         return fullSpeed * warmUp.speedFraction(now) / slowdown / congestion.slowdown() * pod.speedFactor();
     }
 
@@ -51,12 +51,12 @@
         congestion.reset();
     }
 
-    /** Returns when the process last started, in nanoseconds of the clock; 0 for long ago. */
+    /** Returns when the process last started, in nanoseconds of the clock; 0 for before the run. */
     long startedAt() {
         return warmUp.startedAt();
     }
 
-    /** Returns whether the warm-up isn't complete yet. */
+    /** Returns whether the warm-up is not complete yet. */
     boolean isCold() {
         return warmUp.isCold();
     }
@@ -71,18 +71,20 @@
         congestion.update(now, (double) attemptsHeld / kind.cores());
     }
 
-    /** Makes the server this many times slower from now on; 1 restores its own speed. */
-    void setSlowdown(double times) {
-        slowdown = times;
+    /** Divides the speed of the server by a factor from now on; 1 restores its normal speed. */
+    void setSlowdown(double factor) {
+        slowdown = factor;
     }
 
-    /** Pauses the server until a time, or longer if a longer pause is under way; returns when it ends. */
+    /**
+     * Pauses the server until a time, or longer if a longer pause is already in progress; returns when the pause ends.
+     */
     long pauseUntil(long time) {
         pausedUntil = Math.max(pausedUntil, time);
         return pausedUntil;
     }
 
-    /** Returns whether a pause is under way. */
+    /** Returns whether a pause is in progress. */
     boolean isPaused(long now) {
         return now < pausedUntil;
     }
--- a/simulation/src/main/java/topazvalve/simulation/model/SharedProcessor.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/SharedProcessor.java
@@ -6,12 +6,12 @@
 
 /**
  * Processor sharing: the running attempts get equal shares of the cores, and none gets more than one core. All share
- * one running total of work, so that a change of the speed costs one new completion event. The owner calls
+ * one running total of work, so that a change of speed needs only one new completion event. The owner calls
  * {@link #advance} before anything that changes the speed or the running attempts, and {@link #run} or {@link #halt}
  * after it.
  */
 final class SharedProcessor {
-    /** The remaining work at which an attempt counts as finished, since completion times are whole nanoseconds. */
+    /** Attempts with this much work left count as finished, since completion times are rounded to nanoseconds. */
     private static final double ROUNDING_WORK = 0.5;
 
     private final Clock clock;
@@ -19,7 +19,7 @@
     private final Runnable onCompletionDue;
     private final List<ServerAttempt> running = new ArrayList<>();
 
-    /** Work that each running attempt has had, in nanoseconds of a standard core. */
+    /** The running total of work per running attempt, in nanoseconds of a standard core. */
     private double progress;
 
     private long progressAt;
@@ -30,7 +30,7 @@
     /**
      * Creates an idle processor.
      *
-     * @param onCompletionDue runs when the next attempt should have finished
+     * @param onCompletionDue runs when the next attempt is due to finish
      */
     SharedProcessor(Clock clock, int cores, Runnable onCompletionDue) {
         this.clock = clock;
@@ -55,14 +55,14 @@
         running.remove(attempt);
     }
 
-    /** Removes all running attempts and returns them in the order of their start. */
+    /** Removes all running attempts and returns them in the order in which they started. */
     List<ServerAttempt> removeAll() {
         List<ServerAttempt> removed = new ArrayList<>(running);
         running.clear();
         return removed;
     }
 
-    /** Removes the attempts that have finished, the latest started first, and passes each on. */
+    /** Removes the attempts that have finished, the latest started first, and passes each to {@code onFinished}. */
     void removeFinished(Consumer<ServerAttempt> onFinished) {
         for (int i = running.size() - 1; i >= 0; i--) {
             ServerAttempt attempt = running.get(i);
@@ -73,7 +73,7 @@
         }
     }
 
-    /** Brings the progress up to the present and returns the work done for all attempts since the last call. */
+    /** Advances the progress to the current time and returns the work done for all attempts since the last call. */
     double advance() {
         long now = clock.now();
         double workPerAttempt = ratePerAttempt * (now - progressAt);
@@ -82,12 +82,12 @@
         return workPerAttempt * running.size();
     }
 
-    /** Skips the time since the last call of {@link #advance}: no work was done in it. */
-    void skipToPresent() {
+    /** Skips the time since the last call of {@link #advance}, in which no work was done. */
+    void skipToNow() {
         progressAt = clock.now();
     }
 
-    /** No work is done until the next call of {@link #run}. */
+    /** Stops the processor until the next call of {@link #run}. */
     void halt() {
         ratePerAttempt = 0;
         completionAt = Long.MAX_VALUE;
@@ -97,7 +97,7 @@
     /**
      * Runs at a speed from now on, and schedules the next completion. At least one attempt must be running.
      *
-     * @param speed what all cores do together, in work a nanosecond
+     * @param speed the work per nanosecond of all cores together
      */
     void run(double speed) {
         ratePerAttempt = speed / Math.max(cores, running.size());
--- a/simulation/src/main/java/topazvalve/simulation/model/Topology.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/Topology.java
@@ -4,9 +4,10 @@
 import java.util.List;
 import topazvalve.simulation.scenario.Scenario;
 
-/** The servers, network, discovery and traffic pattern of a run, drawn from scenario and seed alike on either clock. */
+/** The servers, network, discovery and traffic pattern of a run. Scenario and seed determine them on either clock. */
 public final class Topology {
     private static final int MAX_RECORDED_EVENTS = 500;
+    private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final Scenario scenario;
     private final Fleet fleet;
@@ -50,9 +51,9 @@
     }
 
     /** Records an event for the report, {@code elapsed} nanoseconds after the start; only the first 500 are kept. */
-    public void recordEvent(long elapsed, String what) {
+    public void recordEvent(long elapsed, String description) {
         if (recordedEvents.size() < MAX_RECORDED_EVENTS) {
-            recordedEvents.add(elapsed / 1_000_000 + " ms: " + what);
+            recordedEvents.add(elapsed / NANOS_PER_MILLI + " ms: " + description);
         }
     }
 
--- a/simulation/src/main/java/topazvalve/simulation/model/TrafficPattern.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/TrafficPattern.java
@@ -8,7 +8,7 @@
 
     private final Load load;
     private final RandomStream random;
-    private boolean burst;
+    private boolean inBurst;
     private long phaseEndsAt;
     private double loadFactor = 1;
 
@@ -35,16 +35,16 @@
                     case WAVE -> 1 + load.amplitude() * Math.sin(2 * Math.PI * time / load.period());
                     case BURSTY -> {
                         while (time >= phaseEndsAt) {
-                            burst = !burst;
+                            inBurst = !inBurst;
                             phaseEndsAt +=
                                     Math.max(MIN_PHASE_NANOS, (long) random.nextExponential(load.period() / 2.0));
                         }
-                        yield burst ? 1 + load.amplitude() : 1 - load.amplitude();
+                        yield inBurst ? 1 + load.amplitude() : 1 - load.amplitude();
                     }
                 };
     }
 
-    /** Returns an upper bound of the factor under the present load factor. */
+    /** Returns an upper bound of the factor under the current load factor. */
     public double maxFactor() {
         return loadFactor * (1 + load.amplitude());
     }
--- a/simulation/src/main/java/topazvalve/simulation/model/WarmUp.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/WarmUp.java
@@ -5,7 +5,7 @@
 
 /** The warm-up of a server process: its speed rises linearly from the cold fraction to full speed. */
 final class WarmUp {
-    /** The fraction of a warm server's work over the warm-up time that ends the warm-up early. */
+    /** A server is warm once it has done this fraction of what a warm server does in the warm-up time. */
     private static final double SUFFICIENT_WORK_FRACTION = 0.5;
 
     private final MachineKind kind;
@@ -15,9 +15,9 @@
     private double workSinceStart;
 
     /**
-     * Creates the state of a server that has been warm for long.
+     * Creates the state of a server that is already warm.
      *
-     * @param fullSpeed the server's speed when warm, in work a nanosecond
+     * @param fullSpeed the server's speed when warm, in work per nanosecond
      */
     WarmUp(MachineKind kind, double fullSpeed) {
         this.kind = kind;
@@ -31,7 +31,7 @@
         cold = kind.coldSpeedFraction() < 1;
     }
 
-    /** Returns when the process last started, in nanoseconds of the clock; 0 for long ago. */
+    /** Returns when the process last started, in nanoseconds of the clock; 0 for before the run. */
     long startedAt() {
         return startedAt;
     }
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Returns the present fraction of the full speed (0 to 1), and ends the warm-up when it is complete. */
+    /** Returns the current fraction of the full speed (0 to 1), and ends the warm-up when it is complete. */
     double speedFraction(long now) {
         if (!cold) {
             return 1;
--- a/simulation/src/main/java/topazvalve/simulation/model/WeightedChoice.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/WeightedChoice.java
@@ -2,12 +2,12 @@
 
 import java.util.stream.DoubleStream;
 
-/** Draws an index, each with a probability in proportion to its weight. */
+/** Draws an index with a probability in proportion to its weight. */
 final class WeightedChoice {
     private final double[] weights;
     private final double total;
 
-    /** Creates a choice among one or more indices; their weights are not negative. */
+    /** Creates a choice among the indices of the weights, of which there is at least one; none is negative. */
     WeightedChoice(DoubleStream weights) {
         this.weights = weights.toArray();
         this.total = DoubleStream.of(this.weights).sum();
--- a/simulation/src/main/java/topazvalve/simulation/package-info.java
+++ b/simulation/src/main/java/topazvalve/simulation/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Simulations of sidecars with servers, clients, discovery and faults. One model runs in virtual time and,
- * on loopback, in real time.
+ * Simulations of sidecars with servers, clients, discovery and faults. The same model runs in virtual time and, over
+ * loopback sockets, in real time.
  */
 package topazvalve.simulation;
--- a/simulation/src/main/java/topazvalve/simulation/scenario/ExperimentFile.java
+++ b/simulation/src/main/java/topazvalve/simulation/scenario/ExperimentFile.java
@@ -13,15 +13,15 @@
 import topazvalve.toml.Table;
 import topazvalve.toml.TomlFile;
 
-/** Reads experiment files (TOML): scenarios, arms and seeds. It is as strict as {@link ScenarioFile}. */
+/** Reads experiment files (TOML): scenarios, arms and seeds. It reports problems like {@link ScenarioFile}. */
 public final class ExperimentFile {
     private static final SeedRange ONE_SEED = new SeedRange(1, 1);
 
-    /** An arm of the file; {@code attempts} is 0 for the scenario's own limit. */
+    /** An arm of the experiment; {@code attempts} is 0 for the scenario's own limit. */
     public record ArmSpec(
             String name, Policy policy, int attempts, boolean cancel, boolean probes, boolean retryAfter) {}
 
-    /** The contents of a file; relative paths of scenarios start from the folder of the experiment file. */
+    /** The contents of a file; relative paths of scenarios are resolved against the folder of the experiment file. */
     public record Experiment(String name, List<Path> scenarios, SeedRange seeds, List<ArmSpec> arms) {}
 
     private ExperimentFile() {}
@@ -29,7 +29,7 @@
     /**
      * Reads a file.
      *
-     * @throws InvalidFileException if its contents are invalid; it has all problems
+     * @throws InvalidFileException if its contents are invalid; the exception has all problems
      */
     public static Experiment read(Path file) throws IOException {
         return TomlFile.parse(file.toString(), Files.readString(file), table -> experiment(file, table));
@@ -65,7 +65,7 @@
             Policy policy = arm.choice(Policy.class, "policy", null);
             String name = arm.text("name", Table.nameOf(policy));
             if (!names.add(name)) {
-                arm.addProblem("name", "\"" + name + "\" is given twice");
+                arm.addProblem("name", "\"" + name + "\" is used twice");
             }
             arms.add(new ArmSpec(
                     name,
--- a/simulation/src/main/java/topazvalve/simulation/scenario/Fault.java
+++ b/simulation/src/main/java/topazvalve/simulation/scenario/Fault.java
@@ -5,13 +5,13 @@
 import topazvalve.toml.Table;
 
 /**
- * A fault. Times are nanoseconds, the start from the start of the run.
+ * A fault to inject. Times are in nanoseconds; the start is relative to the start of the run.
  *
- * @param share the fraction (0 to 1) of the servers or instances that it affects; at least one is affected
- * @param size its size, which depends on the kind: a slowdown, a load factor, or a fraction of responses or packets
- * @param extraDelay the delay that every packet gets, for a fault of that kind
+ * @param affectedFraction the fraction (0 to 1) of the servers or instances that it affects; at least one is affected
+ * @param size a slowdown, a load factor, or a fraction of responses or packets, depending on the kind
+ * @param extraDelay the additional delay of every packet; 0 unless the kind is {@code DELAY}
  */
-public record Fault(Kind kind, long start, long length, double share, double size, long extraDelay) {
+public record Fault(Kind kind, long start, long length, double affectedFraction, double size, long extraDelay) {
 
     /** Kinds of faults, and the meaning of {@code size}. */
     public enum Kind {
@@ -19,19 +19,19 @@
         SLOW,
         /** Servers accept requests and never respond to them. */
         SILENT,
-        /** Servers stop working, and continue afterwards where they were. */
+        /** Servers stop processing, and resume afterwards where they stopped. */
         FROZEN,
-        /** Servers reset every connection, once. */
+        /** Servers reset all their connections once. */
         RESET,
         /** Servers refuse new connections. */
         REFUSE,
-        /** Machines become unreachable, and start cold afterwards. */
+        /** Machines become unreachable, and restart cold afterwards. */
         VANISH,
-        /** Processes end, and start cold afterwards. */
+        /** Processes end, and restart cold afterwards. */
         RESTART,
-        /** Servers end for good; cold ones with new ids and addresses replace them. */
+        /** Servers end permanently, and are replaced by cold ones with new ids and addresses. */
         REPLACE,
-        /** Servers end for good; cold ones with new ids replace them at the same addresses. */
+        /** Servers end permanently, and are replaced by cold ones with new ids at the same addresses. */
         REPLACE_IN_PLACE,
         /** Servers are listed as draining, and restart cold afterwards. */
         DRAIN,
@@ -43,11 +43,11 @@
         LOSS,
         /** Every packet to and from the servers is delayed by {@code extraDelay}. */
         DELAY,
-        /** The fraction {@code size} of the responses is damaged. */
+        /** The fraction {@code size} of the responses is corrupted. */
         SPOIL,
-        /** Sidecar instances are killed and restart. */
+        /** Sidecar instances are killed and restarted. */
         INSTANCE_RESTART,
-        /** Discovery doesn't respond. */
+        /** Discovery does not respond. */
         DISCOVERY_DOWN
     }
 
@@ -56,7 +56,7 @@
             EnumSet.of(Kind.SLOW, Kind.OVERLOAD, Kind.SHARED_SLOW, Kind.LOSS, Kind.SPOIL);
     /** Kinds whose size is a fraction. */
     private static final Set<Kind> RATES = EnumSet.of(Kind.LOSS, Kind.SPOIL);
-    /** Kinds that affect everything, so that they have no share. */
+    /** Kinds that affect all servers or instances, so that they have no affected fraction. */
     private static final Set<Kind> GLOBAL =
             EnumSet.of(Kind.OVERLOAD, Kind.SHARED_SLOW, Kind.LOSS, Kind.DELAY, Kind.DISCOVERY_DOWN);
 
@@ -65,7 +65,7 @@
         Kind kind = table.choice(Kind.class, "kind", null);
         long start = table.duration("start", null, "0", "24m");
         long length = table.duration("length", kind == Kind.RESET ? "0" : null, "0", "24m");
-        double share = GLOBAL.contains(kind) ? 1 : table.number("share", null, 0, 1);
+        double affectedFraction = GLOBAL.contains(kind) ? 1 : table.number("share", null, 0, 1);
         double size = 1;
         if (SIZED.contains(kind)) {
             boolean isRate = RATES.contains(kind);
@@ -75,6 +75,6 @@
         if (start >= runLength) {
             table.addProblem("start", "is not before the end of the run");
         }
-        return new Fault(kind, start, length, share, size, extraDelay);
+        return new Fault(kind, start, length, affectedFraction, size, extraDelay);
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/scenario/MachineKind.java
+++ b/simulation/src/main/java/topazvalve/simulation/scenario/MachineKind.java
@@ -6,33 +6,34 @@
 /**
  * A kind of order server. Times are in nanoseconds, work in nanoseconds of a standard core.
  *
- * @param share its weight among the kinds in the draw of a server
- * @param speed how many times as fast as a standard core a core is; each server draws from this range
- * @param slotsPerCore requests that run at once, for each core
- * @param queuePerCore requests that are queued, for each core
- * @param rejectsWhenFull whether it rejects requests beyond slots and queue; otherwise it queues them all the same
- * @param coldSpeedFraction the fraction (0 to 1) of its speed that it has when it starts
- * @param warmUpTime how long after its start it is warm at the latest; 0 for at once
- * @param warmBy whether work ends the warm-up earlier than time
+ * @param weight its weight among the kinds when the kind of a server is drawn
+ * @param speed the speed of a core as a multiple of a standard core's; drawn for each server from this range
+ * @param slotsPerCore the number of requests that run concurrently, per core
+ * @param queuePerCore the number of requests that are queued, per core
+ * @param rejectsWhenFull whether it rejects requests when slots and queue are full; otherwise it queues them
+ *     nevertheless
+ * @param coldSpeedFraction the fraction (0 to 1) of its full speed that it has when it starts
+ * @param warmUpTime the longest time from its start until it is warm; 0 if it is warm immediately
+ * @param warmBy whether the warm-up ends by time alone, or earlier by work
  * @param meanPauseInterval mean time between pauses; 0 for no pauses
  * @param meanPause mean length of a pause
  * @param errorRate the fraction (0 to 1) of requests to which it responds with an error
  * @param cancel which attempts a cancellation stops
  * @param honoursDeadline whether it discards queued requests whose deadline is past
- * @param congestedAt attempts held for each core that congest the server; 0 for no congestion
- * @param congestionSlowdown how many times slower a congested server is
- * @param congestedAfter how long the server must hold so many attempts before it is congested
- * @param recoveryTime how long the server must hold at most a quarter of them before it recovers
- * @param maxConnections how many open connections it accepts
- * @param connectionCost work of accepting a connection
+ * @param congestedAt the number of attempts held per core that congests the server; 0 for no congestion
+ * @param congestionSlowdown the factor by which a congested server is slower
+ * @param congestedAfter how long the server must hold that many attempts before it is congested
+ * @param recoveryTime how long the server must hold at most a quarter of that number before it recovers
+ * @param maxConnections the largest number of open connections
+ * @param connectionCost the work of accepting a connection
  * @param idleTimeout how long a connection may be idle before the server closes it
- * @param cachedKeysPerCore how many idempotency keys it remembers, for each core; 0 for none
- * @param cachedKeySaving the fraction (0 to 1) of its work that a request with a remembered key saves
- * @param keyRetention how long it remembers a key
+ * @param cachedKeysPerCore the number of idempotency keys that it caches, per core; 0 for none
+ * @param cachedKeySaving the fraction (0 to 1) of its work that a request with a cached key saves
+ * @param keyRetention how long it caches a key
  */
 public record MachineKind(
         String name,
-        double share,
+        double weight,
         int cores,
         Range speed,
         double slotsPerCore,
@@ -70,6 +71,7 @@
         ALL
     }
 
+    /** The position of the mean in the range of speeds. */
     private static final double MIDDLE = 0.5;
 
     /** Reads a {@code [[machine]]} table; its problems are collected by the table. */
--- a/simulation/src/main/java/topazvalve/simulation/scenario/RequestClassSpec.java
+++ b/simulation/src/main/java/topazvalve/simulation/scenario/RequestClassSpec.java
@@ -3,19 +3,19 @@
 import topazvalve.toml.Table;
 
 /**
- * A class of requests. Times are in nanoseconds.
+ * A request class of a scenario. Times are in nanoseconds.
  *
- * @param share its weight among the classes in the draw of a request
- * @param work mean work of a request on a standard core
- * @param workVariation coefficient of variation of the work, which is lognormal
- * @param attemptVariation coefficient of variation of the work between attempts of one request
- * @param latencyObjective a response within this time earns the priority weight, a later one nothing
- * @param deadline how long a client waits at most
- * @param repeatWindow for a keyed class, how long the servers of its scope drop repeats; otherwise 0
+ * @param weight its weight among the classes when the class of a request is drawn
+ * @param work the mean work of a request on a standard core
+ * @param workVariation the coefficient of variation of the work, which is lognormal
+ * @param attemptVariation the coefficient of variation of the work between attempts of one request
+ * @param latencyObjective a response within this time earns the priority weight; a later one earns nothing
+ * @param deadline the longest time that a client waits
+ * @param repeatWindow for a keyed class, how long the servers of its scope deduplicate repeats; otherwise 0
  */
 public record RequestClassSpec(
         String name,
-        double share,
+        double weight,
         long work,
         double workVariation,
         double attemptVariation,
@@ -33,14 +33,14 @@
         NEVER
     }
 
-    /** Which servers drop repeats of a keyed request. */
+    /** Which servers deduplicate repeats of a keyed request. */
     public enum Scope {
         ALL,
         ZONE,
         POD
     }
 
-    /** Returns whether a client may retry a request that may have run: it is free, or every server drops repeats. */
+    /** Returns whether a client may retry a request that may have run: it is free, or every server deduplicates it. */
     public boolean retryIsHarmless() {
         return switch (repeatability) {
             case FREE -> true;
@@ -51,7 +51,7 @@
 
     /** Reads a {@code [[class]]} table; its problems are collected by the table. */
     static RequestClassSpec read(Table table) {
-        RequestClassSpec read = new RequestClassSpec(
+        RequestClassSpec spec = new RequestClassSpec(
                 table.text("name", null),
                 table.number("share", 1.0, 0.001, 1000),
                 table.duration("work", null, "1us", "1m"),
@@ -63,15 +63,15 @@
                 table.choice(Repeatability.class, "repeats", null),
                 table.choice(Scope.class, "scope", Scope.ALL),
                 table.duration("window", "0", "0", "10m"));
-        if (read.deadline < read.latencyObjective) {
+        if (spec.deadline < spec.latencyObjective) {
             table.addProblem("deadline", "is shorter than the aim");
         }
-        if (read.repeatability == Repeatability.KEYED && read.repeatWindow == 0) {
-            table.addProblem("window", "missing; for how long the servers drop a repeat of a keyed request");
+        if (spec.repeatability == Repeatability.KEYED && spec.repeatWindow == 0) {
+            table.addProblem("window", "missing; a keyed class needs the time for which servers deduplicate repeats");
         }
-        if (read.repeatability != Repeatability.KEYED && (table.has("scope") || table.has("window"))) {
-            table.addProblem(table.has("scope") ? "scope" : "window", "only a keyed class has it");
+        if (spec.repeatability != Repeatability.KEYED && (table.has("scope") || table.has("window"))) {
+            table.addProblem(table.has("scope") ? "scope" : "window", "is allowed for keyed classes only");
         }
-        return read;
+        return spec;
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/scenario/Scenario.java
+++ b/simulation/src/main/java/topazvalve/simulation/scenario/Scenario.java
@@ -4,10 +4,10 @@
 import topazvalve.toml.Range;
 
 /**
- * A scenario: the fleet, the load on it, and the faults. Times are in nanoseconds unless a name says otherwise.
+ * A scenario: the fleet, its load, and the faults. Times are in nanoseconds unless a name says otherwise.
  *
  * @param length the length of the run
- * @param settlingTime the time from the start of the run that statistics leave out
+ * @param settlingTime the time from the start of the run that statistics exclude
  * @param discovery how discovery learns of the servers' states
  * @param limits the limits of the oracle's rules
  */
@@ -34,7 +34,7 @@
      *
      * @param podSize the number of servers of a pod
      * @param limitedPodFraction the fraction (0 to 1) of the pods whose servers share a capacity limit
-     * @param podLimit that limit, as a fraction of the servers' joint capacity
+     * @param podLimit that limit, as a fraction of the servers' total capacity
      */
     public record Fleet(
             int servers, int instances, List<String> zones, int podSize, double limitedPodFraction, Range podLimit) {}
@@ -42,13 +42,13 @@
     /**
      * The load of the clients. Either {@code rate} or {@code utilisation} is above 0.
      *
-     * @param rate requests a second, without clients' retries, of a mean instance
-     * @param utilisation the requests' work as a fraction of the capacity of all servers
-     * @param amplitude for bursts and waves, the amplitude as a fraction of the mean rate
-     * @param period for bursts and waves, the mean length of one
-     * @param instanceSpread coefficient of variation of the instances' rates
+     * @param rate the mean rate of an instance in requests per second, without clients' retries
+     * @param utilisation the work of the requests as a fraction of the capacity of all servers
+     * @param amplitude for bursts and waves, the deviation from the mean rate, as a fraction of it
+     * @param period for bursts and waves, the mean length of a burst or wave
+     * @param instanceSpread the coefficient of variation of the instances' rates
      * @param keys the number of idempotency keys
-     * @param zipfExponent the exponent of the keys' popularity
+     * @param zipfExponent the exponent of the Zipf distribution of the keys
      */
     public record Load(
             double rate,
@@ -72,7 +72,7 @@
      *
      * @param sameZone between an instance and a server of its zone
      * @param crossZone between an instance and a server of another zone
-     * @param jitter mean of the exponential delay on top, as a fraction of the delay
+     * @param jitter the mean of an additional exponential delay, as a fraction of the delay
      * @param client between a client and its instance
      */
     public record Network(long sameZone, long crossZone, double jitter, long client) {}
@@ -80,11 +80,11 @@
     /**
      * How discovery learns of the servers' states and passes them on.
      *
-     * @param subscribe whether instances have to subscribe; otherwise they get changes without a call
+     * @param subscribe whether instances have to subscribe; otherwise they are notified of changes without a call
      * @param noticeSeconds seconds until the change of a process is listed
      * @param silentNoticeSeconds seconds until the disappearance of a machine is listed
-     * @param maxPropagation the longest time until a listed change has reached a watching instance
-     * @param callTime how long discovery works on a call; it serves one call at a time
+     * @param maxPropagation the longest time until a watching instance is notified of a listed change
+     * @param callTime how long discovery takes to serve a call; it serves one call at a time
      * @param callTimeout how long a call may wait before it fails
      */
     public record DiscoverySettings(
@@ -96,17 +96,17 @@
             long callTimeout) {}
 
     /**
-     * The limits of the oracle's rules, which instances get as settings too.
+     * The limits of the oracle's rules, which instances also get as settings.
      *
      * @param drainGrace how long after the notification of a drain a server may get new attempts
-     * @param responseSlack how much later than the deadline a response may come
-     * @param overloadFactor the multiple of its capacity under which a cold server crashes
+     * @param responseSlack how long after the deadline a response may arrive
+     * @param overloadFactor the multiple of its capacity above which a cold server crashes
      * @param coldLoadWindow the window over which the load of a cold server is measured
      * @param attempts the largest number of attempts of a request
      * @param connectTimeout how long an attempt to connect may take
-     * @param resubscribeWithin how soon an instance must subscribe again after it lost its subscription
-     * @param coldCapacityFraction the lowest cold speed fraction (0 to 1) of the kinds of machines
-     * @param slowStartTime the longest warm-up time of the kinds of machines
+     * @param resubscribeWithin the time within which an instance must resubscribe after it lost its subscription
+     * @param coldCapacityFraction the lowest cold speed fraction (0 to 1) of all kinds of machines
+     * @param slowStartTime the longest warm-up time of all kinds of machines
      */
     public record Limits(
             long drainGrace,
@@ -124,11 +124,11 @@
      *
      * @param retryFraction the fraction of requests that are retried once after a failure that allows it
      * @param backoff how long a client waits before a retry
-     * @param honourRetryAfterFraction the fraction of clients that heed Retry-After
-     * @param maxRetryAfter the longest Retry-After that clients heed
+     * @param honourRetryAfterFraction the fraction of clients that honour Retry-After
+     * @param maxRetryAfter the longest Retry-After that clients honour
      * @param earlyDisconnectFraction the fraction of requests whose client disconnects early
      * @param slowReaderFraction the fraction of clients that read responses slowly; on real sockets only
-     * @param newConnectionFraction the fraction of requests that come on a new connection; on real sockets only
+     * @param newConnectionFraction the fraction of requests that clients send on a new connection; on real sockets only
      */
     public record Clients(
             double retryFraction,
@@ -142,7 +142,7 @@
         /**
          * Returns how long a client waits before a retry, in nanoseconds.
          *
-         * @param honoursRetryAfter whether the client heeds Retry-After
+         * @param honoursRetryAfter whether the client honours Retry-After
          * @param retryAfterNanos the Retry-After of the response; 0 for none
          */
         public long backoffNanos(boolean honoursRetryAfter, long retryAfterNanos) {
@@ -154,31 +154,31 @@
      * Faults that are drawn from the seed.
      *
      * @param lengthSeconds the range of their lengths in seconds
-     * @param share the range of the fraction of servers or instances that they affect
+     * @param affectedFraction the range of the fraction of servers or instances that they affect
      * @param size the range of their sizes
      */
-    public record Chaos(int count, List<Fault.Kind> kinds, Range lengthSeconds, Range share, Range size) {}
+    public record Chaos(int count, List<Fault.Kind> kinds, Range lengthSeconds, Range affectedFraction, Range size) {}
 
     /** Returns the mean work of a request, in nanoseconds of a standard core. */
     public double meanWork() {
         double work = 0;
-        double shares = 0;
+        double totalWeight = 0;
         for (RequestClassSpec each : classes) {
-            work += each.work() * each.share();
-            shares += each.share();
+            work += each.work() * each.weight();
+            totalWeight += each.weight();
         }
-        return work / shares;
+        return work / totalWeight;
     }
 
     /** Returns the mean capacity of a server, in standard cores. */
     public double meanCapacity() {
         double capacity = 0;
-        double shares = 0;
+        double totalWeight = 0;
         for (MachineKind each : machines) {
-            capacity += each.capacity() * each.share();
-            shares += each.share();
+            capacity += each.capacity() * each.weight();
+            totalWeight += each.weight();
         }
-        return capacity / shares;
+        return capacity / totalWeight;
     }
 
     /** Returns the shortest time after which servers close idle connections. */
@@ -191,7 +191,7 @@
         return classes.stream().mapToLong(RequestClassSpec::deadline).max().orElseThrow();
     }
 
-    /** Returns the requests a second, without clients' retries, of a mean instance. */
+    /** Returns the mean rate of an instance in requests per second, without clients' retries. */
     public double instanceRate() {
         if (load.rate() > 0) {
             return load.rate();
--- a/simulation/src/main/java/topazvalve/simulation/scenario/ScenarioFile.java
+++ b/simulation/src/main/java/topazvalve/simulation/scenario/ScenarioFile.java
@@ -21,7 +21,7 @@
 import topazvalve.toml.TomlFile;
 
 /**
- * Reads scenario files (TOML 1.0). It reports all problems of a file at once, each with its line. The keys and their
+ * Reads scenario files (TOML 1.0). All problems of a file are reported at once, each with its line. The keys and their
  * defaults are in {@code docs/experiments.md}.
  */
 public final class ScenarioFile {
@@ -30,7 +30,7 @@
     /**
      * Reads a file.
      *
-     * @throws InvalidFileException if its contents are invalid; it has all problems
+     * @throws InvalidFileException if its contents are invalid; the exception has all problems
      */
     public static Scenario read(Path file) throws IOException {
         return parse(file.toString(), Files.readString(file));
@@ -40,7 +40,7 @@
      * Reads the text of a file.
      *
      * @param name the file's name in messages
-     * @throws InvalidFileException if the text is invalid; it has all problems
+     * @throws InvalidFileException if the text is invalid; the exception has all problems
      */
     public static Scenario parse(String name, String text) {
         return TomlFile.parse(name, text, ScenarioFile::scenario);
@@ -48,10 +48,10 @@
 
     private static Scenario scenario(Table table) {
         String name = table.text("name", null);
-        String about = table.text("about", "-");
+        String description = table.text("about", "-");
         long length = table.duration("length", null, "1s", "24m");
-        long settle = table.duration("settle", "0", "0", "10m");
-        if (settle >= length) {
+        long settlingTime = table.duration("settle", "0", "0", "10m");
+        if (settlingTime >= length) {
             table.addProblem("settle", "is not shorter than the run");
         }
         Fleet fleet = fleet(table.table("fleet"));
@@ -71,15 +71,27 @@
                 .toList();
         Chaos chaos = chaos(table.table("chaos"));
         return new Scenario(
-                name, about, length, settle, fleet, load, network, discovery, limits, machines, classes, clients,
-                faults, chaos);
+                name,
+                description,
+                length,
+                settlingTime,
+                fleet,
+                load,
+                network,
+                discovery,
+                limits,
+                machines,
+                classes,
+                clients,
+                faults,
+                chaos);
     }
 
     private static void checkUnique(Table table, String key, List<String> names) {
         Set<String> seen = new HashSet<>();
         for (int i = 0; i < names.size(); i++) {
             if (!seen.add(names.get(i))) {
-                table.addProblem(key + "." + i + ".name", "\"" + names.get(i) + "\" is given twice");
+                table.addProblem(key + "." + i + ".name", "\"" + names.get(i) + "\" is used twice");
             }
         }
     }
@@ -97,7 +109,7 @@
     private static Load load(Table table) {
         boolean hasRate = table.has("rate");
         if (hasRate == table.has("utilisation")) {
-            table.addProblem(hasRate ? "utilisation" : "rate", "one of rate and utilisation has to be given");
+            table.addProblem(hasRate ? "utilisation" : "rate", "exactly one of rate and utilisation must be given");
         }
         return new Load(
                 hasRate ? table.number("rate", null, 0.001, 1e6) : 0,
@@ -160,12 +172,12 @@
 
     private static Chaos chaos(Table table) {
         List<Fault.Kind> kinds = new ArrayList<>();
-        for (String word : table.strings("kinds", List.of("slow"))) {
-            Fault.Kind found = faultKind(word);
-            if (found == null) {
-                table.addProblem("kinds", "\"" + word + "\" is no kind of fault");
+        for (String name : table.strings("kinds", List.of("slow"))) {
+            Fault.Kind kind = faultKind(name);
+            if (kind == null) {
+                table.addProblem("kinds", "\"" + name + "\" is not a kind of fault");
             } else {
-                kinds.add(found);
+                kinds.add(kind);
             }
         }
         return new Chaos(
@@ -176,10 +188,10 @@
                 table.range("size", new Range(2, 6), 0.01, 1000));
     }
 
-    /** Returns the kind of fault that a word of the file means, or null. */
-    private static Fault.Kind faultKind(String word) {
+    /** Returns the kind of fault with this name in files, or null if there is none. */
+    private static Fault.Kind faultKind(String name) {
         for (Fault.Kind each : Fault.Kind.values()) {
-            if (Table.nameOf(each).equals(word)) {
+            if (Table.nameOf(each).equals(name)) {
                 return each;
             }
         }
--- a/simulation/src/main/java/topazvalve/simulation/scenario/SeedRange.java
+++ b/simulation/src/main/java/topazvalve/simulation/scenario/SeedRange.java
@@ -9,7 +9,7 @@
     private static final Pattern TEXT = Pattern.compile("([0-9]{1,9})(?:\\.\\.([0-9]{1,9}))?");
     private static final int MAX_SEEDS = 10_000;
 
-    /** Parses a range such as {@code 1..20}, or a single seed; empty if the text is neither. */
+    /** Parses a range such as {@code 1..20}, or a single seed; returns empty if the text is invalid. */
     public static Optional<SeedRange> parse(String text) {
         Matcher matcher = TEXT.matcher(text);
         if (!matcher.matches()) {
--- a/simulation/src/main/java/topazvalve/simulation/scenario/package-info.java
+++ b/simulation/src/main/java/topazvalve/simulation/scenario/package-info.java
@@ -1,2 +1,2 @@
-/** Scenario and experiment files: their contents as records, and their strict readers. */
+/** Scenario and experiment files: records of their contents, and their readers, which reject any invalid key. */
 package topazvalve.simulation.scenario;
