--- a/simulation/src/main/java/topazvalve/simulation/oracle/Oracle.java
+++ b/simulation/src/main/java/topazvalve/simulation/oracle/Oracle.java
@@ -11,7 +11,7 @@
 import topazvalve.simulation.scenario.Scenario.Limits;
 
 /**
- * Judges a run by what servers received and clients were answered; it relies on nothing that the sidecar reports. All
+ * Checks a run against the rules by what servers and clients observed; nothing that the sidecar reports is used. All
  * times are nanoseconds on one clock that the caller chooses. Not thread-safe.
  */
 public final class Oracle {
@@ -22,17 +22,17 @@
         FAILED
     }
 
-    /** Further violations are counted, but not described. */
+    /** Further violations are counted, but not recorded. */
     private static final int MAX_VIOLATIONS = 100;
-    /** The fraction of a request's time by which it must be answered if it was never sent to a server. */
+    /** A request that is never sent to a server must be answered within this fraction of its time to the deadline. */
     private static final double MAX_UNSENT_FRACTION = 0.5;
-    /** A crash is the senders' fault if they knew of the start for at least this fraction of a cold server's load. */
+    /** A crash violates a rule if the senders of at least this fraction of the cold server's load knew of its start. */
     private static final double MIN_INFORMED_FRACTION = 2.0 / 3;
-    /** How long after its client disconnected an attempt, first or further, may still begin. */
+    /** How long after the client disconnected an attempt, the first one or a retry, may still begin. */
     private static final long DISCONNECT_GRACE_NANOS = 100_000_000;
 
     private static final long NANOS_PER_MILLI = 1_000_000;
-    /** More than the number of instances; makes keys of instance and server unique. */
+    /** An upper bound of the number of instances, by which an instance and a server make a unique key. */
     private static final long INSTANCE_LIMIT = 100_000;
 
     private final Limits limits;
@@ -46,7 +46,7 @@
     /**
      * Creates an oracle that has seen nothing.
      *
-     * @param toleranceNanos measurement error by which every limit is extended
+     * @param toleranceNanos the measurement error, by which every limit is extended
      * @param maxFlightNanos how long an attempt may be in flight before a server has received it completely
      */
     public Oracle(Limits limits, long toleranceNanos, long maxFlightNanos) {
@@ -55,10 +55,10 @@
         this.maxFlightNanos = maxFlightNanos;
     }
 
-    private void reportViolation(Rule rule, long at, String what) {
+    private void reportViolation(Rule rule, long at, String description) {
         counts.merge(rule, 1, Integer::sum);
         if (violations.size() < MAX_VIOLATIONS) {
-            violations.add(new Violation(rule, at, what));
+            violations.add(new Violation(rule, at, description));
         }
     }
 
@@ -103,7 +103,7 @@
 
     private void checkNotAfterResponse(Trace trace, long at) {
         if (trace.answered() && at > trace.responseAt + maxFlightNanos + toleranceNanos) {
-            reportViolation(Rule.NOTHING_AFTER, at, "sent after its answer: " + trace.describe());
+            reportViolation(Rule.NOTHING_AFTER, at, "attempt after the response: " + trace.describe());
         }
     }
 
@@ -114,7 +114,8 @@
             reportViolation(
                     Rule.CLIENT_LEFT,
                     at,
-                    millis + " ms after its client left, attempt " + trace.attempts + ": " + trace.describe());
+                    "attempt " + trace.attempts + " " + millis + " ms after the client disconnected: "
+                            + trace.describe());
         }
     }
 
@@ -123,7 +124,10 @@
         if (notifiedAt != null && at > notifiedAt + limits.drainGrace() + maxFlightNanos + toleranceNanos) {
             long millis = (at - notifiedAt) / NANOS_PER_MILLI;
             reportViolation(
-                    Rule.DRAIN, at, millis + " ms after it was told of server " + server + ": " + trace.describe());
+                    Rule.DRAIN,
+                    at,
+                    "attempt " + millis + " ms after the notification that server " + server + " drains or is removed: "
+                            + trace.describe());
         }
     }
 
@@ -133,18 +137,18 @@
             reportViolation(Rule.NEVER_TWICE, at, trace.describe());
         } else if (requestClass.repeatability() == Repeatability.KEYED) {
             Scope scope = requestClass.scope();
-            boolean outOfScope =
+            boolean isOutOfScope =
                     (scope == Scope.ZONE && zone != trace.firstZone) || (scope == Scope.POD && pod != trace.firstPod);
             long windowEnd = requestClass.repeatWindow() + maxFlightNanos + toleranceNanos;
-            if (outOfScope) {
-                reportViolation(Rule.KEYED_REPEAT, at, "in another " + scope + ": " + trace.describe());
+            if (isOutOfScope) {
+                reportViolation(Rule.KEYED_REPEAT, at, "repeated in another " + scope + ": " + trace.describe());
             } else if (at - trace.firstRunAt > windowEnd) {
-                reportViolation(Rule.KEYED_REPEAT, at, "after the window: " + trace.describe());
+                reportViolation(Rule.KEYED_REPEAT, at, "repeated after the window: " + trace.describe());
             }
         }
     }
 
-    /** An attempt has left for a server; it may never arrive, and its request may wait for it until its deadline. */
+    /** An attempt has been sent. It may never arrive, and the request may wait for it until the deadline. */
     public void attemptInFlight(Trace trace) {
         trace.attemptInFlight = true;
     }
@@ -164,36 +168,39 @@
     public void responseReceived(Trace trace, Answer answer, long at) {
         trace.responses++;
         if (trace.responses > 1) {
-            reportViolation(Rule.ANSWERED_ONCE, at, "answered again: " + trace.describe());
+            reportViolation(Rule.ANSWERED_ONCE, at, "more than one response: " + trace.describe());
             return;
         }
         trace.responseAt = at;
         if (at > trace.deadline + limits.responseSlack() + toleranceNanos) {
-            reportViolation(Rule.ANSWERED, at, "answered late: " + trace.describe());
+            reportViolation(Rule.ANSWERED, at, "response after the deadline: " + trace.describe());
         }
         if (answer == Answer.SERVED && !trace.servedByServer) {
-            reportViolation(Rule.TRUE_ANSWER, at, "served by no server: " + trace.describe());
+            reportViolation(Rule.TRUE_ANSWER, at, "successful response, but no server sent one: " + trace.describe());
         }
         if (answer == Answer.REJECTED && trace.mayHaveRun && !trace.requestClass.retryIsHarmless()) {
             reportViolation(Rule.HARMLESS_REFUSAL, at, trace.describe());
         }
-        if (answer != Answer.SERVED && wasHeldBack(trace, at)) {
-            reportViolation(Rule.AT_ONCE, at, "given up, and held back: " + trace.describe());
+        if (answer != Answer.SERVED && wasHeldTooLong(trace, at)) {
+            reportViolation(
+                    Rule.AT_ONCE,
+                    at,
+                    "given up without an attempt after more than half of its time: " + trace.describe());
         }
     }
 
-    private boolean wasHeldBack(Trace trace, long at) {
+    private boolean wasHeldTooLong(Trace trace, long at) {
         boolean unsent = trace.attempts == 0 && !trace.attemptInFlight;
         double maxNanos = MAX_UNSENT_FRACTION * (trace.deadline - trace.sentAt) + toleranceNanos;
         return unsent && at - trace.sentAt > maxNanos;
     }
 
-    /** The client has received a response that no server gave to this request. */
+    /** The client has received a response that no server sent for this request. */
     public void responseForged(Trace trace, long at) {
-        reportViolation(Rule.TRUE_ANSWER, at, "not the answer made for it: " + trace.describe());
+        reportViolation(Rule.TRUE_ANSWER, at, "response that no server sent for this request: " + trace.describe());
     }
 
-    /** The client has disconnected: it expects no response, and no further attempts may begin. */
+    /** The client has disconnected: it needs no response, and no further attempt may begin. */
     public void clientDisconnected(Trace trace, long at) {
         trace.disconnectedAt = at;
         waiveResponse(trace);
@@ -204,20 +211,20 @@
         trace.responseWaived = true;
     }
 
-    /** The deadline and the slack of a request are past. */
+    /** The deadline of a request and the slack after it have passed. */
     public void deadlinePassed(Trace trace, long at) {
         if (!trace.answered() && !trace.responseWaived) {
             trace.responseWaived = true;
-            reportViolation(Rule.ANSWERED, at, "never answered: " + trace.describe());
+            reportViolation(Rule.ANSWERED, at, "no response: " + trace.describe());
         }
     }
 
-    /** An instance has been notified that a server drains or is removed; only the first notification counts. */
+    /** An instance has been notified that a server drains or is removed. Only the first notification counts. */
     public void drainNotified(int instance, long server, long at) {
         drainNotifiedAt.putIfAbsent(notificationKey(instance, server), at);
     }
 
-    /** An instance has been notified that a server is ready, or has itself restarted. */
+    /** An instance has been notified that a server is ready, or has restarted itself. */
     public void readyNotified(int instance, long server) {
         drainNotifiedAt.remove(notificationKey(instance, server));
     }
@@ -237,7 +244,8 @@
             reportViolation(
                     Rule.COLD,
                     at,
-                    "server " + server + " was pushed over, " + percent + " in 100 by who knew that it was cold");
+                    "server " + server + " crashed under overload; the senders of " + percent
+                            + "% of its load knew that it was cold");
         }
     }
 
--- a/simulation/src/main/java/topazvalve/simulation/oracle/Rule.java
+++ b/simulation/src/main/java/topazvalve/simulation/oracle/Rule.java
@@ -1,29 +1,29 @@
 package topazvalve.simulation.oracle;
 
-/** The rules that must hold under every fault. */
+/** The rules that must hold whatever faults occur. */
 public enum Rule {
     /** Each request that a running sidecar accepted has a response by its deadline. */
     ANSWERED,
     /** No request has more than one response. */
     ANSWERED_ONCE,
-    /** A response that says "served" is one that an order server gave to this request. */
+    /** A successful response is one that an order server sent for this request. */
     TRUE_ANSWER,
-    /** A non-idempotent request is not sent again once it may have run. */
+    /** A non-idempotent request is not repeated after an attempt that may have run. */
     NEVER_TWICE,
-    /** A request with an idempotency key is repeated only within the scope and the window of its key. */
+    /** A request with an idempotency key is repeated only within the scope and the time window of its key. */
     KEYED_REPEAT,
-    /** A client is told that a retry is harmless only if it is. */
+    /** A rejection, which tells the client that a retry is harmless, is sent only if a retry is harmless. */
     HARMLESS_REFUSAL,
     /** No request has more attempts than the limit. */
     ATTEMPTS,
     /** No attempt is sent after the response. */
     NOTHING_AFTER,
-    /** A draining server gets no new attempts after the grace period that follows the notification. */
+    /** A draining server gets no new attempts once the grace period after the notification is over. */
     DRAIN,
-    /** No cold server crashes under overload by senders that know that it is cold. */
+    /** No cold server is overloaded, and crashes, by senders that know that it is cold. */
     COLD,
-    /** A request that is given up without an attempt is answered before half of its time has passed. */
+    /** A request that is given up without an attempt is answered within half of its time to the deadline. */
     AT_ONCE,
-    /** No attempt, first or further, begins more than 0.1 s after its client disconnected. */
+    /** No attempt, the first one or a retry, begins more than 0.1 s after the client disconnected. */
     CLIENT_LEFT
 }
--- a/simulation/src/main/java/topazvalve/simulation/oracle/Trace.java
+++ b/simulation/src/main/java/topazvalve/simulation/oracle/Trace.java
@@ -3,11 +3,12 @@
 import topazvalve.simulation.scenario.RequestClassSpec;
 
 /**
- * What servers and the client observed of one request. Times are nanoseconds of the oracle's clock. Only the
- * {@link Oracle} changes it.
+ * What servers and the client observed of one request. Times are nanoseconds of the oracle's clock. Only
+ * {@link Oracle} modifies it.
  */
 public final class Trace {
     private static final int MAX_DESCRIBED_ATTEMPTS = 6;
+    private static final long NANOS_PER_MILLI = 1_000_000;
 
     final long id;
     final int instance;
@@ -25,14 +26,14 @@
     int responses;
     long responseAt = Long.MAX_VALUE;
     boolean responseWaived;
-    /** When its client disconnected; {@link Long#MAX_VALUE} while it waits. */
+    /** When the client disconnected; {@link Long#MAX_VALUE} while it is connected. */
     long disconnectedAt = Long.MAX_VALUE;
 
     private final long[] servers = new long[MAX_DESCRIBED_ATTEMPTS];
     private final long[] times = new long[MAX_DESCRIBED_ATTEMPTS];
 
     /**
-     * Creates the trace of a request that a client has sent.
+     * Creates the trace of a request that a client has just sent.
      *
      * @param instance the number of the sidecar instance
      * @param sentAt when its last byte was written
@@ -82,19 +83,19 @@
                 .append(", instance ")
                 .append(instance)
                 .append(", sent at ")
-                .append(sentAt / 1_000_000)
+                .append(sentAt / NANOS_PER_MILLI)
                 .append(" ms, deadline +")
-                .append((deadline - sentAt) / 1_000_000)
+                .append((deadline - sentAt) / NANOS_PER_MILLI)
                 .append(')');
         for (int i = 0; i < Math.min(attempts, MAX_DESCRIBED_ATTEMPTS); i++) {
             text.append(i == 0 ? "; attempts" : ",")
                     .append(" server ")
                     .append(servers[i])
                     .append(" at +")
-                    .append((times[i] - sentAt) / 1_000_000);
+                    .append((times[i] - sentAt) / NANOS_PER_MILLI);
         }
         if (answered()) {
-            text.append("; answered at +").append((responseAt - sentAt) / 1_000_000);
+            text.append("; answered at +").append((responseAt - sentAt) / NANOS_PER_MILLI);
         }
         return text.toString();
     }
--- a/simulation/src/main/java/topazvalve/simulation/oracle/Violation.java
+++ b/simulation/src/main/java/topazvalve/simulation/oracle/Violation.java
@@ -1,14 +1,16 @@
 package topazvalve.simulation.oracle;
 
 /**
- * The violation of a rule.
+ * A violation of a rule.
  *
  * @param at when it was found, in nanoseconds of the oracle's clock
- * @param what the request or server, and what happened to it
+ * @param what the request or server concerned, and what happened to it
  */
 public record Violation(Rule rule, long at, String what) {
+    private static final long NANOS_PER_MILLI = 1_000_000;
+
     @Override
     public String toString() {
-        return rule + " at " + at / 1_000_000 + " ms: " + what;
+        return rule + " at " + at / NANOS_PER_MILLI + " ms: " + what;
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/policy/Policy.java
+++ b/simulation/src/main/java/topazvalve/simulation/policy/Policy.java
@@ -7,7 +7,7 @@
 import topazvalve.policy.Settings;
 import topazvalve.policy.SidecarPolicy;
 
-/** The load-balancing policies that a simulation can use: the sidecar's own, and textbook policies to compare with. */
+/** The load-balancing policies that a simulation can use: the sidecar's own, and textbook policies for comparison. */
 public enum Policy {
     /** The sidecar's own policy. */
     MODULE {
@@ -16,7 +16,7 @@
             return new SidecarPolicy(settings, seed, actions);
         }
     },
-    /** A ready server at random, each with the same probability. */
+    /** A random ready server, uniformly. */
     RANDOM {
         @Override
         public LoadBalancer create(Settings settings, long seed, Actions actions) {
@@ -24,7 +24,7 @@
             return new TextbookLoadBalancer(settings, actions, (ready, turn) -> random.nextInt(ready.size()));
         }
     },
-    /** The ready servers in turn, from a random one on. */
+    /** The ready servers in turn, starting at a random one. */
     ROUND_ROBIN {
         @Override
         public LoadBalancer create(Settings settings, long seed, Actions actions) {
@@ -54,10 +54,13 @@
         }
     };
 
-    /** Larger than any number of servers, so that each is about as likely to be the first. */
+    /** Much larger than any number of servers, so that each is about equally likely to be the first. */
     private static final int FIRST_TURN_BOUND = 1 << 20;
 
-    /** Returns the index of the least busy server; among equals the first from {@code start} on, wrapping around. */
+    /**
+     * Returns the index of the server with the fewest requests in flight; the first such one from {@code start} on,
+     * cyclically.
+     */
     private static int leastInFlight(List<TextbookLoadBalancer.Server> ready, int start) {
         int best = start;
         for (int i = 1; i < ready.size(); i++) {
@@ -72,7 +75,7 @@
     /**
      * Creates the load balancer of a new instance. The same settings, seed and events lead to the same actions.
      *
-     * @param actions carries out what the load balancer decides
+     * @param actions carries out the load balancer's decisions
      */
     public abstract LoadBalancer create(Settings settings, long seed, Actions actions);
 }
--- a/simulation/src/main/java/topazvalve/simulation/policy/TextbookLoadBalancer.java
+++ b/simulation/src/main/java/topazvalve/simulation/policy/TextbookLoadBalancer.java
@@ -19,9 +19,9 @@
 import topazvalve.policy.UpdateKind;
 
 /**
- * What the textbook policies share: they watch the endpoint list, forward each request at once, and retry on a newly
- * selected server while the request's class, its deadline and the attempt limit allow it. They have no outlier
- * detection, slow start, admission control or health checks.
+ * The common part of the textbook policies: they watch the endpoint list, forward each request immediately, and retry
+ * on a newly selected server while the request's class, its deadline and the attempt limit allow it. They have no
+ * outlier detection, slow start, admission control or health checks.
  */
 final class TextbookLoadBalancer implements LoadBalancer {
     private static final long RESUBSCRIBE_TIMER = 1;
@@ -34,10 +34,10 @@
         final int cell;
         int inFlight;
 
-        Server(EndpointInfo upstream) {
-            this.id = upstream.id();
-            this.zone = upstream.zone();
-            this.cell = upstream.cell();
+        Server(EndpointInfo endpoint) {
+            this.id = endpoint.id();
+            this.zone = endpoint.zone();
+            this.cell = endpoint.cell();
         }
     }
 
@@ -72,10 +72,10 @@
     private final Map<Long, PendingRequest> pending = new HashMap<>();
     private long selections;
 
-    TextbookLoadBalancer(Settings settings, Actions actions, Selection choice) {
+    TextbookLoadBalancer(Settings settings, Actions actions, Selection selection) {
         this.settings = settings;
         this.actions = actions;
-        this.selection = choice;
+        this.selection = selection;
     }
 
     @Override
@@ -122,7 +122,7 @@
     public void bodyNotReplayable(long now, long request) {}
 
     @Override
-    public void responseStarted(long now, long request, int attempt, long upstream, long elapsed) {}
+    public void responseStarted(long now, long request, int attempt, long endpoint, long elapsed) {}
 
     private void forward(long now, PendingRequest pendingRequest) {
         if (ready.isEmpty()
@@ -185,8 +185,8 @@
     }
 
     @Override
-    public void settingsChanged(long now, Settings next) {
-        settings = Objects.requireNonNull(next);
+    public void settingsChanged(long now, Settings newSettings) {
+        settings = Objects.requireNonNull(newSettings);
     }
 
     @Override
--- a/simulation/src/main/java/topazvalve/simulation/statistics/ClientTry.java
+++ b/simulation/src/main/java/topazvalve/simulation/statistics/ClientTry.java
@@ -5,17 +5,17 @@
 import topazvalve.simulation.scenario.RequestClassSpec;
 
 /**
- * One try of a client at a request.
+ * One try of a client: the first sending of a request, or its retry.
  *
  * @param firstSentAt when the first try was sent, in nanoseconds of the clock
  * @param isRetry whether this is the second try
  */
 public record ClientTry(GeneratedRequest generated, long firstSentAt, boolean isRetry) {
     /**
-     * Ends a try that was rejected or failed: schedules the retry if client and class allow one, and counts the
-     * request otherwise.
+     * Ends a try that was rejected or failed: schedules a retry if client and request class allow it, and otherwise
+     * counts the request as rejected or failed.
      *
-     * @param retryAfterNanos the response's Retry-After; 0 for none
+     * @param retryAfterNanos the Retry-After of the response; 0 for none
      * @param retry sends the request once more
      */
     public void endUnserved(RecordedRun run, Answer answer, long retryAfterNanos, Runnable retry) {
@@ -34,7 +34,7 @@
 
     private boolean mayRetry(RecordedRun run, Answer answer) {
         RequestClassSpec requestClass = run.scenario().classes().get(generated.requestClass());
-        boolean harmless = answer == Answer.REJECTED || requestClass.retryIsHarmless();
-        return generated.retries() && !isRetry && harmless;
+        boolean isRetryHarmless = answer == Answer.REJECTED || requestClass.retryIsHarmless();
+        return generated.retries() && !isRetry && isRetryHarmless;
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/statistics/LatencyStatistics.java
+++ b/simulation/src/main/java/topazvalve/simulation/statistics/LatencyStatistics.java
@@ -6,15 +6,15 @@
 
 /** Latencies of served requests, by class and by second. */
 final class LatencyStatistics {
-    /** The range of the histograms; longer latencies count as the longest. */
+    /** The range of the histograms; longer latencies are recorded as the maximum. */
     private static final long MIN_LATENCY_NANOS = 1_000;
 
     private static final long MAX_LATENCY_NANOS = 600_000_000_000L;
 
     /** Significant decimal digits of the histograms. */
-    private static final int DIGITS_BY_CLASS = 3;
+    private static final int CLASS_HISTOGRAM_DIGITS = 3;
 
-    private static final int DIGITS_BY_SECOND = 2;
+    private static final int SECOND_HISTOGRAM_DIGITS = 2;
 
     private static final double NANOS_PER_MILLI = 1e6;
 
@@ -24,7 +24,7 @@
 
     LatencyStatistics(int classes, int seconds) {
         for (int i = 0; i < classes; i++) {
-            byClass.add(new Histogram(MIN_LATENCY_NANOS, MAX_LATENCY_NANOS, DIGITS_BY_CLASS));
+            byClass.add(new Histogram(MIN_LATENCY_NANOS, MAX_LATENCY_NANOS, CLASS_HISTOGRAM_DIGITS));
         }
         this.bySecond = new Histogram[seconds];
     }
@@ -32,15 +32,15 @@
     /**
      * Records a latency.
      *
-     * @param settled whether it counts for the class too
+     * @param afterSettling whether it also counts for the class, since the settling time is over
      */
-    void record(int requestClass, int second, long latencyNanos, boolean settled) {
+    void record(int requestClass, int second, long latencyNanos, boolean afterSettling) {
         long recorded = Math.min(MAX_LATENCY_NANOS, Math.max(0, latencyNanos));
-        if (settled) {
+        if (afterSettling) {
             byClass.get(requestClass).recordValue(recorded);
         }
         if (bySecond[second] == null) {
-            bySecond[second] = new Histogram(MIN_LATENCY_NANOS, MAX_LATENCY_NANOS, DIGITS_BY_SECOND);
+            bySecond[second] = new Histogram(MIN_LATENCY_NANOS, MAX_LATENCY_NANOS, SECOND_HISTOGRAM_DIGITS);
         }
         bySecond[second].recordValue(recorded);
     }
@@ -58,7 +58,7 @@
 
     /** Returns the latencies of all classes in nanoseconds. */
     Histogram ofAll() {
-        Histogram all = new Histogram(MIN_LATENCY_NANOS, MAX_LATENCY_NANOS, DIGITS_BY_CLASS);
+        Histogram all = new Histogram(MIN_LATENCY_NANOS, MAX_LATENCY_NANOS, CLASS_HISTOGRAM_DIGITS);
         byClass.forEach(all::add);
         return all;
     }
--- a/simulation/src/main/java/topazvalve/simulation/statistics/RecordedRun.java
+++ b/simulation/src/main/java/topazvalve/simulation/statistics/RecordedRun.java
@@ -4,12 +4,12 @@
 import topazvalve.simulation.oracle.Oracle;
 import topazvalve.simulation.scenario.Scenario;
 
-/** A run of a scenario, in virtual or real time, whose requests are recorded: its times and its record. */
+/** A run of a scenario, in virtual or real time, whose requests are recorded. */
 public interface RecordedRun extends FaultTarget {
     /** Returns the scenario that is run. */
     Scenario scenario();
 
-    /** Returns the record of the run. */
+    /** Returns the recorder of the run. */
     RunRecorder recorder();
 
     /** Returns when the run started, in nanoseconds of the clock. */
--- a/simulation/src/main/java/topazvalve/simulation/statistics/RunRecorder.java
+++ b/simulation/src/main/java/topazvalve/simulation/statistics/RunRecorder.java
@@ -16,19 +16,19 @@
  * of the run. Not thread-safe.
  */
 public final class RunRecorder {
-    private static final int COUNTER_GROWTH = 16;
+    private static final int COUNTER_ARRAY_GROWTH = 16;
 
     private final Topology topology;
     private final Oracle oracle;
     private final RunStatistics statistics;
     private final ResponseDigest digest = new ResponseDigest();
-    /** By the server's id. */
+    /** Indexed by the server's id. */
     private long[] attemptsByServer;
 
     /**
-     * Creates the recorder of a run that hasn't started.
+     * Creates the recorder of a run that has not started.
      *
-     * @param serverIds the number of servers' ids for which there is a counter of attempts from the start; it grows
+     * @param serverIds the initial number of attempt counters, one per server id; more are added as needed
      */
     public RunRecorder(Topology topology, Oracle oracle, int serverIds) {
         this.topology = topology;
@@ -37,7 +37,7 @@
         this.attemptsByServer = new long[serverIds];
     }
 
-    /** Returns the oracle that judges the run. */
+    /** Returns the oracle that checks the run. */
     public Oracle oracle() {
         return oracle;
     }
@@ -60,7 +60,7 @@
     public void attemptReceived(Trace trace, OrderServer server, boolean mayRun, long at) {
         int id = (int) server.id();
         if (id >= attemptsByServer.length) {
-            attemptsByServer = Arrays.copyOf(attemptsByServer, id + COUNTER_GROWTH);
+            attemptsByServer = Arrays.copyOf(attemptsByServer, id + COUNTER_ARRAY_GROWTH);
         }
         attemptsByServer[id]++;
         statistics.attemptReceived(at);
@@ -77,12 +77,12 @@
         }
     }
 
-    /** An instance was killed, with all that it knew of the servers. */
+    /** An instance was killed and has lost its endpoint list. */
     public void instanceKilled(int instance) {
         topology.fleet().servers().forEach(each -> oracle.readyNotified(instance, each.id()));
     }
 
-    /** An instance has started again with the present endpoint list as its cached one. */
+    /** An instance has restarted, with the current endpoint list as its cached one. */
     public void instanceRestarted(int instance, long at) {
         for (Entry each : topology.directory().entries()) {
             if (each.state() != EndpointStatus.READY) {
@@ -98,15 +98,15 @@
      */
     public void serverCrashedWhileCold(OrderServer server, double informedFraction, long at) {
         oracle.serverCrashedWhileCold(server.id(), informedFraction, at);
-        topology.recordEvent(at, "server " + server.id() + " was pushed over while cold");
+        topology.recordEvent(at, "server " + server.id() + " crashed under overload while cold");
     }
 
     /**
      * Returns the outcome of the run.
      *
-     * @param faults the faults that were played
-     * @param clockEvents the number of events of the clock; 0 in real time
-     * @param wallNanos how long the run took
+     * @param faults the faults that were injected
+     * @param clockEvents the number of events that the virtual clock ran; 0 in real time
+     * @param wallNanos how long the run took in wall-clock time
      */
     public RunResult result(String arm, long seed, List<Fault> faults, long clockEvents, long wallNanos) {
         Scenario scenario = topology.scenario();
--- a/simulation/src/main/java/topazvalve/simulation/statistics/RunResult.java
+++ b/simulation/src/main/java/topazvalve/simulation/statistics/RunResult.java
@@ -11,18 +11,19 @@
  *
  * @param scenario the name of the scenario
  * @param arm the name of the experiment's arm
- * @param seed the seed of all random numbers
+ * @param seed the seed of all random streams
  * @param statistics its statistics
  * @param violationCounts how often each rule was violated; rules that held are absent
  * @param violations the first violations
- * @param faults the faults that were played, written and drawn
+ * @param faults the faults that were injected, configured and drawn
  * @param recordedEvents recorded events, oldest first
- * @param digest checksum of all responses, with their requests and times; the same seed gives the same digest in
- *     virtual time
+ * @param digest the checksum of all responses with their requests and times; in virtual time, the same seed gives the
+ *     same digest
  * @param requests the number of requests that clients sent, retries included
- * @param clockEvents the number of events of the clock; 0 in real time
- * @param wallNanos how long the run took, in nanoseconds of the machine's time
- * @param attemptsByServer the number of attempts that each server received, by its id, from 1 on
+ * @param clockEvents the number of events that the virtual clock ran; 0 in real time
+ * @param wallNanos how long the run took, in nanoseconds of wall-clock time
+ * @param attemptsByServer the number of attempts that each server received, indexed by the server's id, which starts at
+ *     1
  */
 public record RunResult(
         String scenario,
--- a/simulation/src/main/java/topazvalve/simulation/statistics/RunStatistics.java
+++ b/simulation/src/main/java/topazvalve/simulation/statistics/RunStatistics.java
@@ -7,8 +7,8 @@
 import topazvalve.simulation.scenario.Scenario;
 
 /**
- * The statistics of a run, by class and by second. Latencies count from the time at which a request was meant to be
- * sent. A client's retry counts with its first try. Times are nanoseconds from the start of the run. Not thread-safe.
+ * The statistics of a run, by class and by second. Latencies count from the intended send time of the request (open
+ * loop). A client's retry belongs to its first try. Times are nanoseconds from the start of the run. Not thread-safe.
  */
 public final class RunStatistics {
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
@@ -27,7 +27,7 @@
     private long healthChecks;
     private long retries;
 
-    /** Creates the statistics of a run that hasn't started. */
+    /** Creates the statistics of a run that has not started. */
     public RunStatistics(Scenario scenario) {
         this.scenario = scenario;
         int classes = scenario.classes().size();
@@ -46,12 +46,12 @@
         return (int) Math.min(seconds - 1, Math.max(0, at / NANOS_PER_SECOND));
     }
 
-    /** Returns whether a time is after the part of the run that the statistics leave out. */
+    /** Returns whether a time is after the settling time, which the statistics exclude. */
     private boolean afterSettling(long at) {
         return at >= scenario.settlingTime();
     }
 
-    /** A client has sent a first try; {@code at} is when it was meant to be sent. */
+    /** A client has sent a first try; {@code at} is its intended send time. */
     public void requestSent(int requestClass, long at) {
         service.requestSent(requestClass, second(at));
     }
@@ -59,13 +59,13 @@
     /**
      * A client has received a response to a request.
      *
-     * @param firstAt when the first try was meant to be sent
-     * @param latencyNanos how long the client has waited since then
+     * @param firstAt the intended send time of the first try
+     * @param latencyNanos how long the client has waited since that time
      */
     public void requestServed(int requestClass, long firstAt, long latencyNanos) {
-        RequestClassSpec workClass = scenario.classes().get(requestClass);
+        RequestClassSpec classSpec = scenario.classes().get(requestClass);
         int second = second(firstAt);
-        if (latencyNanos <= workClass.latencyObjective()) {
+        if (latencyNanos <= classSpec.latencyObjective()) {
             service.servedInTime(requestClass, second);
         } else if (afterSettling(firstAt)) {
             late[requestClass]++;
@@ -113,11 +113,11 @@
      * The statistics of one second of the run.
      *
      * @param number seconds from the start
-     * @param sent first tries that clients sent
-     * @param inTime those of them that were served within the latency objective
+     * @param sent the number of first tries that clients sent
+     * @param inTime the number of these that were served within the latency objective
      * @param p50Ms the median latency in milliseconds; 0 if no request was served
      * @param p99Ms the 99th percentile of the latency in milliseconds; 0 if no request was served
-     * @param attempts attempts that servers received
+     * @param attempts the number of attempts that servers received
      */
     public record Second(
             int number,
@@ -151,7 +151,7 @@
         return service.service();
     }
 
-    /** Returns the service of the worst ten seconds. */
+    /** Returns the service of the worst ten-second window. */
     public double worstWindow() {
         return service.worstWindow();
     }
@@ -161,18 +161,21 @@
         return service.service(requestClass);
     }
 
-    /** Returns the service of the class that is served worst. */
+    /** Returns the service of the class with the lowest service. */
     public double worstClass() {
         return service.worstClass();
     }
 
-    /** Returns the weighted mean (0 to 1) of the service of the run, its worst ten seconds and its worst class. */
+    /**
+     * Returns the weighted mean (0 to 1) of the service of the run, of its worst ten-second window and of its worst
+     * class.
+     */
     public double goal() {
         return service.goal();
     }
 
     /**
-     * Sums over all classes and the run. Those of requests leave out the settling time.
+     * Sums over all classes and the whole run. Those of requests exclude the settling time.
      * Stored results have the annotated names as keys.
      *
      * @param sent first tries that clients sent
--- a/simulation/src/main/java/topazvalve/simulation/statistics/ServiceStatistics.java
+++ b/simulation/src/main/java/topazvalve/simulation/statistics/ServiceStatistics.java
@@ -5,7 +5,7 @@
 
 /**
  * The service of a run: the priority weight of the requests served within the latency objective, as a fraction (0 to 1)
- * of the weight of all requests sent. Seconds of the settling time don't count.
+ * of the weight of all requests sent. The settling time is excluded.
  */
 final class ServiceStatistics {
     private static final int WORST_WINDOW_SECONDS = 10;
@@ -18,13 +18,14 @@
     private final int classes;
     private final int firstSecond;
     private final int seconds;
-    /** By class, then by second; so are those in time. */
+    /** Requests sent, indexed by class and second. */
     private final long[][] sent;
 
+    /** Requests served within the latency objective, indexed by class and second. */
     private final long[][] inTime;
 
     /**
-     * Creates the statistics of a run that hasn't started.
+     * Creates the statistics of a run that has not started.
      *
      * @param firstSecond the first second that counts
      */
@@ -45,12 +46,12 @@
         inTime[requestClass][second]++;
     }
 
-    /** Returns the requests of all classes that were sent in one second. */
+    /** Returns the number of requests of all classes that were sent in one second. */
     long sentIn(int second) {
         return sumOver(sent, second);
     }
 
-    /** Returns those of them that were served within the latency objective. */
+    /** Returns how many of these requests were served within the latency objective. */
     long inTimeOf(int second) {
         return sumOver(inTime, second);
     }
@@ -59,12 +60,12 @@
         return Arrays.stream(counts).mapToLong(each -> each[second]).sum();
     }
 
-    /** Returns the requests of all classes that were sent after the settling time. */
+    /** Returns the number of requests of all classes that were sent after the settling time. */
     long sent() {
         return sumAfterSettling(sent);
     }
 
-    /** Returns those of them that were served within the latency objective. */
+    /** Returns how many of these requests were served within the latency objective. */
     long inTime() {
         return sumAfterSettling(inTime);
     }
@@ -76,7 +77,7 @@
     }
 
     /**
-     * Returns the service of some seconds.
+     * Returns the service of a range of seconds.
      *
      * @param from the first second
      * @param to the second after the last one
@@ -105,7 +106,7 @@
         return service(firstSecond, seconds, requestClass);
     }
 
-    /** Returns the service of the worst ten seconds. */
+    /** Returns the service of the worst ten-second window. */
     double worstWindow() {
         double worst = 1;
         for (int from = firstSecond; from + WORST_WINDOW_SECONDS < seconds; from++) {
@@ -114,7 +115,7 @@
         return seconds - firstSecond <= WORST_WINDOW_SECONDS ? service() : worst;
     }
 
-    /** Returns the service of the class that is served worst. */
+    /** Returns the service of the class with the lowest service. */
     double worstClass() {
         double worst = 1;
         for (int i = 0; i < classes; i++) {
@@ -123,7 +124,10 @@
         return worst;
     }
 
-    /** Returns the weighted mean (0 to 1) of the service of the run, its worst ten seconds and its worst class. */
+    /**
+     * Returns the weighted mean (0 to 1) of the service of the run, of its worst ten-second window and of its worst
+     * class.
+     */
     double goal() {
         return SERVICE_WEIGHT * service() + WORST_WINDOW_WEIGHT * worstWindow() + WORST_CLASS_WEIGHT * worstClass();
     }
--- a/simulation/src/main/java/topazvalve/simulation/statistics/package-info.java
+++ b/simulation/src/main/java/topazvalve/simulation/statistics/package-info.java
@@ -1,2 +1,2 @@
-/** The statistics of a run, and its outcome. */
+/** The recording of a run, its statistics and its result. */
 package topazvalve.simulation.statistics;
