--- a/simulation/src/main/java/topazvalve/simulation/virtual/AttemptSender.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/AttemptSender.java
@@ -5,7 +5,7 @@
 import topazvalve.simulation.model.ServerMode;
 import topazvalve.simulation.virtual.ServerConnections.VirtualConnection;
 
-/** Carries the attempts of one instance to the servers and their responses back, over connections that it reuses. */
+/** Sends the attempts of one instance to servers and delivers the responses, over connections that it reuses. */
 final class AttemptSender {
     private final VirtualSimulation simulation;
     private final VirtualInstance instance;
@@ -27,7 +27,7 @@
     /**
      * Sends an attempt on an idle connection, or on a new one if there is none.
      *
-     * @param timeoutNanos when it times out; 0 for the deadline of its request
+     * @param timeoutNanos the timeout of the attempt; 0 for the deadline of its request
      */
     void send(VirtualAttempt attempt, long timeoutNanos) {
         long now = now();
@@ -42,16 +42,16 @@
         }
         simulation.idleConnections().connectionBusy(idle);
         attempt.connection = idle;
-        written(attempt);
+        markWritten(attempt);
         simulation.clock().scheduleAt(now + delay, () -> deliver(attempt));
     }
 
-    private void written(VirtualAttempt attempt) {
+    private void markWritten(VirtualAttempt attempt) {
         attempt.written = true;
         simulation.oracle().attemptInFlight(attempt.request.trace);
     }
 
-    /** The attempt to connect has reached the server. */
+    /** The connection request has reached the server. */
     private void connect(VirtualAttempt attempt) {
         OrderServer server = attempt.serverConnections.server;
         ServerMode mode = server.mode();
@@ -69,7 +69,7 @@
         }
     }
 
-    /** The server has accepted the connection; the attempt is written once the instance learns of it. */
+    /** The server has accepted the connection; the attempt is written once the instance is notified. */
     private void connected(VirtualAttempt attempt, long delayBack) {
         simulation.statistics().connectionOpened();
         OrderServer server = attempt.serverConnections.server;
@@ -77,31 +77,31 @@
         long delay = nextDelayNanos(attempt);
         simulation.clock().scheduleAt(now() + delayBack, () -> {
             if (!attempt.ended) {
-                written(attempt);
+                markWritten(attempt);
             }
         });
         simulation.clock().scheduleAt(now() + delayBack + delay, () -> deliver(attempt));
     }
 
-    /** The attempt has reached the server completely. */
+    /** The complete attempt has reached the server. */
     private void deliver(VirtualAttempt attempt) {
         OrderServer server = attempt.serverConnections.server;
         if (attempt.ended || server.mode() == ServerMode.VANISHED) {
             return;
         }
-        int connectedTo = attempt.connection.serverIncarnation;
-        if (server.incarnation() != connectedTo) {
+        int connectedIncarnation = attempt.connection.serverIncarnation;
+        if (server.incarnation() != connectedIncarnation) {
             sendBack(attempt, Outcome.RESET);
             return;
         }
         server.offer(attempt, attempt.serverConnections.knownStart >= server.startedAt());
-        boolean crashed = server.incarnation() != connectedTo;
+        boolean crashed = server.incarnation() != connectedIncarnation;
         if (!crashed || attempt.ran) {
             simulation.attemptReceived(attempt);
         }
     }
 
-    /** The server has sent a response or reset the connection, which takes its time to arrive. */
+    /** The server has responded or reset the connection, of which the instance learns after the link's delay. */
     void sendBack(VirtualAttempt attempt, Outcome outcome) {
         simulation.clock().scheduleAt(now() + nextDelayNanos(attempt), () -> end(attempt, outcome));
     }
@@ -124,7 +124,7 @@
         }
     }
 
-    /** Cancels an attempt that hasn't ended. */
+    /** Cancels an attempt that has not ended. */
     void cancel(VirtualAttempt attempt) {
         abandon(attempt);
         instance.dispatch(() -> end(attempt, Outcome.CANCELLED));
@@ -149,7 +149,7 @@
         instance.attemptEnded(attempt, outcome);
     }
 
-    /** Keeps the connection for further attempts if a response came on it, and closes it otherwise. */
+    /** Makes the connection available for reuse if a response arrived on it, and closes it otherwise. */
     private void releaseConnection(VirtualAttempt attempt, Outcome outcome) {
         VirtualConnection connection = attempt.connection;
         ServerConnections server = attempt.serverConnections;
--- a/simulation/src/main/java/topazvalve/simulation/virtual/ColdLoadExperiment.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/ColdLoadExperiment.java
@@ -16,14 +16,15 @@
 import topazvalve.simulation.scenario.ScenarioFile;
 
 /**
- * Measures what fleets send to cold servers over a sliding window, relative to the load under which one crashes: N + 2
- * x root of N + 2 requests of mean work, where N is the overload factor times the server's capacity over the window.
+ * Measures the load that fleets send to cold servers over a sliding window, relative to the load under which a server
+ * crashes: N + 2 * sqrt(N) + 2 requests of mean work, where N is the overload factor times the server's capacity over
+ * the window.
  */
 public final class ColdLoadExperiment implements ColdServerMonitor {
-    /** A crash is the senders' fault if they knew of the start for at least this fraction of the load. */
+    /** An overload counts as a fault if the senders of at least this fraction of the load knew of the start. */
     private static final double MIN_INFORMED_FRACTION = 2.0 / 3;
 
-    /** The resource with the scenario, in which the names of the values that vary stand for them. */
+    /** The resource with the scenario, which has {@code ${name}} in place of the values that vary. */
     private static final String SCENARIO = "cold-load.toml";
 
     private final Map<Long, Double> peaks = new HashMap<>();
@@ -58,7 +59,7 @@
     public record Fleet(int instances, int servers, double utilisation, double factor, double replaced) {}
 
     /** Runs the experiment for one fleet. */
-    static Result play(Policy policy, Fleet fleet, long seed) {
+    static Result run(Policy policy, Fleet fleet, long seed) {
         ColdLoadExperiment experiment = new ColdLoadExperiment();
         VirtualSimulation simulation = new VirtualSimulation(scenario(fleet), ExperimentArm.of(policy), seed);
         simulation.monitorColdLoad(experiment);
@@ -71,7 +72,7 @@
     }
 
     private static Scenario scenario(Fleet fleet) {
-        String text = template()
+        String text = scenarioTemplate()
                 .replace("${servers}", Integer.toString(fleet.servers))
                 .replace("${instances}", Integer.toString(fleet.instances))
                 .replace("${utilisation}", Double.toString(fleet.utilisation))
@@ -80,7 +81,7 @@
         return ScenarioFile.parse(SCENARIO, text);
     }
 
-    private static String template() {
+    private static String scenarioTemplate() {
         try (InputStream in = ColdLoadExperiment.class.getResourceAsStream(SCENARIO)) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
@@ -89,7 +90,7 @@
     }
 
     /**
-     * Prints a line for each size of a fleet.
+     * Prints a line for each fleet size.
      *
      * @param arguments overload factor, utilisation, fraction replaced, number of seeds, largest number of instances
      */
@@ -100,7 +101,7 @@
         int seeds = Integer.parseInt(arguments[3]);
         int maxInstances = Integer.parseInt(arguments[4]);
         int[][] sizes = {{5, 12}, {14, 60}, {30, 40}, {100, 200}, {2000, 200}};
-        System.out.println("instances servers cold median p99 most over over-by-who-knew");
+        System.out.println("instances servers cold median p99 most over over-by-informed-senders");
         for (int[] size : sizes) {
             if (size[0] > maxInstances) {
                 return;
@@ -113,7 +114,7 @@
         List<Double> peaks = new ArrayList<>();
         long faults = 0;
         for (int seed = 1; seed <= seeds; seed++) {
-            Result result = play(Policy.MODULE, fleet, seed);
+            Result result = run(Policy.MODULE, fleet, seed);
             peaks.addAll(result.peaks());
             faults += result.faults();
         }
--- a/simulation/src/main/java/topazvalve/simulation/virtual/EventHeap.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/EventHeap.java
@@ -70,13 +70,13 @@
         Runnable event = events[size];
         events[size] = null;
         if (size > 0) {
-            insertFromRoot(time, serial, event);
+            siftDown(time, serial, event);
         }
         return first;
     }
 
-    /** Puts an event into the place of the first one, and moves it down as far as necessary. */
-    private void insertFromRoot(long time, long serial, Runnable event) {
+    /** Replaces the first event by another one, and sifts it down. */
+    private void siftDown(long time, long serial, Runnable event) {
         int index = 0;
         int child = firstChild(index);
         while (child < size && isBefore(child, time, serial)) {
@@ -87,7 +87,7 @@
         set(index, time, serial, event);
     }
 
-    /** Returns the child of a node that comes first; at least {@link #size} if the node has none. */
+    /** Returns the child of a node that is due first; at least {@link #size} if the node has none. */
     private int firstChild(int index) {
         int left = 2 * index + 1;
         int right = left + 1;
--- a/simulation/src/main/java/topazvalve/simulation/virtual/ExperimentArm.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/ExperimentArm.java
@@ -26,7 +26,11 @@
 public record ExperimentArm(
         String name, Policy policy, int attempts, boolean cancel, boolean probes, boolean retryAfter) {
 
-    /** Returns the arm of a policy with the scenario's own settings, where everything is allowed. */
+    private static final long CLOCK_RESOLUTION_NANOS = 0;
+    private static final double HEALTH_CHECK_COST = 0.01;
+    private static final double GOSSIP_COST = 0;
+
+    /** Returns the arm of a policy with the scenario's own settings and all options enabled. */
     public static ExperimentArm of(Policy policy) {
         return new ExperimentArm(Table.nameOf(policy), policy, 0, true, true, true);
     }
@@ -37,14 +41,14 @@
         return attempts > 0 ? Math.min(attempts, limit) : limit;
     }
 
-    /** Returns the settings of an instance of this arm. */
-    Settings settings(Scenario scenario, int rank, int zone) {
+    /** Returns the settings of an instance in this arm. */
+    Settings settings(Scenario scenario, int instanceIndex, int zone) {
         Scenario.Limits limits = scenario.limits();
         return new Settings(
-                rank,
+                instanceIndex,
                 scenario.fleet().instances(),
                 zone,
-                0,
+                CLOCK_RESOLUTION_NANOS,
                 scenario.discovery().subscribe() ? DiscoveryMode.SUBSCRIBE : DiscoveryMode.AUTOMATIC,
                 WeightKind.SILENT,
                 scenario.classes().stream().map(ExperimentArm::requestClass).toList(),
@@ -67,31 +71,31 @@
                         limits.overloadFactor(),
                         limits.coldLoadWindow()),
                 List.of(),
-                new Costs(0.01, 0),
+                new Costs(HEALTH_CHECK_COST, GOSSIP_COST),
                 false,
                 1);
     }
 
-    private static RequestClass requestClass(RequestClassSpec kind) {
-        Idempotency semantics = switch (kind.repeatability()) {
+    private static RequestClass requestClass(RequestClassSpec spec) {
+        Idempotency idempotency = switch (spec.repeatability()) {
             case FREE -> Idempotency.IDEMPOTENT;
             case KEYED -> Idempotency.IDEMPOTENCY_KEY;
             case NEVER -> Idempotency.NON_IDEMPOTENT;
         };
-        KeyScope scope = switch (kind.scope()) {
+        KeyScope scope = switch (spec.scope()) {
             case ALL -> KeyScope.ALL;
             case ZONE -> KeyScope.ZONE;
             case POD -> KeyScope.CELL;
         };
         return new RequestClass(
-                kind.latencyObjective(),
+                spec.latencyObjective(),
                 0,
-                kind.deadline(),
-                kind.priorityWeight(),
+                spec.deadline(),
+                spec.priorityWeight(),
                 0,
-                semantics,
+                idempotency,
                 scope,
-                kind.repeatWindow(),
+                spec.repeatWindow(),
                 false);
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/virtual/FixedDelayQueue.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/FixedDelayQueue.java
@@ -5,11 +5,11 @@
 import topazvalve.simulation.model.Clock;
 
 /**
- * Items that are all due after the same delay, in a ring buffer. Only the first of them has an event in the clock's
- * heap. An item that is removed before it is due leaves an empty slot.
+ * A queue of items that all become due after the same delay, in a ring buffer. Only the first item has an event on the
+ * clock. An item that is removed before it is due leaves an empty slot.
  */
 final class FixedDelayQueue<T> {
-    /** A power of two, as the sizes that it grows to. */
+    /** A power of two, like all sizes that the buffer grows to. */
     private static final int INITIAL_SIZE = 64;
 
     private final Clock clock;
@@ -17,7 +17,7 @@
     private final Consumer<T> onDue;
     private long[] dueTimes = new long[INITIAL_SIZE];
     private Object[] items = new Object[INITIAL_SIZE];
-    /** The number of the first item; an item's slot is given by the low bits of its number. */
+    /** The number of the first item. The low bits of an item's number are its slot. */
     private long first;
     /** The number of the next item that is added. */
     private long next;
@@ -27,7 +27,7 @@
     /**
      * Creates an empty queue.
      *
-     * @param onDue is called with each item that is due, at its time
+     * @param onDue is called with each item when it is due
      */
     FixedDelayQueue(Clock clock, long delayNanos, Consumer<T> onDue) {
         this.clock = clock;
@@ -48,7 +48,7 @@
         return number;
     }
 
-    /** Removes an item; without effect if it was due already. */
+    /** Removes an item; ignored if the item was already due. */
     void remove(long number) {
         if (number >= first) {
             items[slot(number)] = null;
@@ -78,7 +78,7 @@
         }
     }
 
-    @SuppressWarnings("unchecked") // an array of a type parameter can't be created
+    @SuppressWarnings("unchecked") // Java has no generic arrays; only items of type T are added
     private void fire() {
         scheduled = false;
         while (first < next && (items[slot(first)] == null || dueTimes[slot(first)] <= clock.now())) {
--- a/simulation/src/main/java/topazvalve/simulation/virtual/FlightTime.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/FlightTime.java
@@ -6,23 +6,23 @@
 
 /** How long an attempt may be in flight before a server has received it completely. */
 final class FlightTime {
-    /** How often an attempt on a new connection crosses the link before the server has received it. */
+    /** The number of one-way delays until a server has received an attempt on a new connection. */
     private static final int CROSSINGS = 3;
-    /** The largest multiple of its mean that a random delay is assumed to take. */
+    /** The assumed maximum of a random delay, as a multiple of its mean. */
     private static final int MAX_JITTER_MULTIPLE = 20;
 
     private static final long SLACK_NANOS = 1_000_000;
-    /** The delay that retransmissions of lost packets are assumed to add at most. */
+    /** The assumed maximum of the delay that retransmissions of lost packets add. */
     private static final long MAX_LOSS_DELAY_NANOS = 2_000_000_000;
 
     private FlightTime() {}
 
-    /** Returns the longest flight under a scenario: a handshake, the way there, random delays and those by faults. */
+    /** Returns the longest time of flight in a scenario: handshake, one-way delay, jitter and delays by faults. */
     static long maxNanos(Scenario scenario) {
         Network network = scenario.network();
-        long way = Math.max(network.sameZone(), network.crossZone());
-        double spread = 1 + MAX_JITTER_MULTIPLE * network.jitter();
-        return (long) (CROSSINGS * way * spread) + SLACK_NANOS + maxFaultDelayNanos(scenario);
+        long oneWayDelay = Math.max(network.sameZone(), network.crossZone());
+        double maxJitterFactor = 1 + MAX_JITTER_MULTIPLE * network.jitter();
+        return (long) (CROSSINGS * oneWayDelay * maxJitterFactor) + SLACK_NANOS + maxFaultDelayNanos(scenario);
     }
 
     private static long maxFaultDelayNanos(Scenario scenario) {
--- a/simulation/src/main/java/topazvalve/simulation/virtual/IdleConnectionTimers.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/IdleConnectionTimers.java
@@ -3,7 +3,7 @@
 import topazvalve.simulation.model.Clock;
 import topazvalve.simulation.virtual.ServerConnections.VirtualConnection;
 
-/** Closes the connections of all instances that have been idle for too long. */
+/** Closes connections, of all instances, that have been idle for too long. */
 final class IdleConnectionTimers {
     private final FixedDelayQueue<VirtualConnection> idle;
 
--- a/simulation/src/main/java/topazvalve/simulation/virtual/ServerConnections.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/ServerConnections.java
@@ -3,7 +3,7 @@
 import java.util.ArrayDeque;
 import topazvalve.simulation.model.OrderServer;
 
-/** One instance's connections to one server, and when it believes that the server started. */
+/** One instance's connections to one server, and the server's start of which the instance was notified. */
 final class ServerConnections {
     /** A connection that one incarnation of the server has accepted. */
     static final class VirtualConnection {
--- a/simulation/src/main/java/topazvalve/simulation/virtual/ServerTable.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/ServerTable.java
@@ -6,7 +6,7 @@
 import topazvalve.simulation.model.EndpointDirectory.Entry;
 import topazvalve.simulation.model.OrderServer;
 
-/** The servers that one instance knows, with its connections to them. */
+/** The servers that one instance was notified of, with its connections to them. */
 final class ServerTable {
     private static final int INITIAL_SIZE = 16;
 
@@ -19,12 +19,12 @@
         this.zone = zone;
     }
 
-    /** Returns a server, or null if it isn't known. */
+    /** Returns a server, or null if it is unknown. */
     ServerConnections get(long id) {
         return id < servers.length ? servers[(int) id] : null;
     }
 
-    /** Applies changes of the endpoint list. Idle connections to servers that restarted or aren't ready are closed. */
+    /** Applies changes of the endpoint list. Idle connections to servers that restarted or are not ready are closed. */
     void apply(List<Entry> entries) {
         for (Entry each : entries) {
             ServerConnections server = getOrAdd(each.server());
@@ -49,7 +49,7 @@
         return servers[id];
     }
 
-    /** Closes all idle connections and forgets all servers. */
+    /** Closes all idle connections and removes all servers. */
     void clear() {
         for (ServerConnections each : servers) {
             if (each != null) {
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualAttempt.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualAttempt.java
@@ -10,7 +10,7 @@
     final int number;
     final ServerConnections serverConnections;
     final long sentAt;
-    /** Null until the server has accepted one. */
+    /** Null until the server has accepted the connection. */
     ServerConnections.VirtualConnection connection;
     /** Whether its last byte has been written. */
     boolean written;
@@ -22,7 +22,7 @@
     boolean ended;
 
     /**
-     * Creates an attempt that hasn't been sent yet.
+     * Creates an attempt that has not been sent yet.
      *
      * @param number the number of earlier attempts of its request
      * @param work its work in nanoseconds of a standard core
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualClients.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualClients.java
@@ -12,24 +12,24 @@
 import topazvalve.simulation.statistics.ClientTry;
 
 /**
- * All clients of a run in virtual time. They send requests independently of earlier responses, wait, disconnect, and
- * some retry once.
+ * All clients of a run in virtual time. They send requests independently of earlier responses (open loop) and
+ * wait for responses; some disconnect early, and some retry once.
  */
 final class VirtualClients {
-    /** The part of a client's patience that the real sidecar reserves for the way of the response. */
+    /** The part of a request's time that the real sidecar reserves for the delivery of the response. */
     private static final long RESPONSE_RESERVE_NANOS = 10_000_000;
-    /** Attempts that a request can hold beyond the limit, so that the oracle's tests can exceed it. */
+    /** The number of attempts that a request can hold beyond the limit, so that tests of the oracle can exceed it. */
     private static final int SPARE_ATTEMPTS = 2;
 
     private final VirtualSimulation simulation;
     private final Scenario scenario;
-    /** By class of request. */
+    /** Indexed by request class. */
     private final List<FixedDelayQueue<VirtualRequest>> expiryTimers = new ArrayList<>();
 
     private final List<RequestGenerator> generators = new ArrayList<>();
     private long lastId;
 
-    /** What a client wants of one instance, over its tries. */
+    /** A client's request to one instance, including its retry. */
     private record ClientRequest(int instance, GeneratedRequest generated, long firstSentAt) {
         int requestClass() {
             return generated.requestClass();
@@ -80,7 +80,7 @@
     private void send(ClientRequest clientRequest, boolean isRetry) {
         VirtualInstance instance = simulation.instances().get(clientRequest.instance());
         if (!instance.running()) {
-            // The connection is refused, so the client knows that nothing has run.
+            // The connection is refused: the client knows that nothing has run, and may retry.
             endUnserved(clientRequest, isRetry, Answer.REJECTED, 0);
             return;
         }
@@ -119,7 +119,7 @@
                         responseReceived(request, answer, retryAfterNanos, clientRequest));
     }
 
-    /** The request has a response and no attempts in flight, so that its expiry would have no effect. */
+    /** Cancels the expiry of a request that has a response and no attempts in flight. */
     void cancelExpiry(VirtualRequest request) {
         if (request.expiryTimer != VirtualRequest.NO_TIMER) {
             expiryTimers.get(request.requestClass).remove(request.expiryTimer);
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualClock.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualClock.java
@@ -6,11 +6,12 @@
 /**
  * Virtual time. Events run in the order of their times, and in the order of their scheduling where the times are equal.
  *
- * <p>Events that are due soon are in a wheel of short slices, unsorted; only those of the current slice are in a heap,
- * which is small enough for the processor's cache. Later events are in one large heap until the wheel reaches them.
+ * <p>Events that are due soon are in a timing wheel of short slices, unsorted. Only the events of the current slice are
+ * in a heap, which is small enough for the processor's cache. Later events are in one large heap until the wheel
+ * reaches them.
  */
 final class VirtualClock implements Clock {
-    /** A slice is 2^16 ns, 66 us long; 2^14 of them make a wheel of 1.07 s. */
+    /** A slice is 2^16 ns (66 us) long; 2^14 slices make a wheel of 1.07 s. */
     private static final int SLICE_BITS = 16;
 
     private static final int SLICES = 1 << 14;
@@ -88,7 +89,7 @@
         }
     }
 
-    /** Runs all events up to a time (inclusive), which is then the present. */
+    /** Runs all events up to a time (inclusive), which is the current time afterwards. */
     void runUntil(long end) {
         long last = end >> SLICE_BITS;
         while (true) {
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualDiscovery.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualDiscovery.java
@@ -13,10 +13,10 @@
 import topazvalve.simulation.scenario.Scenario.DiscoverySettings;
 import topazvalve.simulation.statistics.RunRecorder;
 
-/** The discovery service as instances use it: it serves one call at a time, and notifies instances that watch. */
+/** The discovery service: it serves one call of an instance at a time, and notifies instances that watch. */
 final class VirtualDiscovery {
-    /** How long watches may survive the start of an outage. */
-    private static final long POLL_INTERVAL_NANOS = 100_000_000;
+    /** The interval at which an outage is detected; watches survive its start for at most this long. */
+    private static final long OUTAGE_CHECK_INTERVAL_NANOS = 100_000_000;
 
     /** The state of one instance's watch. */
     private static final class Watch {
@@ -47,19 +47,19 @@
         this.random = random;
         this.instances = instances;
         directory.addListener(entry -> watches.forEach((number, watch) -> propagate(number, watch, entry)));
-        breakWatchesWhileDown();
+        endWatchesWhileUnavailable();
     }
 
-    private void breakWatchesWhileDown() {
+    private void endWatchesWhileUnavailable() {
         if (directory.isUnavailable() && settings.subscribe() && !watches.isEmpty()) {
-            List<Integer> cut = new ArrayList<>(watches.keySet());
+            List<Integer> ended = new ArrayList<>(watches.keySet());
             watches.clear();
-            cut.forEach(number -> instances.get(number).endpointsUpdated(UpdateKind.FAILED, List.of()));
+            ended.forEach(number -> instances.get(number).endpointsUpdated(UpdateKind.FAILED, List.of()));
         }
-        clock.scheduleAt(clock.now() + POLL_INTERVAL_NANOS, this::breakWatchesWhileDown);
+        clock.scheduleAt(clock.now() + OUTAGE_CHECK_INTERVAL_NANOS, this::endWatchesWhileUnavailable);
     }
 
-    /** Starts a watch without a call, where instances don't have to subscribe. */
+    /** Starts a watch without a call, for scenarios in which instances need not subscribe. */
     void startWatch(VirtualInstance instance) {
         Watch watch = new Watch();
         watch.notifiedRevision = directory.revision();
@@ -72,8 +72,8 @@
     }
 
     /** An instance starts or ends its watch by a call. */
-    void subscribe(VirtualInstance instance, boolean on) {
-        if (!on) {
+    void setSubscribed(VirtualInstance instance, boolean subscribed) {
+        if (!subscribed) {
             watches.remove(instance.number());
             call(instance, false, false);
         } else {
@@ -89,23 +89,23 @@
     /**
      * Performs a call. It waits for earlier calls, and fails if that takes too long or the service is down.
      *
-     * @param wantsList whether the response has the full list if there is nothing better
+     * @param wantsList whether the response has the full list if it cannot have the changes only
      * @param startsWatch whether the call starts a watch
      */
     private void call(VirtualInstance instance, boolean wantsList, boolean startsWatch) {
         long now = clock.now();
         int incarnation = instance.incarnation();
         long startsAt = Math.max(now, busyUntil);
-        boolean fails = directory.isUnavailable() || startsAt - now > settings.callTimeout();
-        long endsAt = fails ? now + settings.callTimeout() : startsAt + settings.callTime();
-        if (!fails) {
+        boolean failsAtStart = directory.isUnavailable() || startsAt - now > settings.callTimeout();
+        long endsAt = failsAtStart ? now + settings.callTimeout() : startsAt + settings.callTime();
+        if (!failsAtStart) {
             busyUntil = endsAt;
         }
         clock.scheduleAt(endsAt, () -> {
             if (instance.incarnation() != incarnation) {
                 return;
             }
-            if (fails || directory.isUnavailable()) {
+            if (failsAtStart || directory.isUnavailable()) {
                 instance.endpointsUpdated(UpdateKind.FAILED, List.of());
             } else {
                 respond(instance, wantsList, startsWatch);
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualHealthCheck.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualHealthCheck.java
@@ -4,14 +4,14 @@
 import topazvalve.simulation.model.ServerAttempt;
 import topazvalve.simulation.model.ServerMode;
 
-/** A health check of an instance. The server queues and serves it like a request. */
+/** A health check that an instance sends. The server queues and serves it like a request. */
 final class VirtualHealthCheck extends ServerAttempt {
     private static final long TIMEOUT_NANOS = 250_000_000;
     private final VirtualSimulation simulation;
     private final VirtualInstance instance;
     private final ServerConnections target;
     private final long sentAt;
-    private final int sentIn;
+    private final int sentByIncarnation;
     private boolean ended;
 
     VirtualHealthCheck(VirtualSimulation simulation, VirtualInstance instance, ServerConnections target) {
@@ -20,10 +20,10 @@
         this.instance = instance;
         this.target = target;
         this.sentAt = simulation.clock().now();
-        this.sentIn = instance.incarnation();
+        this.sentByIncarnation = instance.incarnation();
     }
 
-    /** Sends it; the instance is notified of its outcome. */
+    /** Sends the health check; the instance is notified of its outcome. */
     void send() {
         simulation.statistics().healthCheckSent();
         simulation.clock().scheduleAt(sentAt + simulation.link().nextDelayNanos(target.crossZone), this::arrive);
@@ -47,7 +47,7 @@
     private void end(Outcome outcome) {
         if (!ended) {
             ended = true;
-            instance.healthCheckEnded(sentIn, target.server.id(), outcome, sentAt);
+            instance.healthCheckEnded(sentByIncarnation, target.server.id(), outcome, sentAt);
         }
     }
 
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualInstance.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualInstance.java
@@ -14,8 +14,8 @@
 import topazvalve.simulation.oracle.Oracle.Answer;
 
 /**
- * One sidecar in virtual time. It hosts a {@link LoadBalancer} as the real sidecar's core does, and carries out its
- * actions over links that take time. Each attempt has one outcome, each request one response.
+ * One sidecar in virtual time. It hosts a {@link LoadBalancer} like the real sidecar's core, and carries out its
+ * actions over links with delays. Each attempt has one outcome, each request one response.
  */
 class VirtualInstance implements Actions {
     static final float[] NO_LOAD_REPORT = {};
@@ -57,7 +57,7 @@
         return running;
     }
 
-    /** Starts with a cached endpoint list. */
+    /** Starts the instance with a cached endpoint list. */
     void start(LoadBalancer newBalancer, List<Entry> cached, long cachedRevision) {
         balancer = newBalancer;
         running = true;
@@ -69,7 +69,7 @@
                 cached.stream().map(VirtualDiscovery::toEndpointInfo).toList());
     }
 
-    /** Kills it. Only attempts that servers don't stop on a cancellation remain. */
+    /** Kills the instance. Attempts that servers do not stop on a cancellation go on. */
     void kill() {
         running = false;
         incarnation++;
@@ -91,7 +91,7 @@
         return simulation.clock().now();
     }
 
-    /** Runs an event, or queues it while another one runs: the load balancer isn't called recursively. */
+    /** Runs an event, or queues it if another one is running, so that the load balancer is never called recursively. */
     void dispatch(Runnable event) {
         dispatcher.dispatch(event);
     }
@@ -110,8 +110,8 @@
     }
 
     @Override
-    public void watchEndpoints(boolean on) {
-        simulation.discovery().subscribe(this, on);
+    public void watchEndpoints(boolean watch) {
+        simulation.discovery().setSubscribed(this, watch);
     }
 
     @Override
@@ -128,7 +128,7 @@
         dispatch(() -> balancer.requestReceived(now(), request));
     }
 
-    /** The time is over in which a response could still reach the client. */
+    /** A response can no longer reach the client in time. */
     void requestExpired(VirtualRequest request) {
         for (VirtualAttempt attempt : request.attempts) {
             if (attempt != null) {
@@ -136,12 +136,12 @@
             }
         }
         if (!request.finished) {
-            // The real sidecar's core answers too if the load balancer doesn't.
+            // Like the real sidecar's core, which responds itself if the load balancer does not.
             fail(request.id);
         }
     }
 
-    /** The client has disconnected. As in the real sidecar, attempts that are not written yet are cancelled. */
+    /** The client has disconnected. As in the real sidecar, attempts that have not been written are cancelled. */
     void clientDisconnected(VirtualRequest request) {
         if (request.finished) {
             return;
@@ -156,7 +156,7 @@
         }
     }
 
-    /** Responds to the client, unless it has a response already. */
+    /** Responds to the client, unless the client already has a response. */
     void finish(VirtualRequest request, Answer answer, long retryAfterNanos) {
         if (!request.finished) {
             request.finished = true;
@@ -198,7 +198,7 @@
         }
     }
 
-    /** Sends an attempt, or ends it at once if the host doesn't allow it or doesn't know the endpoint. */
+    /** Sends an attempt, or ends it immediately if the host does not allow it or does not know the endpoint. */
     void send(VirtualRequest request, long endpoint, long timeoutNanos) {
         int attemptNumber = request.attemptCount++;
         request.attemptsInFlight++;
@@ -214,7 +214,7 @@
         sender.send(attempt, timeoutNanos);
     }
 
-    /** Returns whether the host holds an attempt back, whatever the load balancer decides. */
+    /** Returns whether the host does not send an attempt although the load balancer requested it. */
     boolean mayNotSend(VirtualRequest request, int attemptNumber, long now) {
         return request.finished || attemptNumber >= simulation.attemptLimit() || now >= request.deadline;
     }
@@ -231,7 +231,7 @@
         }
     }
 
-    /** An attempt has ended; the load balancer is notified unless its request is forgotten. */
+    /** An attempt has ended; the load balancer is notified unless the request has been removed. */
     void attemptEnded(VirtualAttempt attempt, Outcome outcome) {
         VirtualRequest request = attempt.request;
         if (running && requests.get(request.id) == request) {
@@ -257,9 +257,9 @@
 
     @Override
     public void setTimer(long token, long at) {
-        int setIn = incarnation;
+        int timerIncarnation = incarnation;
         simulation.clock().scheduleAt(at, () -> {
-            if (incarnation == setIn) {
+            if (incarnation == timerIncarnation) {
                 dispatch(() -> balancer.timerFired(now(), token));
             }
         });
@@ -273,9 +273,9 @@
         }
     }
 
-    /** A health check has ended; without effect if the instance has been killed since it was sent. */
-    void healthCheckEnded(int sentIn, long endpoint, Outcome outcome, long sentAt) {
-        if (incarnation == sentIn) {
+    /** A health check has ended. Ignored if the instance has been killed since the check was sent. */
+    void healthCheckEnded(int sentByIncarnation, long endpoint, Outcome outcome, long sentAt) {
+        if (incarnation == sentByIncarnation) {
             dispatch(() -> balancer.healthCheckCompleted(now(), endpoint, outcome, now() - sentAt, NO_LOAD_REPORT));
         }
     }
@@ -290,7 +290,7 @@
 
     @Override
     public void sendGossip(int peer, byte[] message) {
-        throw new UnsupportedOperationException("instances don't gossip in a simulation");
+        throw new UnsupportedOperationException("gossip is not simulated");
     }
 
     @Override
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualRequest.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualRequest.java
@@ -19,7 +19,7 @@
     private static final int NO_TENANT = 0;
     private static final long UNKNOWN_COST = 0;
 
-    /** The value of {@link #expiryTimer} when there is no timer. */
+    /** The value of {@link #expiryTimer} if there is no timer. */
     static final long NO_TIMER = -1;
 
     final long id;
@@ -31,10 +31,10 @@
     final long deadline;
     final boolean isRetry;
     final ResponseListener listener;
-    /** When the first try was sent, from which the latency counts. */
+    /** When the first try was sent; the start of the latency. */
     final long firstSentAt;
 
-    /** The attempts by their numbers; null for those that were never sent. */
+    /** The attempts, indexed by their numbers; null for those that were never sent. */
     final VirtualAttempt[] attempts;
 
     int attemptCount;
@@ -45,7 +45,7 @@
     long expiryTimer = NO_TIMER;
 
     /**
-     * Creates a request that hasn't been sent yet.
+     * Creates a request that has not been sent yet.
      *
      * @param instance the number of the instance
      * @param requestClass the index of its class in the scenario
@@ -78,7 +78,7 @@
         this.listener = listener;
     }
 
-    /** Returns the request as the load balancer gets it: of no tenant, of unknown cost, and as a write. */
+    /** Returns the request as the load balancer sees it: without a tenant, of unknown cost, and as a write. */
     Request toPolicyRequest(long now) {
         return new Request(id, requestClass, NO_TENANT, key, deadline - now, UNKNOWN_COST, isRetry, true);
     }
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualSimulation.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualSimulation.java
@@ -17,9 +17,9 @@
 import topazvalve.simulation.statistics.RunRecorder;
 import topazvalve.simulation.statistics.RunResult;
 
-/** A run of one scenario, arm and seed in virtual time. The same three give the same run to the last event. */
+/** A run of one scenario, arm and seed in virtual time. The same three give exactly the same run. */
 public final class VirtualSimulation implements RecordedRun {
-    /** The clock's time at the start. Far from 0, since a server that started at 0 counts as started long ago. */
+    /** The clock's time at the start. Not 0, since a server whose start is 0 counts as started before the run. */
     private static final long START = 1_000_000_000_000L;
 
     /** Instances close idle connections after this fraction of the servers' shortest idle timeout. */
@@ -39,12 +39,12 @@
     private final VirtualClients clients;
     private final IdleConnectionTimers idleConnections;
 
-    /** Creates the servers, instances and clients of a run that hasn't started yet. */
+    /** Creates the servers, instances and clients of a run that has not started yet. */
     public VirtualSimulation(Scenario scenario, ExperimentArm arm, long seed) {
         this(scenario, arm, seed, null);
     }
 
-    /** Creates a run with instances from {@code factory}, for the oracle's tests; null for the usual ones. */
+    /** Creates a run with instances from {@code factory}, for tests of the oracle; null for normal instances. */
     VirtualSimulation(Scenario scenario, ExperimentArm arm, long seed, InstanceFactory factory) {
         this.scenario = scenario;
         this.arm = arm;
@@ -86,13 +86,13 @@
                 (crashed, informedFraction) -> recorder.serverCrashedWhileCold(crashed, informedFraction, elapsed()));
     }
 
-    /** Measures the load of cold servers, which no longer crash. To be called before {@link #run}. */
+    /** Measures the load of cold servers, which then no longer crash. Must be called before {@link #run}. */
     void monitorColdLoad(ColdServerMonitor monitor) {
         coldServerMonitor = monitor;
         servers().forEach(each -> each.monitorColdLoad(monitor));
     }
 
-    /** Plays the run to its end and returns its results. To be called once. */
+    /** Runs the simulation to its end and returns the results. Must be called only once. */
     public RunResult run() {
         long startedAt = System.nanoTime();
         List<Fault> faults = FaultInjector.scheduleAll(this, scenario, seed);
@@ -119,7 +119,7 @@
                 directory().revision());
     }
 
-    // For faults and for the parts of the run.
+    // RecordedRun, and what the other classes of this package use.
 
     @Override
     public Clock clock() {
@@ -143,14 +143,14 @@
 
     @Override
     public OrderServer replaceServer(OrderServer old, boolean sameAddress) {
-        OrderServer fresh = topology.fleet().replace(old);
-        observe(fresh);
-        return fresh;
+        OrderServer replacement = topology.fleet().replace(old);
+        observe(replacement);
+        return replacement;
     }
 
     @Override
-    public void recordEvent(String what) {
-        topology.recordEvent(elapsed(), what);
+    public void recordEvent(String description) {
+        topology.recordEvent(elapsed(), description);
     }
 
     @Override
--- a/simulation/src/main/java/topazvalve/simulation/virtual/package-info.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/package-info.java
@@ -1,2 +1,2 @@
-/** Runs in virtual time. The load balancers are called directly, without sidecar processes. */
+/** Simulations in virtual time. Load balancers are called directly, without sidecar processes. */
 package topazvalve.simulation.virtual;
--- a/simulation/src/test/java/topazvalve/simulation/virtual/FaultySidecar.java
+++ b/simulation/src/test/java/topazvalve/simulation/virtual/FaultySidecar.java
@@ -9,35 +9,35 @@
 import topazvalve.simulation.oracle.Rule;
 import topazvalve.simulation.scenario.RequestClassSpec.Repeatability;
 
-/** A sidecar that violates one rule for some requests, for tests of the oracle. */
+/** A sidecar that violates one rule, most of them only for every 20th request, for tests of the oracle. */
 final class FaultySidecar extends VirtualInstance {
-    private static final int MISBEHAVES_EVERY = 20;
+    private static final int VIOLATION_INTERVAL = 20;
     private static final long RESEND_DELAY_NANOS = 1_000_000_000L;
-    /** More than the 0.1 s of grace after a client disconnects, and the delay to a server here. */
+    /** More than the 0.1 s of grace after a client disconnects plus the delay to a server in this scenario. */
     private static final long DISCONNECT_DELAY_NANOS = 250_000_000L;
 
     private final Rule violatedRule;
-    private long newest = 1;
-    private long newestStart;
+    private long newestServer = 1;
+    private long newestServerStart;
 
-    FaultySidecar(VirtualSimulation simulation, int number, Rule breaks) {
+    FaultySidecar(VirtualSimulation simulation, int number, Rule violatedRule) {
         super(simulation, number, simulation.zone(number));
-        this.violatedRule = breaks;
+        this.violatedRule = violatedRule;
     }
 
-    private boolean misbehavesOn(VirtualRequest request) {
-        return request.id % MISBEHAVES_EVERY == 0;
+    private boolean violatesRuleFor(VirtualRequest request) {
+        return request.id % VIOLATION_INTERVAL == 0;
     }
 
-    private boolean isOfKind(VirtualRequest request, Repeatability repeats) {
-        return simulation.scenario().classes().get(request.requestClass).repeatability() == repeats;
+    private boolean hasRepeatability(VirtualRequest request, Repeatability repeatability) {
+        return simulation.scenario().classes().get(request.requestClass).repeatability() == repeatability;
     }
 
     @Override
     void requestReceived(VirtualRequest request) {
-        if (violatedRule == Rule.TRUE_ANSWER && misbehavesOn(request)) {
+        if (violatedRule == Rule.TRUE_ANSWER && violatesRuleFor(request)) {
             finish(request, Answer.SERVED, 0);
-        } else if (violatedRule == Rule.AT_ONCE && misbehavesOn(request)) {
+        } else if (violatedRule == Rule.AT_ONCE && violatesRuleFor(request)) {
             simulation
                     .clock()
                     .scheduleAt(
@@ -52,25 +52,25 @@
 
     private void sendCopies(VirtualRequest request) {
         int copies = copyCount(request);
-        for (int i = 0; i < copies && misbehavesOn(request) && request.attemptCount > 0; i++) {
+        for (int i = 0; i < copies && violatesRuleFor(request) && request.attemptCount > 0; i++) {
             send(request, 1 + i % simulation.servers().size(), 0);
         }
     }
 
     private int copyCount(VirtualRequest request) {
-        boolean repeats = (violatedRule == Rule.NEVER_TWICE && isOfKind(request, Repeatability.NEVER))
-                || (violatedRule == Rule.KEYED_REPEAT && isOfKind(request, Repeatability.KEYED));
-        if (repeats) {
+        boolean repeatsAttempt = (violatedRule == Rule.NEVER_TWICE && hasRepeatability(request, Repeatability.NEVER))
+                || (violatedRule == Rule.KEYED_REPEAT && hasRepeatability(request, Repeatability.KEYED));
+        if (repeatsAttempt) {
             return 2;
         }
-        return violatedRule == Rule.ATTEMPTS && isOfKind(request, Repeatability.FREE) ? 4 : 0;
+        return violatedRule == Rule.ATTEMPTS && hasRepeatability(request, Repeatability.FREE) ? 4 : 0;
     }
 
     @Override
     boolean mayNotSend(VirtualRequest request, int attemptNumber, long now) {
-        boolean unbounded =
+        boolean ignoresLimits =
                 violatedRule == Rule.ATTEMPTS || violatedRule == Rule.NOTHING_AFTER || violatedRule == Rule.CLIENT_LEFT;
-        return unbounded ? attemptNumber >= request.attempts.length : super.mayNotSend(request, attemptNumber, now);
+        return ignoresLimits ? attemptNumber >= request.attempts.length : super.mayNotSend(request, attemptNumber, now);
     }
 
     /** Ignores that the client has disconnected, and sends an attempt afterwards. */
@@ -84,16 +84,16 @@
     }
 
     @Override
-    void finish(VirtualRequest request, Answer answer, long wait) {
-        if (violatedRule == Rule.ANSWERED && misbehavesOn(request)) {
+    void finish(VirtualRequest request, Answer answer, long retryAfterNanos) {
+        if (violatedRule == Rule.ANSWERED && violatesRuleFor(request)) {
             return;
         }
         boolean misreports = violatedRule == Rule.HARMLESS_REFUSAL && answer == Answer.FAILED;
-        super.finish(request, misreports ? Answer.REJECTED : answer, wait);
-        if (violatedRule == Rule.ANSWERED_ONCE && misbehavesOn(request)) {
-            request.listener.responseReceived(request, answer, wait);
+        super.finish(request, misreports ? Answer.REJECTED : answer, retryAfterNanos);
+        if (violatedRule == Rule.ANSWERED_ONCE && violatesRuleFor(request)) {
+            request.listener.responseReceived(request, answer, retryAfterNanos);
         }
-        if (violatedRule == Rule.NOTHING_AFTER && misbehavesOn(request) && request.attemptCount < 2) {
+        if (violatedRule == Rule.NOTHING_AFTER && violatesRuleFor(request) && request.attemptCount < 2) {
             simulation.clock().scheduleAt(simulation.clock().now() + RESEND_DELAY_NANOS, () -> send(request, 1, 0));
         }
     }
@@ -102,9 +102,9 @@
     void applyEntries(List<Entry> entries, long listRevision) {
         super.applyEntries(entries, listRevision);
         for (Entry each : entries) {
-            if (each.state() == EndpointStatus.READY && each.startedAt() > newestStart) {
-                newestStart = each.startedAt();
-                newest = each.server().id();
+            if (each.state() == EndpointStatus.READY && each.startedAt() > newestServerStart) {
+                newestServerStart = each.startedAt();
+                newestServer = each.server().id();
             }
         }
     }
@@ -123,6 +123,7 @@
 
     @Override
     public void forward(long requestId, long endpoint, long timeoutNanos) {
-        super.forward(requestId, violatedRule == Rule.COLD && newestStart > 0 ? newest : endpoint, timeoutNanos);
+        super.forward(
+                requestId, violatedRule == Rule.COLD && newestServerStart > 0 ? newestServer : endpoint, timeoutNanos);
     }
 }
--- a/simulation/src/test/java/topazvalve/simulation/virtual/OracleTest.java
+++ b/simulation/src/test/java/topazvalve/simulation/virtual/OracleTest.java
@@ -12,12 +12,14 @@
 import topazvalve.simulation.scenario.Scenario;
 import topazvalve.simulation.statistics.RunResult;
 
-/** The oracle finds the violation of each rule by a sidecar that violates it, and none by one that doesn't. */
+/**
+ * For each rule, the oracle finds the violations of a sidecar that violates it; it finds none for a correct sidecar.
+ */
 class OracleTest {
     private static final long SEED = 7;
 
     private static Scenario scenarioFor(Rule rule) {
-        // The whole load has to crash one cold server, for which no sidecar may restart.
+        // The load of all sidecars together must crash one cold server, so no sidecar may be restarted.
         return SmallScenario.with(rule == Rule.COLD ? SmallScenario.fault("restart", 2, 1, 0.2) : SmallScenario.FAULTS);
     }
 
@@ -35,11 +37,11 @@
                 run.violations().stream()
                         .anyMatch(each -> each.rule() == rule
                                 && each.what().contains(rule == Rule.COLD ? "server " : "request ")),
-                "names what broke it");
+                "violation does not name the request or server: " + run.violations());
     }
 
     @Test
-    void noViolationIsFoundWhereThereIsNone() {
+    void noViolationIsFoundForCorrectSidecar() {
         for (long seed = 1; seed <= 5; seed++) {
             RunResult run = new VirtualSimulation(
                             SmallScenario.with(SmallScenario.FAULTS), ExperimentArm.of(Policy.MODULE), seed)
--- a/simulation/src/test/java/topazvalve/simulation/virtual/SmallScenario.java
+++ b/simulation/src/test/java/topazvalve/simulation/virtual/SmallScenario.java
@@ -3,7 +3,7 @@
 import topazvalve.simulation.scenario.Scenario;
 import topazvalve.simulation.scenario.ScenarioFile;
 
-/** A scenario of a few seconds with a class of each kind, to which tests add faults. */
+/** A scenario of a few seconds with a request class of each repeatability, to which tests add faults. */
 final class SmallScenario {
     private static final String BASE = """
             name = "small"
--- a/simulation/src/test/java/topazvalve/simulation/virtual/VirtualClockTest.java
+++ b/simulation/src/test/java/topazvalve/simulation/virtual/VirtualClockTest.java
@@ -10,7 +10,7 @@
 import net.jqwik.api.constraints.LongRange;
 import net.jqwik.api.constraints.Size;
 
-/** Compares the clock and the ring buffers with simple reference implementations. */
+/** Compares the clock and the fixed-delay queue with simple reference implementations. */
 class VirtualClockTest {
     private static final long START = 1_000_000_000_000L;
 
@@ -29,8 +29,8 @@
             });
         }
         clock.runUntil(START + 10_000_000_000L);
-        // The reference: repeatedly the earliest event, and among equals the one scheduled first.
-        List<String> right = new ArrayList<>();
+        // The reference: repeatedly takes the earliest event; of several at the same time, the one scheduled first.
+        List<String> expected = new ArrayList<>();
         record Due(long at, long serial, String name, long again) {}
         TreeSet<Due> due =
                 new TreeSet<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.serial, b.serial));
@@ -40,12 +40,12 @@
         }
         while (!due.isEmpty()) {
             Due first = due.pollFirst();
-            right.add(first.name + "@" + first.at);
+            expected.add(first.name + "@" + first.at);
             if (first.again >= 0) {
                 due.add(new Due(first.at + first.again, serial++, first.name + "b", -1));
             }
         }
-        assertEquals(right, ran);
+        assertEquals(expected, ran);
     }
 
     /** Items that are removed in time are never due; the others are due once, at their times, in order. */
@@ -54,25 +54,25 @@
             @ForAll @Size(max = 80) List<@LongRange(min = 1, max = 400_000_000L) Long> gaps) {
         VirtualClock clock = new VirtualClock(START);
         List<String> due = new ArrayList<>();
-        FixedDelayQueue<String> line =
+        FixedDelayQueue<String> queue =
                 new FixedDelayQueue<>(clock, 300_000_000, name -> due.add(name + "@" + (clock.now() - START)));
-        List<String> right = new ArrayList<>();
+        List<String> expected = new ArrayList<>();
         long at = 0;
         for (int i = 0; i < gaps.size(); i++) {
             at += gaps.get(i);
             String name = "t" + i;
-            boolean taken = gaps.get(i) % 3 == 0;
+            boolean removed = gaps.get(i) % 3 == 0;
             clock.scheduleAt(START + at, () -> {
-                long number = line.add(name);
-                if (taken) {
-                    clock.scheduleAt(clock.now() + 200_000_000, () -> line.remove(number));
+                long number = queue.add(name);
+                if (removed) {
+                    clock.scheduleAt(clock.now() + 200_000_000, () -> queue.remove(number));
                 }
             });
-            if (!taken) {
-                right.add(name + "@" + (at + 300_000_000));
+            if (!removed) {
+                expected.add(name + "@" + (at + 300_000_000));
             }
         }
         clock.runUntil(START + at + 1_000_000_000);
-        assertEquals(right, due);
+        assertEquals(expected, due);
     }
 }
--- a/simulation/src/test/java/topazvalve/simulation/virtual/VirtualSimulationTest.java
+++ b/simulation/src/test/java/topazvalve/simulation/virtual/VirtualSimulationTest.java
@@ -7,6 +7,7 @@
 import java.nio.file.Path;
 import java.util.Arrays;
 import java.util.HashMap;
+import java.util.Locale;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -18,61 +19,66 @@
 import topazvalve.simulation.scenario.Scenario;
 import topazvalve.simulation.scenario.ScenarioFile;
 import topazvalve.simulation.statistics.RunResult;
+import topazvalve.simulation.statistics.RunStatistics;
 
+/** Runs in virtual time are reproducible, complete, and agree with queueing theory. */
 class VirtualSimulationTest {
-    private static RunResult play(Scenario scenario, long seed) {
+    private static RunResult run(Scenario scenario, long seed) {
         return new VirtualSimulation(scenario, ExperimentArm.of(Policy.MODULE), seed).run();
     }
 
     @Test
     void sameSeedGivesSameRun() {
         Scenario scenario = SmallScenario.with(SmallScenario.FAULTS);
-        RunResult first = play(scenario, 3);
-        RunResult again = play(scenario, 3);
+        RunResult first = run(scenario, 3);
+        RunResult again = run(scenario, 3);
         assertEquals(first.digest(), again.digest());
         assertEquals(first.clockEvents(), again.clockEvents());
         assertTrue(Arrays.equals(first.attemptsByServer(), again.attemptsByServer()));
-        assertNotEquals(first.digest(), play(scenario, 4).digest());
+        assertNotEquals(first.digest(), run(scenario, 4).digest());
     }
 
     /** Random streams are independent: faults change neither arrivals nor requests. */
     @Test
     void faultsDoNotChangeArrivals() {
-        RunResult calm = play(SmallScenario.with(""), 3);
-        RunResult troubled = play(SmallScenario.with(SmallScenario.FAULTS), 3);
+        RunResult withoutFaults = run(SmallScenario.with(""), 3);
+        RunResult withFaults = run(SmallScenario.with(SmallScenario.FAULTS), 3);
         assertEquals(
-                calm.statistics().sums().sent(), troubled.statistics().sums().sent());
-        for (int i = 0; i < calm.statistics().seconds(); i++) {
+                withoutFaults.statistics().sums().sent(),
+                withFaults.statistics().sums().sent());
+        for (int i = 0; i < withoutFaults.statistics().seconds(); i++) {
             assertEquals(
-                    calm.statistics().second(i).sent(),
-                    troubled.statistics().second(i).sent(),
+                    withoutFaults.statistics().second(i).sent(),
+                    withFaults.statistics().second(i).sent(),
                     "second " + i);
         }
-        assertTrue(troubled.statistics().service() < calm.statistics().service());
+        assertTrue(
+                withFaults.statistics().service() < withoutFaults.statistics().service());
     }
 
     /**
-     * Three in ten clients disconnect early, during faults drawn from the seed: no attempt is sent for them, and
-     * every other rule holds, but for one that is known to be open here (docs/open-items.md): a client that
-     * waits for little longer than the aim is held for more than half of its time.
+     * Three in ten clients disconnect early, during faults drawn from the seed. No attempt may be sent for them, and
+     * every other rule must hold, except {@link Rule#AT_ONCE}, whose violation here is a known open item
+     * (docs/open-items.md): a request whose client waits for little longer than the latency objective is held for more
+     * than half of its time.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void everyRuleHoldsWhenClientsDisconnectDuringFaults(long seed) throws Exception {
         Scenario crossings = ScenarioFile.read(Path.of("scenarios", "crossings.toml"));
-        RunResult run = play(crossings, seed);
-        Map<Rule, Integer> broken = new HashMap<>(run.violationCounts());
-        broken.remove(Rule.AT_ONCE);
-        assertEquals(Map.of(), broken, run.violations().toString());
-        assertTrue(run.statistics().sums().unanswered() > 0, "some have left");
+        RunResult run = run(crossings, seed);
+        Map<Rule, Integer> violationCounts = new HashMap<>(run.violationCounts());
+        violationCounts.remove(Rule.AT_ONCE);
+        assertEquals(Map.of(), violationCounts, run.violations().toString());
+        assertTrue(run.statistics().sums().unanswered() > 0, "no client disconnected");
     }
 
-    /** Every request has one outcome: none is counted twice or lost. */
+    /** Every request has exactly one outcome: none is counted twice or lost. */
     @ParameterizedTest
     @EnumSource(Fault.Kind.class)
     void everyRequestIsCountedOnceUnderEveryFault(Fault.Kind kind) {
-        String word = kind.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
-        String fault = "[[fault]]\nkind = \"" + word + "\"\nstart = \"3s\"\nlength = \"5s\"\n"
+        String kindName = kind.name().toLowerCase(Locale.ROOT).replace('_', '-');
+        String fault = "[[fault]]\nkind = \"" + kindName + "\"\nstart = \"3s\"\nlength = \"5s\"\n"
                 + switch (kind) {
                     case OVERLOAD, SHARED_SLOW -> "size = 3\n";
                     case LOSS -> "size = 0.2\n";
@@ -82,24 +88,30 @@
                     case SPOIL -> "share = 0.3\nsize = 0.5\n";
                     default -> "share = 0.3\n";
                 };
-        RunResult run = play(SmallScenario.with(fault), 11);
+        RunResult run = run(SmallScenario.with(fault), 11);
         var sums = run.statistics().sums();
         assertEquals(
                 sums.sent(),
-                sums.inTime() + sums.late() + sums.rejected() + sums.failed() + sums.unanswered() + killed(kind, sums),
+                sums.inTime()
+                        + sums.late()
+                        + sums.rejected()
+                        + sums.failed()
+                        + sums.unanswered()
+                        + lostToKills(kind, sums),
                 sums.toString());
         assertTrue(run.allRulesHeld(), run.violations().toString());
     }
 
-    /** Requests that a killed sidecar held have no outcome. */
-    private static long killed(Fault.Kind kind, topazvalve.simulation.statistics.RunStatistics.Sums sums) {
-        long without = sums.sent() - sums.inTime() - sums.late() - sums.rejected() - sums.failed() - sums.unanswered();
-        return kind == Fault.Kind.INSTANCE_RESTART && without >= 0 && without < 20 ? without : 0;
+    /** Returns the number of requests without an outcome if sidecars were killed, which lose the requests they hold. */
+    private static long lostToKills(Fault.Kind kind, RunStatistics.Sums sums) {
+        long withoutOutcome =
+                sums.sent() - sums.inTime() - sums.late() - sums.rejected() - sums.failed() - sums.unanswered();
+        return kind == Fault.Kind.INSTANCE_RESTART && withoutOutcome >= 0 && withoutOutcome < 20 ? withoutOutcome : 0;
     }
 
     /**
-     * The processor against theory: a server that shares one core evenly, under Poisson arrivals, has a
-     * mean response time of S / (1 - load), whatever the work's distribution (M/G/1-PS).
+     * Compares the processor with queueing theory (M/G/1-PS): under Poisson arrivals, processor sharing on one core has
+     * a mean response time of S / (1 - utilisation), whatever the distribution of the work.
      */
     @Test
     void responseTimeMatchesProcessorSharingTheory() {
