--- a/simulation/src/test/java/topazvalve/simulation/ArchitectureTest.java
+++ b/simulation/src/test/java/topazvalve/simulation/ArchitectureTest.java
@@ -8,14 +8,14 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** The model runs on two clocks and depends on neither of them. */
+/** The model depends neither on a particular clock nor on sockets, so that it runs in virtual and in real time. */
 class ArchitectureTest {
     private static final JavaClasses CLASSES = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("topazvalve.simulation");
 
     @Test
-    void modelUsesNeitherClockNorSocket() {
+    void modelDependsOnNeitherClockNorSockets() {
         noClasses()
                 .that()
                 .resideInAnyPackage(
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void virtualTimeOpensNoSocket() {
+    void virtualTimeUsesNoSockets() {
         noClasses()
                 .that()
                 .resideInAnyPackage("..simulation.virtual..", "..simulation.experiment..")
--- a/simulation/src/test/java/topazvalve/simulation/model/WeightedChoiceTest.java
+++ b/simulation/src/test/java/topazvalve/simulation/model/WeightedChoiceTest.java
@@ -5,14 +5,14 @@
 import java.util.stream.DoubleStream;
 import org.junit.jupiter.api.Test;
 
-/** Indices are drawn in proportion to their weights. */
+/** Indices are drawn with frequencies in proportion to their weights. */
 class WeightedChoiceTest {
     private static final int DRAWS = 100_000;
     /** Six standard deviations of a fraction of the draws. */
     private static final double TOLERANCE = 0.01;
 
     @Test
-    void fractionsOfTheDrawsFollowTheWeights() {
+    void drawnFractionsMatchWeights() {
         WeightedChoice choice = new WeightedChoice(DoubleStream.of(1, 0, 2, 5));
         RandomStream random = RandomStream.named(1, "weighted choice");
         int[] drawn = new int[4];
--- a/simulation/src/test/java/topazvalve/simulation/oracle/ClientDisconnectRuleTest.java
+++ b/simulation/src/test/java/topazvalve/simulation/oracle/ClientDisconnectRuleTest.java
@@ -8,13 +8,13 @@
 import topazvalve.simulation.scenario.Scenario;
 import topazvalve.simulation.scenario.ScenarioFile;
 
-/** An attempt for a client that has disconnected may begin within 0.1 s and the time of flight. */
+/** An attempt may begin up to 0.1 s, plus the time of flight and the tolerance, after its client disconnected. */
 class ClientDisconnectRuleTest {
     private static final long MS = 1_000_000;
-    private static final long FLIGHT = 7 * MS;
+    private static final long MAX_FLIGHT = 7 * MS;
     private static final long TOLERANCE = 3 * MS;
     private static final long DISCONNECTED_AT = 1_000 * MS;
-    private static final long LATEST_ALLOWED = DISCONNECTED_AT + 100 * MS + FLIGHT + TOLERANCE;
+    private static final long LATEST_ALLOWED = DISCONNECTED_AT + 100 * MS + MAX_FLIGHT + TOLERANCE;
     private static final String SCENARIO = """
             name = "left"
             length = "5s"
@@ -38,24 +38,24 @@
             repeats = "free"
             """;
 
-    /** The attempts before the last one are in time. */
+    /** All attempts before the last one are received before the client disconnects. */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 4})
-    void lateAttemptIsFoundWhateverItsNumber(int attempts) {
-        assertEquals(Map.of(), play(attempts, LATEST_ALLOWED));
-        assertEquals(Map.of(Rule.CLIENT_LEFT, 1), play(attempts, LATEST_ALLOWED + 1));
+    void lateAttemptIsFoundWhicheverAttemptItIs(int attempts) {
+        assertEquals(Map.of(), run(attempts, LATEST_ALLOWED));
+        assertEquals(Map.of(Rule.CLIENT_LEFT, 1), run(attempts, LATEST_ALLOWED + 1));
     }
 
-    private static Map<Rule, Integer> play(int attempts, long last) {
+    private static Map<Rule, Integer> run(int attempts, long lastAttemptAt) {
         Scenario scenario = ScenarioFile.parse("left.toml", SCENARIO);
-        Oracle oracle = new Oracle(scenario.limits(), TOLERANCE, FLIGHT);
+        Oracle oracle = new Oracle(scenario.limits(), TOLERANCE, MAX_FLIGHT);
         Trace trace = new Trace(1, 0, scenario.classes().get(0), 0, 2_000 * MS);
         oracle.requestSent(trace);
         for (int i = 1; i < attempts; i++) {
             oracle.attemptReceived(trace, i, 0, 0, true, DISCONNECTED_AT / 10 * i);
         }
         oracle.clientDisconnected(trace, DISCONNECTED_AT);
-        oracle.attemptReceived(trace, attempts, 0, 0, true, last);
+        oracle.attemptReceived(trace, attempts, 0, 0, true, lastAttemptAt);
         return oracle.counts();
     }
 }
--- a/simulation/src/test/java/topazvalve/simulation/scenario/ScenarioFileTest.java
+++ b/simulation/src/test/java/topazvalve/simulation/scenario/ScenarioFileTest.java
@@ -17,8 +17,9 @@
 import topazvalve.toml.InvalidFileException;
 import topazvalve.toml.Problem;
 
+/** All shipped scenarios are valid, and every problem of a file is reported at its line. */
 class ScenarioFileTest {
-    private static List<Path> shipped() throws IOException {
+    private static List<Path> shippedScenarios() throws IOException {
         try (Stream<Path> files = Files.list(Path.of("scenarios"))) {
             return files.filter(each -> each.toString().endsWith(".toml"))
                     .sorted()
@@ -27,11 +28,11 @@
     }
 
     @ParameterizedTest
-    @MethodSource("shipped")
+    @MethodSource("shippedScenarios")
     void everyShippedScenarioIsValid(Path file) throws IOException {
-        Scenario read = ScenarioFile.read(file);
-        assertEquals(file.getFileName().toString(), read.name() + ".toml");
-        assertTrue(read.instanceRate() > 0);
+        Scenario scenario = ScenarioFile.read(file);
+        assertEquals(file.getFileName().toString(), scenario.name() + ".toml");
+        assertTrue(scenario.instanceRate() > 0);
     }
 
     private static InvalidFileException parseInvalid(List<String> lines) {
@@ -41,12 +42,12 @@
                 () -> String.join("\n", lines));
     }
 
-    /** Each key of each file in turn: misspelt, and with a value of another kind. */
+    /** Invalidates each key of each file in turn: misspells it, and gives it values of wrong types. */
     @ParameterizedTest
-    @MethodSource("shipped")
+    @MethodSource("shippedScenarios")
     void everyInvalidKeyIsReportedAtItsLine(Path file) throws IOException {
         List<String> lines = Files.readAllLines(file);
-        int tried = 0;
+        int triedKeys = 0;
         for (int i = 0; i < lines.size(); i++) {
             int equals = lines.get(i).indexOf(" = ");
             if (equals < 0 || lines.get(i).startsWith("#")) {
@@ -55,46 +56,48 @@
             String key = lines.get(i).substring(0, equals);
             String value = lines.get(i).substring(equals + 3);
             int line = i + 1;
-            List<String> misspelt = new ArrayList<>(lines);
-            misspelt.set(i, key + "x = " + value);
+            List<String> misspelled = new ArrayList<>(lines);
+            misspelled.set(i, key + "x = " + value);
             assertTrue(
-                    parseInvalid(misspelt).problems().stream()
+                    parseInvalid(misspelled).problems().stream()
                             .anyMatch(each -> each.line() == line
                                     && each.what().startsWith("unknown key; was \"" + key + "\" meant?")),
                     key);
-            for (String wrong : List.of("{ a = 1 }", "-7", "[[]]")) {
-                List<String> other = new ArrayList<>(lines);
-                other.set(i, key + " = " + wrong);
-                List<Problem> problems = parseInvalid(other).problems();
+            for (String wrongValue : List.of("{ a = 1 }", "-7", "[[]]")) {
+                List<String> wronglyTyped = new ArrayList<>(lines);
+                wronglyTyped.set(i, key + " = " + wrongValue);
+                List<Problem> problems = parseInvalid(wronglyTyped).problems();
                 assertTrue(
                         problems.stream()
                                 .anyMatch(each -> each.line() == line
                                         && each.key().endsWith(key)
                                         && each.toString().startsWith("x.toml:" + line + ": ")),
-                        key + " = " + wrong + ": " + problems);
+                        key + " = " + wrongValue + ": " + problems);
             }
-            tried++;
+            triedKeys++;
         }
-        assertTrue(tried > 20, file + " has few keys");
+        assertTrue(triedKeys > 20, file + " has few keys");
     }
 
     @Test
     void allProblemsAreReportedAtOnceInOrder() {
-        InvalidFileException bad =
+        InvalidFileException exception =
                 parseInvalid(List.of("nam = \"x\"", "length = \"10\"", "[load]", "rate = 1", "rhythm = 2"));
-        List<String> told = bad.problems().stream().map(Problem::key).toList();
+        List<String> reportedKeys =
+                exception.problems().stream().map(Problem::key).toList();
         assertTrue(
-                told.containsAll(List.of("name", "nam", "length", "load.rhythm", "machine", "class")), told.toString());
+                reportedKeys.containsAll(List.of("name", "nam", "length", "load.rhythm", "machine", "class")),
+                reportedKeys.toString());
         assertEquals(
-                bad.problems().stream().map(Problem::line).sorted().toList(),
-                bad.problems().stream().map(Problem::line).toList());
+                exception.problems().stream().map(Problem::line).sorted().toList(),
+                exception.problems().stream().map(Problem::line).toList());
     }
 
     @Test
     void syntaxErrorIsOneProblemWithItsLine() {
-        InvalidFileException bad = parseInvalid(List.of("name = \"x\"", "length = "));
-        assertEquals(1, bad.problems().size());
-        assertFalse(bad.getMessage().contains("\n"), bad.getMessage());
-        assertTrue(bad.getMessage().startsWith("x.toml:"), bad.getMessage());
+        InvalidFileException exception = parseInvalid(List.of("name = \"x\"", "length = "));
+        assertEquals(1, exception.problems().size());
+        assertFalse(exception.getMessage().contains("\n"), exception.getMessage());
+        assertTrue(exception.getMessage().startsWith("x.toml:"), exception.getMessage());
     }
 }
--- a/simulation/src/test/java/topazvalve/simulation/statistics/ResponseDigestTest.java
+++ b/simulation/src/test/java/topazvalve/simulation/statistics/ResponseDigestTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import topazvalve.simulation.oracle.Oracle.Answer;
 
-/** The digest depends on each response, its time and the order. */
+/** The digest depends on each response, its time, and the order of responses. */
 class ResponseDigestTest {
     private static long digest(long request, Answer answer, long time) {
         ResponseDigest digest = new ResponseDigest();
@@ -25,14 +25,14 @@
     }
 
     @Test
-    void digestDependsOnTheOrder() {
-        ResponseDigest forwards = new ResponseDigest();
-        forwards.add(1, Answer.SERVED);
-        forwards.add(2, Answer.REJECTED);
-        ResponseDigest backwards = new ResponseDigest();
-        backwards.add(2, Answer.REJECTED);
-        backwards.add(1, Answer.SERVED);
+    void digestDependsOnOrder() {
+        ResponseDigest inOrder = new ResponseDigest();
+        inOrder.add(1, Answer.SERVED);
+        inOrder.add(2, Answer.REJECTED);
+        ResponseDigest reversed = new ResponseDigest();
+        reversed.add(2, Answer.REJECTED);
+        reversed.add(1, Answer.SERVED);
 
-        assertNotEquals(forwards.value(), backwards.value());
+        assertNotEquals(inOrder.value(), reversed.value());
     }
 }
