--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/history/ChangeHistory.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/history/ChangeHistory.java
@@ -5,12 +5,12 @@
 import topazvalve.policy.EndpointStatus;
 
 /**
- * All changes of all sources, numbered from 1 in one sequence that goes on over restarts of the sources. An
- * endpoint carries the number of its last change in {@code pod_group}, which all readers pass on; so what a sidecar
- * has in force is known without relying on revisions.
+ * All changes of all sources, numbered from 1 in one sequence that continues across restarts of the sources. An
+ * endpoint carries the number of its last change in {@code pod_group}, which relays and discovery clients pass on
+ * unchanged. It thus tells which change a sidecar has applied, without relying on revisions.
  *
- * <p>Sources add changes from their event loops; any thread may read. Times are nanoseconds on one clock of the
- * caller.
+ * <p>Sources add changes from their event loops; any thread may read. Times are in nanoseconds on a clock that the
+ * caller chooses.
  */
 public final class ChangeHistory {
     private static final int STATUS_BITS = 2;
@@ -21,7 +21,7 @@
 
     private final int serverCount;
     private final AtomicLongArray timesNanos;
-    /** For each change the server's previous change, the server and the status, packed into one word. */
+    /** For each change: the server's previous change, the server and the status, packed into one {@code long}. */
     private final AtomicLongArray changes;
 
     private final AtomicIntegerArray latestChanges;
@@ -30,7 +30,7 @@
     /**
      * Creates a history without changes.
      *
-     * @param maxChanges the capacity, which includes the first change of each server
+     * @param maxChanges the capacity, including the first change of each server
      */
     public ChangeHistory(int serverCount, int maxChanges) {
         this.serverCount = serverCount;
@@ -43,7 +43,7 @@
      * Adds a change.
      *
      * @return the change's number
-     * @throws HistoryFullException if there are more changes than the history has capacity for
+     * @throws HistoryFullException if the history has reached its capacity
      */
     public synchronized int add(int server, EndpointStatus status, long timeNanos) {
         if (changeCount + 1 >= timesNanos.length()) {
@@ -71,32 +71,32 @@
         return changeCount;
     }
 
-    /** Returns the latest change of a server; 0 if it has none. */
+    /** Returns the latest change of a server, or 0 if it has none. */
     public int latestChange(int server) {
         return latestChanges.get(server);
     }
 
-    /** Returns when a change was made. */
+    /** Returns the time at which a change was made. */
     public long timeNanos(int change) {
         return timesNanos.get(change);
     }
 
-    /** Returns the status that a change gave its server. */
+    /** Returns the status that a change sets. */
     public EndpointStatus status(int change) {
         return STATUSES[(int) (changes.get(change) & STATUS_MASK)];
     }
 
-    /** Returns the server that a change is about. */
+    /** Returns the server that a change applies to. */
     public int server(int change) {
         return (int) (changes.get(change) >>> STATUS_BITS & SERVER_MASK);
     }
 
-    /** Returns the same server's previous change; 0 if there is none. */
+    /** Returns the previous change of the same server, or 0 if there is none. */
     public int previousChange(int change) {
         return (int) (changes.get(change) >>> PREVIOUS_CHANGE_SHIFT);
     }
 
-    /** Returns the latest change of a server at a time; 0 if it had none then. */
+    /** Returns the latest change of a server at the given time, or 0 if it had none then. */
     public int latestChangeAt(int server, long atNanos) {
         int change = latestChange(server);
         while (change > 0 && timeNanos(change) > atNanos) {
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/history/HistoryFullException.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/history/HistoryFullException.java
@@ -1,10 +1,10 @@
 package topazvalve.hollowfleet.history;
 
-/** Thrown when more changes are made than the history has capacity for. */
+/** Thrown when a change is added to a history that has reached its capacity. */
 public final class HistoryFullException extends IllegalStateException {
     private static final long serialVersionUID = 1;
 
     HistoryFullException(int capacity) {
-        super("more changes than the " + capacity + " there is room for");
+        super("change history is full: its capacity is " + capacity + " changes");
     }
 }
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/history/ServerNames.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/history/ServerNames.java
@@ -1,6 +1,6 @@
 package topazvalve.hollowfleet.history;
 
-/** Names of servers, which contain their numbers, so that no table of names is needed. */
+/** Converts between servers' numbers and names. A name contains the number, so no lookup table is needed. */
 public final class ServerNames {
     private static final String PREFIX = "s-";
     private static final int HEXADECIMAL = 16;
@@ -13,7 +13,7 @@
         return String.format(PREFIX + "%08x", server);
     }
 
-    /** Returns the number of the server with a name, or -1 if no server has such a name. */
+    /** Returns the number in a server's name, or -1 if the name is not that of a server. */
     public static int numberOf(String name) {
         if (!name.startsWith(PREFIX)) {
             return UNKNOWN;
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/history/package-info.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/history/package-info.java
@@ -1,2 +1,2 @@
-/** Every change that the sources made and when: what the oracle compares sidecars with. No clock and no I/O. */
+/** Every change that the sources made, with its time: the reference for the oracle. Uses no clock and no I/O. */
 package topazvalve.hollowfleet.history;
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/DiscoveryAddresses.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/DiscoveryAddresses.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * Where a sidecar gets its endpoint list.
+ * The addresses from which a sidecar gets its endpoint list.
  *
- * @param source where its source listens
- * @param relays the relays to choose from instead; empty if the sidecar calls the source directly
+ * @param source the address of its source
+ * @param relays the addresses of the relays to use instead; empty if the sidecar calls the source directly
  */
 public record DiscoveryAddresses(InetSocketAddress source, List<InetSocketAddress> relays) {}
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/EndpointView.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/EndpointView.java
@@ -11,8 +11,8 @@
 import topazvalve.policy.UpdateKind;
 
 /**
- * The endpoint list that one sidecar has in force, in four bytes for each server: the number of the change that the
- * entry came from, and the status. Used on one event loop.
+ * The current endpoint list of one sidecar, in four bytes per server: the number of the change that the entry came
+ * from, and the status. Confined to one event loop.
  */
 final class EndpointView {
     private static final int STATUS_BITS = 2;
@@ -30,7 +30,7 @@
         this.entries = new int[history.serverCount()];
     }
 
-    /** Replaces the view by what a sidecar knows when it starts; this counts as no replacement of entries. */
+    /** Resets the view to the list that a sidecar knows when it starts; reports no replaced entries. */
     void reset(InitialEndpointList initialList) {
         listedCount = 0;
         for (int server = 0; server < entries.length; server++) {
@@ -83,7 +83,7 @@
     }
 
     private void applyEndpoint(int server, Endpoint endpoint, Consumer<EntryReplacement> listener) {
-        // A relay that finds a server missing in a list knows no change that removed it.
+        // A relay that removes a server because a full snapshot no longer lists it does not know the change.
         boolean removedWithoutChange = endpoint.status() == EndpointStatus.REMOVED && endpoint.cell() == NO_CHANGE;
         if (removedWithoutChange) {
             remove(server, listener);
@@ -100,7 +100,7 @@
         }
     }
 
-    /** Removes a server by its latest change if that says so, otherwise by the change in force. */
+    /** Removes a server with its latest change if that is a newer removal, otherwise with its current change. */
     private void remove(int server, Consumer<EntryReplacement> listener) {
         int latestChange = history.latestChange(server);
         int currentChange = change(server);
@@ -120,12 +120,12 @@
         listener.accept(new EntryReplacement(server, oldChange, oldStatus, change, status));
     }
 
-    /** Returns the change that a server's entry came from; 0 if there is none. */
+    /** Returns the change that a server's entry came from, or 0 if there is none. */
     int change(int server) {
         return entries[server] >>> STATUS_BITS;
     }
 
-    /** Returns a server's status; removed if it is not listed. */
+    /** Returns a server's status, which is {@code REMOVED} if the server is not listed. */
     EndpointStatus status(int server) {
         return STATUSES[entries[server] & STATUS_MASK];
     }
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/HollowFleet.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/HollowFleet.java
@@ -17,18 +17,18 @@
 import topazvalve.policy.SettingsReader;
 
 /**
- * All hollow sidecars of a run, spread over some event loops. The methods are for one thread that is none of these
- * loops'.
+ * All hollow sidecars of a run, spread over several event loops. Methods must be called from a single thread, which
+ * must not be the thread of one of these loops.
  */
 public final class HollowFleet {
-    private static final long SEED_FACTOR = 31;
+    private static final long SEED_MULTIPLIER = 31;
     private static final long START_SEED_STEP = 1_000_003;
 
     private final List<LoopMonitor> monitors = new ArrayList<>();
     private final List<HollowSidecar> sidecars = new ArrayList<>();
     private final EventLoopCpu loopCpu = new EventLoopCpu();
     private final long seed;
-    private long starts;
+    private long startCount;
 
     /**
      * Creates sidecars that are down.
@@ -36,8 +36,8 @@
      * @param loops the event loops to use
      * @param count the number of sidecars
      * @param placements the placement of each sidecar by its number
-     * @param history all changes; those that it has now are not measured
-     * @param clock nanoseconds, the clock of {@code history}
+     * @param history all changes; those made before the sidecars are created are not measured
+     * @param clock the clock of {@code history}, in nanoseconds
      * @param listCount the number of endpoint lists; servers are assigned to them in turn
      * @param seed the seed of all sidecars' random decisions
      */
@@ -51,7 +51,7 @@
             int listCount,
             long seed) {
         this.seed = seed;
-        SettingsReader settings = HollowSettings.reader();
+        SettingsReader settings = HollowSidecarSettings.reader();
         for (EventLoop loop : loops) {
             monitors.add(new LoopMonitor(loop, history, oracle, clock, listCount, history.changeCount()));
             loopCpu.add(loop);
@@ -103,10 +103,10 @@
         return sidecars.size();
     }
 
-    /** Starts a sidecar after a delay. Each start has a seed of its own. */
+    /** Starts a sidecar after a delay. Each start uses a different seed. */
     public void start(int number, InitialEndpointList initialList, long delayNanos) {
-        starts++;
-        long startSeed = seed * SEED_FACTOR + number + starts * START_SEED_STEP;
+        startCount++;
+        long startSeed = seed * SEED_MULTIPLIER + number + startCount * START_SEED_STEP;
         HollowSidecar sidecar = sidecars.get(number);
         sidecar.loop().execute(sidecar::startScheduled);
         sidecar.loop().schedule(() -> sidecar.start(startSeed, initialList), delayNanos, TimeUnit.NANOSECONDS);
@@ -117,7 +117,7 @@
         execute(number, HollowSidecar::kill);
     }
 
-    /** Makes a sidecar stop or continue reading; while it does not read, it does not have to follow its list. */
+    /** Disables or enables a sidecar's reads; while they are disabled, it is not required to follow its list. */
     public void setReadingEnabled(int number, boolean enabled) {
         execute(number, sidecar -> {
             sidecar.setReadingEnabled(enabled);
@@ -125,7 +125,7 @@
         });
     }
 
-    /** Notes whether the sidecars of some zones can reach a source or a relay from now on. */
+    /** Records whether the sidecars of some zones can reach a source or a relay from now on. */
     public void setSourceReachable(IntPredicate zones, boolean reachable) {
         runOnLoops(monitor -> {
             for (HollowSidecar sidecar : monitor.sidecars()) {
@@ -136,26 +136,26 @@
         });
     }
 
-    /** Returns the number of sidecars that are about to start or lack a change that they could have. */
+    /** Returns the number of sidecars that have a pending start or lack a change that they could have applied. */
     public int countBehind() {
         return callOnLoops(LoopMonitor::countBehind).stream()
                 .mapToInt(Integer::intValue)
                 .sum();
     }
 
-    /** Returns the number of the endpoint list that a sidecar has to have in force. */
+    /** Returns the number of the endpoint list that a sidecar follows. */
     public int list(int number) {
         return sidecars.get(number).list();
     }
 
-    /** Returns the metrics since this was last called. */
-    public HollowMetrics takeMetrics() {
-        HollowMetrics sum = new HollowMetrics();
+    /** Returns the metrics since the previous call. */
+    public HollowSidecarMetrics takeMetrics() {
+        HollowSidecarMetrics sum = new HollowSidecarMetrics();
         callOnLoops(LoopMonitor::takeMetrics).forEach(sum::add);
         return sum;
     }
 
-    /** Returns the CPU time of the event loops since their start, in nanoseconds; garbage collection is not in it. */
+    /** Returns the CPU time of the event loops since their start, in nanoseconds, without garbage collection. */
     public long cpuNanos() {
         return loopCpu.totalNanos();
     }
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/HollowSidecar.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/HollowSidecar.java
@@ -9,24 +9,24 @@
 import topazvalve.policy.UpdateKind;
 
 /**
- * A sidecar without a request path, which can be killed and started again. It keeps the endpoint list that is in
- * force and knows since when it could have followed its source. Used on one event loop.
+ * A sidecar without a request path, which can be killed and restarted. It keeps its current endpoint list and the
+ * time since which it has been able to follow its source. Confined to one event loop.
  */
 final class HollowSidecar {
-    /** The policy receives only servers with numbers below this. */
-    static final int POLICY_ENDPOINTS = 8;
+    /** The policy receives only servers with numbers below this bound. */
+    static final int MAX_POLICY_ENDPOINTS = 8;
 
     private final int number;
     private final Placement placement;
     private final EventLoop loop;
     private final SettingsReader settings;
     private final LongSupplier clock;
-    private final HollowListener listener;
+    private final HollowSidecarListener listener;
     private final TrafficCounter trafficCounter;
     private final EventLoop countedLoop;
     private final EndpointView endpoints;
     /** Null while the sidecar is down. */
-    private HollowIncarnation incarnation;
+    private HollowSidecarIncarnation incarnation;
 
     private boolean startPending;
     private boolean hasList;
@@ -34,7 +34,7 @@
     private boolean sourceReachable = true;
     private long reachableSinceNanos;
 
-    /** Creates a sidecar that is down; {@code clock} has the time of {@code history}. */
+    /** Creates a sidecar that is down; {@code clock} is the clock of {@code history}. */
     HollowSidecar(
             int number,
             Placement placement,
@@ -42,7 +42,7 @@
             SettingsReader settings,
             LongSupplier clock,
             ChangeHistory history,
-            HollowListener listener) {
+            HollowSidecarListener listener) {
         this.number = number;
         this.placement = placement;
         this.loop = loop;
@@ -54,14 +54,14 @@
         this.endpoints = new EndpointView(history);
     }
 
-    /** Starts a new incarnation with a list that it knows. */
+    /** Starts a new incarnation, which knows an initial list. */
     void start(long seed, InitialEndpointList initialList) {
         startPending = false;
         endpoints.reset(initialList);
         hasList = initialList.revision() != 0;
         hasResponse = false;
         reachableSinceNanos = clock.getAsLong();
-        incarnation = new HollowIncarnation(
+        incarnation = new HollowSidecarIncarnation(
                 "hollow-" + number,
                 seed,
                 loop,
@@ -85,7 +85,7 @@
         listener.listUpdated(this, firstResponse, firstList);
     }
 
-    /** Notes that a start is scheduled; the sidecar counts as behind until then. */
+    /** Records that a start is scheduled; the sidecar counts as behind until it has started. */
     void startScheduled() {
         startPending = true;
     }
@@ -98,7 +98,7 @@
         }
     }
 
-    /** Notes whether the sidecar can reach its source or a relay from now on. */
+    /** Records whether the sidecar can reach its source or a relay from now on. */
     void setSourceReachable(boolean reachable) {
         if (reachable && !sourceReachable) {
             reachableSinceNanos = clock.getAsLong();
@@ -106,27 +106,27 @@
         sourceReachable = reachable;
     }
 
-    /** Stops or continues reading from the sidecar's connections. */
+    /** Enables or disables reading from the sidecar's connections. */
     void setReadingEnabled(boolean enabled) {
         trafficCounter.setReadingEnabled(enabled);
     }
 
-    /** Returns whether the sidecar is up and can reach its source, so that it has to follow its list. */
-    boolean hasToFollow() {
+    /** Returns whether the sidecar is up and can reach its source, and is thus required to follow its list. */
+    boolean canFollow() {
         return incarnation != null && sourceReachable;
     }
 
-    /** Returns since when the sidecar has been up with its source in reach. */
+    /** Returns the time since which the sidecar has been up and able to reach its source. */
     long reachableSinceNanos() {
         return reachableSinceNanos;
     }
 
-    /** Returns whether a start is scheduled and has not happened. */
+    /** Returns whether a start is scheduled that has not happened yet. */
     boolean isStartPending() {
         return startPending;
     }
 
-    /** Returns whether the sidecar has a list, received or known from its start. */
+    /** Returns whether the sidecar has an endpoint list, either received or known at its start. */
     boolean hasList() {
         return hasList;
     }
@@ -144,7 +144,7 @@
         return placement.zone();
     }
 
-    /** Returns the number of the endpoint list that it has to have in force. */
+    /** Returns the number of the endpoint list that the sidecar follows. */
     int list() {
         return placement.list();
     }
@@ -158,7 +158,7 @@
         return trafficCounter.bytes();
     }
 
-    /** Returns the endpoint list in force. */
+    /** Returns the current endpoint list. */
     EndpointView endpoints() {
         return endpoints;
     }
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/HollowIncarnation.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/HollowSidecarIncarnation.java
@@ -18,13 +18,13 @@
 import topazvalve.policy.UpdateKind;
 
 /**
- * One incarnation of a hollow sidecar, from its start to its end: the sidecar's own discovery client and policy.
- * The policy decides when to watch, fetch and back off; it receives only the first endpoints of each list, so that
- * thousands of sidecars fit into a process. Timers and responses after the end have no effect. Used on one event
- * loop.
+ * One incarnation of a hollow sidecar, from its start to its end, with the discovery client and the policy of a real
+ * sidecar. The policy decides when to watch, fetch and back off. It receives only the first few endpoints of each
+ * list, so that thousands of sidecars fit into one process. Timers and responses after the end have no effect.
+ * Confined to one event loop.
  */
-final class HollowIncarnation implements EndpointDiscovery, EndpointDiscovery.Listener {
-    private static final int CORES = 1;
+final class HollowSidecarIncarnation implements EndpointDiscovery, EndpointDiscovery.Listener {
+    private static final int CORE_COUNT = 1;
 
     private final InitialEndpointList initialList;
     private final EndpointDiscovery.Listener listener;
@@ -58,11 +58,11 @@
     /**
      * Creates an incarnation that has not started.
      *
-     * @param name the sidecar's name, by which it ranks its relays
-     * @param countedLoop the event loop that the discovery client uses
-     * @param listener receives the updates of the complete list
+     * @param name the sidecar's name, which determines the order in which it prefers relays
+     * @param countedLoop the event loop of the discovery client, which counts the bytes of its connections
+     * @param listener receives updates with all endpoints, not only those that the policy receives
      */
-    HollowIncarnation(
+    HollowSidecarIncarnation(
             String name,
             long seed,
             EventLoop loop,
@@ -78,7 +78,7 @@
                 settings,
                 (policySettings, actions) -> new SidecarPolicy(policySettings, seed, actions),
                 new UnusedBackend(),
-                CORES,
+                CORE_COUNT,
                 new Metrics(),
                 new RequestClassRegistry());
         discovery = new DiscoveryClient(
@@ -106,12 +106,13 @@
         }
         listener.endpointsUpdated(kind, endpoints);
         exchanges.endpointsUpdated(
-                kind, endpoints.stream().filter(HollowIncarnation::isForPolicy).toList());
+                kind,
+                endpoints.stream().filter(HollowSidecarIncarnation::isForPolicy).toList());
     }
 
     private static boolean isForPolicy(Endpoint endpoint) {
         int server = ServerNames.numberOf(endpoint.uid());
-        return server >= 0 && server < HollowSidecar.POLICY_ENDPOINTS;
+        return server >= 0 && server < HollowSidecar.MAX_POLICY_ENDPOINTS;
     }
 
     @Override
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/HollowMetrics.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/HollowSidecarMetrics.java
@@ -2,8 +2,8 @@
 
 import org.HdrHistogram.Histogram;
 
-/** Measurements of some hollow sidecars over some time. Durations are in microseconds. */
-public final class HollowMetrics {
+/** Measurements of a group of hollow sidecars over a period. Durations are in microseconds. */
+public final class HollowSidecarMetrics {
     private static final long MAX_MICROS = 3_600_000_000L;
     private static final int SIGNIFICANT_DIGITS = 3;
     private static final long NANOS_PER_MICRO = 1_000;
@@ -16,7 +16,7 @@
     private long maxBytesPerSecond;
     private long maxBytesPerWindow;
 
-    void add(HollowMetrics other) {
+    void add(HollowSidecarMetrics other) {
         changeMicros.add(other.changeMicros);
         catchUpMicros.add(other.catchUpMicros);
         firstResponseMicros.add(other.firstResponseMicros);
@@ -53,12 +53,15 @@
         maxBytesPerWindow = Math.max(maxBytesPerWindow, bytesInWindow);
     }
 
-    /** Returns the times from a change, or from when its source could be reached if that was later, to in force. */
+    /** Returns the times from a change until it was applied, for sidecars that could reach their source throughout. */
     public Histogram changeMicros() {
         return changeMicros;
     }
 
-    /** Returns the same for changes that were made while the sidecar was down or could not reach its source. */
+    /**
+     * Returns the times for changes that were made before the sidecar started or could reach its source again, counted
+     * from that moment until the change was applied.
+     */
     public Histogram catchUpMicros() {
         return catchUpMicros;
     }
@@ -68,7 +71,7 @@
         return firstResponseMicros;
     }
 
-    /** Returns the times from a start without a list to the complete list. */
+    /** Returns the times from a start without a list to the first full snapshot. */
     public Histogram fullListMicros() {
         return fullListMicros;
     }
@@ -78,7 +81,7 @@
         return bytes;
     }
 
-    /** Returns the highest number of bytes that one sidecar read and wrote in a second. */
+    /** Returns the highest number of bytes that one sidecar read and wrote in one second. */
     public long maxBytesPerSecond() {
         return maxBytesPerSecond;
     }
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/HollowSettings.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/HollowSidecarSettings.java
@@ -3,7 +3,7 @@
 import topazvalve.policy.SettingsReader;
 
 /** The policy settings of hollow sidecars. */
-final class HollowSettings {
+final class HollowSidecarSettings {
     private static final String TEXT = String.join(
             "\n",
             "discovery=subscribe",
@@ -24,7 +24,7 @@
             "profiles.0.deadline=1000000000",
             "profiles.0.semantics=repeatable");
 
-    private HollowSettings() {}
+    private HollowSidecarSettings() {}
 
     static SettingsReader reader() {
         return new SettingsReader(TEXT);
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/InitialEndpointList.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/InitialEndpointList.java
@@ -9,9 +9,9 @@
 import topazvalve.hollowfleet.history.ServerNames;
 import topazvalve.policy.EndpointStatus;
 
-/** The endpoint list that a sidecar knows when it starts; sidecars that start with the same list share it. */
+/** The endpoint list that a sidecar knows when it starts. Sidecars that start with the same list share it. */
 public final class InitialEndpointList {
-    /** A list of a sidecar that knows nothing. */
+    /** The list of a sidecar that starts without a known list. */
     public static final InitialEndpointList EMPTY =
             new InitialEndpointList(0, new int[0], List.of(), VersionVector.NONE);
 
@@ -30,10 +30,10 @@
     }
 
     /**
-     * Returns the present content of an endpoint list. Nothing may change meanwhile.
+     * Returns the current content of an endpoint list. The history must not change during the call.
      *
      * @param revision the list's revision at its source
-     * @param versions the list's version as relays send it
+     * @param versions the list's version vector as relays send it
      * @param list the list's number
      * @param listCount the number of lists; servers are assigned to them in turn
      */
@@ -44,7 +44,7 @@
         for (int server = list; server < changes.length; server += listCount) {
             changes[server] = history.latestChange(server);
             boolean ready = history.status(changes[server]) == EndpointStatus.READY;
-            if (ready && policyEndpoints.size() < HollowSidecar.POLICY_ENDPOINTS) {
+            if (ready && policyEndpoints.size() < HollowSidecar.MAX_POLICY_ENDPOINTS) {
                 policyEndpoints.add(readyEndpoint(server, changes[server]));
             }
         }
@@ -64,12 +64,12 @@
         return versions;
     }
 
-    /** Returns the change of a server that is known; 0 if none is. */
+    /** Returns the known change of a server, or 0 if there is none. */
     int change(int server) {
         return server < changes.length ? changes[server] : 0;
     }
 
-    /** Returns the few endpoints that the policy receives. */
+    /** Returns those endpoints of the list that the policy receives. */
     List<Endpoint> policyEndpoints() {
         return policyEndpoints;
     }
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/ListChecker.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/ListChecker.java
@@ -3,7 +3,7 @@
 import topazvalve.hollowfleet.history.ChangeHistory;
 import topazvalve.hollowfleet.oracle.FleetOracle;
 
-/** Compares the endpoint lists of sidecars with the changes that they have to have in force. */
+/** Compares the endpoint lists of sidecars with the changes that they must have applied. */
 final class ListChecker {
     private final ChangeHistory history;
     private final FleetOracle oracle;
@@ -15,12 +15,12 @@
         this.listCount = listCount;
     }
 
-    /** Returns the changes that sidecars have to have in force now. */
+    /** Returns the changes that sidecars must have applied by now. */
     RequiredChanges requiredChanges(long nowNanos) {
         return new RequiredChanges(nowNanos);
     }
 
-    /** The required changes of one moment, calculated for each list when it is first needed. */
+    /** The required changes at one point in time, computed for each list on first use. */
     final class RequiredChanges {
         private final long nowNanos;
         private final int[][] byList = new int[listCount][];
@@ -36,13 +36,13 @@
             return byList[list];
         }
 
-        /** Reports the required changes that a sidecar lacks; returns whether there are any. */
+        /** Reports the required changes that a sidecar has not applied; returns whether there are any. */
         boolean reportMissing(HollowSidecar sidecar) {
             int[] required = of(sidecar.list());
             int missingCount = 0;
             int exampleChange = 0;
             for (int server = 0; server < required.length; server++) {
-                if (!hasInForce(sidecar, server, required[server])) {
+                if (!hasApplied(sidecar, server, required[server])) {
                     missingCount++;
                     exampleChange = required[server];
                 }
@@ -54,25 +54,25 @@
         }
     }
 
-    private boolean hasInForce(HollowSidecar sidecar, int server, int requiredChange) {
+    private boolean hasApplied(HollowSidecar sidecar, int server, int requiredChange) {
         EndpointView endpoints = sidecar.endpoints();
-        return oracle.isInForce(requiredChange, endpoints.change(server), endpoints.status(server));
+        return oracle.isApplied(requiredChange, endpoints.change(server), endpoints.status(server));
     }
 
-    /** Returns whether a sidecar is about to start, or lacks any change of its list. */
+    /** Returns whether a sidecar has a pending start or has not applied every change of its list. */
     boolean isBehind(HollowSidecar sidecar) {
         if (sidecar.isStartPending()) {
             return true;
         }
-        if (!sidecar.hasToFollow()) {
+        if (!sidecar.canFollow()) {
             return false;
         }
-        return !sidecar.hasResponse() || !sidecar.hasList() || lacksLatestChange(sidecar);
+        return !sidecar.hasResponse() || !sidecar.hasList() || lacksAnyLatestChange(sidecar);
     }
 
-    private boolean lacksLatestChange(HollowSidecar sidecar) {
+    private boolean lacksAnyLatestChange(HollowSidecar sidecar) {
         for (int server = sidecar.list(); server < history.serverCount(); server += listCount) {
-            if (!hasInForce(sidecar, server, history.latestChange(server))) {
+            if (!hasApplied(sidecar, server, history.latestChange(server))) {
                 return true;
             }
         }
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/LoopMonitor.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/LoopMonitor.java
@@ -10,10 +10,11 @@
 import topazvalve.hollowfleet.oracle.FleetOracle;
 
 /**
- * Observes the sidecars of one event loop: how long changes take to be in force, what the sidecars read and write,
- * and once a second whether they lack a change that they have to have. Used on that event loop alone.
+ * Monitors the sidecars of one event loop: measures how long changes take to be applied and how many bytes the
+ * sidecars read and write, and checks once a second whether a sidecar lacks a required change. Confined to that event
+ * loop.
  */
-final class LoopMonitor implements HollowListener {
+final class LoopMonitor implements HollowSidecarListener {
     private static final long CHECK_INTERVAL_MILLIS = 1_000;
 
     private final EventLoop loop;
@@ -23,10 +24,10 @@
     private final ListChecker listChecker;
     private final int lastInitialChange;
     private final List<MonitoredSidecar> sidecars = new ArrayList<>();
-    private HollowMetrics metrics = new HollowMetrics();
-    private long checks;
+    private HollowSidecarMetrics metrics = new HollowSidecarMetrics();
+    private long checkCount;
 
-    /** A sidecar, its traffic, and which violations were reported since the metrics were last taken. */
+    /** A sidecar, its traffic, and the kinds of violation reported since the metrics were last taken. */
     private static final class MonitoredSidecar {
         private final HollowSidecar sidecar;
         private final TrafficMeter traffic;
@@ -43,7 +44,7 @@
      * Creates a monitor without sidecars.
      *
      * @param listCount the number of endpoint lists; servers are assigned to them in turn
-     * @param lastInitialChange the last change that was made before the run and is not measured
+     * @param lastInitialChange the last change made before the run; changes up to this one are not measured
      */
     LoopMonitor(
             EventLoop loop,
@@ -72,7 +73,7 @@
         sidecars.add(new MonitoredSidecar(sidecar, oracle.budget().windowSeconds()));
     }
 
-    /** Starts the checks. */
+    /** Starts the periodic checks. */
     void start() {
         loop.scheduleAtFixedRate(this::check, CHECK_INTERVAL_MILLIS, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
@@ -86,7 +87,7 @@
         }
     }
 
-    /** Records all changes between old and new entry: the newest one replaces the others. */
+    /** Records all changes after the old entry up to the new one, since the new entry supersedes those in between. */
     private void recordChanges(HollowSidecar sidecar, EntryReplacement entry, long nowNanos) {
         int lastKnownChange = Math.max(entry.oldChange(), lastInitialChange);
         int change = entry.newChange();
@@ -117,7 +118,7 @@
 
     private void check() {
         long nowNanos = clock.getAsLong();
-        checks++;
+        checkCount++;
         ListChecker.RequiredChanges requiredChanges = listChecker.requiredChanges(nowNanos);
         for (MonitoredSidecar monitored : sidecars) {
             checkTraffic(monitored, nowNanos);
@@ -128,7 +129,7 @@
     private void checkTraffic(MonitoredSidecar monitored, long nowNanos) {
         HollowSidecar sidecar = monitored.sidecar;
         TrafficMeter traffic = monitored.traffic;
-        int bytesInSecond = traffic.secondEnded(sidecar.trafficBytes(), checks);
+        int bytesInSecond = traffic.secondEnded(sidecar.trafficBytes(), checkCount);
         metrics.recordTraffic(bytesInSecond, traffic.bytesInWindow());
         if (!monitored.trafficReported) {
             monitored.trafficReported = oracle.trafficMeasured(sidecar.number(), traffic.bytesInWindow(), nowNanos);
@@ -139,26 +140,26 @@
         HollowSidecar sidecar = monitored.sidecar;
         boolean reachableLongEnough =
                 nowNanos - sidecar.reachableSinceNanos() > oracle.budget().maxChangeDelayNanos();
-        if (sidecar.hasToFollow() && reachableLongEnough && !monitored.missingChangesReported) {
+        if (sidecar.canFollow() && reachableLongEnough && !monitored.missingChangesReported) {
             monitored.missingChangesReported = requiredChanges.reportMissing(sidecar);
         }
     }
 
-    /** Returns the number of sidecars that are about to start or lack a change of their list. */
+    /** Returns the number of sidecars that have a pending start or lack a change of their list. */
     int countBehind() {
-        int behind = 0;
+        int behindCount = 0;
         for (MonitoredSidecar monitored : sidecars) {
             if (listChecker.isBehind(monitored.sidecar)) {
-                behind++;
+                behindCount++;
             }
         }
-        return behind;
+        return behindCount;
     }
 
-    /** Returns the metrics since this was last called; each sidecar may violate each rule once again. */
-    HollowMetrics takeMetrics() {
-        HollowMetrics taken = metrics;
-        metrics = new HollowMetrics();
+    /** Returns the metrics since the previous call. Each sidecar's violations can then be reported once more. */
+    HollowSidecarMetrics takeMetrics() {
+        HollowSidecarMetrics taken = metrics;
+        metrics = new HollowSidecarMetrics();
         for (MonitoredSidecar monitored : sidecars) {
             monitored.trafficReported = false;
             monitored.missingChangesReported = false;
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/Placement.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/Placement.java
@@ -1,10 +1,10 @@
 package topazvalve.hollowfleet.hollow;
 
 /**
- * A hollow sidecar's place in the fleet.
+ * The placement of a hollow sidecar in the fleet.
  *
  * @param zone its zone
- * @param list the number of the endpoint list that it has to have in force
- * @param addresses where it gets this list
+ * @param list the number of the endpoint list that it follows
+ * @param addresses the addresses from which it gets this list
  */
 public record Placement(int zone, int list, DiscoveryAddresses addresses) {}
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/TrafficCounter.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/TrafficCounter.java
@@ -14,8 +14,9 @@
 import java.util.Set;
 
 /**
- * Counts the bytes of one sidecar's connections without changing the sidecar. The sidecar gets a proxy of the event
- * loop, which adds this handler below all others whenever a connection is registered. Used on one event loop.
+ * Counts the bytes of one sidecar's connections without changes to the sidecar's code. The sidecar uses a proxy of the
+ * event loop, which inserts this handler at the head of the pipeline of each connection that is registered. Confined
+ * to one event loop.
  */
 @ChannelHandler.Sharable
 final class TrafficCounter extends ChannelDuplexHandler {
@@ -30,7 +31,7 @@
         this.loop = loop;
     }
 
-    /** Returns an event loop whose connections are counted. */
+    /** Returns a proxy of the event loop that counts the bytes of all connections registered with it. */
     EventLoop countedLoop() {
         return (EventLoop) Proxy.newProxyInstance(
                 EventLoop.class.getClassLoader(), new Class<?>[] {EventLoop.class}, this::invoke);
@@ -38,7 +39,7 @@
 
     private Object invoke(Object proxy, Method method, Object[] arguments) throws Throwable {
         if (method.getName().equals(REGISTER_METHOD) && arguments[0] instanceof Channel channel) {
-            count(channel);
+            addChannel(channel);
         }
         try {
             return method.invoke(loop, arguments);
@@ -47,7 +48,7 @@
         }
     }
 
-    private void count(Channel channel) {
+    private void addChannel(Channel channel) {
         channels.add(channel);
         channel.closeFuture().addListener(closed -> channels.remove(channel));
         channel.pipeline().addFirst(this);
@@ -72,7 +73,7 @@
         }
     }
 
-    /** Enables or disables reading from the sidecar's connections; without it the peer's writes are blocked. */
+    /** Enables or disables reading from the sidecar's connections; while it is disabled, the peer's writes block. */
     void setReadingEnabled(boolean enabled) {
         readingEnabled = enabled;
         channels.forEach(channel -> channel.config().setAutoRead(enabled));
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/TrafficMeter.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/TrafficMeter.java
@@ -1,6 +1,6 @@
 package topazvalve.hollowfleet.hollow;
 
-/** The bytes of one sidecar in each of the last seconds and in all of them together. */
+/** Tracks the bytes of one sidecar in each second of a sliding window and in the whole window. */
 final class TrafficMeter {
     private final int[] bytesBySecond;
     private long lastTotalBytes;
@@ -11,10 +11,10 @@
     }
 
     /**
-     * Adds the second that has ended.
+     * Adds a second that has ended.
      *
      * @param totalBytes the bytes since the sidecar was created
-     * @param second the number of the second
+     * @param second the sequence number of the second
      * @return the bytes of that second
      */
     int secondEnded(long totalBytes, long second) {
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/UnusedBackend.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/UnusedBackend.java
@@ -7,24 +7,28 @@
 import topazvalve.core.stream.RequestBody;
 import topazvalve.policy.SettingsReader;
 
-/** The backend of a hollow sidecar, which has no request path: it receives no request and so sends none. */
+/** The backend of a hollow sidecar. It has no request path, so it never sends a request or a health check. */
 final class UnusedBackend implements Backend<Object, Object> {
     @Override
     public Attempt<Object, Object> startAttempt(
-            long server, Object message, RequestBody body, long wait, AttemptListener<Object, Object> listener) {
-        throw new UnsupportedOperationException("a hollow sidecar sends no request");
+            long endpoint,
+            Object message,
+            RequestBody body,
+            long timeoutNanos,
+            AttemptListener<Object, Object> listener) {
+        throw new UnsupportedOperationException("hollow sidecars do not send requests");
     }
 
     @Override
-    public void sendHealthCheck(long server, AttemptListener<Object, Object> listener) {
-        throw new UnsupportedOperationException("a hollow sidecar probes no server");
+    public void sendHealthCheck(long endpoint, AttemptListener<Object, Object> listener) {
+        throw new UnsupportedOperationException("hollow sidecars do not send health checks");
     }
 
     @Override
-    public void endpointUpdated(long server, InetSocketAddress address, long startedMs, boolean ready) {}
+    public void endpointUpdated(long endpoint, InetSocketAddress address, long startedAtMillis, boolean ready) {}
 
     @Override
-    public void endpointRemoved(long server) {}
+    public void endpointRemoved(long endpoint) {}
 
     @Override
     public int endpointCount() {
@@ -32,10 +36,10 @@
     }
 
     @Override
-    public void closeIdleConnections(long server) {}
+    public void closeIdleConnections(long endpoint) {}
 
     @Override
-    public void settingsChanged(SettingsReader options) {}
+    public void settingsChanged(SettingsReader settings) {}
 
     @Override
     public void close() {}
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/package-info.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/hollow/package-info.java
@@ -1,2 +1,2 @@
-/** Hollow sidecars: a sidecar's discovery on real sockets, without its request path. */
+/** Hollow sidecars: the discovery part of a sidecar on real sockets, without a request path. */
 package topazvalve.hollowfleet.hollow;
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/oracle/FleetOracle.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/oracle/FleetOracle.java
@@ -11,8 +11,8 @@
 import topazvalve.policy.EndpointStatus;
 
 /**
- * Compares what sidecars have in force with what their sources published, and counts violations of the rules. May
- * be called from any thread. All times are nanoseconds on the clock of the {@link ChangeHistory}.
+ * Compares the endpoint lists of sidecars with what their sources published, and counts violations of the rules.
+ * Thread-safe. All times are in nanoseconds on the clock of the {@link ChangeHistory}.
  */
 public final class FleetOracle {
     private static final int MAX_EXAMPLES_PER_RULE = 5;
@@ -24,7 +24,7 @@
     private final Map<Rule, Integer> counts = new EnumMap<>(Rule.class);
     private final List<Violation> examples = new ArrayList<>();
 
-    /** Creates an oracle that has found no violation. */
+    /** Creates an oracle without violations. */
     public FleetOracle(ChangeHistory history, FleetBudget budget) {
         this.history = history;
         this.budget = budget;
@@ -41,20 +41,20 @@
             report(
                     Rule.RETURNED,
                     nowNanos,
-                    describe(sidecar, entry) + " is ready by change " + entry.newChange()
-                            + ", which is no newer than change " + entry.oldChange() + " that made it "
-                            + entry.oldStatus());
+                    describe(sidecar, entry) + " became READY with change " + entry.newChange()
+                            + ", which is not newer than change " + entry.oldChange() + " (" + entry.oldStatus()
+                            + ")");
         } else if (entry.newChange() < entry.oldChange()) {
             report(
                     Rule.WENT_BACK,
                     nowNanos,
-                    describe(sidecar, entry) + " went from change " + entry.oldChange() + " back to "
+                    describe(sidecar, entry) + " went back from change " + entry.oldChange() + " to change "
                             + entry.newChange());
         }
     }
 
     private static String describe(int sidecar, EntryReplacement entry) {
-        return "instance " + sidecar + ": " + ServerNames.nameOf(entry.server());
+        return "sidecar " + sidecar + ": " + ServerNames.nameOf(entry.server());
     }
 
     private boolean becameReadyWithoutChange(EntryReplacement entry) {
@@ -67,8 +67,9 @@
     }
 
     /**
-     * Returns for each server the change that has to be in force at every sidecar that could reach its source
-     * since: the newest one that is old enough. It is 0 where there is none, and for servers that are not selected.
+     * Returns for each server the change that every sidecar must have applied if it could reach its source since:
+     * the newest one that is older than the allowed delay. It is 0 if there is none, and for servers that the
+     * filter excludes.
      */
     public int[] requiredChanges(long nowNanos, IntPredicate serverFilter) {
         int[] required = new int[history.serverCount()];
@@ -80,12 +81,12 @@
     }
 
     /**
-     * Returns whether a required change or a newer one of the same server is in force.
+     * Returns whether a sidecar has applied a required change or a newer one of the same server.
      *
-     * @param currentChange the change that the sidecar has
-     * @param currentStatus the status that the sidecar has
+     * @param currentChange the change of the sidecar's entry for the server
+     * @param currentStatus the status of that entry
      */
-    public boolean isInForce(int requiredChange, int currentChange, EndpointStatus currentStatus) {
+    public boolean isApplied(int requiredChange, int currentChange, EndpointStatus currentStatus) {
         if (requiredChange == currentChange) {
             return requiredChange == NO_CHANGE || history.status(requiredChange) == currentStatus;
         }
@@ -96,7 +97,7 @@
      * Reports that a sidecar lacks required changes.
      *
      * @param exampleChange one of the missing changes
-     * @param missingCount how many are missing
+     * @param missingCount the number of missing changes
      */
     public void changesMissing(int sidecar, int exampleChange, int missingCount, long nowNanos) {
         report(
@@ -104,7 +105,7 @@
                 nowNanos,
                 String.format(
                         Locale.ROOT,
-                        "instance %d: change %d of %s is not in force %.1f s after it was made, %d such at once",
+                        "sidecar %d: change %d of %s not applied after %.1f s (changes missing: %d)",
                         sidecar,
                         exampleChange,
                         ServerNames.nameOf(history.server(exampleChange)),
@@ -117,19 +118,19 @@
      *
      * @param source the source's name
      * @param callsInSecond the calls in the current second so far
-     * @param callsPerSecond the source's capacity; 0 is unbounded
+     * @param callsPerSecond the source's capacity; 0 means unbounded
      */
     public void callReceived(String source, int callsInSecond, double callsPerSecond, long nowNanos) {
         if (callsPerSecond > 0 && callsInSecond == (int) callsPerSecond + 1) {
             report(
                     Rule.SERVING_RATE,
                     nowNanos,
-                    source + ": " + callsInSecond + " calls in a second and more to come, where " + callsPerSecond
-                            + " can be done");
+                    source + ": at least " + callsInSecond + " calls within one second, capacity is " + callsPerSecond
+                            + " calls per second");
         }
     }
 
-    /** Checks the bytes that a sidecar read and wrote in the window; returns whether they are too many. */
+    /** Checks the bytes that a sidecar read and wrote in the window; returns whether they exceed the budget. */
     public boolean trafficMeasured(int sidecar, long bytesInWindow, long nowNanos) {
         double bytesPerSecond = bytesInWindow / (double) budget.windowSeconds();
         if (bytesPerSecond <= budget.bytesPerSecond()) {
@@ -140,7 +141,7 @@
                 nowNanos,
                 String.format(
                         Locale.ROOT,
-                        "instance %d: %.0f bytes a second over %d s, where %.0f are allowed",
+                        "sidecar %d: %.0f bytes per second over %d s, budget is %.0f",
                         sidecar,
                         bytesPerSecond,
                         budget.windowSeconds(),
@@ -159,7 +160,7 @@
         return new EnumMap<>(counts);
     }
 
-    /** Returns the first violations of each rule. */
+    /** Returns the first few violations of each rule. */
     public synchronized List<Violation> examples() {
         return List.copyOf(examples);
     }
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/oracle/package-info.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/oracle/package-info.java
@@ -1,2 +1,2 @@
-/** Rules for the distribution of endpoint lists, checked from outside the sidecars. No clock and no I/O. */
+/** Rules for the distribution of endpoint lists, checked from outside the sidecars. Uses no clock and no I/O. */
 package topazvalve.hollowfleet.oracle;
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/EmbeddedRelays.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/EmbeddedRelays.java
@@ -12,7 +12,7 @@
 import topazvalve.relay.DiscoveryRelay;
 import topazvalve.relay.RelaySettings;
 
-/** Relays in this process, each on an event loop of its own. */
+/** Relays in this process, each on its own event loop. */
 final class EmbeddedRelays implements RelayTier {
     private static final long START_SEED_STEP = 7_919;
 
@@ -21,9 +21,9 @@
     private final List<RelaySettings> settings = new ArrayList<>();
     private final DiscoveryRelay[] relays;
     private final long seed;
-    private long starts;
+    private long startCount;
 
-    /** Starts a relay for each of the settings; port 0 selects a free one. */
+    /** Starts one relay for each element of the settings; port 0 selects a free port. */
     EmbeddedRelays(List<RelaySettings> relaySettings, long seed) {
         this.seed = seed;
         group = new MultiThreadIoEventLoopGroup(relaySettings.size(), NioIoHandler.newFactory());
@@ -61,8 +61,8 @@
 
     @Override
     public void start(int relay) {
-        starts++;
-        relays[relay] = new DiscoveryRelay(loops.get(relay), settings.get(relay), seed + START_SEED_STEP * starts);
+        startCount++;
+        relays[relay] = new DiscoveryRelay(loops.get(relay), settings.get(relay), seed + START_SEED_STEP * startCount);
         relays[relay].start().syncUninterruptibly();
     }
 
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/FleetEnvironment.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/FleetEnvironment.java
@@ -23,9 +23,9 @@
 import topazvalve.hollowfleet.timeline.Timeline.Size;
 import topazvalve.policy.EndpointStatus;
 
-/** Everything that a run consists of: history, oracle, sources, relays, and hollow and packaged sidecars. */
+/** The parts of a run: history, oracle, sources, relays, hollow sidecars and packaged sidecars. */
 final class FleetEnvironment implements AutoCloseable {
-    private static final long POLL_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+    private static final long POLL_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
     private final Timeline timeline;
     private final Size size;
@@ -37,9 +37,9 @@
     private final PackagedSidecars packaged;
     private final MultiThreadIoEventLoopGroup loopGroup;
     private final HollowFleet fleet;
-    private Map<Rule, Integer> earlierViolations = Map.of();
+    private Map<Rule, Integer> previousViolations = Map.of();
 
-    /** Sets everything up: the sources list all servers, and the hollow sidecars are down. */
+    /** Creates all parts. The sources list all servers, and the hollow sidecars are down. */
     FleetEnvironment(Timeline timeline, long seed, Path repositoryRoot, int packagedCount) {
         this.timeline = timeline;
         this.size = timeline.size();
@@ -47,7 +47,7 @@
         this.oracle = new FleetOracle(history, timeline.budget());
         this.sources = new SourceGroup(timeline, history, oracle, this::nowNanos);
         for (int server = 0; server < size.servers(); server++) {
-            sources.ofServer(server).change(server, EndpointStatus.READY);
+            sources.ofServer(server).changeStatus(server, EndpointStatus.READY);
         }
         sources.awaitPendingTasks();
         this.relays = RelayTierFactory.start(timeline, sources, seed);
@@ -67,12 +67,12 @@
         return new Placement(zone, timeline.hasRelays() ? 0 : source, addresses);
     }
 
-    /** Returns the number of different endpoint lists: relays merge those of all sources. */
+    /** Returns the number of distinct endpoint lists; relays merge the lists of all sources into one. */
     private int listCount() {
         return timeline.hasRelays() ? 1 : size.sources();
     }
 
-    /** Returns the nanoseconds since the environment was created, the time of history and oracle. */
+    /** Returns the nanoseconds since the environment was created; history and oracle use this clock. */
     long nowNanos() {
         return System.nanoTime() - startedAtNanos;
     }
@@ -93,7 +93,7 @@
         return sources;
     }
 
-    /** Returns the relays; none where sidecars call the sources directly. */
+    /** Returns the relay tier, which is empty if sidecars call the sources directly. */
     RelayTier relays() {
         return relays;
     }
@@ -107,8 +107,8 @@
     }
 
     /**
-     * Returns the present content of each endpoint list, by list number. Only the run's own thread makes changes, so
-     * nothing changes meanwhile.
+     * Returns the current content of each endpoint list, by list number. Only the thread of the run makes changes, so
+     * the lists cannot change during the call.
      */
     InitialEndpointList[] currentLists() {
         SourceVersion[] versions = new SourceVersion[size.sources()];
@@ -130,37 +130,40 @@
         return lists;
     }
 
-    /** Waits until every relay watches every source, or the timeout; the run then shows what is wrong. */
+    /**
+     * Waits until every relay watches every source, or until the timeout. A timeout is not an error here, since the run
+     * then reports the sidecars that are behind.
+     */
     void awaitRelays(long timeoutNanos) {
         int expectedWatches = timeline.relays().count() * size.sources();
         long deadlineNanos = nowNanos() + timeoutNanos;
         while (sources.openWatches() < expectedWatches && nowNanos() < deadlineNanos) {
-            LockSupport.parkNanos(POLL_NANOS);
+            LockSupport.parkNanos(POLL_INTERVAL_NANOS);
         }
     }
 
-    /** Waits until no sidecar is behind, or the timeout; returns how many are behind then. */
+    /** Waits until no sidecar is behind, or until the timeout; returns the number of sidecars still behind. */
     int awaitUpToDate(long timeoutNanos) {
         long deadlineNanos = nowNanos() + timeoutNanos;
         int behind = fleet.countBehind();
         while (behind > 0 && nowNanos() < deadlineNanos) {
-            LockSupport.parkNanos(POLL_NANOS);
+            LockSupport.parkNanos(POLL_INTERVAL_NANOS);
             behind = fleet.countBehind();
         }
         return behind;
     }
 
-    /** Returns the violations since this was last called. */
+    /** Returns the number of new violations of each rule since the previous call. */
     Map<Rule, Integer> takeNewViolations() {
         Map<Rule, Integer> counts = oracle.counts();
         Map<Rule, Integer> newViolations = new EnumMap<>(Rule.class);
         counts.forEach((rule, count) -> {
-            int added = count - earlierViolations.getOrDefault(rule, 0);
+            int added = count - previousViolations.getOrDefault(rule, 0);
             if (added > 0) {
                 newViolations.put(rule, added);
             }
         });
-        earlierViolations = counts;
+        previousViolations = counts;
         return newViolations;
     }
 
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/FleetReport.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/FleetReport.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 import java.util.stream.Collectors;
 import org.HdrHistogram.Histogram;
-import topazvalve.hollowfleet.hollow.HollowMetrics;
+import topazvalve.hollowfleet.hollow.HollowSidecarMetrics;
 import topazvalve.hollowfleet.oracle.FleetBudget;
 import topazvalve.hollowfleet.oracle.FleetOracle;
 import topazvalve.hollowfleet.oracle.Violation;
@@ -116,7 +116,7 @@
 
     private void printHollowSidecar(StageResult result) {
         int count = timeline.size().hollowSidecars();
-        HollowMetrics hollow = result.hollow();
+        HollowSidecarMetrics hollow = result.hollow();
         print(
                 "  a hollow one: %.0f bytes a second (busiest window %.0f, busiest second "
                         + "%d); %.3f%% of a core; heap of all %d MB%n",
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/FleetRun.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/FleetRun.java
@@ -13,7 +13,7 @@
 import topazvalve.hollowfleet.timeline.Timeline.Stage;
 import topazvalve.simulation.model.RandomStream;
 
-/** Plays one timeline on loopback, in real time, on the caller's thread. */
+/** Runs one timeline on loopback, in real time, on the caller's thread. */
 public final class FleetRun implements AutoCloseable {
     private static final long START_TIMEOUT_NANOS = TimeUnit.MINUTES.toNanos(1);
     private static final String START_STAGE = "start, list known";
@@ -26,7 +26,7 @@
     /**
      * Sets up a run without packaged sidecars.
      *
-     * @param seed the seed of all random decisions
+     * @param seed the seed for all random decisions
      */
     public FleetRun(Timeline timeline, long seed) {
         this(timeline, seed, Path.of("."), 0);
@@ -35,9 +35,9 @@
     /**
      * Sets up a run: the sources list all servers, and no hollow sidecar has started.
      *
-     * @param seed the seed of all random decisions
-     * @param repositoryRoot where the packaged sidecar is
-     * @param packagedCount packaged sidecars that follow the first source beside the hollow ones
+     * @param seed the seed for all random decisions
+     * @param repositoryRoot the directory that contains the packaged sidecar
+     * @param packagedCount number of packaged sidecars that follow the first source in addition to the hollow ones
      */
     public FleetRun(Timeline timeline, long seed, Path repositoryRoot, int packagedCount) {
         this.timeline = timeline;
@@ -45,20 +45,20 @@
         this.environment = new FleetEnvironment(timeline, seed, repositoryRoot, packagedCount);
     }
 
-    /** Returns the oracle, which has the violations of all stages. */
+    /** Returns the oracle, which holds the violations of all stages. */
     public FleetOracle oracle() {
         return environment.oracle();
     }
 
-    /** Returns the sources; tests inject faults there. */
+    /** Returns the sources, on which tests inject faults. */
     public SourceGroup sources() {
         return environment.sources();
     }
 
     /**
-     * Starts all sidecars with the list known, then plays every stage.
+     * Starts all sidecars with a known list, then runs every stage.
      *
-     * @param listener receives each result as the stage ends
+     * @param listener receives each result when its stage ends
      * @return the results of the start and of every stage
      */
     public List<StageResult> run(Consumer<StageResult> listener) {
@@ -66,7 +66,7 @@
         environment.awaitRelays(START_TIMEOUT_NANOS);
         addResult(startSidecars(), results, listener);
         for (Stage stage : timeline.stages()) {
-            addResult(new StagePlayer(environment, random, stage).play(), results, listener);
+            addResult(new StageRunner(environment, random, stage).run(), results, listener);
         }
         return results;
     }
@@ -80,16 +80,16 @@
         HollowFleet fleet = environment.fleet();
         InitialEndpointList[] lists = environment.currentLists();
         StageMeasurement measurement = new StageMeasurement(environment);
-        long startOverNanos = timeline.size().startOverNanos();
+        long startSpreadNanos = timeline.size().startSpreadNanos();
         for (int i = 0; i < fleet.size(); i++) {
-            fleet.start(i, lists[fleet.list(i)], startOverNanos * i / fleet.size());
+            fleet.start(i, lists[fleet.list(i)], startSpreadNanos * i / fleet.size());
         }
-        pause(startOverNanos);
+        sleep(startSpreadNanos);
         int behind = environment.awaitUpToDate(START_TIMEOUT_NANOS);
         return measurement.result(START_STAGE, 0, behind);
     }
 
-    private static void pause(long nanos) {
+    private static void sleep(long nanos) {
         long deadlineNanos = System.nanoTime() + nanos;
         while (System.nanoTime() < deadlineNanos) {
             LockSupport.parkNanos(deadlineNanos - System.nanoTime());
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/NoRelays.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/NoRelays.java
@@ -12,12 +12,12 @@
 
     @Override
     public void kill(int relay) {
-        throw new UnsupportedOperationException("there are no relays");
+        throw new UnsupportedOperationException("this run has no relays");
     }
 
     @Override
     public void start(int relay) {
-        throw new UnsupportedOperationException("there are no relays");
+        throw new UnsupportedOperationException("this run has no relays");
     }
 
     @Override
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/PackagedSidecars.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/PackagedSidecars.java
@@ -14,28 +14,28 @@
 import topazvalve.simulation.process.SidecarConfiguration.Discovery;
 
 /**
- * Packaged sidecars that follow the first source beside the hollow ones, without a known list and without requests,
- * for comparison with the hollow ones. They need a built program.
+ * Packaged sidecars that follow the first source, for comparison with the hollow ones. They start without a known list
+ * and receive no requests. The sidecar must have been packaged before.
  */
 final class PackagedSidecars implements AutoCloseable {
-    private static final long MILLIS = 1_000_000;
-    private static final long SECONDS = 1_000_000_000;
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    private static final long NANOS_PER_SECOND = 1_000_000_000;
 
     private final List<Process> processes = new ArrayList<>();
 
     /**
-     * Starts sidecars by the deploy file's {@code run} line.
+     * Starts sidecars with the {@code run} line of the deploy file.
      *
-     * @param repositoryRoot where the packaged program is
+     * @param repositoryRoot the directory that contains the packaged sidecar
      */
     PackagedSidecars(Path repositoryRoot, int count, InetSocketAddress source) {
         try {
-            Path workFolder = Files.createTempDirectory("topazvalve-fleet");
+            Path workDirectory = Files.createTempDirectory("topazvalve-fleet");
             for (int i = 0; i < count; i++) {
-                Path configurationFile = workFolder.resolve("p" + i + ".json");
+                Path configurationFile = workDirectory.resolve("p" + i + ".json");
                 configuration(i, source).listenOn(RunLine.freePort()).write(configurationFile);
                 processes.add(RunLine.of(repositoryRoot, configurationFile, List.of())
-                        .redirectOutput(workFolder.resolve("p" + i + ".log").toFile())
+                        .redirectOutput(workDirectory.resolve("p" + i + ".log").toFile())
                         .start());
             }
         } catch (IOException e) {
@@ -43,33 +43,33 @@
         }
     }
 
-    /** Returns a configuration with the policy settings of the hollow sidecars. */
+    /** Returns a configuration with the same policy settings as those of the hollow sidecars. */
     private static SidecarConfiguration configuration(int number, InetSocketAddress source) {
         SidecarConfiguration configuration = new SidecarConfiguration(
                         "p" + number,
                         Integer.toHexString(number + 1),
                         source.getAddress().getHostAddress() + ":" + source.getPort(),
                         Discovery.SUBSCRIBE,
-                        5 * MILLIS)
+                        5 * NANOS_PER_MILLI)
                 .zonesAndKinds(List.of("z0"), List.of("m2"));
         ObjectNode settings = configuration.settings();
         settings.putObject("caps")
                 .put("tryLimit", 4)
-                .put("connectTimeout", 200 * MILLIS)
-                .put("connIdle", 5 * SECONDS);
+                .put("connectTimeout", 200 * NANOS_PER_MILLI)
+                .put("connIdle", 5 * NANOS_PER_SECOND);
         settings.putObject("rules")
-                .put("answerSlack", 20 * MILLIS)
-                .put("stopSendingWithin", 500 * MILLIS)
+                .put("answerSlack", 20 * NANOS_PER_MILLI)
+                .put("stopSendingWithin", 500 * NANOS_PER_MILLI)
                 .put("coldShare", 0.39)
-                .put("rampTime", 7_400 * MILLIS)
+                .put("rampTime", 7_400 * NANOS_PER_MILLI)
                 .put("overloadFactor", 4.0)
-                .put("tipAfter", 3 * SECONDS)
-                .put("askWithin", 10 * SECONDS);
+                .put("tipAfter", 3 * NANOS_PER_SECOND)
+                .put("askWithin", 10 * NANOS_PER_SECOND);
         settings.putArray("profiles")
                 .addObject()
                 .put("name", "hollow")
-                .put("slo", 400 * MILLIS)
-                .put("deadline", 1 * SECONDS)
+                .put("slo", 400 * NANOS_PER_MILLI)
+                .put("deadline", 1 * NANOS_PER_SECOND)
                 .put("semantics", "repeatable");
         return configuration;
     }
@@ -78,7 +78,7 @@
         return processes.size();
     }
 
-    /** Returns the CPU time of all sidecars since their start, in nanoseconds. */
+    /** Returns the total CPU time of all sidecars since their start, in nanoseconds. */
     long cpuNanos() {
         return processes.stream()
                 .mapToLong(process ->
@@ -86,7 +86,7 @@
                 .sum();
     }
 
-    /** Returns the resident memory of the largest sidecar in bytes; 0 if none runs. */
+    /** Returns the resident memory of the largest sidecar in bytes, or 0 if none is running. */
     long maxResidentBytes() {
         return processes.stream()
                 .mapToLong(process -> ProcFiles.residentBytes(process.pid()))
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/Preflight.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/Preflight.java
@@ -9,7 +9,7 @@
 import topazvalve.hollowfleet.timeline.Timeline;
 import topazvalve.hollowfleet.timeline.Timeline.Size;
 
-/** Checks whether the machine has enough descriptors, ports and memory for a fleet. It changes nothing. */
+/** Checks whether the machine has enough file descriptors, ports and memory for a fleet, without changing limits. */
 public final class Preflight {
     private static final Path LIMITS = Path.of("/proc/self/limits");
     private static final Path PORT_RANGE = Path.of("/proc/sys/net/ipv4/ip_local_port_range");
@@ -19,14 +19,14 @@
     private static final int DESCRIPTORS_PER_SIDECAR = 3;
 
     private static final int OTHER_DESCRIPTORS = 300;
-    /** A port cannot be reused for a minute after its call; this is a sidecar's number of calls in that time. */
+    /** The number of calls of a sidecar within a minute, during which a port cannot be reused after its call. */
     private static final int PORTS_PER_SIDECAR = 4;
 
-    private static final long PARSED_ENDPOINT_BYTES = 160;
-    /** Measured (docs/measurements.md) and rounded up. */
-    private static final long SIDECAR_BYTES = 100_000;
+    private static final long BYTES_PER_PARSED_ENDPOINT = 160;
+    /** Heap of a sidecar without its endpoint list, rounded up (docs/measurements.md). */
+    private static final long BYTES_PER_SIDECAR = 100_000;
 
-    private static final long BASE_BYTES = 200_000_000;
+    private static final long BASE_HEAP_BYTES = 200_000_000;
     private static final int MIB_SHIFT = 20;
 
     private Preflight() {}
@@ -34,8 +34,8 @@
     /**
      * Checks the resources of this process.
      *
-     * @return a message for each resource that does not suffice
-     * @throws IOException if the system's limits cannot be read
+     * @return a message for each insufficient resource
+     * @throws IOException if the limits of the system cannot be read
      */
     public static List<String> check(Timeline timeline) throws IOException {
         return check(
@@ -46,12 +46,12 @@
     }
 
     /**
-     * Checks given resources.
+     * Checks the given resources.
      *
      * @param limits the text of {@code /proc/self/limits}
-     * @param portRange the text of {@code ip_local_port_range}
-     * @param maxHeapBytes the heap that the process may use
-     * @return a message for each resource that does not suffice, with what to raise and what to reduce
+     * @param portRange the text of {@code /proc/sys/net/ipv4/ip_local_port_range}
+     * @param maxHeapBytes the maximum heap size of the process
+     * @return a message for each insufficient resource, with the limit to raise or the setting to change
      */
     static List<String> check(Timeline timeline, String limits, String portRange, long maxHeapBytes) {
         return Stream.of(
@@ -69,7 +69,7 @@
             return Optional.empty();
         }
         long possibleSidecars = Math.max(0, (allowed - OTHER_DESCRIPTORS) / DESCRIPTORS_PER_SIDECAR);
-        return Optional.of("descriptors: " + required + " wanted, " + allowed + " allowed; raise them with"
+        return Optional.of("file descriptors: " + required + " required, " + allowed + " allowed; raise the limit with"
                 + " `ulimit -n " + required + "`, or set fleet.hollow = " + possibleSidecars + " or less");
     }
 
@@ -91,24 +91,24 @@
             return Optional.empty();
         }
         long sufficientZones = (long) size.hollowSidecars() * PORTS_PER_SIDECAR / available + 1;
-        return Optional.of("ports: " + required + " wanted for each listening address, " + available
-                + " there; widen net.ipv4.ip_local_port_range, or set fleet.zones = " + sufficientZones
-                + " or more, which have an address each");
+        return Optional.of("ports: " + required + " required per listening address, " + available
+                + " available; widen net.ipv4.ip_local_port_range, or set fleet.zones = " + sufficientZones
+                + " or more, since each zone has its own address");
     }
 
     private static Optional<String> checkMemory(Timeline timeline, long maxHeapBytes) {
         Size size = timeline.size();
         boolean receivesFullLists = timeline.stages().stream()
                 .anyMatch(stage -> stage.sidecarRestart().knowledge() == Timeline.InitialKnowledge.NOTHING);
-        long listBytes = size.servers() * (Integer.BYTES + (receivesFullLists ? PARSED_ENDPOINT_BYTES : 0));
-        long requiredBytes = BASE_BYTES + size.hollowSidecars() * (SIDECAR_BYTES + listBytes);
+        long listBytes = size.servers() * (Integer.BYTES + (receivesFullLists ? BYTES_PER_PARSED_ENDPOINT : 0));
+        long requiredBytes = BASE_HEAP_BYTES + size.hollowSidecars() * (BYTES_PER_SIDECAR + listBytes);
         if (maxHeapBytes >= requiredBytes) {
             return Optional.empty();
         }
         return Optional.of(String.format(
                 Locale.ROOT,
-                "memory: about %d MB wanted, %d MB allowed; raise it with"
-                        + " JAVA_TOOL_OPTIONS=-Xmx%dm, or shrink fleet.hollow or fleet.servers",
+                "memory: about %d MiB of heap required, %d MiB allowed; raise the limit with"
+                        + " JAVA_TOOL_OPTIONS=-Xmx%dm, or reduce fleet.hollow or fleet.servers",
                 requiredBytes >> MIB_SHIFT,
                 maxHeapBytes >> MIB_SHIFT,
                 requiredBytes >> MIB_SHIFT));
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/ProcFiles.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/ProcFiles.java
@@ -8,9 +8,9 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Reads Linux's {@code /proc}. */
+/** Reads values from {@code /proc} on Linux. */
 final class ProcFiles {
-    /** Returned where the system has no value. */
+    /** Returned if the system does not provide the value. */
     static final long UNKNOWN = -1;
 
     private static final int MAX_BYTES = 4_096;
@@ -20,14 +20,14 @@
 
     private ProcFiles() {}
 
-    /** Reads a small file in one call: the kernel returns a setting's value to the first read only. */
+    /** Reads a small file in a single read, since the kernel returns the value of a setting only to the first one. */
     static String read(Path file) throws IOException {
         try (InputStream in = Files.newInputStream(file)) {
             return new String(in.readNBytes(MAX_BYTES), StandardCharsets.US_ASCII);
         }
     }
 
-    /** Returns for how long some thread has waited for a processor since boot, in microseconds, or UNKNOWN. */
+    /** Returns the time for which any thread has waited for a CPU since boot, in microseconds, or {@link #UNKNOWN}. */
     static long cpuPressureMicros() {
         try {
             Matcher total = PRESSURE_TOTAL.matcher(read(CPU_PRESSURE));
@@ -37,7 +37,7 @@
         }
     }
 
-    /** Returns the resident memory of a process in bytes; 0 if it has ended. */
+    /** Returns the resident memory of a process in bytes, or 0 if it has ended. */
     static long residentBytes(long pid) {
         try {
             return Files.readString(Path.of("/proc/" + pid + "/status"), StandardCharsets.US_ASCII)
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/RelayProcesses.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/RelayProcesses.java
@@ -15,22 +15,22 @@
 import topazvalve.relay.Main;
 import topazvalve.relay.RelaySettings;
 
-/** Relays in processes of their own, started from this program's class path. */
+/** Relays in separate processes, started with the class path of this process. */
 final class RelayProcesses implements RelayTier {
-    /** Enough for a relay of the planned size. */
-    private static final String HEAP = "-Xmx256m";
+    /** Sufficient for a relay in a fleet of the planned size. */
+    private static final String MAX_HEAP_OPTION = "-Xmx256m";
 
     private static final int KILL_TIMEOUT_SECONDS = 10;
 
-    private final Path workFolder;
+    private final Path workDirectory;
     private final List<InetSocketAddress> addresses = new ArrayList<>();
     private final Process[] processes;
-    private long cpuNanosOfKilled;
+    private long cpuNanosOfKilledRelays;
 
-    /** Starts a relay for each of the settings on a free port. Its files go to a new folder. */
+    /** Starts one relay on a free port for each element of the settings. Their files are kept in a new directory. */
     RelayProcesses(List<RelaySettings> settings) {
         try {
-            workFolder = Files.createTempDirectory("topazvalve-relays");
+            workDirectory = Files.createTempDirectory("topazvalve-relays");
             processes = new Process[settings.size()];
             for (int i = 0; i < processes.length; i++) {
                 addresses.add(withFreePort(settings.get(i).listen()));
@@ -49,7 +49,7 @@
     }
 
     private Path settingsFile(int relay) {
-        return workFolder.resolve("relay-" + relay + ".toml");
+        return workDirectory.resolve("relay-" + relay + ".toml");
     }
 
     private static String format(InetSocketAddress address) {
@@ -81,7 +81,7 @@
 
     @Override
     public void kill(int relay) {
-        cpuNanosOfKilled += cpuNanos(processes[relay]);
+        cpuNanosOfKilledRelays += cpuNanos(processes[relay]);
         processes[relay].destroyForcibly();
         try {
             processes[relay].waitFor(KILL_TIMEOUT_SECONDS, TimeUnit.SECONDS);
@@ -98,14 +98,14 @@
                                     .toString(),
                             "-XX:+UseSerialGC",
                             "-XX:-UsePerfData",
-                            HEAP,
+                            MAX_HEAP_OPTION,
                             "-cp",
                             System.getProperty("java.class.path"),
                             Main.class.getName(),
                             settingsFile(relay).toString())
                     .redirectErrorStream(true)
                     .redirectOutput(ProcessBuilder.Redirect.appendTo(
-                            workFolder.resolve("relay-" + relay + ".log").toFile()))
+                            workDirectory.resolve("relay-" + relay + ".log").toFile()))
                     .start();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -118,7 +118,7 @@
 
     @Override
     public long cpuNanos() {
-        long sum = cpuNanosOfKilled;
+        long sum = cpuNanosOfKilledRelays;
         for (Process process : processes) {
             sum += process.isAlive() ? cpuNanos(process) : 0;
         }
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/RelayTierFactory.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/RelayTierFactory.java
@@ -6,11 +6,11 @@
 import topazvalve.hollowfleet.timeline.Timeline.Size;
 import topazvalve.relay.RelaySettings;
 
-/** Starts the relays of a timeline. */
+/** Creates the relay tier of a timeline. */
 final class RelayTierFactory {
     private RelayTierFactory() {}
 
-    /** Starts relays that watch all sources; {@link NoRelays} if the timeline has none. */
+    /** Starts relays that watch all sources; returns {@link NoRelays} if the timeline has no relays. */
     static RelayTier start(Timeline timeline, SourceGroup sources, long seed) {
         if (!timeline.hasRelays()) {
             return new NoRelays();
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/SourceGroup.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/SourceGroup.java
@@ -19,7 +19,7 @@
 import topazvalve.hollowfleet.source.SourceStandIn;
 import topazvalve.hollowfleet.timeline.Timeline;
 
-/** The sources of a run, each on an event loop of its own. Servers are assigned to them in turn. */
+/** The sources of a run, each on its own event loop. Servers are assigned to them in turn. */
 public final class SourceGroup implements AutoCloseable {
     private final List<SourceStandIn> sources = new ArrayList<>();
     private final List<InetSocketAddress[]> addressesByZone = new ArrayList<>();
@@ -68,7 +68,7 @@
         return sources.get(number);
     }
 
-    /** Returns where a source listens for the clients of a zone. */
+    /** Returns the address on which a source listens for the clients of a zone. */
     InetSocketAddress address(int source, int zone) {
         return addressesByZone.get(source)[zone];
     }
@@ -77,14 +77,14 @@
         sources.forEach(action);
     }
 
-    /** Changes the network between all sources and some zones. */
-    void changeLink(List<Integer> zones, SimulatedLink link) {
+    /** Sets the state of the links between all sources and the given zones. */
+    void setLink(List<Integer> zones, SimulatedLink link) {
         for (int zone : zones) {
-            sources.forEach(source -> source.changeLink(zone, link));
+            sources.forEach(source -> source.setLink(zone, link));
         }
     }
 
-    /** Waits until all earlier calls to the sources have taken effect. */
+    /** Waits until all earlier operations on the sources have taken effect. */
     void awaitPendingTasks() {
         group.forEach(loop -> loop.submit(() -> {}).syncUninterruptibly());
     }
@@ -101,7 +101,7 @@
         return sum(SourceMetrics::rejectedCalls);
     }
 
-    /** Returns the number of watches that are open now at all sources. */
+    /** Returns the number of open watches at all sources. */
     int openWatches() {
         return (int) sum(SourceMetrics::openWatches);
     }
@@ -110,7 +110,7 @@
         return sum(SourceMetrics::sentBytes);
     }
 
-    /** Returns the highest number of calls at one source in a second since this was last called. */
+    /** Returns the highest number of calls to one source in one second since the previous call of this method. */
     int takeMaxCallsPerSecond() {
         return sources.stream()
                 .map(SourceStandIn::metrics)
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/StageMeasurement.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/StageMeasurement.java
@@ -1,11 +1,11 @@
 package topazvalve.hollowfleet.run;
 
 import java.util.stream.IntStream;
-import topazvalve.hollowfleet.hollow.HollowMetrics;
+import topazvalve.hollowfleet.hollow.HollowSidecarMetrics;
 import topazvalve.hollowfleet.run.StageResult.ProcessLoad;
 import topazvalve.hollowfleet.run.StageResult.SourceLoad;
 
-/** Measures a stage: takes all counters when it is created, and again for the result. */
+/** Measures a stage: reads all counters on creation, and again for the result. */
 final class StageMeasurement {
     private static final double NANOS_PER_SECOND = 1e9;
     private static final double NANOS_PER_MICRO = 1e3;
@@ -41,7 +41,7 @@
 
     /** Ends the measurement. */
     StageResult result(String name, int changes, int behind) {
-        HollowMetrics hollow = environment.fleet().takeMetrics();
+        HollowSidecarMetrics hollow = environment.fleet().takeMetrics();
         double elapsedNanos = environment.nowNanos() - startedAtNanos;
         Runtime runtime = Runtime.getRuntime();
         return new StageResult(
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/StageResult.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/StageResult.java
@@ -1,24 +1,24 @@
 package topazvalve.hollowfleet.run;
 
 import java.util.Map;
-import topazvalve.hollowfleet.hollow.HollowMetrics;
+import topazvalve.hollowfleet.hollow.HollowSidecarMetrics;
 import topazvalve.hollowfleet.oracle.Rule;
 
 /**
  * The result of one stage.
  *
  * @param name the stage's name
- * @param changes changes that were made
- * @param behind sidecars that lacked a change at the end although they could have it
+ * @param changes number of changes that were made
+ * @param behind number of sidecars that lacked a change at the end although they could have applied it
  * @param seconds the stage's duration, including the wait until every sidecar was up to date
  * @param hollow measurements of the hollow sidecars
- * @param hollowCores CPU of all hollow sidecars, in cores
+ * @param hollowCores CPU usage of all hollow sidecars, in cores
  * @param sources measurements of the sources
- * @param relays resources of all relays; memory of the largest, -1 if they share this process
- * @param packaged resources of a packaged sidecar; 0 if there is none
- * @param usedHeapMib the used heap of this process at the end, garbage included
- * @param cpuPressure the fraction of the time in which some thread of the machine waited for a processor; -1 if the
- *     system does not measure it
+ * @param relays resources of all relays; the memory is that of the largest, or -1 if they run in this process
+ * @param packaged resources of a packaged sidecar (average CPU, largest memory); 0 if there is none
+ * @param usedHeapMib the used heap of this process at the end in MiB, including garbage
+ * @param cpuPressure the fraction of the time in which some thread of the machine waited for a CPU; -1 if the system
+ *     does not measure it
  * @param violations the number of violations of each rule that was violated
  */
 public record StageResult(
@@ -26,7 +26,7 @@
         int changes,
         int behind,
         double seconds,
-        HollowMetrics hollow,
+        HollowSidecarMetrics hollow,
         double hollowCores,
         SourceLoad sources,
         ProcessLoad relays,
@@ -38,18 +38,18 @@
     /**
      * Measurements of the sources.
      *
-     * @param calls calls at all sources, including rejected ones
-     * @param rejectedCalls calls that were rejected with status 503
-     * @param maxCallsPerSecond the highest number of calls at one source in a second
-     * @param sentBytes bytes that all sources sent
-     * @param maxCores CPU of the busiest source, in cores
+     * @param calls number of calls to all sources, including rejected ones
+     * @param rejectedCalls number of calls that were rejected with status 503
+     * @param maxCallsPerSecond the highest number of calls to one source in one second
+     * @param sentBytes number of bytes that all sources sent
+     * @param maxCores CPU usage of the busiest source, in cores
      */
     public record SourceLoad(long calls, long rejectedCalls, int maxCallsPerSecond, long sentBytes, double maxCores) {}
 
     /**
-     * Resources that processes used.
+     * Resource usage of processes.
      *
-     * @param cores CPU in cores
+     * @param cores CPU usage, in cores
      * @param maxResidentBytes resident memory of the largest process
      */
     public record ProcessLoad(double cores, long maxResidentBytes) {}
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/StagePlayer.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/StageRunner.java
@@ -22,9 +22,9 @@
 import topazvalve.policy.EndpointStatus;
 import topazvalve.simulation.model.RandomStream;
 
-/** Plays one stage in real time: begins its faults, makes its changes, ends the faults, and waits. */
-final class StagePlayer {
-    private static final long STEP_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
+/** Runs one stage in real time: begins its faults, makes its changes, ends the faults, and waits. */
+final class StageRunner {
+    private static final long STEP_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
 
     private final FleetEnvironment environment;
     private final SourceGroup sources;
@@ -34,13 +34,13 @@
     private final Stage stage;
     private final int plannedChanges;
     private final int[] burstServers;
-    private int changesMade;
+    private int randomChangesMade;
     private int burstChangesMade;
     private boolean sourcesDown;
     private int relaysRestarted;
     private List<Integer> stalledSidecars = List.of();
 
-    StagePlayer(FleetEnvironment environment, RandomStream random, Stage stage) {
+    StageRunner(FleetEnvironment environment, RandomStream random, Stage stage) {
         this.environment = environment;
         this.sources = environment.sources();
         this.fleet = environment.fleet();
@@ -59,18 +59,18 @@
                 .toArray();
     }
 
-    /** Plays the stage; returns when every sidecar is up to date, or after the stage's settling time. */
-    StageResult play() {
+    /** Runs the stage; returns when every sidecar is up to date, or after the stage's settle timeout. */
+    StageResult run() {
         StageMeasurement measurement = new StageMeasurement(environment);
         long startedAtNanos = environment.nowNanos();
         beginFaults();
         while (environment.nowNanos() < startedAtNanos + stage.lengthNanos() || hasPendingWork()) {
             advance(environment.nowNanos() - startedAtNanos);
-            LockSupport.parkNanos(STEP_NANOS);
+            LockSupport.parkNanos(STEP_INTERVAL_NANOS);
         }
         endFaults();
-        int behind = environment.awaitUpToDate(stage.settleNanos());
-        return measurement.result(stage.name(), changesMade + burstChangesMade, behind);
+        int behind = environment.awaitUpToDate(stage.settleTimeoutNanos());
+        return measurement.result(stage.name(), randomChangesMade + burstChangesMade, behind);
     }
 
     private boolean hasPendingWork() {
@@ -79,7 +79,7 @@
                 || relaysRestarted < stage.relayRestart().count();
     }
 
-    /** Does what is due at a time after the stage's start. */
+    /** Performs the actions that are due at the given time after the start of the stage. */
     private void advance(long elapsedNanos) {
         makeRandomChanges(elapsedNanos);
         makeBurstChanges(elapsedNanos);
@@ -88,10 +88,10 @@
     }
 
     private void makeRandomChanges(long elapsedNanos) {
-        while (changesMade < plannedChanges
-                && elapsedNanos >= stage.lengthNanos() * (changesMade + 0.5) / plannedChanges) {
+        while (randomChangesMade < plannedChanges
+                && elapsedNanos >= stage.lengthNanos() * (randomChangesMade + 0.5) / plannedChanges) {
             changeStatus((int) (random.nextDouble() * size.servers()));
-            changesMade++;
+            randomChangesMade++;
         }
     }
 
@@ -112,7 +112,7 @@
             case DRAINING -> EndpointStatus.REMOVED;
             case REMOVED -> EndpointStatus.READY;
         };
-        sources.ofServer(server).change(server, nextStatus);
+        sources.ofServer(server).changeStatus(server, nextStatus);
     }
 
     private void restartSources(long elapsedNanos) {
@@ -139,7 +139,7 @@
         }
     }
 
-    /** Returns whether no relay is left, so that no sidecar has to follow its list until the first is back. */
+    /** Returns whether the stage kills all relays; no sidecar can then follow its list until the first one is back. */
     private boolean killsAllRelays() {
         return environment.timeline().hasRelays()
                 && stage.relayRestart().count()
@@ -171,7 +171,7 @@
         }
     }
 
-    /** Selects random sidecars without repetition. */
+    /** Selects distinct sidecars at random. */
     private List<Integer> selectSidecars(int count) {
         List<Integer> sidecars =
                 new ArrayList<>(IntStream.range(0, fleet.size()).boxed().toList());
@@ -189,7 +189,7 @@
         if (!environment.timeline().hasRelays()) {
             fleet.setSourceReachable(fault.zones()::contains, fault.link().isServing());
         }
-        sources.changeLink(fault.zones(), fault.link());
+        sources.setLink(fault.zones(), fault.link());
     }
 
     private void killRelays() {
@@ -204,7 +204,7 @@
     private void endFaults() {
         LinkFault fault = stage.linkFault();
         if (fault.isPresent()) {
-            sources.changeLink(fault.zones(), SimulatedLink.OPEN);
+            sources.setLink(fault.zones(), SimulatedLink.OPEN);
             sources.awaitPendingTasks();
             if (!environment.timeline().hasRelays()) {
                 fleet.setSourceReachable(fault.zones()::contains, true);
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/package-info.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/package-info.java
@@ -1,2 +1,2 @@
-/** Runs a timeline: sets up sources, relays and hollow sidecars, applies the faults, and measures each stage. */
+/** Runs a timeline: starts sources, relays and hollow sidecars, injects the faults, and measures each stage. */
 package topazvalve.hollowfleet.run;
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/CallQueue.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/CallQueue.java
@@ -1,11 +1,11 @@
 package topazvalve.hollowfleet.source;
 
 /**
- * A queue of calls to a service of bounded capacity, which processes them one after another. Has no clock: the
- * caller passes the time in nanoseconds.
+ * A queue of calls to a service of bounded capacity, which processes them one at a time. It has no clock: the caller
+ * passes the time in nanoseconds.
  */
 final class CallQueue {
-    /** Returned for a call that is rejected. */
+    /** Returned by {@link #add} for a rejected call. */
     static final long REJECTED = -1;
 
     private static final double NANOS_PER_SECOND = 1e9;
@@ -18,8 +18,8 @@
     /**
      * Creates an empty queue.
      *
-     * @param callsPerSecond the capacity; 0 is unbounded
-     * @param endpointsPerCall endpoints of a response that take the time of one call; 0 is unbounded
+     * @param callsPerSecond the capacity; 0 means unbounded
+     * @param endpointsPerCall number of endpoints in a response that take the time of one call; 0 means unbounded
      * @param timeoutNanos the longest wait; a call that would wait longer is rejected
      */
     CallQueue(double callsPerSecond, double endpointsPerCall, long timeoutNanos) {
@@ -32,7 +32,7 @@
      * Adds a call.
      *
      * @param endpoints the number of endpoints in its response
-     * @return when the call is answered, or {@link #REJECTED}; a rejected call takes no time
+     * @return the time at which the call is answered, or {@link #REJECTED}; a rejected call uses no capacity
      */
     long add(long nowNanos, int endpoints) {
         if (callsPerSecond == 0) {
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/ChangeLog.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/ChangeLog.java
@@ -3,13 +3,13 @@
 import java.util.ArrayDeque;
 import java.util.Iterator;
 
-/** The last changes of an endpoint list by revision; older ones are discarded. */
+/** The most recent changes of an endpoint list by revision; older ones are discarded. */
 final class ChangeLog {
     private final int maxChanges;
     private final ArrayDeque<LoggedChange> changes = new ArrayDeque<>();
     private long discardedRevision;
 
-    /** A change of one server and the revision of the list with it. */
+    /** A change of one server, with the revision of the list that includes it. */
     record LoggedChange(long revision, int server) {}
 
     ChangeLog(int maxChanges) {
@@ -34,7 +34,7 @@
         return revision > 0 && revision >= discardedRevision;
     }
 
-    /** Returns the changes after a revision, the oldest first; takes time for these alone. */
+    /** Returns the changes after a revision, oldest first, in time proportional to their number. */
     Iterable<LoggedChange> after(long revision) {
         ArrayDeque<LoggedChange> found = new ArrayDeque<>();
         Iterator<LoggedChange> newestFirst = changes.descendingIterator();
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/EndpointCatalog.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/EndpointCatalog.java
@@ -13,9 +13,9 @@
 import topazvalve.policy.EndpointStatus;
 
 /**
- * The endpoint list of one source in discovery's JSON: each server's newest entry, and the lines that are sent,
- * encoded once for all clients. Used on the source's event loop alone. Returned buffers of {@link #fullSnapshot}
- * and {@link #changesSince} belong to the catalog; a sender writes a retained duplicate.
+ * The endpoint list of one source in the JSON format of discovery: the newest entry of each server, and the lines to
+ * send, which are encoded once for all clients. Confined to the source's event loop. The buffers that
+ * {@link #fullSnapshot} and {@link #changesSince} return belong to the catalog; a sender writes a retained duplicate.
  */
 final class EndpointCatalog {
     private static final int HTTP_PORT = 8080;
@@ -35,8 +35,8 @@
     /**
      * Creates an empty list.
      *
-     * @param withEpoch whether lines carry the epoch
-     * @param zones the zones; server number i is in the zone at i modulo their count
+     * @param withEpoch whether lines include the epoch
+     * @param zones the zones; server i is in the zone with index i modulo their number
      */
     EndpointCatalog(int maxLoggedChanges, boolean withEpoch, String... zones) {
         this.log = new ChangeLog(maxLoggedChanges);
@@ -44,7 +44,7 @@
         this.zones = zones.clone();
     }
 
-    /** Applies a change, which becomes the next revision; {@code change} is its number in the history. */
+    /** Applies a change, which yields the next revision; {@code change} is its number in the history. */
     void apply(int server, EndpointStatus status, int change) {
         String entry = entryJson(server, status, change);
         if (status == EndpointStatus.REMOVED) {
@@ -59,7 +59,7 @@
         clearCache();
     }
 
-    /** Begins a new epoch at a revision, as after a restart of the source: the log is lost. */
+    /** Starts a new epoch at a revision, as after a restart of the source; the log of changes is discarded. */
     void restart(long newRevision) {
         log.clear(newRevision);
         removedEntries.clear();
@@ -72,23 +72,23 @@
         return revision;
     }
 
-    /** Returns the number of the source's incarnation; 0 if lines do not carry it. */
+    /** Returns the source's epoch, or 0 if lines do not include it. */
     long epoch() {
         return withEpoch ? epoch : 0;
     }
 
-    /** Returns whether a client with a revision can be sent changes alone. */
+    /** Returns whether a client at a revision can be sent a delta instead of a full snapshot. */
     boolean canResume(long fromRevision) {
         return log.covers(fromRevision) && fromRevision <= revision;
     }
 
-    /** Returns the number of endpoints in the response to a client with a revision. */
+    /** Returns the number of endpoints in the response to a client at a revision. */
     int endpointsInResponse(long fromRevision, boolean watching) {
         int size = entries.size();
         return watching && canResume(fromRevision) ? (int) Math.min(revision - fromRevision, size) : size;
     }
 
-    /** Returns the complete list in one line. */
+    /** Returns a full snapshot as one line. */
     ByteBuf fullSnapshot() {
         if (cachedSnapshot == null) {
             cachedSnapshot = line(true, entries.values());
@@ -96,7 +96,7 @@
         return cachedSnapshot;
     }
 
-    /** Returns all changes since a revision in one line, or the complete list if the revision is not known. */
+    /** Returns all changes since a revision as one line, or a full snapshot if the log does not cover the revision. */
     ByteBuf changesSince(long fromRevision) {
         return canResume(fromRevision)
                 ? cachedChanges.computeIfAbsent(fromRevision, this::encodeChanges)
@@ -113,7 +113,7 @@
         return entries.getOrDefault(server, removedEntries.get(server));
     }
 
-    /** Returns the changes since a revision, each in a line of its own; the buffer belongs to the caller. */
+    /** Returns the changes since a revision, one line each; the buffer belongs to the caller. */
     ByteBuf changeLinesSince(long fromRevision) {
         StringBuilder json = new StringBuilder();
         for (ChangeLog.LoggedChange change : log.after(fromRevision)) {
@@ -124,8 +124,8 @@
         return buffer(json);
     }
 
-    private ByteBuf line(boolean complete, Collection<String> endpoints) {
-        StringBuilder json = appendHead(new StringBuilder(), revision, complete);
+    private ByteBuf line(boolean full, Collection<String> endpoints) {
+        StringBuilder json = appendHead(new StringBuilder(), revision, full);
         String separator = "";
         for (String endpoint : endpoints) {
             json.append(separator).append(endpoint);
@@ -134,12 +134,12 @@
         return buffer(json.append(LINE_END));
     }
 
-    private StringBuilder appendHead(StringBuilder json, long lineRevision, boolean complete) {
+    private StringBuilder appendHead(StringBuilder json, long lineRevision, boolean full) {
         json.append("{\"rev\":").append(lineRevision);
         if (withEpoch) {
             json.append(",\"epoch\":").append(epoch);
         }
-        return json.append(",\"all\":").append(complete).append(",\"targets\":[");
+        return json.append(",\"all\":").append(full).append(",\"targets\":[");
     }
 
     private static ByteBuf buffer(StringBuilder text) {
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/HttpMessages.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/HttpMessages.java
@@ -4,9 +4,9 @@
 import io.netty.buffer.Unpooled;
 import java.nio.charset.StandardCharsets;
 
-/** HTTP response bytes that a source sends. Constants are never released. */
+/** Encoded HTTP responses of a source. Releasing one of the constants has no effect. */
 final class HttpMessages {
-    /** An empty line, which tells clients of a watch that it is alive. */
+    /** An empty line as a chunk, which shows the client of a watch that the watch is alive. */
     static final ByteBuf HEARTBEAT = constant("1\r\n\n\r\n");
 
     static final ByteBuf WATCH_HEAD =
@@ -24,20 +24,20 @@
                 Unpooled.directBuffer(text.length()).writeBytes(text.getBytes(StandardCharsets.US_ASCII)));
     }
 
-    /** Returns a complete response around a body, which is not copied. */
+    /** Returns a complete response with a body, which is not copied. */
     static ByteBuf response(ByteBuf body) {
         ByteBuf head =
                 ascii("HTTP/1.1 200 OK\r\ncontent-length: " + body.readableBytes() + "\r\nconnection: close\r\n\r\n");
         return Unpooled.wrappedBuffer(head, body.retainedDuplicate());
     }
 
-    /** Returns a chunk of a chunked response around some bytes, which are not copied. */
+    /** Returns a chunk of a chunked response with the given content, which is not copied. */
     static ByteBuf chunk(ByteBuf bytes) {
         ByteBuf length = ascii(Integer.toHexString(bytes.readableBytes()) + LINE_END);
         return Unpooled.wrappedBuffer(length, bytes.retainedDuplicate(), ascii(LINE_END));
     }
 
-    /** Returns a chunk in one contiguous buffer, which is cheaper to write many times; releases the bytes. */
+    /** Returns a chunk in a contiguous buffer, which is cheaper to write many times; releases the given bytes. */
     static ByteBuf contiguousChunk(ByteBuf bytes) {
         ByteBuf chunk = chunk(bytes);
         ByteBuf contiguous = Unpooled.directBuffer(chunk.readableBytes()).writeBytes(chunk);
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/SimulatedLink.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/SimulatedLink.java
@@ -4,10 +4,10 @@
  * The network between a source and the clients of one zone.
  *
  * @param kind the fault, if any
- * @param delayNanos how late each write is sent, for {@link Kind#SLOW}
+ * @param delayNanos the delay of each write, for {@link Kind#SLOW}
  */
 public record SimulatedLink(Kind kind, long delayNanos) {
-    /** What a link does; timeline files contain the constants' names. */
+    /** The behaviour of a link. The names of the constants appear in timeline files. */
     public enum Kind {
         /** No fault. */
         OPEN,
@@ -24,12 +24,12 @@
     /** A link without a fault. */
     public static final SimulatedLink OPEN = new SimulatedLink(Kind.OPEN, 0);
 
-    /** Returns whether no byte gets through. */
+    /** Returns whether no bytes pass in either direction. */
     public boolean isBlocked() {
         return kind == Kind.SILENT || kind == Kind.CUT;
     }
 
-    /** Returns whether a call over this link gets a list. */
+    /** Returns whether a call over this link is answered with a list. */
     public boolean isServing() {
         return kind == Kind.OPEN || kind == Kind.SLOW;
     }
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/SourceConnection.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/SourceConnection.java
@@ -12,9 +12,9 @@
 import java.util.List;
 
 /**
- * A client's connection to a source, which carries one call: a request for the complete list, or a watch. A watch
- * keeps the revision that was sent last instead of a queue; one that could not be written to for a while is sent
- * all changes since that revision at once.
+ * A client's connection to a source, which carries one call: a fetch of the full snapshot, or a watch. A watch has no
+ * queue of pending changes; it keeps the revision that was sent last. If its connection was not writable for a while,
+ * it is then sent all changes since that revision in one line.
  */
 final class SourceConnection extends SimpleChannelInboundHandler<Object> {
     private static final String PATH = "/discovery/hosts";
@@ -59,7 +59,7 @@
         channel.close();
     }
 
-    /** Adapts the connection to the present state of its zone's link. */
+    /** Applies the current state of its zone's link to the connection. */
     void linkChanged() {
         channel.config().setAutoRead(!source.link(zone).isBlocked());
         catchUpIfWritable();
@@ -80,13 +80,13 @@
         QueryStringDecoder uri = new QueryStringDecoder(request.uri());
         watchRequested = uri.parameters().containsKey("watch");
         fromRevision = parseFromRevision(uri);
-        long answerAtNanos = answerTime(uri.path());
-        if (answerAtNanos == CallQueue.REJECTED) {
+        long respondAtNanos = responseTimeNanos(uri.path());
+        if (respondAtNanos == CallQueue.REJECTED) {
             reject();
         } else if (source.hasUnboundedCapacity()) {
             respondOrQueue();
         } else {
-            source.schedule(this::respond, answerAtNanos - receivedAtNanos);
+            source.schedule(this::respond, respondAtNanos - receivedAtNanos);
         }
     }
 
@@ -99,7 +99,7 @@
         }
     }
 
-    private long answerTime(String path) {
+    private long responseTimeNanos(String path) {
         if (!path.equals(PATH) || source.link(zone).kind() == SimulatedLink.Kind.REFUSING) {
             return CallQueue.REJECTED;
         }
@@ -120,7 +120,7 @@
         write(HttpMessages.REJECTED).addListener(sent -> channel.close());
     }
 
-    /** Sends the complete list or the first line of a watch; the future completes when it has been sent. */
+    /** Sends the full snapshot or the first line of a watch; the future completes when it has been written. */
     ChannelFuture respond() {
         return watchRequested ? openWatch() : sendSnapshot();
     }
@@ -139,9 +139,9 @@
     }
 
     /**
-     * Sends new changes on a watch, if it can be written to.
+     * Sends new changes on a watch, if its connection is writable.
      *
-     * @param changes the chunk with the changes between the two revisions, for watches that have the first one
+     * @param changes a chunk with the changes between the two revisions, for watches that are at the first one
      */
     void sendChanges(long previousRevision, long revision, ByteBuf changes) {
         if (!isWritable()) {
@@ -155,7 +155,7 @@
         }
     }
 
-    /** Sends an empty line if it is this watch's turn. */
+    /** Sends a heartbeat if the tick falls into this watch's slot. */
     void sendHeartbeat(int heartbeatTick, int heartbeatSlots) {
         if ((heartbeatTick + heartbeatSlot) % heartbeatSlots == 0 && isWritable()) {
             catchUp();
@@ -188,7 +188,7 @@
         return written;
     }
 
-    /** Sends a duplicate of some bytes, delayed if the link is slow. */
+    /** Writes a duplicate of the given bytes, with a delay if the link is slow. */
     ChannelFuture write(ByteBuf bytes) {
         source.metrics().bytesSent(bytes.readableBytes());
         ByteBuf duplicate = bytes.retainedDuplicate();
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/SourceMetrics.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/SourceMetrics.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.LongAdder;
 
-/** Counters of a source, written on its event loop and read from any thread. */
+/** Counters of a source, updated on its event loop and readable from any thread. */
 public final class SourceMetrics {
     private static final long NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
 
@@ -15,7 +15,7 @@
     private long currentSecond;
     private int callsInCurrentSecond;
 
-    /** Counts a call; returns the calls in the current second so far. */
+    /** Counts a call; returns the number of calls so far in the current second. */
     int callReceived(long nowNanos) {
         calls.increment();
         long second = nowNanos / NANOS_PER_SECOND;
@@ -50,17 +50,17 @@
         return rejectedCalls.sum();
     }
 
-    /** Returns the bytes of all responses, including their heads but without TCP and IP headers. */
+    /** Returns the bytes of all responses, including HTTP headers but not TCP and IP headers. */
     public long sentBytes() {
         return sentBytes.sum();
     }
 
-    /** Returns the number of watches that are open now. */
+    /** Returns the number of open watches. */
     public int openWatches() {
         return openWatches;
     }
 
-    /** Returns the highest number of calls in a second since this was last requested. */
+    /** Returns the highest number of calls in one second since the previous call of this method. */
     public int takeMaxCallsPerSecond() {
         int max = maxCallsPerSecond;
         maxCallsPerSecond = 0;
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/SourceStandIn.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/SourceStandIn.java
@@ -16,21 +16,22 @@
 import topazvalve.policy.EndpointStatus;
 
 /**
- * A discovery source on loopback: complete lists, and watches with one JSON object a line and an empty line every
- * 2 s. It listens at one address for each zone, by which it knows the zone of a client. All state belongs to its
- * event loop; the public methods may be called from any thread unless they say otherwise.
+ * A stand-in for a discovery source, on loopback. It serves full snapshots, and watches with one JSON object per line
+ * and an empty line as heartbeat every 2 s. It listens on a separate address for each zone, which identifies the zone
+ * of a client. All state is confined to its event loop; public methods may be called from any thread unless stated
+ * otherwise.
  *
- * <p>The changes of one publishing interval are sent in one write, which is shared by all watches that are up to
- * date.
+ * <p>The changes of one publishing interval are sent in a single write, whose buffer is shared by all watches that are
+ * up to date.
  */
 public final class SourceStandIn {
     private static final long HEARTBEAT_INTERVAL_MILLIS = 2_000;
-    /** Heartbeats of the watches are spread over this many moments of the interval. */
+    /** The heartbeats of the watches are spread over this many slots of the heartbeat interval. */
     private static final int HEARTBEAT_SLOTS = 20;
 
     private static final long HEARTBEAT_SLOT_MILLIS = HEARTBEAT_INTERVAL_MILLIS / HEARTBEAT_SLOTS;
     private static final long PUBLISH_INTERVAL_MILLIS = 20;
-    private static final long LOWEST_REVISION = 1;
+    private static final long FIRST_REVISION = 1;
 
     private final EventLoop loop;
     private final ChangeHistory history;
@@ -52,9 +53,10 @@
     /**
      * Creates a source with an empty list that does not listen yet.
      *
-     * @param clock nanoseconds, the clock of {@code history}
+     * @param clock the clock of {@code history}, in nanoseconds
      * @param zones the zones, in the order of {@link EndpointCatalog}; each has a listening address
-     * @param callRateListener receives on the event loop, for each call, the calls in the current second so far
+     * @param callRateListener receives, on the event loop and for each call, the number of calls so far in the
+     *     current second
      */
     public SourceStandIn(
             EventLoop loop,
@@ -84,10 +86,10 @@
     }
 
     /**
-     * Listens for the clients of a zone. Not to be called on the event loop.
+     * Starts to listen for the clients of a zone. Must not be called on the event loop.
      *
-     * @param address where to listen; port 0 selects a free one
-     * @return the address with its port
+     * @param address the address to listen on; port 0 selects a free port
+     * @return the address with the actual port
      */
     public InetSocketAddress listen(int zone, InetSocketAddress address) {
         return listeners.listen(zone, address);
@@ -114,22 +116,22 @@
         return metrics;
     }
 
-    /** Changes a server's status; the change is published within the publishing interval. */
-    public void change(int server, EndpointStatus status) {
+    /** Changes a server's status. The change is published at the end of the publishing interval. */
+    public void changeStatus(int server, EndpointStatus status) {
         loop.execute(() -> {
             int change = history.add(server, status, clock.getAsLong());
             catalog.apply(server, status, change);
         });
     }
 
-    /** Returns the list's version after all earlier calls have taken effect. Not to be called on the event loop. */
+    /** Returns the list's version after all earlier calls took effect. Must not be called on the event loop. */
     public SourceVersion version() {
         return loop.submit(() -> new SourceVersion(catalog.epoch(), catalog.revision()))
                 .syncUninterruptibly()
                 .getNow();
     }
 
-    /** Publishes changes at once instead of at the end of the publishing interval. */
+    /** Publishes pending changes at once instead of at the end of the publishing interval. */
     public void publishNow() {
         loop.execute(this::publishAndExpireCalls);
     }
@@ -139,7 +141,7 @@
         loop.execute(() -> history.add(server, status, clock.getAsLong()));
     }
 
-    /** Injects a fault: sends a line to all watches that does not follow from the list. */
+    /** Injects a fault: sends an arbitrary line, which does not result from the list, to all watches. */
     public void injectLine(String line) {
         loop.execute(() -> {
             ByteBuf chunk = HttpMessages.chunk(HttpMessages.constant(line + "\n"));
@@ -148,8 +150,8 @@
         });
     }
 
-    /** Changes the network to the clients of a zone. */
-    public void changeLink(int zone, SimulatedLink link) {
+    /** Sets the state of the link to the clients of a zone. */
+    public void setLink(int zone, SimulatedLink link) {
         loop.execute(() -> {
             boolean cutEnds = links[zone].kind() == SimulatedLink.Kind.CUT && link.kind() != SimulatedLink.Kind.CUT;
             links[zone] = link;
@@ -177,14 +179,14 @@
     }
 
     /**
-     * Listens again after {@link #stop}, in a new epoch.
+     * Starts to listen again after {@link #stop}, in a new epoch.
      *
-     * @param lowerRevisions whether revisions begin again from 1; otherwise they go on
+     * @param lowerRevisions whether revisions start again from 1; otherwise they continue
      */
     public void restart(boolean lowerRevisions) {
         loop.execute(() -> {
             stopped = false;
-            catalog.restart(lowerRevisions ? LOWEST_REVISION : catalog.revision());
+            catalog.restart(lowerRevisions ? FIRST_REVISION : catalog.revision());
             publishedRevision = catalog.revision();
             listeners.reopen();
         });
@@ -218,7 +220,7 @@
         callRateListener.accept(metrics.callReceived(atNanos));
     }
 
-    /** Returns when a call is answered, or {@link CallQueue#REJECTED}. */
+    /** Returns the time at which a call is answered, or {@link CallQueue#REJECTED}. */
     long enqueueCall(long nowNanos, int endpoints) {
         return callQueue.add(nowNanos, endpoints);
     }
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/SourceStandInSettings.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/SourceStandInSettings.java
@@ -1,14 +1,15 @@
 package topazvalve.hollowfleet.source;
 
 /**
- * What a stand-in source can do.
+ * The settings of a stand-in source.
  *
- * @param callsPerSecond calls that it answers in a second; 0 is unbounded
- * @param endpointsPerCall endpoints of a response that take the time of one call; 0 is unbounded
+ * @param callsPerSecond number of calls that it can answer in one second; 0 means unbounded
+ * @param endpointsPerCall number of endpoints in a response that take the time of one call; 0 means unbounded
  * @param timeoutNanos the longest wait of a call before it is rejected
- * @param maxTransfers complete lists that are sent at the same time
- * @param withEpoch whether each line carries the number of the source's incarnation beside {@code rev}
- * @param maxLoggedChanges changes that are kept for clients that resume; a client further behind gets a complete list
+ * @param maxTransfers maximum number of full snapshots that are sent concurrently
+ * @param withEpoch whether each line includes the source's epoch in addition to {@code rev}
+ * @param maxLoggedChanges number of changes that are kept for clients that resume; a client that lacks more gets a
+ *     full snapshot
  */
 public record SourceStandInSettings(
         double callsPerSecond,
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/TransferQueue.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/TransferQueue.java
@@ -3,13 +3,13 @@
 import java.util.ArrayDeque;
 
 /**
- * Calls that wait for a complete list. Only a few lists are sent at the same time, so that each of them arrives
- * soon. Used on the source's event loop alone.
+ * Calls that wait for a full snapshot. The number of concurrent transfers is limited, so that each of them completes
+ * quickly. Confined to the source's event loop.
  */
 final class TransferQueue {
     private final int maxTransfers;
     private final ArrayDeque<SourceConnection> waiting = new ArrayDeque<>();
-    private int transfers;
+    private int activeTransfers;
 
     TransferQueue(int maxTransfers) {
         this.maxTransfers = maxTransfers;
@@ -21,19 +21,19 @@
     }
 
     private void startNext() {
-        while (transfers < maxTransfers && !waiting.isEmpty()) {
+        while (activeTransfers < maxTransfers && !waiting.isEmpty()) {
             SourceConnection next = waiting.remove();
             if (next.isActive()) {
-                transfers++;
+                activeTransfers++;
                 next.respond().addListener(sent -> {
-                    transfers--;
+                    activeTransfers--;
                     startNext();
                 });
             }
         }
     }
 
-    /** Rejects the waiting calls that were received before a time. */
+    /** Rejects waiting calls that were received before the given time. */
     void rejectReceivedBefore(long timeNanos) {
         while (!waiting.isEmpty() && waiting.peek().receivedAtNanos() < timeNanos) {
             waiting.remove().reject();
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/ZoneListeners.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/ZoneListeners.java
@@ -14,7 +14,7 @@
 /** The listening sockets of a source, one for each zone. */
 final class ZoneListeners {
     private static final int BACKLOG = 8_192;
-    /** Enough for any change, but only a part of a complete list. */
+    /** Holds any line of changes, but only part of a full snapshot. */
     private static final int SEND_BUFFER_BYTES = 64 << 10;
 
     private final EventLoop loop;
@@ -22,7 +22,7 @@
     private final InetSocketAddress[] addresses;
     private final Channel[] listeners;
 
-    /** Returns the handler of a new connection. */
+    /** Creates the handler of a new connection. */
     interface ConnectionAcceptor {
         ChannelHandler accept(Channel channel, int zone);
     }
@@ -34,7 +34,7 @@
         this.listeners = new Channel[zoneCount];
     }
 
-    /** Listens for the clients of a zone; returns the address with its port. Not to be called on the event loop. */
+    /** Listens for the clients of a zone; returns the actual address. Must not be called on the event loop. */
     InetSocketAddress listen(int zone, InetSocketAddress address) {
         Channel listener = bind(zone, address).syncUninterruptibly().channel();
         addresses[zone] = (InetSocketAddress) listener.localAddress();
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Listens at the same addresses again. */
+    /** Starts to listen on the same addresses again. */
     void reopen() {
         for (int zone = 0; zone < listeners.length; zone++) {
             if (addresses[zone] != null) {
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/package-info.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/package-info.java
@@ -1,2 +1,2 @@
-/** A stand-in for the discovery source with a bounded capacity and network faults. */
+/** A stand-in for the discovery source, with bounded capacity and simulated network faults. */
 package topazvalve.hollowfleet.source;
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/timeline/TimelineFile.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/timeline/TimelineFile.java
@@ -23,7 +23,7 @@
 import topazvalve.toml.Table;
 import topazvalve.toml.TomlFile;
 
-/** Reads a timeline from a TOML file. All problems of a file are reported at once, each with its line. */
+/** Reads a timeline from a TOML file. All problems of a file are reported together, each with its line. */
 public final class TimelineFile {
     private static final int MAX_COUNT = 20_000;
     private static final long NANOS_PER_SECOND = 1_000_000_000;
@@ -43,7 +43,7 @@
     /**
      * Reads the text of a file.
      *
-     * @param name stands for the file in messages
+     * @param name the file name to use in messages
      * @throws InvalidFileException if the text has problems
      */
     public static Timeline parse(String name, String text) {
@@ -52,7 +52,7 @@
 
     private static Timeline readTimeline(Table table) {
         String name = table.text("name", null);
-        String about = table.text("about", "-");
+        String description = table.text("about", "-");
         Size size = readSize(table.table("fleet"));
         SourceStandInSettings source = readSource(table.table("source"));
         RelayTierSize relays = readRelays(table.table("relays"));
@@ -61,7 +61,7 @@
         for (Table stageTable : table.tables("stage", 1)) {
             stages.add(readStage(stageTable, size, relays));
         }
-        return new Timeline(name, about, size, source, relays, budget, stages);
+        return new Timeline(name, description, size, source, relays, budget, stages);
     }
 
     private static Size readSize(Table table) {
@@ -75,7 +75,9 @@
                 table.integer("loops", 4, 1, 64),
                 table.duration("start_over", "0", "0", "5m"));
         if (size.sources() > size.regions()) {
-            table.addProblem("sources", "there are " + size.sources() + " of them, but regions = " + size.regions());
+            table.addProblem(
+                    "sources",
+                    "must not exceed regions: " + size.sources() + " sources, " + size.regions() + " regions");
         }
         return size;
     }
@@ -102,7 +104,7 @@
     }
 
     private static Stage readStage(Table table, Size size, RelayTierSize relays) {
-        // Messages list the keys in the order in which they are read.
+        // Error messages list the problems in the order in which the keys are read.
         LinkFault linkFault = readLinkFault(table, size);
         return new Stage(
                 table.text("name", null),
@@ -122,11 +124,11 @@
         SimulatedLink.Kind kind = table.choice(SimulatedLink.Kind.class, "link", SimulatedLink.Kind.OPEN);
         long delayNanos = table.duration("delay", "0", "0", "1m");
         if (delayNanos > 0 != (kind == SimulatedLink.Kind.SLOW)) {
-            table.addProblem("delay", "belongs to link = \"slow\", and has to be given there");
+            table.addProblem("delay", "required with link = \"slow\", not allowed otherwise");
         }
         List<Integer> zones = readZones(table, size);
         if (zones.isEmpty() == (kind != SimulatedLink.Kind.OPEN)) {
-            table.addProblem("link", "link and one of zones and regions belong together");
+            table.addProblem("link", "link and zones (or regions) must be given together");
         }
         return new LinkFault(new SimulatedLink(kind, delayNanos), zones);
     }
@@ -142,7 +144,7 @@
         return List.copyOf(zones);
     }
 
-    /** Reads numbers below a bound, which are written as texts: {@code ["0", "3"]}. */
+    /** Reads numbers below a bound, which are written as strings: {@code ["0", "3"]}. */
     private static List<Integer> readNumbers(Table table, String key, int bound) {
         List<Integer> numbers = new ArrayList<>();
         for (String text : table.strings(key, List.of())) {
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/timeline/package-info.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/timeline/package-info.java
@@ -1,2 +1,2 @@
-/** The size of a fleet and the faults that it is subjected to, read from an operator's file. */
+/** The size of a fleet and the faults to inject, read from an operator file. */
 package topazvalve.hollowfleet.timeline;
--- a/hollow-fleet/src/test/java/topazvalve/hollowfleet/ArchitectureTest.java
+++ b/hollow-fleet/src/test/java/topazvalve/hollowfleet/ArchitectureTest.java
@@ -8,9 +8,9 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** History and oracle use neither clock nor socket, and the module's packages have no cycles. */
+/** History and oracle use neither a clock nor sockets, and the packages of the module have no cycles. */
 class ArchitectureTest {
-    private static final JavaClasses FLEET = new ClassFileImporter()
+    private static final JavaClasses CLASSES = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("topazvalve.hollowfleet");
 
@@ -26,7 +26,7 @@
                 .callMethod(System.class, "nanoTime")
                 .orShould()
                 .callMethod(System.class, "currentTimeMillis")
-                .check(FLEET);
+                .check(CLASSES);
     }
 
     @Test
@@ -34,6 +34,6 @@
         slices().matching("topazvalve.hollowfleet.(*)..")
                 .should()
                 .beFreeOfCycles()
-                .check(FLEET);
+                .check(CLASSES);
     }
 }
--- a/hollow-fleet/src/test/java/topazvalve/hollowfleet/hollow/EndpointViewTest.java
+++ b/hollow-fleet/src/test/java/topazvalve/hollowfleet/hollow/EndpointViewTest.java
@@ -12,7 +12,7 @@
 import topazvalve.policy.EndpointStatus;
 import topazvalve.policy.UpdateKind;
 
-/** Updates of the endpoint list that is in force, and the replacements that they report. */
+/** Updates of a sidecar's endpoint list, and the entry replacements that they report. */
 class EndpointViewTest {
     private final ChangeHistory history = new ChangeHistory(3, 10);
     private final EndpointView view = new EndpointView(history);
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void serverMissingInAFullSnapshotIsRemovedByTheChangeThatSaysSo() {
+    void serverMissingInAFullSnapshotIsRemovedWithItsRemovalChange() {
         int first = history.add(0, EndpointStatus.READY, 0);
         int other = history.add(1, EndpointStatus.READY, 0);
         int removed = history.add(0, EndpointStatus.REMOVED, 5);
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void serverRemovedWithoutAChangeIsRemovedByTheChangeThatSaysSo() {
+    void serverRemovedWithoutAChangeIsRemovedWithItsRemovalChange() {
         int first = history.add(0, EndpointStatus.READY, 0);
         int removed = history.add(0, EndpointStatus.REMOVED, 5);
         apply(UpdateKind.FULL, endpoint(0, first, EndpointStatus.READY));
--- a/hollow-fleet/src/test/java/topazvalve/hollowfleet/oracle/FleetOracleTest.java
+++ b/hollow-fleet/src/test/java/topazvalve/hollowfleet/oracle/FleetOracleTest.java
@@ -10,7 +10,7 @@
 import topazvalve.hollowfleet.history.ChangeHistory;
 import topazvalve.policy.EndpointStatus;
 
-/** Each rule with a fault that violates it and no other rule, and what violates none. */
+/** Each rule is violated by its own fault and by no other; legal updates violate no rule. */
 class FleetOracleTest {
     private static final long SECOND = 1_000_000_000L;
     private final ChangeHistory history = new ChangeHistory(2, 10);
@@ -26,19 +26,19 @@
     }
 
     @Test
-    void reportsAnOlderEntryInPlaceOfANewerOne() {
+    void reportsAnEntryReplacedByAnOlderOne() {
         replaced(removed, EndpointStatus.REMOVED, draining, EndpointStatus.DRAINING, 3 * SECOND);
         assertEquals(Map.of(Rule.WENT_BACK, 1), oracle.counts());
     }
 
     @Test
-    void reportsADrainingServerThatIsReadyByAnOlderEntry() {
+    void reportsADrainingServerThatAnOlderChangeMadeReady() {
         replaced(draining, EndpointStatus.DRAINING, ready, EndpointStatus.READY, 3 * SECOND);
         assertEquals(Map.of(Rule.RETURNED, 1), oracle.counts());
     }
 
     @Test
-    void reportsARemovedServerThatIsReadyByTheSameChange() {
+    void reportsARemovedServerThatTheSameChangeMadeReady() {
         replaced(removed, EndpointStatus.REMOVED, removed, EndpointStatus.READY, 3 * SECOND);
         assertEquals(Map.of(Rule.RETURNED, 1), oracle.counts());
     }
@@ -52,14 +52,14 @@
     }
 
     @Test
-    void requiresTheNewestChangeThatIsOldEnough() {
+    void requiresTheNewestChangeOlderThanTheAllowedDelay() {
         assertArrayEquals(new int[] {removed, 0}, oracle.requiredChanges(28 * SECOND, server -> true));
         assertArrayEquals(new int[] {readyAgain, 0}, oracle.requiredChanges(29 * SECOND, server -> true));
         assertArrayEquals(new int[] {0, 0}, oracle.requiredChanges(29 * SECOND, server -> false));
-        assertFalse(oracle.isInForce(removed, draining, EndpointStatus.DRAINING));
-        assertFalse(oracle.isInForce(readyAgain, readyAgain, EndpointStatus.REMOVED), "missing in a full snapshot");
-        assertTrue(oracle.isInForce(removed, removed, EndpointStatus.REMOVED)
-                && oracle.isInForce(removed, readyAgain, EndpointStatus.READY));
+        assertFalse(oracle.isApplied(removed, draining, EndpointStatus.DRAINING));
+        assertFalse(oracle.isApplied(readyAgain, readyAgain, EndpointStatus.REMOVED), "missing in a full snapshot");
+        assertTrue(oracle.isApplied(removed, removed, EndpointStatus.REMOVED)
+                && oracle.isApplied(removed, readyAgain, EndpointStatus.READY));
         oracle.changesMissing(1, removed, 1, 12 * SECOND);
         assertEquals(Map.of(Rule.CHANGE_LATE, 1), oracle.counts());
     }
--- a/hollow-fleet/src/test/java/topazvalve/hollowfleet/run/FleetRunTest.java
+++ b/hollow-fleet/src/test/java/topazvalve/hollowfleet/run/FleetRunTest.java
@@ -17,12 +17,12 @@
 import topazvalve.policy.EndpointStatus;
 
 /**
- * Some hollow sidecars on real sockets. The tests do not depend on the machine's speed: they allow a minute for a
- * change, except the one that loses a change.
+ * Runs of small fleets on real sockets. The tests do not depend on the speed of the machine: they allow a minute for
+ * each change, except for the test that loses a change.
  */
 class FleetRunTest {
-    /** Loggers that would repeat each failure for every sidecar; references keep their levels from being collected. */
-    private static final List<Logger> NOISY_LOGGERS =
+    /** Loggers that would log each failure once per sidecar. Without these references, their levels could be lost. */
+    private static final List<Logger> REPETITIVE_LOGGERS =
             List.of(Logger.getLogger("discovery"), Logger.getLogger("source"), Logger.getLogger("relay"));
 
     private static final String FLEET = """
@@ -50,7 +50,7 @@
 
     @BeforeAll
     static void silenceLoggers() {
-        NOISY_LOGGERS.forEach(logger -> logger.setLevel(Level.OFF));
+        REPETITIVE_LOGGERS.forEach(logger -> logger.setLevel(Level.OFF));
     }
 
     private static Set<Rule> violatedRules(String text, int stages, Consumer<FleetRun> fault) {
@@ -135,45 +135,45 @@
     }
 
     @Test
-    void findsARepeatedOldLine() {
+    void reportsARepeatedOldLine() {
         assertEquals(Set.of(Rule.WENT_BACK), violatedRules(FLEET + ALLOWED + CHANGES, 1, run -> {
-            // Server 2 has change 3; 1 was server 0's.
+            // The latest change of server 2 is change 3; change 1 belongs to server 0.
             run.sources().source(0).injectLine(readyLine(2, 1));
-            run.sources().source(0).change(2, EndpointStatus.DRAINING);
+            run.sources().source(0).changeStatus(2, EndpointStatus.DRAINING);
         }));
     }
 
-    /** Returns a line in which a server is ready by a change. */
+    /** Returns a line that makes a server ready with the given change number. */
     private static String readyLine(int server, int change) {
         return "{\"rev\":60,\"all\":false,\"targets\":[{\"uid\":\"" + ServerNames.nameOf(server)
                 + "\",\"endpoint\":\"10.0.0.2:8080\",\"pod_group\":" + change + ",\"state\":\"SERVING\"}]}";
     }
 
     @Test
-    void findsADrainingServerThatBecameReady() {
+    void reportsADrainingServerThatBecameReady() {
         assertEquals(Set.of(Rule.RETURNED), violatedRules(FLEET + ALLOWED + CHANGES + CHANGES, 2, run -> {
-            run.sources().source(0).change(2, EndpointStatus.DRAINING);
+            run.sources().source(0).changeStatus(2, EndpointStatus.DRAINING);
             run.sources().source(0).publishNow();
             run.sources().source(0).injectLine(readyLine(2, 3));
-            run.sources().source(0).change(2, EndpointStatus.READY);
+            run.sources().source(0).changeStatus(2, EndpointStatus.READY);
         }));
     }
 
     @Test
-    void findsALostChange() {
+    void reportsALostChange() {
         String text = FLEET + "[allowed]\nlate = \"2s\"\n" + CHANGES.replace("60s", "6s");
         assertTrue(violatedRules(text, 1, run -> run.sources().source(0).loseChange(2, EndpointStatus.DRAINING))
                 .contains(Rule.CHANGE_LATE));
     }
 
     @Test
-    void findsMoreCallsThanTheSourceHasCapacityFor() {
+    void reportsMoreCallsThanTheCapacityOfTheSource() {
         String text = FLEET + "[source]\ncapacity = 100.0\n" + ALLOWED + CHANGES;
         assertEquals(Set.of(Rule.SERVING_RATE), violatedRules(text, 1, run -> {}));
     }
 
     @Test
-    void findsMoreBytesThanAllowed() {
+    void reportsMoreBytesThanTheBudget() {
         String text = FLEET + ALLOWED + "bytes_a_second = 1.0\nbytes_over = \"1s\"\n" + CHANGES.replace("500ms", "3s");
         assertEquals(Set.of(Rule.CONTROL_BYTES), violatedRules(text, 1, run -> {}));
     }
--- a/hollow-fleet/src/test/java/topazvalve/hollowfleet/run/PreflightTest.java
+++ b/hollow-fleet/src/test/java/topazvalve/hollowfleet/run/PreflightTest.java
@@ -8,7 +8,7 @@
 import topazvalve.hollowfleet.timeline.Timeline;
 import topazvalve.hollowfleet.timeline.TimelineFile;
 
-/** Resources that do not suffice are reported with what to raise and what to reduce. */
+/** Insufficient resources are reported with the limit to raise and the setting to change. */
 class PreflightTest {
     private static final String PORT_RANGE = "32768\t60999\n";
     private static final long ENOUGH_HEAP = 8L << 30;
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void reportsEachResourceThatDoesNotSuffice() {
+    void reportsEachInsufficientResource() {
         List<String> files = Preflight.check(timeline(5_700, 13), limits(1_024), PORT_RANGE, ENOUGH_HEAP);
         assertEquals(1, files.size(), files.toString());
         assertTrue(
--- a/hollow-fleet/src/test/java/topazvalve/hollowfleet/source/CallQueueTest.java
+++ b/hollow-fleet/src/test/java/topazvalve/hollowfleet/source/CallQueueTest.java
@@ -4,12 +4,12 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Times at which calls are answered, and calls that are rejected. */
+/** The times at which calls are answered, and the calls that are rejected. */
 class CallQueueTest {
     private static final long SECOND = 1_000_000_000L;
 
     @Test
-    void answersCallsInTurnAndRejectsAfterTheTimeout() {
+    void answersCallsInOrderAndRejectsThoseThatWouldExceedTheTimeout() {
         CallQueue queue = new CallQueue(4, 0, SECOND);
         for (int i = 1; i <= 5; i++) {
             assertEquals(i * SECOND / 4, queue.add(0, 100));
--- a/hollow-fleet/src/test/java/topazvalve/hollowfleet/timeline/TimelineFileTest.java
+++ b/hollow-fleet/src/test/java/topazvalve/hollowfleet/timeline/TimelineFileTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import topazvalve.toml.InvalidFileException;
 
-/** Reads timelines, and rejects them with file, line and key. */
+/** Timelines are read; problems in them are reported with file, line and key. */
 class TimelineFileTest {
     private static final String VALID = """
             name = "t"
@@ -47,7 +47,7 @@
         checkRejected(VALID.replace("hollow = 10", "hollow = \"ten\""), "t.toml:3", "fleet.hollow");
         checkRejected(VALID.replace("[\"1\"]", "[\"2\"]"), "t.toml:11", "is not a number from 0 to 1");
         checkRejected(VALID.replace("link = \"cut\"", "link = \"slow\""), "delay");
-        checkRejected(VALID.replace("regions = [\"1\"]", ""), "t.toml:10", "belong together");
+        checkRejected(VALID.replace("regions = [\"1\"]", ""), "t.toml:10", "must be given together");
         checkRejected(VALID.replace("regions = 2", "regions = 2\nsources = 3"), "t.toml:7", "fleet.sources");
     }
 
