--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/FleetReport.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/FleetReport.java
@@ -12,7 +12,7 @@
 import topazvalve.hollowfleet.run.StageResult.SourceLoad;
 import topazvalve.hollowfleet.timeline.Timeline;
 
-/** Prints the results of a run, beside what the timeline allows. */
+/** Prints the results of a run together with the budget of the timeline. */
 public final class FleetReport {
     private static final double MICROS_PER_MILLI = 1e3;
     private static final double NANOS_PER_SECOND = 1e9;
@@ -21,13 +21,13 @@
     private static final double BYTES_PER_MIB = 1_048_576;
     private static final int MIB_SHIFT = 20;
     private static final double PERCENT = 100;
-    /** What a sidecar may use of a core for discovery. */
-    private static final double ALLOWED_CORE_PERCENT = 2;
+    /** The CPU budget of a sidecar for discovery, in percent of a core. */
+    private static final double MAX_CORE_PERCENT = 2;
 
     private final Timeline timeline;
     private final PrintWriter out;
 
-    /** Creates a report of a timeline's run that has printed nothing. */
+    /** Creates a report for a run of a timeline; prints nothing yet. */
     public FleetReport(Timeline timeline, PrintWriter out) {
         this.timeline = timeline;
         this.out = out;
@@ -51,36 +51,38 @@
                 size.regions(),
                 seed);
         if (timeline.hasRelays()) {
-            String where = timeline.relays().separateProcesses() ? "each a process" : "in this process";
-            print("%d relays between them, %s%n", timeline.relays().count(), where);
+            String location = timeline.relays().separateProcesses() ? "in separate processes" : "in this process";
+            print(
+                    "%d relays between sources and sidecars, %s%n",
+                    timeline.relays().count(), location);
         }
         FleetBudget budget = timeline.budget();
         print(
-                "allowed: a change in force within %.1f s; %.0f bytes a second for control "
-                        + "over %d s; %.1f%% of a core%n",
+                "budget: changes applied within %.1f s; %.0f bytes per second for discovery, "
+                        + "averaged over %d s; %.1f%% of a core%n",
                 budget.maxChangeDelayNanos() / NANOS_PER_SECOND,
                 budget.bytesPerSecond(),
                 budget.windowSeconds(),
-                ALLOWED_CORE_PERCENT);
+                MAX_CORE_PERCENT);
         out.flush();
     }
 
     private String describeCapacity() {
         double callsPerSecond = timeline.source().callsPerSecond();
         return callsPerSecond == 0
-                ? " of unbounded capacity"
-                : String.format(Locale.ROOT, " of %.1f calls a second", callsPerSecond);
+                ? " with unbounded capacity"
+                : String.format(Locale.ROOT, " with a capacity of %.1f calls per second", callsPerSecond);
     }
 
     /** Prints the result of a stage. */
     public void printStage(StageResult result) {
         print(
-                "%n%s: %.1f s, %d changes, %d behind at its end%n",
+                "%n%s: %.1f s, %d changes, %d sidecars behind at the end%n",
                 result.name(), result.seconds(), result.changes(), result.behind());
-        printTimes("change in force", result.hollow().changeMicros());
-        printTimes("  made out of reach", result.hollow().catchUpMicros());
-        printTimes("start to answer", result.hollow().firstResponseMicros());
-        printTimes("start to whole list", result.hollow().fullListMicros());
+        printTimes("change applied", result.hollow().changeMicros());
+        printTimes("  catch-up", result.hollow().catchUpMicros());
+        printTimes("start to response", result.hollow().firstResponseMicros());
+        printTimes("start to full list", result.hollow().fullListMicros());
         printSources(result.sources());
         printHollowSidecar(result);
         printPackagedSidecar(result.packaged());
@@ -90,13 +92,13 @@
         out.flush();
     }
 
-    private void printTimes(String what, Histogram micros) {
+    private void printTimes(String label, Histogram micros) {
         if (micros.getTotalCount() == 0) {
             return;
         }
         print(
-                "  %-20s median %9.1f ms  99%% %9.1f ms  last %9.1f ms  (%d)%n",
-                what,
+                "  %-20s median %9.1f ms  99%% %9.1f ms  max %9.1f ms  (%d)%n",
+                label,
                 micros.getValueAtPercentile(50) / MICROS_PER_MILLI,
                 micros.getValueAtPercentile(99) / MICROS_PER_MILLI,
                 micros.getMaxValue() / MICROS_PER_MILLI,
@@ -105,8 +107,8 @@
 
     private void printSources(SourceLoad sources) {
         print(
-                "  sources: %d calls, %d of them refused, %d in the busiest second; %.2f MB "
-                        + "sent; %.2f cores the busiest%n",
+                "  sources: %d calls, %d rejected, at most %d per second at one source; %.2f MB "
+                        + "sent; busiest source %.2f cores%n",
                 sources.calls(),
                 sources.rejectedCalls(),
                 sources.maxCallsPerSecond(),
@@ -118,8 +120,8 @@
         int count = timeline.size().hollowSidecars();
         HollowSidecarMetrics hollow = result.hollow();
         print(
-                "  a hollow one: %.0f bytes a second (busiest window %.0f, busiest second "
-                        + "%d); %.3f%% of a core; heap of all %d MB%n",
+                "  hollow sidecar: %.0f bytes per second (busiest window %.0f, busiest second "
+                        + "%d); %.3f%% of a core; heap of this process %d MiB%n",
                 hollow.bytes() / result.seconds() / count,
                 hollow.maxBytesPerWindow() / (double) timeline.budget().windowSeconds(),
                 hollow.maxBytesPerSecond(),
@@ -130,7 +132,7 @@
     private void printPackagedSidecar(ProcessLoad packaged) {
         if (packaged.maxResidentBytes() > 0) {
             print(
-                    "  a packaged one: %.3f%% of a core; %.1f MB resident%n",
+                    "  packaged sidecar: %.3f%% of a core; %.1f MiB resident%n",
                     PERCENT * packaged.cores(), packaged.maxResidentBytes() / BYTES_PER_MIB);
         }
     }
@@ -138,27 +140,27 @@
     private void printRelays(ProcessLoad relays) {
         if (timeline.hasRelays()) {
             print(
-                    "  relays: %.2f cores in all; the largest has %d MB%n",
+                    "  relays: %.2f cores in total; largest %d MiB resident%n",
                     relays.cores(), relays.maxResidentBytes() >> MIB_SHIFT);
         }
     }
 
     private void printCpuPressure(double cpuPressure) {
         if (cpuPressure >= 0) {
-            print("  machine: something waited for a processor for %.0f%% of the time%n", PERCENT * cpuPressure);
+            print("  machine: some thread waited for a CPU for %.0f%% of the time%n", PERCENT * cpuPressure);
         }
     }
 
     private void printViolations(StageResult result) {
         if (!result.violations().isEmpty()) {
-            out.println("  found: "
+            out.println("  violations: "
                     + result.violations().entrySet().stream()
                             .map(violation -> violation.getKey() + " " + violation.getValue())
                             .collect(Collectors.joining(", ")));
         }
     }
 
-    /** Prints the first violations of each rule, the memory that the run uses, and the verdict. */
+    /** Prints the first violations of each rule, the memory usage of the run, and the number of violations. */
     public void printSummary(FleetOracle oracle) {
         out.println();
         for (Violation violation : oracle.examples()) {
@@ -167,7 +169,7 @@
                     violation.timeNanos() / NANOS_PER_SECOND, violation.rule(), violation.description());
         }
         printMemory();
-        out.println(oracle.counts().isEmpty() ? "oracle: no rule was broken" : "oracle: " + oracle.counts());
+        out.println(oracle.counts().isEmpty() ? "oracle: no violations" : "oracle: " + oracle.counts());
         out.flush();
     }
 
@@ -176,8 +178,8 @@
         Runtime runtime = Runtime.getRuntime();
         double usedBytes = runtime.totalMemory() - runtime.freeMemory();
         print(
-                "memory: %.0f MB of heap in use after a collection, %.1f KB for each hollow "
-                        + "one; this process has %d MB resident%n",
+                "memory: %.0f MiB of heap in use after garbage collection, %.1f KiB per hollow "
+                        + "sidecar; %d MiB resident in this process%n",
                 usedBytes / BYTES_PER_MIB,
                 usedBytes / BYTES_PER_KIB / timeline.size().hollowSidecars(),
                 ProcFiles.residentBytes(ProcessHandle.current().pid()) >> MIB_SHIFT);
