--- a/relay/src/main/java/topazvalve/relay/Main.java
+++ b/relay/src/main/java/topazvalve/relay/Main.java
@@ -9,20 +9,20 @@
 import org.slf4j.Logger;
 import topazvalve.logging.Logging;
 
-/** Entry point of the relay process: reads its file, starts the relay, and closes it at SIGTERM. */
+/** Entry point of the relay process: reads the relay's file, starts the relay and closes it on SIGTERM. */
 public final class Main {
     private static final Logger LOG = Logging.of("relay");
     private static final int EXIT_CANNOT_LISTEN = 1;
     private static final int EXIT_INVALID_CONFIGURATION = 2;
-    private static final long MAX_SHUTDOWN_MILLIS = 1_000;
+    private static final long SHUTDOWN_TIMEOUT_MILLIS = 1_000;
 
     private Main() {}
 
     /**
-     * Runs a relay until the process is ended. An invalid file ends the process with a log line for each
-     * problem and exit status 2; an address that can't be listened on ends it with 1.
+     * Runs a relay until the process is terminated. If the relay's file is invalid, logs each problem and exits with
+     * status 2; if the relay cannot listen on its address, exits with status 1.
      *
-     * @param args the path of the relay's file, alone
+     * @param args a single argument, the path of the relay's file
      */
     public static void main(String[] args) throws InterruptedException {
         RelaySettings settings;
@@ -43,13 +43,14 @@
                 Runtime.getRuntime().halt(EXIT_CANNOT_LISTEN);
             }
         });
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> relay.close().awaitUninterruptibly(MAX_SHUTDOWN_MILLIS)));
+        Runtime.getRuntime()
+                .addShutdownHook(new Thread(() -> relay.close().awaitUninterruptibly(SHUTDOWN_TIMEOUT_MILLIS)));
         group.terminationFuture().await();
     }
 
     private static RelaySettings readSettings(String[] args) throws IOException {
         if (args.length != 1) {
-            throw new IllegalArgumentException("one argument: the relay's file");
+            throw new IllegalArgumentException("expected one argument: the path of the relay's file");
         }
         return RelayFile.read(Path.of(args[0]));
     }
--- a/relay/src/main/java/topazvalve/relay/RelayFile.java
+++ b/relay/src/main/java/topazvalve/relay/RelayFile.java
@@ -13,7 +13,7 @@
 import topazvalve.toml.Table;
 import topazvalve.toml.TomlFile;
 
-/** Reads a relay's file, in TOML. This is the one place that knows the names of its keys. */
+/** Reads a relay's TOML file. Only this class knows the names of the file's keys. */
 public final class RelayFile {
     private static final int MAX_SUBSCRIBERS_LIMIT = 1_000_000;
     private static final int MIN_BUFFER_BYTES = 1 << 10;
@@ -27,16 +27,16 @@
      * Reads a file.
      *
      * @throws topazvalve.toml.InvalidFileException if the file has problems; it lists all of them
-     * @throws IOException if the file can't be read
+     * @throws IOException if the file cannot be read
      */
     public static RelaySettings read(Path file) throws IOException {
         return TomlFile.read(file, RelayFile::readSettings);
     }
 
     /**
-     * Reads the text of a file.
+     * Parses the text of a file.
      *
-     * @param name stands for the file in messages
+     * @param name the name of the file in messages
      * @throws topazvalve.toml.InvalidFileException if the text has problems; it lists all of them
      */
     public static RelaySettings parse(String name, String text) {
@@ -64,7 +64,7 @@
     private static List<SourceSettings> readSources(Table root) {
         List<Table> tables = root.tables("source", 1);
         if (tables.size() > VersionVector.MAX_SOURCES) {
-            root.addProblem("source", tables.size() + " are more than " + VersionVector.MAX_SOURCES);
+            root.addProblem("source", tables.size() + " sources exceed the maximum of " + VersionVector.MAX_SOURCES);
         }
         Set<String> names = new HashSet<>();
         List<SourceSettings> sources = new ArrayList<>();
@@ -76,10 +76,10 @@
         return List.copyOf(sources);
     }
 
-    private static void checkSourceName(Table table, String name, Set<String> namesSoFar) {
+    private static void checkSourceName(Table table, String name, Set<String> previousNames) {
         if (!VersionVector.SOURCE_NAME.matcher(name).matches()) {
-            table.addProblem("name", "\"" + name + "\" is not 1 to 32 small letters, digits, - and _");
-        } else if (!namesSoFar.add(name)) {
+            table.addProblem("name", "\"" + name + "\" is not 1 to 32 lowercase letters, digits, - and _");
+        } else if (!previousNames.add(name)) {
             table.addProblem("name", "\"" + name + "\" is given twice");
         }
     }
@@ -92,6 +92,7 @@
         return List.copyOf(addresses);
     }
 
+    /** Parses an address. Records a problem and returns a placeholder if the text is not an address. */
     private static InetSocketAddress parseAddress(Table table, String key, String text) {
         InetSocketAddress address = Addresses.parse(text);
         if (address == null) {
--- a/relay/src/main/java/topazvalve/relay/SourceReader.java
+++ b/relay/src/main/java/topazvalve/relay/SourceReader.java
@@ -17,8 +17,8 @@
 import topazvalve.discovery.state.SourceVersion;
 
 /**
- * Reads the JSON of a source. An entry is passed on with every field that it has, known to the relay or not,
- * on one line; only its {@code uid} and whether it is removed are read.
+ * Parses the JSON messages of a source. An entry is forwarded on one line with all of its fields, including those that
+ * the relay does not know; only its {@code uid} and whether it is removed are interpreted.
  */
 final class SourceReader {
     private static final Logger LOG = LoggerFactory.getLogger("source");
@@ -35,9 +35,9 @@
     private SourceReader() {}
 
     /**
-     * Reads one object, a snapshot or a delta, in UTF-8.
+     * Parses one JSON object in UTF-8, a snapshot or a delta.
      *
-     * @throws MalformedSourceMessageException if it is not JSON, or lacks what an endpoint list must have
+     * @throws MalformedSourceMessageException if it is not JSON or not a valid endpoint list
      * @throws IOException if it is not UTF-8
      */
     static Update read(byte[] json) throws IOException {
@@ -53,7 +53,7 @@
         long epoch = 0;
         boolean fullSnapshot = false;
         List<Entry> entries = null;
-        require(parser.nextToken() == JsonToken.START_OBJECT, "no object");
+        require(parser.nextToken() == JsonToken.START_OBJECT, "message is not a JSON object");
         while (parser.nextToken() == JsonToken.FIELD_NAME) {
             String key = parser.currentName();
             JsonToken value = parser.nextToken();
@@ -62,24 +62,26 @@
                 case "epoch" -> epoch = readInteger(parser, value);
                 case "all" -> fullSnapshot = value == JsonToken.VALUE_TRUE;
                 case "targets" -> {
-                    require(value == JsonToken.START_ARRAY, "targets is no list");
+                    require(value == JsonToken.START_ARRAY, "targets is not an array");
                     entries = readEntries(parser);
                 }
                 default -> parser.skipChildren();
             }
         }
-        require(revision >= 0 && epoch >= 0 && entries != null, "a line that is no list");
+        require(
+                revision >= 0 && epoch >= 0 && entries != null,
+                "rev or targets is missing, or rev or epoch is negative");
         return new Update(new SourceVersion(epoch, revision), fullSnapshot, entries);
     }
 
-    private static void require(boolean valid, String messageOtherwise) throws MalformedSourceMessageException {
+    private static void require(boolean valid, String message) throws MalformedSourceMessageException {
         if (!valid) {
-            throw new MalformedSourceMessageException(messageOtherwise);
+            throw new MalformedSourceMessageException(message);
         }
     }
 
     private static long readInteger(JsonParser parser, JsonToken value) throws IOException {
-        require(value == JsonToken.VALUE_NUMBER_INT, parser.currentName() + " is no whole number");
+        require(value == JsonToken.VALUE_NUMBER_INT, parser.currentName() + " is not an integer");
         return parser.getLongValue();
     }
 
@@ -90,10 +92,10 @@
             if (isValidUid(entry.uid())) {
                 entries.add(entry);
             } else {
-                LOG.warn("entry skipped, its uid is missing or too long: {}", entry.json());
+                LOG.warn("ignoring entry whose uid is missing or too long: {}", entry.json());
             }
         }
-        require(parser.currentToken() == JsonToken.END_ARRAY, "an entry that is no object");
+        require(parser.currentToken() == JsonToken.END_ARRAY, "targets contains an entry that is not an object");
         return entries;
     }
 
