--- a/relay/src/main/java/topazvalve/relay/Backfill.java
+++ b/relay/src/main/java/topazvalve/relay/Backfill.java
@@ -15,12 +15,12 @@
 import topazvalve.discovery.state.VersionVector;
 
 /**
- * Asks one source for the changes from before this relay began its log, so that subscribers which come with an
- * older version need no snapshot ({@code docs/design/relay.md}, "A relay's start"). One request at a time
- * serves all who wait for it. On the event loop alone.
+ * Requests the changes that precede this relay's log of a source, so that subscribers with an older version can be
+ * sent a delta instead of a snapshot ({@code docs/design/relay.md}, "A relay's start"). At most one request is in
+ * flight, and its answer serves all subscribers that wait for it. Used on the event loop only.
  */
 final class Backfill {
-    /** How many requests a relay makes to one source in its life. */
+    /** The maximum number of requests to one source during the lifetime of a relay. */
     static final int MAX_REQUESTS = 8;
 
     private static final Logger LOG = LoggerFactory.getLogger("source");
@@ -30,7 +30,7 @@
     private final EndpointStore store;
     private final SourceSubscription.Listener listener;
     private int requestsLeft = MAX_REQUESTS;
-    /** The request in flight; null while there is none. */
+    /** The request in flight; null if there is none. */
     private DiscoveryCall call;
 
     Backfill(EventLoop loop, String sourceName, EndpointStore store, SourceSubscription.Listener listener) {
@@ -41,11 +41,11 @@
     }
 
     /**
-     * Asks for the changes since {@code from}, unless a request is in flight already.
+     * Requests the changes since {@code from}, unless a request is already in flight.
      *
-     * @param from the version that a subscriber has; null if it has none of this source
+     * @param from the subscriber's version of this source; null if it has none
      * @param address the source's address
-     * @return whether there is an answer to wait for
+     * @return whether an answer is pending
      */
     boolean request(SourceVersion from, InetSocketAddress address) {
         if (!store.precedesLog(sourceName, from) || from.revision() == 0) {
@@ -69,7 +69,7 @@
         }
     }
 
-    /** Takes the first message of the answer; the call ends with it. */
+    /** Applies the first message of the answer and closes the call. */
     private final class AnswerListener implements DiscoveryCall.Listener {
         private final SourceVersion from;
 
@@ -84,8 +84,8 @@
 
         @Override
         public void heartbeatReceived() {
-            SourceVersion present = store.versions().versionOf(sourceName);
-            apply(new Update(present, false, List.of()));
+            SourceVersion current = store.versions().versionOf(sourceName);
+            apply(new Update(current, false, List.of()));
         }
 
         private void apply(Update update) {
@@ -93,7 +93,7 @@
             VersionVector before = store.versions();
             UpdateResult result = store.backfill(sourceName, from, update);
             if (update.fullSnapshot()) {
-                // The source's own log does not reach back so far: there is no use in further requests.
+                // The source's own log does not reach back to this version, so further requests would be useless.
                 requestsLeft = 0;
             }
             if (result == UpdateResult.UNCHANGED || result == UpdateResult.CHANGED) {
--- a/relay/src/main/java/topazvalve/relay/CatchUpService.java
+++ b/relay/src/main/java/topazvalve/relay/CatchUpService.java
@@ -10,14 +10,13 @@
 import topazvalve.discovery.state.VersionVector;
 
 /**
- * Sends subscribers the newest state and every change after it. {@link EndpointStore} decides what a subscriber
- * lacks; this class decides when it is sent, and parks a subscriber that can't be answered yet. On the event
- * loop alone.
+ * Brings subscribers up to date and forwards changes to them. {@link EndpointStore} decides what a subscriber lacks;
+ * this class decides when to send it, and parks a subscriber that cannot be answered yet. Used on the event loop only.
  */
 final class CatchUpService {
     /**
-     * How long a watch waits for its answer: less than a client waits, and more than from one heartbeat of a
-     * source to the next ({@code docs/design/relay.md}, "Versions never go back").
+     * The maximum time for which a watch is parked. It is shorter than the response timeout of clients and longer than
+     * the heartbeat interval of sources ({@code docs/design/relay.md}, "Versions never go back").
      */
     private static final long PARK_TIMEOUT_MILLIS = 2_250;
 
@@ -45,7 +44,7 @@
         this.metrics = metrics;
     }
 
-    /** Answers a request for the list without a watch. */
+    /** Answers a request that is not a watch. */
     void sendSnapshotAndClose(Subscriber subscriber) {
         Optional<ByteBuf> snapshot = store.isComplete() ? snapshots.acquire() : Optional.empty();
         if (snapshot.isPresent()) {
@@ -56,7 +55,7 @@
         }
     }
 
-    /** Sends a watch the newest state if it can be answered now; else parks or ends it. */
+    /** Sends a watch what it lacks if it can be answered now; otherwise parks, rejects or closes it. */
     void catchUp(Subscriber subscriber) {
         CatchUp due = store.catchUp(subscriber.versions());
         if (due == CatchUp.SNAPSHOT && sources.requestBackfill(subscriber.versions())) {
@@ -66,7 +65,7 @@
         } else if (due == CatchUp.DELTA) {
             sendDelta(subscriber);
         } else if (subscriber.isResponseStarted()) {
-            // It followed, and this relay has an older state now: another relay will serve it sooner.
+            // Already following, but this relay's state is older than the subscriber's: another relay serves it sooner.
             subscriber.close();
         } else {
             park(subscriber);
@@ -88,19 +87,22 @@
         }
     }
 
-    /** A relay with messages of every source since the watch was parked is up to date: the source has restarted. */
+    /**
+     * Returns whether to send a snapshot. If every source has sent a message since the watch was parked, this relay is
+     * up to date, and a subscriber that seems to be ahead has a version from before a restart of a source.
+     */
     private boolean isSnapshotDueAfterPark(CatchUp due) {
         return due == CatchUp.SNAPSHOT
                 || (due == CatchUp.AHEAD_OR_RESTARTED && sources.allActiveWithin(PARK_TIMEOUT_NANOS));
     }
 
     private void sendDelta(Subscriber subscriber) {
-        VersionVector newest = store.versions();
+        VersionVector current = store.versions();
         List<Entry> changes = store.changesSince(subscriber.versions());
         metrics.countDelta();
         subscriber.setUpToDate(true);
-        subscriber.setVersions(subscriber.versions().merge(newest));
-        subscriber.send(ChunkEncoder.encodeDelta(newest, changes));
+        subscriber.setVersions(subscriber.versions().merge(current));
+        subscriber.send(ChunkEncoder.encodeDelta(current, changes));
     }
 
     private void sendSnapshot(Subscriber subscriber) {
@@ -115,7 +117,7 @@
         subscriber.send(snapshot.get());
     }
 
-    /** Answers the parked watches that can be answered now. */
+    /** Answers those parked watches that can be answered now. */
     void retryParked() {
         subscribers.forEachParked(subscriber -> {
             CatchUp due = store.catchUp(subscriber.versions());
@@ -125,19 +127,19 @@
         });
     }
 
-    /** Sends every subscriber that follows what it lacks of the newest state. */
+    /** Sends every following subscriber what it lacks. */
     void catchUpFollowing() {
         subscribers.forEachFollowing(this::catchUp);
     }
 
-    /** Sends the newest state to a subscriber that missed changes and has now read what waited for it. */
+    /** Catches up a subscriber that missed changes while its write buffer was full. */
     void becameWritable(Subscriber subscriber) {
         if (subscriber.state() == Subscriber.State.FOLLOWING && !subscriber.isUpToDate()) {
             catchUp(subscriber);
         }
     }
 
-    /** Sends changes to every subscriber that follows. */
+    /** Sends a batch of changes to every following subscriber. */
     void deliver(ChangeBatch batch) {
         subscribers.forEachFollowing(subscriber -> deliver(batch, subscriber));
     }
@@ -165,7 +167,7 @@
         return before.equals(batch.from()) ? batch.to() : before.merge(batch.to());
     }
 
-    /** Sends a heartbeat to every subscriber that follows, if a source is healthy. */
+    /** Sends a heartbeat to every following subscriber if any source is healthy. */
     void sendHeartbeats() {
         if (!sources.isAnyHealthy()) {
             return;
--- a/relay/src/main/java/topazvalve/relay/ChangeBatch.java
+++ b/relay/src/main/java/topazvalve/relay/ChangeBatch.java
@@ -6,8 +6,8 @@
 /**
  * Changes that are sent together.
  *
- * @param from the versions that the changes follow on
- * @param to the versions that the changes lead to
- * @param encoded one chunk, owned by the batcher: who writes it retains a duplicate
+ * @param from the versions before the changes
+ * @param to the versions after the changes
+ * @param encoded the changes as one HTTP chunk, which the batcher owns; write a retained duplicate
  */
 record ChangeBatch(VersionVector from, VersionVector to, ByteBuf encoded) {}
--- a/relay/src/main/java/topazvalve/relay/ChangeBatcher.java
+++ b/relay/src/main/java/topazvalve/relay/ChangeBatcher.java
@@ -11,34 +11,34 @@
 import topazvalve.discovery.state.VersionVector;
 
 /**
- * Joins changes that follow each other closely into one line, because each line costs every subscriber. A
- * change after a quiet time goes out at once. On the event loop alone.
+ * Combines changes in quick succession into one delta, because each delta has a cost for every subscriber. A change
+ * after an idle interval is sent immediately. Used on the event loop only.
  */
 final class ChangeBatcher {
-    /** The least time from one batch to the next. */
+    /** The minimum time between two batches, in nanoseconds. */
     static final long MIN_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
     private final EventLoop loop;
     private final EndpointStore store;
     private final Consumer<ChangeBatch> receiver;
-    /** Changes that are still to be sent, by endpoint: the newest entry of each, in the order of change. */
+    /** The latest entry of each endpoint with an unsent change, by uid, in the order of the latest changes. */
     private final Map<String, Entry> pendingEntries = new LinkedHashMap<>();
-    /** The versions that the pending changes follow on; null while none are pending. */
+    /** The versions before the pending changes; null if there are none. */
     private VersionVector pendingFrom;
 
     private long lastFlushNanos = System.nanoTime() - MIN_INTERVAL_NANOS;
 
-    /** Creates a batcher; {@code receiver} gets each batch and may use it until it returns. */
+    /** Creates a batcher; {@code receiver} is called with each batch, which is valid only during the call. */
     ChangeBatcher(EventLoop loop, EndpointStore store, Consumer<ChangeBatch> receiver) {
         this.loop = loop;
         this.store = store;
         this.receiver = receiver;
     }
 
-    /** Adds the store's last changes; {@code from} are the versions before them. */
+    /** Adds the store's latest changes; {@code from} are the versions before them. */
     void add(List<Entry> entries, VersionVector from) {
         for (Entry entry : entries) {
-            // Removed first, so that the entry that changed last stands last.
+            // Removed first, so that an entry that changes again moves to the end.
             pendingEntries.remove(entry.uid());
             pendingEntries.put(entry.uid(), entry);
         }
--- a/relay/src/main/java/topazvalve/relay/ChunkEncoder.java
+++ b/relay/src/main/java/topazvalve/relay/ChunkEncoder.java
@@ -7,14 +7,14 @@
 import topazvalve.discovery.state.EndpointStore.Entry;
 import topazvalve.discovery.state.VersionVector;
 
-/** Encodes snapshots and deltas as lines of JSON, each line one HTTP chunk (RFC 9112, 7.1). */
+/** Encodes snapshots and deltas as one line of JSON each, in one HTTP chunk per line (RFC 9112, section 7.1). */
 final class ChunkEncoder {
-    /** An empty line, which says that nothing has changed. Shared: write a duplicate. */
+    /** An empty line, which means that nothing has changed. Shared: write a duplicate. */
     static final ByteBuf HEARTBEAT = Unpooled.unreleasableBuffer(ascii("1\r\n\n\r\n"));
-    /** The head of a response with a list. Shared: write a duplicate. */
+    /** The head of a response that carries an endpoint list. Shared: write a duplicate. */
     static final ByteBuf RESPONSE_HEAD = Unpooled.unreleasableBuffer(
             ascii("HTTP/1.1 200 OK\r\n" + "Content-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"));
-    /** The end of a response with a list. Shared: write a duplicate. */
+    /** The end of a response that carries an endpoint list. Shared: write a duplicate. */
     static final ByteBuf LAST_CHUNK = Unpooled.unreleasableBuffer(ascii("0\r\n\r\n"));
 
     private static final byte[] CHUNK_END = {'\r', '\n'};
@@ -27,12 +27,12 @@
         return Unpooled.wrappedBuffer(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** Encodes every live endpoint of a list at these versions. */
+    /** Encodes all live entries at the given versions. */
     static ByteBuf encodeSnapshot(VersionVector versions, List<Entry> entries) {
         return encode(versions, true, entries);
     }
 
-    /** Encodes the entries that changed on the way to these versions. */
+    /** Encodes the entries whose changes led to the given versions. */
     static ByteBuf encodeDelta(VersionVector versions, List<Entry> entries) {
         return encode(versions, false, entries);
     }
--- a/relay/src/main/java/topazvalve/relay/SnapshotCache.java
+++ b/relay/src/main/java/topazvalve/relay/SnapshotCache.java
@@ -7,23 +7,23 @@
 import topazvalve.discovery.state.EndpointStore;
 
 /**
- * Encodes the snapshot of an {@link EndpointStore} once for each of its states and shares the bytes among all
- * subscribers. It bounds the memory that slow readers of older snapshots hold. On the event loop alone.
+ * Encodes the snapshot of an {@link EndpointStore} once per state and shares the bytes among all subscribers. Limits
+ * the memory held by older snapshots that slow subscribers are still reading. Used on the event loop only.
  */
 final class SnapshotCache {
-    /** How many older snapshots may still be on their way to subscribers. */
+    /** The maximum number of older snapshots that are still being written to subscribers. */
     private static final int MAX_OLDER_SNAPSHOTS = 8;
 
     private final EndpointStore store;
     private final List<ByteBuf> olderSnapshots = new ArrayList<>();
-    /** The encoded present state; null until somebody needs it. */
+    /** The encoded current state; null until it is first acquired. */
     private ByteBuf current;
 
     SnapshotCache(EndpointStore store) {
         this.store = store;
     }
 
-    /** Notes that the store has changed: the next snapshot has to be encoded. */
+    /** Must be called when the store has changed; the next snapshot is then encoded anew. */
     void invalidate() {
         if (current != null) {
             olderSnapshots.add(current);
@@ -32,8 +32,8 @@
     }
 
     /**
-     * Returns the encoded present state, which the receiver has to release; empty while too many older
-     * snapshots are still being written.
+     * Returns the encoded current state, which the caller must release; empty while too many older snapshots are still
+     * being written.
      */
     Optional<ByteBuf> acquire() {
         if (current == null) {
@@ -47,7 +47,7 @@
     }
 
     private static boolean releaseIfWritten(ByteBuf snapshot) {
-        // The one reference that is left is the cache's own.
+        // The only remaining reference is the cache's own.
         boolean written = snapshot.refCnt() == 1;
         if (written) {
             snapshot.release();
--- a/relay/src/main/java/topazvalve/relay/Subscriber.java
+++ b/relay/src/main/java/topazvalve/relay/Subscriber.java
@@ -14,43 +14,43 @@
 import topazvalve.discovery.state.VersionVector;
 
 /**
- * One connection to the relay: its request is read, within bounds of time and size, and answered; a watch
- * stays open. It knows which versions its peer has; what is sent is decided by its {@link Listener}. On the
- * event loop alone.
+ * One connection to the relay. It reads a request within limits of time and size, sends the response, and keeps a
+ * watch open. It keeps track of the peer's versions; its {@link Listener} decides what is sent. Used on the event loop
+ * only.
  */
 final class Subscriber extends SimpleChannelInboundHandler<HttpObject> {
-    /** A connection whose request has not come by then is closed. */
+    /** The time after which a connection without a request is closed. */
     private static final long REQUEST_TIMEOUT_MILLIS = 2_000;
-    /** How much may follow a request: nothing is expected, so that a little is ignored. */
+    /** The maximum size of data after a request. None is expected; a small amount is ignored. */
     private static final int MAX_TRAILING_BYTES = 8 << 10;
 
-    /** Where a connection stands. */
+    /** The state of a connection. */
     enum State {
-        /** Its request is still to come. */
+        /** The request has not been received yet. */
         AWAITING_REQUEST,
-        /** It has a watch that can't be answered yet: its versions and this relay's do not fit. */
+        /** The request is a watch that cannot be answered yet from this relay's versions. */
         PARKED,
-        /** It has a watch that was answered. */
+        /** The request is a watch that was answered. */
         FOLLOWING,
-        /** Its last bytes are on their way, or it is closed. */
+        /** The last bytes are being written, or the connection is closed. */
         CLOSING
     }
 
-    /** Gets the events of all connections, on the event loop. */
+    /** Is notified of the events of all connections, on the event loop. */
     interface Listener {
-        /** A connection was accepted. */
+        /** Called when a connection was accepted. */
         void connected(Subscriber subscriber);
 
-        /** The head of a request has come. */
+        /** Called when the head of a request was received. */
         void requestReceived(Subscriber subscriber, HttpRequest request);
 
-        /** What has come is not HTTP, or is too large. */
+        /** Called when the received data is not HTTP or too large. */
         void malformedRequestReceived(Subscriber subscriber);
 
-        /** The peer has taken what waited for it. */
+        /** Called when the write buffer has drained after it was full. */
         void becameWritable(Subscriber subscriber);
 
-        /** The connection has ended. */
+        /** Called when the connection was closed. */
         void disconnected(Subscriber subscriber);
     }
 
@@ -58,14 +58,14 @@
     private final RelayMetrics metrics;
     private final Channel channel;
     private State state = State.AWAITING_REQUEST;
-    /** Ends the wait for a request, or for the answer of a parked watch. */
+    /** The timeout of the request, or of a parked watch. */
     private Future<?> timeout;
 
     private VersionVector versions = VersionVector.NONE;
     private boolean upToDate;
     private boolean responseStarted;
     private long trailingBytes;
-    /** When the peer last took bytes while some were waiting. */
+    /** When the connection was opened or its writability last changed. */
     private long lastProgressNanos;
 
     Subscriber(Listener listener, RelayMetrics metrics, Channel channel) {
@@ -78,7 +78,7 @@
         return state;
     }
 
-    /** Returns the versions that the peer has once it has read all that was sent. */
+    /** Returns the versions that the peer has once it has read everything that was sent. */
     VersionVector versions() {
         return versions;
     }
@@ -87,7 +87,7 @@
         versions = newVersions;
     }
 
-    /** Returns whether all that this relay has was sent; false once the peer was too slow for a change. */
+    /** Returns whether the newest state was sent; false once a change was skipped because the buffer was full. */
     boolean isUpToDate() {
         return upToDate;
     }
@@ -96,17 +96,17 @@
         upToDate = newUpToDate;
     }
 
-    /** Returns whether the head of a response with a list was sent: no other response can follow. */
+    /** Returns whether the head of a response with an endpoint list was sent, so that no other response can follow. */
     boolean isResponseStarted() {
         return responseStarted;
     }
 
-    /** Returns whether less waits to be written than the subscriber's buffer may hold. */
+    /** Returns whether the write buffer has room. */
     boolean isWritable() {
         return channel.isWritable();
     }
 
-    /** Returns for how many milliseconds the peer has taken nothing of what waits for it; 0 if it is writable. */
+    /** Returns for how many milliseconds the write buffer has been full; 0 if there is room. */
     long stalledMillis() {
         return isWritable() ? 0 : TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - lastProgressNanos);
     }
@@ -147,10 +147,10 @@
     }
 
     /**
-     * Lets a watch wait for its answer; does nothing if it waits already.
+     * Parks a watch until it can be answered; does nothing if it is already parked.
      *
-     * @param timeoutMillis how long it waits at most
-     * @param onTimeout runs after that unless the watch was answered or ended before
+     * @param timeoutMillis the maximum time for which it is parked, in milliseconds
+     * @param onTimeout runs after that time unless the watch was answered or closed before
      */
     void park(long timeoutMillis, Runnable onTimeout) {
         if (state == State.PARKED) {
@@ -168,7 +168,7 @@
                         TimeUnit.MILLISECONDS);
     }
 
-    /** Sends a chunk of a watch and releases it; the first one is the answer to the watch. */
+    /** Sends a chunk of a watch's response and releases it; the first chunk answers the watch. */
     void send(ByteBuf chunk) {
         timeout.cancel(false);
         state = State.FOLLOWING;
@@ -205,7 +205,7 @@
         channel.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
     }
 
-    /** Closes the connection at once; a sidecar that followed goes to its next relay. */
+    /** Closes the connection immediately; a sidecar that follows this relay fails over to its next one. */
     void close() {
         state = State.CLOSING;
         channel.close();
--- a/relay/src/main/java/topazvalve/relay/SubscriberRegistry.java
+++ b/relay/src/main/java/topazvalve/relay/SubscriberRegistry.java
@@ -7,8 +7,8 @@
 import java.util.function.Consumer;
 
 /**
- * The open connections of a relay, in the order in which they came. Subscribers may be closed while they are
- * visited. On the event loop alone.
+ * The open connections of a relay, in the order in which they were accepted. Subscribers may be closed while they are
+ * visited. Used on the event loop only.
  */
 final class SubscriberRegistry {
     private static final Set<Subscriber.State> FOLLOWING = EnumSet.of(Subscriber.State.FOLLOWING);
@@ -42,7 +42,7 @@
                 .count();
     }
 
-    /** Returns whether more connections are open than may be. */
+    /** Returns whether more connections are open than the maximum. */
     boolean isOverLimit() {
         return subscribers.size() > maxSubscribers;
     }
@@ -57,7 +57,7 @@
         forEachIn(FOLLOWING, visitor);
     }
 
-    /** Visits the subscribers whose watch waits for its first answer. */
+    /** Visits the subscribers whose watch is parked. */
     void forEachParked(Consumer<Subscriber> visitor) {
         forEachIn(PARKED, visitor);
     }
@@ -69,7 +69,7 @@
 
     private void forEachIn(Set<Subscriber.State> states, Consumer<Subscriber> visitor) {
         for (Subscriber subscriber : List.copyOf(subscribers)) {
-            // A visit may change the state of others: each is looked at when its turn comes.
+            // A visit may change the state of other subscribers, so each state is checked just before the visit.
             if (states.contains(subscriber.state())) {
                 visitor.accept(subscriber);
             }
