--- a/relay/src/main/java/topazvalve/relay/DiscoveryRelay.java
+++ b/relay/src/main/java/topazvalve/relay/DiscoveryRelay.java
@@ -13,13 +13,13 @@
 import topazvalve.relay.RelaySettings.SourceSettings;
 
 /**
- * One relay: watches its sources and serves their endpoints to many subscribers. One event loop owns all of
- * its state.
+ * A relay: watches its sources and serves their endpoints to many subscribers. All of its state is confined to one
+ * event loop.
  *
- * <p>This class joins the parts: {@link SourceGroup} feeds the {@link EndpointStore}; {@link CatchUpService}
- * sends subscribers what they lack, through {@link ChangeBatcher} and {@link SnapshotCache};
- * {@link RequestHandler} admits connections; {@link SourceHealthMonitor} ends subscriptions once no source is
- * healthy, so that the subscribers find another relay or keep the list that they have.
+ * <p>This class connects the components: {@link SourceGroup} feeds the {@link EndpointStore}; {@link CatchUpService}
+ * sends subscribers what they lack, using {@link ChangeBatcher} and {@link SnapshotCache}; {@link RequestHandler}
+ * admits connections; {@link SourceHealthMonitor} ends subscriptions once no source is healthy, so that subscribers
+ * fail over to another relay or keep their current list.
  */
 public final class DiscoveryRelay {
     private static final long HEARTBEAT_INTERVAL_MILLIS = 2_000;
@@ -40,12 +40,12 @@
     private final RelayServer server;
 
     /**
-     * Creates a relay that does nothing before {@link #start}.
+     * Creates a relay that {@link #start} starts.
      *
-     * @param loop owns the relay's state and does all of its work
-     * @param settings as read from the relay's file
-     * @param seed for the relay's random delays; relays of one tier need different ones, so that they do not
-     *     return to a lost source in step
+     * @param loop the event loop that the relay runs on
+     * @param settings the settings, as read from the relay's file
+     * @param seed the seed of the relay's random delays; relays of one tier need different seeds, so that they do not
+     *     reconnect to a lost source at the same time
      */
     public DiscoveryRelay(EventLoop loop, RelaySettings settings, long seed) {
         this.loop = loop;
@@ -70,7 +70,7 @@
         server = new RelayServer(loop, settings, channel -> new Subscriber(requestHandler, metrics, channel));
     }
 
-    /** Starts to watch the sources and to listen; the future is done once subscribers can connect. */
+    /** Starts to watch the sources and to listen; the future completes once subscribers can connect. */
     public ChannelFuture start() {
         loop.execute(sources::start);
         loop.scheduleAtFixedRate(
@@ -80,14 +80,14 @@
         return server.start();
     }
 
-    /** Returns the address that the relay listens on; from any thread, once {@link #start}'s future is done. */
+    /** Returns the listen address. May be called on any thread once the future of {@link #start} is complete. */
     public InetSocketAddress address() {
         return server.address();
     }
 
     /**
-     * Closes the listening socket and every connection, as the end of the process would. From any thread; the
-     * future is done once the event loop has closed them.
+     * Closes the listening socket and all connections, as the end of the process would. May be called on any thread;
+     * the future completes once the event loop has closed them.
      */
     public Future<?> close() {
         return loop.submit(() -> {
@@ -113,7 +113,7 @@
         subscribers.forEachWatching(subscriber -> rejector.disconnect(subscriber, RejectionReason.NO_HEALTHY_SOURCE));
     }
 
-    /** Passes updates of the store on to the subscribers. */
+    /** Forwards updates of the store to the subscribers. */
     private final class SourceListener implements SourceSubscription.Listener {
         @Override
         public void updateApplied(UpdateResult result, VersionVector before) {
@@ -123,7 +123,7 @@
             snapshots.invalidate();
             catchUp.retryParked();
             if (result == UpdateResult.FIRST_UPDATE) {
-                // What this source's first list changes for a subscriber depends on the versions it has.
+                // What the first snapshot of a source changes for a subscriber depends on the subscriber's versions.
                 catchUp.catchUpFollowing();
             } else {
                 batcher.add(store.changedEntries(), before);
--- a/relay/src/main/java/topazvalve/relay/DiscoveryRequest.java
+++ b/relay/src/main/java/topazvalve/relay/DiscoveryRequest.java
@@ -9,14 +9,14 @@
 /**
  * A request for the endpoint list.
  *
- * @param watch whether changes are to follow on the same connection
- * @param from the revision that the subscriber has, as clients count that know of no sources; 0 for none
- * @param versions the version that the subscriber has of each source; empty where it does not say
+ * @param watch whether the connection stays open and receives changes
+ * @param from the subscriber's revision, sent by clients that do not know sources; 0 for none
+ * @param versions the subscriber's version of each source; empty if not given
  */
 record DiscoveryRequest(boolean watch, long from, VersionVector versions) {
     private static final Pattern REVISION = Pattern.compile("[0-9]{1,18}");
 
-    /** Reads a request's query; throws {@link InvalidRequestException} with status 400 if it can't be read. */
+    /** Parses a request's query; throws {@link InvalidRequestException} with status 400 if it is invalid. */
     static DiscoveryRequest parse(QueryStringDecoder uri) throws InvalidRequestException {
         try {
             String from = parameter(uri, "from", "0");
@@ -27,7 +27,7 @@
             VersionVector versions = VersionVector.parse(parameter(uri, "versions", ""));
             return new DiscoveryRequest(watch, Long.parseLong(from), versions);
         } catch (IllegalArgumentException e) {
-            // A wrong escape in the query, or a wrong version.
+            // An invalid escape sequence in the query, or an invalid version.
             throw badRequest(e.getMessage(), e);
         }
     }
--- a/relay/src/main/java/topazvalve/relay/InvalidRequestException.java
+++ b/relay/src/main/java/topazvalve/relay/InvalidRequestException.java
@@ -2,7 +2,7 @@
 
 import io.netty.handler.codec.http.HttpResponseStatus;
 
-/** A request that can't be served as it is. The message says why, and is sent to who made the request. */
+/** A request is invalid. The message gives the reason and is sent to the client. */
 final class InvalidRequestException extends Exception {
     private static final long serialVersionUID = 1;
     private final transient HttpResponseStatus status;
@@ -17,7 +17,6 @@
         this.status = status;
     }
 
-    /** Returns the status of the response. */
     HttpResponseStatus status() {
         return status;
     }
--- a/relay/src/main/java/topazvalve/relay/MalformedSourceMessageException.java
+++ b/relay/src/main/java/topazvalve/relay/MalformedSourceMessageException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A source has sent something that is not an endpoint list; the message says what is wrong with it. */
+/** A source has sent a message that is not a valid endpoint list; the exception's message gives the reason. */
 final class MalformedSourceMessageException extends IOException {
     private static final long serialVersionUID = 1;
 
--- a/relay/src/main/java/topazvalve/relay/MetricsPage.java
+++ b/relay/src/main/java/topazvalve/relay/MetricsPage.java
@@ -2,7 +2,7 @@
 
 import topazvalve.discovery.state.EndpointStore;
 
-/** Writes all metrics of a relay, gauges first, as {@code key=value} lines; {@code docs/relay.md} has the keys. */
+/** Renders all metrics of a relay as {@code key=value} lines, gauges first; {@code docs/relay.md} lists the keys. */
 final class MetricsPage {
     private final SubscriberRegistry subscribers;
     private final EndpointStore store;
@@ -16,7 +16,7 @@
         this.metrics = metrics;
     }
 
-    /** Returns the page as it is now. */
+    /** Returns the page with the current values. */
     String render() {
         MetricsText page = new MetricsText();
         page.add("callers", subscribers.count());
--- a/relay/src/main/java/topazvalve/relay/MetricsText.java
+++ b/relay/src/main/java/topazvalve/relay/MetricsText.java
@@ -1,20 +1,20 @@
 package topazvalve.relay;
 
-/** The text of a metrics page: one {@code key=value} line for each metric, in the order in which they are added. */
+/** Builds the text of a metrics page: one {@code key=value} line per metric, in the order in which they are added. */
 final class MetricsText {
     private final StringBuilder lines = new StringBuilder();
 
-    /** Adds a metric whose value is a number. */
+    /** Adds a numeric metric. */
     void add(String key, long value) {
         add(key, Long.toString(value));
     }
 
-    /** Adds a metric whose value is a text without line ends. */
+    /** Adds a text metric; the value must not contain line breaks. */
     void add(String key, String value) {
         lines.append(key).append('=').append(value).append('\n');
     }
 
-    /** Returns all lines that were added. */
+    /** Returns all lines added so far. */
     @Override
     public String toString() {
         return lines.toString();
--- a/relay/src/main/java/topazvalve/relay/RejectionReason.java
+++ b/relay/src/main/java/topazvalve/relay/RejectionReason.java
@@ -6,11 +6,11 @@
     TOO_MANY_SUBSCRIBERS("full\n"),
     /** Too many older snapshots are still being written to slow subscribers. */
     TOO_MANY_SNAPSHOTS("too many whole lists are being sent\n"),
-    /** No source is healthy, so that the relay can't say that its list is fresh. */
+    /** No source is healthy, so the relay cannot tell whether its list is up to date. */
     NO_HEALTHY_SOURCE("no source is heard\n"),
-    /** Some source has not sent a snapshot yet, so that the list would lack its endpoints. */
+    /** A source has not sent a snapshot yet, so the list would lack its endpoints. */
     INCOMPLETE_LIST("not every source was heard yet\n"),
-    /** The subscriber has a newer version than this relay. */
+    /** The subscriber has a later version than this relay. */
     SUBSCRIBER_AHEAD("behind what you have\n");
 
     private final String responseBody;
--- a/relay/src/main/java/topazvalve/relay/RelayMetrics.java
+++ b/relay/src/main/java/topazvalve/relay/RelayMetrics.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * Counters of one relay since it started. The names in the code are the current terms; the keys of the page, which
- * {@link #addTo} maps them to, are older and stay. On the event loop alone.
+ * Counters of a relay since its start. {@link #addTo} maps them to the keys of the metrics page; some of the keys use
+ * older terms than the code and are kept unchanged. Used on the event loop only.
  */
 final class RelayMetrics {
     private final Map<RejectionReason, Long> rejected = new EnumMap<>(RejectionReason.class);
@@ -17,42 +17,42 @@
     private long stalledSubscribers;
     private long bytesSent;
 
-    /** Counts a request for the endpoint list, accepted or not. */
+    /** Counts a valid request for the endpoint list, whether it is served or rejected. */
     void countListRequest() {
         listRequests++;
     }
 
-    /** Counts a request that was answered with 400. */
+    /** Counts a request that is answered with status 400. */
     void countInvalidRequest() {
         invalidRequests++;
     }
 
-    /** Counts a request or subscription that was ended for this reason. */
+    /** Counts a request or subscription that is rejected for this reason. */
     void countRejected(RejectionReason reason) {
         rejected.merge(reason, 1L, Long::sum);
     }
 
-    /** Counts a snapshot that was sent to one subscriber. */
+    /** Counts a snapshot sent to one subscriber. */
     void countSnapshot() {
         snapshotsSent++;
     }
 
-    /** Counts a delta that was sent to one subscriber. */
+    /** Counts a delta sent to one subscriber. */
     void countDelta() {
         deltasSent++;
     }
 
-    /** Counts a subscriber that could not be sent a change and gets the newest state once it is writable. */
+    /** Counts a subscriber that misses a change because its buffer is full; it catches up once it is writable. */
     void countLagging() {
         laggingSubscribers++;
     }
 
-    /** Counts a subscriber that was closed because it took no byte for too long. */
+    /** Counts a subscriber that is closed because its buffer has been full for too long. */
     void countStalled() {
         stalledSubscribers++;
     }
 
-    /** Counts bytes of responses with lists. */
+    /** Counts bytes of responses that carry endpoint lists. */
     void countBytes(int bytes) {
         bytesSent += bytes;
     }
--- a/relay/src/main/java/topazvalve/relay/RelayServer.java
+++ b/relay/src/main/java/topazvalve/relay/RelayServer.java
@@ -13,24 +13,25 @@
 import java.net.InetSocketAddress;
 import java.util.function.Function;
 
-/** Listens for subscribers. */
+/** Accepts the connections of subscribers. */
 final class RelayServer {
     private static final int MAX_REQUEST_HEAD_BYTES = 4 << 10;
     private static final int ACCEPT_BACKLOG = 1_024;
+    private static final int LOW_WATER_MARK_DIVISOR = 4;
 
     private final EventLoop loop;
     private final RelaySettings settings;
     private final Function<Channel, ChannelHandler> handlerFactory;
     private Channel listeningChannel;
 
-    /** Creates a server; {@code handlerFactory} makes the handler of each connection. */
+    /** Creates a server; {@code handlerFactory} creates the handler of each connection. */
     RelayServer(EventLoop loop, RelaySettings settings, Function<Channel, ChannelHandler> handlerFactory) {
         this.loop = loop;
         this.settings = settings;
         this.handlerFactory = handlerFactory;
     }
 
-    /** Binds the settings' address; the future is done once subscribers can connect. */
+    /** Binds the listen address of the settings; the future completes once subscribers can connect. */
     ChannelFuture start() {
         ChannelFuture bound = new ServerBootstrap()
                 .group(loop)
@@ -50,22 +51,22 @@
         return bound;
     }
 
-    /** A subscriber is too slow once its buffer is full, and may catch up once that is empty but for a quarter. */
+    /** A subscriber is not writable once its buffer is full, until the buffer has drained to a quarter. */
     private WriteBufferWaterMark waterMark() {
         int highBytes = settings.subscriberBufferBytes();
-        return new WriteBufferWaterMark(highBytes / 4, highBytes);
+        return new WriteBufferWaterMark(highBytes / LOW_WATER_MARK_DIVISOR, highBytes);
     }
 
     private static HttpRequestDecoder requestDecoder() {
         return new HttpRequestDecoder(MAX_REQUEST_HEAD_BYTES, MAX_REQUEST_HEAD_BYTES, MAX_REQUEST_HEAD_BYTES);
     }
 
-    /** Returns the bound address; from any thread, once the server has started. */
+    /** Returns the bound address. May be called on any thread once the server has started. */
     InetSocketAddress address() {
         return (InetSocketAddress) listeningChannel.localAddress();
     }
 
-    /** Accepts no further connections. */
+    /** Stops accepting connections. */
     void close() {
         listeningChannel.close();
     }
--- a/relay/src/main/java/topazvalve/relay/RelaySettings.java
+++ b/relay/src/main/java/topazvalve/relay/RelaySettings.java
@@ -8,12 +8,12 @@
  *
  * @param name the relay's name in log lines
  * @param listen the address that subscribers connect to
- * @param sources the sources that the relay watches, one at least
- * @param maxSubscribers how many connections may be open at once
- * @param subscriberBufferBytes how many bytes may wait for one slow subscriber; one that is over it is sent the
- *     newest state once it has caught up
- * @param loggedEntries how many changed entries of each source are kept, to send deltas from
- * @param stallTimeoutMillis after how many milliseconds without progress a slow subscriber is closed
+ * @param sources the sources that the relay watches; at least one
+ * @param maxSubscribers the maximum number of open connections
+ * @param subscriberBufferBytes the size of the write buffer of one subscriber, in bytes; a subscriber whose buffer is
+ *     full misses changes and is sent the newest state once the buffer has drained
+ * @param loggedEntries how many changed entries of each source are kept for deltas
+ * @param stallTimeoutMillis the time without progress after which a slow subscriber is closed, in milliseconds
  */
 public record RelaySettings(
         String name,
@@ -24,20 +24,20 @@
         int loggedEntries,
         long stallTimeoutMillis) {
     /**
-     * One source of endpoint lists, a region's for example.
+     * A source of endpoint lists, for example of one region.
      *
      * @param name the source's name in versions and metrics
-     * @param addresses the addresses of the source, one at least; the first that answers is followed
+     * @param addresses the addresses of the source, at least one; the relay follows the first that responds
      */
     public record SourceSettings(String name, List<InetSocketAddress> addresses) {}
 
-    /** How many connections may be open where the file does not say it. */
+    /** The default of {@link #maxSubscribers}. */
     public static final int DEFAULT_MAX_SUBSCRIBERS = 4_000;
-    /** How many bytes may wait for a slow subscriber where the file does not say it. */
+    /** The default of {@link #subscriberBufferBytes}. */
     public static final int DEFAULT_SUBSCRIBER_BUFFER_BYTES = 256 << 10;
-    /** How many changed entries of a source are kept where the file does not say it. */
+    /** The default of {@link #loggedEntries}. */
     public static final int DEFAULT_LOGGED_ENTRIES = 16_384;
-    /** After how many milliseconds without progress a subscriber is closed where the file does not say it. */
+    /** The default of {@link #stallTimeoutMillis}. */
     public static final long DEFAULT_STALL_TIMEOUT_MILLIS = 10_000;
 
     /** Returns settings with every limit at its default. */
--- a/relay/src/main/java/topazvalve/relay/RequestHandler.java
+++ b/relay/src/main/java/topazvalve/relay/RequestHandler.java
@@ -42,7 +42,7 @@
         this.metricsPage = metricsPage;
     }
 
-    /** Closes every connection, and each that may still come. */
+    /** Closes all connections, including any that are accepted later. */
     void close() {
         closed = true;
         subscribers.forEach(Subscriber::close);
@@ -81,14 +81,14 @@
             return;
         }
         switch (uri.path()) {
-            case LIST_PATH -> parseListRequest(subscriber, uri);
+            case LIST_PATH -> handleListRequest(subscriber, uri);
             case READY_PATH -> respondReadiness(subscriber);
             case METRICS_PATH -> respond(subscriber, HttpResponseStatus.OK, metricsPage.get());
             default -> respond(subscriber, HttpResponseStatus.NOT_FOUND, "not served here\n");
         }
     }
 
-    private void parseListRequest(Subscriber subscriber, QueryStringDecoder uri) {
+    private void handleListRequest(Subscriber subscriber, QueryStringDecoder uri) {
         DiscoveryRequest request;
         try {
             request = DiscoveryRequest.parse(uri);
@@ -112,16 +112,16 @@
     }
 
     /**
-     * Returns the versions that a subscriber has. A bare revision is enough only where it says all: with one
-     * source, which sends no epoch.
+     * Returns the versions that a subscriber has. A bare revision is unambiguous only if the relay has a single source
+     * that sends no epoch; otherwise it is ignored.
      */
     private VersionVector versionsOf(DiscoveryRequest request) {
         if (!request.versions().isEmpty() || request.from() == 0 || sources.size() > 1) {
             return request.versions();
         }
         String onlySource = sources.firstName();
-        SourceVersion present = store.versions().versionOf(onlySource);
-        if (present == null || present.epoch() > 0) {
+        SourceVersion current = store.versions().versionOf(onlySource);
+        if (current == null || current.epoch() > 0) {
             return VersionVector.NONE;
         }
         return VersionVector.of(onlySource, new SourceVersion(0, request.from()));
--- a/relay/src/main/java/topazvalve/relay/RequestRejector.java
+++ b/relay/src/main/java/topazvalve/relay/RequestRejector.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 import java.util.random.RandomGenerator;
 
-/** Rejects requests with a random {@code Retry-After}, so that rejected subscribers do not return in step. */
+/** Rejects requests with a random {@code Retry-After}, so that rejected clients do not all retry at once. */
 final class RequestRejector {
     private static final double MIN_RETRY_AFTER_SECONDS = 0.25;
 
@@ -16,13 +16,13 @@
         this.metrics = metrics;
     }
 
-    /** Counts the rejection and ends the subscriber's connection as {@link #disconnect} does. */
+    /** Counts the rejection and ends the connection as {@link #disconnect} does. */
     void reject(Subscriber subscriber, RejectionReason reason) {
         metrics.countRejected(reason);
         disconnect(subscriber, reason);
     }
 
-    /** Ends a connection: with a 503 response, or without a word if a response was started. */
+    /** Ends a connection: with a 503 response, or by closing it if a response has already been started. */
     void disconnect(Subscriber subscriber, RejectionReason reason) {
         if (subscriber.isResponseStarted()) {
             subscriber.close();
@@ -32,7 +32,7 @@
         }
     }
 
-    /** Draws from 0.25 to 1.25 s. */
+    /** Returns a random delay between 0.25 and 1.25 s. */
     private String nextRetryAfterSeconds() {
         return String.format(Locale.ROOT, "%.2f", MIN_RETRY_AFTER_SECONDS + random.nextDouble());
     }
--- a/relay/src/main/java/topazvalve/relay/ResponseEncoder.java
+++ b/relay/src/main/java/topazvalve/relay/ResponseEncoder.java
@@ -5,7 +5,7 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import java.nio.charset.StandardCharsets;
 
-/** Encodes complete HTTP responses with a text body, after which the connection is closed. */
+/** Encodes complete HTTP responses with a text body. The connection is closed after such a response. */
 final class ResponseEncoder {
     private ResponseEncoder() {}
 
--- a/relay/src/main/java/topazvalve/relay/SourceGroup.java
+++ b/relay/src/main/java/topazvalve/relay/SourceGroup.java
@@ -5,14 +5,14 @@
 import topazvalve.discovery.client.DiscoveryCall;
 import topazvalve.discovery.state.VersionVector;
 
-/** All sources of a relay, and which of them are healthy. On the event loop alone. */
+/** All sources of a relay, and which of them are healthy. Used on the event loop only. */
 final class SourceGroup {
-    /** A source sends a message every 2 s; it is healthy until the idle timeout, which sidecars use too. */
+    /** How long a source is healthy after a message. It sends one at least every 2 s; sidecars use the same timeout. */
     private static final long MAX_IDLE_NANOS = TimeUnit.MILLISECONDS.toNanos(DiscoveryCall.IDLE_TIMEOUT_MILLIS);
 
     private final List<SourceSubscription> sources;
 
-    /** Creates a group of one source at least, in the order of the settings. */
+    /** Creates a group of at least one source, in the order of the settings. */
     SourceGroup(List<SourceSubscription> sources) {
         this.sources = List.copyOf(sources);
     }
@@ -33,7 +33,7 @@
         return sources.get(0).name();
     }
 
-    /** Returns whether any source is healthy: the relay's list is then no older than the idle timeout. */
+    /** Returns whether any source is healthy; the relay's list is then no older than the idle timeout. */
     boolean isAnyHealthy() {
         return sources.stream().anyMatch(SourceGroup::isHealthy);
     }
@@ -52,14 +52,14 @@
     }
 
     /**
-     * Asks the first source that may have them for the changes since a subscriber's versions; returns whether
-     * there is an answer to wait for.
+     * Requests the changes since a subscriber's versions from the first source whose log may be extended to them.
+     * Returns whether an answer is pending.
      */
     boolean requestBackfill(VersionVector versions) {
         return sources.stream().anyMatch(source -> source.requestBackfill(versions.versionOf(source.name())));
     }
 
-    /** Adds for each source how long it has sent no message, in milliseconds. */
+    /** Adds the time since the last message of each source, in milliseconds. */
     void addIdleTimesTo(MetricsText page) {
         for (SourceSubscription source : sources) {
             long idleMillis = TimeUnit.NANOSECONDS.toMillis(source.idleNanos());
--- a/relay/src/main/java/topazvalve/relay/SourceHealthMonitor.java
+++ b/relay/src/main/java/topazvalve/relay/SourceHealthMonitor.java
@@ -5,8 +5,8 @@
 import topazvalve.discovery.state.EndpointStore;
 
 /**
- * Notices when the last healthy source of a relay is lost, and when one is healthy again. On the event loop
- * alone.
+ * Detects when a relay has lost its last healthy source, and when a source is healthy again. Used on the event loop
+ * only.
  */
 final class SourceHealthMonitor {
     private static final Logger LOG = LoggerFactory.getLogger("relay");
@@ -17,7 +17,7 @@
     private final Runnable onAllLost;
     private boolean healthy;
 
-    /** Creates a monitor; {@code onAllLost} runs each time that no source is healthy any more. */
+    /** Creates a monitor; {@code onAllLost} runs each time the last healthy source is lost. */
     SourceHealthMonitor(String relayName, SourceGroup sources, EndpointStore store, Runnable onAllLost) {
         this.relayName = relayName;
         this.sources = sources;
@@ -25,7 +25,7 @@
         this.onAllLost = onAllLost;
     }
 
-    /** Compares the sources' health with that at the last check. */
+    /** Compares the health of the sources with the previous check. */
     void check() {
         boolean wasHealthy = healthy;
         healthy = sources.isAnyHealthy();
--- a/relay/src/main/java/topazvalve/relay/SourceSubscription.java
+++ b/relay/src/main/java/topazvalve/relay/SourceSubscription.java
@@ -18,18 +18,18 @@
 import topazvalve.relay.RelaySettings.SourceSettings;
 
 /**
- * Watches one source and applies its updates to the {@link EndpointStore}; reconnects, to the source's next
- * address, when the watch fails. On the event loop alone.
+ * Watches one source and applies its updates to the {@link EndpointStore}; connects to the source's next address when
+ * the watch fails. Used on the event loop only.
  */
 final class SourceSubscription {
     private static final Logger LOG = LoggerFactory.getLogger("source");
 
-    /** Gets what became of the store, on the event loop. */
+    /** Is notified of changes of the store, on the event loop. */
     interface Listener {
-        /** An update was applied; {@code before} are the store's versions before it. */
+        /** Called when an update was applied; {@code before} are the store's versions before it. */
         void updateApplied(UpdateResult result, VersionVector before);
 
-        /** A request for earlier changes was answered or has failed. */
+        /** Called when a {@link Backfill} request was answered or has failed. */
         void backfillCompleted();
     }
 
@@ -48,11 +48,11 @@
     private final Backfill backfill;
     private State state = State.CLOSED;
     private DiscoveryCall call;
-    /** The next watch must start with a snapshot, because the last update did not follow on the store's state. */
+    /** Whether the next watch must request a snapshot, because the last update did not continue the store's state. */
     private boolean snapshotNeeded = true;
 
     private long lastMessageNanos;
-    /** Why the watch failed last; null while the source is followed. */
+    /** Why the last watch failed; null while the source is followed. */
     private DiscoveryFailure lastFailure;
 
     SourceSubscription(EventLoop loop, SourceSettings settings, EndpointStore store, long seed, Listener listener) {
@@ -62,7 +62,7 @@
         this.failover = new FailoverStateMachine(settings.addresses().size(), new SplittableRandom(seed));
         this.listener = listener;
         this.backfill = new Backfill(loop, settings.name(), store, listener);
-        // Long ago, so that the source is not healthy before its first message.
+        // In the distant past, so that the source is not healthy before its first message.
         this.lastMessageNanos = System.nanoTime() - TimeUnit.DAYS.toNanos(1);
     }
 
@@ -82,16 +82,16 @@
         backfill.close();
     }
 
-    /** Returns how many nanoseconds ago the source sent its last message. */
+    /** Returns the time since the last message of the source, in nanoseconds. */
     long idleNanos() {
         return System.nanoTime() - lastMessageNanos;
     }
 
     /**
-     * Asks for the changes since a subscriber's version if they are from before this relay's log.
+     * Requests the changes since a subscriber's version if that version precedes this relay's log.
      *
-     * @param from the version that the subscriber has; null if it has none of this source
-     * @return whether there is an answer to wait for
+     * @param from the subscriber's version of this source; null if it has none
+     * @return whether an answer is pending
      */
     boolean requestBackfill(SourceVersion from) {
         return backfill.request(from, address(failover.currentIndex()));
@@ -120,8 +120,8 @@
     private void openWatch(InetSocketAddress address) {
         state = State.CONNECTING;
         failover.connecting();
-        SourceVersion present = version();
-        long from = snapshotNeeded || present == null ? 0 : present.revision();
+        SourceVersion current = version();
+        long from = snapshotNeeded || current == null ? 0 : current.revision();
         call = new DiscoveryCall(loop, address, true, new WatchListener(from));
         call.open(DiscoveryCall.CONNECT_TIMEOUT_MILLIS, "?watch=1&from=" + from);
     }
@@ -139,12 +139,12 @@
         }
     }
 
-    /** Applies the messages of one watch. */
+    /** Applies the messages of one watch to the store. */
     private final class WatchListener implements DiscoveryCall.Listener {
         private final long from;
         private boolean firstMessage = true;
 
-        /** For a watch from this revision on; 0 asks for a snapshot. */
+        /** Creates the listener of a watch that starts at this revision; 0 requests a snapshot. */
         WatchListener(long from) {
             this.from = from;
         }
@@ -168,7 +168,7 @@
             }
         }
 
-        /** All changes since nothing was there are a snapshot, also where the source does not say so. */
+        /** The changes since revision 0 are a snapshot, even if the source does not mark them as one. */
         private Update withImpliedSnapshot(Update update) {
             if (firstMessage && from == 0 && !update.fullSnapshot()) {
                 return new Update(update.version(), true, update.entries());
@@ -176,7 +176,7 @@
             return update;
         }
 
-        /** A stale delta on a running watch is normal: a {@link Backfill} may have brought its changes before. */
+        /** A stale delta is normal on an established watch: a {@link Backfill} may have applied its changes already. */
         private void staleReceived(Update update, VersionVector before, boolean answersRequest) {
             if (update.fullSnapshot()) {
                 call.fail(new DiscoveryFailure.StaleVersion(update.version().toString(), before.toString()));
@@ -203,7 +203,7 @@
 
         @Override
         public void responseOverdue() {
-            // With one address the call is let be: its place in the source's queue is better than a new one.
+            // With a single address, keep waiting: a new call would be further back in the source's queue.
             if (settings.addresses().size() > 1) {
                 call.fail(new DiscoveryFailure.ResponseOverdue());
             }
--- a/relay/src/main/java/topazvalve/relay/package-info.java
+++ b/relay/src/main/java/topazvalve/relay/package-info.java
@@ -1,6 +1,5 @@
 /**
- * The relay, a process of its own: watches the sources of endpoint lists and serves many sidecars, in the form in
- * which discovery serves one. {@link topazvalve.relay.DiscoveryRelay} is where to start reading;
- * {@code docs/design/relay.md} has the reasons.
+ * The relay process: watches the sources of endpoint lists and serves many sidecars by the same protocol as discovery.
+ * Start reading at {@link topazvalve.relay.DiscoveryRelay}; {@code docs/design/relay.md} explains the design.
  */
 package topazvalve.relay;
