--- a/relay/src/test/java/topazvalve/relay/ArchitectureTest.java
+++ b/relay/src/test/java/topazvalve/relay/ArchitectureTest.java
@@ -6,7 +6,7 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** A relay shares the discovery client with sidecars and nothing else; no module depends on the relay. */
+/** The relay shares only the discovery client with sidecars, and sidecars do not depend on the relay. */
 class ArchitectureTest {
     @Test
     void dependenciesPointOneWay() {
--- a/relay/src/test/java/topazvalve/relay/ChangeBatcherTest.java
+++ b/relay/src/test/java/topazvalve/relay/ChangeBatcherTest.java
@@ -12,14 +12,14 @@
 import org.junit.jupiter.api.Test;
 import topazvalve.discovery.state.VersionVector;
 
-/** Which changes are sent together, when, and from which versions on. */
+/** Which changes are sent together, when, and from which versions. */
 class ChangeBatcherTest {
     private static final int MAX_ATTEMPTS = 1_000;
 
-    /** A batch as its receiver saw it; the bytes are freed after that. */
+    /** A batch as its receiver saw it, with a copy of its text, since the bytes are released afterwards. */
     private record Received(VersionVector from, VersionVector to, String text, ByteBuf encoded) {}
 
-    /** A batcher with its own store on an event loop whose timers fire only when told to. */
+    /** A batcher with its own store on an event loop whose timers fire only on request. */
     private static final class Fixture {
         final StoreFixture endpoints = new StoreFixture();
         final List<Received> received = new ArrayList<>();
@@ -46,7 +46,7 @@
 
     /**
      * Returns a fixture to which changes of these endpoints were added within one interval. The batcher reads the
-     * machine's clock, so that changes between which the machine paused for longer are made anew.
+     * system clock, so this is retried with a new fixture if the machine paused for longer than the interval.
      */
     private static Fixture changedWithinOneInterval(String... uids) {
         for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void aChangeAfterAQuietTimeIsSentAtOnce() {
+    void changeAfterAnIdleIntervalIsSentImmediately() {
         Fixture fixture = new Fixture();
         VersionVector before = fixture.change("a");
         assertEquals(1, fixture.received.size());
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void changesWithinTheIntervalWaitForItsEnd() {
+    void changesWithinTheIntervalAreDelayedUntilItsEnd() {
         Fixture fixture = changedWithinOneInterval("a", "b", "c");
         assertEquals(1, fixture.received.size());
         fixture.fireTimers();
@@ -81,21 +81,21 @@
     }
 
     @Test
-    void changesThatWaitedAreSentTogether() {
+    void delayedChangesAreSentInOneBatch() {
         Fixture fixture = changedWithinOneInterval("a", "b", "c");
         fixture.fireTimers();
         Received first = fixture.received.get(0);
-        Received joined = fixture.received.get(1);
-        assertEquals(first.to(), joined.from());
-        assertEquals(fixture.endpoints.store.versions(), joined.to());
-        assertTrue(joined.text().contains("\"uid\":\"b\"") && joined.text().contains("\"uid\":\"c\""), joined.text());
+        Received second = fixture.received.get(1);
+        assertEquals(first.to(), second.from());
+        assertEquals(fixture.endpoints.store.versions(), second.to());
+        assertTrue(second.text().contains("\"uid\":\"b\"") && second.text().contains("\"uid\":\"c\""), second.text());
     }
 
     @Test
-    void anEndpointThatChangedTwiceIsSentOnceWithItsLastStateAfterTheOthers() {
+    void endpointThatChangedTwiceIsSentOnceWithItsLatestStateAfterTheOthers() {
         Fixture fixture = changedWithinOneInterval("a", "b", "c", "b");
         fixture.fireTimers();
-        // The store's first snapshot is revision 1, the change of a is 2.
+        // The store's first snapshot has revision 1 and the change of a revision 2.
         String targets = StoreFixture.entry("c", 4).json() + ","
                 + StoreFixture.entry("b", 5).json();
         String text = fixture.received.get(1).text();
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void theBytesOfABatchAreFreedOnceItsReceiverReturns() {
+    void bytesOfABatchAreReleasedOnceItsReceiverReturns() {
         Fixture fixture = new Fixture();
         fixture.change("a");
         assertEquals(0, fixture.received.get(0).encoded().refCnt());
--- a/relay/src/test/java/topazvalve/relay/DiscoveryRequestTest.java
+++ b/relay/src/test/java/topazvalve/relay/DiscoveryRequestTest.java
@@ -11,7 +11,7 @@
 import topazvalve.discovery.state.SourceVersion;
 import topazvalve.discovery.state.VersionVector;
 
-/** The query of a request for the endpoint list. */
+/** Parsing of the query of a request for the endpoint list. */
 class DiscoveryRequestTest {
     private static DiscoveryRequest parse(String query) throws InvalidRequestException {
         return DiscoveryRequest.parse(new QueryStringDecoder("/discovery/hosts" + query));
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void parametersAreRead() throws InvalidRequestException {
+    void parametersAreParsed() throws InvalidRequestException {
         VersionVector versions = VersionVector.of("eu", new SourceVersion(3, 41));
         assertEquals(new DiscoveryRequest(true, 41, versions), parse("?watch=1&from=41&versions=eu:3.41"));
     }
@@ -36,7 +36,7 @@
         "?versions=eu,not a source and its version: eu",
         "?versions=eu:3,not a version: 3"
     })
-    void anInvalidParameterIsABadRequest(String query, String message) {
+    void invalidParameterIsABadRequest(String query, String message) {
         InvalidRequestException invalid = assertThrows(InvalidRequestException.class, () -> parse(query));
         assertEquals(HttpResponseStatus.BAD_REQUEST, invalid.status());
         assertEquals(message, invalid.getMessage());
--- a/relay/src/test/java/topazvalve/relay/Follower.java
+++ b/relay/src/test/java/topazvalve/relay/Follower.java
@@ -21,7 +21,7 @@
 import topazvalve.policy.UpdateKind;
 
 /**
- * The sidecar's real discovery client and the endpoints that it has in force; the test gives its order of relays.
+ * The discovery client of a sidecar and the endpoints that it currently has. The test gives the order of its relays.
  */
 final class Follower implements AutoCloseable {
     private static final long TIMEOUT_SECONDS = 30;
@@ -29,7 +29,7 @@
     private final EventLoop loop;
     private final DiscoveryClient discovery;
     private final Map<String, EndpointStatus> statuses = new TreeMap<>();
-    /** Every status that an endpoint ever had here, in order. */
+    /** All statuses that each endpoint has had, in order. */
     private final Map<String, List<EndpointStatus>> history = new HashMap<>();
 
     private int snapshotCount;
@@ -67,7 +67,7 @@
         notifyAll();
     }
 
-    /** Waits until the endpoints in force are as expected; fails the test after the timeout. */
+    /** Waits until the current endpoints are as expected; fails the test after the timeout. */
     synchronized void await(String description, Predicate<Map<String, EndpointStatus>> expected)
             throws InterruptedException {
         long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
--- a/relay/src/test/java/topazvalve/relay/RelayDeliveryTest.java
+++ b/relay/src/test/java/topazvalve/relay/RelayDeliveryTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Timeout;
 import topazvalve.policy.EndpointStatus;
 
-/** What subscribers get of a source's snapshots and deltas, and in how many lines. */
+/** How snapshots and deltas of a source are forwarded to subscribers, and in how many messages. */
 @Timeout(120)
 class RelayDeliveryTest extends RelayFixture {
     @Test
@@ -30,7 +30,7 @@
         assertFalse(response.contains("\"b\""), "a removed endpoint is not listed");
     }
 
-    /** A client that knows nothing of sources sends a revision alone. */
+    /** A client that does not know sources sends only a revision. */
     @Test
     void clientWithABareRevisionGetsTheDeltaSinceIt() throws Exception {
         DiscoveryRelay relay = startRelay();
@@ -42,23 +42,23 @@
     }
 
     @Test
-    void aChangeOfManyEndpointsIsOneDelta() throws Exception {
-        String[] zone = IntStream.range(0, 880)
+    void changeOfManyEndpointsIsOneDelta() throws Exception {
+        String[] uidsAndStates = IntStream.range(0, 880)
                 .mapToObj(i -> i % 2 == 0 ? "z" + i / 2 : "SERVING")
                 .toArray(String[]::new);
-        source.change(zone);
+        source.change(uidsAndStates);
         DiscoveryRelay relay = startRelay();
         Follower follower = startFollower(relay);
         follower.awaitStatus("z439", EndpointStatus.READY);
-        for (int i = 1; i < zone.length; i += 2) {
-            zone[i] = "DELETED";
+        for (int i = 1; i < uidsAndStates.length; i += 2) {
+            uidsAndStates[i] = "DELETED";
         }
-        source.change(zone);
-        follower.await("only a and b", servers -> servers.size() == 2);
+        source.change(uidsAndStates);
+        follower.await("only a and b", statuses -> statuses.size() == 2);
         assertEquals(1, metric(relay, "changes"));
     }
 
-    /** Of changes that come one by one the first is sent at once, then one batch each interval. */
+    /** The first of several successive changes is sent immediately, the others in one batch per interval. */
     @Test
     void changesInQuickSuccessionAreBatched() throws Exception {
         DiscoveryRelay relay = startRelay();
@@ -68,10 +68,10 @@
         for (int i = 0; i < 440; i++) {
             source.change("z" + i, "SERVING");
         }
-        follower.await("all endpoints", servers -> servers.size() == 442);
+        follower.await("all endpoints", statuses -> statuses.size() == 442);
         long maxDeltas = (System.nanoTime() - startNanos) / ChangeBatcher.MIN_INTERVAL_NANOS + 2;
         long deltas = metric(relay, "changes");
-        assertTrue(deltas <= maxDeltas, deltas + " deltas, not " + maxDeltas);
+        assertTrue(deltas <= maxDeltas, deltas + " deltas exceed the maximum of " + maxDeltas);
         assertEquals(1, follower.snapshotCount());
         assertEquals("eu:0." + (41 + 440), follower.versions());
     }
--- a/relay/src/test/java/topazvalve/relay/RelayFailoverTest.java
+++ b/relay/src/test/java/topazvalve/relay/RelayFailoverTest.java
@@ -15,15 +15,15 @@
 /** Subscribers whose relay is lost, unresponsive, behind or cut off from its sources. */
 @Timeout(120)
 class RelayFailoverTest extends RelayFixture {
-    /** Within which a change must be in force everywhere. */
+    /** The maximum time until a change is in force at every subscriber. */
     private static final long DEADLINE_NANOS = TimeUnit.SECONDS.toNanos(9);
 
     @Test
-    void aChangeLostWithItsRelayArrivesThroughTheNext() throws Exception {
+    void changeLostWithItsRelayIsReceivedFromTheNext() throws Exception {
         DiscoveryRelay first = startRelay();
         DiscoveryRelay second = startRelay();
         Follower follower = startUpToDateFollower(first, second);
-        // As if the first relay got the change and ended before it could send it: its connections are closed first.
+        // As if the first relay received the change and exited before sending it: its connections are closed first.
         first.close().sync();
         source.change("a", "DRAINING");
         follower.awaitStatus("a", EndpointStatus.DRAINING);
@@ -32,11 +32,11 @@
     }
 
     @Test
-    void anUnresponsiveRelayIsReplacedWithinTheDeadline() throws Exception {
+    void subscriberOfAnUnresponsiveRelayFailsOverWithinTheDeadline() throws Exception {
         EventLoop blockedLoop = group.next();
         DiscoveryRelay first = startRelay(blockedLoop, settings(source));
-        EventLoop other = group.next();
-        DiscoveryRelay second = startRelay(other, settings(source));
+        EventLoop otherLoop = group.next();
+        DiscoveryRelay second = startRelay(otherLoop, settings(source));
         Follower follower = closeAfterTest(new Follower(group.next(), first, second));
         follower.awaitStatus("a", EndpointStatus.READY);
         CountDownLatch unblocked = new CountDownLatch(1);
@@ -60,22 +60,22 @@
         }
     }
 
-    /** The follower knows that an endpoint is draining; the relay that it fails over to does not yet. */
+    /** The follower knows that an endpoint is draining, but the relay to which it fails over does not know it yet. */
     @Test
-    void aRelayBehindItsSiblingSendsNothingStale() throws Exception {
-        SourceStub epochs = closeAfterTest(new SourceStub(true, 40));
-        epochs.change("a", "SERVING");
-        DiscoveryRelay ahead = startRelay(group.next(), settings(epochs));
-        DiscoveryRelay behind = startRelay(group.next(), settings(epochs));
+    void relayBehindTheSubscriberSendsNothingStale() throws Exception {
+        SourceStub epochSource = closeAfterTest(new SourceStub(true, 40));
+        epochSource.change("a", "SERVING");
+        DiscoveryRelay ahead = startRelay(group.next(), settings(epochSource));
+        DiscoveryRelay behind = startRelay(group.next(), settings(epochSource));
         Follower follower = startUpToDateFollower(ahead, behind);
-        epochs.pauseWatch(1);
-        epochs.change("a", "DRAINING");
+        epochSource.pauseWatch(1);
+        epochSource.change("a", "DRAINING");
         follower.awaitStatus("a", EndpointStatus.DRAINING);
         ahead.close().sync();
         awaitMetric(behind, "calls", 1);
         assertEquals(List.of(EndpointStatus.READY, EndpointStatus.DRAINING), follower.history("a"));
-        epochs.resumeWatches();
-        epochs.change("a", "SERVING");
+        epochSource.resumeWatches();
+        epochSource.change("a", "SERVING");
         follower.awaitStatus("a", EndpointStatus.READY);
         assertEquals(
                 List.of(EndpointStatus.READY, EndpointStatus.DRAINING, EndpointStatus.READY), follower.history("a"));
@@ -89,7 +89,7 @@
         Follower follower = startUpToDateFollower(first, second);
         source.setSilent(true);
         awaitMetric(second, "refused.unheard", 1);
-        // Requests for readiness and metrics are answered all the while.
+        // Requests for readiness and metrics are still answered.
         assertTrue(get(first, "/_ready").startsWith("HTTP/1.1 503"));
         assertTrue(get(first, "/discovery/hosts").contains("Retry-After: "));
         assertEquals(0, metric(first, "following"), "no subscriber is sent heartbeats");
@@ -112,7 +112,7 @@
         assertTrue(System.nanoTime() - changedAtNanos < DEADLINE_NANOS, "within the deadline of 9 s");
     }
 
-    /** All relays restart while followers have a version from before that: no snapshot is sent. */
+    /** All relays restart while followers have a version from before the restart: no snapshot is sent. */
     @Test
     void restartedRelaysSendOnlyDeltas() throws Exception {
         DiscoveryRelay before = startRelay();
@@ -127,9 +127,9 @@
         after.close().sync();
         before.close().sync();
         source.change("a", "DRAINING");
-        RelaySettings same =
+        RelaySettings sameAddress =
                 RelaySettings.of("r", after.address(), settings(source).sources());
-        DiscoveryRelay restarted = startRelay(group.next(), same);
+        DiscoveryRelay restarted = startRelay(group.next(), sameAddress);
         for (Follower each : followers) {
             each.awaitStatus("a", EndpointStatus.DRAINING);
             assertEquals(1, each.snapshotCount());
--- a/relay/src/test/java/topazvalve/relay/RelayFileTest.java
+++ b/relay/src/test/java/topazvalve/relay/RelayFileTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import topazvalve.toml.InvalidFileException;
 
-/** Defaults of a relay's file, and its problems with their line and key. */
+/** Defaults of a relay's file, and problems that are reported with their line and key. */
 class RelayFileTest {
     private static final String VALID_FILE = """
             listen = "127.0.0.1:8600"
@@ -37,7 +37,7 @@
                 "addresses = []|addresses",
                 "address = \"127.0.0.1:1\"|address"
             })
-    void anInvalidSourceIsReportedWithItsLine(String line, String key) {
+    void invalidSourceIsReportedWithItsLine(String line, String key) {
         String text = VALID_FILE.replaceAll("(?m)^" + line.split(" ")[0] + " = .*\n", "") + line + "\n";
         InvalidFileException invalid = assertThrows(InvalidFileException.class, () -> RelayFile.parse("r.toml", text));
         assertTrue(invalid.getMessage().contains("source.0." + key + ": "), invalid.getMessage());
@@ -52,7 +52,7 @@
                 "listen = \"here\"|listen", "most_callers = 0|most_callers", "caller_bytes = 1|caller_bytes",
                 "logged_entries = 0|logged_entries", "stall = \"1ms\"|stall", "stal = \"1s\"|stal"
             })
-    void anInvalidKeyIsReportedWithItsLine(String line, String key) {
+    void invalidKeyIsReportedWithItsLine(String line, String key) {
         String text =
                 line + "\n" + (key.equals("listen") ? VALID_FILE.substring(VALID_FILE.indexOf('\n') + 1) : VALID_FILE);
         InvalidFileException invalid = assertThrows(InvalidFileException.class, () -> RelayFile.parse("r.toml", text));
@@ -60,9 +60,10 @@
     }
 
     @Test
-    void sourceNamesAreDistinctAndOneSourceIsRequired() {
-        String twice = VALID_FILE + "[[source]]\nname = \"eu\"\naddresses = [\"127.0.0.1:9\"]\n";
-        InvalidFileException invalid = assertThrows(InvalidFileException.class, () -> RelayFile.parse("r.toml", twice));
+    void duplicateSourceNamesAndAMissingSourceAreReported() {
+        String duplicateName = VALID_FILE + "[[source]]\nname = \"eu\"\naddresses = [\"127.0.0.1:9\"]\n";
+        InvalidFileException invalid =
+                assertThrows(InvalidFileException.class, () -> RelayFile.parse("r.toml", duplicateName));
         assertTrue(invalid.getMessage().startsWith("r.toml:6: source.1.name: "), invalid.getMessage());
         assertThrows(InvalidFileException.class, () -> RelayFile.parse("r.toml", "listen = \"127.0.0.1:1\"\n"));
     }
--- a/relay/src/test/java/topazvalve/relay/RelayFixture.java
+++ b/relay/src/test/java/topazvalve/relay/RelayFixture.java
@@ -19,8 +19,8 @@
 import topazvalve.relay.RelaySettings.SourceSettings;
 
 /**
- * Relays between scripted sources and the sidecar's real discovery client, over loopback. Each has an event
- * loop of its own group; all are closed after the test, the last one first.
+ * Runs relays between stubs of sources and discovery clients of sidecars, over loopback. All use the event loops of one
+ * group and are closed after the test, in reverse order of their start.
  */
 abstract class RelayFixture {
     /** The revision of the source before its first change. */
@@ -58,7 +58,7 @@
         return resource;
     }
 
-    /** Settings with default limits, of sources that are named eu and us. */
+    /** Returns settings with default limits for sources named eu and us. */
     static RelaySettings settings(SourceStub... sources) {
         List<SourceSettings> sourceSettings = new ArrayList<>();
         for (int i = 0; i < sources.length; i++) {
@@ -83,12 +83,12 @@
         return relay;
     }
 
-    /** Starts a relay of {@link #source}, which listens but may not have heard it yet. */
+    /** Starts a relay of {@link #source} that listens but may not have received a message from it yet. */
     DiscoveryRelay startUnreadyRelay() throws Exception {
         return startUnreadyRelay(group.next(), settings(source), RELAY_SEED);
     }
 
-    /** Starts a relay, which listens but may not have heard its sources yet. */
+    /** Starts a relay that listens but may not have received a message from its sources yet. */
     DiscoveryRelay startUnreadyRelay(EventLoop loop, RelaySettings settings, long seed) throws Exception {
         DiscoveryRelay relay = new DiscoveryRelay(loop, settings, seed);
         relay.start().sync();
@@ -108,14 +108,14 @@
         return follower;
     }
 
-    /** What a sidecar was started with: one endpoint, at the source's first version. */
+    /** Returns an update with one endpoint at the source's first version, as the initial state of a sidecar. */
     static EndpointUpdate knownUpdate(String uid) {
         Endpoint endpoint =
                 new Endpoint(uid, new InetSocketAddress("127.0.0.1", 9), "", "", 0, EndpointStatus.READY, 1, 0);
         return new EndpointUpdate(FIRST_REVISION + 1, true, List.of(endpoint));
     }
 
-    /** Makes one request and returns the response, head and body. */
+    /** Sends one request and returns the response, head and body. */
     static String get(DiscoveryRelay relay, String path) throws IOException {
         try (Socket socket = new Socket()) {
             socket.connect(relay.address());
@@ -130,7 +130,7 @@
         socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** Reads a metric of the relay. */
+    /** Requests the metrics of a relay and returns one of them. */
     static long metric(DiscoveryRelay relay, String key) throws IOException {
         return get(relay, "/_vars")
                 .lines()
@@ -140,7 +140,7 @@
                 .orElseThrow();
     }
 
-    /** Reads how far the relay has come at its only source, which sends no epoch. */
+    /** Returns the revision that a relay has of its only source, which sends no epoch. */
     private static long revision(DiscoveryRelay relay) throws IOException {
         String page = get(relay, "/_vars");
         return Long.parseLong(page.replaceAll("(?s).*versions=eu:0\\.([0-9]+)\n.*", "$1"));
--- a/relay/src/test/java/topazvalve/relay/RelaySourceTest.java
+++ b/relay/src/test/java/topazvalve/relay/RelaySourceTest.java
@@ -12,7 +12,7 @@
 @Timeout(120)
 class RelaySourceTest extends RelayFixture {
     @Test
-    void aRestartedSourceIsSentAsADelta() throws Exception {
+    void restartOfASourceIsSentAsADelta() throws Exception {
         DiscoveryRelay relay = startRelay();
         Follower follower = startFollower(relay);
         follower.awaitStatus("b", EndpointStatus.READY);
@@ -26,9 +26,12 @@
         assertEquals("eu:0.4", follower.versions());
     }
 
-    /** Without an epoch a lower version may be a stale one: the relay waits until it has heard its source since. */
+    /**
+     * Without an epoch, the relay's lower revision may be stale, so it sends its snapshot only once its source has sent
+     * another message.
+     */
     @Test
-    void aSubscriberFromBeforeTheSourcesRestartGetsASnapshot() throws Exception {
+    void subscriberFromBeforeTheSourcesRestartGetsASnapshot() throws Exception {
         source.restart(3, "c", "SERVING");
         DiscoveryRelay relay = startRelay();
         Follower follower = closeAfterTest(new Follower(group.next(), knownUpdate("a"), relay));
@@ -37,7 +40,7 @@
     }
 
     @Test
-    void aTruncatedSnapshotOf5700IsRejectedAndACompleteOneAccepted() throws Exception {
+    void truncatedSnapshotOf5700IsRejectedAndACompleteOneAccepted() throws Exception {
         String[] all = IntStream.range(0, 11_400)
                 .mapToObj(i -> i % 2 == 0 ? "s" + i / 2 : "SERVING")
                 .toArray(String[]::new);
@@ -49,25 +52,25 @@
         assertEquals(0, metric(relay, "servers"));
         source.setTruncating(false);
         Follower follower = startFollower(relay);
-        follower.await("all endpoints", servers -> servers.size() == 5_702);
+        follower.await("all endpoints", statuses -> statuses.size() == 5_702);
     }
 
     @Test
     void endpointsOfALostSourceAreKeptWhileOthersChange() throws Exception {
-        SourceStub us = closeAfterTest(new SourceStub(true, 7));
-        us.change("x", "SERVING");
-        DiscoveryRelay relay = startRelay(group.next(), settings(source, us));
+        SourceStub usSource = closeAfterTest(new SourceStub(true, 7));
+        usSource.change("x", "SERVING");
+        DiscoveryRelay relay = startRelay(group.next(), settings(source, usSource));
         Follower follower = startFollower(relay);
         follower.awaitStatus("a", EndpointStatus.READY);
         follower.awaitStatus("x", EndpointStatus.READY);
-        us.setSilent(true);
+        usSource.setSilent(true);
         awaitMetric(relay, "source.us.silent_ms", 3_100);
-        us.change("x", "DRAINING");
+        usSource.change("x", "DRAINING");
         source.change("a", "DRAINING");
         follower.awaitStatus("a", EndpointStatus.DRAINING);
         assertEquals(List.of(EndpointStatus.READY), follower.history("x"));
-        us.closeConnections();
-        us.setSilent(false);
+        usSource.closeConnections();
+        usSource.setSilent(false);
         follower.awaitStatus("x", EndpointStatus.DRAINING);
         assertEquals("eu:0.42,us:1.9", follower.versions());
     }
--- a/relay/src/test/java/topazvalve/relay/SnapshotCacheTest.java
+++ b/relay/src/test/java/topazvalve/relay/SnapshotCacheTest.java
@@ -27,7 +27,7 @@
         return snapshot.toString(StandardCharsets.UTF_8);
     }
 
-    /** Changes the store and acquires its snapshot as often as the cache allows older ones. */
+    /** Acquires the snapshot and then changes the store, as often as the cache allows older snapshots. */
     private List<ByteBuf> acquireOneOfEachState() {
         List<ByteBuf> acquired = new ArrayList<>();
         for (int i = 0; i < MAX_OLDER_SNAPSHOTS; i++) {
@@ -49,13 +49,13 @@
     @Test
     void eachReceiverReadsFromTheStart() {
         ByteBuf first = cache.acquire().orElseThrow();
-        String whole = text(first);
+        String complete = text(first);
         first.skipBytes(first.readableBytes());
-        assertEquals(whole, text(cache.acquire().orElseThrow()));
+        assertEquals(complete, text(cache.acquire().orElseThrow()));
     }
 
     @Test
-    void aSnapshotHasTheStateOfTheLastInvalidation() {
+    void snapshotHasTheStateOfTheLastInvalidation() {
         change("server-a");
         ByteBuf older = cache.acquire().orElseThrow();
         change("server-b");
@@ -65,13 +65,13 @@
     }
 
     @Test
-    void noSnapshotIsGivenWhileTooManyOlderOnesAreBeingWritten() {
+    void noSnapshotIsAvailableWhileTooManyOlderOnesAreBeingWritten() {
         acquireOneOfEachState();
         assertEquals(Optional.empty(), cache.acquire());
     }
 
     @Test
-    void aWrittenSnapshotIsFreedAndMakesRoomForANewerOne() {
+    void writtenSnapshotIsReleasedAndMakesRoomForANewerOne() {
         List<ByteBuf> older = acquireOneOfEachState();
         older.get(3).release();
         assertTrue(cache.acquire().isPresent());
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void theCurrentSnapshotStaysAvailableHoweverManyOlderOnesAreBeingWritten() {
+    void currentSnapshotStaysAvailableHoweverManyOlderOnesAreBeingWritten() {
         List<ByteBuf> older = acquireOneOfEachState();
         older.get(0).release();
         assertTrue(cache.acquire().isPresent());
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void statesThatNobodyAcquiredCountAsNoOlderSnapshot() {
+    void statesThatWereNeverAcquiredDoNotCountAsOlderSnapshots() {
         assertTrue(cache.acquire().isPresent());
         for (int i = 0; i <= MAX_OLDER_SNAPSHOTS; i++) {
             change("server-" + i);
--- a/relay/src/test/java/topazvalve/relay/SourceReaderTest.java
+++ b/relay/src/test/java/topazvalve/relay/SourceReaderTest.java
@@ -12,14 +12,14 @@
 import topazvalve.discovery.state.EndpointStore.Update;
 import topazvalve.discovery.state.SourceVersion;
 
-/** Messages of sources, in any layout of JSON. */
+/** Parsing of messages of sources, with any layout of the JSON. */
 class SourceReaderTest {
     private static Update read(String text) throws IOException {
         return SourceReader.read(text.getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
-    void anEntryKeepsAllItsFieldsOnOneLine() throws IOException {
+    void entryKeepsAllItsFieldsOnOneLine() throws IOException {
         Update update = read("{\n \"rev\": 4, \"epoch\": 2, \"note\": {\"x\": [1]}, \"all\": true,\n"
                 + "\"targets\": [\n  {\"uid\": \"a\",\n \"tags\": {\"uid\": \"inner\",\n"
                 + "\"n\": [1.50, null]},\n \"state\": \"DELETED\"}]}");
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void anEntryWithoutAValidUidIsSkipped() throws IOException {
+    void entryWithoutAValidUidIsSkipped() throws IOException {
         assertEquals(
                 1,
                 read("{\"rev\":4,\"targets\":[{\"state\":\"SERVING\"},{\"uid\":7}," + "{\"uid\":\"b\"},{\"uid\":\""
@@ -55,7 +55,7 @@
                 "{\"rev\":1,\"targets\":[1]}",
                 "{\"rev\":1,\"targets\":[{\"uid\":\"a\"}"
             })
-    void aMessageThatIsNoEndpointListIsRejected(String text) {
+    void messageThatIsNotAnEndpointListIsRejected(String text) {
         assertThrows(MalformedSourceMessageException.class, () -> read(text));
     }
 }
--- a/relay/src/test/java/topazvalve/relay/SourceStub.java
+++ b/relay/src/test/java/topazvalve/relay/SourceStub.java
@@ -19,15 +19,15 @@
 import java.util.stream.Collectors;
 
 /**
- * A source of endpoint lists in the published form. It logs every change since its last restart and answers a
- * watch from any of them. Tests can pause its watches, silence it, and make it truncate snapshots. Its state is
- * guarded by its own lock.
+ * A stand-in for a source that serves endpoint lists by the published protocol. It logs all changes since its last
+ * restart and answers a watch from any logged revision. Tests can pause its watches, silence it, and make it truncate
+ * snapshots. Its state is guarded by its own lock.
  */
 final class SourceStub implements AutoCloseable {
     private static final long HEARTBEAT_INTERVAL_MILLIS = 500;
     private static final String RESPONSE_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-    /** The request line of each request that has come. */
+    /** The request line of each received request. */
     final BlockingQueue<String> requestLines = new LinkedBlockingQueue<>();
 
     private final ServerSocket server;
@@ -37,7 +37,7 @@
     private final boolean sendsEpoch;
     private long epoch = 1;
     private long revision;
-    /** Watches that nothing is sent to for now. */
+    /** Watches whose texts are kept pending until they are resumed. */
     private final List<Socket> paused = new ArrayList<>();
 
     private boolean truncating;
@@ -84,7 +84,7 @@
         return revision;
     }
 
-    /** Restarts the source at a revision, with these endpoints and a new epoch; every connection is closed. */
+    /** Restarts the source at a revision with these endpoints and a new epoch, and closes all connections. */
     synchronized void restart(long newRevision, String... uidsAndStates) throws IOException {
         epoch++;
         revision = newRevision;
@@ -104,12 +104,12 @@
         paused.clear();
     }
 
-    /** Sends nothing more to one of the open watches, counted from 0 in the order in which they came. */
+    /** Pauses one of the open watches, counted from 0 in the order in which they were opened. */
     synchronized void pauseWatch(int index) {
         paused.add(List.copyOf(pendingTexts.keySet()).get(index));
     }
 
-    /** Sends what has been kept back from paused watches, in order, and ends their pause. */
+    /** Resumes all paused watches and sends their pending texts in order. */
     synchronized void resumeWatches() {
         List<Socket> resumed = List.copyOf(paused);
         paused.clear();
@@ -126,7 +126,7 @@
         }
     }
 
-    /** Makes every snapshot from now on end in its middle, with the connection. */
+    /** While truncating, the source closes the connection in the middle of every snapshot. */
     synchronized void setTruncating(boolean newTruncating) {
         truncating = newTruncating;
     }
@@ -137,7 +137,7 @@
                 + uids.stream().map(uid -> entry(uid, states.get(uid))).collect(Collectors.joining(",")) + "]}\n";
     }
 
-    /** Sends a text to a watch, after what was kept back from it; keeps it back if the watch is paused. */
+    /** Sends a text to a watch after its pending texts; keeps the text pending if the watch is paused. */
     private void send(Socket watch, String text) {
         List<String> pending = pendingTexts.get(watch);
         if (pending == null) {
--- a/relay/src/test/java/topazvalve/relay/StoreFixture.java
+++ b/relay/src/test/java/topazvalve/relay/StoreFixture.java
@@ -7,7 +7,7 @@
 import topazvalve.discovery.state.SourceVersion;
 import topazvalve.discovery.state.VersionVector;
 
-/** An {@link EndpointStore} with a single source, which sends one endpoint more with each revision. */
+/** An {@link EndpointStore} with a single source, which changes one endpoint per revision. */
 final class StoreFixture {
     private static final String SOURCE = "eu";
     private static final long EPOCH = 1;
@@ -16,7 +16,7 @@
     final EndpointStore store = new EndpointStore(List.of(SOURCE), MAX_LOGGED_ENTRIES);
     private long revision;
 
-    /** Creates a store whose source has sent its first snapshot, which has no endpoint. */
+    /** Creates a store whose source has sent its first snapshot, which is empty. */
     StoreFixture() {
         store.apply(SOURCE, new Update(nextVersion(), true, List.of()));
     }
@@ -34,7 +34,7 @@
         return before;
     }
 
-    /** Returns the entry that a change of an endpoint at this revision has made. */
+    /** Returns the entry of an endpoint that was changed at this revision. */
     static Entry entry(String uid, long revision) {
         return new Entry(uid, false, "{\"uid\":\"" + uid + "\",\"at\":" + revision + "}");
     }
--- a/relay/src/test/java/topazvalve/relay/SubscriberLimitsTest.java
+++ b/relay/src/test/java/topazvalve/relay/SubscriberLimitsTest.java
@@ -11,10 +11,10 @@
 import org.junit.jupiter.api.Timeout;
 import topazvalve.policy.EndpointStatus;
 
-/** Slow, stalled, invalid and too many subscribers. */
+/** Limits for slow, stalled, invalid and too many subscribers. */
 @Timeout(120)
 class SubscriberLimitsTest extends RelayFixture {
-    /** A thousand endpoints, draining in odd rounds and serving in even ones. */
+    /** Returns uids and states of 1,000 endpoints, draining in odd rounds and serving in even ones. */
     private static String[] thousandEndpoints(int round) {
         return IntStream.range(0, 2_000)
                 .mapToObj(i -> i % 2 == 0 ? "s" + i / 2 : round % 2 == 1 ? "DRAINING" : "SERVING")
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void aSlowSubscriberGetsTheNewestStateInsteadOfABacklog() throws Exception {
+    void slowSubscriberGetsTheNewestStateInsteadOfABacklog() throws Exception {
         DiscoveryRelay relay = startRelayWithSmallBuffers(60_000);
         try (Socket slow = openWatch(relay)) {
             awaitMetric(relay, "following", 1);
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void aStalledSubscriberIsClosedAndOthersAreServed() throws Exception {
+    void stalledSubscriberIsClosedAndOthersAreServed() throws Exception {
         DiscoveryRelay relay = startRelayWithSmallBuffers(500);
         Follower follower = startFollower(relay);
         follower.awaitStatus("a", EndpointStatus.READY);
@@ -89,10 +89,10 @@
         assertTrue(get(relay, "/discovery/hosts?watch=1&versions=eu").startsWith("HTTP/1.1 400"));
         assertTrue(get(relay, "/discovery/hosts?" + "x".repeat(9_000)).startsWith("HTTP/1.1 400"));
         assertTrue(get(relay, "/elsewhere").startsWith("HTTP/1.1 404"));
-        try (Socket silent = new Socket()) {
-            silent.connect(relay.address());
-            silent.setSoTimeout(30_000);
-            assertEquals(-1, silent.getInputStream().read(), "a connection without a request is closed");
+        try (Socket idle = new Socket()) {
+            idle.connect(relay.address());
+            idle.setSoTimeout(30_000);
+            assertEquals(-1, idle.getInputStream().read(), "a connection without a request is closed");
         }
         try (Socket one = new Socket();
                 Socket two = new Socket();
@@ -100,8 +100,8 @@
             one.connect(relay.address());
             two.connect(relay.address());
             three.connect(relay.address());
-            String full = get(relay, "/discovery/hosts");
-            assertTrue(full.startsWith("HTTP/1.1 503") && full.contains("Retry-After: "), full);
+            String response = get(relay, "/discovery/hosts");
+            assertTrue(response.startsWith("HTTP/1.1 503") && response.contains("Retry-After: "), response);
         }
     }
 }
