--- a/capacity/src/main/java/topazvalve/capacity/measure/CallMeasurement.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/CallMeasurement.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
 import topazvalve.capacity.demand.Quantity;
-import topazvalve.simulation.measure.EchoServer;
+import topazvalve.simulation.measure.FixedResponseServer;
 import topazvalve.simulation.measure.OpenLoopGenerator;
 
 /**
@@ -64,7 +64,7 @@
         recorder.beginSection("packaged sidecar on core " + CORE + ", calls direct and through it in turn");
         List<Integer> serverPorts = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
-            serverPorts.add(new EchoServer(serverGroup).port());
+            serverPorts.add(new FixedResponseServer(serverGroup).port());
         }
         try (MeasuredSidecar sidecar = MeasuredSidecar.start(
                 context, MeasuredConfigurations.withKnownServers(serverPorts), List.of("taskset", "-c", CORE))) {
--- a/capacity/src/main/java/topazvalve/capacity/measure/MeasuredConfigurations.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/MeasuredConfigurations.java
@@ -17,7 +17,7 @@
 
     /** Returns the configuration of a sidecar without a source that knows the servers at these ports. */
     static SidecarConfiguration withKnownServers(List<Integer> serverPorts) {
-        return create(UNUSED_PORT, Discovery.AUTOMATIC).knownServers(serverPorts);
+        return create(UNUSED_PORT, Discovery.AUTOMATIC).cachedServers(serverPorts);
     }
 
     private static SidecarConfiguration create(int sourcePort, Discovery discovery) {
--- a/capacity/src/main/java/topazvalve/capacity/measure/MeasuredSidecar.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/MeasuredSidecar.java
@@ -8,7 +8,7 @@
 import java.util.OptionalInt;
 import java.util.concurrent.TimeUnit;
 import topazvalve.simulation.process.ChildProcesses;
-import topazvalve.simulation.process.RunLine;
+import topazvalve.simulation.process.SidecarCommand;
 import topazvalve.simulation.process.SidecarConfiguration;
 
 /** The packaged sidecar in a process of its own, started by the deploy file's {@code run} line. */
@@ -39,12 +39,12 @@
     static MeasuredSidecar start(
             MeasurementContext context, SidecarConfiguration configuration, List<String> commandPrefix)
             throws IOException {
-        int port = RunLine.freePort();
-        int adminPort = RunLine.freePort();
+        int port = SidecarCommand.freePort();
+        int adminPort = SidecarCommand.freePort();
         Path configurationFile = context.workFolder().resolve("capacity-" + port + ".json");
         Path logFile = context.workFolder().resolve("capacity-" + port + ".log");
         configuration.listenOn(port).adminOn(adminPort).write(configurationFile);
-        Process process = RunLine.of(context.repositoryRoot(), configurationFile, commandPrefix)
+        Process process = SidecarCommand.processBuilder(context.repositoryRoot(), configurationFile, commandPrefix)
                 .redirectOutput(logFile.toFile())
                 .start();
         return new MeasuredSidecar(process, port, adminPort, logFile);
--- a/capacity/src/main/java/topazvalve/capacity/measure/RelayProcess.java
+++ b/capacity/src/main/java/topazvalve/capacity/measure/RelayProcess.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import topazvalve.simulation.process.ChildProcesses;
-import topazvalve.simulation.process.RunLine;
+import topazvalve.simulation.process.SidecarCommand;
 
 /** The packaged relay in a process of its own, subscribed to one source. */
 final class RelayProcess implements AutoCloseable {
@@ -17,7 +17,7 @@
     private final int port;
 
     RelayProcess(Path jar, Path workFolder, int sourcePort) throws IOException {
-        port = RunLine.freePort();
+        port = SidecarCommand.freePort();
         Path settingsFile = workFolder.resolve("relay-" + port + ".toml");
         Path logFile = workFolder.resolve("relay-" + port + ".log");
         Files.writeString(settingsFile, settings(port, sourcePort));
--- a/cli/src/main/java/topazvalve/cli/MeasureRateVerb.java
+++ b/cli/src/main/java/topazvalve/cli/MeasureRateVerb.java
@@ -53,7 +53,7 @@
                 core,
                 this::printStep);
         double highestRate = steps.stream()
-                .filter(RateMeasurement.Step::carried)
+                .filter(RateMeasurement.Step::isSustained)
                 .mapToDouble(RateMeasurement.Step::rate)
                 .max()
                 .orElse(0);
@@ -69,11 +69,11 @@
                         step.rate(),
                         step.directP50(),
                         step.directP99(),
-                        step.throughP50(),
-                        step.throughP99(),
+                        step.sidecarP50(),
+                        step.sidecarP99(),
                         step.cpuMicros(),
-                        PERCENT * step.badShare(),
-                        step.carried() ? "" : "  not carried");
+                        PERCENT * step.unservedFraction(),
+                        step.isSustained() ? "" : "  not carried");
         out().flush();
     }
 }
--- a/cli/src/main/java/topazvalve/cli/MeasureStartVerb.java
+++ b/cli/src/main/java/topazvalve/cli/MeasureStartVerb.java
@@ -33,16 +33,17 @@
         PrintWriter out = out();
         Path workDirectory = createWorkDirectory();
         for (int parts : CORE_PARTS) {
-            StartMeasurement.Share share = StartMeasurement.run(ProjectRoot.path(), workDirectory, core, parts, times);
+            StartMeasurement.StartTimes startTimes =
+                    StartMeasurement.run(ProjectRoot.path(), workDirectory, core, parts, times);
             out.printf(
                     Locale.ROOT,
                     "%.2f of a core: ready in %.2f s (median of %d; %.2f to %.2f), CPU %.2f s%n",
                     1.0 / parts,
-                    share.median(),
+                    startTimes.median(),
                     times,
-                    share.seconds().get(0),
-                    share.seconds().get(times - 1),
-                    share.medianCpu());
+                    startTimes.seconds().get(0),
+                    startTimes.seconds().get(times - 1),
+                    startTimes.medianCpu());
             out.flush();
         }
         return ExitCode.DONE;
--- a/cli/src/main/java/topazvalve/cli/RealTimeRun.java
+++ b/cli/src/main/java/topazvalve/cli/RealTimeRun.java
@@ -25,7 +25,7 @@
         out.flush();
         Path outputDirectory = directory.toAbsolutePath();
         RunResult run = new RealTimeSimulation(scenario, seed, ProjectRoot.path(), outputDirectory)
-                .play((second, activeFaults) -> {
+                .run((second, activeFaults) -> {
                     out.println(line(second, activeFaults));
                     out.flush();
                 });
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/PackagedSidecars.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/run/PackagedSidecars.java
@@ -9,7 +9,7 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import topazvalve.simulation.process.RunLine;
+import topazvalve.simulation.process.SidecarCommand;
 import topazvalve.simulation.process.SidecarConfiguration;
 import topazvalve.simulation.process.SidecarConfiguration.Discovery;
 
@@ -33,8 +33,8 @@
             Path workFolder = Files.createTempDirectory("topazvalve-fleet");
             for (int i = 0; i < count; i++) {
                 Path configurationFile = workFolder.resolve("p" + i + ".json");
-                configuration(i, source).listenOn(RunLine.freePort()).write(configurationFile);
-                processes.add(RunLine.of(repositoryRoot, configurationFile, List.of())
+                configuration(i, source).listenOn(SidecarCommand.freePort()).write(configurationFile);
+                processes.add(SidecarCommand.processBuilder(repositoryRoot, configurationFile, List.of())
                         .redirectOutput(workFolder.resolve("p" + i + ".log").toFile())
                         .start());
             }
--- a/simulation/src/main/java/topazvalve/simulation/measure/EchoServer.java
+++ b/simulation/src/main/java/topazvalve/simulation/measure/FixedResponseServer.java
@@ -17,13 +17,13 @@
 
 /** An HTTP server that responds at once, so that the latency is that of the path to it. */
 @ChannelHandler.Sharable
-public final class EchoServer extends SimpleChannelInboundHandler<FullHttpRequest> {
+public final class FixedResponseServer extends SimpleChannelInboundHandler<FullHttpRequest> {
     private static final int MAX_REQUEST_BYTES = 1 << 16;
     private static final byte[] BODY = new byte[256];
     private final Channel listener;
 
     /** Opens a server on a free loopback port. */
-    public EchoServer(EventLoopGroup group) {
+    public FixedResponseServer(EventLoopGroup group) {
         listener = LoopbackHttp.listen(group, MAX_REQUEST_BYTES, () -> this)
                 .syncUninterruptibly()
                 .channel();
--- a/simulation/src/main/java/topazvalve/simulation/measure/MeasuredSidecarProcess.java
+++ b/simulation/src/main/java/topazvalve/simulation/measure/MeasuredSidecarProcess.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import topazvalve.simulation.SidecarStartException;
 import topazvalve.simulation.process.ChildProcesses;
-import topazvalve.simulation.process.RunLine;
+import topazvalve.simulation.process.SidecarCommand;
 import topazvalve.simulation.process.SidecarConfiguration;
 import topazvalve.simulation.process.SidecarConfiguration.Discovery;
 
@@ -37,11 +37,11 @@
     static MeasuredSidecarProcess start(Path home, Path folder, SidecarConfiguration configuration, int core)
             throws IOException {
         Files.createDirectories(folder);
-        int port = RunLine.freePort();
+        int port = SidecarCommand.freePort();
         Path file = folder.resolve("measured.json");
         configuration.listenOn(port).write(file);
         return new MeasuredSidecarProcess(
-                RunLine.of(home, file, pinnedCommand(core)).start(), port);
+                SidecarCommand.processBuilder(home, file, pinnedCommand(core)).start(), port);
     }
 
     /** Returns a command that runs on one core (by {@code taskset} of util-linux); below 0 for any. */
--- a/simulation/src/main/java/topazvalve/simulation/measure/RateMeasurement.java
+++ b/simulation/src/main/java/topazvalve/simulation/measure/RateMeasurement.java
@@ -20,7 +20,7 @@
     /** The limit of the p99 latency that the sidecar adds, in nanoseconds. */
     public static final long MAX_ADDED_NANOS = 5_000_000;
 
-    private static final double MAX_BAD_SHARE = 0.001;
+    private static final double MAX_UNSERVED_FRACTION = 0.001;
     private static final double NANOS_PER_MILLI = 1e6;
     private static final double NANOS_PER_MICRO = 1e3;
     private static final Duration START_TIMEOUT = Duration.ofSeconds(30);
@@ -35,19 +35,20 @@
      * @param rate requests a second
      * @param directP50 median latency of the direct path in milliseconds; the other latencies likewise
      * @param cpuMicros the sidecar's CPU time for a request, in microseconds
-     * @param badShare the fraction (0 to 1) of requests that the sidecar didn't serve
+     * @param unservedFraction the fraction (0 to 1) of requests that the sidecar didn't serve
      */
     public record Step(
             double rate,
             double directP50,
             double directP99,
-            double throughP50,
-            double throughP99,
+            double sidecarP50,
+            double sidecarP99,
             double cpuMicros,
-            double badShare) {
+            double unservedFraction) {
         /** Returns whether the sidecar carries this rate. */
-        public boolean carried() {
-            return throughP99 - directP99 < MAX_ADDED_NANOS / NANOS_PER_MILLI && badShare < MAX_BAD_SHARE;
+        public boolean isSustained() {
+            return sidecarP99 - directP99 < MAX_ADDED_NANOS / NANOS_PER_MILLI
+                    && unservedFraction < MAX_UNSERVED_FRACTION;
         }
     }
 
@@ -70,9 +71,9 @@
             throws IOException, InterruptedException {
         MultiThreadIoEventLoopGroup servers = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
         MultiThreadIoEventLoopGroup clients = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-        List<EchoServer> echoes = new ArrayList<>();
+        List<FixedResponseServer> echoes = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
-            echoes.add(new EchoServer(servers));
+            echoes.add(new FixedResponseServer(servers));
         }
         MeasuredSidecarProcess sidecar = MeasuredSidecarProcess.start(home, folder, configuration(echoes), core);
         try {
@@ -83,7 +84,7 @@
                 Step step = step(clients, echoes, sidecar, rate, length, steps.size() + 1);
                 steps.add(step);
                 each.accept(step);
-                if (!step.carried()) {
+                if (!step.isSustained()) {
                     return steps;
                 }
             }
@@ -96,7 +97,7 @@
 
     private static Step step(
             MultiThreadIoEventLoopGroup clients,
-            List<EchoServer> echoes,
+            List<FixedResponseServer> echoes,
             MeasuredSidecarProcess sidecar,
             double rate,
             Duration length,
@@ -128,8 +129,8 @@
         return latency.getValueAtPercentile(percentile) / NANOS_PER_MILLI;
     }
 
-    private static SidecarConfiguration configuration(List<EchoServer> echoes) {
+    private static SidecarConfiguration configuration(List<FixedResponseServer> echoes) {
         return MeasuredSidecarProcess.configuration()
-                .knownServers(echoes.stream().map(EchoServer::port).toList());
+                .cachedServers(echoes.stream().map(FixedResponseServer::port).toList());
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/measure/StartMeasurement.java
+++ b/simulation/src/main/java/topazvalve/simulation/measure/StartMeasurement.java
@@ -17,11 +17,11 @@
     /**
      * The starts at one share of a core.
      *
-     * @param parts the number of processes that share the core
+     * @param processes the number of processes that share the core
      * @param seconds how long each start took, sorted
      * @param cpuSeconds the CPU time of each start, sorted
      */
-    public record Share(int parts, List<Double> seconds, List<Double> cpuSeconds) {
+    public record StartTimes(int processes, List<Double> seconds, List<Double> cpuSeconds) {
         /** Returns the median of the durations in seconds. */
         public double median() {
             return seconds.get(seconds.size() / 2);
@@ -41,21 +41,21 @@
      * @param home the root of the repository
      * @param folder takes the configuration
      * @param core the core; below 0 for any
-     * @param parts the number of processes that share the core, the sidecar included
-     * @param times the number of starts
+     * @param processes the number of processes that share the core, the sidecar included
+     * @param starts the number of starts
      */
-    public static Share run(Path home, Path folder, int core, int parts, int times)
+    public static StartTimes run(Path home, Path folder, int core, int processes, int starts)
             throws IOException, InterruptedException {
         List<Process> busy = new ArrayList<>();
         List<Double> seconds = new ArrayList<>();
         List<Double> cpu = new ArrayList<>();
         try {
-            for (int i = 1; i < parts; i++) {
+            for (int i = 1; i < processes; i++) {
                 busy.add(new ProcessBuilder(
                                 MeasuredSidecarProcess.pinnedCommand(core, "/bin/sh", "-c", "while :; do :; done"))
                         .start());
             }
-            for (int i = 0; i < times; i++) {
+            for (int i = 0; i < starts; i++) {
                 MeasuredSidecarProcess sidecar =
                         MeasuredSidecarProcess.start(home, folder, MeasuredSidecarProcess.configuration(), core);
                 try {
@@ -70,6 +70,6 @@
         }
         seconds.sort(Double::compare);
         cpu.sort(Double::compare);
-        return new Share(parts, seconds, cpu);
+        return new StartTimes(processes, seconds, cpu);
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/process/RunLine.java
+++ b/simulation/src/main/java/topazvalve/simulation/process/SidecarCommand.java
@@ -10,10 +10,10 @@
 import topazvalve.simulation.DeployFileException;
 
 /** Starts sidecars by the {@code run} line of the deploy file. */
-public final class RunLine {
+public final class SidecarCommand {
     private static final String DEPLOY_FILE = "deploy/balancer.toml";
 
-    private RunLine() {}
+    private SidecarCommand() {}
 
     /**
      * Returns the builder of a sidecar process that isn't started yet.
@@ -24,7 +24,7 @@
      * @throws IOException if the deploy file can't be read
      * @throws DeployFileException if it has no such line
      */
-    public static ProcessBuilder of(Path home, Path config, List<String> before) throws IOException {
+    public static ProcessBuilder processBuilder(Path home, Path config, List<String> before) throws IOException {
         String run = Files.readAllLines(home.resolve(DEPLOY_FILE)).stream()
                 .filter(each -> each.startsWith("run = \""))
                 .findFirst()
--- a/simulation/src/main/java/topazvalve/simulation/process/SidecarConfiguration.java
+++ b/simulation/src/main/java/topazvalve/simulation/process/SidecarConfiguration.java
@@ -104,13 +104,13 @@
     }
 
     /** Sets the endpoint list that it starts with, in the JSON of discovery. */
-    public SidecarConfiguration known(ObjectNode list) {
+    public SidecarConfiguration cachedList(ObjectNode list) {
         root.set("known", list);
         return this;
     }
 
     /** Sets the endpoint list that it starts with to ready servers at loopback ports, in zone a and of kind m. */
-    public SidecarConfiguration knownServers(List<Integer> ports) {
+    public SidecarConfiguration cachedServers(List<Integer> ports) {
         ObjectNode list = JSON.createObjectNode().put("rev", 1).put("all", true);
         ArrayNode targets = list.putArray("targets");
         for (int i = 0; i < ports.size(); i++) {
@@ -124,7 +124,7 @@
                     .put("capacity_hint", 1.0)
                     .put("boot_ms", 0);
         }
-        return known(list);
+        return cachedList(list);
     }
 
     /** Returns the settings of its load balancer, to be extended. */
--- a/simulation/src/main/java/topazvalve/simulation/real/RealTimeSimulation.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/RealTimeSimulation.java
@@ -54,7 +54,7 @@
     }
 
     /**
-     * Plays the run in real time. To be called once.
+     * Performs the run in real time. To be called once.
      *
      * @param eachSecond is called every second with the statistics of the second before and the active faults
      * @return the results
@@ -62,8 +62,7 @@
      * @throws SidecarExitedException if a sidecar ends by itself
      * @throws SimulationFailedException if the simulation itself fails
      */
-    public RunResult play(BiConsumer<RunStatistics.Second, String> eachSecond)
-            throws IOException, InterruptedException {
+    public RunResult run(BiConsumer<RunStatistics.Second, String> eachSecond) throws IOException, InterruptedException {
         Files.createDirectories(folder);
         // Sidecars must not outlive this process, however it ends.
         Thread hook = new Thread(sidecars::killAll);
--- a/simulation/src/main/java/topazvalve/simulation/real/SidecarProcess.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/SidecarProcess.java
@@ -9,7 +9,7 @@
 import java.time.Duration;
 import java.util.List;
 import topazvalve.simulation.process.ChildProcesses;
-import topazvalve.simulation.process.RunLine;
+import topazvalve.simulation.process.SidecarCommand;
 import topazvalve.simulation.process.SidecarConfiguration;
 import topazvalve.simulation.process.SidecarConfiguration.Discovery;
 import topazvalve.simulation.scenario.MachineKind;
@@ -31,8 +31,8 @@
         this.home = home;
         this.folder = folder;
         this.name = "n" + number;
-        this.port = RunLine.freePort();
-        this.adminPort = RunLine.freePort();
+        this.port = SidecarCommand.freePort();
+        this.adminPort = SidecarCommand.freePort();
     }
 
     /** Returns the port of its clients. */
@@ -55,7 +55,7 @@
         Path file = folder.resolve(name + ".json");
         configuration(scenario, discoveryPort, cachedList, seed).write(file);
         File log = folder.resolve(name + ".log").toFile();
-        process = RunLine.of(home, file, List.of())
+        process = SidecarCommand.processBuilder(home, file, List.of())
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(log))
                 .start();
     }
@@ -85,7 +85,7 @@
                 .listenOn(port)
                 .adminOn(adminPort)
                 .zonesAndKinds(scenario.fleet().zones(), kinds)
-                .known(cachedList);
+                .cachedList(cachedList);
         ObjectNode settings = configuration.settings();
         settings.put("rank", 0).put("replicasOfMe", scenario.fleet().instances());
         putCapabilities(settings.putObject("caps"), scenario);
--- a/simulation/src/main/java/topazvalve/simulation/stream/StreamTrial.java
+++ b/simulation/src/main/java/topazvalve/simulation/stream/StreamTrial.java
@@ -38,30 +38,30 @@
     private static final int ANY_SERVER = -1;
 
     /** The endpoint list of the proxy. It is called from a thread of the trial, never on an event loop. */
-    public interface Fleet {
+    public interface DrainControl {
         /** Lists these servers as draining and all others as ready. */
-        void draining(List<InetSocketAddress> servers);
+        void setDraining(List<InetSocketAddress> servers);
     }
 
     /**
      * The result of a trial.
      *
      * @param broken streams that were reset or whose server was killed
-     * @param refused streams that reached no server
-     * @param watched streams that were opened while a server had been draining for more than 500 ms
-     * @param late those of them that such a server got
+     * @param unserved streams that reached no server
+     * @param openedDuringDrain streams that were opened while a server had been draining for more than 500 ms
+     * @param openedOnDrainingServer those of them that such a server got
      * @param bytes bytes that both ends received
-     * @param faults a line for each stream whose ends disagree
+     * @param mismatches a line for each stream whose ends disagree
      */
     public record Result(
             int streams,
             int halfCloses,
             int broken,
-            int refused,
-            int watched,
-            int late,
+            int unserved,
+            int openedDuringDrain,
+            int openedOnDrainingServer,
             long bytes,
-            List<String> faults) {}
+            List<String> mismatches) {}
 
     /** The drain of a server. Times are nanoseconds of {@link System#nanoTime}. */
     private static final class Drain {
@@ -105,14 +105,19 @@
      * Performs the trial.
      *
      * @param listener the address of the proxy
-     * @param atOnce the largest number of streams that are open at once
-     * @param everyMs the milliseconds between two faults
+     * @param maxConcurrentStreams the largest number of streams that are open at once
+     * @param faultIntervalMillis the milliseconds between two faults
      * @throws StreamTimeoutException if streams hang
      */
-    public Result play(InetSocketAddress listener, Fleet fleet, int streams, int atOnce, long everyMs)
+    public Result run(
+            InetSocketAddress listener,
+            DrainControl drainControl,
+            int streams,
+            int maxConcurrentStreams,
+            long faultIntervalMillis)
             throws InterruptedException {
-        Semaphore capacity = new Semaphore(atOnce);
-        Thread faults = new Thread(() -> injectFaults(fleet, everyMs), "faults");
+        Semaphore capacity = new Semaphore(maxConcurrentStreams);
+        Thread faults = new Thread(() -> injectFaults(drainControl, faultIntervalMillis), "faults");
         faults.start();
         for (long i = 0; i < streams; i++) {
             if (!capacity.tryAcquire(HANG_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
@@ -122,7 +127,7 @@
             logs.put(i, log);
             open(listener, log, capacity);
         }
-        boolean allFinished = capacity.tryAcquire(atOnce, HANG_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        boolean allFinished = capacity.tryAcquire(maxConcurrentStreams, HANG_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         faults.interrupt();
         faults.join();
         if (!allFinished) {
@@ -180,19 +185,19 @@
     }
 
     /** Alternately drains a server for a while, and kills one and opens it again. */
-    private void injectFaults(Fleet fleet, long everyMs) {
+    private void injectFaults(DrainControl drainControl, long faultIntervalMillis) {
         Random random = new Random(seed);
         try {
             for (int turn = 0; ; turn++) {
-                Thread.sleep(everyMs);
+                Thread.sleep(faultIntervalMillis);
                 int which = random.nextInt(servers.size());
                 if (turn % 2 == 0) {
                     Drain drain = new Drain();
                     drains.get(which).add(drain);
-                    fleet.draining(List.of(addresses.get(which)));
+                    drainControl.setDraining(List.of(addresses.get(which)));
                     Thread.sleep(DRAIN_MILLIS);
                     drain.endedAt = System.nanoTime();
-                    fleet.draining(List.of());
+                    drainControl.setDraining(List.of());
                 } else {
                     servers.get(which).kill();
                     Thread.sleep(DOWNTIME_MILLIS);
@@ -231,21 +236,22 @@
     }
 
     private Result result(int streams) {
-        int late = 0;
-        int watched = 0;
-        int halves = 0;
+        int openedOnDrainingServer = 0;
+        int openedDuringDrain = 0;
+        int halfCloses = 0;
         int broken = 0;
-        int refused = 0;
+        int unserved = 0;
         long bytes = 0;
         for (StreamLog log : logs.values()) {
-            halves += StreamEnd.halfCloses(log.plan) ? 1 : 0;
+            halfCloses += StreamEnd.halfCloses(log.plan) ? 1 : 0;
             broken += log.killed || log.client.reset || log.server.reset ? 1 : 0;
-            refused += log.servedBy < 0 && !log.client.reset ? 1 : 0;
+            unserved += log.servedBy < 0 && !log.client.reset ? 1 : 0;
             bytes += log.client.received + log.server.received;
-            watched += log.servedBy >= 0 && wasDrained(ANY_SERVER, log.openedAt) ? 1 : 0;
-            late += log.servedBy >= 0 && wasDrained(log.servedBy, log.openedAt) ? 1 : 0;
+            openedDuringDrain += log.servedBy >= 0 && wasDrained(ANY_SERVER, log.openedAt) ? 1 : 0;
+            openedOnDrainingServer += log.servedBy >= 0 && wasDrained(log.servedBy, log.openedAt) ? 1 : 0;
         }
-        return new Result(streams, halves, broken, refused, watched, late, bytes, mismatches());
+        return new Result(
+                streams, halfCloses, broken, unserved, openedDuringDrain, openedOnDrainingServer, bytes, mismatches());
     }
 
     @Override
--- a/simulation/src/test/java/topazvalve/simulation/process/RunLineTest.java
+++ b/simulation/src/test/java/topazvalve/simulation/process/SidecarCommandTest.java
@@ -12,7 +12,7 @@
 import topazvalve.simulation.DeployFileException;
 
 /** A sidecar's command is the deploy file's {@code run} line. */
-class RunLineTest {
+class SidecarCommandTest {
     @TempDir
     private Path home;
 
@@ -27,7 +27,7 @@
     void commandIsTheRunLine() throws Exception {
         Files.writeString(deployFile, "name = \"x\"\nrun = \"start it\"\n");
 
-        ProcessBuilder builder = RunLine.of(home, Path.of("/config.json"), List.of("nice"));
+        ProcessBuilder builder = SidecarCommand.processBuilder(home, Path.of("/config.json"), List.of("nice"));
 
         assertEquals(List.of("nice", "/bin/sh", "-c", "start it"), builder.command());
         assertEquals("/config.json", builder.environment().get("PROXY_CONFIG"));
@@ -38,8 +38,9 @@
     void fileWithoutRunLineIsReported() throws Exception {
         Files.writeString(deployFile, "name = \"x\"\n");
 
-        DeployFileException error =
-                assertThrows(DeployFileException.class, () -> RunLine.of(home, Path.of("/config.json"), List.of()));
+        DeployFileException error = assertThrows(
+                DeployFileException.class,
+                () -> SidecarCommand.processBuilder(home, Path.of("/config.json"), List.of()));
 
         assertEquals("deploy/balancer.toml has no run line", error.getMessage());
     }
--- a/simulation/src/test/java/topazvalve/simulation/process/SidecarConfigurationTest.java
+++ b/simulation/src/test/java/topazvalve/simulation/process/SidecarConfigurationTest.java
@@ -34,7 +34,7 @@
                 .listenOn(8)
                 .adminOn(9)
                 .zonesAndKinds(List.of("a", "b"), List.of("m"))
-                .knownServers(List.of(11))
+                .cachedServers(List.of(11))
                 .write(file);
 
         ObjectMapper json = new ObjectMapper();
--- a/tcp/src/test/java/topazvalve/tcp/StreamsTest.java
+++ b/tcp/src/test/java/topazvalve/tcp/StreamsTest.java
@@ -18,25 +18,27 @@
     void everyByteAndEveryEndArrivesAsItWasSent() throws Exception {
         try (StreamTrial trial = new StreamTrial(Integer.getInteger("streams.seed", 5), 4);
                 TestListener listener = new TestListener(trial.addresses(), text -> text)) {
-            StreamTrial.Result result = trial.play(
+            StreamTrial.Result result = trial.run(
                     listener.address, listener::setDraining, STREAMS, CONCURRENT_STREAMS, FAULT_INTERVAL_MILLIS);
             System.out.printf(
                     "streams: %d, %d half-closed, %d broken, %d refused, %d late of %d, %,d B%n",
                     result.streams(),
                     result.halfCloses(),
                     result.broken(),
-                    result.refused(),
-                    result.late(),
-                    result.watched(),
+                    result.unserved(),
+                    result.openedOnDrainingServer(),
+                    result.openedDuringDrain(),
                     result.bytes());
             assertEquals(
                     List.of(),
-                    result.faults().stream().limit(5).toList(),
-                    () -> "mismatches: " + result.faults().size());
-            assertTrue(result.watched() > STREAMS / 50, "opened while a server drained: " + result.watched());
-            assertEquals(0, result.late(), "streams to a drained server");
+                    result.mismatches().stream().limit(5).toList(),
+                    () -> "mismatches: " + result.mismatches().size());
+            assertTrue(
+                    result.openedDuringDrain() > STREAMS / 50,
+                    "opened while a server drained: " + result.openedDuringDrain());
+            assertEquals(0, result.openedOnDrainingServer(), "streams to a drained server");
             assertTrue(result.broken() > STREAMS / 100, "too few faults: " + result.broken());
-            assertTrue(result.refused() <= STREAMS / 100, "refused: " + result.refused());
+            assertTrue(result.unserved() <= STREAMS / 100, "refused: " + result.unserved());
             long openStreams =
                     listener.awaitCount(StreamCounters::openStreams, count -> count == 0, CLOSE_TIMEOUT_SECONDS);
             assertEquals(0, openStreams, "open streams left");
