--- a/simulation/src/main/java/topazvalve/simulation/SimulationException.java
+++ b/simulation/src/main/java/topazvalve/simulation/SimulationException.java
@@ -1,8 +1,8 @@
 package topazvalve.simulation;
 
 /**
- * A run or measurement could not be finished. Each subclass is one cause that callers and operators can
- * distinguish. I/O errors are reported as {@link java.io.IOException}; an invalid scenario or experiment as
+ * A run or measurement could not be finished. Each subclass is one cause that callers and operators can distinguish.
+ * I/O errors are reported as {@link java.io.IOException}; an invalid scenario or experiment as
  * {@link topazvalve.toml.InvalidFileException}.
  */
 public abstract sealed class SimulationException extends RuntimeException
--- a/simulation/src/main/java/topazvalve/simulation/model/AttemptScheduler.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/AttemptScheduler.java
@@ -54,7 +54,7 @@
     }
 
     /** Returns whether a further attempt is rejected because all slots are taken and the queue is full. */
-    boolean rejectsFurther() {
+    boolean rejectsNewAttempts() {
         return held() >= capacity && kind.rejectsWhenFull();
     }
 
--- a/simulation/src/main/java/topazvalve/simulation/model/Fleet.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/Fleet.java
@@ -34,13 +34,13 @@
         }
     }
 
-    private OrderServer createServer(Pod pod, int kind) {
+    private OrderServer createServer(Pod pod, int kindIndex) {
         long id = ++lastId;
         return new OrderServer(
                 clock,
                 id,
-                scenario.machines().get(kind),
-                kind,
+                scenario.machines().get(kindIndex),
+                kindIndex,
                 pod,
                 scenario.limits(),
                 scenario.meanWork(),
@@ -54,7 +54,7 @@
 
     /** Replaces a server by a new one of the same kind in the same pod, and returns the replacement. */
     public OrderServer replace(OrderServer old) {
-        OrderServer replacement = createServer(old.pod(), old.kindNumber());
+        OrderServer replacement = createServer(old.pod(), old.kindIndex());
         servers.set(servers.indexOf(old), replacement);
         return replacement;
     }
--- a/simulation/src/main/java/topazvalve/simulation/model/OrderServer.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/OrderServer.java
@@ -13,7 +13,7 @@
 
     private final Clock clock;
     private final MachineKind kind;
-    private final int kindNumber;
+    private final int kindIndex;
     private final long id;
     private final Pod pod;
     private final ServerSpeed speed;
@@ -30,7 +30,7 @@
     /**
      * Creates a server that is already warm.
      *
-     * @param kindNumber the index of its kind in the scenario
+     * @param kindIndex the index of its kind in the scenario
      * @param meanWork mean work of a request in nanoseconds of a standard core
      * @param random its own stream of random numbers
      */
@@ -38,7 +38,7 @@
             Clock clock,
             long id,
             MachineKind kind,
-            int kindNumber,
+            int kindIndex,
             Pod pod,
             Limits limits,
             double meanWork,
@@ -46,7 +46,7 @@
         this.clock = clock;
         this.id = id;
         this.kind = kind;
-        this.kindNumber = kindNumber;
+        this.kindIndex = kindIndex;
         this.pod = pod;
         this.speed = new ServerSpeed(kind, pod, kind.speed().at(random.nextDouble()));
         this.connections = new ConnectionCounter(kind);
@@ -63,8 +63,8 @@
     }
 
     /** Returns the index of its kind in the scenario. */
-    public int kindNumber() {
-        return kindNumber;
+    public int kindIndex() {
+        return kindIndex;
     }
 
     /** Returns its kind of machine. */
@@ -87,7 +87,7 @@
         return mode;
     }
 
-    /** Returns whether it crashed under overload while it was cold; it doesn't start again then. */
+    /** Returns whether it crashed under overload while it was cold; it does not start again in that case. */
     public boolean crashedWhileCold() {
         return crashedWhileCold;
     }
@@ -163,7 +163,7 @@
             attempt.reset();
             return;
         }
-        if (draining || attempts.rejectsFurther()) {
+        if (draining || attempts.rejectsNewAttempts()) {
             attempt.rejected();
             return;
         }
--- a/simulation/src/main/java/topazvalve/simulation/model/Pod.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/Pod.java
@@ -7,7 +7,7 @@
 public final class Pod {
     private static final long UPDATE_INTERVAL_NANOS = 50_000_000;
     /** Smaller changes of the speed factor are ignored. */
-    private static final double MIN_CHANGE = 0.01;
+    private static final double MIN_FACTOR_CHANGE = 0.01;
 
     private final int number;
     private final int zone;
@@ -60,7 +60,7 @@
             capacity += each.fullSpeed();
         }
         double newFactor = inUse == 0 ? 1 : Math.min(1, capacityLimit * capacity / inUse);
-        if (Math.abs(newFactor - speedFactor) > MIN_CHANGE) {
+        if (Math.abs(newFactor - speedFactor) > MIN_FACTOR_CHANGE) {
             servers.forEach(OrderServer::advance);
             speedFactor = newFactor;
             servers.forEach(OrderServer::reschedule);
--- a/simulation/src/main/java/topazvalve/simulation/oracle/Oracle.java
+++ b/simulation/src/main/java/topazvalve/simulation/oracle/Oracle.java
@@ -26,7 +26,10 @@
     private static final int MAX_VIOLATIONS = 100;
     /** A request that is never sent to a server must be answered within this fraction of its time to the deadline. */
     private static final double MAX_UNSENT_FRACTION = 0.5;
-    /** A crash violates a rule if the senders of at least this fraction of the cold server's load knew of its start. */
+    /**
+     * A crash violates {@link Rule#COLD} if the senders of at least this fraction of the cold server's load knew of its
+     * start.
+     */
     private static final double MIN_INFORMED_FRACTION = 2.0 / 3;
     /** How long after the client disconnected an attempt, the first one or a retry, may still begin. */
     private static final long DISCONNECT_GRACE_NANOS = 100_000_000;
--- a/simulation/src/main/java/topazvalve/simulation/oracle/Rule.java
+++ b/simulation/src/main/java/topazvalve/simulation/oracle/Rule.java
@@ -1,6 +1,6 @@
 package topazvalve.simulation.oracle;
 
-/** The rules that must hold whatever faults occur. */
+/** The rules that must hold under all faults. */
 public enum Rule {
     /** Each request that a running sidecar accepted has a response by its deadline. */
     ANSWERED,
@@ -20,7 +20,7 @@
     NOTHING_AFTER,
     /** A draining server gets no new attempts once the grace period after the notification is over. */
     DRAIN,
-    /** No cold server is overloaded, and crashes, by senders that know that it is cold. */
+    /** No cold server crashes under an overload from senders that know that it is cold. */
     COLD,
     /** A request that is given up without an attempt is answered within half of its time to the deadline. */
     AT_ONCE,
--- a/simulation/src/main/java/topazvalve/simulation/statistics/RunResult.java
+++ b/simulation/src/main/java/topazvalve/simulation/statistics/RunResult.java
@@ -22,8 +22,7 @@
  * @param requests the number of requests that clients sent, retries included
  * @param clockEvents the number of events that the virtual clock ran; 0 in real time
  * @param wallNanos how long the run took, in nanoseconds of wall-clock time
- * @param attemptsByServer the number of attempts that each server received, indexed by the server's id, which starts at
- *     1
+ * @param attemptsByServer attempts received by each server, indexed by the server's id; ids start at 1
  */
 public record RunResult(
         String scenario,
--- a/simulation/src/main/java/topazvalve/simulation/virtual/ColdLoadExperiment.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/ColdLoadExperiment.java
@@ -21,7 +21,7 @@
  * the window.
  */
 public final class ColdLoadExperiment implements ColdServerMonitor {
-    /** An overload counts as a fault if the senders of at least this fraction of the load knew of the start. */
+    /** An overload counts as informed if the senders of at least this fraction of the load knew of the start. */
     private static final double MIN_INFORMED_FRACTION = 2.0 / 3;
 
     /** The resource with the scenario, which has {@code ${name}} in place of the values that vary. */
@@ -34,9 +34,9 @@
      * The results of one run.
      *
      * @param peaks the peak load of each server that was cold, as a fraction of the load under which it crashes
-     * @param faults the number of servers that were overloaded by senders that knew of their start
+     * @param informedOverloads the number of servers that were overloaded by senders that knew of their start
      */
-    public record Result(List<Double> peaks, long faults) {}
+    public record Result(List<Double> peaks, long informedOverloads) {}
 
     private ColdLoadExperiment() {}
 
@@ -100,6 +100,7 @@
         double replaced = Double.parseDouble(arguments[2]);
         int seeds = Integer.parseInt(arguments[3]);
         int maxInstances = Integer.parseInt(arguments[4]);
+        // Pairs of the number of instances and the number of servers.
         int[][] sizes = {{5, 12}, {14, 60}, {30, 40}, {100, 200}, {2000, 200}};
         System.out.println("instances servers cold median p99 most over over-by-informed-senders");
         for (int[] size : sizes) {
@@ -112,11 +113,11 @@
 
     private static void printRow(Fleet fleet, int seeds) {
         List<Double> peaks = new ArrayList<>();
-        long faults = 0;
+        long informedOverloads = 0;
         for (int seed = 1; seed <= seeds; seed++) {
             Result result = run(Policy.MODULE, fleet, seed);
             peaks.addAll(result.peaks());
-            faults += result.faults();
+            informedOverloads += result.informedOverloads();
         }
         peaks.sort(null);
         System.out.printf(
@@ -129,6 +130,6 @@
                 peaks.get(peaks.size() * 99 / 100),
                 peaks.get(peaks.size() - 1),
                 peaks.stream().filter(each -> each > 1).count(),
-                faults);
+                informedOverloads);
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/virtual/IdleConnectionTimers.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/IdleConnectionTimers.java
@@ -3,7 +3,7 @@
 import topazvalve.simulation.model.Clock;
 import topazvalve.simulation.virtual.ServerConnections.VirtualConnection;
 
-/** Closes connections, of all instances, that have been idle for too long. */
+/** Closes the idle connections of all instances after a timeout. */
 final class IdleConnectionTimers {
     private final FixedDelayQueue<VirtualConnection> idle;
 
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualDiscovery.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualDiscovery.java
@@ -158,7 +158,7 @@
         return new EndpointInfo(
                 entry.server().id(),
                 entry.server().pod().zone(),
-                entry.server().kindNumber(),
+                entry.server().kindIndex(),
                 entry.server().pod().number(),
                 entry.state(),
                 1,
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualInstance.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualInstance.java
@@ -69,7 +69,7 @@
                 cached.stream().map(VirtualDiscovery::toEndpointInfo).toList());
     }
 
-    /** Kills the instance. Attempts that servers do not stop on a cancellation go on. */
+    /** Kills the instance. Only attempts that servers do not stop on a cancellation continue. */
     void kill() {
         running = false;
         incarnation++;
@@ -203,7 +203,7 @@
         int attemptNumber = request.attemptCount++;
         request.attemptsInFlight++;
         ServerConnections server = servers.get(endpoint);
-        if (mayNotSend(request, attemptNumber, now()) || server == null) {
+        if (mustNotSend(request, attemptNumber, now()) || server == null) {
             Outcome outcome = server == null ? Outcome.CONNECT_FAILED : Outcome.NEVER_SENT;
             dispatch(() -> completeAttempt(request, attemptNumber, endpoint, 0, outcome));
             return;
@@ -214,8 +214,8 @@
         sender.send(attempt, timeoutNanos);
     }
 
-    /** Returns whether the host does not send an attempt although the load balancer requested it. */
-    boolean mayNotSend(VirtualRequest request, int attemptNumber, long now) {
+    /** Returns whether the host must not send an attempt, even if the load balancer requests it. */
+    boolean mustNotSend(VirtualRequest request, int attemptNumber, long now) {
         return request.finished || attemptNumber >= simulation.attemptLimit() || now >= request.deadline;
     }
 
--- a/simulation/src/main/java/topazvalve/simulation/virtual/VirtualSimulation.java
+++ b/simulation/src/main/java/topazvalve/simulation/virtual/VirtualSimulation.java
@@ -20,15 +20,15 @@
 /** A run of one scenario, arm and seed in virtual time. The same three give exactly the same run. */
 public final class VirtualSimulation implements RecordedRun {
     /** The clock's time at the start. Not 0, since a server whose start is 0 counts as started before the run. */
-    private static final long START = 1_000_000_000_000L;
+    private static final long START_NANOS = 1_000_000_000_000L;
 
     /** Instances close idle connections after this fraction of the servers' shortest idle timeout. */
-    private static final double IDLE_FRACTION = 0.9;
+    private static final double IDLE_TIMEOUT_FRACTION = 0.9;
 
     private final Scenario scenario;
     private final ExperimentArm arm;
     private final long seed;
-    private final VirtualClock clock = new VirtualClock(START);
+    private final VirtualClock clock = new VirtualClock(START_NANOS);
     private final Topology topology;
     private final RunRecorder recorder;
     private ColdServerMonitor coldServerMonitor;
@@ -58,7 +58,8 @@
         servers().forEach(directory()::add);
         this.discovery = new VirtualDiscovery(
                 clock, scenario.discovery(), directory(), recorder, RandomStream.named(seed, "discovery"), instances);
-        this.idleConnections = new IdleConnectionTimers(clock, (long) (scenario.minIdleTimeout() * IDLE_FRACTION));
+        this.idleConnections =
+                new IdleConnectionTimers(clock, (long) (scenario.minIdleTimeout() * IDLE_TIMEOUT_FRACTION));
         IntFunction<VirtualInstance> create = factory == null
                 ? number -> new VirtualInstance(this, number, zone(number))
                 : number -> factory.create(this, number);
@@ -165,7 +166,7 @@
 
     @Override
     public long startedAt() {
-        return START;
+        return START_NANOS;
     }
 
     VirtualDiscovery discovery() {
--- a/simulation/src/test/java/topazvalve/simulation/virtual/ColdLoadTest.java
+++ b/simulation/src/test/java/topazvalve/simulation/virtual/ColdLoadTest.java
@@ -8,7 +8,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import topazvalve.simulation.policy.Policy;
 
-/** The load of a fleet on a cold server stays below the crash load, N + 2 * sqrt(N) + 2, for fleets of any size. */
+/**
+ * The load of a fleet on a cold server stays below the crash load, N + 2 * sqrt(N) + 2, however many sidecars share it.
+ */
 class ColdLoadTest {
     /** The lowest overload factor in known settings. */
     private static final double FACTOR = 3;
@@ -32,7 +34,7 @@
             assertTrue(result.peaks().size() > servers / 2, "too few cold servers received load: " + result.peaks());
             assertTrue(
                     result.peaks().stream().allMatch(each -> each < MAX_PEAK), "seed " + seed + ": " + result.peaks());
-            assertEquals(0, result.faults());
+            assertEquals(0, result.informedOverloads());
         }
     }
 
@@ -40,6 +42,6 @@
     @Test
     void policyWithoutSlowStartOverloadsColdServers() {
         ColdLoadExperiment.Result result = ColdLoadExperiment.run(Policy.RANDOM, fleet(30, 40), 1);
-        assertTrue(result.faults() > 0, "no cold server was overloaded: " + result.peaks());
+        assertTrue(result.informedOverloads() > 0, "no cold server was overloaded: " + result.peaks());
     }
 }
--- a/simulation/src/test/java/topazvalve/simulation/virtual/FaultySidecar.java
+++ b/simulation/src/test/java/topazvalve/simulation/virtual/FaultySidecar.java
@@ -9,7 +9,7 @@
 import topazvalve.simulation.oracle.Rule;
 import topazvalve.simulation.scenario.RequestClassSpec.Repeatability;
 
-/** A sidecar that violates one rule, most of them only for every 20th request, for tests of the oracle. */
+/** A sidecar that violates one rule, for tests of the oracle. Most rules are violated on every 20th request only. */
 final class FaultySidecar extends VirtualInstance {
     private static final int VIOLATION_INTERVAL = 20;
     private static final long RESEND_DELAY_NANOS = 1_000_000_000L;
@@ -67,10 +67,12 @@
     }
 
     @Override
-    boolean mayNotSend(VirtualRequest request, int attemptNumber, long now) {
+    boolean mustNotSend(VirtualRequest request, int attemptNumber, long now) {
         boolean ignoresLimits =
                 violatedRule == Rule.ATTEMPTS || violatedRule == Rule.NOTHING_AFTER || violatedRule == Rule.CLIENT_LEFT;
-        return ignoresLimits ? attemptNumber >= request.attempts.length : super.mayNotSend(request, attemptNumber, now);
+        return ignoresLimits
+                ? attemptNumber >= request.attempts.length
+                : super.mustNotSend(request, attemptNumber, now);
     }
 
     /** Ignores that the client has disconnected, and sends an attempt afterwards. */
