--- a/capacity/src/main/java/topazvalve/capacity/plan/PlanFile.java
+++ b/capacity/src/main/java/topazvalve/capacity/plan/PlanFile.java
@@ -43,7 +43,7 @@
     }
 
     private static CapacityPlan readPlan(Table table) {
-        String name = table.text("name", null);
+        String name = table.string("name", null);
         Table fleetTable = table.table("fleet");
         Table failureTable = table.table("failure");
         Table budgetTable = table.table("budget");
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/timeline/TimelineFile.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/timeline/TimelineFile.java
@@ -51,8 +51,8 @@
     }
 
     private static Timeline readTimeline(Table table) {
-        String name = table.text("name", null);
-        String about = table.text("about", "-");
+        String name = table.string("name", null);
+        String about = table.string("about", "-");
         Size size = readSize(table.table("fleet"));
         SourceStandInSettings source = readSource(table.table("source"));
         RelayTierSize relays = readRelays(table.table("relays"));
@@ -105,7 +105,7 @@
         // Messages list the keys in the order in which they are read.
         LinkFault linkFault = readLinkFault(table, size);
         return new Stage(
-                table.text("name", null),
+                table.string("name", null),
                 table.duration("length", null, "10ms", "60m"),
                 table.duration("settle", "20s", "0", "30m"),
                 readChanges(table, size),
--- a/relay/src/main/java/topazvalve/relay/RelayFile.java
+++ b/relay/src/main/java/topazvalve/relay/RelayFile.java
@@ -44,8 +44,8 @@
     }
 
     private static RelaySettings readSettings(Table root) {
-        String name = root.text("name", "relay");
-        InetSocketAddress listen = parseAddress(root, "listen", root.text("listen", null));
+        String name = root.string("name", "relay");
+        InetSocketAddress listen = parseAddress(root, "listen", root.string("listen", null));
         List<SourceSettings> sources = readSources(root);
         return new RelaySettings(
                 name,
@@ -69,7 +69,7 @@
         Set<String> names = new HashSet<>();
         List<SourceSettings> sources = new ArrayList<>();
         for (Table table : tables) {
-            String name = table.text("name", null);
+            String name = table.string("name", null);
             checkSourceName(table, name, names);
             sources.add(new SourceSettings(name, readAddresses(table)));
         }
--- a/simulation/src/main/java/topazvalve/simulation/model/EndpointDirectory.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/EndpointDirectory.java
@@ -48,7 +48,7 @@
      */
     public void stateChanged(OrderServer server, EndpointStatus state, boolean silently) {
         double delaySeconds =
-                (silently ? settings.silentNoticeSeconds() : settings.noticeSeconds()).at(random.nextDouble());
+                (silently ? settings.silentNoticeSeconds() : settings.noticeSeconds()).interpolate(random.nextDouble());
         long startedAt = server.startedAt();
         clock.scheduleAt(clock.now() + (long) (delaySeconds * NANOS_PER_SECOND), () -> {
             if (server.startedAt() == startedAt) {
--- a/simulation/src/main/java/topazvalve/simulation/model/FaultInjector.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/FaultInjector.java
@@ -60,13 +60,13 @@
     private static Fault drawFault(Scenario scenario, RandomStream random) {
         Chaos chaos = scenario.chaos();
         Fault.Kind kind = chaos.kinds().get(random.nextInt(chaos.kinds().size()));
-        long length = (long) (chaos.lengthSeconds().at(random.nextDouble()) * NANOS_PER_SECOND);
+        long length = (long) (chaos.lengthSeconds().interpolate(random.nextDouble()) * NANOS_PER_SECOND);
         long start = (long) (random.nextDouble() * Math.max(0, scenario.length() - length));
-        double size = chaos.size().at(random.nextDouble());
+        double size = chaos.size().interpolate(random.nextDouble());
         if (kind == Fault.Kind.LOSS || kind == Fault.Kind.SPOIL) {
             size = Math.min(MAX_DRAWN_RATE, size / DRAWN_RATE_DIVISOR);
         }
-        double affectedFraction = chaos.affectedFraction().at(random.nextDouble());
+        double affectedFraction = chaos.affectedFraction().interpolate(random.nextDouble());
         return new Fault(kind, start, length, affectedFraction, size, DRAWN_DELAY_NANOS);
     }
 
--- a/simulation/src/main/java/topazvalve/simulation/model/Fleet.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/Fleet.java
@@ -26,7 +26,7 @@
         for (int i = 0; i < podsPerZone * zones; i++) {
             RandomStream random = RandomStream.named(seed, "pod." + i);
             boolean limited = random.nextBoolean(spec.limitedPodFraction());
-            pods.add(new Pod(clock, i, i % zones, limited ? spec.podLimit().at(random.nextDouble()) : 1));
+            pods.add(new Pod(clock, i, i % zones, limited ? spec.podLimit().interpolate(random.nextDouble()) : 1));
         }
         WeightedChoice kinds = new WeightedChoice(scenario.machines().stream().mapToDouble(MachineKind::weight));
         for (int i = 0; i < spec.servers(); i++) {
--- a/simulation/src/main/java/topazvalve/simulation/model/OrderServer.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/OrderServer.java
@@ -48,7 +48,7 @@
         this.kind = kind;
         this.kindIndex = kindIndex;
         this.pod = pod;
-        this.speed = new ServerSpeed(kind, pod, kind.speed().at(random.nextDouble()));
+        this.speed = new ServerSpeed(kind, pod, kind.speed().interpolate(random.nextDouble()));
         this.connections = new ConnectionCounter(kind);
         this.processor = new SharedProcessor(clock, kind.cores(), this::completionDue);
         this.attempts = new AttemptScheduler(clock, this, connections, random, processor);
--- a/simulation/src/main/java/topazvalve/simulation/scenario/ExperimentFile.java
+++ b/simulation/src/main/java/topazvalve/simulation/scenario/ExperimentFile.java
@@ -36,9 +36,9 @@
     }
 
     private static Experiment experiment(Path file, Table table) {
-        String name = table.text("name", null);
+        String name = table.string("name", null);
         List<Path> scenarios = scenarios(file, table);
-        Optional<SeedRange> seeds = SeedRange.parse(table.text("seeds", "1..5"));
+        Optional<SeedRange> seeds = SeedRange.parse(table.string("seeds", "1..5"));
         if (seeds.isEmpty()) {
             table.addProblem("seeds", "is not a range of seeds such as \"1..20\"");
         }
@@ -63,7 +63,7 @@
         Set<String> names = new HashSet<>();
         for (Table arm : table.tables("arm", 1)) {
             Policy policy = arm.choice(Policy.class, "policy", null);
-            String name = arm.text("name", Table.nameOf(policy));
+            String name = arm.string("name", Table.nameOf(policy));
             if (!names.add(name)) {
                 arm.addProblem("name", "\"" + name + "\" is used twice");
             }
--- a/simulation/src/main/java/topazvalve/simulation/scenario/MachineKind.java
+++ b/simulation/src/main/java/topazvalve/simulation/scenario/MachineKind.java
@@ -77,7 +77,7 @@
     /** Reads a {@code [[machine]]} table; its problems are collected by the table. */
     static MachineKind read(Table table) {
         MachineKind kind = new MachineKind(
-                table.text("name", null),
+                table.string("name", null),
                 table.number("share", 1.0, 0.001, 1000),
                 table.integer("cores", null, 1, 1024),
                 table.range("speed", new Range(1, 1), 0.01, 1000),
@@ -110,6 +110,6 @@
 
     /** Returns its mean capacity when warm, in standard cores. */
     public double capacity() {
-        return cores * speed.at(MIDDLE);
+        return cores * speed.interpolate(MIDDLE);
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/scenario/RequestClassSpec.java
+++ b/simulation/src/main/java/topazvalve/simulation/scenario/RequestClassSpec.java
@@ -52,7 +52,7 @@
     /** Reads a {@code [[class]]} table; its problems are collected by the table. */
     static RequestClassSpec read(Table table) {
         RequestClassSpec spec = new RequestClassSpec(
-                table.text("name", null),
+                table.string("name", null),
                 table.number("share", 1.0, 0.001, 1000),
                 table.duration("work", null, "1us", "1m"),
                 table.number("spread", 0.5, 0, 10),
--- a/simulation/src/main/java/topazvalve/simulation/scenario/ScenarioFile.java
+++ b/simulation/src/main/java/topazvalve/simulation/scenario/ScenarioFile.java
@@ -47,8 +47,8 @@
     }
 
     private static Scenario scenario(Table table) {
-        String name = table.text("name", null);
-        String description = table.text("about", "-");
+        String name = table.string("name", null);
+        String description = table.string("about", "-");
         long length = table.duration("length", null, "1s", "24m");
         long settlingTime = table.duration("settle", "0", "0", "10m");
         if (settlingTime >= length) {
--- a/simulation/src/test/java/topazvalve/simulation/scenario/ScenarioFileTest.java
+++ b/simulation/src/test/java/topazvalve/simulation/scenario/ScenarioFileTest.java
@@ -61,7 +61,7 @@
             assertTrue(
                     parseInvalid(misspelled).problems().stream()
                             .anyMatch(each -> each.line() == line
-                                    && each.what().startsWith("unknown key; was \"" + key + "\" meant?")),
+                                    && each.message().startsWith("unknown key; was \"" + key + "\" meant?")),
                     key);
             for (String wrongValue : List.of("{ a = 1 }", "-7", "[[]]")) {
                 List<String> wronglyTyped = new ArrayList<>(lines);
--- a/tcp/src/main/java/topazvalve/tcp/TcpFile.java
+++ b/tcp/src/main/java/topazvalve/tcp/TcpFile.java
@@ -72,7 +72,7 @@
     private static TcpSettings readListener(Table table) {
         String name = name(table);
         table.choice(Protocol.class, "protocol", null);
-        InetSocketAddress listen = address(table, "listen", table.text("listen", null));
+        InetSocketAddress listen = address(table, "listen", table.string("listen", null));
         List<InetSocketAddress> servers = addresses(table, "servers", null);
         List<InetSocketAddress> draining = addresses(table, "draining", List.of());
         checkServers(table, servers, draining);
@@ -102,7 +102,7 @@
     }
 
     private static String name(Table table) {
-        String name = table.text("name", null);
+        String name = table.string("name", null);
         if (!NAME.matcher(name).matches()) {
             table.addProblem("name", "\"" + name + "\" is not 1 to 32 lowercase letters, digits, - and _");
         }
--- a/toml/src/main/java/topazvalve/toml/Problem.java
+++ b/toml/src/main/java/topazvalve/toml/Problem.java
@@ -6,12 +6,12 @@
  * @param file the file's name as messages show it
  * @param line the line of the key, from 1 on
  * @param key the key's full path, such as {@code class.0.aim}; empty if the problem is not with one key
- * @param what what is wrong, and what was expected
+ * @param message what is wrong, and what was expected
  */
-public record Problem(String file, int line, String key, String what) {
-    /** Returns the problem as one line: {@code file:line: key: what}. */
+public record Problem(String file, int line, String key, String message) {
+    /** Returns the problem as one line: {@code file:line: key: message}. */
     @Override
     public String toString() {
-        return file + ":" + line + ": " + (key.isEmpty() ? "" : key + ": ") + what;
+        return file + ":" + line + ": " + (key.isEmpty() ? "" : key + ": ") + message;
     }
 }
--- a/toml/src/main/java/topazvalve/toml/Range.java
+++ b/toml/src/main/java/topazvalve/toml/Range.java
@@ -8,7 +8,7 @@
  */
 public record Range(double low, double high) {
     /** Returns the value at a fraction of the way from low to high; {@code fraction} is from 0 to 1. */
-    public double at(double fraction) {
+    public double interpolate(double fraction) {
         return low + (high - low) * fraction;
     }
 }
--- a/toml/src/main/java/topazvalve/toml/Table.java
+++ b/toml/src/main/java/topazvalve/toml/Table.java
@@ -55,9 +55,9 @@
     }
 
     /** Notes a problem with a key of this table, or with the table itself if {@code key} is empty. */
-    public void addProblem(String key, String what) {
+    public void addProblem(String key, String message) {
         String fullPath = key.isEmpty() ? path : pathOf(key);
-        problems.add(new Problem(file, lines.lineOf(fullPath), fullPath, what));
+        problems.add(new Problem(file, lines.lineOf(fullPath), fullPath, message));
     }
 
     /** Returns whether the file has this key, and counts the key as requested. */
@@ -203,7 +203,7 @@
     }
 
     /** Reads a text that is not blank. */
-    public String text(String key, String defaultValue) {
+    public String string(String key, String defaultValue) {
         JsonNode value = value(key, defaultValue == null, "a text in quotes");
         if (value == null) {
             return defaultValue == null ? "" : defaultValue;
--- a/toml/src/test/java/topazvalve/toml/TableProblems.java
+++ b/toml/src/test/java/topazvalve/toml/TableProblems.java
@@ -9,7 +9,7 @@
 final class TableProblems {
     private TableProblems() {}
 
-    /** Returns the problems of a file as {@code line key: what}; fails if it has none. */
+    /** Returns the problems of a file as {@code line key: message}; fails if it has none. */
     static List<String> of(String text, Consumer<Table> reader) {
         InvalidFileException invalid = assertThrows(
                 InvalidFileException.class,
@@ -18,7 +18,7 @@
                     return root;
                 }));
         return invalid.problems().stream()
-                .map(problem -> problem.line() + " " + problem.key() + ": " + problem.what())
+                .map(problem -> problem.line() + " " + problem.key() + ": " + problem.message())
                 .toList();
     }
 }
--- a/toml/src/test/java/topazvalve/toml/TableStructureTest.java
+++ b/toml/src/test/java/topazvalve/toml/TableStructureTest.java
@@ -49,7 +49,7 @@
                 "test.toml",
                 text,
                 root -> root.tables("source", 2).stream()
-                        .map(source -> source.text("name", null))
+                        .map(source -> source.string("name", null))
                         .toList());
         assertEquals(List.of("b", "a"), names);
     }
@@ -74,7 +74,7 @@
         assertEquals(
                 List.of("2 stal: unknown key; was \"stall\" meant?"),
                 TableProblems.of("name = \"a\"\nstal = \"1s\"", root -> {
-                    root.text("name", null);
+                    root.string("name", null);
                     root.duration("stall", "10s", "0", "1m");
                 }));
     }
@@ -83,7 +83,7 @@
     void anUnknownKeyThatResemblesNoneIsReportedWithAllKnownOnes() {
         assertEquals(
                 List.of("1 unrelated: unknown key; known are name, stall"), TableProblems.of("unrelated = 1", root -> {
-                    root.text("name", "a");
+                    root.string("name", "a");
                     root.duration("stall", "10s", "0", "1m");
                 }));
     }
@@ -97,7 +97,7 @@
                         "4 source.0.names: unknown key; was \"name\" meant?"),
                 TableProblems.of(text, root -> {
                     root.table("fleet").integer("servers", 3, 1, 10);
-                    root.tables("source", 1).get(0).text("name", "a");
+                    root.tables("source", 1).get(0).string("name", "a");
                 }));
     }
 
@@ -105,7 +105,7 @@
     void aTableThatWasNeverRequestedIsAnUnknownKey() {
         assertEquals(
                 List.of("3 fleet: unknown key; known are name"),
-                TableProblems.of("name = \"a\"\n\n[fleet]\nservers = 5", root -> root.text("name", null)));
+                TableProblems.of("name = \"a\"\n\n[fleet]\nservers = 5", root -> root.string("name", null)));
     }
 
     @Test
@@ -120,7 +120,7 @@
                         "6 source.0.address: unknown key; was \"addresses\" meant?"),
                 TableProblems.of(text, root -> {
                     Table source = root.tables("source", 1).get(0);
-                    source.text("name", null);
+                    source.string("name", null);
                     source.strings("addresses", List.of());
                     Table fleet = root.table("fleet");
                     fleet.integer("zones", 1, 1, 10);
--- a/toml/src/test/java/topazvalve/toml/TableValuesTest.java
+++ b/toml/src/test/java/topazvalve/toml/TableValuesTest.java
@@ -193,14 +193,14 @@
 
     @Test
     void aTextIsReadAsWrittenOrIsItsDefault() {
-        assertReads("a b", "name = \"a b\"", root -> root.text("name", null));
-        assertReads("relay", "", root -> root.text("name", "relay"));
+        assertReads("a b", "name = \"a b\"", root -> root.string("name", null));
+        assertReads("relay", "", root -> root.string("name", "relay"));
     }
 
     @Test
     void aRequiredTextMustBeGiven() {
         assertEquals(
-                List.of("1 name: missing; a text in quotes"), TableProblems.of("", root -> root.text("name", null)));
+                List.of("1 name: missing; a text in quotes"), TableProblems.of("", root -> root.string("name", null)));
     }
 
     @ParameterizedTest
@@ -208,7 +208,7 @@
     void aBlankTextOrAValueOfAnotherTypeIsRejected(String value) {
         assertEquals(
                 List.of("1 name: " + value + " is not a text in quotes"),
-                TableProblems.of("name = " + value, root -> root.text("name", "relay")));
+                TableProblems.of("name = " + value, root -> root.string("name", "relay")));
     }
 
     @Test
--- a/toml/src/test/java/topazvalve/toml/TomlFileTest.java
+++ b/toml/src/test/java/topazvalve/toml/TomlFileTest.java
@@ -16,19 +16,19 @@
 class TomlFileTest {
     @Test
     void aValidFileGivesWhatItsReaderReturns() {
-        assertEquals("a", TomlFile.parse("test.toml", "name = \"a\"", root -> root.text("name", null)));
+        assertEquals("a", TomlFile.parse("test.toml", "name = \"a\"", root -> root.string("name", null)));
     }
 
     @Test
     void aSyntaxErrorIsTheOnlyProblemAndHasItsLine() {
         InvalidFileException invalid = assertThrows(
                 InvalidFileException.class,
-                () -> TomlFile.parse("test.toml", "a = 1\nb = = 2\nc = 3\n", root -> root.text("missing", null)));
+                () -> TomlFile.parse("test.toml", "a = 1\nb = = 2\nc = 3\n", root -> root.string("missing", null)));
         Problem problem = invalid.problems().get(0);
         assertEquals(1, invalid.problems().size());
         assertEquals(2, problem.line());
         assertEquals("", problem.key());
-        assertTrue(problem.what().startsWith("not TOML: "), problem.what());
+        assertTrue(problem.message().startsWith("not TOML: "), problem.message());
         assertTrue(invalid.getMessage().startsWith("test.toml:2: not TOML: "), invalid.getMessage());
     }
 
@@ -45,7 +45,7 @@
                 InvalidFileException.class,
                 () -> TomlFile.parse("test.toml", "a = 1\n\na = 2\n", root -> root.integer("a", null, 1, 2)));
         assertEquals(1, invalid.problems().size());
-        assertEquals("not TOML: Duplicate key", invalid.problems().get(0).what());
+        assertEquals("not TOML: Duplicate key", invalid.problems().get(0).message());
     }
 
     @Test
