--- a/cli/src/main/java/topazvalve/cli/ExperimentRunVerb.java
+++ b/cli/src/main/java/topazvalve/cli/ExperimentRunVerb.java
@@ -127,7 +127,7 @@
     }
 
     private static void print(PrintWriter console, ExperimentPlan plan, List<Result> results) {
-        for (ExperimentPlan.Setting setting : plan.scenarios()) {
+        for (ExperimentPlan.LoadedScenario setting : plan.scenarios()) {
             String scenario = setting.scenario().name();
             for (ExperimentArm arm : plan.arms()) {
                 List<Result> runs = results.stream()
@@ -162,9 +162,9 @@
 
     private ExperimentPlan plan() throws IOException {
         ExperimentFile.Experiment experiment = InputFiles.experiment(file);
-        List<ExperimentPlan.Setting> scenarios = new ArrayList<>();
+        List<ExperimentPlan.LoadedScenario> scenarios = new ArrayList<>();
         for (Path each : experiment.scenarios()) {
-            scenarios.add(new ExperimentPlan.Setting(each, InputFiles.scenario(each)));
+            scenarios.add(new ExperimentPlan.LoadedScenario(each, InputFiles.scenario(each)));
         }
         List<ExperimentArm> arms =
                 experiment.arms().stream().map(ExperimentRunVerb::arm).toList();
--- a/simulation/src/main/java/topazvalve/simulation/experiment/Comparison.java
+++ b/simulation/src/main/java/topazvalve/simulation/experiment/Comparison.java
@@ -16,16 +16,16 @@
  * clients and faults, so that the differences are due to the arms.
  *
  * @param metric the name of the metric
- * @param pairs the number of seeds for which both arms have a result
+ * @param pairs the number of seeds with a result of both arms
  * @param first the mean of the first arm
  * @param second the mean of the second arm
- * @param mean the mean of the differences, the first arm's value minus the second's
+ * @param mean the mean of the differences, first arm minus second arm
  * @param halfWidth half the width of the 95% confidence interval (Student's t); NaN for fewer than two pairs
  */
 public record Comparison(
         String scenario, String metric, int pairs, double first, double second, double mean, double halfWidth) {
-    /** The quantile of a two-sided 95% interval. */
-    private static final double QUANTILE = 0.975;
+    /** The quantile at the upper bound of a two-sided 95% interval. */
+    private static final double UPPER_QUANTILE = 0.975;
 
     private static final Map<String, ToDoubleFunction<Result>> METRICS = metrics();
 
@@ -39,11 +39,11 @@
                 "attempts per request",
                 each -> (double) each.sums().attempts()
                         / Math.max(1, each.sums().sent()));
-        metrics.put("runs with a broken rule", each -> each.violationCounts().isEmpty() ? 0 : 1);
+        metrics.put("runs with violations", each -> each.violationCounts().isEmpty() ? 0 : 1);
         return metrics;
     }
 
-    /** Returns whether the interval excludes 0. */
+    /** Returns whether the confidence interval excludes 0. */
     public boolean differs() {
         return pairs >= 2 && Math.abs(mean) > halfWidth;
     }
@@ -54,15 +54,15 @@
                 new LinkedHashSet<>(first.stream().map(Result::scenario).toList());
         List<Comparison> all = new ArrayList<>();
         for (String scenario : scenarios) {
-            Map<Long, Result> others = new HashMap<>();
+            Map<Long, Result> secondBySeed = new HashMap<>();
             second.stream()
                     .filter(each -> each.scenario().equals(scenario))
-                    .forEach(each -> others.put(each.seed(), each));
+                    .forEach(each -> secondBySeed.put(each.seed(), each));
             List<Result> paired = first.stream()
-                    .filter(each -> each.scenario().equals(scenario) && others.containsKey(each.seed()))
+                    .filter(each -> each.scenario().equals(scenario) && secondBySeed.containsKey(each.seed()))
                     .toList();
             if (!paired.isEmpty()) {
-                METRICS.forEach((name, metric) -> all.add(of(scenario, name, metric, paired, others)));
+                METRICS.forEach((name, metric) -> all.add(of(scenario, name, metric, paired, secondBySeed)));
             }
         }
         return all;
@@ -73,13 +73,13 @@
             String name,
             ToDoubleFunction<Result> metric,
             List<Result> paired,
-            Map<Long, Result> others) {
+            Map<Long, Result> secondBySeed) {
         SummaryStatistics firstArm = new SummaryStatistics();
         SummaryStatistics secondArm = new SummaryStatistics();
         SummaryStatistics difference = new SummaryStatistics();
         for (Result each : paired) {
             double firstValue = metric.applyAsDouble(each);
-            double secondValue = metric.applyAsDouble(others.get(each.seed()));
+            double secondValue = metric.applyAsDouble(secondBySeed.get(each.seed()));
             firstArm.addValue(firstValue);
             secondArm.addValue(secondValue);
             difference.addValue(firstValue - secondValue);
@@ -95,7 +95,7 @@
         if (count < 2) {
             return Double.NaN;
         }
-        double quantile = new TDistribution(count - 1).inverseCumulativeProbability(QUANTILE);
+        double quantile = new TDistribution(count - 1).inverseCumulativeProbability(UPPER_QUANTILE);
         return quantile * values.getStandardDeviation() / Math.sqrt(count);
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/experiment/ExperimentPlan.java
+++ b/simulation/src/main/java/topazvalve/simulation/experiment/ExperimentPlan.java
@@ -8,14 +8,14 @@
 import topazvalve.simulation.virtual.ExperimentArm;
 
 /** The plan of an experiment: every arm on every scenario with every seed. */
-public record ExperimentPlan(String name, List<Setting> scenarios, List<ExperimentArm> arms, SeedRange seeds) {
+public record ExperimentPlan(String name, List<LoadedScenario> scenarios, List<ExperimentArm> arms, SeedRange seeds) {
 
     /** A scenario and the file that it was read from. */
-    public record Setting(Path file, Scenario scenario) {}
+    public record LoadedScenario(Path file, Scenario scenario) {}
 
-    /** One run of the plan. */
+    /** One run of the plan: a scenario, an arm and a seed. */
     public record PlannedRun(Scenario scenario, ExperimentArm arm, long seed) {
-        /** Returns scenario, arm and seed, which identify its result in the file of results. */
+        /** Returns scenario, arm and seed, which identify its result in the results file. */
         public String key() {
             return scenario.name() + "/" + arm.name() + "/" + seed;
         }
@@ -26,11 +26,11 @@
         return new ExperimentPlan(name, scenarios, arms, other);
     }
 
-    /** Returns all runs, seed by seed, so that the arms can be compared even if the experiment is stopped early. */
+    /** Returns all runs ordered by seed, so that arms can be compared even if the experiment is stopped early. */
     public List<PlannedRun> runs() {
         List<PlannedRun> runs = new ArrayList<>();
         for (long seed = seeds.first(); seed <= seeds.last(); seed++) {
-            for (Setting each : scenarios) {
+            for (LoadedScenario each : scenarios) {
                 for (ExperimentArm arm : arms) {
                     runs.add(new PlannedRun(each.scenario(), arm, seed));
                 }
--- a/simulation/src/main/java/topazvalve/simulation/experiment/Report.java
+++ b/simulation/src/main/java/topazvalve/simulation/experiment/Report.java
@@ -21,8 +21,8 @@
 import topazvalve.simulation.statistics.RunStatistics;
 
 /**
- * The report of an experiment, a self-contained HTML file: for each scenario a table of the arms and plots over time,
- * with the faults beneath. The plotting library (uPlot) is part of the file.
+ * The report of an experiment, a self-contained HTML file: for each scenario a table of the arms and plots over time
+ * with the faults shaded. The plotting library (uPlot) is embedded in the file.
  */
 public final class Report {
     private static final String UPLOT = "/META-INF/resources/webjars/uplot/1.6.30/dist/";
@@ -31,7 +31,7 @@
 
     private Report() {}
 
-    /** Writes the report of these results; replaces the file if it exists. */
+    /** Writes the report of these results, replacing an existing file. */
     public static void write(Path file, String title, List<Result> results) throws IOException {
         StringBuilder html = new StringBuilder(1 << 18);
         html.append("<!DOCTYPE html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>")
@@ -63,7 +63,7 @@
     private static String resource(String name) {
         try (InputStream in = Report.class.getResourceAsStream(name)) {
             if (in == null) {
-                throw new IllegalStateException("not packaged: " + name);
+                throw new IllegalStateException("resource not packaged: " + name);
             }
             return new String(in.readAllBytes(), StandardCharsets.UTF_8).replace("</script", "<\\/script");
         } catch (IOException e) {
@@ -90,14 +90,14 @@
         html.append("<h2>")
                 .append(escape(name))
                 .append("</h2><table><tr><th>arm<th>runs<th>goal<th>service"
-                        + "<th>worst 10 s<th>worst class<th>p50 ms<th>p99 ms<th>attempts per request<th>refused"
-                        + "<th>failed<th>rules broken</tr>");
+                        + "<th>worst 10 s<th>worst class<th>p50 ms<th>p99 ms<th>attempts per request<th>rejected"
+                        + "<th>failed<th>violated rules</tr>");
         arms.forEach((arm, runs) -> appendRow(html, arm, runs));
         html.append("</table>");
         appendViolations(html, results);
         appendPlot(
                 html,
-                "Served within the aim, part of what was asked",
+                "Fraction of requests served within the latency objective",
                 results,
                 (second, sums) -> second.sent() == 0 ? 1 : (double) second.inTime() / second.sent());
         appendPlot(html, "p99 of the requests sent in each second, ms", results, (second, sums) -> second.p99Ms());
@@ -117,12 +117,12 @@
         appendCell(html, mean(runs, each -> perRequest(each, each.sums().attempts())), "%.2f");
         appendCell(html, mean(runs, each -> perRequest(each, each.sums().rejected())), "%.3f");
         appendCell(html, mean(runs, each -> perRequest(each, each.sums().failed())), "%.3f");
-        long broken =
+        long runsWithViolations =
                 runs.stream().filter(each -> !each.violationCounts().isEmpty()).count();
         html.append("<td class=\"")
-                .append(broken > 0 ? "bad" : "good")
+                .append(runsWithViolations > 0 ? "bad" : "good")
                 .append("\">")
-                .append(broken == 0 ? "none" : "in " + broken + " runs")
+                .append(runsWithViolations == 0 ? "none" : "in " + runsWithViolations + " runs")
                 .append("</tr>");
     }
 
@@ -145,13 +145,13 @@
     }
 
     private static void appendViolations(StringBuilder html, List<Result> results) {
-        List<Result> broken = results.stream()
+        List<Result> runsWithViolations = results.stream()
                 .filter(each -> !each.violationCounts().isEmpty())
                 .limit(MAX_RUNS_WITH_VIOLATIONS)
                 .toList();
-        if (!broken.isEmpty()) {
-            html.append("<details><summary>Broken rules</summary><ul>");
-            broken.forEach(run -> run.violations()
+        if (!runsWithViolations.isEmpty()) {
+            html.append("<details><summary>Rule violations</summary><ul>");
+            runsWithViolations.forEach(run -> run.violations()
                     .forEach(each -> html.append("<li>")
                             .append(escape(run.key()))
                             .append(": ")
@@ -160,7 +160,7 @@
         }
     }
 
-    /** A value of one second that a plot shows. */
+    /** A value that a plot shows for each second. */
     private interface Metric {
         double of(RunStatistics.Second second, RunStatistics.Sums sums);
     }
@@ -228,7 +228,7 @@
                     .append(json.replace("</", "<\\/"))
                     .append("</script>");
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("figures that can't be written", e);
+            throw new IllegalStateException("plot data cannot be written as JSON", e);
         }
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/experiment/Result.java
+++ b/simulation/src/main/java/topazvalve/simulation/experiment/Result.java
@@ -13,13 +13,13 @@
 import topazvalve.toml.Table;
 
 /**
- * The result of one run, as stored in a line of the file of results. The keys are the names that annotations give, or
- * those of the components.
+ * The result of one run, stored as one line of the results file. The JSON keys are the names given by annotations, or
+ * else those of the components.
  *
  * @param violationCounts how often each rule was violated, by the rule's name
  * @param digest the run's digest in hexadecimal
- * @param wallSeconds how long the run took, in seconds
- * @param attemptsByServer by the server's id, from 1 on
+ * @param wallSeconds the wall-clock duration of the run in seconds
+ * @param attemptsByServer the attempts by server id; ids start at 1
  * @param violations the first violations as text
  */
 public record Result(
@@ -44,10 +44,10 @@
     private static final double NANOS_PER_MILLI = 1e6;
     private static final int MAX_VIOLATIONS = 5;
 
-    /** The service (0 to 1) of one class, and percentiles of its latency in milliseconds. */
+    /** The service (0 to 1) of one request class, and percentiles of its latency in milliseconds. */
     public record ClassResult(String name, double service, double p50, double p90, double p99, double p999) {}
 
-    /** The kind of a fault, and its begin and end in seconds from the start of the run. */
+    /** The kind of a fault, and its start and end in seconds from the start of the run. */
     public record FaultInterval(String kind, double from, double to) {}
 
     /** Returns the result of a run. */
@@ -112,7 +112,7 @@
         return intervals;
     }
 
-    /** Returns scenario, arm and seed, which identify a result in its file. */
+    /** Returns scenario, arm and seed, which identify a result in the results file. */
     public String key() {
         return scenario + "/" + arm + "/" + seed;
     }
--- a/simulation/src/main/resources/topazvalve/simulation/experiment/report.js
+++ b/simulation/src/main/resources/topazvalve/simulation/experiment/report.js
@@ -1,11 +1,11 @@
-// Draws each block of figures; faults are shaded bands beneath the lines, each with its name.
+// Draws a plot from each block of JSON data, with faults as labelled, shaded bands behind the lines.
 const colours = ["#1668c7", "#d1495b", "#2e8b57", "#b07d00", "#7a4fb5", "#444"];
 for (const block of document.querySelectorAll("script.plot")) {
   const plot = JSON.parse(block.textContent);
-  const place = document.createElement("div");
-  place.className = "chart";
-  block.after(place);
-  const bands = u => {
+  const container = document.createElement("div");
+  container.className = "chart";
+  block.after(container);
+  const drawFaults = u => {
     const { ctx, bbox } = u;
     plot.faults.forEach((fault, i) => {
       const from = u.valToPos(fault.from, "x", true);
@@ -26,6 +26,6 @@
       label: name, stroke: colours[i % colours.length], width: plot.points ? 0 : 1.6,
       points: { show: plot.points, size: 6, fill: colours[i % colours.length] },
     }))),
-    hooks: { drawClear: [bands] },
-  }, plot.series, place);
+    hooks: { drawClear: [drawFaults] },
+  }, plot.series, container);
 }
--- a/simulation/src/test/java/topazvalve/simulation/experiment/ResultsTest.java
+++ b/simulation/src/test/java/topazvalve/simulation/experiment/ResultsTest.java
@@ -8,15 +8,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Stored results of earlier versions stay readable; the resource was written by version 0.2.0 at commit 3cb49e7. */
+/** Results stored by earlier versions stay readable; the resource was written by version 0.2.0 at commit 3cb49e7. */
 class ResultsTest {
     private static final Path STORED = Path.of("src/test/resources/stored-results");
 
     @TempDir
-    private Path folder;
+    private Path directory;
 
     @Test
-    void resultsOfAnEarlierVersionAreRead() throws Exception {
+    void resultsOfEarlierVersionAreRead() throws Exception {
         List<Result> results = Results.read(STORED);
 
         assertEquals(4, results.size());
@@ -29,10 +29,10 @@
     }
 
     @Test
-    void resultsKeepTheirStoredForm() throws Exception {
-        Results.replaceAll(folder, Results.read(STORED));
+    void storedResultsAreWrittenBackUnchanged() throws Exception {
+        Results.replaceAll(directory, Results.read(STORED));
 
         assertEquals(
-                Files.readAllLines(STORED.resolve(Results.FILE)), Files.readAllLines(folder.resolve(Results.FILE)));
+                Files.readAllLines(STORED.resolve(Results.FILE)), Files.readAllLines(directory.resolve(Results.FILE)));
     }
 }
--- a/simulation/src/test/java/topazvalve/simulation/experiment/RunnerTest.java
+++ b/simulation/src/test/java/topazvalve/simulation/experiment/RunnerTest.java
@@ -19,7 +19,7 @@
 
 class RunnerTest {
     @TempDir
-    private Path folder;
+    private Path directory;
 
     private static ExperimentPlan plan(long seeds) {
         Scenario scenario = ScenarioFile.parse("tiny.toml", """
@@ -42,57 +42,57 @@
                 """);
         return new ExperimentPlan(
                 "tiny",
-                List.of(new ExperimentPlan.Setting(Path.of("tiny.toml"), scenario)),
+                List.of(new ExperimentPlan.LoadedScenario(Path.of("tiny.toml"), scenario)),
                 List.of(ExperimentArm.of(Policy.LEAST_IN_FLIGHT), ExperimentArm.of(Policy.RANDOM)),
                 new SeedRange(1, seeds));
     }
 
-    /** A stop while a line is written loses that run only; resuming gives the same results as no stop. */
+    /** A stop while a result is written loses only that run; resuming gives the same results as without a stop. */
     @Test
     void stoppedExperimentResumes() throws Exception {
-        List<Result> whole = new Runner(plan(6), folder.resolve("whole"), 3).run(false, each -> {});
-        assertEquals(12, whole.size());
-        Path cut = folder.resolve("cut");
-        Runner stopped = new Runner(plan(6), cut, 1);
-        List<Result> some = stopped.run(false, each -> {
+        List<Result> uninterrupted = new Runner(plan(6), directory.resolve("uninterrupted"), 3).run(false, each -> {});
+        assertEquals(12, uninterrupted.size());
+        Path stoppedDirectory = directory.resolve("stopped");
+        Runner stopped = new Runner(plan(6), stoppedDirectory, 1);
+        List<Result> partial = stopped.run(false, each -> {
             if (each.done() == 4) {
                 stopped.stop();
             }
         });
-        assertTrue(some.size() >= 4 && some.size() < 12, "stopped early: " + some.size());
-        Files.writeString(cut.resolve(Results.FILE), "{\"scenario\":\"ti", StandardOpenOption.APPEND);
+        assertTrue(partial.size() >= 4 && partial.size() < 12, "stopped early: " + partial.size());
+        Files.writeString(stoppedDirectory.resolve(Results.FILE), "{\"scenario\":\"ti", StandardOpenOption.APPEND);
         List<Integer> done = new ArrayList<>();
-        List<Result> resumed = new Runner(plan(6), cut, 2).run(true, each -> done.add(each.done()));
-        assertEquals(12 - some.size(), done.size(), "only what was missing is run");
+        List<Result> resumed = new Runner(plan(6), stoppedDirectory, 2).run(true, each -> done.add(each.done()));
+        assertEquals(12 - partial.size(), done.size(), "only runs without a result are performed");
         assertEquals(
-                whole.stream().map(each -> each.key() + each.digest()).toList(),
+                uninterrupted.stream().map(each -> each.key() + each.digest()).toList(),
                 resumed.stream().map(each -> each.key() + each.digest()).toList());
     }
 
     @Test
     void reportIsSelfContained() throws Exception {
-        List<Result> results = new Runner(plan(2), folder, 2).run(false, each -> {});
-        Path file = folder.resolve("report.html");
+        List<Result> results = new Runner(plan(2), directory, 2).run(false, each -> {});
+        Path file = directory.resolve("report.html");
         Report.write(file, "a <title>", results);
         String html = Files.readString(file);
-        assertTrue(html.contains("<h1>a &lt;title&gt;</h1>"), "the title is text");
-        assertTrue(html.contains("var uPlot"), "the plotting library is in the file");
-        assertTrue(html.contains("class=\"plot\">{"), "so are the figures");
-        assertFalse(html.matches("(?s).*(src|href)=\"[^\"]*\".*"), "refers to another file");
+        assertTrue(html.contains("<h1>a &lt;title&gt;</h1>"), "the title is escaped");
+        assertTrue(html.contains("var uPlot"), "the plotting library is embedded");
+        assertTrue(html.contains("class=\"plot\">{"), "the plot data is embedded");
+        assertFalse(html.matches("(?s).*(src|href)=\"[^\"]*\".*"), "the report refers to another file");
     }
 
     @Test
-    void comparisonFindsOnlyRealDifferences() throws Exception {
-        List<Result> results = new Runner(plan(12), folder, 4).run(false, each -> {});
-        List<Result> least = results.stream()
+    void comparisonFindsDifferenceOnlyBetweenDifferentArms() throws Exception {
+        List<Result> results = new Runner(plan(12), directory, 4).run(false, each -> {});
+        List<Result> leastInFlight = results.stream()
                 .filter(each -> each.arm().equals("least-in-flight"))
                 .toList();
         List<Result> random =
                 results.stream().filter(each -> each.arm().equals("random")).toList();
-        Comparison same = Comparison.of(least, least).get(0);
+        Comparison same = Comparison.of(leastInFlight, leastInFlight).get(0);
         assertFalse(same.differs());
         assertEquals(0, same.mean());
-        Comparison other = Comparison.of(least, random).get(0);
+        Comparison other = Comparison.of(leastInFlight, random).get(0);
         assertEquals(12, other.pairs());
         assertTrue(other.differs() && other.mean() > 0, other.toString());
     }
