--- a/simulation/src/main/java/topazvalve/simulation/stream/StreamContent.java
+++ b/simulation/src/main/java/topazvalve/simulation/stream/StreamContent.java
@@ -4,31 +4,34 @@
 import io.netty.buffer.Unpooled;
 import java.util.Random;
 
-/** The content of streams, which is a function of stream, direction and position, so that nothing has to be stored. */
+/** The content of streams: a function of stream, direction and position, so that nothing has to be stored. */
 final class StreamContent {
     /** A prime, so that a shift by a multiple of a buffer's size is detected. */
     private static final int LENGTH = 65_521;
 
+    private static final long PATTERN_SEED = 20_261_201;
+    private static final int STREAM_OFFSET = 7_919;
+    private static final int DOWN_OFFSET = 31_337;
     private static final byte[] PATTERN = new byte[LENGTH];
 
     static {
-        new Random(20_261_201).nextBytes(PATTERN);
+        new Random(PATTERN_SEED).nextBytes(PATTERN);
     }
 
     private StreamContent() {}
 
     private static int offset(long stream, boolean up, long position) {
-        return (int) Math.floorMod(stream * 7_919 + (up ? 0 : 31_337) + position, (long) LENGTH);
+        return (int) Math.floorMod(stream * STREAM_OFFSET + (up ? 0 : DOWN_OFFSET) + position, (long) LENGTH);
     }
 
-    /** Returns content from a position on; at least one byte and at most {@code maxBytes}. */
+    /** Returns content that starts at a position: at least one byte and at most {@code maxBytes}. */
     static ByteBuf slice(long stream, boolean up, long position, int maxBytes) {
         int offset = offset(stream, up, position);
         return Unpooled.wrappedBuffer(PATTERN, offset, Math.min(maxBytes, LENGTH - offset))
                 .asReadOnly();
     }
 
-    /** Reads bytes, and returns whether they are the content from a position on. */
+    /** Reads bytes and returns whether they equal the content that starts at a position. */
     static boolean matches(long stream, boolean up, long position, ByteBuf bytes) {
         int offset = offset(stream, up, position);
         while (bytes.isReadable()) {
--- a/simulation/src/main/java/topazvalve/simulation/stream/StreamEnd.java
+++ b/simulation/src/main/java/topazvalve/simulation/stream/StreamEnd.java
@@ -15,9 +15,12 @@
 import topazvalve.simulation.stream.StreamPlan.EndOrder;
 import topazvalve.simulation.stream.StreamPlan.Fault;
 
-/** One end of a stream. It sends its bytes as planned, checks those that it receives, and closes its half. */
+/** One end of a stream. It sends the planned bytes, checks those that it receives, and closes its half. */
 class StreamEnd extends ChannelInboundHandlerAdapter {
     private static final int MAX_WRITE_BYTES = 16 << 10;
+    /** The mean number of writes between two pauses. */
+    private static final int WRITES_PER_PAUSE = 4;
+
     private static final long STALL_MILLIS = 1_500;
 
     private final boolean client;
@@ -25,7 +28,7 @@
     private StreamLog log;
     private Half half;
     private Channel channel;
-    private Random pauses;
+    private Random random;
     private boolean writing;
     private boolean stalled;
     /** Whether it may close its half before its peer does. */
@@ -39,14 +42,14 @@
         this.onClosed = onClosed;
     }
 
-    /** Starts to send. */
+    /** Starts sending. */
     void begin(StreamLog newLog, Channel newChannel) {
         log = newLog;
         channel = newChannel;
         half = client ? log.client : log.server;
-        pauses = new Random(log.number * 2 + (client ? 1 : 0));
+        random = new Random(log.number * 2 + (client ? 1 : 0));
         endsFirst = switch (log.plan.order()) {
-            case EACH -> true;
+            case INDEPENDENT -> true;
             case CLIENT_FIRST -> client;
             case SERVER_FIRST -> !client;
         };
@@ -57,12 +60,12 @@
         return client ? log.plan.up() : log.plan.down();
     }
 
-    /** A server that closes second sends nothing before its peer's half-close, which must therefore pass the proxy. */
+    /** A server that closes second sends only after the client's half-close, so the proxy has to forward that. */
     private boolean waitsForPeer() {
         return !endsFirst && !peerEnded && log.plan.fault() == Fault.NONE && !client;
     }
 
-    @SuppressWarnings("NonAtomicVolatileUpdate") // each count has one writer, its end's event loop
+    @SuppressWarnings("NonAtomicVolatileUpdate") // each count has one writer, the event loop of its end
     private void write() {
         writing = false;
         if (!channel.isActive() || ended || waitsForPeer()) {
@@ -72,14 +75,14 @@
             if (resetIfPlanned()) {
                 return;
             }
-            int maxBytes = 1 + pauses.nextInt(MAX_WRITE_BYTES);
+            int maxBytes = 1 + random.nextInt(MAX_WRITE_BYTES);
             ByteBuf piece = StreamContent.slice(
                     log.number, client, half.sent, (int) Math.min(maxBytes, plannedBytes() - half.sent));
             half.sent += piece.readableBytes();
             channel.writeAndFlush(piece);
-            if (log.plan.pauseMs() > 0 && pauses.nextInt(4) == 0) {
+            if (log.plan.pauseMs() > 0 && random.nextInt(WRITES_PER_PAUSE) == 0) {
                 writing = true;
-                channel.eventLoop().schedule(this::write, pauses.nextInt(log.plan.pauseMs()), TimeUnit.MILLISECONDS);
+                channel.eventLoop().schedule(this::write, random.nextInt(log.plan.pauseMs()), TimeUnit.MILLISECONDS);
                 return;
             }
         }
@@ -88,7 +91,7 @@
         }
     }
 
-    /** Resets the connection if that is planned here, and returns whether it did. */
+    /** Resets the connection if a reset is planned at this position, and returns whether it did. */
     private boolean resetIfPlanned() {
         Fault fault = log.plan.fault();
         if (fault == (client ? Fault.CLIENT_RESETS : Fault.SERVER_RESETS) && half.sent >= log.plan.faultAt()) {
@@ -98,7 +101,7 @@
         return false;
     }
 
-    /** Resets the connection. */
+    /** Closes the connection with a TCP reset. */
     void reset() {
         half.reset = true;
         ended = true;
@@ -111,7 +114,7 @@
         half.ended = true;
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER)
                 .addListener(
-                        done -> ((DuplexChannel) channel).shutdownOutput().addListener(shut -> closeIfPeerEnded()));
+                        done -> ((DuplexChannel) channel).shutdownOutput().addListener(closed -> closeIfPeerEnded()));
     }
 
     private void closeIfPeerEnded() {
@@ -120,8 +123,8 @@
         }
     }
 
-    /** Checks received bytes, and releases the buffer. */
-    @SuppressWarnings("NonAtomicVolatileUpdate") // each count has one writer, its end's event loop
+    /** Checks received bytes and releases the buffer. */
+    @SuppressWarnings("NonAtomicVolatileUpdate") // each count has one writer, the event loop of its end
     void receive(ByteBuf bytes) {
         int size = bytes.readableBytes();
         if (!StreamContent.matches(log.number, !client, half.received, bytes)) {
@@ -180,8 +183,8 @@
         context.close();
     }
 
-    /** Returns whether one end closes its half while the other may still send. */
+    /** Returns whether one end has to close its half while the other may still send. */
     static boolean halfCloses(StreamPlan plan) {
-        return plan.order() != EndOrder.EACH;
+        return plan.order() != EndOrder.INDEPENDENT;
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/stream/StreamStandIn.java
+++ b/simulation/src/main/java/topazvalve/simulation/stream/StreamStandIn.java
@@ -14,37 +14,39 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.LongFunction;
 
-/** A server of streams. The first eight bytes of a stream are its number, by which the server finds its plan. */
+/** A stream server. The first eight bytes of a stream are its number, by which the server finds the plan. */
 final class StreamStandIn {
+    private static final int BACKLOG = 4096;
+
     private final int number;
-    private final LongFunction<StreamLog> logs;
-    private final Set<ServerEnd> open = ConcurrentHashMap.newKeySet();
+    private final LongFunction<StreamLog> logByNumber;
+    private final Set<ServerEnd> openEnds = ConcurrentHashMap.newKeySet();
     private final EventLoopGroup group;
     private Channel server;
     private InetSocketAddress address = new InetSocketAddress("127.0.0.1", 0);
 
-    StreamStandIn(int number, EventLoopGroup group, LongFunction<StreamLog> logs) {
+    StreamStandIn(int number, EventLoopGroup group, LongFunction<StreamLog> logByNumber) {
         this.number = number;
         this.group = group;
-        this.logs = logs;
+        this.logByNumber = logByNumber;
     }
 
-    /** Listens on a port that the system chooses the first time, and returns the address. */
+    /** Listens, at first on a port that the system chooses and later on the same port, and returns the address. */
     InetSocketAddress listen() throws InterruptedException {
         server = new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
-                .option(ChannelOption.SO_BACKLOG, 4096)
+                .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        ServerEnd served = new ServerEnd();
-                        open.add(served);
-                        channel.closeFuture().addListener(closed -> open.remove(served));
-                        channel.pipeline().addLast(served);
+                        ServerEnd serverEnd = new ServerEnd();
+                        openEnds.add(serverEnd);
+                        channel.closeFuture().addListener(closed -> openEnds.remove(serverEnd));
+                        channel.pipeline().addLast(serverEnd);
                     }
                 })
                 .bind(address)
@@ -54,15 +56,15 @@
         return address;
     }
 
-    /** Stops listening and resets all connections, as a process does that is killed. */
+    /** Stops listening and resets all connections, as if the process were killed. */
     void kill() throws InterruptedException {
         server.close().sync();
-        for (ServerEnd each : open) {
+        for (ServerEnd each : openEnds) {
             each.kill();
         }
     }
 
-    /** The server's end of a stream. */
+    /** The server end of a stream. */
     private final class ServerEnd extends StreamEnd {
         private final ByteBuf streamNumber = Unpooled.buffer(Long.BYTES, Long.BYTES);
         private Channel channel;
@@ -86,7 +88,7 @@
                     bytes.release();
                     return;
                 }
-                log = logs.apply(streamNumber.getLong(0));
+                log = logByNumber.apply(streamNumber.getLong(0));
                 log.servedBy = number;
                 log.openedAt = System.nanoTime();
                 log.server.received = Long.BYTES;
--- a/simulation/src/main/java/topazvalve/simulation/stream/StreamTrial.java
+++ b/simulation/src/main/java/topazvalve/simulation/stream/StreamTrial.java
@@ -20,9 +20,9 @@
 import topazvalve.simulation.StreamTimeoutException;
 
 /**
- * Sends many streams of random sizes, pauses and half-closes through a proxy to stand-in servers, while servers drain
+ * Sends many streams with random sizes, pauses and half-closes through a proxy to stand-in servers while servers drain
  * and are killed, and compares the logs of both ends. All random numbers come from the seed; which streams a fault
- * affects depends on the timing.
+ * affects depends on timing.
  */
 public final class StreamTrial implements AutoCloseable {
     private static final int MAX_STREAM_BYTES = 1 << 20;
@@ -30,14 +30,14 @@
     private static final long DRAIN_MILLIS = 1_200;
     private static final long DOWNTIME_MILLIS = 200;
     private static final long HANG_TIMEOUT_SECONDS = 60;
-    /** How long after the clients' ends have closed the servers' ends may still be open. */
+    /** How long the server ends may stay open after the client ends have closed. */
     private static final long MAX_SETTLE_SECONDS = 10;
 
     private static final long SETTLE_POLL_MILLIS = 50;
     private static final int MAX_DESCRIBED_STREAMS = 5;
     private static final int ANY_SERVER = -1;
 
-    /** The endpoint list of the proxy. It is called from a thread of the trial, never on an event loop. */
+    /** Controls the endpoint list of the proxy. It is called from a thread of the trial, never on an event loop. */
     public interface DrainControl {
         /** Lists these servers as draining and all others as ready. */
         void setDraining(List<InetSocketAddress> servers);
@@ -49,9 +49,9 @@
      * @param broken streams that were reset or whose server was killed
      * @param unserved streams that reached no server
      * @param openedDuringDrain streams that were opened while a server had been draining for more than 500 ms
-     * @param openedOnDrainingServer those of them that such a server got
+     * @param openedOnDrainingServer those of them that reached such a server
      * @param bytes bytes that both ends received
-     * @param mismatches a line for each stream whose ends disagree
+     * @param mismatches a description of each stream whose ends disagree
      */
     public record Result(
             int streams,
@@ -68,7 +68,7 @@
         private final long startedAt = System.nanoTime();
         private volatile long endedAt = Long.MAX_VALUE;
 
-        /** Returns whether the drain was under way at a time and the proxy had had time to notice. */
+        /** Returns whether the drain was in progress at a time and its grace period was over. */
         boolean forbidsOpeningAt(long time) {
             return time > startedAt + DRAIN_GRACE_NANOS && time < endedAt;
         }
@@ -82,7 +82,7 @@
     private final Map<Long, StreamLog> logs = new ConcurrentHashMap<>();
     private final List<StreamStandIn> servers = new ArrayList<>();
     private final List<InetSocketAddress> addresses = new ArrayList<>();
-    /** By server. */
+    /** The drains by server number. */
     private final Map<Integer, List<Drain>> drains = new ConcurrentHashMap<>();
 
     /** Creates a trial and opens its servers. */
@@ -105,8 +105,8 @@
      * Performs the trial.
      *
      * @param listener the address of the proxy
-     * @param maxConcurrentStreams the largest number of streams that are open at once
-     * @param faultIntervalMillis the milliseconds between two faults
+     * @param maxConcurrentStreams the maximum number of streams that are open at once
+     * @param faultIntervalMillis the milliseconds before each fault
      * @throws StreamTimeoutException if streams hang
      */
     public Result run(
@@ -121,7 +121,7 @@
         faults.start();
         for (long i = 0; i < streams; i++) {
             if (!capacity.tryAcquire(HANG_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
-                throw new StreamTimeoutException(hanging());
+                throw new StreamTimeoutException(describeHangingStreams());
             }
             StreamLog log = new StreamLog(i, StreamPlan.of(seed, i, MAX_STREAM_BYTES));
             logs.put(i, log);
@@ -131,17 +131,17 @@
         faults.interrupt();
         faults.join();
         if (!allFinished) {
-            throw new StreamTimeoutException(hanging());
+            throw new StreamTimeoutException(describeHangingStreams());
         }
-        // The servers' ends close a moment after the clients'.
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_SETTLE_SECONDS);
-        while (!mismatches().isEmpty() && System.nanoTime() < until) {
+        // The server ends close shortly after the client ends.
+        long settleDeadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_SETTLE_SECONDS);
+        while (!mismatches().isEmpty() && System.nanoTime() < settleDeadline) {
             Thread.sleep(SETTLE_POLL_MILLIS);
         }
         return result(streams);
     }
 
-    private List<String> hanging() {
+    private List<String> describeHangingStreams() {
         return logs.values().stream()
                 .filter(log -> log.finished.getCount() > 0)
                 .limit(MAX_DESCRIBED_STREAMS)
@@ -184,24 +184,24 @@
                 });
     }
 
-    /** Alternately drains a server for a while, and kills one and opens it again. */
+    /** Alternately drains a random server for a while, and kills one and opens it again. */
     private void injectFaults(DrainControl drainControl, long faultIntervalMillis) {
         Random random = new Random(seed);
         try {
-            for (int turn = 0; ; turn++) {
+            for (int round = 0; ; round++) {
                 Thread.sleep(faultIntervalMillis);
-                int which = random.nextInt(servers.size());
-                if (turn % 2 == 0) {
+                int server = random.nextInt(servers.size());
+                if (round % 2 == 0) {
                     Drain drain = new Drain();
-                    drains.get(which).add(drain);
-                    drainControl.setDraining(List.of(addresses.get(which)));
+                    drains.get(server).add(drain);
+                    drainControl.setDraining(List.of(addresses.get(server)));
                     Thread.sleep(DRAIN_MILLIS);
                     drain.endedAt = System.nanoTime();
                     drainControl.setDraining(List.of());
                 } else {
-                    servers.get(which).kill();
+                    servers.get(server).kill();
                     Thread.sleep(DOWNTIME_MILLIS);
-                    servers.get(which).listen();
+                    servers.get(server).listen();
                 }
             }
         } catch (InterruptedException e) {
@@ -209,29 +209,30 @@
         }
     }
 
-    /** Returns whether a server, or any for {@link #ANY_SERVER}, had been draining for more than 500 ms. */
-    private boolean wasDrained(int which, long at) {
+    /** Returns whether a server, or any for {@link #ANY_SERVER}, had been draining for more than 500 ms at a time. */
+    private boolean wasDraining(int server, long time) {
         return drains.entrySet().stream()
-                .filter(each -> which == ANY_SERVER || each.getKey() == which)
+                .filter(each -> server == ANY_SERVER || each.getKey() == server)
                 .flatMap(each -> each.getValue().stream())
-                .anyMatch(drain -> drain.forbidsOpeningAt(at));
+                .anyMatch(drain -> drain.forbidsOpeningAt(time));
     }
 
     private List<String> mismatches() {
-        List<String> faults = new ArrayList<>();
+        List<String> mismatches = new ArrayList<>();
         for (StreamLog log : logs.values()) {
-            String fault = log.servedBy < 0 ? unservedMismatch(log) : log.mismatch();
-            if (fault != null) {
-                faults.add(fault);
+            String mismatch = log.servedBy < 0 ? unservedMismatch(log) : log.mismatch();
+            if (mismatch != null) {
+                mismatches.add(mismatch);
             }
         }
-        return faults;
+        return mismatches;
     }
 
-    /** Describes a stream that reached no server but got bytes or an end, or returns null if it got neither. */
+    /** Describes a stream that reached no server but received bytes or a half-close; returns null if it did not. */
     private static String unservedMismatch(StreamLog log) {
         return log.client.received > 0 || log.client.peerEnd == StreamLog.PeerEnd.END
-                ? "stream " + log.number + " was answered by nobody: " + log.client.peerEnd
+                ? "stream " + log.number + " reached no server but received " + log.client.received + " "
+                        + log.client.peerEnd
                 : null;
     }
 
@@ -247,8 +248,8 @@
             broken += log.killed || log.client.reset || log.server.reset ? 1 : 0;
             unserved += log.servedBy < 0 && !log.client.reset ? 1 : 0;
             bytes += log.client.received + log.server.received;
-            openedDuringDrain += log.servedBy >= 0 && wasDrained(ANY_SERVER, log.openedAt) ? 1 : 0;
-            openedOnDrainingServer += log.servedBy >= 0 && wasDrained(log.servedBy, log.openedAt) ? 1 : 0;
+            openedDuringDrain += log.servedBy >= 0 && wasDraining(ANY_SERVER, log.openedAt) ? 1 : 0;
+            openedOnDrainingServer += log.servedBy >= 0 && wasDraining(log.servedBy, log.openedAt) ? 1 : 0;
         }
         return new Result(
                 streams, halfCloses, broken, unserved, openedDuringDrain, openedOnDrainingServer, bytes, mismatches());
