--- a/simulation/src/main/java/topazvalve/simulation/measure/FixedResponseServer.java
+++ b/simulation/src/main/java/topazvalve/simulation/measure/FixedResponseServer.java
@@ -15,11 +15,12 @@
 import java.net.InetSocketAddress;
 import topazvalve.simulation.http.LoopbackHttp;
 
-/** An HTTP server that responds at once, so that the latency is that of the path to it. */
+/** An HTTP server that responds immediately with a fixed body, so that latency is that of the path to it. */
 @ChannelHandler.Sharable
 public final class FixedResponseServer extends SimpleChannelInboundHandler<FullHttpRequest> {
     private static final int MAX_REQUEST_BYTES = 1 << 16;
-    private static final byte[] BODY = new byte[256];
+    private static final int BODY_BYTES = 256;
+    private static final byte[] BODY = new byte[BODY_BYTES];
     private final Channel listener;
 
     /** Opens a server on a free loopback port. */
@@ -29,7 +30,7 @@
                 .channel();
     }
 
-    /** Returns its port. */
+    /** Returns the port that the server listens on. */
     public int port() {
         return ((InetSocketAddress) listener.localAddress()).getPort();
     }
--- a/simulation/src/main/java/topazvalve/simulation/measure/MeasuredSidecarProcess.java
+++ b/simulation/src/main/java/topazvalve/simulation/measure/MeasuredSidecarProcess.java
@@ -13,9 +13,10 @@
 import topazvalve.simulation.process.SidecarConfiguration;
 import topazvalve.simulation.process.SidecarConfiguration.Discovery;
 
-/** One sidecar process, started by the {@code run} line of the deploy file and pinned to a core if wanted. */
+/** A sidecar process, started by the {@code run} line of the deploy file and optionally pinned to a core. */
 final class MeasuredSidecarProcess {
     private static final Duration STOP_GRACE = Duration.ofSeconds(8);
+    private static final String READY_MARKER = " ready at ";
     private static final int UNUSED_PORT = 1;
 
     private final Process process;
@@ -27,62 +28,64 @@
         this.port = port;
     }
 
-    /** Returns a configuration with one idempotent class, whose endpoint list is never requested. */
+    /** Returns a configuration with one idempotent class; the sidecar never requests an endpoint list. */
     static SidecarConfiguration configuration() {
         return new SidecarConfiguration("m0", "7", SidecarConfiguration.loopback(UNUSED_PORT), Discovery.AUTOMATIC, 0)
                 .withMeasurementSettings();
     }
 
-    /** Starts a sidecar on a core; below 0 for any. */
-    static MeasuredSidecarProcess start(Path home, Path folder, SidecarConfiguration configuration, int core)
-            throws IOException {
-        Files.createDirectories(folder);
+    /** Starts a sidecar on a core; negative for any. */
+    static MeasuredSidecarProcess start(
+            Path repositoryRoot, Path workDirectory, SidecarConfiguration configuration, int core) throws IOException {
+        Files.createDirectories(workDirectory);
         int port = SidecarCommand.freePort();
-        Path file = folder.resolve("measured.json");
-        configuration.listenOn(port).write(file);
+        Path configurationFile = workDirectory.resolve("measured.json");
+        configuration.listenOn(port).write(configurationFile);
         return new MeasuredSidecarProcess(
-                SidecarCommand.processBuilder(home, file, pinnedCommand(core)).start(), port);
+                SidecarCommand.processBuilder(repositoryRoot, configurationFile, pinnedCommand(core))
+                        .start(),
+                port);
     }
 
-    /** Returns a command that runs on one core (by {@code taskset} of util-linux); below 0 for any. */
+    /** Returns a command that runs on one core (with {@code taskset} of util-linux); negative for any. */
     static List<String> pinnedCommand(int core, String... command) {
-        List<String> all = new ArrayList<>();
+        List<String> pinned = new ArrayList<>();
         if (core >= 0) {
-            all.addAll(List.of("taskset", "-c", Integer.toString(core)));
+            pinned.addAll(List.of("taskset", "-c", Integer.toString(core)));
         }
-        all.addAll(List.of(command));
-        return all;
+        pinned.addAll(List.of(command));
+        return pinned;
     }
 
-    /** Returns the port of its clients. */
+    /** Returns the port that clients connect to. */
     int port() {
         return port;
     }
 
-    /** Returns the CPU time that it has used. */
+    /** Returns the CPU time that the process has used. */
     Duration cpuTime() {
         return process.info().totalCpuDuration().orElse(Duration.ZERO);
     }
 
     /**
-     * Waits for the log line that says that it is ready, and returns the nanoseconds from the start until then.
+     * Waits for the log line that reports readiness, and returns the nanoseconds from the start until then.
      *
-     * @throws SidecarStartException if the log ends before, or the line comes later than the limit
+     * @throws SidecarStartException if the log ends without the line, or the line appears after the time-out
      */
-    long awaitReady(Duration limit) throws IOException {
+    long awaitReady(Duration timeout) throws IOException {
         BufferedReader log = process.inputReader();
         String line = log.readLine();
-        while (line != null && !line.contains(" ready at ")) {
+        while (line != null && !line.contains(READY_MARKER)) {
             line = log.readLine();
         }
-        long took = System.nanoTime() - startedAt;
-        if (line == null || took > limit.toNanos()) {
+        long elapsed = System.nanoTime() - startedAt;
+        if (line == null || elapsed > timeout.toNanos()) {
             throw new SidecarStartException();
         }
-        return took;
+        return elapsed;
     }
 
-    /** Stops it in order, or by force if that takes longer than 8 s. */
+    /** Stops the process gracefully, or forcibly if that takes longer than 8 s. */
     void stop() throws InterruptedException {
         ChildProcesses.stop(process, STOP_GRACE);
     }
--- a/simulation/src/main/java/topazvalve/simulation/measure/OpenLoopGenerator.java
+++ b/simulation/src/main/java/topazvalve/simulation/measure/OpenLoopGenerator.java
@@ -18,13 +18,15 @@
 import topazvalve.simulation.model.RandomStream;
 
 /**
- * A load generator: Poisson arrivals at a fixed rate to one port, independent of the responses. Latency counts from the
- * time at which a request was meant to be sent. It runs on one event loop, with one request at a time on a connection.
+ * An open-loop load generator: Poisson arrivals at a fixed rate to one port, independent of the responses. Latency
+ * counts from the planned send time of a request. It runs on one event loop, one request at a time per connection.
  */
 public final class OpenLoopGenerator {
     private static final double NANOS_PER_SECOND = 1e9;
     private static final int MAX_RESPONSE_BYTES = 1 << 16;
     private static final long MAX_LATENCY_NANOS = 60_000_000_000L;
+    private static final int HISTOGRAM_DIGITS = 3;
+    private static final long MIN_LATENCY_NANOS = 1_000;
     private static final int MAX_CONNECTIONS = 300;
 
     private final EventLoop loop;
@@ -33,19 +35,19 @@
     private final double ratePerSecond;
     private final long endsAt;
     private final RandomStream random;
-    private final Histogram latency = new Histogram(1_000, MAX_LATENCY_NANOS, 3);
-    private final ArrayDeque<Channel> idle = new ArrayDeque<>();
-    private final ArrayDeque<Long> queue = new ArrayDeque<>();
+    private final Histogram latency = new Histogram(MIN_LATENCY_NANOS, MAX_LATENCY_NANOS, HISTOGRAM_DIGITS);
+    private final ArrayDeque<Channel> idleConnections = new ArrayDeque<>();
+    private final ArrayDeque<Long> waitingRequests = new ArrayDeque<>();
     private int connections;
     private long nextAt;
     private long sent;
     private long failures;
 
     /**
-     * Creates a load generator whose time runs from now on.
+     * Creates a load generator; the first request is due now.
      *
-     * @param name its name, the first part of its requests' ids; with {@code seed} it determines the arrivals
-     * @param lengthNanos how long it sends requests
+     * @param name the prefix of the request ids; together with {@code seed} it determines the arrivals
+     * @param lengthNanos for how long requests are sent, from now on
      */
     public OpenLoopGenerator(EventLoop loop, int port, String name, double rate, long lengthNanos, long seed) {
         this.loop = loop;
@@ -57,12 +59,12 @@
         this.random = RandomStream.named(seed, name);
     }
 
-    /** Starts to send. */
+    /** Starts sending. */
     public void start() {
         loop.execute(this::sendDue);
     }
 
-    /** Returns the latencies of served requests in nanoseconds. To be read once all responses have arrived. */
+    /** Returns the latencies of served requests in nanoseconds. Must be read only after all responses have arrived. */
     public Histogram latency() {
         return latency;
     }
@@ -90,15 +92,15 @@
     }
 
     private void send(long plannedAt) {
-        Channel channel = idle.pollLast();
+        Channel channel = idleConnections.pollLast();
         while (channel != null && !channel.isActive()) {
-            channel = idle.pollLast();
+            channel = idleConnections.pollLast();
         }
         if (channel != null) {
             write(channel, plannedAt);
             return;
         }
-        queue.add(plannedAt);
+        waitingRequests.add(plannedAt);
         if (connections < MAX_CONNECTIONS) {
             connect();
         }
@@ -110,19 +112,19 @@
         connecting.channel().closeFuture().addListener(closed -> connections--);
         connecting.addListener(done -> {
             if (done.isSuccess()) {
-                connectionFree(connecting.channel());
+                releaseConnection(connecting.channel());
             } else {
                 failures++;
             }
         });
     }
 
-    private void connectionFree(Channel channel) {
-        Long next = queue.poll();
+    private void releaseConnection(Channel channel) {
+        Long next = waitingRequests.poll();
         if (next != null) {
             write(channel, next);
         } else {
-            idle.addLast(channel);
+            idleConnections.addLast(channel);
         }
     }
 
@@ -150,12 +152,12 @@
                 failures++;
             }
             plannedAt = 0;
-            connectionFree(context.channel());
+            releaseConnection(context.channel());
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            idle.remove(context.channel());
+            idleConnections.remove(context.channel());
             failures += plannedAt == 0 ? 0 : 1;
         }
 
--- a/simulation/src/main/java/topazvalve/simulation/measure/StartMeasurement.java
+++ b/simulation/src/main/java/topazvalve/simulation/measure/StartMeasurement.java
@@ -7,15 +7,15 @@
 import java.util.List;
 
 /**
- * Measures how long a sidecar takes until it is ready, alone on a core or beside busy processes: with n - 1 of them the
- * system's fair scheduler gives it one n-th of the core.
+ * Measures how long a sidecar takes until it is ready, alone on a core or with busy processes on it: the fair scheduler
+ * of the system gives each of n processes one n-th of the core.
  */
 public final class StartMeasurement {
     private static final double NANOS_PER_SECOND = 1e9;
     private static final Duration START_TIMEOUT = Duration.ofSeconds(60);
 
     /**
-     * The starts at one share of a core.
+     * The start times of a sidecar that shares a core with busy processes.
      *
      * @param processes the number of processes that share the core
      * @param seconds how long each start took, sorted
@@ -38,38 +38,38 @@
     /**
      * Starts a sidecar several times, one start after the other.
      *
-     * @param home the root of the repository
-     * @param folder takes the configuration
-     * @param core the core; below 0 for any
+     * @param repositoryRoot the root of the repository
+     * @param workDirectory the directory for the configuration
+     * @param core the core that all processes are pinned to; negative for any
      * @param processes the number of processes that share the core, the sidecar included
      * @param starts the number of starts
      */
-    public static StartTimes run(Path home, Path folder, int core, int processes, int starts)
+    public static StartTimes run(Path repositoryRoot, Path workDirectory, int core, int processes, int starts)
             throws IOException, InterruptedException {
-        List<Process> busy = new ArrayList<>();
+        List<Process> busyProcesses = new ArrayList<>();
         List<Double> seconds = new ArrayList<>();
-        List<Double> cpu = new ArrayList<>();
+        List<Double> cpuSeconds = new ArrayList<>();
         try {
             for (int i = 1; i < processes; i++) {
-                busy.add(new ProcessBuilder(
+                busyProcesses.add(new ProcessBuilder(
                                 MeasuredSidecarProcess.pinnedCommand(core, "/bin/sh", "-c", "while :; do :; done"))
                         .start());
             }
             for (int i = 0; i < starts; i++) {
-                MeasuredSidecarProcess sidecar =
-                        MeasuredSidecarProcess.start(home, folder, MeasuredSidecarProcess.configuration(), core);
+                MeasuredSidecarProcess sidecar = MeasuredSidecarProcess.start(
+                        repositoryRoot, workDirectory, MeasuredSidecarProcess.configuration(), core);
                 try {
                     seconds.add(sidecar.awaitReady(START_TIMEOUT) / NANOS_PER_SECOND);
-                    cpu.add(sidecar.cpuTime().toNanos() / NANOS_PER_SECOND);
+                    cpuSeconds.add(sidecar.cpuTime().toNanos() / NANOS_PER_SECOND);
                 } finally {
                     sidecar.stop();
                 }
             }
         } finally {
-            busy.forEach(Process::destroyForcibly);
+            busyProcesses.forEach(Process::destroyForcibly);
         }
         seconds.sort(Double::compare);
-        cpu.sort(Double::compare);
-        return new StartTimes(processes, seconds, cpu);
+        cpuSeconds.sort(Double::compare);
+        return new StartTimes(processes, seconds, cpuSeconds);
     }
 }
