--- a/simulation/src/main/java/topazvalve/simulation/http/LoopbackHttp.java
+++ b/simulation/src/main/java/topazvalve/simulation/http/LoopbackHttp.java
@@ -17,7 +17,7 @@
 import java.net.InetSocketAddress;
 import java.util.function.Supplier;
 
-/** Opens HTTP/1.1 sockets on loopback, whose handlers get complete messages. */
+/** Opens HTTP/1.1 sockets on loopback, whose handlers receive complete (aggregated) messages. */
 public final class LoopbackHttp {
     private LoopbackHttp() {}
 
@@ -25,11 +25,11 @@
      * Opens a server on a port that the system chooses.
      *
      * @param maxRequestBytes the largest body of a request
-     * @param handlers creates the handler of each connection, or returns a sharable one
-     * @return completes when it listens
+     * @param handlerFactory creates the handler of each connection, or returns a sharable one
+     * @return completes when the server listens
      */
     public static ChannelFuture listen(
-            EventLoopGroup group, int maxRequestBytes, Supplier<? extends ChannelHandler> handlers) {
+            EventLoopGroup group, int maxRequestBytes, Supplier<? extends ChannelHandler> handlerFactory) {
         return new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
@@ -41,7 +41,7 @@
                                 .addLast(
                                         new HttpServerCodec(),
                                         new HttpObjectAggregator(maxRequestBytes),
-                                        handlers.get());
+                                        handlerFactory.get());
                     }
                 })
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -51,11 +51,11 @@
      * Opens a connection.
      *
      * @param maxResponseBytes the largest body of a response
-     * @param handlers creates the handler of the connection
-     * @return completes when it is open
+     * @param handlerFactory creates the handler of the connection
+     * @return completes when the connection is open
      */
     public static ChannelFuture connect(
-            EventLoopGroup group, int port, int maxResponseBytes, Supplier<? extends ChannelHandler> handlers) {
+            EventLoopGroup group, int port, int maxResponseBytes, Supplier<? extends ChannelHandler> handlerFactory) {
         return new Bootstrap()
                 .group(group)
                 .channel(NioSocketChannel.class)
@@ -67,7 +67,7 @@
                                 .addLast(
                                         new HttpClientCodec(),
                                         new HttpObjectAggregator(maxResponseBytes),
-                                        handlers.get());
+                                        handlerFactory.get());
                     }
                 })
                 .connect("127.0.0.1", port);
--- a/simulation/src/main/java/topazvalve/simulation/http/package-info.java
+++ b/simulation/src/main/java/topazvalve/simulation/http/package-info.java
@@ -1,2 +1,2 @@
-/** HTTP over loopback for stand-ins, clients and measurements: sockets with a codec. */
+/** HTTP over loopback for stand-ins, clients and measurements: sockets with an HTTP codec. */
 package topazvalve.simulation.http;
--- a/simulation/src/main/java/topazvalve/simulation/process/ChildProcesses.java
+++ b/simulation/src/main/java/topazvalve/simulation/process/ChildProcesses.java
@@ -3,11 +3,11 @@
 import java.time.Duration;
 import java.util.concurrent.TimeUnit;
 
-/** Ends processes that this one has started. */
+/** Stops child processes. */
 public final class ChildProcesses {
     private ChildProcesses() {}
 
-    /** Asks a process to end, and ends it by force if it hasn't within the grace period. */
+    /** Asks a process to exit, and kills it if it is still running after the grace period. */
     public static void stop(Process process, Duration grace) throws InterruptedException {
         process.destroy();
         if (!process.waitFor(grace.toNanos(), TimeUnit.NANOSECONDS)) {
@@ -15,7 +15,7 @@
         }
     }
 
-    /** Does the same as {@link #stop}; if interrupted, ends the process by force and keeps the interrupt. */
+    /** Does the same as {@link #stop}; if interrupted, kills the process and restores the interrupt flag. */
     public static void stopEvenIfInterrupted(Process process, Duration grace) {
         try {
             stop(process, grace);
--- a/simulation/src/main/java/topazvalve/simulation/process/SidecarConfiguration.java
+++ b/simulation/src/main/java/topazvalve/simulation/process/SidecarConfiguration.java
@@ -9,8 +9,8 @@
 import java.util.List;
 
 /**
- * The configuration of a sidecar on loopback, in the JSON that the platform writes: what all sidecars of simulations
- * and measurements share. Capabilities, limits and classes are added to {@link #settings}.
+ * The configuration of a sidecar on loopback in the JSON format of the platform, with the parts that all sidecars of
+ * simulations and measurements share. Capabilities, limits and classes are added to {@link #settings}.
  */
 public final class SidecarConfiguration {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -23,12 +23,12 @@
 
     /** How the sidecar gets its endpoint list. */
     public enum Discovery {
-        /** It watches a source. */
+        /** The sidecar watches a source. */
         SUBSCRIBE,
-        /** Lists are pushed, or it keeps the one that it starts with. */
+        /** Lists are pushed to the sidecar, or it keeps its cached list. */
         AUTOMATIC;
 
-        private String key() {
+        private String settingValue() {
             return this == SUBSCRIBE ? "subscribe" : "automatic";
         }
     }
@@ -39,44 +39,47 @@
     /**
      * Creates the configuration of a sidecar that reports no load and has one core, 96 MB and 1,024 sockets.
      *
-     * @param source host and port of the endpoint lists' source
+     * @param source host and port of the source of endpoint lists
      * @param seed the seed of its load balancer, in hexadecimal
-     * @param quantumNanos the granularity of its timers; 0 for none
+     * @param timerGranularityNanos the granularity of its timers; 0 for none
      */
-    public SidecarConfiguration(String name, String seed, String source, Discovery discovery, long quantumNanos) {
+    public SidecarConfiguration(
+            String name, String seed, String source, Discovery discovery, long timerGranularityNanos) {
         root.put("name", name).put("discovery", source).put("seed", seed);
         root.putObject("limits").put("cores", CORES).put("memory_mb", MEMORY_MB).put("sockets", SOCKETS);
-        settings = root.putObject("settings").put("discovery", discovery.key()).put("quantum", quantumNanos);
+        settings = root.putObject("settings")
+                .put("discovery", discovery.settingValue())
+                .put("quantum", timerGranularityNanos);
         settings.putObject("report").put("how", "silent").putArray("fields");
     }
 
-    /** Returns host and port of a loopback socket as the configuration has it. */
+    /** Returns the address of a loopback port in the format of the configuration. */
     public static String loopback(int port) {
         return LOOPBACK + port;
     }
 
-    /** Sets the port of its clients. */
+    /** Sets the port that clients connect to. */
     public SidecarConfiguration listenOn(int port) {
         root.put("listen", loopback(port));
         return this;
     }
 
-    /** Sets the port of its admin endpoint. */
+    /** Sets the port of the admin endpoint. */
     public SidecarConfiguration adminOn(int port) {
         root.put("admin", loopback(port));
         return this;
     }
 
-    /** Sets the names of the zones and of the servers' kinds of machines, in the order of their numbers. */
-    public SidecarConfiguration zonesAndKinds(List<String> zones, List<String> kinds) {
+    /** Sets the names of the zones and machine kinds, in the order of their indices. */
+    public SidecarConfiguration zonesAndKinds(List<String> zones, List<String> machineKinds) {
         ArrayNode zoneNames = settings.putArray("zones");
         zones.forEach(zoneNames::add);
         ArrayNode kindNames = settings.putArray("kinds");
-        kinds.forEach(kindNames::add);
+        machineKinds.forEach(kindNames::add);
         return this;
     }
 
-    /** Adds zone a, machine kind m, capabilities, limits and one idempotent class, the same in all measurements. */
+    /** Adds what all measurements share: zone a, machine kind m, capabilities, limits and one idempotent class. */
     public SidecarConfiguration withMeasurementSettings() {
         zonesAndKinds(List.of("a"), List.of("m"));
         settings.putObject("caps")
@@ -103,13 +106,13 @@
         return this;
     }
 
-    /** Sets the endpoint list that it starts with, in the JSON of discovery. */
+    /** Sets the cached endpoint list that the sidecar starts with, in the JSON format of discovery. */
     public SidecarConfiguration cachedList(ObjectNode list) {
         root.set("known", list);
         return this;
     }
 
-    /** Sets the endpoint list that it starts with to ready servers at loopback ports, in zone a and of kind m. */
+    /** Sets the cached endpoint list to ready servers at loopback ports, in zone a and of machine kind m. */
     public SidecarConfiguration cachedServers(List<Integer> ports) {
         ObjectNode list = JSON.createObjectNode().put("rev", 1).put("all", true);
         ArrayNode targets = list.putArray("targets");
@@ -127,7 +130,7 @@
         return cachedList(list);
     }
 
-    /** Returns the settings of its load balancer, to be extended. */
+    /** Returns the settings of the load balancer, which callers may extend. */
     public ObjectNode settings() {
         return settings;
     }
@@ -137,7 +140,7 @@
         return root;
     }
 
-    /** Writes the file that the sidecar reads. */
+    /** Writes the configuration file of the sidecar. */
     public void write(Path file) throws IOException {
         Files.writeString(file, root.toString());
     }
--- a/simulation/src/main/java/topazvalve/simulation/process/package-info.java
+++ b/simulation/src/main/java/topazvalve/simulation/process/package-info.java
@@ -1,2 +1,2 @@
-/** The packaged sidecar as a process: its command line, configuration, ports and end. */
+/** The packaged sidecar as a process: its command line, configuration, ports and shutdown. */
 package topazvalve.simulation.process;
--- a/simulation/src/test/java/topazvalve/simulation/process/ChildProcessesTest.java
+++ b/simulation/src/test/java/topazvalve/simulation/process/ChildProcessesTest.java
@@ -6,12 +6,12 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Child processes end, also when the caller is interrupted. */
+/** Child processes are stopped even if the caller is interrupted. */
 class ChildProcessesTest {
     private static final Duration GRACE = Duration.ofSeconds(30);
 
     @Test
-    void processEndsAndTheInterruptIsKept() throws Exception {
+    void interruptedStopKillsProcessAndKeepsInterrupt() throws Exception {
         Process process = new ProcessBuilder("sleep", "600").start();
         Thread.currentThread().interrupt();
 
--- a/simulation/src/test/java/topazvalve/simulation/process/SidecarCommandTest.java
+++ b/simulation/src/test/java/topazvalve/simulation/process/SidecarCommandTest.java
@@ -11,27 +11,28 @@
 import org.junit.jupiter.api.io.TempDir;
 import topazvalve.simulation.DeployFileException;
 
-/** A sidecar's command is the deploy file's {@code run} line. */
+/** The command of a sidecar is the {@code run} line of the deploy file. */
 class SidecarCommandTest {
     @TempDir
-    private Path home;
+    private Path repositoryRoot;
 
     private Path deployFile;
 
     @BeforeEach
-    void createFolder() throws Exception {
-        deployFile = Files.createDirectory(home.resolve("deploy")).resolve("balancer.toml");
+    void createDeployDirectory() throws Exception {
+        deployFile = Files.createDirectory(repositoryRoot.resolve("deploy")).resolve("balancer.toml");
     }
 
     @Test
     void commandIsTheRunLine() throws Exception {
         Files.writeString(deployFile, "name = \"x\"\nrun = \"start it\"\n");
 
-        ProcessBuilder builder = SidecarCommand.processBuilder(home, Path.of("/config.json"), List.of("nice"));
+        ProcessBuilder builder =
+                SidecarCommand.processBuilder(repositoryRoot, Path.of("/config.json"), List.of("nice"));
 
         assertEquals(List.of("nice", "/bin/sh", "-c", "start it"), builder.command());
         assertEquals("/config.json", builder.environment().get("PROXY_CONFIG"));
-        assertEquals(home.toFile(), builder.directory());
+        assertEquals(repositoryRoot.toFile(), builder.directory());
     }
 
     @Test
@@ -40,7 +41,7 @@
 
         DeployFileException error = assertThrows(
                 DeployFileException.class,
-                () -> SidecarCommand.processBuilder(home, Path.of("/config.json"), List.of()));
+                () -> SidecarCommand.processBuilder(repositoryRoot, Path.of("/config.json"), List.of()));
 
         assertEquals("deploy/balancer.toml has no run line", error.getMessage());
     }
--- a/simulation/src/test/java/topazvalve/simulation/process/SidecarConfigurationTest.java
+++ b/simulation/src/test/java/topazvalve/simulation/process/SidecarConfigurationTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import topazvalve.simulation.process.SidecarConfiguration.Discovery;
 
-/** The configuration has the platform's keys. */
+/** The configuration file has the keys that the platform writes. */
 class SidecarConfigurationTest {
     private static final String EXPECTED = """
             {"name": "n1", "discovery": "127.0.0.1:7", "seed": "2a",
@@ -24,11 +24,11 @@
             """;
 
     @TempDir
-    private Path folder;
+    private Path directory;
 
     @Test
-    void fileHasThePlatformsKeys() throws Exception {
-        Path file = folder.resolve("n1.json");
+    void fileHasKeysOfPlatform() throws Exception {
+        Path file = directory.resolve("n1.json");
 
         new SidecarConfiguration("n1", "2a", SidecarConfiguration.loopback(7), Discovery.SUBSCRIBE, 5)
                 .listenOn(8)
