--- a/simulation/src/main/java/topazvalve/simulation/real/ActiveFaults.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/ActiveFaults.java
@@ -4,20 +4,20 @@
 import java.util.List;
 import topazvalve.simulation.model.FaultInjector;
 
-/** The faults that have begun and not ended, as the recorded events tell. */
+/** The faults that are active at present, derived from the recorded events. */
 final class ActiveFaults {
     private final List<String> active = new ArrayList<>();
 
-    /** An event was recorded; without effect unless it is the begin or end of a fault. */
-    void eventRecorded(String what) {
-        if (what.startsWith(FaultInjector.BEGIN_PREFIX)) {
-            active.add(what.substring(FaultInjector.BEGIN_PREFIX.length()));
-        } else if (what.startsWith(FaultInjector.END_PREFIX)) {
-            active.remove(what.substring(FaultInjector.END_PREFIX.length()));
+    /** Updates the active faults if the event is the beginning or the end of one. */
+    void eventRecorded(String event) {
+        if (event.startsWith(FaultInjector.BEGIN_PREFIX)) {
+            active.add(event.substring(FaultInjector.BEGIN_PREFIX.length()));
+        } else if (event.startsWith(FaultInjector.END_PREFIX)) {
+            active.remove(event.substring(FaultInjector.END_PREFIX.length()));
         }
     }
 
-    /** Returns their descriptions, separated by commas. */
+    /** Returns the descriptions of the active faults, separated by commas. */
     @Override
     public String toString() {
         return String.join(", ", active);
--- a/simulation/src/main/java/topazvalve/simulation/real/ClientHandler.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/ClientHandler.java
@@ -14,22 +14,22 @@
 
     private final RunState run;
     private final ArrayDeque<Channel> idleConnections;
-    private final boolean slowReader;
+    private final boolean isSlowReader;
     private ClientRequest current;
-    private boolean used;
+    private boolean hasServedRequest;
 
     /**
      * Creates the handler of a new connection.
      *
-     * @param idleConnections takes the connection while it is idle
+     * @param idleConnections the pool that the connection joins while it is idle
      */
-    ClientHandler(RunState run, ArrayDeque<Channel> idleConnections, boolean slowReader) {
+    ClientHandler(RunState run, ArrayDeque<Channel> idleConnections, boolean isSlowReader) {
         this.run = run;
         this.idleConnections = idleConnections;
-        this.slowReader = slowReader;
+        this.isSlowReader = isSlowReader;
     }
 
-    /** The next response on this connection is for this request. */
+    /** Sets the request that the next response on this connection belongs to. */
     void setCurrent(ClientRequest request) {
         current = request;
     }
@@ -38,7 +38,7 @@
     protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
         ClientRequest request = current;
         current = null;
-        used = true;
+        hasServedRequest = true;
         if (request == null) {
             context.close();
             return;
@@ -53,7 +53,7 @@
 
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
-        if (slowReader) {
+        if (isSlowReader) {
             context.channel().config().setAutoRead(false);
             long resumesAt = run.clock().now() + SLOW_READ_NANOS;
             run.clock().scheduleAt(resumesAt, () -> context.channel().config().setAutoRead(true));
@@ -66,7 +66,7 @@
         ClientRequest request = current;
         current = null;
         if (request != null) {
-            request.connectionClosed(used);
+            request.connectionClosed(hasServedRequest);
         }
     }
 
--- a/simulation/src/main/java/topazvalve/simulation/real/ClientRequest.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/ClientRequest.java
@@ -20,12 +20,13 @@
 import topazvalve.simulation.scenario.RequestClassSpec.Repeatability;
 import topazvalve.simulation.statistics.ClientTry;
 
-/** One try of a client over HTTP, from its sending to what the client does about its end. */
+/** A request or retry of a client over HTTP, from sending it to its outcome or its retry. */
 final class ClientRequest {
-    private static final byte[] BODY = "x".repeat(200).getBytes(StandardCharsets.US_ASCII);
+    private static final int BODY_BYTES = 200;
+    private static final byte[] BODY = "x".repeat(BODY_BYTES).getBytes(StandardCharsets.US_ASCII);
     private static final double NANOS_PER_SECOND = 1e9;
     private static final long NANOS_PER_MILLI = 1_000_000;
-    /** How long after its deadline late attempts of a request are still recognised. */
+    /** How long after its deadline a request is kept, so that late attempts of it are recognised. */
     private static final long RETENTION_NANOS = 10_000_000_000L;
 
     private final RunState run;
@@ -38,15 +39,15 @@
     private final String id;
     private final Trace trace;
     private final long deadline;
-    private final long timeLeftNanos;
+    private final long remainingNanos;
     private Channel channel;
     private boolean reconnected;
     private boolean finished;
 
     /**
-     * Creates a try that hasn't been sent yet.
+     * Creates a request that hasn't been sent yet.
      *
-     * @param firstSentAt when the first try was meant to be sent, in nanoseconds of the clock
+     * @param firstSentAt the planned send time of the first request, in nanoseconds of the clock
      */
     ClientRequest(
             RunState run,
@@ -65,13 +66,12 @@
         long number = clients.nextId();
         this.id = SentRequests.id(instance, number);
         long now = run.clock().now();
-        // The time of the first try runs from when it was meant to be sent.
+        // The time-out of the first request runs from its planned send time, that of a retry from now.
         this.deadline = (isRetry ? now : firstSentAt) + generated.clientTimeoutNanos();
-        this.timeLeftNanos = deadline - now;
+        this.remainingNanos = deadline - now;
         this.trace = new Trace(number, instance, requestClass, run.sinceStart(now), run.sinceStart(deadline));
     }
 
-    /** Sends it. */
     void send() {
         SentRequest sent =
                 new SentRequest(trace, instance, generated.requestClass(), generated.key(), generated.work(), deadline);
@@ -95,9 +95,9 @@
             } else if (done.isSuccess()) {
                 write(done.channel());
             } else {
-                // The connection is refused, so nothing has run.
+                // The connection was refused, so no server has received the request.
                 run.oracle().waiveResponse(trace);
-                end(Answer.REJECTED, 0);
+                finish(Answer.REJECTED, 0);
             }
         });
     }
@@ -109,22 +109,22 @@
     }
 
     private DefaultFullHttpRequest httpRequest() {
-        boolean get = requestClass.repeatability() == Repeatability.FREE;
-        ByteBuf body = get ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(BODY);
+        boolean isGet = requestClass.repeatability() == Repeatability.FREE;
+        ByteBuf body = isGet ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(BODY);
         DefaultFullHttpRequest request = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
-                get ? HttpMethod.GET : HttpMethod.POST,
+                isGet ? HttpMethod.GET : HttpMethod.POST,
                 "/api/" + Long.toHexString(generated.key()),
                 body);
         request.headers()
                 .set(HttpHeaderNames.HOST, "app.svc")
                 .set("Req-Id", id)
                 .set("Req-Kind", requestClass.name())
-                .set("Req-Deadline-Ms", Math.max(1, timeLeftNanos / NANOS_PER_MILLI));
+                .set("Req-Deadline-Ms", Math.max(1, remainingNanos / NANOS_PER_MILLI));
         if (requestClass.repeatability() == Repeatability.KEYED) {
             request.headers().set("Idempotency-Key", id);
         }
-        if (!get) {
+        if (!isGet) {
             HttpUtil.setContentLength(request, BODY.length);
         }
         return request;
@@ -146,8 +146,8 @@
     }
 
     /**
-     * The connection has closed without a response. On a reused connection the close may have crossed the request,
-     * which is then sent once more; if the instance was killed, the request has failed.
+     * Handles a connection that closed before the response. On a reused connection the request may have crossed the
+     * close, so it is sent once more; if the instance was killed, the request has failed.
      */
     void connectionClosed(boolean usedBefore) {
         if (finished) {
@@ -158,23 +158,23 @@
             connect(true);
         } else if (run.wasKilled(instance, trace)) {
             run.oracle().waiveResponse(trace);
-            end(Answer.FAILED, 0);
+            finish(Answer.FAILED, 0);
         }
     }
 
-    /** The response has arrived. */
+    /** Checks and records the response. */
     void responseReceived(FullHttpResponse response) {
-        Answer answer = answer(response.status());
+        Answer answer = toAnswer(response.status());
         if (answer == Answer.SERVED
-                && !response.content().toString(StandardCharsets.US_ASCII).equals(RealClients.bodyOf(id))) {
+                && !response.content().toString(StandardCharsets.US_ASCII).equals(RealClients.responseBody(id))) {
             run.oracle().responseForged(trace, run.elapsed());
         }
         run.oracle().responseReceived(trace, answer, run.elapsed());
         run.recorder().digest().add(trace.id(), answer);
-        end(answer, retryAfterNanos(response));
+        finish(answer, retryAfterNanos(response));
     }
 
-    private static Answer answer(HttpResponseStatus status) {
+    private static Answer toAnswer(HttpResponseStatus status) {
         if (status.code() == HttpResponseStatus.OK.code()) {
             return Answer.SERVED;
         }
@@ -192,7 +192,7 @@
         }
     }
 
-    private void end(Answer answer, long retryAfterNanos) {
+    private void finish(Answer answer, long retryAfterNanos) {
         finished = true;
         if (answer == Answer.SERVED) {
             long latency = run.clock().now() - firstSentAt;
--- a/simulation/src/main/java/topazvalve/simulation/real/DiscoveryStandIn.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/DiscoveryStandIn.java
@@ -27,8 +27,8 @@
 import topazvalve.simulation.scenario.Scenario.DiscoverySettings;
 
 /**
- * Discovery on loopback. It serves the full endpoint list, and watches on its changes as JSON lines in chunks with an
- * empty line every 2 s as heartbeat. Each instance has a port of its own, by which its calls are recognised.
+ * Discovery on loopback. It serves the full endpoint list, and watches that stream its changes as chunked JSON lines,
+ * with an empty line every 2 s as heartbeat. Each instance has a port of its own, which identifies it.
  */
 final class DiscoveryStandIn {
     private static final int MAX_REQUEST_BYTES = 1 << 16;
@@ -38,9 +38,10 @@
     private final RunState run;
     private final DiscoverySettings settings;
     private final Set<Watch> watches = new HashSet<>();
+    /** Calls are processed one at a time; this is when the last accepted one is done. */
     private long busyUntil;
 
-    /** The open response of an instance's watch. */
+    /** The watch of an instance, and the connection that its changes are written to. */
     private record Watch(int instance, Channel channel) {}
 
     DiscoveryStandIn(RunState run) {
@@ -58,7 +59,7 @@
                         this::closeWatchesWhileDown, DOWN_CHECK_MILLIS, DOWN_CHECK_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Opens the port of one instance; the future completes when it listens. */
+    /** Opens the discovery port of an instance; the future completes when it listens. */
     ChannelFuture open(int instance) {
         return LoopbackHttp.listen(run.loop(), MAX_REQUEST_BYTES, () -> new Handler(instance));
     }
@@ -75,8 +76,8 @@
     }
 
     private void entryChanged(Entry entry) {
-        long at = run.clock().now() + run.nextPropagationNanos();
-        run.clock().scheduleAt(at, () -> notifyWatches(entry));
+        long notifyAt = run.clock().now() + run.nextPropagationNanos();
+        run.clock().scheduleAt(notifyAt, () -> notifyWatches(entry));
     }
 
     private void notifyWatches(Entry entry) {
@@ -86,12 +87,12 @@
         }
     }
 
-    private void notifyWatch(Watch watch, ObjectNode listing, List<Entry> entries) {
-        write(watch, listing + "\n");
+    private void notifyWatch(Watch watch, ObjectNode endpointList, List<Entry> entries) {
+        write(watch, endpointList + "\n");
         run.endpointsNotified(watch.instance, entries);
     }
 
-    /** One connection of an instance. */
+    /** A connection from an instance. */
     private final class Handler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final int instance;
 
@@ -120,29 +121,29 @@
             EndpointDirectory directory = run.directory();
             List<Entry> changes = watch && from > 0 ? directory.changesSince(from) : null;
             List<Entry> entries = changes != null ? changes : directory.entries();
-            ObjectNode listing = run.toJson(entries, directory.revision(), changes == null);
+            ObjectNode endpointList = run.toJson(entries, directory.revision(), changes == null);
             if (watch) {
-                startWatch(channel, listing, entries);
+                startWatch(channel, endpointList, entries);
             } else {
-                respondOnce(channel, listing, entries);
+                respondOnce(channel, endpointList, entries);
             }
         }
 
-        private void startWatch(Channel channel, ObjectNode listing, List<Entry> entries) {
-            HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-            HttpUtil.setTransferEncodingChunked(head, true);
-            channel.write(head);
+        private void startWatch(Channel channel, ObjectNode endpointList, List<Entry> entries) {
+            HttpResponse responseHead = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+            HttpUtil.setTransferEncodingChunked(responseHead, true);
+            channel.write(responseHead);
             Watch watch = new Watch(instance, channel);
             watches.add(watch);
             channel.closeFuture().addListener(closed -> watches.remove(watch));
-            notifyWatch(watch, listing, entries);
+            notifyWatch(watch, endpointList, entries);
         }
 
-        private void respondOnce(Channel channel, ObjectNode listing, List<Entry> entries) {
+        private void respondOnce(Channel channel, ObjectNode endpointList, List<Entry> entries) {
             FullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1,
                     HttpResponseStatus.OK,
-                    Unpooled.copiedBuffer(listing + "\n", StandardCharsets.UTF_8));
+                    Unpooled.copiedBuffer(endpointList + "\n", StandardCharsets.UTF_8));
             HttpUtil.setContentLength(response, response.content().readableBytes());
             channel.writeAndFlush(response);
             run.endpointsNotified(instance, entries);
--- a/simulation/src/main/java/topazvalve/simulation/real/EndpointListJson.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/EndpointListJson.java
@@ -9,33 +9,33 @@
 import topazvalve.simulation.model.OrderServer;
 import topazvalve.simulation.scenario.Scenario;
 
-/** Writes endpoint lists in the JSON of discovery. */
+/** Converts endpoint lists to the JSON format of discovery. */
 final class EndpointListJson {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final Scenario scenario;
-    private final LoopClock clock;
+    private final EventLoopClock clock;
     private final ServerSockets servers;
 
-    EndpointListJson(Scenario scenario, LoopClock clock, ServerSockets servers) {
+    EndpointListJson(Scenario scenario, EventLoopClock clock, ServerSockets servers) {
         this.scenario = scenario;
         this.clock = clock;
         this.servers = servers;
     }
 
     /**
-     * Returns a list.
+     * Converts entries to an endpoint list.
      *
-     * @param full whether these are all entries; otherwise they are changes
+     * @param full whether this is a full snapshot; otherwise it is a delta
      */
-    ObjectNode list(List<Entry> entries, long revision, boolean full) {
+    ObjectNode toJson(List<Entry> entries, long revision, boolean full) {
         ObjectNode root = JSON.createObjectNode().put("rev", revision).put("all", full);
         ArrayNode targets = root.putArray("targets");
-        entries.forEach(each -> targets.add(endpoint(each)));
+        entries.forEach(each -> targets.add(endpointToJson(each)));
         return root;
     }
 
-    private ObjectNode endpoint(Entry entry) {
+    private ObjectNode endpointToJson(Entry entry) {
         OrderServer server = entry.server();
         return JSON.createObjectNode()
                 .put("uid", "s-" + server.id())
--- a/simulation/src/main/java/topazvalve/simulation/real/EventLoopThread.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/EventLoopThread.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import topazvalve.simulation.SimulationFailedException;
 
-/** The one event loop of a run in real time, with its thread, which owns all state of the run. */
+/** The single event loop of a run in real time and its thread, to which the state of the run is confined. */
 final class EventLoopThread {
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
@@ -19,7 +19,7 @@
     }
 
     /**
-     * Runs a task on the event loop and waits for its result. Not to be called on the event loop.
+     * Runs a task on the event loop and waits for its result. Must not be called on the event loop.
      *
      * @throws SimulationFailedException if the task throws
      */
@@ -31,7 +31,7 @@
         }
     }
 
-    /** Runs a task on the event loop and waits for its end, as {@link #call} does. */
+    /** Runs a task on the event loop and waits for its completion, like {@link #call}. */
     void run(Runnable task) throws InterruptedException {
         call(() -> {
             task.run();
@@ -39,7 +39,7 @@
         });
     }
 
-    /** Ends the event loop. */
+    /** Shuts the event loop down and waits for its end. */
     void close() throws InterruptedException {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
--- a/simulation/src/main/java/topazvalve/simulation/real/HttpAttempt.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/HttpAttempt.java
@@ -10,13 +10,13 @@
 import topazvalve.simulation.model.ServerMode;
 import topazvalve.simulation.real.SentRequests.SentRequest;
 
-/** An attempt that an order server has received over HTTP, and the connection on which its response goes back. */
+/** An attempt that an order server has received over HTTP, with the connection for its response. */
 final class HttpAttempt extends ServerAttempt {
-    private static final String NOISE = "HTTP/1.1 2OO ?\r\n\u0000\u0001noise";
+    private static final String MALFORMED_RESPONSE = "HTTP/1.1 2OO ?\r\n\u0000\u0001noise";
     private static final String TRUNCATED_RESPONSE = "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\ndone:";
     private static final String SECOND_RESPONSE = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmore";
-    /** Noise, a truncated response, and a second response. */
-    private static final int KINDS_OF_CORRUPTION = 3;
+    /** A malformed response, a truncated one, and a second response after a valid one. */
+    private static final int CORRUPTION_KINDS = 3;
 
     private final RunState run;
     private final OrderServer server;
@@ -24,7 +24,7 @@
     private final String id;
     private final SentRequest sent;
     private boolean rejected;
-    private boolean ran;
+    private boolean hasRun;
     private boolean ended;
 
     HttpAttempt(RunState run, OrderServer server, Channel channel, String id, SentRequest sent) {
@@ -36,18 +36,18 @@
         this.sent = sent;
     }
 
-    /** Returns whether the server rejected it without running it. */
+    /** Returns whether the server rejected the attempt without running it. */
     boolean wasRejected() {
         return rejected;
     }
 
-    /** Returns whether the server holds it no longer. */
+    /** Returns whether the attempt has ended at the server. */
     boolean hasEnded() {
         return ended;
     }
 
-    /** Writes a response after the simulated delay of the network, unless the machine is unreachable then. */
-    private void sendBack(Runnable write) {
+    /** Writes a response after the simulated network delay, unless the machine is unreachable by then. */
+    private void writeAfterDelay(Runnable write) {
         ended = true;
         long delay = run.nextDelayNanos(sent.instance(), server);
         run.clock().scheduleAt(run.clock().now() + delay, () -> {
@@ -59,35 +59,36 @@
 
     @Override
     protected void started() {
-        ran = true;
+        hasRun = true;
     }
 
     @Override
     protected void completed(boolean success, boolean corrupted) {
         if (!success) {
-            sendBack(() -> ServerHandler.respond(channel, HttpResponseStatus.INTERNAL_SERVER_ERROR, "", false));
+            writeAfterDelay(() -> ServerHandler.respond(channel, HttpResponseStatus.INTERNAL_SERVER_ERROR, "", false));
         } else if (corrupted) {
             sendCorrupted();
         } else {
             run.oracle().responseSent(sent.trace());
-            sendBack(this::writeResponse);
+            writeAfterDelay(this::writeResponse);
         }
     }
 
     private void writeResponse() {
-        ServerHandler.respond(channel, HttpResponseStatus.OK, RealClients.bodyOf(id), false);
+        ServerHandler.respond(channel, HttpResponseStatus.OK, RealClients.responseBody(id), false);
     }
 
-    /** Responds with noise, a truncated response or two responses, by the number of the request. */
+    /** Responds with a malformed, a truncated or a second response, depending on the number of the request. */
     private void sendCorrupted() {
-        int kind = (int) (sent.trace().id() % KINDS_OF_CORRUPTION);
+        int kind = (int) (sent.trace().id() % CORRUPTION_KINDS);
         switch (kind) {
-            case 0 -> sendBack(() -> channel.writeAndFlush(bytes(NOISE)));
+            case 0 -> writeAfterDelay(() -> channel.writeAndFlush(bytes(MALFORMED_RESPONSE)));
             case 1 ->
-                sendBack(() -> channel.writeAndFlush(bytes(TRUNCATED_RESPONSE)).addListener(done -> channel.close()));
+                writeAfterDelay(
+                        () -> channel.writeAndFlush(bytes(TRUNCATED_RESPONSE)).addListener(done -> channel.close()));
             default -> {
                 run.oracle().responseSent(sent.trace());
-                sendBack(() -> {
+                writeAfterDelay(() -> {
                     writeResponse();
                     channel.writeAndFlush(bytes(SECOND_RESPONSE));
                 });
@@ -102,7 +103,7 @@
     @Override
     protected void rejected() {
         rejected = true;
-        sendBack(() -> ServerHandler.respond(channel, HttpResponseStatus.SERVICE_UNAVAILABLE, "", true));
+        writeAfterDelay(() -> ServerHandler.respond(channel, HttpResponseStatus.SERVICE_UNAVAILABLE, "", true));
     }
 
     @Override
@@ -114,7 +115,7 @@
     @Override
     protected void discarded() {
         ended = true;
-        if (!ran) {
+        if (!hasRun) {
             run.oracle().attemptNeverRan(sent.trace());
         }
     }
--- a/simulation/src/main/java/topazvalve/simulation/real/RealClients.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/RealClients.java
@@ -10,9 +10,8 @@
 import topazvalve.simulation.model.RequestGenerator;
 
 /**
- * The applications that use the sidecars: an open loop over real connections. Latency counts from the time at which a
- * request was meant to be sent, so that delays of the clients themselves are included. All state belongs to the event
- * loop.
+ * The applications that use the sidecars: an open-loop load over real connections. Latency counts from the planned send
+ * time of a request, so that delays of the clients themselves are included. Confined to the event loop.
  */
 final class RealClients {
     private static final int MAX_RESPONSE_BYTES = 1 << 20;
@@ -20,7 +19,7 @@
     private final RunState run;
     private final RandomStream random;
     private final List<RequestGenerator> generators = new ArrayList<>();
-    /** By instance, the most recently used last. */
+    /** The idle connections by instance, the most recently used last. */
     private final List<ArrayDeque<Channel>> idleConnections = new ArrayList<>();
 
     private long lastId;
@@ -35,8 +34,8 @@
         }
     }
 
-    /** Returns the body by which an order server responds to a request; no one else can know it. */
-    static String bodyOf(String id) {
+    /** Returns the body of a server's response to a request, by which clients detect forged responses. */
+    static String responseBody(String id) {
         return "done:" + id;
     }
 
@@ -47,28 +46,28 @@
         }
     }
 
-    /** Schedules a request relative to the planned time of the one before, not to when that was really sent. */
-    private void scheduleNext(int instance, long previousAt) {
+    /** Schedules a request relative to the planned send time of the previous one, not to its actual send time. */
+    private void scheduleNext(int instance, long previousPlannedAt) {
         RequestGenerator generator = generators.get(instance);
-        long at = previousAt + Math.max(1, generator.nextGapNanos());
-        if (at < run.endsAt()) {
-            run.clock().scheduleAt(at, () -> {
-                if (generator.arrivesAt(run.sinceStart(at))) {
+        long plannedAt = previousPlannedAt + Math.max(1, generator.nextGapNanos());
+        if (plannedAt < run.endsAt()) {
+            run.clock().scheduleAt(plannedAt, () -> {
+                if (generator.arrivesAt(run.sinceStart(plannedAt))) {
                     RequestGenerator.GeneratedRequest generated = generator.next();
-                    run.statistics().requestSent(generated.requestClass(), run.sinceStart(at));
-                    new ClientRequest(run, this, instance, generated, at, false).send();
+                    run.statistics().requestSent(generated.requestClass(), run.sinceStart(plannedAt));
+                    new ClientRequest(run, this, instance, generated, plannedAt, false).send();
                 }
-                scheduleNext(instance, at);
+                scheduleNext(instance, plannedAt);
             });
         }
     }
 
-    /** Returns a new number for a request. */
+    /** Returns the number of a new request. */
     long nextId() {
         return ++lastId;
     }
 
-    /** Draws whether a request comes on a new connection. */
+    /** Draws whether a request is sent on a new connection. */
     boolean drawsNewConnection() {
         return random.nextBoolean(run.scenario().clients().newConnectionFraction());
     }
--- a/simulation/src/main/java/topazvalve/simulation/real/RealTimeSimulation.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/RealTimeSimulation.java
@@ -22,8 +22,8 @@
 import topazvalve.simulation.statistics.RunStatistics;
 
 /**
- * A run of one scenario and seed in real time on loopback: stand-ins and clients on one event loop of this process, and
- * the packaged sidecar as processes between them.
+ * Runs one scenario with one seed in real time on loopback: stand-ins and clients share one event loop of this process,
+ * and packaged sidecars run as processes between them.
  */
 public final class RealTimeSimulation {
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
@@ -31,85 +31,86 @@
 
     private final Scenario scenario;
     private final long seed;
-    private final Path home;
-    private final Path folder;
+    private final Path repositoryRoot;
+    private final Path workDirectory;
     private final SidecarFleet sidecars;
-    private final EventLoopThread thread = new EventLoopThread();
+    private final EventLoopThread eventLoop = new EventLoopThread();
     private final RunState run;
 
     /**
      * Creates a run that hasn't started; nothing listens yet.
      *
-     * @param home the root of the repository, where the built programs are
-     * @param folder takes configurations and logs
+     * @param repositoryRoot the root of the repository, where the built programs are
+     * @param workDirectory the directory for configurations and logs
      * @throws SimulationFailedException if the simulation itself fails
      */
-    public RealTimeSimulation(Scenario scenario, long seed, Path home, Path folder) throws InterruptedException {
+    public RealTimeSimulation(Scenario scenario, long seed, Path repositoryRoot, Path workDirectory)
+            throws InterruptedException {
         this.scenario = scenario;
         this.seed = seed;
-        this.home = home;
-        this.folder = folder;
-        this.sidecars = new SidecarFleet(scenario, folder);
-        this.run = thread.call(() -> new RunState(scenario, seed, thread.loop(), sidecars));
+        this.repositoryRoot = repositoryRoot;
+        this.workDirectory = workDirectory;
+        this.sidecars = new SidecarFleet(scenario, workDirectory);
+        this.run = eventLoop.call(() -> new RunState(scenario, seed, eventLoop.loop(), sidecars));
     }
 
     /**
-     * Performs the run in real time. To be called once.
+     * Performs the run in real time. Must be called only once.
      *
-     * @param eachSecond is called every second with the statistics of the second before and the active faults
+     * @param onSecond receives the statistics of each second, one second after its end, and the active faults
      * @return the results
-     * @throws SidecarStartException if a sidecar doesn't start
-     * @throws SidecarExitedException if a sidecar ends by itself
+     * @throws SidecarStartException if a sidecar does not become ready
+     * @throws SidecarExitedException if a sidecar exits by itself
      * @throws SimulationFailedException if the simulation itself fails
      */
-    public RunResult run(BiConsumer<RunStatistics.Second, String> eachSecond) throws IOException, InterruptedException {
-        Files.createDirectories(folder);
+    public RunResult run(BiConsumer<RunStatistics.Second, String> onSecond) throws IOException, InterruptedException {
+        Files.createDirectories(workDirectory);
         // Sidecars must not outlive this process, however it ends.
-        Thread hook = new Thread(sidecars::killAll);
-        Runtime.getRuntime().addShutdownHook(hook);
+        Thread shutdownHook = new Thread(sidecars::killAll);
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
         try {
             openServers();
             openDiscovery();
             startSidecars();
             long startedAt = System.nanoTime();
-            List<Fault> faults = thread.call(this::startClientsAndFaults);
-            reportSeconds(startedAt, eachSecond);
+            List<Fault> faults = eventLoop.call(this::startClientsAndFaults);
+            reportSeconds(startedAt, onSecond);
             awaitLastResponses();
             sidecars.checkAlive();
-            return thread.call(() -> run.recorder().result(ARM, seed, faults, 0, System.nanoTime() - startedAt));
+            return eventLoop.call(() -> run.recorder().result(ARM, seed, faults, 0, System.nanoTime() - startedAt));
         } finally {
             close();
-            removeHook(hook);
+            removeShutdownHook(shutdownHook);
         }
     }
 
     private void openServers() throws InterruptedException {
-        List<CompletableFuture<Void>> open = new ArrayList<>();
-        thread.run(() -> {
+        List<CompletableFuture<Void>> opened = new ArrayList<>();
+        eventLoop.run(() -> {
             for (OrderServer each : run.servers()) {
-                open.add(run.serverSockets().open(each));
+                opened.add(run.serverSockets().open(each));
             }
         });
-        open.forEach(CompletableFuture::join);
+        opened.forEach(CompletableFuture::join);
     }
 
     private void openDiscovery() throws InterruptedException {
-        DiscoveryStandIn discovery = thread.call(() -> {
+        DiscoveryStandIn discovery = eventLoop.call(() -> {
             run.servers().forEach(run.directory()::add);
             return new DiscoveryStandIn(run);
         });
         for (int i = 0; i < scenario.fleet().instances(); i++) {
             ChannelFuture bound = discovery.open(i).sync();
-            // A sidecar picks free ports, so that discovery's have to be bound before.
+            // Sidecars choose free ports, so the ports of discovery have to be bound first.
             sidecars.addDiscoveryPort(((InetSocketAddress) bound.channel().localAddress()).getPort());
         }
     }
 
     private void startSidecars() throws IOException, InterruptedException {
         for (int i = 0; i < scenario.fleet().instances(); i++) {
-            sidecars.add(home);
-            ObjectNode cachedList = thread.call(run::fullList);
-            sidecars.start(i, cachedList, thread.call(run::nextInstanceSeed));
+            sidecars.add(repositoryRoot);
+            ObjectNode cachedList = eventLoop.call(run::fullList);
+            sidecars.start(i, cachedList, eventLoop.call(run::nextInstanceSeed));
         }
         sidecars.awaitReady();
     }
@@ -121,16 +122,17 @@
         return faults;
     }
 
-    /** Reports each second one second after it has ended, when most of its responses have arrived. */
-    private void reportSeconds(long startedAt, BiConsumer<RunStatistics.Second, String> eachSecond)
+    /** Reports each second of the run one second after its end, when most of its responses have arrived. */
+    private void reportSeconds(long startedAt, BiConsumer<RunStatistics.Second, String> onSecond)
             throws InterruptedException {
         int seconds = (int) (scenario.length() / NANOS_PER_SECOND);
         for (int i = 0; i < seconds; i++) {
             int second = i;
             long reportAt = startedAt + (i + 2) * NANOS_PER_SECOND;
             TimeUnit.NANOSECONDS.sleep(Math.max(0, reportAt - System.nanoTime()));
-            RunStatistics.Second statistics = thread.call(() -> run.statistics().second(second));
-            eachSecond.accept(statistics, thread.call(run.activeFaults()::toString));
+            RunStatistics.Second statistics =
+                    eventLoop.call(() -> run.statistics().second(second));
+            onSecond.accept(statistics, eventLoop.call(run.activeFaults()::toString));
         }
     }
 
@@ -141,15 +143,15 @@
 
     private void close() throws InterruptedException {
         sidecars.stopAll();
-        thread.run(run.serverSockets()::closeAll);
-        thread.close();
+        eventLoop.run(run.serverSockets()::closeAll);
+        eventLoop.close();
     }
 
-    private static void removeHook(Thread hook) {
+    private static void removeShutdownHook(Thread shutdownHook) {
         try {
-            Runtime.getRuntime().removeShutdownHook(hook);
+            Runtime.getRuntime().removeShutdownHook(shutdownHook);
         } catch (IllegalStateException ignored) {
-            // The process is ending, so that the hook is running already.
+            // The process is exiting, so the hook is already running.
         }
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/real/RunState.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/RunState.java
@@ -20,26 +20,26 @@
 import topazvalve.simulation.statistics.RunRecorder;
 
 /**
- * The state of a run in real time, as stand-ins, clients and faults use it: times, delays, the record of the run, and
- * which instance knows what. All of it belongs to the event loop.
+ * The state of a run in real time, shared by stand-ins, clients and faults: the clock, the simulated network, the
+ * recorder, and what each instance has been notified of. It is confined to the event loop.
  */
 final class RunState implements RecordedRun {
-    /** What scheduling and the kernel may add to every limit. */
+    /** The delay by scheduling and the kernel that the oracle allows beyond every limit. */
     private static final long TOLERANCE_NANOS = 50_000_000;
 
     private static final long MAX_FLIGHT_NANOS = 50_000_000;
-    /** How often an attempt on a new connection may cross zones before the server has received it. */
-    private static final int FLIGHT_CROSSINGS = 4;
+    /** The most times that an attempt on a new connection crosses zones before the server has received it. */
+    private static final int MAX_ZONE_CROSSINGS = 4;
 
     private static final long RESTART_DELAY_MILLIS = 100;
-    /** There is a counter of attempts for this many times as many servers as the scenario has, and some more. */
+    /** Initial attempt counters for each server of the scenario, since replacement servers get new ids. */
     private static final int COUNTERS_PER_SERVER = 4;
 
     private static final int SPARE_COUNTERS = 64;
 
     private final Scenario scenario;
     private final EventLoop loop;
-    private final LoopClock clock;
+    private final EventLoopClock clock;
     private final SentRequests sentRequests = new SentRequests();
     private final AttemptWork attemptWork;
     private final RandomStream propagation;
@@ -58,28 +58,30 @@
         this.scenario = scenario;
         this.loop = loop;
         this.sidecars = sidecars;
-        this.clock = new LoopClock(loop);
+        this.clock = new EventLoopClock(loop);
         this.attemptWork = new AttemptWork(scenario, seed);
         this.propagation = RandomStream.named(seed, "spread");
         this.restarts = RandomStream.named(seed, "restarts");
         this.topology = new Topology(scenario, clock, seed);
         this.recorder = new RunRecorder(
-                topology, oracleOf(scenario), COUNTERS_PER_SERVER * servers().size() + SPARE_COUNTERS);
+                topology,
+                createOracle(scenario),
+                COUNTERS_PER_SERVER * servers().size() + SPARE_COUNTERS);
         this.listJson = new EndpointListJson(scenario, clock, servers);
-        servers().forEach(this::observe);
+        servers().forEach(this::recordColdCrashes);
     }
 
-    private static Oracle oracleOf(Scenario scenario) {
-        long crossings = FLIGHT_CROSSINGS * scenario.network().crossZone();
-        return new Oracle(scenario.limits(), TOLERANCE_NANOS, MAX_FLIGHT_NANOS + crossings);
+    private static Oracle createOracle(Scenario scenario) {
+        long crossingNanos = MAX_ZONE_CROSSINGS * scenario.network().crossZone();
+        return new Oracle(scenario.limits(), TOLERANCE_NANOS, MAX_FLIGHT_NANOS + crossingNanos);
     }
 
-    private void observe(OrderServer server) {
+    private void recordColdCrashes(OrderServer server) {
         server.onColdCrash(
                 (crashed, informedFraction) -> recorder.serverCrashedWhileCold(crashed, informedFraction, elapsed()));
     }
 
-    /** The run starts now. */
+    /** Sets the start of the run to the present time. */
     void start() {
         startedAt = clock.now();
     }
@@ -120,7 +122,7 @@
         return activeFaults;
     }
 
-    /** Returns the port of an instance's clients. */
+    /** Returns the port that the clients of an instance connect to. */
     int port(int instance) {
         return sidecars.port(instance);
     }
@@ -130,7 +132,7 @@
         return attemptWork.draw(request.requestClass(), request.work());
     }
 
-    /** Draws a one-way delay between an instance and a server, which is added to that of loopback. */
+    /** Draws a one-way delay between an instance and a server, in addition to that of loopback. */
     long nextDelayNanos(int instance, OrderServer server) {
         int zone = instance % scenario.fleet().zones().size();
         return link().nextDelayNanos(zone != server.pod().zone());
@@ -151,12 +153,12 @@
         return toJson(directory().entries(), directory().revision(), true);
     }
 
-    /** Returns an endpoint list, or changes of it, in the JSON of discovery. */
+    /** Converts a full snapshot or a delta of the endpoint list to the JSON format of discovery. */
     ObjectNode toJson(List<Entry> entries, long revision, boolean full) {
-        return listJson.list(entries, revision, full);
+        return listJson.toJson(entries, revision, full);
     }
 
-    /** An instance has been notified of endpoints. */
+    /** Records that an instance has been notified of endpoints. */
     void endpointsNotified(int instance, List<Entry> entries) {
         for (Entry each : entries) {
             notifiedStarts.notified(instance, each);
@@ -164,12 +166,12 @@
         }
     }
 
-    /** Returns whether the instance that had a request was killed after the request was sent. */
+    /** Returns whether the instance to which a request was sent has been killed since. */
     boolean wasKilled(int instance, Trace trace) {
         return sidecars.wasKilledSince(instance, trace.sentAt() - TOLERANCE_NANOS);
     }
 
-    // For faults.
+    // The operations that faults use.
 
     @Override
     public Clock clock() {
@@ -187,14 +189,14 @@
         recorder.instanceKilled(number);
         ObjectNode cachedList = fullList();
         long newSeed = nextInstanceSeed();
-        loop.schedule(() -> startAgain(number, cachedList, newSeed), RESTART_DELAY_MILLIS, TimeUnit.MILLISECONDS);
+        loop.schedule(() -> restartSidecar(number, cachedList, newSeed), RESTART_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void startAgain(int number, ObjectNode cachedList, long newSeed) {
+    private void restartSidecar(int number, ObjectNode cachedList, long newSeed) {
         try {
             sidecars.start(number, cachedList, newSeed);
         } catch (IOException | SimulationException e) {
-            recordEvent("sidecar " + number + " could not be started again: " + e.getMessage());
+            recordEvent("sidecar " + number + " failed to restart: " + e.getMessage());
             return;
         }
         recorder.instanceRestarted(number, elapsed());
@@ -203,7 +205,7 @@
     @Override
     public OrderServer replaceServer(OrderServer old, boolean sameAddress) {
         OrderServer replacement = topology.fleet().replace(old);
-        observe(replacement);
+        recordColdCrashes(replacement);
         if (sameAddress) {
             servers.openAtAddressOf(old, replacement);
         } else {
--- a/simulation/src/main/java/topazvalve/simulation/real/ServerHandler.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/ServerHandler.java
@@ -16,7 +16,7 @@
 import topazvalve.simulation.model.ServerMode;
 import topazvalve.simulation.real.SentRequests.SentRequest;
 
-/** One connection to an order server: passes requests on to the model, after the simulated delay of the network. */
+/** One connection to an order server. Passes requests to the model after the simulated network delay. */
 final class ServerHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     private static final String REQUEST_ID_HEADER = "Req-Id";
     private static final String DECLINED_HEADER = "Srv-Declined";
--- a/simulation/src/main/java/topazvalve/simulation/real/ServerSockets.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/ServerSockets.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.CompletableFuture;
 import topazvalve.simulation.model.OrderServer;
 
-/** The sockets of all order servers of a run, replaced ones included. All state belongs to the event loop. */
+/** The sockets of all order servers of a run, including replaced ones. Confined to the event loop. */
 final class ServerSockets {
     private final RunState run;
     private final Map<Long, ServerStandIn> byServerId = new HashMap<>();
@@ -15,20 +15,20 @@
         this.run = run;
     }
 
-    /** Opens a server on a port that the system chooses; the future completes when it listens, or has failed to. */
+    /** Opens a server on a port that the system chooses; the future completes once it listens or has failed to. */
     CompletableFuture<Void> open(OrderServer server) {
         return open(server, ServerStandIn.ANY_PORT);
     }
 
-    /** Opens a server at the address of another one, which listens no longer. */
+    /** Opens a server at the address of a previous one, which no longer listens. */
     void openAtAddressOf(OrderServer previous, OrderServer server) {
         open(server, byServerId.get(previous.id()).address());
     }
 
     private CompletableFuture<Void> open(OrderServer server, InetSocketAddress bindAddress) {
-        CompletableFuture<Void> open = new CompletableFuture<>();
-        byServerId.put(server.id(), ServerStandIn.open(run, server, bindAddress, () -> open.complete(null)));
-        return open;
+        CompletableFuture<Void> opened = new CompletableFuture<>();
+        byServerId.put(server.id(), ServerStandIn.open(run, server, bindAddress, () -> opened.complete(null)));
+        return opened;
     }
 
     /** Returns host and port of a server as discovery lists them. */
@@ -36,7 +36,7 @@
         return byServerId.get(server.id()).endpoint();
     }
 
-    /** Stops listening and closes all connections. */
+    /** Closes all servers and their connections. */
     void closeAll() {
         byServerId.values().forEach(ServerStandIn::close);
     }
--- a/simulation/src/main/java/topazvalve/simulation/real/ServerStandIn.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/ServerStandIn.java
@@ -18,8 +18,8 @@
 import topazvalve.simulation.model.ServerMode;
 
 /**
- * An order server on a loopback port: HTTP/1.1 around the model. While its machine is unreachable it neither reads nor
- * closes connections; the kernel still completes handshakes on loopback. All state belongs to the event loop.
+ * An order server on a loopback port: an HTTP/1.1 front end of the model. While its machine is unreachable it neither
+ * reads nor closes connections; the kernel still completes handshakes on loopback. It is confined to the event loop.
  */
 final class ServerStandIn {
     /** Loopback, on a port that the system chooses. */
@@ -46,10 +46,10 @@
     }
 
     /**
-     * Opens a server. To be called on the event loop.
+     * Opens a server. Must be called on the event loop.
      *
      * @param bindAddress where it listens, or {@link #ANY_PORT}
-     * @param onOpen runs once it listens, or has failed to, which is recorded
+     * @param onOpen runs once the server listens, or has failed to listen, which is recorded as an event
      */
     static ServerStandIn open(RunState run, OrderServer server, InetSocketAddress bindAddress, Runnable onOpen) {
         ServerStandIn standIn = new ServerStandIn(run, server);
@@ -60,14 +60,14 @@
                 standIn.address = (InetSocketAddress) bound.channel().localAddress();
             } else {
                 standIn.address = bindAddress;
-                run.recordEvent("no socket for server " + server.id() + " at " + bindAddress + ": " + done.cause());
+                run.recordEvent("server " + server.id() + " failed to listen at " + bindAddress + ": " + done.cause());
             }
             onOpen.run();
         });
         return standIn;
     }
 
-    /** Returns the address that it listens on, or did last. */
+    /** Returns the address that it listens on, or last listened on. */
     InetSocketAddress address() {
         return address;
     }
@@ -91,7 +91,7 @@
                 });
     }
 
-    /** Applies the model's present state to the sockets. */
+    /** Applies the present state of the model to the sockets. */
     private void applyModel() {
         ServerMode mode = server.mode();
         if (server.incarnation() != appliedIncarnation) {
@@ -108,27 +108,27 @@
     }
 
     private void applyToListener(ServerMode mode) {
-        boolean listens = mode != ServerMode.DOWN && mode != ServerMode.REFUSING;
-        if (!listens && listener != null) {
+        boolean shouldListen = mode != ServerMode.DOWN && mode != ServerMode.REFUSING;
+        if (!shouldListen && listener != null) {
             listener.close();
             listener = null;
-        } else if (listens && listener == null) {
+        } else if (shouldListen && listener == null) {
             rebind();
         }
     }
 
     private void applyToConnections(ServerMode mode) {
-        if (readsNothing(mode)) {
+        if (isReadingSuspended(mode)) {
             connections.forEach(each -> each.config().setAutoRead(false));
         } else if (appliedMode == ServerMode.VANISHED) {
-            // A machine that is reachable again doesn't know its earlier connections.
+            // A machine that is reachable again has lost its earlier connections.
             resetAllConnections();
         } else {
             connections.forEach(each -> each.config().setAutoRead(true));
         }
     }
 
-    private static boolean readsNothing(ServerMode mode) {
+    private static boolean isReadingSuspended(ServerMode mode) {
         return mode == ServerMode.VANISHED || mode == ServerMode.FROZEN;
     }
 
@@ -136,17 +136,17 @@
         Set.copyOf(connections).forEach(ServerStandIn::resetConnection);
     }
 
-    /** Listens again at the same address, without waiting for the socket. */
+    /** Listens again at the same address, without waiting for the result. */
     private void rebind() {
         ChannelFuture bound = bootstrap().bind(address);
         listener = bound.channel();
         bound.addListener(done -> {
-            String outcome = done.isSuccess() ? " listens again" : " has no socket: " + done.cause();
+            String outcome = done.isSuccess() ? " is listening again" : " failed to listen again: " + done.cause();
             run.recordEvent("server " + server.id() + outcome);
         });
     }
 
-    /** Closes a connection by a TCP reset. */
+    /** Closes a connection with a TCP reset. */
     static void resetConnection(Channel channel) {
         channel.config().setOption(ChannelOption.SO_LINGER, 0);
         channel.close();
@@ -158,14 +158,14 @@
             resetConnection(channel);
             return;
         }
-        int acceptedIn = server.incarnation();
+        int acceptingIncarnation = server.incarnation();
         connections.add(channel);
         run.statistics().connectionOpened();
         channel.closeFuture().addListener(closed -> {
             connections.remove(channel);
-            server.connectionClosed(acceptedIn);
+            server.connectionClosed(acceptingIncarnation);
         });
-        if (readsNothing(mode)) {
+        if (isReadingSuspended(mode)) {
             channel.config().setAutoRead(false);
         }
         channel.pipeline()
--- a/simulation/src/main/java/topazvalve/simulation/real/SidecarFleet.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/SidecarFleet.java
@@ -26,18 +26,18 @@
     private static final long NEVER = -1;
 
     private final Scenario scenario;
-    private final Path folder;
+    private final Path workDirectory;
     private final List<SidecarProcess> sidecars = new ArrayList<>();
     private final List<Integer> discoveryPorts = new ArrayList<>();
-    /** By sidecar, when it was last killed, in nanoseconds from the start of the run. */
+    /** By sidecar, the time of its last kill in nanoseconds from the start of the run. */
     private final Map<Integer, Long> killedAt = new HashMap<>();
 
-    SidecarFleet(Scenario scenario, Path folder) {
+    SidecarFleet(Scenario scenario, Path workDirectory) {
         this.scenario = scenario;
-        this.folder = folder;
+        this.workDirectory = workDirectory;
     }
 
-    /** Adds the port of discovery that the next sidecar will use. */
+    /** Adds the discovery port of the next sidecar. */
     void addDiscoveryPort(int port) {
         discoveryPorts.add(port);
     }
@@ -45,23 +45,23 @@
     /**
      * Adds a sidecar that isn't started yet.
      *
-     * @param home the root of the repository
+     * @param repositoryRoot the root of the repository, where the built programs are
      */
-    void add(Path home) throws IOException {
-        sidecars.add(new SidecarProcess(home, folder, sidecars.size()));
+    void add(Path repositoryRoot) throws IOException {
+        sidecars.add(new SidecarProcess(repositoryRoot, workDirectory, sidecars.size()));
     }
 
     /**
-     * Starts a sidecar, without waiting until it is ready.
+     * Starts a sidecar without waiting until it is ready.
      *
-     * @param cachedList the endpoint list that it starts with
+     * @param cachedList the cached endpoint list that it starts with
      * @param seed the seed of its load balancer
      */
     void start(int number, ObjectNode cachedList, long seed) throws IOException {
         sidecars.get(number).start(scenario, discoveryPorts.get(number), cachedList, seed);
     }
 
-    /** Returns the port of a sidecar's clients. */
+    /** Returns the port that the clients of a sidecar connect to. */
     int port(int number) {
         return sidecars.get(number).port();
     }
@@ -77,12 +77,12 @@
         return killedAt.getOrDefault(number, NEVER) >= time;
     }
 
-    /** Kills all sidecars at once, when this process ends. */
+    /** Kills all sidecars immediately, for when this process exits. */
     void killAll() {
         sidecars.forEach(SidecarProcess::kill);
     }
 
-    /** Stops all sidecars in order. */
+    /** Stops all sidecars gracefully, one after the other. */
     void stopAll() throws InterruptedException {
         for (SidecarProcess each : sidecars) {
             each.stop(STOP_GRACE);
@@ -92,7 +92,7 @@
     /**
      * Waits until all sidecars are ready.
      *
-     * @throws SidecarStartException if one ends or isn't ready within 30 s
+     * @throws SidecarStartException if one exits or isn't ready within 30 s
      */
     void awaitReady() throws InterruptedException {
         for (SidecarProcess each : sidecars) {
@@ -104,7 +104,7 @@
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(START_TIMEOUT_SECONDS);
         while (!isReady(sidecar)) {
             if (!sidecar.isAlive() || System.nanoTime() > end) {
-                throw new SidecarStartException(folder);
+                throw new SidecarStartException(workDirectory);
             }
             TimeUnit.MILLISECONDS.sleep(READY_POLL_MILLIS);
         }
@@ -125,12 +125,12 @@
     /**
      * Checks that all sidecars are still running.
      *
-     * @throws SidecarExitedException if one has ended by itself
+     * @throws SidecarExitedException if one has exited by itself
      */
     void checkAlive() {
         for (int i = 0; i < sidecars.size(); i++) {
             if (!sidecars.get(i).isAlive()) {
-                throw new SidecarExitedException(i, folder.resolve("n" + i + ".log"));
+                throw new SidecarExitedException(i, workDirectory.resolve("n" + i + ".log"));
             }
         }
     }
--- a/simulation/src/main/java/topazvalve/simulation/real/SidecarProcess.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/SidecarProcess.java
@@ -19,23 +19,24 @@
 /** One sidecar process, started by the {@code run} line of the deploy file. */
 final class SidecarProcess {
     private static final ObjectMapper JSON = new ObjectMapper();
+    private static final double HEALTH_CHECK_COST = 0.01;
 
-    private final Path home;
-    private final Path folder;
+    private final Path repositoryRoot;
+    private final Path workDirectory;
     private final String name;
     private final int port;
     private final int adminPort;
     private Process process;
 
-    SidecarProcess(Path home, Path folder, int number) throws IOException {
-        this.home = home;
-        this.folder = folder;
+    SidecarProcess(Path repositoryRoot, Path workDirectory, int number) throws IOException {
+        this.repositoryRoot = repositoryRoot;
+        this.workDirectory = workDirectory;
         this.name = "n" + number;
         this.port = SidecarCommand.freePort();
         this.adminPort = SidecarCommand.freePort();
     }
 
-    /** Returns the port of its clients. */
+    /** Returns the port that clients connect to. */
     int port() {
         return port;
     }
@@ -46,16 +47,16 @@
     }
 
     /**
-     * Starts it, without waiting until it is ready.
+     * Starts the process without waiting until it is ready.
      *
-     * @param cachedList the endpoint list that it starts with
+     * @param cachedList the cached endpoint list that it starts with
      * @param seed the seed of its load balancer
      */
     void start(Scenario scenario, int discoveryPort, ObjectNode cachedList, long seed) throws IOException {
-        Path file = folder.resolve(name + ".json");
-        configuration(scenario, discoveryPort, cachedList, seed).write(file);
-        File log = folder.resolve(name + ".log").toFile();
-        process = SidecarCommand.processBuilder(home, file, List.of())
+        Path configurationFile = workDirectory.resolve(name + ".json");
+        configuration(scenario, discoveryPort, cachedList, seed).write(configurationFile);
+        File log = workDirectory.resolve(name + ".log").toFile();
+        process = SidecarCommand.processBuilder(repositoryRoot, configurationFile, List.of())
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(log))
                 .start();
     }
@@ -70,7 +71,7 @@
         }
     }
 
-    /** Stops it in order, or by force if that takes longer than the grace period. */
+    /** Stops the process gracefully, or forcibly if it is still running after the grace period. */
     void stop(Duration grace) throws InterruptedException {
         if (process != null) {
             ChildProcesses.stop(process, grace);
@@ -79,17 +80,18 @@
 
     private SidecarConfiguration configuration(Scenario scenario, int discoveryPort, ObjectNode cachedList, long seed) {
         String source = SidecarConfiguration.loopback(discoveryPort);
-        List<String> kinds = scenario.machines().stream().map(MachineKind::name).toList();
+        List<String> machineKinds =
+                scenario.machines().stream().map(MachineKind::name).toList();
         SidecarConfiguration configuration = new SidecarConfiguration(
                         name, Long.toHexString(seed), source, Discovery.SUBSCRIBE, 0)
                 .listenOn(port)
                 .adminOn(adminPort)
-                .zonesAndKinds(scenario.fleet().zones(), kinds)
+                .zonesAndKinds(scenario.fleet().zones(), machineKinds)
                 .cachedList(cachedList);
         ObjectNode settings = configuration.settings();
         settings.put("rank", 0).put("replicasOfMe", scenario.fleet().instances());
         putCapabilities(settings.putObject("caps"), scenario);
-        settings.putObject("charges").put("probe", 0.01);
+        settings.putObject("charges").put("probe", HEALTH_CHECK_COST);
         putLimits(settings.putObject("rules"), scenario.limits());
         ArrayNode profiles = settings.putArray("profiles");
         scenario.classes().forEach(each -> profiles.add(profile(each)));
