--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/timeline/TimelineFile.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/timeline/TimelineFile.java
@@ -51,8 +51,8 @@
     }
 
     private static Timeline readTimeline(Table table) {
-        String name = table.text("name", null);
-        String description = table.text("about", "-");
+        String name = table.string("name", null);
+        String description = table.string("about", "-");
         Size size = readSize(table.table("fleet"));
         SourceStandInSettings source = readSource(table.table("source"));
         RelayTierSize relays = readRelays(table.table("relays"));
@@ -107,7 +107,7 @@
         // Error messages list the problems in the order in which the keys are read.
         LinkFault linkFault = readLinkFault(table, size);
         return new Stage(
-                table.text("name", null),
+                table.string("name", null),
                 table.duration("length", null, "10ms", "60m"),
                 table.duration("settle", "20s", "0", "30m"),
                 readChanges(table, size),
