--- a/simulation/src/main/java/topazvalve/simulation/real/RunState.java
+++ b/simulation/src/main/java/topazvalve/simulation/real/RunState.java
@@ -215,8 +215,8 @@
     }
 
     @Override
-    public void recordEvent(String what) {
-        topology.recordEvent(elapsed(), what);
-        activeFaults.eventRecorded(what);
+    public void recordEvent(String event) {
+        topology.recordEvent(elapsed(), event);
+        activeFaults.eventRecorded(event);
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/stream/StreamTrial.java
+++ b/simulation/src/main/java/topazvalve/simulation/stream/StreamTrial.java
@@ -49,7 +49,7 @@
      * @param broken streams that were reset or whose server was killed
      * @param unserved streams that reached no server
      * @param openedDuringDrain streams that were opened while a server had been draining for more than 500 ms
-     * @param openedOnDrainingServer those of them that reached such a server
+     * @param openedOnDrainingServer those of them that reached a server that had been draining so long
      * @param bytes bytes that both ends received
      * @param mismatches a description of each stream whose ends disagree
      */
@@ -104,32 +104,32 @@
     /**
      * Performs the trial.
      *
-     * @param listener the address of the proxy
+     * @param proxyAddress the address on which the proxy accepts streams
      * @param maxConcurrentStreams the maximum number of streams that are open at once
      * @param faultIntervalMillis the milliseconds before each fault
      * @throws StreamTimeoutException if streams hang
      */
     public Result run(
-            InetSocketAddress listener,
+            InetSocketAddress proxyAddress,
             DrainControl drainControl,
             int streams,
             int maxConcurrentStreams,
             long faultIntervalMillis)
             throws InterruptedException {
         Semaphore capacity = new Semaphore(maxConcurrentStreams);
-        Thread faults = new Thread(() -> injectFaults(drainControl, faultIntervalMillis), "faults");
-        faults.start();
+        Thread faultInjector = new Thread(() -> injectFaults(drainControl, faultIntervalMillis), "fault-injector");
+        faultInjector.start();
         for (long i = 0; i < streams; i++) {
             if (!capacity.tryAcquire(HANG_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 throw new StreamTimeoutException(describeHangingStreams());
             }
             StreamLog log = new StreamLog(i, StreamPlan.of(seed, i, MAX_STREAM_BYTES));
             logs.put(i, log);
-            open(listener, log, capacity);
+            open(proxyAddress, log, capacity);
         }
         boolean allFinished = capacity.tryAcquire(maxConcurrentStreams, HANG_TIMEOUT_SECONDS, TimeUnit.SECONDS);
-        faults.interrupt();
-        faults.join();
+        faultInjector.interrupt();
+        faultInjector.join();
         if (!allFinished) {
             throw new StreamTimeoutException(describeHangingStreams());
         }
@@ -150,7 +150,7 @@
                 .toList();
     }
 
-    private void open(InetSocketAddress listener, StreamLog log, Semaphore capacity) {
+    private void open(InetSocketAddress proxyAddress, StreamLog log, Semaphore capacity) {
         new Bootstrap()
                 .group(clientGroup)
                 .channel(NioSocketChannel.class)
@@ -175,7 +175,7 @@
                                         });
                     }
                 })
-                .connect(listener)
+                .connect(proxyAddress)
                 .addListener(done -> {
                     if (!done.isSuccess()) {
                         log.finished.countDown();
