--- a/simulator-adapter/src/main/java/topazvalve/simulator/ActionType.java
+++ b/simulator-adapter/src/main/java/topazvalve/simulator/ActionType.java
@@ -1,6 +1,6 @@
 package topazvalve.simulator;
 
-/** The actions that an instance may reply with, with the codes of their records. Code 10 is not in use. */
+/** The actions that an instance may reply with, and the codes of their records. Code 10 is not assigned. */
 enum ActionType {
     FORWARD(1),
     REJECT(2),
@@ -20,7 +20,7 @@
         this.code = code;
     }
 
-    /** Returns the code that stands in front of the action's record. */
+    /** Returns the code in the header of the action's record. */
     byte code() {
         return (byte) code;
     }
--- a/simulator-adapter/src/main/java/topazvalve/simulator/EndpointIds.java
+++ b/simulator-adapter/src/main/java/topazvalve/simulator/EndpointIds.java
@@ -1,18 +1,18 @@
 package topazvalve.simulator;
 
 /**
- * Packs an endpoint's IPv4 address and port, which are two fields on the wire, into the one opaque number by which the
- * load balancer knows the endpoint.
+ * Packs an endpoint's IPv4 address and port, which are two fields on the wire, into the opaque number that identifies
+ * the endpoint to the load balancer.
  */
 final class EndpointIds {
-    /** The length of both fields on the wire. */
+    /** The length of both fields together on the wire. */
     static final int WIRE_BYTES = Integer.BYTES + Short.BYTES;
 
     private static final int PORT_BITS = Short.SIZE;
 
     private EndpointIds() {}
 
-    /** Returns the id of an endpoint; {@code address} has 32 bits and {@code port} 16, both unsigned. */
+    /** Returns an endpoint's id; {@code address} has 32 bits and {@code port} 16, both unsigned. */
     static long pack(long address, int port) {
         return address << PORT_BITS | port;
     }
--- a/simulator-adapter/src/main/java/topazvalve/simulator/EventType.java
+++ b/simulator-adapter/src/main/java/topazvalve/simulator/EventType.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** The events that the simulator sends, with the codes of their records. */
+/** The events that the simulator sends, and the codes of their records. */
 enum EventType {
     /** An instance starts, with its settings and its seed. */
     INSTANCE_STARTED(1),
@@ -14,17 +14,17 @@
     RESPONSE_STARTED(4),
     /** An attempt ends. */
     ATTEMPT_COMPLETED(5),
-    /** A client goes away. */
+    /** A client disconnects. */
     CLIENT_DISCONNECTED(6),
     /** A timer is due. */
     TIMER_FIRED(7),
     /** A health check ends. */
     HEALTH_CHECK_COMPLETED(8),
-    /** A message of another instance arrives. */
+    /** A gossip message from another instance arrives. */
     GOSSIP_RECEIVED(9),
     /** An instance stops. */
     INSTANCE_STOPPED(10),
-    /** An endpoint list gets a number, by which later events refer to it. */
+    /** An endpoint list is defined, with the number by which later events refer to it. */
     ENDPOINT_LIST_DEFINED(11);
 
     private static final EventType[] BY_CODE = new EventType[values().length + 1];
@@ -41,8 +41,8 @@
         this.code = code;
     }
 
-    /** Returns the event of a record's code; empty for a code that the protocol doesn't have. */
-    static Optional<EventType> of(int code) {
+    /** Returns the event type with this code, or empty if the protocol doesn't define the code. */
+    static Optional<EventType> fromCode(int code) {
         return code < BY_CODE.length ? Optional.ofNullable(BY_CODE[code]) : Optional.empty();
     }
 }
--- a/simulator-adapter/src/main/java/topazvalve/simulator/FrameReader.java
+++ b/simulator-adapter/src/main/java/topazvalve/simulator/FrameReader.java
@@ -1,158 +1,75 @@
 package topazvalve.simulator;
 
+import java.io.IOException;
+import java.io.InputStream;
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
-import java.nio.charset.StandardCharsets;
+import java.util.Optional;
 import topazvalve.simulator.ProtocolException.Fault;
 
 /**
- * Reads the records of one frame's body, whose numbers are little-endian. It never reads beyond the end of the
- * current record: a field that is cut short is a {@link ProtocolException}.
+ * Reads frames from a stream. A frame is a header with the time, the frame's length and the number of records, followed
+ * by a body with the records.
  */
 final class FrameReader {
-    private static final float[] NO_LOAD_REPORT = {};
-    private static final int RECORD_HEADER_BYTES = Byte.BYTES + Integer.BYTES;
+    private static final int HEADER_BYTES = 16;
+    private static final int INITIAL_BODY_BYTES = 1 << 16;
+    /** The JVM's limit on the length of an array is slightly below the greatest int. */
+    private static final int MAX_FRAME_BYTES = Integer.MAX_VALUE - 64;
 
-    private final ByteBuffer buffer;
-    private int recordStart;
-    private int recordEnd;
+    private final InputStream in;
+    private final byte[] header = new byte[HEADER_BYTES];
+    private byte[] body = new byte[INITIAL_BODY_BYTES];
 
-    /** Creates a reader of the first {@code length} bytes. */
-    FrameReader(byte[] bytes, int length) {
-        buffer = ByteBuffer.wrap(bytes, 0, length).order(ByteOrder.LITTLE_ENDIAN);
-    }
-
-    /** Starts the next record and returns its code. */
-    int nextRecord() {
-        recordStart = buffer.position();
-        if (buffer.remaining() < RECORD_HEADER_BYTES) {
-            throw new ProtocolException(Fault.TRUNCATED, "record header cut short at byte " + recordStart);
-        }
-        int code = Byte.toUnsignedInt(buffer.get());
-        long length = Integer.toUnsignedLong(buffer.getInt());
-        if (length > buffer.remaining()) {
-            throw new ProtocolException(
-                    Fault.TRUNCATED,
-                    "record at byte " + recordStart + " states " + length + " bytes, " + buffer.remaining()
-                            + " are left");
-        }
-        recordEnd = buffer.position() + (int) length;
-        return code;
-    }
-
-    /** Ends a record and skips the fields that later versions of the protocol may have added to it. */
-    void endRecord() {
-        buffer.position(recordEnd);
-    }
-
-    /** Returns the offset of the current record in the body, for messages. */
-    int recordStart() {
-        return recordStart;
-    }
-
-    /** Returns whether all of the body is read. */
-    boolean atEnd() {
-        return !buffer.hasRemaining();
-    }
-
-    private void requireRemaining(long bytes) {
-        if (bytes > recordEnd - buffer.position()) {
-            throw new ProtocolException(Fault.TRUNCATED, "field cut short in the record at byte " + recordStart);
-        }
-    }
-
-    /** Reads a byte as a number from 0 to 255. */
-    int readUnsignedByte() {
-        requireRemaining(Byte.BYTES);
-        return Byte.toUnsignedInt(buffer.get());
-    }
-
-    /** Reads a byte that is 0 for false and anything else for true. */
-    boolean readBoolean() {
-        return readUnsignedByte() != 0;
-    }
-
-    /** Reads 2 bytes as a number from 0 to 65,535. */
-    int readUnsignedShort() {
-        requireRemaining(Short.BYTES);
-        return Short.toUnsignedInt(buffer.getShort());
-    }
-
-    /** Reads 4 bytes as a number that is not negative. */
-    long readUnsignedInt() {
-        requireRemaining(Integer.BYTES);
-        return Integer.toUnsignedLong(buffer.getInt());
-    }
-
-    /** Reads 8 bytes as a signed number. */
-    long readLong() {
-        requireRemaining(Long.BYTES);
-        return buffer.getLong();
-    }
+    /**
+     * One frame: a batch of events that occur at the same time.
+     *
+     * @param nowNanos the simulator's clock in nanoseconds
+     * @param recordCount the number of records in the body
+     * @param records reads the body; valid until the next frame is read
+     */
+    record Frame(long nowNanos, long recordCount, RecordReader records) {}
 
-    /** Reads 4 bytes as a floating-point number (IEEE 754). */
-    float readFloat() {
-        requireRemaining(Float.BYTES);
-        return buffer.getFloat();
+    FrameReader(InputStream in) {
+        this.in = in;
     }
 
     /**
-     * Reads a time in nanoseconds. It is unsigned in the protocol, but no real one reaches the top bit.
+     * Reads the next frame, or returns empty at the end of the input.
      *
-     * @param field the field's name in the protocol, for the error
+     * @throws ProtocolException if the frame is truncated, or a field of its header is out of range
      */
-    long readNanos(String field) {
-        long nanos = readLong();
-        if (nanos < 0) {
-            throw new ProtocolException(
-                    Fault.OUT_OF_RANGE, field + " out of range in the record at byte " + recordStart);
+    Optional<Frame> next() throws IOException {
+        int headerBytes = in.readNBytes(header, 0, HEADER_BYTES);
+        if (headerBytes == 0) {
+            return Optional.empty();
         }
-        return nanos;
-    }
-
-    /** Reads an endpoint's IPv4 address and port as one id, which {@link EndpointIds} packs. */
-    long readEndpointId() {
-        long address = readUnsignedInt();
-        return EndpointIds.pack(address, readUnsignedShort());
-    }
-
-    /** Reads so many bytes. */
-    byte[] readBytes(long count) {
-        requireRemaining(count);
-        byte[] bytes = new byte[(int) count];
-        buffer.get(bytes);
-        return bytes;
-    }
-
-    /** Reads text of {@code count} bytes in UTF-8. */
-    String readText(long count) {
-        return new String(readBytes(count), StandardCharsets.UTF_8);
-    }
-
-    /** Reads a load report, which is empty when the endpoint sent none. */
-    float[] readLoadReport() {
-        int count = readUnsignedByte();
-        if (count == 0) {
-            return NO_LOAD_REPORT;
+        if (headerBytes < HEADER_BYTES) {
+            throw new ProtocolException(
+                    Fault.TRUNCATED, "frame header truncated: " + headerBytes + " of " + HEADER_BYTES + " bytes");
         }
-        float[] values = new float[count];
-        for (int i = 0; i < count; i++) {
-            values[i] = readFloat();
+        ByteBuffer fields = ByteBuffer.wrap(header).order(ByteOrder.LITTLE_ENDIAN);
+        long nowNanos = fields.getLong();
+        long frameBytes = Integer.toUnsignedLong(fields.getInt());
+        long recordCount = Integer.toUnsignedLong(fields.getInt());
+        if (nowNanos < 0 || frameBytes < HEADER_BYTES || frameBytes > MAX_FRAME_BYTES) {
+            throw new ProtocolException(Fault.OUT_OF_RANGE, "clock or frame length out of range");
         }
-        return values;
+        int bodyBytes = (int) frameBytes - HEADER_BYTES;
+        readBody(bodyBytes);
+        return Optional.of(new Frame(nowNanos, recordCount, new RecordReader(body, bodyBytes)));
     }
 
-    /**
-     * Reads a byte that is the ordinal of one of {@code constants}.
-     *
-     * @param field the field's name in the protocol, for the error
-     */
-    <E extends Enum<E>> E readEnum(E[] constants, String field) {
-        int ordinal = readUnsignedByte();
-        if (ordinal >= constants.length) {
+    private void readBody(int expectedBytes) throws IOException {
+        if (body.length < expectedBytes) {
+            body = new byte[expectedBytes + expectedBytes / 2];
+        }
+        int bodyBytes = in.readNBytes(body, 0, expectedBytes);
+        if (bodyBytes < expectedBytes) {
             throw new ProtocolException(
-                    Fault.OUT_OF_RANGE, field + " " + ordinal + " out of range in the record at byte " + recordStart);
+                    Fault.TRUNCATED,
+                    "frame truncated: " + (bodyBytes + HEADER_BYTES) + " of " + (expectedBytes + HEADER_BYTES)
+                            + " bytes");
         }
-        return constants[ordinal];
     }
 }
--- a/simulator-adapter/src/main/java/topazvalve/simulator/InstanceHost.java
+++ b/simulator-adapter/src/main/java/topazvalve/simulator/InstanceHost.java
@@ -16,12 +16,12 @@
 import topazvalve.simulator.ProtocolException.Fault;
 
 /**
- * Passes the events of a batch to the load balancer instances that they name. It decides nothing, and the
- * instances share nothing. Fields are read in the order in which the protocol has them.
+ * Dispatches the events of a frame to the load balancer instances that they name. It makes no decisions, and the
+ * instances share no state. Fields are read in the order of the protocol.
  */
 final class InstanceHost {
     private static final int MAX_ENDPOINT_LISTS = 16;
-    /** The initial capacity of a list, whatever length the frame states. */
+    /** Bounds the memory that is allocated for a list before its elements are read. */
     private static final int MAX_INITIAL_CAPACITY = 1024;
 
     private static final int FLAG_COST_HINT = 1;
@@ -37,7 +37,7 @@
     private final ReplyFrame reply;
     private final LoadBalancerFactory factory;
 
-    /** Creates a host without instances, whose actions go to {@code reply}. */
+    /** Creates a host without instances; the actions of its instances are added to {@code reply}. */
     InstanceHost(ReplyFrame reply, LoadBalancerFactory factory) {
         this.reply = reply;
         this.factory = factory;
@@ -46,10 +46,10 @@
     /**
      * Handles the events of a frame in order.
      *
-     * @throws ProtocolException if a record is malformed; the events before it have taken effect
+     * @throws ProtocolException if a record is malformed; the events before it have been handled
      */
-    void handle(FrameInput.Frame frame) {
-        FrameReader in = frame.records();
+    void handle(FrameReader.Frame frame) {
+        RecordReader in = frame.records();
         for (long i = 0; i < frame.recordCount(); i++) {
             int code = in.nextRecord();
             handleEvent(frame.nowNanos(), eventType(code, in), in);
@@ -57,55 +57,55 @@
         }
         if (!in.atEnd()) {
             throw new ProtocolException(
-                    Fault.TRAILING_BYTES, "bytes left over after the last of " + frame.recordCount() + " records");
+                    Fault.TRAILING_BYTES, "trailing bytes after the last of " + frame.recordCount() + " records");
         }
     }
 
-    private static EventType eventType(int code, FrameReader in) {
-        return EventType.of(code)
+    private static EventType eventType(int code, RecordReader in) {
+        return EventType.fromCode(code)
                 .orElseThrow(() -> new ProtocolException(
-                        Fault.UNKNOWN_EVENT, "unknown event code " + code + " at byte " + in.recordStart()));
+                        Fault.UNKNOWN_EVENT, "unknown event code " + code + " at byte " + in.recordOffset()));
     }
 
-    private void handleEvent(long nowNanos, EventType type, FrameReader in) {
+    private void handleEvent(long nowNanos, EventType type, RecordReader in) {
         switch (type) {
             case INSTANCE_STARTED -> startInstance(nowNanos, in);
-            case ENDPOINTS_UPDATED -> endpointsUpdated(nowNanos, in);
-            case REQUEST_RECEIVED -> requestReceived(nowNanos, in);
-            case RESPONSE_STARTED -> responseStarted(nowNanos, in);
-            case ATTEMPT_COMPLETED -> attemptCompleted(nowNanos, in);
+            case ENDPOINTS_UPDATED -> handleEndpointsUpdated(nowNanos, in);
+            case REQUEST_RECEIVED -> handleRequestReceived(nowNanos, in);
+            case RESPONSE_STARTED -> handleResponseStarted(nowNanos, in);
+            case ATTEMPT_COMPLETED -> handleAttemptCompleted(nowNanos, in);
             case CLIENT_DISCONNECTED -> instance(in).clientDisconnected(nowNanos, in.readUnsignedInt());
             case TIMER_FIRED -> instance(in).timerFired(nowNanos, in.readLong());
-            case HEALTH_CHECK_COMPLETED -> healthCheckCompleted(nowNanos, in);
-            case GOSSIP_RECEIVED -> gossipReceived(nowNanos, in);
+            case HEALTH_CHECK_COMPLETED -> handleHealthCheckCompleted(nowNanos, in);
+            case GOSSIP_RECEIVED -> handleGossipReceived(nowNanos, in);
             case INSTANCE_STOPPED -> instances.remove(in.readUnsignedShort());
             case ENDPOINT_LIST_DEFINED -> defineEndpointList(in);
-            default -> throw new IllegalStateException("event without a handler: " + type);
+            default -> throw new IllegalStateException("no handler for event " + type);
         }
     }
 
-    private LoadBalancer instance(FrameReader in) {
+    private LoadBalancer instance(RecordReader in) {
         int instanceId = in.readUnsignedShort();
         LoadBalancer instance = instances.get(instanceId);
         if (instance == null) {
             throw new ProtocolException(
                     Fault.UNKNOWN_INSTANCE,
-                    "event for unknown instance " + instanceId + " at byte " + in.recordStart());
+                    "event for unknown instance " + instanceId + " at byte " + in.recordOffset());
         }
         return instance;
     }
 
-    private void startInstance(long nowNanos, FrameReader in) {
+    private void startInstance(long nowNanos, RecordReader in) {
         int instanceId = in.readUnsignedShort();
         long seed = in.readLong();
         String settingsText = in.readText(in.readUnsignedInt());
         Settings settings = new SettingsReader(settingsText).settings();
-        LoadBalancer instance = factory.make(settings, seed, reply.actionsOf(instanceId));
+        LoadBalancer instance = factory.create(settings, seed, reply.actionsFor(instanceId));
         instances.put(instanceId, instance);
         instance.start(nowNanos);
     }
 
-    private void endpointsUpdated(long nowNanos, FrameReader in) {
+    private void handleEndpointsUpdated(long nowNanos, RecordReader in) {
         LoadBalancer instance = instance(in);
         UpdateKind kind = in.readEnum(UPDATE_KINDS, "form");
         // The list's version, which the policy doesn't need.
@@ -118,16 +118,16 @@
         instance.endpointsUpdated(nowNanos, kind, endpointList(listNumber, in));
     }
 
-    private List<EndpointInfo> endpointList(long number, FrameReader in) {
+    private List<EndpointInfo> endpointList(long number, RecordReader in) {
         List<EndpointInfo> endpoints = endpointListsByNumber.get(number);
         if (endpoints == null) {
             throw new ProtocolException(
-                    Fault.UNKNOWN_ENDPOINT_LIST, "unknown list number " + number + " at byte " + in.recordStart());
+                    Fault.UNKNOWN_ENDPOINT_LIST, "unknown endpoint list " + number + " at byte " + in.recordOffset());
         }
         return endpoints;
     }
 
-    private void requestReceived(long nowNanos, FrameReader in) {
+    private void handleRequestReceived(long nowNanos, RecordReader in) {
         LoadBalancer instance = instance(in);
         long requestId = in.readUnsignedInt();
         int requestClass = in.readUnsignedByte();
@@ -149,7 +149,7 @@
                         (flags & FLAG_WRITE) != 0));
     }
 
-    private void responseStarted(long nowNanos, FrameReader in) {
+    private void handleResponseStarted(long nowNanos, RecordReader in) {
         LoadBalancer instance = instance(in);
         long requestId = in.readUnsignedInt();
         int attempt = in.readUnsignedByte();
@@ -158,7 +158,7 @@
         instance.responseStarted(nowNanos, requestId, attempt, endpointId, elapsedNanos);
     }
 
-    private void attemptCompleted(long nowNanos, FrameReader in) {
+    private void handleAttemptCompleted(long nowNanos, RecordReader in) {
         LoadBalancer instance = instance(in);
         long requestId = in.readUnsignedInt();
         int attempt = in.readUnsignedByte();
@@ -173,7 +173,7 @@
                 loadReport);
     }
 
-    private void healthCheckCompleted(long nowNanos, FrameReader in) {
+    private void handleHealthCheckCompleted(long nowNanos, RecordReader in) {
         LoadBalancer instance = instance(in);
         long endpointId = in.readEndpointId();
         Outcome outcome = in.readEnum(OUTCOMES, "stateCode");
@@ -182,18 +182,19 @@
         instance.healthCheckCompleted(nowNanos, endpointId, outcome, elapsedNanos, loadReport);
     }
 
-    private void gossipReceived(long nowNanos, FrameReader in) {
+    private void handleGossipReceived(long nowNanos, RecordReader in) {
         LoadBalancer instance = instance(in);
         int peer = in.readUnsignedShort();
         byte[] message = in.readBytes(in.readUnsignedShort());
         instance.gossipReceived(nowNanos, peer, message);
     }
 
-    private void defineEndpointList(FrameReader in) {
+    private void defineEndpointList(RecordReader in) {
         long number = in.readUnsignedInt();
         if (number >= MAX_ENDPOINT_LISTS) {
             throw new ProtocolException(
-                    Fault.OUT_OF_RANGE, "list number " + number + " out of range at byte " + in.recordStart());
+                    Fault.OUT_OF_RANGE,
+                    "endpoint list number " + number + " out of range at byte " + in.recordOffset());
         }
         long count = in.readUnsignedInt();
         List<EndpointInfo> endpoints = new ArrayList<>((int) Math.min(count, MAX_INITIAL_CAPACITY));
@@ -203,7 +204,7 @@
         endpointListsByNumber.put(number, endpoints);
     }
 
-    private static EndpointInfo readEndpoint(FrameReader in) {
+    private static EndpointInfo readEndpoint(RecordReader in) {
         long id = in.readEndpointId();
         int zone = in.readUnsignedByte();
         int machineKind = in.readUnsignedShort();
--- a/simulator-adapter/src/main/java/topazvalve/simulator/Main.java
+++ b/simulator-adapter/src/main/java/topazvalve/simulator/Main.java
@@ -14,7 +14,7 @@
 
 /**
  * Entry point of the simulator adapter: {@code java -jar topazvalve-simulator-adapter.jar adapter} speaks the
- * simulator's protocol on standard input and output. Each frame of events is answered by one frame of actions.
+ * simulator's protocol on standard input and output. It replies to each frame of events with one frame of actions.
  */
 public final class Main {
     private static final int EXIT_FAILURE = 1;
@@ -25,7 +25,7 @@
 
     private Main() {}
 
-    /** Runs the adapter until the input ends; a malformed frame ends it with a message and exit status 1. */
+    /** Runs the adapter until the input ends; on a malformed frame it logs the error and exits with status 1. */
     public static void main(String[] args) {
         if (args.length != 1 || !args[0].equals("adapter")) {
             System.err.println("usage: java -jar topazvalve-simulator-adapter.jar adapter");
@@ -39,24 +39,24 @@
         }
     }
 
-    /** Runs on standard input and output until the input ends, with the instances that {@code factory} makes. */
+    /** Runs on standard input and output until the input ends, with the instances that {@code factory} creates. */
     public static void runOnStandardStreams(LoadBalancerFactory factory) throws IOException {
         InputStream in = new BufferedInputStream(new FileInputStream(FileDescriptor.in), INPUT_BUFFER_BYTES);
         run(in, new FileOutputStream(FileDescriptor.out), factory);
     }
 
     /**
-     * Runs until {@code in} ends, with the instances that {@code factory} makes.
+     * Runs until {@code in} ends, with the instances that {@code factory} creates.
      *
-     * @throws ProtocolException if a frame is malformed; the replies to the frames before it are written
+     * @throws ProtocolException if a frame is malformed; the replies to earlier frames have been written
      */
     static void run(InputStream in, OutputStream out, LoadBalancerFactory factory) throws IOException {
         ReplyFrame reply = new ReplyFrame();
         InstanceHost host = new InstanceHost(reply, factory);
-        FrameInput input = new FrameInput(in);
+        FrameReader frames = new FrameReader(in);
         for (long frameNumber = 0; ; frameNumber++) {
             try {
-                Optional<FrameInput.Frame> frame = input.next();
+                Optional<FrameReader.Frame> frame = frames.next();
                 if (frame.isEmpty()) {
                     return;
                 }
--- a/simulator-adapter/src/main/java/topazvalve/simulator/ProtocolException.java
+++ b/simulator-adapter/src/main/java/topazvalve/simulator/ProtocolException.java
@@ -1,16 +1,16 @@
 package topazvalve.simulator;
 
-/** Input that doesn't follow the simulator's protocol; the message says what is wrong, and where. */
+/** Thrown when the input violates the simulator's protocol; the message says what is wrong, and where. */
 final class ProtocolException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    /** The ways in which input can break the protocol. */
+    /** The ways in which input can violate the protocol. */
     enum Fault {
         /** A frame, a record or a field ends before its stated or required length. */
         TRUNCATED,
-        /** A field has a value that the protocol doesn't allow. */
+        /** A field has a value that is not allowed. */
         OUT_OF_RANGE,
-        /** A record has a code that no event has. */
+        /** A record has a code that is not an event's. */
         UNKNOWN_EVENT,
         /** An event names an instance that has not been started. */
         UNKNOWN_INSTANCE,
@@ -18,7 +18,7 @@
         UNKNOWN_ENDPOINT_LIST,
         /** A frame has bytes after its last record. */
         TRAILING_BYTES,
-        /** The load balancer rejects an argument of an event, such as its settings. */
+        /** The load balancer rejects an argument of an event, such as the settings of an instance. */
         INVALID_ARGUMENT
     }
 
@@ -34,12 +34,12 @@
         this.fault = fault;
     }
 
-    /** Returns an exception that says in which frame the input broke the protocol; frames are counted from 0. */
+    /** Returns an exception whose message also names the frame; frames are counted from 0. */
     static ProtocolException inFrame(long frameNumber, ProtocolException cause) {
         return inFrame(frameNumber, cause.fault, cause);
     }
 
-    /** Returns an exception that says in which frame the argument came that the load balancer rejects. */
+    /** Returns an exception for an argument that the load balancer rejects; its message names the frame. */
     static ProtocolException invalidArgument(long frameNumber, IllegalArgumentException cause) {
         return inFrame(frameNumber, Fault.INVALID_ARGUMENT, cause);
     }
@@ -48,7 +48,7 @@
         return new ProtocolException(fault, "frame " + frameNumber + ": " + cause.getMessage(), cause);
     }
 
-    /** Returns how the input breaks the protocol. */
+    /** Returns how the input violates the protocol. */
     Fault fault() {
         return fault;
     }
--- a/simulator-adapter/src/main/java/topazvalve/simulator/ReplyFrame.java
+++ b/simulator-adapter/src/main/java/topazvalve/simulator/ReplyFrame.java
@@ -9,11 +9,11 @@
 import topazvalve.policy.Actions;
 
 /**
- * Collects the actions of one batch as a reply frame, which is written completely or not at all. Numbers are
- * little-endian.
+ * Collects the actions that the events of one frame cause, as a reply frame. Nothing is written before the frame is
+ * complete. Numbers are little-endian.
  */
 final class ReplyFrame {
-    private static final int INITIAL_BYTES = 1 << 16;
+    private static final int INITIAL_CAPACITY_BYTES = 1 << 16;
     private static final int COUNT_OFFSET = 0;
     private static final int LENGTH_OFFSET = 4;
     private static final int HEADER_BYTES = 8;
@@ -25,10 +25,10 @@
     private static final int TIME_BYTES = Long.BYTES;
     private static final int TOKEN_BYTES = Long.BYTES;
     private static final int PEER_BYTES = Short.BYTES;
-    private static final int DATA_LENGTH_BYTES = Short.BYTES;
+    private static final int LENGTH_PREFIX_BYTES = Short.BYTES;
     private static final int FLAG_BYTES = Byte.BYTES;
 
-    private byte[] bytes = new byte[INITIAL_BYTES];
+    private byte[] bytes = new byte[INITIAL_CAPACITY_BYTES];
     private ByteBuffer buffer = ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN);
     private int actionCount;
 
@@ -37,8 +37,8 @@
         clear();
     }
 
-    /** Returns what adds the actions of one instance to this reply. */
-    Actions actionsOf(int instanceId) {
+    /** Returns actions that are added to this reply on behalf of one instance. */
+    Actions actionsFor(int instanceId) {
         return new InstanceActions(instanceId);
     }
 
@@ -47,7 +47,7 @@
         actionCount = 0;
     }
 
-    /** Writes the frame and begins the next one. */
+    /** Writes the frame and starts an empty one. */
     void writeTo(OutputStream out) throws IOException {
         buffer.putInt(COUNT_OFFSET, actionCount);
         buffer.putInt(LENGTH_OFFSET, buffer.position());
@@ -56,15 +56,15 @@
         clear();
     }
 
-    private void ensureRemaining(int count) {
-        if (buffer.remaining() < count) {
+    private void ensureRemaining(int byteCount) {
+        if (buffer.remaining() < byteCount) {
             int position = buffer.position();
-            bytes = Arrays.copyOf(bytes, Math.max(bytes.length * 2, position + count));
+            bytes = Arrays.copyOf(bytes, Math.max(bytes.length * 2, position + byteCount));
             buffer = ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN).position(position);
         }
     }
 
-    /** Adds the actions of one instance. */
+    /** Adds the actions of one instance to the frame. */
     private final class InstanceActions implements Actions {
         private final int instanceId;
 
@@ -72,7 +72,7 @@
             this.instanceId = instanceId;
         }
 
-        /** Begins a record with {@code fieldBytes} bytes behind the instance's id, which the caller adds. */
+        /** Begins a record; the caller adds {@code fieldBytes} bytes of fields after the instance's id. */
         private void beginRecord(ActionType type, int fieldBytes) {
             int recordBytes = INSTANCE_BYTES + fieldBytes;
             ensureRemaining(RECORD_HEADER_BYTES + recordBytes);
@@ -84,7 +84,7 @@
             buffer.putInt(EndpointIds.address(endpointId)).putShort(EndpointIds.port(endpointId));
         }
 
-        private void putData(byte[] data) {
+        private void putLengthPrefixed(byte[] data) {
             buffer.putShort((short) data.length).put(data);
         }
 
@@ -134,16 +134,16 @@
 
         @Override
         public void sendGossip(int peer, byte[] message) {
-            beginRecord(ActionType.SEND_GOSSIP, PEER_BYTES + DATA_LENGTH_BYTES + message.length);
+            beginRecord(ActionType.SEND_GOSSIP, PEER_BYTES + LENGTH_PREFIX_BYTES + message.length);
             buffer.putShort((short) peer);
-            putData(message);
+            putLengthPrefixed(message);
         }
 
         @Override
         public void log(String line) {
             byte[] text = line.getBytes(StandardCharsets.UTF_8);
-            beginRecord(ActionType.LOG, DATA_LENGTH_BYTES + text.length);
-            putData(text);
+            beginRecord(ActionType.LOG, LENGTH_PREFIX_BYTES + text.length);
+            putLengthPrefixed(text);
         }
 
         @Override
--- a/simulator-adapter/src/test/java/topazvalve/simulator/FrameBuilder.java
+++ b/simulator-adapter/src/test/java/topazvalve/simulator/FrameBuilder.java
@@ -5,9 +5,9 @@
 import java.nio.ByteOrder;
 import java.nio.charset.StandardCharsets;
 
-/** Builds frames from the protocol's documented layout, byte by byte, without the code under test. */
+/** Builds frames byte by byte from the documented layout of the protocol, independently of the code under test. */
 final class FrameBuilder {
-    /** Settings of one request class and one tenant, with a key that no version knows. */
+    /** Settings of one request class and one tenant, with one key that is unknown and must be ignored. */
     static final String SETTINGS = String.join(
             "\n",
             "caps.mayCancel=true",
@@ -34,9 +34,9 @@
             "rules.stopSendingWithin=250000000",
             "rules.tipAfter=1500000000");
 
-    /** An endpoint update with a full snapshot. */
+    /** The kind of an endpoint update with a full snapshot. */
     static final int FULL = 1;
-    /** An endpoint update with the last list known before the start. */
+    /** The kind of an endpoint update with the list that was cached before the start. */
     static final int CACHED = 2;
 
     private static final int HEADER_BYTES = 16;
@@ -54,14 +54,14 @@
         return this;
     }
 
-    /** Ends a record, whose length is known now. */
+    /** Ends a record and writes its length into its header. */
     FrameBuilder endRecord() {
         body.putInt(recordLengthOffset, body.position() - recordLengthOffset - Integer.BYTES);
         return this;
     }
 
     /** Returns the frame with its header. */
-    byte[] bytes(long nowNanos) {
+    byte[] build(long nowNanos) {
         ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES + body.position()).order(ByteOrder.LITTLE_ENDIAN);
         out.putLong(nowNanos).putInt(HEADER_BYTES + body.position()).putInt(recordCount);
         out.put(body.array(), 0, body.position());
@@ -79,7 +79,7 @@
         return endRecord();
     }
 
-    /** Starts an instance that knows these endpoints from before; their list has the number 0. */
+    /** Starts an instance with a cached list of these endpoints, which gets the number 0. */
     FrameBuilder instanceStartedWithEndpoints(int instanceId, int... addresses) {
         return instanceStarted(instanceId, SETTINGS)
                 .endpointListDefined(0, addresses)
@@ -130,12 +130,12 @@
         return endRecord();
     }
 
-    /** Returns all frames behind each other. */
-    static byte[] join(byte[]... frames) {
-        ByteArrayOutputStream joined = new ByteArrayOutputStream();
+    /** Returns the concatenation of all frames. */
+    static byte[] concatenate(byte[]... frames) {
+        ByteArrayOutputStream out = new ByteArrayOutputStream();
         for (byte[] frame : frames) {
-            joined.writeBytes(frame);
+            out.writeBytes(frame);
         }
-        return joined.toByteArray();
+        return out.toByteArray();
     }
 }
--- a/simulator-adapter/src/test/java/topazvalve/simulator/PackagedJarIT.java
+++ b/simulator-adapter/src/test/java/topazvalve/simulator/PackagedJarIT.java
@@ -14,9 +14,9 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The packaged jar as a process: exit status, standard error, nothing half-written on standard output. */
+/** The packaged jar as a process: exit status, standard error, and no partial frame on standard output. */
 class PackagedJarIT {
-    private record Result(int status, byte[] out, String err) {}
+    private record Result(int exitStatus, byte[] out, String err) {}
 
     private static Result run(byte[] input, String... args) throws IOException, InterruptedException {
         List<String> command = new ArrayList<>(List.of(
@@ -36,49 +36,49 @@
     }
 
     @Test
-    void endOfInputEndsTheProcessWithSuccess() throws Exception {
+    void exitsWithSuccessAtTheEndOfInput() throws Exception {
         Result result = run(new byte[0], "adapter");
-        assertEquals(0, result.status);
+        assertEquals(0, result.exitStatus);
         assertEquals(0, result.out.length);
     }
 
     @Test
-    void malformedInputEndsWithAMessageAndNoOutput() throws Exception {
-        byte[] provision =
-                new FrameBuilder().instanceStarted(1, FrameBuilder.SETTINGS).bytes(1);
-        Map<String, byte[]> bad = Map.of(
-                "header cut short",
+    void malformedInputCausesAnErrorMessageAndNoOutput() throws Exception {
+        byte[] complete =
+                new FrameBuilder().instanceStarted(1, FrameBuilder.SETTINGS).build(1);
+        Map<String, byte[]> inputsByMessage = Map.of(
+                "frame header truncated: 3 of 16 bytes",
                 new byte[] {1, 2, 3},
-                "ends after",
-                Arrays.copyOf(provision, provision.length - 3),
+                "frame truncated: " + (complete.length - 3) + " of " + complete.length + " bytes",
+                Arrays.copyOf(complete, complete.length - 3),
                 "unknown event code 99",
-                new FrameBuilder().beginRecord(99).endRecord().bytes(1),
+                new FrameBuilder().beginRecord(99).endRecord().build(1),
                 "setting missing: rules.rampTime",
                 new FrameBuilder()
                         .instanceStarted(1, FrameBuilder.SETTINGS.replace("rules.rampTime", "x"))
-                        .bytes(1));
-        for (Map.Entry<String, byte[]> each : bad.entrySet()) {
-            Result result = run(each.getValue(), "adapter");
-            assertEquals(1, result.status, each.getKey());
-            assertEquals(0, result.out.length, each.getKey());
-            assertTrue(result.err.contains("frame 0: ") && result.err.contains(each.getKey()), result.err);
-            assertTrue(result.err.strip().lines().count() == 1, "one line, no stack trace: " + result.err);
+                        .build(1));
+        for (Map.Entry<String, byte[]> entry : inputsByMessage.entrySet()) {
+            Result result = run(entry.getValue(), "adapter");
+            assertEquals(1, result.exitStatus, entry.getKey());
+            assertEquals(0, result.out.length, entry.getKey());
+            assertTrue(result.err.contains("frame 0: ") && result.err.contains(entry.getKey()), result.err);
+            assertEquals(1, result.err.strip().lines().count(), "one line, no stack trace: " + result.err);
         }
     }
 
     @Test
     void repliesBeforeAMalformedFrameAreComplete() throws Exception {
-        byte[] frame = new FrameBuilder().bytes(5);
-        Result result = run(FrameBuilder.join(frame, frame, new byte[] {9}), "adapter");
-        assertEquals(1, result.status);
+        byte[] frame = new FrameBuilder().build(5);
+        Result result = run(FrameBuilder.concatenate(frame, frame, new byte[] {9}), "adapter");
+        assertEquals(1, result.exitStatus);
         assertArrayEquals(new byte[] {0, 0, 0, 0, 8, 0, 0, 0, 0, 0, 0, 0, 8, 0, 0, 0}, result.out);
-        assertTrue(result.err.contains("frame 2: header cut short"), result.err);
+        assertTrue(result.err.contains("frame 2: frame header truncated: 1 of 16 bytes"), result.err);
     }
 
     @Test
     void wrongArgumentsShowUsage() throws Exception {
         Result result = run(new byte[0]);
-        assertEquals(2, result.status);
+        assertEquals(2, result.exitStatus);
         assertTrue(result.err.startsWith("usage:"), result.err);
     }
 }
--- a/simulator-adapter/src/test/java/topazvalve/simulator/ProtocolTest.java
+++ b/simulator-adapter/src/test/java/topazvalve/simulator/ProtocolTest.java
@@ -24,30 +24,30 @@
 
 /** The simulator's protocol: the layout of events and actions, and the errors of malformed frames. */
 class ProtocolTest {
-    private static byte[] play(byte[]... frames) throws IOException {
+    private static byte[] run(byte[]... frames) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        Main.run(new ByteArrayInputStream(FrameBuilder.join(frames)), out, SidecarPolicy::new);
+        Main.run(new ByteArrayInputStream(FrameBuilder.concatenate(frames)), out, SidecarPolicy::new);
         return out.toByteArray();
     }
 
-    private static void assertRejected(Fault fault, String part, byte[]... frames) {
-        ProtocolException e = assertThrows(ProtocolException.class, () -> play(frames));
+    private static void assertRejected(Fault fault, String message, byte[]... frames) {
+        ProtocolException e = assertThrows(ProtocolException.class, () -> run(frames));
         assertEquals(fault, e.fault());
-        assertTrue(e.getMessage().contains(part), e.getMessage());
+        assertTrue(e.getMessage().contains(message), e.getMessage());
     }
 
     @Test
-    void emptyBatchGetsAnEmptyReply() throws IOException {
-        assertArrayEquals(new byte[] {0, 0, 0, 0, 8, 0, 0, 0}, play(new FrameBuilder().bytes(5)));
-        assertEquals(0, play().length);
+    void anEmptyFrameGetsAnEmptyReply() throws IOException {
+        assertArrayEquals(new byte[] {0, 0, 0, 0, 8, 0, 0, 0}, run(new FrameBuilder().build(5)));
+        assertEquals(0, run().length);
     }
 
     @Test
-    void requestIsForwardedToTheListedEndpoint() throws IOException {
-        byte[] reply = play(new FrameBuilder()
+    void aRequestIsForwardedToTheListedEndpoint() throws IOException {
+        byte[] reply = run(new FrameBuilder()
                 .instanceStartedWithEndpoints(3, 0x0100_000a)
                 .requestReceived(3, 0xf0000001)
-                .bytes(1_000_000_000L));
+                .build(1_000_000_000L));
         ByteBuffer in = ByteBuffer.wrap(reply).order(ByteOrder.LITTLE_ENDIAN);
         assertEquals(reply.length, in.getInt(4));
         in.position(8);
@@ -64,51 +64,54 @@
     }
 
     @Test
-    void endpointListNumberMeansItsLatestDefinition() throws IOException {
-        byte[] reply = play(new FrameBuilder()
+    void anEndpointListNumberRefersToItsLatestDefinition() throws IOException {
+        byte[] reply = run(new FrameBuilder()
                 .instanceStartedWithEndpoints(1, 7)
                 .endpointListDefined(0, 8)
                 .endpointsUpdated(1, FrameBuilder.FULL, 0)
                 .requestReceived(1, 9)
-                .bytes(1_000_000_000L));
+                .build(1_000_000_000L));
         String hex = HexFormat.of().formatHex(reply);
         assertTrue(hex.contains("09000000" + "08000000" + "5000"), hex);
     }
 
     @Test
-    void restartWithinOneBatchReplacesTheInstance() throws IOException {
+    void aRestartWithinOneFrameReplacesTheInstance() throws IOException {
         FrameBuilder frame =
                 new FrameBuilder().instanceStartedWithEndpoints(1, 7).requestReceived(1, 9);
         frame.instanceStopped(1).instanceStarted(1, FrameBuilder.SETTINGS).endpointsUpdated(1, FrameBuilder.CACHED, 0);
-        assertTrue(play(frame.bytes(1_000_000_000L)).length > 8);
+        assertTrue(run(frame.build(1_000_000_000L)).length > 8);
     }
 
     @Test
-    void aFrameThatIsCutShortIsRejected() {
-        assertRejected(Fault.TRUNCATED, "header cut short", new byte[5]);
+    void aTruncatedFrameIsRejected() {
+        assertRejected(Fault.TRUNCATED, "frame header truncated: 5 of 16 bytes", new byte[5]);
         byte[] complete =
-                new FrameBuilder().instanceStarted(1, FrameBuilder.SETTINGS).bytes(1);
-        assertRejected(Fault.TRUNCATED, "ends after", Arrays.copyOf(complete, complete.length - 3));
+                new FrameBuilder().instanceStarted(1, FrameBuilder.SETTINGS).build(1);
+        assertRejected(
+                Fault.TRUNCATED,
+                "frame truncated: " + (complete.length - 3) + " of " + complete.length + " bytes",
+                Arrays.copyOf(complete, complete.length - 3));
     }
 
     @Test
-    void aFieldThatIsCutShortIsRejected() {
+    void aTruncatedFieldIsRejected() {
         FrameBuilder frame = new FrameBuilder().instanceStarted(1, FrameBuilder.SETTINGS);
         assertRejected(
                 Fault.TRUNCATED,
-                "field cut short",
-                frame.beginRecord(6).endRecord().bytes(1));
+                "field truncated",
+                frame.beginRecord(6).endRecord().build(1));
     }
 
     @Test
     void anUnknownEventIsRejected() {
-        byte[] frame = new FrameBuilder().beginRecord(99).endRecord().bytes(1);
+        byte[] frame = new FrameBuilder().beginRecord(99).endRecord().build(1);
         assertRejected(Fault.UNKNOWN_EVENT, "unknown event code 99", frame);
     }
 
     @Test
     void anEventForAnUnknownInstanceIsRejected() {
-        byte[] frame = new FrameBuilder().requestReceived(5, 1).bytes(1);
+        byte[] frame = new FrameBuilder().requestReceived(5, 1).build(1);
         assertRejected(Fault.UNKNOWN_INSTANCE, "unknown instance 5", frame);
     }
 
@@ -117,8 +120,8 @@
         FrameBuilder frame = new FrameBuilder().instanceStarted(1, FrameBuilder.SETTINGS);
         assertRejected(
                 Fault.UNKNOWN_ENDPOINT_LIST,
-                "unknown list number 3",
-                frame.endpointsUpdated(1, FrameBuilder.FULL, 3).bytes(1));
+                "unknown endpoint list 3",
+                frame.endpointsUpdated(1, FrameBuilder.FULL, 3).build(1));
     }
 
     @Test
@@ -127,20 +130,24 @@
                 .instanceStarted(1, FrameBuilder.SETTINGS)
                 .endpointListDefined(0)
                 .endpointsUpdated(1, 9, 0);
-        assertRejected(Fault.OUT_OF_RANGE, "form 9 out of range", frame.bytes(1));
+        assertRejected(Fault.OUT_OF_RANGE, "form 9 out of range", frame.build(1));
     }
 
     @Test
     void bytesAfterTheLastRecordAreRejected() {
-        byte[] frame = new FrameBuilder().instanceStopped(1).bytes(1);
+        byte[] frame = new FrameBuilder().instanceStopped(1).build(1);
         int recordCountOffset = 12;
         frame[recordCountOffset] = 0;
-        assertRejected(Fault.TRAILING_BYTES, "bytes left over after the last of 0 records", frame);
+        assertRejected(Fault.TRAILING_BYTES, "trailing bytes after the last of 0 records", frame);
     }
 
     @Test
-    void theFrameOfAFaultIsNamed() {
-        assertRejected(Fault.TRUNCATED, "frame 1: header cut short", new FrameBuilder().bytes(5), new byte[5]);
+    void aMessageNamesTheMalformedFrame() {
+        assertRejected(
+                Fault.TRUNCATED,
+                "frame 1: frame header truncated: 5 of 16 bytes",
+                new FrameBuilder().build(5),
+                new byte[5]);
     }
 
     @Test
@@ -161,14 +168,14 @@
     })
     void settingsThatAreMissingOrInvalidAreNamed(String valid, String invalid, String message) {
         String settings = FrameBuilder.SETTINGS.replace(valid, invalid);
-        byte[] frame = new FrameBuilder().instanceStarted(1, settings).bytes(1);
+        byte[] frame = new FrameBuilder().instanceStarted(1, settings).build(1);
         assertRejected(Fault.INVALID_ARGUMENT, message, frame);
     }
 
     @Test
     void everyActionHasItsDocumentedLayout() throws IOException {
         ReplyFrame reply = new ReplyFrame();
-        Actions actions = reply.actionsOf(2);
+        Actions actions = reply.actionsFor(2);
         actions.reject(1, 5);
         actions.fail(1);
         actions.cancelAttempt(1, 3);
