--- a/toml/src/main/java/topazvalve/toml/InvalidFileException.java
+++ b/toml/src/main/java/topazvalve/toml/InvalidFileException.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** A file that was rejected as a whole. The message has one line for each problem. */
+/** Thrown when a file is rejected as a whole. The message has one line for each problem. */
 public final class InvalidFileException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
     private final transient List<Problem> problems;
@@ -13,7 +13,7 @@
         this.problems = List.copyOf(problems);
     }
 
-    /** Returns all problems, in the order of the file's lines. */
+    /** Returns all problems, in the order of their lines in the file. */
     public List<Problem> problems() {
         return problems;
     }
--- a/toml/src/main/java/topazvalve/toml/KeyLines.java
+++ b/toml/src/main/java/topazvalve/toml/KeyLines.java
@@ -6,7 +6,7 @@
 import java.util.regex.Pattern;
 
 /**
- * Finds the line of each key of a TOML file, which the parser's tree lacks. Paths are as in
+ * Finds the line of each key of a TOML file, since the parser's tree has no line numbers. Paths have the form
  * {@code class.0.aim}; tables and arrays of tables have the line of their header.
  */
 final class KeyLines {
@@ -32,7 +32,7 @@
         }
     }
 
-    /** Notes the line of a table's header; returns the table's path. */
+    /** Records the line of a table's header and returns the table's path. */
     private String addHeader(Matcher header, int lineNumber) {
         String path = unquote(header.group(2));
         if (header.group(1).equals(ARRAY_HEADER)) {
@@ -48,7 +48,7 @@
         return key.replaceAll("[\"' ]", "");
     }
 
-    /** Returns the line of a key, or of the innermost table around it that has one; 1 where none has. */
+    /** Returns the line of a key or else of the closest enclosing table that has a line; 1 if there is none. */
     int lineOf(String path) {
         String ancestor = path;
         while (!ancestor.isEmpty()) {
--- a/toml/src/main/java/topazvalve/toml/Range.java
+++ b/toml/src/main/java/topazvalve/toml/Range.java
@@ -7,7 +7,7 @@
  * @param high the upper bound, at least {@code low}
  */
 public record Range(double low, double high) {
-    /** Returns the value at a fraction of the way from low to high; {@code fraction} is from 0 to 1. */
+    /** Interpolates linearly: 0 gives the lower bound, 1 the upper one. */
     public double interpolate(double fraction) {
         return low + (high - low) * fraction;
     }
--- a/toml/src/main/java/topazvalve/toml/Table.java
+++ b/toml/src/main/java/topazvalve/toml/Table.java
@@ -13,11 +13,11 @@
 import java.util.regex.Pattern;
 
 /**
- * One table of a file while it is read. The reader requests each key once, with the values that it allows. A
- * problem is noted and reading goes on with a value in bounds, so that all problems of a file are reported at once;
- * a key that was never requested is a problem too.
+ * One table of a file that is being read. The reader requests each key once, with the values that it allows. A problem
+ * is recorded and reading continues with a value in bounds, so that all problems of a file are reported at once; a key
+ * that is never requested is a problem too.
  *
- * <p>Methods that take a {@code defaultValue} return it where the file lacks the key; null makes the key required.
+ * <p>Methods that take a {@code defaultValue} return it if the file lacks the key; null makes the key required.
  */
 public final class Table {
     private static final Pattern DURATION = Pattern.compile("([0-9]+(?:\\.[0-9]+)?)(us|ms|s|m)");
@@ -31,15 +31,15 @@
     private final String path;
     private final JsonNode node;
     private final Set<String> requestedKeys = new LinkedHashSet<>();
-    private final List<Table> innerTables = new ArrayList<>();
+    private final List<Table> subtables = new ArrayList<>();
 
     /**
      * Creates a table.
      *
      * @param file the file's name in messages
      * @param lines the lines of the file's keys
-     * @param problems takes the problems of all of the file's tables
-     * @param path the table's path; empty for the root
+     * @param problems collects the problems of all tables of the file
+     * @param path the table's path; empty for the root table
      * @param node the parsed table
      */
     Table(String file, KeyLines lines, List<Problem> problems, String path, JsonNode node) {
@@ -54,19 +54,19 @@
         return path.isEmpty() ? key : path + "." + key;
     }
 
-    /** Notes a problem with a key of this table, or with the table itself if {@code key} is empty. */
+    /** Records a problem with a key of this table, or with the table itself if {@code key} is empty. */
     public void addProblem(String key, String message) {
         String fullPath = key.isEmpty() ? path : pathOf(key);
         problems.add(new Problem(file, lines.lineOf(fullPath), fullPath, message));
     }
 
-    /** Returns whether the file has this key, and counts the key as requested. */
+    /** Returns whether the table has this key, and marks the key as requested. */
     public boolean has(String key) {
         requestedKeys.add(key);
         return node.has(key);
     }
 
-    /** Returns a key's value, or null where the file lacks it; that is a problem if the key is required. */
+    /** Returns a key's value or null; records a problem if a required key is missing. */
     private JsonNode value(String key, boolean required, String expected) {
         requestedKeys.add(key);
         JsonNode value = node.get(key);
@@ -77,11 +77,11 @@
     }
 
     /**
-     * Reads a duration, a text such as {@code "250ms"}.
+     * Reads a duration, which is a string such as {@code "250ms"}.
      *
-     * @param min the least duration allowed, as text
-     * @param max the greatest duration allowed, as text; a day at most
-     * @return nanoseconds
+     * @param min the shortest duration allowed, in the same form
+     * @param max the longest duration allowed, in the same form; at most a day
+     * @return the duration in nanoseconds
      */
     public long duration(String key, String defaultValue, String min, String max) {
         String expected = "a duration from " + min + " to " + max + " in quotes, such as \"250ms\" (us, ms, s, m)";
@@ -97,7 +97,7 @@
         return nanos;
     }
 
-    /** Returns nanoseconds, or {@link #INVALID_DURATION}. */
+    /** Returns the duration in nanoseconds, or {@link #INVALID_DURATION}. */
     private static long parseDuration(String text) {
         if (text.equals("0")) {
             return 0;
@@ -124,7 +124,7 @@
         return value.asDouble();
     }
 
-    /** Reads a range within {@code min} and {@code max}: two numbers, the lower one first, or one for both. */
+    /** Reads a range within {@code min} and {@code max}: two numbers, the lower first, or one for both bounds. */
     public Range range(String key, Range defaultValue, double min, double max) {
         String expected = "a number, or two in brackets, from " + format(min) + " to " + format(max);
         JsonNode value = value(key, defaultValue == null, expected);
@@ -149,7 +149,7 @@
                 && low.asDouble() <= high.asDouble();
     }
 
-    /** Reads a whole number from {@code min} to {@code max}. */
+    /** Reads an integer from {@code min} to {@code max}. */
     public int integer(String key, Integer defaultValue, int min, int max) {
         String expected = "a whole number from " + min + " to " + max;
         JsonNode value = value(key, defaultValue == null, expected);
@@ -167,7 +167,7 @@
         return number == Math.rint(number) ? Long.toString((long) number) : Double.toString(number);
     }
 
-    /** Reads true or false. */
+    /** Reads a boolean. */
     public boolean flag(String key, boolean defaultValue) {
         JsonNode value = value(key, false, "");
         if (value == null) {
@@ -180,16 +180,16 @@
         return value.asBoolean();
     }
 
-    /** Reads one of an enum's constants, written as {@link #nameOf} writes it. */
+    /** Reads an enum constant, which files name as {@link #nameOf} does. */
     public <E extends Enum<E>> E choice(Class<E> type, String key, E defaultValue) {
         E[] constants = type.getEnumConstants();
-        List<String> words = Arrays.stream(constants).map(Table::nameOf).toList();
-        String expected = "one of " + String.join(", ", words);
+        List<String> names = Arrays.stream(constants).map(Table::nameOf).toList();
+        String expected = "one of " + String.join(", ", names);
         JsonNode value = value(key, defaultValue == null, expected);
         if (value == null) {
             return defaultValue == null ? constants[0] : defaultValue;
         }
-        int index = value.isTextual() ? words.indexOf(value.asText()) : -1;
+        int index = value.isTextual() ? names.indexOf(value.asText()) : -1;
         if (index < 0) {
             addProblem(key, value + " is not " + expected);
             return constants[0];
@@ -197,66 +197,66 @@
         return constants[index];
     }
 
-    /** Returns how files write an enum's constant: in small letters, with dashes. */
+    /** Returns the name of an enum constant in files, which is lower case with hyphens. */
     public static String nameOf(Enum<?> constant) {
         return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** Reads a text that is not blank. */
+    /** Reads a string that is not blank. */
     public String string(String key, String defaultValue) {
-        JsonNode value = value(key, defaultValue == null, "a text in quotes");
+        JsonNode value = value(key, defaultValue == null, "a string in quotes");
         if (value == null) {
             return defaultValue == null ? "" : defaultValue;
         }
         if (!value.isTextual() || value.asText().isBlank()) {
-            addProblem(key, value + " is not a text in quotes");
+            addProblem(key, value + " is not a non-blank string in quotes");
             return "";
         }
         return value.asText();
     }
 
-    /** Reads a list of different texts, which may be empty only if {@code defaultValue} is. */
+    /** Reads a list of distinct, non-empty strings; the list may be empty only if {@code defaultValue} is. */
     public List<String> strings(String key, List<String> defaultValue) {
-        JsonNode value = value(key, defaultValue == null, "a list of texts");
+        JsonNode value = value(key, defaultValue == null, "a list of strings");
         if (value == null) {
             return defaultValue == null ? List.of() : defaultValue;
         }
-        List<String> texts = new ArrayList<>();
-        value.forEach(element -> texts.add(element.isTextual() ? element.asText() : ""));
+        List<String> strings = new ArrayList<>();
+        value.forEach(element -> strings.add(element.isTextual() ? element.asText() : ""));
         boolean mayBeEmpty = defaultValue != null && defaultValue.isEmpty();
-        if (!value.isArray() || (texts.isEmpty() && !mayBeEmpty) || !areDistinctAndNotEmpty(texts)) {
-            addProblem(key, value + " is not a list of different texts in quotes");
+        if (!value.isArray() || (strings.isEmpty() && !mayBeEmpty) || !areDistinctAndNotEmpty(strings)) {
+            addProblem(key, value + " is not a list of distinct, non-empty strings in quotes");
             return defaultValue == null ? List.of("?") : defaultValue;
         }
-        return texts;
+        return strings;
     }
 
-    private static boolean areDistinctAndNotEmpty(List<String> texts) {
-        return !texts.contains("") && Set.copyOf(texts).size() == texts.size();
+    private static boolean areDistinctAndNotEmpty(List<String> strings) {
+        return !strings.contains("") && Set.copyOf(strings).size() == strings.size();
     }
 
-    /** Reads an inner table; it is an empty one where the file has none. */
+    /** Reads a subtable; it is empty if the file lacks it. */
     public Table table(String key) {
         JsonNode value = value(key, false, "");
         if (value != null && !value.isObject()) {
             addProblem(key, "is not a table [" + pathOf(key) + "]");
             value = null;
         }
-        JsonNode innerNode = value == null ? JsonNodeFactory.instance.objectNode() : value;
-        Table inner = new Table(file, lines, problems, pathOf(key), innerNode);
-        innerTables.add(inner);
-        return inner;
+        JsonNode subtableNode = value == null ? JsonNodeFactory.instance.objectNode() : value;
+        Table subtable = new Table(file, lines, problems, pathOf(key), subtableNode);
+        subtables.add(subtable);
+        return subtable;
     }
 
-    /** Reads an array of tables; if {@code minCount} is over 0 the file has to have it. */
+    /** Reads an array of tables, which is required if {@code minCount} is greater than 0. */
     public List<Table> tables(String key, int minCount) {
         JsonNode value =
-                value(key, minCount > 0, "[[" + pathOf(key) + "]] has to be given " + minCount + " times or more");
+                value(key, minCount > 0, "[[" + pathOf(key) + "]] is required at least " + minCount + " times");
         if (value == null) {
             return new ArrayList<>();
         }
         if (!value.isArray()) {
-            noteNoArrayOfTables(key);
+            addNotAnArrayOfTables(key);
             return new ArrayList<>();
         }
         List<Table> tables = new ArrayList<>();
@@ -265,25 +265,25 @@
             if (element.isObject()) {
                 tables.add(new Table(file, lines, problems, pathOf(key) + "." + i, element));
             } else {
-                noteNoArrayOfTables(key);
+                addNotAnArrayOfTables(key);
             }
         }
-        innerTables.addAll(tables);
+        subtables.addAll(tables);
         return tables;
     }
 
-    private void noteNoArrayOfTables(String key) {
+    private void addNotAnArrayOfTables(String key) {
         addProblem(key, "is not an array of tables [[" + pathOf(key) + "]]");
     }
 
-    /** Notes every key that was never requested, here and in inner tables. */
-    void finish() {
+    /** Records a problem for each key that was never requested, in this table and its subtables. */
+    void addUnknownKeys() {
         node.fieldNames().forEachRemaining(key -> {
             if (!requestedKeys.contains(key)) {
                 addProblem(key, "unknown key" + suggestion(key, requestedKeys));
             }
         });
-        innerTables.forEach(Table::finish);
+        subtables.forEach(Table::addUnknownKeys);
     }
 
     private static String suggestion(String unknownKey, Iterable<String> knownKeys) {
@@ -296,10 +296,10 @@
                 closest = knownKey;
             }
         }
-        return closest == null ? "; known are " + String.join(", ", knownKeys) : "; was \"" + closest + "\" meant?";
+        return closest == null ? "; known keys: " + String.join(", ", knownKeys) : "; was \"" + closest + "\" meant?";
     }
 
-    /** Returns the Levenshtein distance of two texts. */
+    /** Returns the Levenshtein distance of two strings. */
     private static int editDistance(String a, String b) {
         int[] row = new int[b.length() + 1];
         Arrays.setAll(row, i -> i);
--- a/toml/src/main/java/topazvalve/toml/TomlFile.java
+++ b/toml/src/main/java/topazvalve/toml/TomlFile.java
@@ -12,19 +12,19 @@
 import java.util.List;
 import java.util.function.Function;
 
-/** Reads a TOML file as a whole: it is accepted without a problem, or rejected with all of its problems. */
+/** Reads TOML files. A file is accepted only as a whole; otherwise all of its problems are reported. */
 public final class TomlFile {
     private static final TomlMapper TOML = new TomlMapper();
 
     private TomlFile() {}
 
     /**
-     * Reads a file, whose path stands for it in messages.
+     * Reads a file, which messages name by its path.
      *
-     * @param reader reads the values from the root table; it notes problems there and goes on
-     * @return what {@code reader} has read
-     * @throws InvalidFileException if the file is not TOML or a problem was noted
-     * @throws IOException if the file can't be read, or is not UTF-8
+     * @param reader reads the values from the root table; it records problems there and continues
+     * @return the result of {@code reader}
+     * @throws InvalidFileException if the file is not TOML or a problem was recorded
+     * @throws IOException if the file can't be read or is not UTF-8
      */
     public static <T> T read(Path file, Function<Table, T> reader) throws IOException {
         return parse(file.toString(), Files.readString(file), reader);
@@ -33,18 +33,18 @@
     /**
      * Reads the text of a file.
      *
-     * @param name stands for the file in messages
+     * @param name the file's name in messages
      * @param text the file's text
-     * @param reader reads the values from the root table; it notes problems there and goes on
-     * @return what {@code reader} has read
-     * @throws InvalidFileException if the text is not TOML or a problem was noted
+     * @param reader reads the values from the root table; it records problems there and continues
+     * @return the result of {@code reader}
+     * @throws InvalidFileException if the text is not TOML or a problem was recorded
      */
     public static <T> T parse(String name, String text, Function<Table, T> reader) {
         JsonNode rootNode = parseSyntax(name, text);
         List<Problem> problems = new ArrayList<>();
         Table root = new Table(name, new KeyLines(text), problems, "", rootNode);
         T result = reader.apply(root);
-        root.finish();
+        root.addUnknownKeys();
         if (!problems.isEmpty()) {
             problems.sort(Comparator.comparingInt(Problem::line));
             throw new InvalidFileException(problems);
@@ -56,7 +56,7 @@
         try {
             return TOML.readTree(text);
         } catch (JsonProcessingException e) {
-            // The parser's message is of several lines; the first one says what is wrong.
+            // The parser's message has several lines, of which the first says what is wrong.
             String firstLine = e.getOriginalMessage().replaceAll("\\s*\\R.*", "");
             throw new InvalidFileException(
                     List.of(new Problem(name, lineOf(e.getLocation()), "", "not TOML: " + firstLine)));
--- a/toml/src/test/java/topazvalve/toml/KeyLinesTest.java
+++ b/toml/src/test/java/topazvalve/toml/KeyLinesTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The line of each key, table and element of an array of tables. */
+/** The lines of keys, tables and elements of arrays of tables. */
 class KeyLinesTest {
     private static final String TEXT = """
             name = "a" # line 1
@@ -53,19 +53,19 @@
 
     @ParameterizedTest
     @CsvSource({"fleet.racks, 5", "fleet.zone.inner.key, 7", "source.1.addresses, 11"})
-    void aKeyThatTheFileLacksHasTheLineOfTheInnermostTableAroundIt(String path, int line) {
+    void aMissingKeyHasTheLineOfTheClosestEnclosingTable(String path, int line) {
         assertEquals(line, lines.lineOf(path));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"missing", "missing.key"})
-    void aKeyThatTheRootLacksHasTheFirstLine(String path) {
+    void aMissingKeyOfTheRootHasTheFirstLine(String path) {
         assertEquals(1, lines.lineOf(path));
         assertEquals(1, new KeyLines("").lineOf(path));
     }
 
     @Test
-    void aKeyThatStandsTwiceHasItsFirstLine() {
+    void aDuplicateKeyHasItsFirstLine() {
         assertEquals(1, new KeyLines("a = 1\na = 2\n").lineOf("a"));
     }
 }
--- a/toml/src/test/java/topazvalve/toml/TableProblems.java
+++ b/toml/src/test/java/topazvalve/toml/TableProblems.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Reads files that have problems, for tests. */
+/** Reads invalid files for tests. */
 final class TableProblems {
     private TableProblems() {}
 
-    /** Returns the problems of a file as {@code line key: message}; fails if it has none. */
+    /** Returns the problems of a file as {@code line key: message}; fails if there are none. */
     static List<String> of(String text, Consumer<Table> reader) {
         InvalidFileException invalid = assertThrows(
                 InvalidFileException.class,
--- a/toml/src/test/java/topazvalve/toml/TableStructureTest.java
+++ b/toml/src/test/java/topazvalve/toml/TableStructureTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Inner tables, arrays of tables, unknown keys, and several problems of one file. */
+/** Subtables, arrays of tables, unknown keys, and several problems in one file. */
 class TableStructureTest {
     @Test
     void aKeyIsPresentOnlyIfTheFileHasIt() {
@@ -19,14 +19,14 @@
     }
 
     @Test
-    void anInnerTableReadsItsOwnKeys() {
+    void aSubtableReadsItsOwnKeys() {
         int servers = TomlFile.parse(
                 "test.toml", "[fleet]\nservers = 5", root -> root.table("fleet").integer("servers", null, 1, 10));
         assertEquals(5, servers);
     }
 
     @Test
-    void anInnerTableThatIsMissingIsEmpty() {
+    void aSubtableThatIsMissingIsEmpty() {
         int servers =
                 TomlFile.parse("test.toml", "", root -> root.table("fleet").integer("servers", 3, 1, 10));
         assertEquals(3, servers);
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void aValueInPlaceOfAnInnerTableIsRejected() {
+    void aValueInPlaceOfASubtableIsRejected() {
         assertEquals(
                 List.of("2 fleet: is not a table [fleet]"),
                 TableProblems.of("\nfleet = 5", root -> root.table("fleet").integer("servers", 3, 1, 10)));
@@ -58,7 +58,7 @@
     void anArrayOfTablesMayBeMissingOnlyIfNoneIsRequired() {
         assertEquals(List.of(), TomlFile.parse("test.toml", "", root -> root.tables("source", 0)));
         assertEquals(
-                List.of("1 source: missing; [[source]] has to be given 1 times or more"),
+                List.of("1 source: missing; [[source]] is required at least 1 times"),
                 TableProblems.of("", root -> root.tables("source", 1)));
     }
 
@@ -82,14 +82,15 @@
     @Test
     void anUnknownKeyThatResemblesNoneIsReportedWithAllKnownOnes() {
         assertEquals(
-                List.of("1 unrelated: unknown key; known are name, stall"), TableProblems.of("unrelated = 1", root -> {
+                List.of("1 unrelated: unknown key; known keys: name, stall"),
+                TableProblems.of("unrelated = 1", root -> {
                     root.string("name", "a");
                     root.duration("stall", "10s", "0", "1m");
                 }));
     }
 
     @Test
-    void unknownKeysOfInnerTablesAreReportedToo() {
+    void unknownKeysOfSubtablesAreReportedToo() {
         String text = "[fleet]\nserver = 5\n[[source]]\nnames = \"a\"\n";
         assertEquals(
                 List.of(
@@ -104,7 +105,7 @@
     @Test
     void aTableThatWasNeverRequestedIsAnUnknownKey() {
         assertEquals(
-                List.of("3 fleet: unknown key; known are name"),
+                List.of("3 fleet: unknown key; known keys: name"),
                 TableProblems.of("name = \"a\"\n\n[fleet]\nservers = 5", root -> root.string("name", null)));
     }
 
@@ -116,7 +117,7 @@
                         "1 rate: 99 is not a number from 1 to 10",
                         "3 fleet.servers: 0 is not a whole number from 1 to 10",
                         "4 fleet.zones: \"many\" is not a whole number from 1 to 10",
-                        "5 source.0.name: missing; a text in quotes",
+                        "5 source.0.name: missing; a string in quotes",
                         "6 source.0.address: unknown key; was \"addresses\" meant?"),
                 TableProblems.of(text, root -> {
                     Table source = root.tables("source", 1).get(0);
--- a/toml/src/test/java/topazvalve/toml/TableValuesTest.java
+++ b/toml/src/test/java/topazvalve/toml/TableValuesTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Each kind of value: a valid one, its default, one that is missing and those that are rejected. */
+/** Each type of value: valid, default, missing and rejected values. */
 class TableValuesTest {
     private enum Color {
         RED,
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void aDurationIsItsDefaultWhereTheFileLacksIt() {
+    void aDurationIsItsDefaultIfTheFileLacksIt() {
         assertReads(1_000_000_000L, "", root -> root.duration("wait", "1s", "0", "1m"));
     }
 
@@ -41,7 +41,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"\"999us\"", "\"61s\"", "\"2m\"", "\"1h\"", "\"1 s\"", "\"-1s\"", "\"\"", "5", "true"})
-    void aDurationOutOfBoundsOrOfAnotherFormIsRejected(String value) {
+    void aDurationOutOfBoundsOrOfAnotherFormatIsRejected(String value) {
         assertEquals(
                 List.of("1 wait: " + value
                         + " is not a duration from 1ms to 1m in quotes, such as \"250ms\" (us, ms, s, m)"),
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void aNumberIsItsDefaultWhereTheFileLacksIt() {
+    void aNumberIsItsDefaultIfTheFileLacksIt() {
         assertReads(7.5, "", root -> root.number("rate", 7.5, 1, 10));
     }
 
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void aNumberThatIsNotANumberIsRejected() {
+    void nanIsRejected() {
         assertEquals(
                 1,
                 TableProblems.of("rate = nan", root -> root.number("rate", 5.0, 1, 10))
@@ -93,17 +93,17 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 5, 10})
-    void aWholeNumberIsReadUpToBothBounds(int number) {
+    void anIntegerIsReadUpToBothBounds(int number) {
         assertReads(number, "count = " + number, root -> root.integer("count", null, 1, 10));
     }
 
     @Test
-    void aWholeNumberIsItsDefaultWhereTheFileLacksIt() {
+    void anIntegerIsItsDefaultIfTheFileLacksIt() {
         assertReads(7, "", root -> root.integer("count", 7, 1, 10));
     }
 
     @Test
-    void aRequiredWholeNumberMustBeGiven() {
+    void aRequiredIntegerMustBeGiven() {
         assertEquals(
                 List.of("1 count: missing; a whole number from 1 to 10"),
                 TableProblems.of("", root -> root.integer("count", null, 1, 10)));
@@ -111,14 +111,14 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"0", "11", "2.5", "\"5\"", "4294967301"})
-    void aWholeNumberOutOfBoundsOrOfAnotherTypeIsRejected(String value) {
+    void anIntegerOutOfBoundsOrOfAnotherTypeIsRejected(String value) {
         assertEquals(
                 List.of("1 count: " + value + " is not a whole number from 1 to 10"),
                 TableProblems.of("count = " + value, root -> root.integer("count", 5, 1, 10)));
     }
 
     @Test
-    void aWholeNumberWithADecimalPointIsRejected() {
+    void anIntegerWithADecimalPointIsRejected() {
         List<String> problems = TableProblems.of("count = 2.0", root -> root.integer("count", 5, 1, 10));
         assertEquals(1, problems.size());
         assertTrue(problems.get(0).endsWith(" is not a whole number from 1 to 10"), problems.get(0));
@@ -131,7 +131,7 @@
     }
 
     @Test
-    void aRangeIsItsDefaultWhereTheFileLacksIt() {
+    void aRangeIsItsDefaultIfTheFileLacksIt() {
         assertReads(new Range(4, 6), "", root -> root.range("load", new Range(4, 6), 1, 10));
     }
 
@@ -144,7 +144,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"0", "11", "[0,5]", "[5,11]", "[5,2]", "[5]", "[1,2,3]", "[]", "\"5\"", "[1,\"5\"]"})
-    void aRangeOutOfBoundsOrOfAnotherFormIsRejected(String value) {
+    void aRangeOutOfBoundsOrOfAnotherFormatIsRejected(String value) {
         assertEquals(
                 List.of("1 load: " + value + " is not a number, or two in brackets, from 1 to 10"),
                 TableProblems.of("load = " + value, root -> root.range("load", new Range(4, 6), 1, 10)));
@@ -166,13 +166,13 @@
     }
 
     @Test
-    void aChoiceIsWrittenInSmallLettersWithDashes() {
+    void aChoiceIsWrittenInLowerCaseWithHyphens() {
         assertReads(Color.DARK_BLUE, "color = \"dark-blue\"", root -> root.choice(Color.class, "color", null));
         assertEquals("dark-blue", Table.nameOf(Color.DARK_BLUE));
     }
 
     @Test
-    void aChoiceIsItsDefaultWhereTheFileLacksIt() {
+    void aChoiceIsItsDefaultIfTheFileLacksIt() {
         assertReads(Color.DARK_BLUE, "", root -> root.choice(Color.class, "color", Color.DARK_BLUE));
     }
 
@@ -192,43 +192,44 @@
     }
 
     @Test
-    void aTextIsReadAsWrittenOrIsItsDefault() {
+    void aStringIsReadAsWrittenOrIsItsDefault() {
         assertReads("a b", "name = \"a b\"", root -> root.string("name", null));
         assertReads("relay", "", root -> root.string("name", "relay"));
     }
 
     @Test
-    void aRequiredTextMustBeGiven() {
+    void aRequiredStringMustBeGiven() {
         assertEquals(
-                List.of("1 name: missing; a text in quotes"), TableProblems.of("", root -> root.string("name", null)));
+                List.of("1 name: missing; a string in quotes"),
+                TableProblems.of("", root -> root.string("name", null)));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"\"\"", "\"  \"", "5", "[\"a\"]"})
-    void aBlankTextOrAValueOfAnotherTypeIsRejected(String value) {
+    void aBlankStringOrAValueOfAnotherTypeIsRejected(String value) {
         assertEquals(
-                List.of("1 name: " + value + " is not a text in quotes"),
+                List.of("1 name: " + value + " is not a non-blank string in quotes"),
                 TableProblems.of("name = " + value, root -> root.string("name", "relay")));
     }
 
     @Test
-    void aListOfTextsKeepsItsOrderOrIsItsDefault() {
+    void aListOfStringsKeepsItsOrderOrIsItsDefault() {
         assertReads(List.of("b", "a"), "names = [\"b\", \"a\"]", root -> root.strings("names", null));
         assertReads(List.of("c"), "", root -> root.strings("names", List.of("c")));
     }
 
     @Test
-    void aRequiredListOfTextsMustBeGiven() {
+    void aRequiredListOfStringsMustBeGiven() {
         assertEquals(
-                List.of("1 names: missing; a list of texts"),
+                List.of("1 names: missing; a list of strings"),
                 TableProblems.of("", root -> root.strings("names", null)));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"[\"a\",\"a\"]", "[\"a\",\"\"]", "[\"a\",1]", "\"a\"", "[]"})
-    void aListWithEqualOrEmptyTextsOrOfAnotherTypeIsRejected(String value) {
+    void aListWithDuplicateOrEmptyStringsOrOfAnotherTypeIsRejected(String value) {
         assertEquals(
-                List.of("1 names: " + value + " is not a list of different texts in quotes"),
+                List.of("1 names: " + value + " is not a list of distinct, non-empty strings in quotes"),
                 TableProblems.of("names = " + value, root -> root.strings("names", null)));
     }
 
--- a/toml/src/test/java/topazvalve/toml/TomlFileTest.java
+++ b/toml/src/test/java/topazvalve/toml/TomlFileTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Acceptance of a file as a whole, and the form of its problems. */
+/** Acceptance or rejection of a whole file, and the format of its problems. */
 class TomlFileTest {
     @Test
-    void aValidFileGivesWhatItsReaderReturns() {
+    void aValidFileGivesTheResultOfItsReader() {
         assertEquals("a", TomlFile.parse("test.toml", "name = \"a\"", root -> root.string("name", null)));
     }
 
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void aKeyThatIsGivenTwiceIsASyntaxError() {
+    void aDuplicateKeyIsASyntaxError() {
         InvalidFileException invalid = assertThrows(
                 InvalidFileException.class,
                 () -> TomlFile.parse("test.toml", "a = 1\n\na = 2\n", root -> root.integer("a", null, 1, 2)));
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void aFileThatDoesNotExistIsNoInvalidFile(@TempDir Path directory) {
+    void aMissingFileIsNotReportedAsInvalid(@TempDir Path directory) {
         assertThrows(NoSuchFileException.class, () -> TomlFile.read(directory.resolve("none.toml"), Table::toString));
     }
 }
