--- a/cli/src/main/java/topazvalve/cli/CheckVerb.java
+++ b/cli/src/main/java/topazvalve/cli/CheckVerb.java
@@ -12,11 +12,12 @@
 import topazvalve.tcp.TcpSettings;
 import topazvalve.toml.InvalidFileException;
 
-/** Validates a file with the reader of the program that uses it, without starting that program. */
+/** Validates an input file of the sidecar or the simulation in the same way as they do, without starting them. */
 @Command(
         name = "check",
         description = {
             "Validates a sidecar's configuration, an operator file or a scenario without running it.",
+            "An operator file adds TCP listeners and relays to a sidecar's configuration.",
             "A configuration has the suffix .json; operator files and scenarios have the suffix .toml."
         })
 final class CheckVerb extends Verb {
@@ -47,7 +48,8 @@
     private static String describeConfiguration(Path file) throws IOException {
         try {
             Config config = Config.read(file);
-            return "classes " + config.settingsReader().names("profiles");
+            // The configuration file lists the request classes under the key "profiles".
+            return "request classes " + config.settingsReader().names("profiles");
         } catch (IllegalArgumentException e) {
             throw new InvalidInputException(file + ": " + e.getMessage(), e);
         }
--- a/cli/src/main/java/topazvalve/cli/MeasureRateVerb.java
+++ b/cli/src/main/java/topazvalve/cli/MeasureRateVerb.java
@@ -14,7 +14,8 @@
         name = "rate",
         description = {
             "Measures the highest open-loop rate that one sidecar on one core sustains.",
-            "Its p99 has to stay within 5 ms of that of the direct path; both are measured in the same run."
+            "A rate is sustained if almost all requests are served and the sidecar adds less than 5 ms to the p99",
+            "latency, compared with requests sent directly to the servers in the same run."
         })
 final class MeasureRateVerb extends Verb {
     /** Smaller steps would take too many measurements to reach the limit. */
@@ -60,15 +61,15 @@
                 .mapToDouble(RateMeasurement.Step::rate)
                 .max()
                 .orElse(0);
-        out().printf(Locale.ROOT, "carried: %.0f a second%n", highestRate);
+        out().printf(Locale.ROOT, "highest sustained rate: %.0f requests per second%n", highestRate);
         return ExitCode.of(highestRate > 0);
     }
 
     private void printStep(RateMeasurement.Step step) {
         out().printf(
                         Locale.ROOT,
-                        "%8.0f/s  direct p50 %6.2f p99 %7.2f ms  through p50 %6.2f p99 %7.2f ms  "
-                                + "CPU %5.0f us a request  %.2f%% bad%s%n",
+                        "%8.0f/s  direct p50 %6.2f p99 %7.2f ms  sidecar p50 %6.2f p99 %7.2f ms  "
+                                + "CPU %5.0f microseconds per request  %.2f%% unserved%s%n",
                         step.rate(),
                         step.directP50(),
                         step.directP99(),
@@ -76,7 +77,7 @@
                         step.sidecarP99(),
                         step.cpuMicros(),
                         PERCENT * step.unservedFraction(),
-                        step.isSustained() ? "" : "  not carried");
+                        step.isSustained() ? "" : "  not sustained");
         out().flush();
     }
 }
--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/TransferQueue.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/TransferQueue.java
@@ -3,8 +3,8 @@
 import java.util.ArrayDeque;
 
 /**
- * Calls that wait for a full snapshot. The number of concurrent transfers is limited, so that each of them completes
- * quickly. Confined to the source's event loop.
+ * Connections that wait for a full snapshot of the endpoint list. The number of transfers, which are snapshots being
+ * sent, is limited, so that each of them completes quickly. Confined to the source's event loop.
  */
 final class TransferQueue {
     private final int maxTransfers;
--- a/policy/src/main/java/topazvalve/policy/TimerQueue.java
+++ b/policy/src/main/java/topazvalve/policy/TimerQueue.java
@@ -3,7 +3,10 @@
 import java.util.PriorityQueue;
 import java.util.function.LongConsumer;
 
-/** Multiplexes the policy's timers onto one timer of the host; timers due at the same time fire in the order set. */
+/**
+ * Multiplexes the policy's timers onto one timer of the host. Timers due at the same time fire in the order in which
+ * they were scheduled.
+ */
 final class TimerQueue {
     private record Timer(long at, long serial, LongConsumer task) {}
 
@@ -11,7 +14,7 @@
             new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.serial, b.serial));
     private final Actions actions;
     private long nextSerial;
-    private long armedAt = Long.MAX_VALUE;
+    private long hostTimerDueAt = Long.MAX_VALUE;
     private long armedToken;
 
     TimerQueue(Actions actions) {
@@ -22,17 +25,18 @@
         queue.add(new Timer(at, nextSerial++, task));
     }
 
-    /** Sets the host's timer if the first timer is due before the one that is set. */
+    /** Sets the host's timer to the time of the earliest queued timer, unless it is already set to then or earlier. */
     void armTimer() {
-        if (!queue.isEmpty() && queue.peek().at < armedAt) {
-            armedAt = queue.peek().at;
-            actions.setTimer(++armedToken, armedAt);
+        if (!queue.isEmpty() && queue.peek().at < hostTimerDueAt) {
+            hostTimerDueAt = queue.peek().at;
+            actions.setTimer(++armedToken, hostTimerDueAt);
         }
     }
 
     void fire(long now, long token) {
-        if (token == armedToken) { // compared by token: with a coarse clock, the host may fire before the time
-            armedAt = Long.MAX_VALUE;
+        // Compares the token, not the time: with a coarse clock, the host may call this before hostTimerDueAt.
+        if (token == armedToken) {
+            hostTimerDueAt = Long.MAX_VALUE;
         }
         while (!queue.isEmpty() && queue.peek().at <= now) {
             queue.poll().task.accept(now);
--- a/policy/src/test/java/topazvalve/policy/AdmissionControllerTest.java
+++ b/policy/src/test/java/topazvalve/policy/AdmissionControllerTest.java
@@ -45,7 +45,7 @@
         host.burst(100, 140, 0);
         assertTrue(
                 host.attempts.size() - before < 8,
-                "sent while no response was in time: " + (host.attempts.size() - before));
+                "requests sent after all earlier ones had timed out: " + (host.attempts.size() - before));
         host.advance(30_000 * MS);
         host.serve(200, 300, 0, 20 * MS);
         assertEquals(
@@ -53,7 +53,10 @@
                 host.attempts.stream().filter(sent -> sent.request() >= 200).count());
     }
 
-    /** A client that disconnects within the objective says nothing about the endpoints; the others are served. */
+    /**
+     * A client that disconnects before the latency objective has passed is no evidence of slow endpoints, so no request
+     * is rejected.
+     */
     @Test
     void clientsThatDisconnectEarlyCauseNoShedding() {
         RecordingHost host = host(IDEMPOTENT).withEndpoints(40);
@@ -69,7 +72,7 @@
         assertEquals(List.of(), host.answers);
     }
 
-    /** A client that disconnects after the objective has waited too long: it counts like a late response. */
+    /** A request whose client disconnects once the latency objective has passed counts as one with a late response. */
     @Test
     void clientsThatDisconnectLateCauseShedding() {
         RecordingHost host = host(IDEMPOTENT).withEndpoints(40);
@@ -98,24 +101,26 @@
     }
 
     /**
-     * First requests that are mistaken for client retries are rejected at once, and two of three clients then retry.
-     * First requests must still be recognized after a while, since there are always more of them than retries.
+     * The first ten requests make a time left of 950 ms the mark of first requests. First requests with 450 ms left
+     * then look like late client retries and are rejected at once, and two of three of their clients retry with 950 ms
+     * left. Since there are more first requests than retries, 450 ms must become the mark, and first requests must be
+     * sent.
      */
     @Test
-    void firstRequestsAreRecognizedAgainAmongClientRetries() {
+    void firstRequestsMistakenForClientRetriesAreEventuallySent() {
         RecordingHost host = host(IDEMPOTENT).withEndpoints(5);
         long id = 0;
         for (int i = 0; i < 10; i++) {
             receiveAndAnswer(host, id++, 950 * MS);
         }
-        boolean served = false;
+        boolean latestFirstRequestSent = false;
         for (int i = 0; i < 300; i++) {
-            served = receiveAndAnswer(host, id++, 450 * MS);
-            if (!served && i % 3 > 0) {
+            latestFirstRequestSent = receiveAndAnswer(host, id++, 450 * MS);
+            if (!latestFirstRequestSent && i % 3 > 0) {
                 receiveAndAnswer(host, id++, 950 * MS);
             }
         }
-        assertTrue(served);
+        assertTrue(latestFirstRequestSent);
     }
 
     /** Receives a request and, if it is sent, answers it after 1 ms; returns whether it was sent. */
@@ -135,19 +140,25 @@
         host.burst(0, 6, 0);
         int sent = host.attempts.size();
         host.request(50, 0, 400 * MS);
-        assertEquals(List.of("reject 50"), host.answers, "600 ms have elapsed of an objective of 500 ms");
+        assertEquals(
+                List.of("reject 50"),
+                host.answers,
+                "400 ms of 1,000 ms left: 600 ms have elapsed, and the objective is 500 ms");
         assertEquals(sent, host.attempts.size());
     }
 
     @Test
-    void commonTimeLeftMarksFirstRequestsEvenIfRetriesHaveMore() {
+    void mostCommonTimeLeftIdentifiesFirstRequestsEvenIfRetriesHaveMoreTimeLeft() {
         RecordingHost host = host(NON_IDEMPOTENT).withEndpoints(1);
         for (int i = 0; i < 30; i++) {
             host.request(i, 0, i % 3 == 2 ? 900 * MS : 600 * MS);
         }
         int answered = host.answers.size();
         host.request(50, 0, 600 * MS);
-        assertEquals(answered, host.answers.size(), "first requests have 600 ms: it is queued, not answered");
+        assertEquals(
+                answered,
+                host.answers.size(),
+                "600 ms is the most common time left, so this is a first request: queued, not rejected");
     }
 
     @Test
--- a/relay/src/main/java/topazvalve/relay/DiscoveryRequest.java
+++ b/relay/src/main/java/topazvalve/relay/DiscoveryRequest.java
@@ -10,7 +10,8 @@
  * A request for the endpoint list.
  *
  * @param watch whether the connection stays open and receives changes
- * @param from the subscriber's revision, sent by clients that do not know sources; 0 for none
+ * @param from the revision of the subscriber's endpoint list, sent by subscribers that do not keep a version of each
+ *     source; 0 for none
  * @param versions the subscriber's version of each source; empty if not given
  */
 record DiscoveryRequest(boolean watch, long from, VersionVector versions) {
@@ -21,7 +22,7 @@
         try {
             String from = parameter(uri, "from", "0");
             if (!REVISION.matcher(from).matches()) {
-                throw badRequest("from is not a version", null);
+                throw badRequest("parameter from is not a revision", null);
             }
             boolean watch = parameter(uri, "watch", "0").equals("1");
             VersionVector versions = VersionVector.parse(parameter(uri, "versions", ""));
--- a/sidecar/src/main/java/topazvalve/sidecar/upstream/LoadReports.java
+++ b/sidecar/src/main/java/topazvalve/sidecar/upstream/LoadReports.java
@@ -8,8 +8,8 @@
 import topazvalve.discovery.json.JsonReader;
 
 /**
- * Reads the load reports of a deployment, whose fields and their order are given by the settings. An invalid report
- * counts as absent and does not affect the response that contained it.
+ * Reads the load reports of a deployment's servers. The settings give the fields of a report and their order. An
+ * invalid report counts as absent and does not affect the response that contained it.
  */
 final class LoadReports {
     /** The path at which a server returns its load report. */
--- a/sidecar/src/test/java/topazvalve/sidecar/FrontendTestHelper.java
+++ b/sidecar/src/test/java/topazvalve/sidecar/FrontendTestHelper.java
@@ -14,7 +14,7 @@
 
 /** Steps shared by the tests of client connections. */
 final class FrontendTestHelper {
-    /** The concurrency limit of a server at the start of the policy. */
+    /** The concurrency limit that the policy assigns to each server initially. */
     private static final int INITIAL_CONCURRENCY_LIMIT = 2;
 
     private FrontendTestHelper() {}
@@ -29,7 +29,7 @@
         return StubServer.reply(socket, "200 OK", "", StubServer.header(head, "Req-Id"));
     }
 
-    /** Sends a request and waits until the server has received one; returns the head that it received. */
+    /** Sends a request, waits for the next request that the server receives, and returns the head of that one. */
     static String sendAndAwaitForwarded(TestClient client, String request, StubServer upstream) throws Exception {
         StubServer.write(client.socket, request);
         return StubServer.awaitNext(upstream.receivedHeads);
@@ -121,6 +121,9 @@
     static void assertNothingElseForwarded(SidecarFixture sidecar, StubServer upstream) throws Exception {
         assertEquals(200, sidecar.send(SidecarFixture.lookRequest("last")).status());
         String nextHead = StubServer.awaitNext(upstream.receivedHeads);
-        assertEquals("last", StubServer.header(nextHead, "Req-Id"), "forwarded before the last request");
+        assertEquals(
+                "last",
+                StubServer.header(nextHead, "Req-Id"),
+                "id of the next forwarded request; another one was forwarded before the one just sent");
     }
 }
--- a/simulation/src/main/java/topazvalve/simulation/model/AttemptScheduler.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/AttemptScheduler.java
@@ -7,7 +7,8 @@
 
 /**
  * The attempts that an order server holds: those that run, as many as it has slots, and those queued for a slot. The
- * owner accounts for the processor's work before each change and applies the speed after it.
+ * {@link OrderServer} calls {@link SharedProcessor#advance} before each change to these attempts, and sets the
+ * processor to the server's current speed after it.
  */
 final class AttemptScheduler {
     private final Clock clock;
@@ -107,7 +108,7 @@
         corruptionRate = rate;
     }
 
-    /** Returns whether the server holds an attempt that its kind of machine stops on a cancellation. */
+    /** Returns whether the server holds the attempt and would stop it on a cancellation, as its kind of machine decides. */
     boolean stopsOnCancel(ServerAttempt attempt) {
         boolean stops = kind.cancel() == Cancel.ALL || (kind.cancel() == Cancel.WAITING && !attempt.running);
         return attempt.server == server && stops;
@@ -125,7 +126,7 @@
         startQueued();
     }
 
-    /** Removes all attempts, the running ones first, without a response. */
+    /** Removes all attempts without responding to them; returns the running ones, followed by the queued ones. */
     List<ServerAttempt> removeAll() {
         List<ServerAttempt> removed = processor.removeAll();
         removed.addAll(queue);
@@ -134,7 +135,7 @@
         return removed;
     }
 
-    /** The process starts, with an empty idempotency cache. */
+    /** Clears the idempotency cache, called when the server's process has started. */
     void processStarted() {
         if (idempotencyCache != null) {
             idempotencyCache.clear();
--- a/simulation/src/main/java/topazvalve/simulation/model/ConnectionCounter.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/ConnectionCounter.java
@@ -7,7 +7,7 @@
     private final MachineKind kind;
     private int open;
     private int incarnation;
-    /** Work of accepting connections that the next attempt to start has to do first. */
+    /** Work of accepting connections that is added to the work of the next attempt that starts. */
     private double pendingWork;
 
     ConnectionCounter(MachineKind kind) {
@@ -47,7 +47,10 @@
         return incarnation;
     }
 
-    /** Returns the work of accepting connections since the last call, in nanoseconds of a standard core. */
+    /**
+     * Returns the work of accepting connections since the last call, in nanoseconds of a standard core (one of speed 1,
+     * see {@link ServerSpeed}).
+     */
     double takePendingWork() {
         double work = pendingWork;
         pendingWork = 0;
