--- a/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/ZoneListeners.java
+++ b/hollow-fleet/src/main/java/topazvalve/hollowfleet/source/ZoneListeners.java
@@ -14,7 +14,7 @@
 /** The listening sockets of a source, one for each zone. */
 final class ZoneListeners {
     private static final int BACKLOG = 8_192;
-    /** Holds any line of changes, but only part of a full snapshot. */
+    /** Large enough for any single change, but not for a full snapshot. */
     private static final int SEND_BUFFER_BYTES = 64 << 10;
 
     private final EventLoop loop;
