--- a/simulation/src/main/java/topazvalve/simulation/model/AttemptScheduler.java
+++ b/simulation/src/main/java/topazvalve/simulation/model/AttemptScheduler.java
@@ -108,7 +108,7 @@
         corruptionRate = rate;
     }
 
-    /** Returns whether the server holds the attempt and would stop it on a cancellation, as its kind of machine decides. */
+    /** Returns whether the server holds the attempt and its kind of machine stops it on a cancellation. */
     boolean stopsOnCancel(ServerAttempt attempt) {
         boolean stops = kind.cancel() == Cancel.ALL || (kind.cancel() == Cancel.WAITING && !attempt.running);
         return attempt.server == server && stops;
