--- a/cli/src/main/java/topazvalve/cli/CheckVerb.java
+++ b/cli/src/main/java/topazvalve/cli/CheckVerb.java
@@ -49,7 +49,7 @@
         try {
             Config config = Config.read(file);
             // The configuration file lists the request classes under the key "profiles".
-            return "request classes " + config.settingsReader().names("profiles");
+            return "classes " + config.settingsReader().names("profiles");
         } catch (IllegalArgumentException e) {
             throw new InvalidInputException(file + ": " + e.getMessage(), e);
         }
--- a/relay/src/main/java/topazvalve/relay/DiscoveryRequest.java
+++ b/relay/src/main/java/topazvalve/relay/DiscoveryRequest.java
@@ -22,7 +22,7 @@
         try {
             String from = parameter(uri, "from", "0");
             if (!REVISION.matcher(from).matches()) {
-                throw badRequest("parameter from is not a revision", null);
+                throw badRequest("from is not a version", null);
             }
             boolean watch = parameter(uri, "watch", "0").equals("1");
             VersionVector versions = VersionVector.parse(parameter(uri, "versions", ""));
