--- a/simulation/src/main/java/topazvalve/simulation/scenario/Fault.java
+++ b/simulation/src/main/java/topazvalve/simulation/scenario/Fault.java
@@ -9,7 +9,7 @@
  *
  * @param affectedFraction the fraction (0 to 1) of the servers or instances that it affects; at least one is affected
  * @param size a slowdown, a load factor, or a fraction of responses or packets, depending on the kind
- * @param extraDelay the additional delay of every packet; 0 unless the kind is {@code DELAY}
+ * @param extraDelay the additional delay of every packet, which only the kind {@code DELAY} uses
  */
 public record Fault(Kind kind, long start, long length, double affectedFraction, double size, long extraDelay) {
 
